--- a/agent/calls/starts_test.go
+++ b/agent/calls/starts_test.go
@@ -3,6 +3,7 @@
 import (
 	"net"
 	"net/http"
+	"sync"
 	"sync/atomic"
 	"testing"
 	"time"
@@ -19,18 +20,22 @@
 	lis   net.Listener
 	ends  atomic.Bool
 	holds chan struct{} // nil: it ends at once
+
+	arrived atomic.Int32 // requests that reached it
 }
 
 func (m *mortal) start(t *testing.T) {
 	lis, err := net.Listen("tcp", m.addr)
 	require.NoError(t, err)
 	m.lis, m.addr = lis, lis.Addr().String()
+	closeListener := sync.OnceFunc(func() { _ = lis.Close() }) // a second Close would return before the first is done
 	server := &http.Server{Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
+		m.arrived.Add(1)
 		if m.holds != nil {
 			<-m.holds
 		}
 		if m.ends.Load() {
-			_ = lis.Close()
+			closeListener()
 		}
 		panic(http.ErrAbortHandler)
 	})}
@@ -83,7 +88,7 @@
 		stream := r.open(t, t.Context(), open)
 		go func() { replies <- finish(stream) }()
 	}
-	require.Eventually(t, func() bool { return r.queue.Stats().Running == 2 }, generous, time.Millisecond)
+	require.Eventually(t, func() bool { return m.arrived.Load() == 2 }, generous, time.Millisecond)
 	close(m.holds)
 	one, two := <-replies, <-replies
 	require.NotEmpty(t, one.refusal.GetEnded())
