--- a/hack/procs.sh
+++ b/hack/procs.sh
@@ -5,10 +5,18 @@
 mkdir -p "$dir/logs" "$dir/pids"
 started=()
 
-# start NAME BINARY ARG… runs a process and writes down its pid.
+# start NAME BINARY ARG… runs a process and writes down its pid. With OLD_BIN set to a
+# folder of binaries of another build, a process named in OLD runs from there at its first
+# start and from bin/ afterwards; the other processes run from there from their second start.
 start() {
-  local name=$1
+  local name=$1 old=
   shift
+  if [ -n "${OLD_BIN:-}" ]; then
+    case " ${OLD:-} " in *" $name "*) old=1 ;; esac
+    [ -e "$dir/pids/$name" ] && { [ -n "$old" ] && old= || old=1; }
+    [ -z "$old" ] || set -- "$OLD_BIN/${1#bin/}" "${@:2}"
+    echo "$name $1" >>"$dir/builds.txt"
+  fi
   "$@" >"$dir/logs/$name.log" 2>&1 </dev/null &
   started+=("$!")
   echo "$!" >"$dir/pids/$name"
