--- a/decide/place/assign.go
+++ b/decide/place/assign.go
@@ -9,7 +9,7 @@
 // Assign binds as many samples as there are free places and returns the
 // bindings in the order of urgency. Loads of the engines are raised on the way.
 func Assign(engines []Engine, samples []Sample) []Choice {
-	a := &assigner{engines: engines, median: medianPace(engines), warm: map[string][]int{}, idle: map[want]*candidates{}, slow: map[want]*candidates{}}
+	a := &assigner{engines: engines, median: medianPace(engines), enginesByPrompt: map[string][]int{}, usualPace: map[requirement]*candidates{}, slowPace: map[requirement]*candidates{}}
 	for i := range engines {
 		a.free += max(0, engines[i].Slots-engines[i].Load)
 	}
@@ -21,19 +21,19 @@
 		order[i] = i
 	}
 	slices.SortStableFunc(order, func(x, y int) int {
-		return cmp.Or(cmp.Compare(samples[x].Rank, samples[y].Rank), cmp.Compare(samples[y].Left, samples[x].Left))
+		return cmp.Or(cmp.Compare(samples[x].Rank, samples[y].Rank), cmp.Compare(samples[y].Remaining, samples[x].Remaining))
 	})
 	var choices []Choice
 	for _, i := range order {
 		if a.free == 0 {
 			break
 		}
-		at := a.best(&samples[i])
-		if at < 0 {
+		engine := a.bestEngine(&samples[i])
+		if engine < 0 {
 			continue
 		}
-		a.take(at, samples[i].Prompt)
-		choices = append(choices, Choice{Sample: i, Engine: at})
+		a.bind(engine, samples[i].Prompt)
+		choices = append(choices, Choice{Sample: i, Engine: engine})
 	}
 	return choices
 }
@@ -45,58 +45,58 @@
 	median  float64
 	free    int
 	// warm holds the engines that got a sample with a prompt.
-	warm map[string][]int
+	enginesByPrompt map[string][]int
 	// idle are the engines of the usual pace that have room, by what samples want of
 	// them, and slow those that a fault has slowed down.
-	idle, slow map[want]*candidates
+	usualPace, slowPace map[requirement]*candidates
 }
 
 // want is what samples may differ in by the engines that can make them.
-type want struct {
-	model string
-	floor uint64
-	only  uint64
+type requirement struct {
+	model       string
+	floor       uint64
+	onlyVersion uint64
 }
 
-func (a *assigner) take(engine int, prompt string) {
+func (a *assigner) bind(engine int, prompt string) {
 	a.engines[engine].Load++
 	a.free--
-	if prompt != "" && !slices.Contains(a.warm[prompt], engine) {
-		a.warm[prompt] = append(a.warm[prompt], engine)
+	if prompt != "" && !slices.Contains(a.enginesByPrompt[prompt], engine) {
+		a.enginesByPrompt[prompt] = append(a.enginesByPrompt[prompt], engine)
 	}
 }
 
 // best returns the engine for a sample; -1: none has room, or the sample does better
 // to wait.
-func (a *assigner) best(s *Sample) int {
-	at := a.candidates(s, false).least(s.Avoid)
-	if at < 0 {
-		return a.bestSlow(s)
+func (a *assigner) bestEngine(s *Sample) int {
+	engine := a.candidates(s, false).lowest(s.Avoid)
+	if engine < 0 {
+		return a.bestSlowEngine(s)
 	}
-	least := a.score(at)
-	for _, i := range a.warm[s.Prompt] {
-		if !fits(&a.engines[i], s) || s.Avoid[a.engines[i].ID] || isSlow(&a.engines[i], a.median) {
+	lowestScore := a.score(engine)
+	for _, i := range a.enginesByPrompt[s.Prompt] {
+		if !hasRoomFor(&a.engines[i], s) || s.Avoid[a.engines[i].ID] || isSlow(&a.engines[i], a.median) {
 			continue
 		}
-		if score := a.score(i) - warmGain; score < least {
-			at, least = i, score
+		if score := a.score(i) - warmPromptBonus; score < lowestScore {
+			engine, lowestScore = i, score
 		}
 	}
-	return at
+	return engine
 }
 
 // bestSlow returns the slow engine for a sample that is in time there all the same, or
 // has nowhere else to go; -1: there is none, or the sample waits for another.
-func (a *assigner) bestSlow(s *Sample) int {
+func (a *assigner) bestSlowEngine(s *Sample) int {
 	slow := a.candidates(s, true)
-	at := slow.least(s.Avoid)
-	if at < 0 {
+	engine := slow.lowest(s.Avoid)
+	if engine < 0 {
 		return -1
 	}
-	inTime := s.Left*a.engines[at].Pace <= slowShare*s.Due
+	inTime := s.Remaining*a.engines[engine].Pace <= maxSlowShare*s.Due
 	fewOthers := a.candidates(s, false).serving < slow.serving
-	if inTime || fewOthers || s.Waited > slowWait {
-		return at
+	if inTime || fewOthers || s.Waited > maxSlowWait {
+		return engine
 	}
 	return -1
 }
@@ -106,16 +106,16 @@
 // candidates are the engines that serve a sample: those of the usual pace, or the slow
 // ones.
 func (a *assigner) candidates(s *Sample, slow bool) *candidates {
-	known := a.idle
+	byRequirement := a.usualPace
 	if slow {
-		known = a.slow
+		byRequirement = a.slowPace
 	}
-	key := want{s.Model, s.Floor, s.Only}
-	c := known[key]
+	key := requirement{s.Model, s.Floor, s.OnlyVersion}
+	c := byRequirement[key]
 	if c != nil {
 		return c
 	}
-	c = &candidates{a: a}
+	c = &candidates{parent: a}
 	for i := range a.engines {
 		if isSlow(&a.engines[i], a.median) != slow || !serves(&a.engines[i], s) {
 			continue
@@ -126,7 +126,7 @@
 		}
 	}
 	heap.Init(c)
-	known[key] = c
+	byRequirement[key] = c
 	return c
 }
 
@@ -140,35 +140,35 @@
 // candidates is a heap of engines, the least score first, of equal ones the first
 // in the list.
 type candidates struct {
-	a       *assigner
+	parent  *assigner
 	entries []candidate
 	// serving counts all engines of the kind, with room or without.
 	serving int
 }
 
 // least returns the engine with the least score that is not avoided; -1: none.
-func (c *candidates) least(avoid map[string]bool) int {
-	var passed []candidate
-	at := -1
-	for len(c.entries) > 0 && at < 0 {
+func (c *candidates) lowest(avoid map[string]bool) int {
+	var skipped []candidate
+	engine := -1
+	for len(c.entries) > 0 && engine < 0 {
 		top := &c.entries[0]
-		e := &c.a.engines[top.engine]
-		switch now := c.a.score(top.engine); {
+		e := &c.parent.engines[top.engine]
+		switch now := c.parent.score(top.engine); {
 		case e.Load >= e.Slots:
 			heap.Pop(c)
 		case now != top.score:
 			top.score = now
 			heap.Fix(c, 0)
 		case avoid[e.ID]:
-			passed = append(passed, heap.Pop(c).(candidate))
+			skipped = append(skipped, heap.Pop(c).(candidate))
 		default:
-			at = top.engine
+			engine = top.engine
 		}
 	}
-	for _, p := range passed {
+	for _, p := range skipped {
 		heap.Push(c, p)
 	}
-	return at
+	return engine
 }
 
 // Len implements heap.Interface.
--- a/decide/place/lengths.go
+++ b/decide/place/lengths.go
@@ -7,25 +7,25 @@
 // another unit than lengths and often far off; a high one is more often too high
 // than too low, so that a guess lies between the hint and the mean. Its zero value
 // knows nothing. It is not safe for concurrent use.
-type Lengths struct {
+type LengthEstimator struct {
 	// Sums of the weights, of hints x and lengths y.
-	n, x, y, xx, xy float64
+	sumWeights, sumX, sumY, sumXX, sumXY float64
 }
 
 const (
 	// lengthsFew is how many samples have to be known for a guess: about two
 	// groups.
-	lengthsFew = 16
+	minKnownLengths = 16
 	// lengthsKeep is the weight that the past keeps at each new sample: some steps
 	// of a few hundred samples are remembered.
-	lengthsKeep = 0.998
+	lengthDecay = 0.998
 	// leastVariance is the variance of the logarithm of hints below which they are
 	// all the same but for errors of rounding.
-	leastVariance = 1e-6
+	minHintVariance = 1e-6
 )
 
 // Learn notes a whole sample.
-func (l *Lengths) Learn(hint, length float64) {
+func (l *LengthEstimator) Observe(hint, length float64) {
 	if hint <= 0 || length <= 0 {
 		return
 	}
@@ -33,18 +33,18 @@
 	for _, sum := range []struct {
 		at    *float64
 		value float64
-	}{{&l.n, 1}, {&l.x, x}, {&l.y, y}, {&l.xx, x * x}, {&l.xy, x * y}} {
-		*sum.at = *sum.at*lengthsKeep + sum.value
+	}{{&l.sumWeights, 1}, {&l.sumX, x}, {&l.sumY, y}, {&l.sumXX, x * x}, {&l.sumXY, x * y}} {
+		*sum.at = *sum.at*lengthDecay + sum.value
 	}
 }
 
 // Guess returns the likely length of a sample with a hint, 0: without; false: too
 // few are known.
-func (l *Lengths) Guess(hint float64) (float64, bool) {
-	if l.n < lengthsFew {
+func (l *LengthEstimator) Estimate(hint float64) (float64, bool) {
+	if l.sumWeights < minKnownLengths {
 		return 0, false
 	}
-	meanX, meanY := l.x/l.n, l.y/l.n
+	meanX, meanY := l.sumX/l.sumWeights, l.sumY/l.sumWeights
 	if hint <= 0 {
 		return math.Exp(meanY), true
 	}
@@ -52,21 +52,21 @@
 }
 
 // slope is how much of a hint's difference from the mean is believed.
-func (l *Lengths) slope() float64 {
-	meanX := l.x / l.n
-	variance := l.xx/l.n - meanX*meanX
-	if variance < leastVariance {
+func (l *LengthEstimator) slope() float64 {
+	meanX := l.sumX / l.sumWeights
+	variance := l.sumXX/l.sumWeights - meanX*meanX
+	if variance < minHintVariance {
 		return 0
 	}
-	return min(1, max(0, (l.xy/l.n-meanX*l.y/l.n)/variance))
+	return min(1, max(0, (l.sumXY/l.sumWeights-meanX*l.sumY/l.sumWeights)/variance))
 }
 
 // Left guesses what is still to be made of a sample of which made units are there.
 // One that is longer than was guessed is likely to be much longer: the hint was
 // wrong.
-func Left(guess, made float64) float64 {
-	if made >= guess {
-		return max(guess, made) / 2
+func Remaining(estimate, made float64) float64 {
+	if made >= estimate {
+		return max(estimate, made) / 2
 	}
-	return guess - made
+	return estimate - made
 }
--- a/decide/place/place.go
+++ b/decide/place/place.go
@@ -34,10 +34,10 @@
 	// Floor is the oldest weight version that may make it.
 	Floor uint64
 	// Only is the one version that may go on with it; 0: any from the floor on.
-	Only uint64
+	OnlyVersion uint64
 	// Left is how much of it is still to be made, in any unit that all
 	// samples share.
-	Left float64
+	Remaining float64
 	// Rank goes before Left; lower is sooner.
 	Rank int
 	// Due is how long until its results are due, in units of engines' Pace; 0 or
@@ -47,9 +47,9 @@
 	Waited float64
 	// Step is the index of its step, Group names its group there. Must: the step's
 	// trainer waits for this group, whatever others are whole.
-	Step  int
-	Group string
-	Must  bool
+	Step     int
+	Group    string
+	Required bool
 	// Avoid names engines that failed it lately.
 	Avoid map[string]bool
 	// Prompt names what it shares with its siblings; an engine that has read
@@ -67,13 +67,13 @@
 const (
 	// warmGain is what a prompt that the engine has read is worth: reading one
 	// takes as long as a few tokens, so it only breaks ties of a slot or less.
-	warmGain = 0.13
+	warmPromptBonus = 0.13
 	// paceGain is what an engine that takes twice as long as the median costs. One
 	// sample more slows an engine down by under 1%, so that a step is as long as its
 	// longest samples take at the engines that they got; with a third of the engines
 	// 1.3 times slower these are used once the others are two thirds full. It is no
 	// more than that, since places that others have just taken are known late.
-	paceGain = 2
+	slowPacePenalty = 2
 )
 
 // slowShare is the part of the time left until results are due in which a sample has to
@@ -81,13 +81,13 @@
 // the usual pace serve it too, though they are full. Guesses of lengths are off by a
 // factor of two and more, and a group waits for the last of its samples, so that one which
 // just fits by its guess is often late.
-const slowShare = 0.25
+const maxSlowShare = 0.25
 
 // slowWait is the seconds after which a sample takes a slow engine's place all the same,
 // so that none is left at no engine for long while places are free. Scarce engines make
 // most samples wait for some seconds; sent to slow ones sooner they take those from short
 // ones.
-const slowWait = 4.5
+const maxSlowWait = 4.5
 
 // Limits of leaving an engine.
 const (
@@ -96,29 +96,29 @@
 	slowFactor = 1.7
 	// apart is how much slower an engine has to be than another for a long sample to
 	// go on there. Measured paces of equal engines differ by a tenth.
-	apart = 1.25
+	minPaceRatio = 1.25
 	// leaveCost is the seconds that a sample has to gain by going on elsewhere, some
 	// times what it costs: the prompt and text so far are read again in 30 ms, and
 	// the event in the making, 40 to 100 ms, is made again.
-	leaveCost = 0.4
+	minMigrationGain = 0.4
 )
 
 // isSlow tells whether a fault has slowed an engine down, by the median pace of all.
 func isSlow(e *Engine, median float64) bool { return e.Pace > slowFactor*median }
 
-func fits(e *Engine, s *Sample) bool { return e.Load < e.Slots && serves(e, s) }
+func hasRoomFor(e *Engine, s *Sample) bool { return e.Load < e.Slots && serves(e, s) }
 
 // serves tells whether an engine has weights that may make a sample.
 func serves(e *Engine, s *Sample) bool {
 	version, known := e.Versions[s.Model]
-	return known && version >= s.Floor && (s.Only == 0 || version == s.Only)
+	return known && version >= s.Floor && (s.OnlyVersion == 0 || version == s.OnlyVersion)
 }
 
 // score rates an engine; less is better.
 func score(e *Engine, median float64) float64 {
 	load := float64(e.Load+1) / float64(max(1, e.Slots))
 	if e.Pace > 0 && median > 0 {
-		return load + paceGain*(e.Pace/median-1)
+		return load + slowPacePenalty*(e.Pace/median-1)
 	}
 	return load
 }
@@ -135,20 +135,20 @@
 
 // quantile is the value above zero below which one in so many of them lie, 2 for the
 // lower median; 0: there are none.
-func quantile(values []float64, in int) float64 {
+func quantile(values []float64, parts int) float64 {
 	values = slices.DeleteFunc(values, func(v float64) bool { return v <= 0 })
 	if len(values) == 0 {
 		return 0
 	}
 	slices.Sort(values)
-	return values[(len(values)-1)/in]
+	return values[(len(values)-1)/parts]
 }
 
 // Served tells whether any engine has the one version that may go on with a
 // sample, with room or without.
-func Served(engines []Engine, s *Sample) bool {
+func HasOnlyVersion(engines []Engine, s *Sample) bool {
 	for i := range engines {
-		if version, serves := engines[i].Versions[s.Model]; serves && version == s.Only {
+		if version, serves := engines[i].Versions[s.Model]; serves && version == s.OnlyVersion {
 			return true
 		}
 	}
@@ -161,9 +161,9 @@
 	Made float64
 	// Since is how much of Made came in the last Took seconds: since the sample
 	// began, or since its present owner took it on.
-	Since, Took float64
+	MadeByOwner, OwnerSeconds float64
 	// Setbacks is how many of its streams ended early in that time.
-	Setbacks int
+	BrokenStreams int
 }
 
 // BeginsAgain tells whether a sample that only one weight version may go on with
@@ -174,24 +174,24 @@
 // came too late or never. What the text still needs at the rate so far is weighed
 // against the whole of it at the usual pace, so that one broken connection late in
 // a text drops nothing.
-func BeginsAgain(engines []Engine, s *Sample, p Progress) bool {
-	if s.Only == 0 || p.Setbacks == 0 || !canBegin(engines, s) {
+func ShouldRestart(engines []Engine, s *Sample, p Progress) bool {
+	if s.OnlyVersion == 0 || p.BrokenStreams == 0 || !canRestartElsewhere(engines, s) {
 		return false
 	}
 	pace := medianPace(engines)
 	if pace == 0 {
-		return p.Setbacks > 1 // no stream has brought two events in a row yet
+		return p.BrokenStreams > 1 // no stream has brought two events in a row yet
 	}
-	goingOn := s.Left * p.Took / max(1, p.Since)
-	return goingOn > (p.Made+s.Left)*pace
+	continueSeconds := s.Remaining * p.OwnerSeconds / max(1, p.MadeByOwner)
+	return continueSeconds > (p.Made+s.Remaining)*pace
 }
 
 // canBegin tells whether an engine with another version than the sample's own has
 // room for it.
-func canBegin(engines []Engine, s *Sample) bool {
-	anew := *s
-	anew.Only = 0
+func canRestartElsewhere(engines []Engine, s *Sample) bool {
+	restarted := *s
+	restarted.OnlyVersion = 0
 	return slices.ContainsFunc(engines, func(e Engine) bool {
-		return e.Versions[s.Model] != s.Only && !s.Avoid[e.ID] && fits(&e, &anew)
+		return e.Versions[s.Model] != s.OnlyVersion && !s.Avoid[e.ID] && hasRoomFor(&e, &restarted)
 	})
 }
--- a/decide/place/place_test.go
+++ b/decide/place/place_test.go
@@ -13,7 +13,9 @@
 	return Engine{ID: id, Slots: slots, Load: load, Versions: map[string]uint64{"m": 5}}
 }
 
-func sample(id string, left float64) Sample { return Sample{ID: id, Model: "m", Floor: 4, Left: left} }
+func sample(id string, left float64) Sample {
+	return Sample{ID: id, Model: "m", Floor: 4, Remaining: left}
+}
 
 func TestAssign(t *testing.T) {
 	stale := engine("stale", 8, 0)
@@ -31,7 +33,7 @@
 	newer := engine("newer", 8, 0)
 	newer.Versions = map[string]uint64{"m": 6}
 	only := sample("only", 1)
-	only.Only = 5
+	only.OnlyVersion = 5
 	tests := []struct {
 		name    string
 		engines []Engine
@@ -73,26 +75,26 @@
 	require.Equal(t, choices[0].Engine, choices[1].Engine)
 }
 
-func TestServed(t *testing.T) {
+func TestHasOnlyVersion(t *testing.T) {
 	only := sample("only", 1)
-	only.Only = 5
-	require.True(t, Served([]Engine{engine("full", 8, 8)}, &only))
-	only.Only = 4
-	require.False(t, Served([]Engine{engine("newer", 8, 0)}, &only))
+	only.OnlyVersion = 5
+	require.True(t, HasOnlyVersion([]Engine{engine("full", 8, 8)}, &only))
+	only.OnlyVersion = 4
+	require.False(t, HasOnlyVersion([]Engine{engine("newer", 8, 0)}, &only))
 }
 
-func TestLeave(t *testing.T) {
+func TestChooseMigration(t *testing.T) {
 	slow, usual, full := engine("slow", 8, 2), engine("usual", 8, 3), engine("full", 8, 8)
 	slow.Pace, usual.Pace, full.Pace = 0.12, 0.037, 0.038
 	at := func(id string, left float64) Running { return Running{Sample: sample(id, left), Engine: "slow"} }
-	require.Equal(t, 1, Leave([]Engine{slow, usual, full}, []Running{at("short", 1), at("long", 9)}), "the longest leaves")
-	require.Equal(t, -1, Leave([]Engine{slow, full, full}, []Running{at("long", 9)}), "nowhere to go")
-	require.Equal(t, -1, Leave([]Engine{usual, full}, []Running{{Sample: sample("s", 1), Engine: "usual"}}), "not slow")
-	require.Equal(t, -1, Leave([]Engine{engine("unknown", 8, 0)}, []Running{at("s", 1)}), "no pace known")
+	require.Equal(t, 1, ChooseMigration([]Engine{slow, usual, full}, []Running{at("short", 1), at("long", 9)}), "the longest leaves")
+	require.Equal(t, -1, ChooseMigration([]Engine{slow, full, full}, []Running{at("long", 9)}), "nowhere to go")
+	require.Equal(t, -1, ChooseMigration([]Engine{usual, full}, []Running{{Sample: sample("s", 1), Engine: "usual"}}), "not slow")
+	require.Equal(t, -1, ChooseMigration([]Engine{engine("unknown", 8, 0)}, []Running{at("s", 1)}), "no pace known")
 }
 
 // anyRoom tells whether there is a free place that a sample should have taken.
-func anyRoom(engines []Engine, s *Sample) bool {
+func hasUsableSlot(engines []Engine, s *Sample) bool {
 	median := medianPace(engines)
 	usual, slow := 0, 0
 	for i := range engines {
@@ -105,8 +107,8 @@
 		}
 	}
 	return slices.ContainsFunc(engines, func(e Engine) bool {
-		waits := isSlow(&e, median) && usual >= slow && s.Left*e.Pace > slowShare*s.Due && s.Waited <= slowWait
-		return !waits && !s.Avoid[e.ID] && fits(&e, s)
+		waits := isSlow(&e, median) && usual >= slow && s.Remaining*e.Pace > maxSlowShare*s.Due && s.Waited <= maxSlowWait
+		return !waits && !s.Avoid[e.ID] && hasRoomFor(&e, s)
 	})
 }
 
@@ -114,7 +116,7 @@
 // engine that may not make it, and none is left waiting beside a free place, but where
 // that is at a slow engine, as many others of the usual pace serve the sample, it would
 // come late there and has not waited for long.
-func TestAssignHoldsForAnyLoad(t *testing.T) {
+func TestAssignInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		engines := make([]Engine, rapid.IntRange(0, 6).Draw(t, "engines"))
 		for i := range engines {
@@ -141,7 +143,7 @@
 		}
 		for i := range samples {
 			if !placed[i] {
-				require.False(t, anyRoom(engines, &samples[i]), "a free place was left")
+				require.False(t, hasUsableSlot(engines, &samples[i]), "a free place was left")
 			}
 		}
 	})
@@ -167,7 +169,7 @@
 // off each stream after an event. Others with newer weights stand free; its
 // trainer waits for this sample alone. It begins again there, unless what it has is
 // worth more than the time that its engine costs it.
-func TestSampleLeavesTheOnlyEngineOfItsVersion(t *testing.T) {
+func TestShouldRestart(t *testing.T) {
 	old, fresh := engine("old", 8, 1), engine("fresh", 8, 1)
 	old.Versions, fresh.Versions = map[string]uint64{"m": 1}, map[string]uint64{"m": 2}
 	old.Pace, fresh.Pace = 0.03, 0.03
@@ -175,66 +177,66 @@
 	full.Load = full.Slots
 	unknown := func(e Engine) Engine { e.Pace = 0; return e }
 	tests := []struct {
-		name    string
-		engines []Engine
-		only    uint64
-		left    float64
-		p       Progress
-		want    bool
+		name     string
+		engines  []Engine
+		only     uint64
+		left     float64
+		progress Progress
+		want     bool
 	}{
-		{"an event in each stream", []Engine{old, fresh}, 1, 30, Progress{Made: 3, Since: 3, Took: 1.3, Setbacks: 3}, true},
-		{"nothing made, broken at once", []Engine{old, fresh}, 1, 30, Progress{Made: 1, Since: 1, Took: 0.5, Setbacks: 1}, true},
-		{"one break late in the text", []Engine{old, fresh}, 1, 20, Progress{Made: 140, Since: 140, Took: 4.7, Setbacks: 1}, false},
-		{"taken over late, one break", []Engine{old, fresh}, 1, 20, Progress{Made: 140, Since: 0, Took: 0.05, Setbacks: 1}, false},
-		{"it waits for a place, nothing broke", []Engine{old, fresh}, 1, 30, Progress{Made: 3, Since: 3, Took: 9}, false},
-		{"nobody has brought two events, broken twice", []Engine{unknown(old), unknown(fresh)}, 1, 30, Progress{Made: 2, Since: 2, Took: 0.5, Setbacks: 2}, true},
-		{"nobody has brought two events, broken once", []Engine{unknown(old), unknown(fresh)}, 1, 30, Progress{Made: 1, Since: 1, Took: 0.1, Setbacks: 1}, false},
-		{"nobody else has room", []Engine{old, full}, 1, 30, Progress{Made: 3, Since: 3, Took: 1.3, Setbacks: 3}, false},
-		{"nobody else at all", []Engine{old}, 1, 30, Progress{Made: 3, Since: 3, Took: 1.3, Setbacks: 3}, false},
-		{"any version may go on", []Engine{old, fresh}, 0, 30, Progress{Made: 3, Since: 3, Took: 1.3, Setbacks: 3}, false},
+		{"an event in each stream", []Engine{old, fresh}, 1, 30, Progress{Made: 3, MadeByOwner: 3, OwnerSeconds: 1.3, BrokenStreams: 3}, true},
+		{"nothing made, broken at once", []Engine{old, fresh}, 1, 30, Progress{Made: 1, MadeByOwner: 1, OwnerSeconds: 0.5, BrokenStreams: 1}, true},
+		{"one break late in the text", []Engine{old, fresh}, 1, 20, Progress{Made: 140, MadeByOwner: 140, OwnerSeconds: 4.7, BrokenStreams: 1}, false},
+		{"taken over late, one break", []Engine{old, fresh}, 1, 20, Progress{Made: 140, MadeByOwner: 0, OwnerSeconds: 0.05, BrokenStreams: 1}, false},
+		{"it waits for a place, nothing broke", []Engine{old, fresh}, 1, 30, Progress{Made: 3, MadeByOwner: 3, OwnerSeconds: 9}, false},
+		{"nobody has brought two events, broken twice", []Engine{unknown(old), unknown(fresh)}, 1, 30, Progress{Made: 2, MadeByOwner: 2, OwnerSeconds: 0.5, BrokenStreams: 2}, true},
+		{"nobody has brought two events, broken once", []Engine{unknown(old), unknown(fresh)}, 1, 30, Progress{Made: 1, MadeByOwner: 1, OwnerSeconds: 0.1, BrokenStreams: 1}, false},
+		{"nobody else has room", []Engine{old, full}, 1, 30, Progress{Made: 3, MadeByOwner: 3, OwnerSeconds: 1.3, BrokenStreams: 3}, false},
+		{"nobody else at all", []Engine{old}, 1, 30, Progress{Made: 3, MadeByOwner: 3, OwnerSeconds: 1.3, BrokenStreams: 3}, false},
+		{"any version may go on", []Engine{old, fresh}, 0, 30, Progress{Made: 3, MadeByOwner: 3, OwnerSeconds: 1.3, BrokenStreams: 3}, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			s := Sample{Model: "m", Floor: 1, Only: test.only, Left: test.left}
-			require.Equal(t, test.want, BeginsAgain(test.engines, &s, test.p))
+			s := Sample{Model: "m", Floor: 1, OnlyVersion: test.only, Remaining: test.left}
+			require.Equal(t, test.want, ShouldRestart(test.engines, &s, test.progress))
 		})
 	}
 }
 
 // An engine is 1.3 times slower than the others. A long sample gains seconds by going
 // on elsewhere, a short one less than that costs; by a hint alone nobody knows.
-func TestLongSampleLeavesASlightlySlowEngine(t *testing.T) {
+func TestLongSampleMigratesFromSlightlySlowEngine(t *testing.T) {
 	slower, usual, full := engine("slower", 8, 3), engine("usual", 8, 3), engine("full", 8, 8)
 	slower.Pace, usual.Pace, full.Pace = 0.1, 0.075, 0.05
 	engines := []Engine{slower, usual, full, usual}
 	at := func(id string, left float64, guessed bool) Running {
-		return Running{Sample: sample(id, left), Engine: "slower", Guessed: guessed}
+		return Running{Sample: sample(id, left), Engine: "slower", Estimated: guessed}
 	}
-	require.Equal(t, 2, Leave(engines, []Running{at("short", 10, true), at("long", 40, true), at("longer", 50, true)}))
-	require.Equal(t, -1, Leave(engines, []Running{at("short", 10, true), at("hinted", 500, false)}))
-	odd := engine("odd", 8, 0) // measured far too low
-	odd.Pace = 0.04
-	fewer := []Engine{usual, usual, usual, odd, usual}
-	require.Equal(t, -1, Leave(fewer, []Running{{Sample: sample("long", 50), Engine: "usual", Guessed: true}}))
+	require.Equal(t, 2, ChooseMigration(engines, []Running{at("short", 10, true), at("long", 40, true), at("longer", 50, true)}))
+	require.Equal(t, -1, ChooseMigration(engines, []Running{at("short", 10, true), at("hinted", 500, false)}))
+	mismeasured := engine("odd", 8, 0) // measured far too low
+	mismeasured.Pace = 0.04
+	fewer := []Engine{usual, usual, usual, mismeasured, usual}
+	require.Equal(t, -1, ChooseMigration(fewer, []Running{{Sample: sample("long", 50), Engine: "usual", Estimated: true}}))
 	avoiding := at("long", 40, true)
 	avoiding.Avoid = map[string]bool{"usual": true}
-	require.Equal(t, -1, Leave(engines, []Running{avoiding}))
+	require.Equal(t, -1, ChooseMigration(engines, []Running{avoiding}))
 }
 
 // An engine that a fault has slowed down is left, so that nothing more is seen of it. It
 // is tried again some seconds later: taken for slow for ever it would be lost to the
 // day's end.
-func TestPacesForgetWhatIsOld(t *testing.T) {
+func TestPaceEstimatesDecay(t *testing.T) {
 	now := time.Unix(1000, 0)
-	var paces Paces
+	var paces PaceEstimator
 	require.Empty(t, paces.At(now))
 	for range 50 {
-		paces.Saw("a", 75*time.Millisecond, now)
-		paces.Saw("b", 75*time.Millisecond, now)
-		paces.Saw("slow", 260*time.Millisecond, now)
+		paces.Observe("a", 75*time.Millisecond, now)
+		paces.Observe("b", 75*time.Millisecond, now)
+		paces.Observe("slow", 260*time.Millisecond, now)
 	}
 	require.InDelta(t, 0.26, paces.At(now)["slow"], 0.01)
-	later := paces.At(now.Add(2 * paceFades))
+	later := paces.At(now.Add(2 * paceHalfLife))
 	require.InDelta(t, 0.075, later["a"], 0.001)
 	require.Less(t, later["slow"], slowFactor*0.075)
 }
--- a/decide/place/probation.go
+++ b/decide/place/probation.go
@@ -16,25 +16,25 @@
 const (
 	// probationPause is how long an engine gets nothing after its first failure: a
 	// connection that broke on the way is tried again soon.
-	probationPause = 250 * time.Millisecond
+	minProbationPause = 250 * time.Millisecond
 	// probationDoublings bounds the pause at 1 s: one that is back is missed for no
 	// longer than a short sample takes.
-	probationDoublings = 2
+	maxProbationDoublings = 2
 )
 
 // Failed notes that an engine could not be reached, or a stream there brought nothing,
 // and returns how long it gets no sample.
-func (p *Probation) Failed(engine string) time.Duration {
+func (p *Probation) RecordFailure(engine string) time.Duration {
 	if p.failures == nil {
 		p.failures = map[string]int{}
 	}
-	pause := probationPause << min(p.failures[engine], probationDoublings)
+	pause := minProbationPause << min(p.failures[engine], maxProbationDoublings)
 	p.failures[engine]++
 	return pause
 }
 
 // Passed notes that an engine has made an event.
-func (p *Probation) Passed(engine string) { delete(p.failures, engine) }
+func (p *Probation) RecordSuccess(engine string) { delete(p.failures, engine) }
 
 // Slots is how many samples an engine may have, all callers' together, of which load
 // run there and own are this caller's.
--- a/decide/place/replay_events_test.go
+++ b/decide/place/replay_events_test.go
@@ -7,20 +7,20 @@
 )
 
 // progress makes the events that are due.
-func (r *replay) progress() {
+func (r *replay) makeEvents() {
 	for i, e := range r.engines {
-		if r.dead(i) {
-			r.breakOff(i)
+		if r.isCrashed(i) {
+			r.breakStreams(i)
 			continue
 		}
-		for _, s := range e.inOrder() {
+		for _, s := range e.sortedSamples() {
 			r.make(i, s)
 			switch {
 			case s.done():
-				r.lengths[s.group.trainer].Learn(s.hint, float64(s.length))
-				r.takeBack(s)
-			case r.measured:
-				r.cutIfSilent(i, s)
+				r.lengths[s.group.trainer].Observe(s.hint, float64(s.length))
+				r.unplace(s)
+			case r.measuredPaces:
+				r.timeOutIfSilent(i, s)
 			}
 		}
 	}
@@ -28,30 +28,30 @@
 
 // inOrder returns what runs in an order that is the same in each run, for what is learnt
 // of lengths and paces depends on it.
-func (e *replayEngine) inOrder() []*replaySample {
+func (e *replayEngine) sortedSamples() []*replaySample {
 	return slices.SortedFunc(maps.Keys(e.running), func(a, b *replaySample) int { return cmp.Compare(a.id, b.id) })
 }
 
 // make makes a sample's events that are due at an engine.
 func (r *replay) make(engine int, s *replaySample) {
-	for s.next <= r.now && !s.done() {
-		if gap := seconds(s.next - s.heard); s.streamed > 0 {
-			r.paces.Saw(r.fleet.Engines[engine], gap, clock(s.next))
-			r.silence.Next(gap)
+	for s.nextEventAt <= r.now && !s.done() {
+		if gap := seconds(s.nextEventAt - s.lastEventAt); s.streamEvents > 0 {
+			r.paces.Observe(r.fleet.Engines[engine], gap, timeAt(s.nextEventAt))
+			r.timeouts.ObserveNext(gap)
 		} else {
-			r.silence.First(gap)
+			r.timeouts.ObserveFirst(gap)
 		}
 		s.made++
-		s.streamed++
-		r.probation.Passed(r.fleet.Engines[engine])
-		s.heard = s.next
-		s.next += r.pace(engine)
+		s.streamEvents++
+		r.probation.RecordSuccess(r.fleet.Engines[engine])
+		s.lastEventAt = s.nextEventAt
+		s.nextEventAt += r.pace(engine)
 	}
 }
 
-func (r *replay) takeBack(s *replaySample) {
+func (r *replay) unplace(s *replaySample) {
 	if s.engine >= 0 {
 		delete(r.engines[s.engine].running, s)
-		s.engine, s.left = -1, r.now
+		s.engine, s.unplacedSince = -1, r.now
 	}
 }
--- a/gateway/jobs/cut_test.go
+++ b/gateway/jobs/cut_test.go
@@ -30,7 +30,7 @@
 	r.out = newOutbox(nil, jobs.Writer{}, 1, func() bool { return true }, nil, zap.NewNop())
 	for _, server := range []string{"slow", "dark", "usual"} {
 		for range 50 {
-			r.paces.Saw(server, 80*time.Millisecond, now)
+			r.paces.Observe(server, 80*time.Millisecond, now)
 		}
 	}
 	r.dropSilent(now)
--- a/gateway/jobs/order.go
+++ b/gateway/jobs/order.go
@@ -15,10 +15,10 @@
 func (r *Runner) learnLength(w *work) {
 	lengths := r.lengths[w.model()]
 	if lengths == nil {
-		lengths = &place.Lengths{}
+		lengths = &place.LengthEstimator{}
 		r.lengths[w.model()] = lengths
 	}
-	lengths.Learn(float64(w.size.Expected), float64(len(w.events)))
+	lengths.Observe(float64(w.size.Expected), float64(len(w.events)))
 }
 
 // guess returns the likely events of an item's text; false: too few of its model
@@ -26,7 +26,7 @@
 func (r *Runner) guess(w *work) (float64, bool) {
 	hint := float64(w.size.Expected)
 	if lengths := r.lengths[w.model()]; lengths != nil {
-		if events, known := lengths.Guess(hint); known {
+		if events, known := lengths.Estimate(hint); known {
 			return events, true
 		}
 	}
@@ -40,15 +40,15 @@
 		return 0
 	}
 	guess, _ := r.guess(w)
-	return place.Left(guess, float64(len(w.events)))
+	return place.Remaining(guess, float64(len(w.events)))
 }
 
 // order ranks the samples of a service by what can be made in time, where it is
 // known what that is. Until then older jobs go first.
 func (r *Runner) order(works []*work, samples []place.Sample, engines []place.Engine, now time.Time) {
 	own := ownLoad(works)
-	room := place.RoomOf(engines, own)
-	if room.Free == 0 || room.Rate == 0 {
+	room := place.CapacityOf(engines, own)
+	if room.FreeSlots == 0 || room.Rate == 0 {
 		return
 	}
 	var steps []place.Step
@@ -67,7 +67,7 @@
 			steps = append(steps, s)
 		}
 		samples[i].Step, samples[i].Due = step, steps[step].Due
-		samples[i].Group, samples[i].Must = groupOf(w)
+		samples[i].Group, samples[i].Required = groupOf(w)
 	}
 	place.Order(steps, samples, room)
 }
@@ -90,7 +90,7 @@
 	}
 	r.book.mu.Lock()
 	defer r.book.mu.Unlock()
-	return place.Step{Turn: turn(j), Due: (due - r.book.age(j, now)).Seconds(), Need: j.Need()}
+	return place.Step{AgeRank: turn(j), Due: (due - r.book.age(j, now)).Seconds(), Need: j.Need()}
 }
 
 // groupOf names the group with which an item counts; one without counts by itself.
--- a/gateway/jobs/placing.go
+++ b/gateway/jobs/placing.go
@@ -28,10 +28,10 @@
 				continue
 			}
 			streamsSilent.Add(1)
-			r.silence.Cut(silent, first)
-			r.paces.Saw(w.server, silent, now) // at least that long for an event
+			r.silence.ObserveTimeout(silent, first)
+			r.paces.Observe(w.server, silent, now) // at least that long for an event
 			if first {
-				r.shun(w.server, r.probation.Failed(w.server), now)
+				r.shun(w.server, r.probation.RecordFailure(w.server), now)
 			}
 			r.zlog.Info("Sample leaves a silent engine.", zap.String("id", w.item.ID), zap.String("job", w.job.ID),
 				zap.String("server", w.server), zap.Duration("silent", silent), zap.Duration("limit", limit), zap.Int("events", len(w.events)))
@@ -111,7 +111,7 @@
 		r.start(ctx, w, usable[e.ID], now)
 		r.zlog.Info("Sample starts.", zap.String("id", w.item.ID), zap.String("job", w.job.ID), zap.String("server", e.ID),
 			zap.Uint64("version", e.Versions[w.model()]), zap.Uint64("floor", w.job.MinVersion), zap.Int("load", e.Load), zap.Int("slots", e.Slots),
-			zap.Float64("pace_s", e.Pace), zap.Float64("left", waits[c.Sample].Left), zap.Int("rank", waits[c.Sample].Rank), zap.Int("behind", len(w.events)),
+			zap.Float64("pace_s", e.Pace), zap.Float64("left", waits[c.Sample].Remaining), zap.Int("rank", waits[c.Sample].Rank), zap.Int("behind", len(w.events)),
 			zap.Int("waiting", len(queue)), zap.Int("engines", len(engines)))
 	}
 	r.moveOne(works, samples, engines, now)
@@ -135,18 +135,18 @@
 // with is dropped: no engine has that version, and engines only move forward, or
 // those that have it hold the sample up.
 func (r *Runner) beginsAgain(w *work, s *place.Sample, engines []place.Engine, now time.Time) bool {
-	if s.Only == 0 {
+	if s.OnlyVersion == 0 {
 		return false
 	}
-	if !place.Served(engines, s) {
+	if !place.HasOnlyVersion(engines, s) {
 		return true
 	}
 	progress := w.progress(now)
-	if !place.BeginsAgain(engines, s, progress) {
+	if !place.ShouldRestart(engines, s, progress) {
 		return false
 	}
-	r.zlog.Info("Sample begins again.", zap.String("id", w.item.ID), zap.String("job", w.job.ID), zap.Uint64("version", s.Only),
-		zap.Int("events", len(w.events)), zap.Float64("left", s.Left), zap.Int("setbacks", progress.Setbacks), zap.Float64("took_s", progress.Took))
+	r.zlog.Info("Sample begins again.", zap.String("id", w.item.ID), zap.String("job", w.job.ID), zap.Uint64("version", s.OnlyVersion),
+		zap.Int("events", len(w.events)), zap.Float64("left", s.Remaining), zap.Int("setbacks", progress.BrokenStreams), zap.Float64("took_s", progress.OwnerSeconds))
 	return true
 }
 
@@ -158,17 +158,17 @@
 	for i, w := range works {
 		if w.phase == running {
 			_, known := r.guess(w)
-			moving, movers = append(moving, place.Running{Sample: samples[i], Engine: w.server, Guessed: known}), append(movers, w)
+			moving, movers = append(moving, place.Running{Sample: samples[i], Engine: w.server, Estimated: known}), append(movers, w)
 		}
 	}
-	at := place.Leave(engines, moving)
+	at := place.ChooseMigration(engines, moving)
 	if at < 0 {
 		return
 	}
 	w := movers[at]
 	samplesMoved.Add(1)
 	r.zlog.Info("Sample leaves a slow engine.", zap.String("id", w.item.ID), zap.String("job", w.job.ID),
-		zap.String("server", w.server), zap.Float64("pace_s", r.paces.At(now)[w.server]), zap.Float64("left", moving[at].Left), zap.Int("events", len(w.events)))
+		zap.String("server", w.server), zap.Float64("pace_s", r.paces.At(now)[w.server]), zap.Float64("left", moving[at].Remaining), zap.Int("events", len(w.events)))
 	r.requeue(w, avoidSilent, now)
 	r.rouse()
 }
--- a/gateway/jobs/plan_bench_test.go
+++ b/gateway/jobs/plan_bench_test.go
@@ -48,7 +48,7 @@
 		w.events = nil
 	}
 	for _, s := range servers {
-		r.paces.Saw(s.ID, 75*time.Millisecond, now)
+		r.paces.Observe(s.ID, 75*time.Millisecond, now)
 	}
 	require.NotEmpty(b, servers)
 	b.ReportAllocs()
--- a/gateway/jobs/runner.go
+++ b/gateway/jobs/runner.go
@@ -84,12 +84,12 @@
 	wake       chan struct{}
 
 	mu      sync.Mutex
-	works   map[string]map[string]*work // by job and item
-	reading map[string]bool             // jobs whose items and earlier texts are being read
-	dropped map[string]carried          // texts of items whose job was ended, by item
-	paces   place.Paces                 // seconds an event, by engine
-	lengths map[string]*place.Lengths   // events of a text, by model
-	silence place.Silence
+	works   map[string]map[string]*work       // by job and item
+	reading map[string]bool                   // jobs whose items and earlier texts are being read
+	dropped map[string]carried                // texts of items whose job was ended, by item
+	paces   place.PaceEstimator               // seconds an event, by engine
+	lengths map[string]*place.LengthEstimator // events of a text, by model
+	silence place.StreamTimeouts
 	// probation keeps samples from engines that give no sign of life.
 	probation place.Probation
 	observed  map[jobs.EngineKey]uint64 // versions as answers told them
@@ -113,7 +113,7 @@
 	r := &Runner{
 		book: book, view: f.View, forward: f, pool: f.Pool, quarantine: f.Quarantine, zlog: zlog, writer: writer,
 		wake:  make(chan struct{}, 1),
-		works: map[string]map[string]*work{}, reading: map[string]bool{}, dropped: map[string]carried{}, lengths: map[string]*place.Lengths{},
+		works: map[string]map[string]*work{}, reading: map[string]bool{}, dropped: map[string]carried{}, lengths: map[string]*place.LengthEstimator{},
 		observed: map[jobs.EngineKey]uint64{}, denied: map[jobs.EngineKey]time.Time{}, shunned: map[string]time.Time{}, refusals: map[string]int{}, claimed: map[string]time.Time{}, released: map[string]uint64{},
 	}
 	r.out = newOutbox(log, writer, parts, r.owning, book.Texts.put, zlog)
--- a/gateway/jobs/stream.go
+++ b/gateway/jobs/stream.go
@@ -203,12 +203,12 @@
 	}
 	now := time.Now()
 	delete(r.refusals, s.server)
-	r.probation.Passed(s.server)
+	r.probation.RecordSuccess(s.server)
 	if gap := now.Sub(w.lastEvent); w.streamed > 0 {
-		r.paces.Saw(w.server, gap, now)
-		r.silence.Next(gap)
+		r.paces.Observe(w.server, gap, now)
+		r.silence.ObserveNext(gap)
 	} else {
-		r.silence.First(gap)
+		r.silence.ObserveFirst(gap)
 		r.observed[jobs.EngineKey{Server: s.server, Model: w.model()}] = e.Version
 	}
 	w.streamed++
@@ -246,7 +246,7 @@
 		r.shun(s.server, shunFull<<(r.refusals[s.server]-1), now)
 		r.requeue(w, avoidFull, now)
 	case unreached:
-		r.shun(s.server, r.probation.Failed(s.server), now)
+		r.shun(s.server, r.probation.RecordFailure(s.server), now)
 		r.requeue(w, avoidFailed, now)
 	case misdirected:
 		r.shun(s.server, shunGone, now)
--- a/gateway/jobs/work.go
+++ b/gateway/jobs/work.go
@@ -117,9 +117,9 @@
 
 // progress is how the item's present text has come on.
 func (w *work) progress(now time.Time) place.Progress {
-	p := place.Progress{Made: float64(len(w.events)), Since: float64(len(w.events) - w.beforeText), Setbacks: w.setbacks}
+	p := place.Progress{Made: float64(len(w.events)), MadeByOwner: float64(len(w.events) - w.beforeText), BrokenStreams: w.setbacks}
 	if !w.sinceText.IsZero() {
-		p.Took = now.Sub(w.sinceText).Seconds()
+		p.OwnerSeconds = now.Sub(w.sinceText).Seconds()
 	}
 	return p
 }
@@ -139,8 +139,8 @@
 
 // sample describes the item for its placing; left is guessed by r.left.
 func (w *work) sample(left float64, now time.Time) place.Sample {
-	s := place.Sample{ID: w.item.ID, Model: w.model(), Floor: w.job.MinVersion, Left: left, Prompt: w.size.Shared, Rank: turn(w.job)}
-	s.Only = w.only()
+	s := place.Sample{ID: w.item.ID, Model: w.model(), Floor: w.job.MinVersion, Remaining: left, Prompt: w.size.Shared, Rank: turn(w.job)}
+	s.OnlyVersion = w.only()
 	if w.phase == waiting {
 		s.Waited = now.Sub(w.left).Seconds()
 	}
