--- a/decide/place/assign.go
+++ b/decide/place/assign.go
@@ -6,8 +6,9 @@
 	"slices"
 )
 
-// Assign binds as many samples as there are free places and returns the
-// bindings in the order of urgency. Loads of the engines are raised on the way.
+// Assign binds as many samples as there are free slots and returns the bindings, most
+// urgent first. It increments the Load of the engines that it chooses. A lower Rank is
+// more urgent; within a rank, samples with more remaining work go first.
 func Assign(engines []Engine, samples []Sample) []Choice {
 	a := &assigner{engines: engines, median: medianPace(engines), enginesByPrompt: map[string][]int{}, usualPace: map[requirement]*candidates{}, slowPace: map[requirement]*candidates{}}
 	for i := range engines {
@@ -38,20 +39,23 @@
 	return choices
 }
 
-// assigner is one Assign. Engines stand in a heap for each kind of sample, so that
-// a step of 2,048 samples at 1,500 engines takes milliseconds.
+// assigner holds the state of one Assign call. It keeps one heap of engines for each
+// distinct requirement, so that assigning a step of 2,048 samples to 1,500 engines
+// takes milliseconds.
 type assigner struct {
 	engines []Engine
 	median  float64
 	free    int
-	// warm holds the engines that got a sample with a prompt.
+	// enginesByPrompt holds the engines that this call has given a sample with that
+	// prompt.
 	enginesByPrompt map[string][]int
-	// idle are the engines of the usual pace that have room, by what samples want of
-	// them, and slow those that a fault has slowed down.
+	// usualPace holds the engines of normal speed with a free slot, by requirement;
+	// slowPace holds those that a fault has slowed down.
 	usualPace, slowPace map[requirement]*candidates
 }
 
-// want is what samples may differ in by the engines that can make them.
+// requirement is what a sample demands of an engine. Samples with equal requirements
+// share one heap of candidates.
 type requirement struct {
 	model       string
 	floor       uint64
@@ -66,8 +70,8 @@
 	}
 }
 
-// best returns the engine for a sample; -1: none has room, or the sample does better
-// to wait.
+// bestEngine returns the index of the engine for a sample, or -1 if no engine has a
+// free slot or the sample should wait.
 func (a *assigner) bestEngine(s *Sample) int {
 	engine := a.candidates(s, false).lowest(s.Avoid)
 	if engine < 0 {
@@ -85,8 +89,9 @@
 	return engine
 }
 
-// bestSlow returns the slow engine for a sample that is in time there all the same, or
-// has nowhere else to go; -1: there is none, or the sample waits for another.
+// bestSlowEngine returns the index of a slow engine for a sample, or -1. A sample gets
+// a slow engine if it should still finish in time there, if fewer engines of normal
+// speed than slow ones serve it, or if it has waited longer than maxSlowWait.
 func (a *assigner) bestSlowEngine(s *Sample) int {
 	slow := a.candidates(s, true)
 	engine := slow.lowest(s.Avoid)
@@ -103,8 +108,8 @@
 
 func (a *assigner) score(engine int) float64 { return score(&a.engines[engine], a.median) }
 
-// candidates are the engines that serve a sample: those of the usual pace, or the slow
-// ones.
+// candidates returns the engines that serve a sample: the slow ones if slow is true,
+// otherwise those of normal speed.
 func (a *assigner) candidates(s *Sample, slow bool) *candidates {
 	byRequirement := a.usualPace
 	if slow {
@@ -130,23 +135,24 @@
 	return c
 }
 
-// candidate is an engine with its score when it was last looked at. Scores only
-// rise while samples are bound.
+// candidate is an engine with its score when it was last computed. Scores only rise
+// while samples are bound.
 type candidate struct {
 	engine int
 	score  float64
 }
 
-// candidates is a heap of engines, the least score first, of equal ones the first
-// in the list.
+// candidates is a heap of engines, ordered by score and then by index.
 type candidates struct {
 	parent  *assigner
 	entries []candidate
-	// serving counts all engines of the kind, with room or without.
+	// serving counts all engines that meet the requirement, with or without a free
+	// slot.
 	serving int
 }
 
-// least returns the engine with the least score that is not avoided; -1: none.
+// lowest returns the index of the engine with the lowest score that is not in avoid, or
+// -1.
 func (c *candidates) lowest(avoid map[string]bool) int {
 	var skipped []candidate
 	engine := -1
--- a/decide/place/goodput_test.go
+++ b/decide/place/goodput_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// runs plays a load with several seeds and returns the sums.
+// runSeeds replays a load with several seeds and returns the summed outcomes.
 func runSeeds(seeds int, newLoad func(seed uint64) load) outcome {
 	outs := make([]outcome, seeds)
 	var wg sync.WaitGroup
@@ -31,17 +31,18 @@
 	return sum
 }
 
-// Trainers ask for more groups than the engines can make. By age and length alone
-// all groups of a step advance together and come a little too late together: at
-// three times a quiet day's groups fewer were in time than at 1.6 times. Now what
-// can be made in time is made, and the rest comes behind it.
+// Guards against a loss of goodput when trainers request more groups than the engines
+// can make. Ranked by step age and sample length alone, all groups of a step progress
+// together and all complete slightly too late: at three times the groups of a quiet day
+// fewer were in time than at 1.6 times. Order instead selects the groups that can be
+// made in time and ranks the others behind them.
 func TestGoodputHoldsPastCapacity(t *testing.T) {
 	const seeds = 2
 	at := map[float64]outcome{}
 	for _, x := range []float64{1.6, 2.2, 3, 4} {
 		at[x] = runSeeds(seeds, func(seed uint64) load { return twoTrainers(x, seed) })
-		t.Logf("groups x %.1f: owed %d, in time %d, late %d, longest unserved %.0f s", x, at[x].awaited/seeds, at[x].inTime/seeds, at[x].late/seeds, at[x].maxUnfinished)
-		require.False(t, at[x].unusedSlot, "a place stood free beside a sample that might have used it")
+		t.Logf("groups x %.1f: awaited %d, in time %d, late %d, longest unfinished %.0f s", x, at[x].awaited/seeds, at[x].inTime/seeds, at[x].late/seeds, at[x].maxUnfinished)
+		require.False(t, at[x].unusedSlot, "a slot was free while a sample could have used it")
 	}
 	require.Equal(t, at[1.6].awaited, at[1.6].inTime)
 	require.GreaterOrEqual(t, float64(at[2.2].inTime), 0.97*float64(at[2.2].awaited))
@@ -53,24 +54,24 @@
 		l.skipOrder = true
 		return l
 	})
-	require.Greater(t, float64(at[3].inTime), 2*float64(withoutOrder.inTime), "by age and length alone: %d", withoutOrder.inTime/seeds)
+	require.Greater(t, float64(at[3].inTime), 2*float64(withoutOrder.inTime), "ranked by age and length alone: %d", withoutOrder.inTime/seeds)
 }
 
-// Guards against long samples that begin behind short ones: the longest samples of two
-// of four trainers nearly fill the time in which their steps are due.
+// Guards against long samples that start behind short ones: the longest samples of two
+// of four trainers nearly fill the time until their steps are due.
 func TestStepsFinishInTimeWhenLongestSampleNearlyFillsDeadline(t *testing.T) {
 	for _, x := range []float64{1, 2} {
 		o := runSeeds(1, func(seed uint64) load { return fourTrainers(x, seed) })
-		t.Logf("groups x %.1f: owed %d, in time %d, late %d", x, o.awaited, o.inTime, o.late)
-		require.False(t, o.unusedSlot, "a place stood free beside a sample that might have used it")
+		t.Logf("groups x %.1f: awaited %d, in time %d, late %d", x, o.awaited, o.inTime, o.late)
+		require.False(t, o.unusedSlot, "a slot was free while a sample could have used it")
 		require.GreaterOrEqual(t, float64(o.inTime), 0.97*float64(o.awaited))
 	}
 }
 
-// Engines take 2.4 s for a load in place of 0.9 s. Did as many follow each model as
-// ever, their loads would slow each other down until none is fresh enough, and a
-// day's groups that nine engines make with ease come late. Fewer follow, and the
-// rest of them wait for other work.
+// A weight load takes 2.4 s instead of 0.9 s. If as many engines followed each model as
+// usual, their loads would slow each other down until no engine is fresh enough, and
+// groups of a quiet day that nine engines could easily make would be late. Instead
+// fewer engines follow each model, and the others are left for other work.
 func TestGoodputHoldsWhenWeightLoadsAreSlow(t *testing.T) {
 	slow := func(bounded bool) outcome {
 		return runSeeds(2, func(seed uint64) load {
@@ -85,9 +86,10 @@
 	require.Less(t, unbounded.inTime, bounded.inTime)
 }
 
-// Loads take 2.4 s and trainers ask for more than the few engines that follow their
-// model make. Were the places of all engines counted for each model, too many groups
-// were chosen, which then missed their time side by side, as without any choice.
+// Weight loads take 2.4 s, and trainers request more than the few engines that follow
+// their model can make. If the slots of all engines were counted for each model, too
+// many groups would be selected, and all of them would be late together, as without any
+// selection.
 func TestGoodputHoldsWhenFewEnginesServeEachModel(t *testing.T) {
 	at := map[float64]outcome{}
 	for _, x := range []float64{1.6, 3} {
@@ -96,14 +98,14 @@
 			l.loading = 2.4
 			return l
 		})
-		t.Logf("groups x %.1f: owed %d, in time %d, late %d", x, at[x].awaited, at[x].inTime, at[x].late)
+		t.Logf("groups x %.1f: awaited %d, in time %d, late %d", x, at[x].awaited, at[x].inTime, at[x].late)
 	}
 	require.GreaterOrEqual(t, float64(at[1.6].inTime), 0.65*float64(at[1.6].awaited))
 	require.GreaterOrEqual(t, float64(at[3].inTime), 0.9*float64(at[1.6].inTime))
 }
 
-// Groups that come again go first in their step, so that however scarce engines
-// are none is left for ever.
+// Guards against starvation: groups that are requested again go first in their step, so
+// each group completes at some point, however scarce engines are.
 func TestNoGroupStarves(t *testing.T) {
 	o := runSeeds(2, func(seed uint64) load {
 		l := twoTrainers(4, seed)
@@ -113,8 +115,8 @@
 	require.Less(t, o.maxUnfinished, 70.0)
 }
 
-// Whatever the trainers, no place stands free beside a sample that may use it, and
-// one more engine makes no step much later: it moves others' turns a little.
+// For any trainers, no slot is free while a sample could use it. One more engine delays
+// no step much: it only shifts the turns of others slightly.
 func TestAddingAnEngineDelaysNoStepMuch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := twoTrainers(rapid.Float64Range(0.5, 1.5).Draw(t, "groups"), rapid.Uint64Range(0, 1000).Draw(t, "seed"))
@@ -129,7 +131,7 @@
 }
 
 func TestOrder(t *testing.T) {
-	room := Capacity{Rate: 100, Pace: 0.1} // 65 units a second are usable
+	room := Capacity{Rate: 100, Pace: 0.1} // 65 units per second are usable
 	sample := func(step int, group string, left float64) Sample {
 		return Sample{Step: step, Group: group, Remaining: left}
 	}
@@ -139,25 +141,25 @@
 		name    string
 		steps   []Step
 		samples []Sample
-		want    []string // groups in their order, those of one rank joined by =
+		want    []string // groups in rank order, those of equal rank joined by =
 	}{
-		{"all in time: side by side by turn", []Step{{AgeRank: 3, Due: 9, Need: 2}, {AgeRank: 4, Due: 9, Need: 1}},
+		{"all in time: ranked by step age", []Step{{AgeRank: 3, Due: 9, Need: 2}, {AgeRank: 4, Due: 9, Need: 1}},
 			[]Sample{sample(0, "a", 10), sample(0, "b", 20), sample(1, "c", 5)}, []string{"a=b", "c"}},
-		{"what does not fit waits behind, the largest first", []Step{{AgeRank: 3, Due: 2, Need: 3}},
+		{"the largest group is evicted and ranked last", []Step{{AgeRank: 3, Due: 2, Need: 3}},
 			[]Sample{sample(0, "large", 20), sample(0, "large", 60), sample(0, "a", 40), sample(0, "b", 30)}, []string{"a=b", "large"}},
-		{"what has been begun has less left and stays", []Step{{AgeRank: 3, Due: 2, Need: 2}},
+		{"a group in progress has less remaining and stays selected", []Step{{AgeRank: 3, Due: 2, Need: 2}},
 			[]Sample{sample(0, "new", 35), sample(0, "new", 35), sample(0, "begun", 33), sample(0, "begun", 32)}, []string{"begun", "new"}},
-		{"late groups of a step side by side", []Step{{AgeRank: 3, Due: -5, Need: 2}},
+		{"late groups of a step share a rank", []Step{{AgeRank: 3, Due: -5, Need: 2}},
 			[]Sample{sample(0, "a", 90), sample(0, "b", 30)}, []string{"a=b"}},
-		{"enough without it", []Step{{AgeRank: 3, Due: 2, Need: 1}},
+		{"a surplus group is ranked last", []Step{{AgeRank: 3, Due: 2, Need: 1}},
 			[]Sample{sample(0, "a", 40), sample(0, "surplus", 100)}, []string{"a", "surplus"}},
-		{"surplus beside the others where there is room", []Step{{AgeRank: 3, Due: 9, Need: 1}},
+		{"a surplus group is selected where there is capacity", []Step{{AgeRank: 3, Due: 9, Need: 1}},
 			[]Sample{sample(0, "a", 40), sample(0, "surplus", 100)}, []string{"a=surplus"}},
-		{"what was handed in again stays the longest", []Step{{AgeRank: 3, Due: 2, Need: 2}},
+		{"a required group is evicted last", []Step{{AgeRank: 3, Due: 2, Need: 2}},
 			[]Sample{must, must, sample(0, "short", 40)}, []string{"must", "short"}},
 		{"the last groups of a late step go first", []Step{{AgeRank: 3, Due: -1, Need: 1}, {AgeRank: 5, Due: 7, Need: 1}},
 			[]Sample{sample(1, "b", 10), sample(0, "last", 40)}, []string{"last", "b"}},
-		{"no more than soon are made", []Step{{AgeRank: 3, Due: -1, Need: 1}, {AgeRank: 5, Due: 7, Need: 1}},
+		{"the last groups of a late step have too much work to go first", []Step{{AgeRank: 3, Due: -1, Need: 1}, {AgeRank: 5, Due: 7, Need: 1}},
 			[]Sample{sample(0, "late", 60), sample(1, "b", 10)}, []string{"b", "late"}},
 	}
 	for _, test := range tests {
@@ -168,8 +170,9 @@
 	}
 }
 
-// The engines that follow one model make a fifth of what all make. Of its groups only
-// those that they can make in time are chosen; the other model's all are.
+// The engines that follow one model make a fifth of what all engines make. Of this
+// model's groups only those that these engines can make in time are selected; all of
+// the other model's are.
 func TestOrderUsesRateOfEachModelsEngines(t *testing.T) {
 	steps := []Step{{AgeRank: 3, Due: 2, Need: 2, Model: "few", Rate: 20}, {AgeRank: 3, Due: 2, Need: 1, Model: "many", Rate: 80}}
 	samples := []Sample{{Step: 0, Group: "short", Remaining: 10}, {Step: 0, Group: "long", Remaining: 30}, {Step: 1, Group: "other", Remaining: 60}}
@@ -184,11 +187,11 @@
 	engines := []Engine{fresh, behind, far, loading}
 	room := Capacity{Pace: 0.5}
 	own := map[string]int{"fresh": 3}
-	require.InDelta(t, 2*(3+6+8), room.RateFor(engines, own, "m", 5), 1e-9, "own places and free ones, without the engine that is far behind")
+	require.InDelta(t, 2*(3+6+8), room.RateFor(engines, own, "m", 5), 1e-9, "own and free slots, without the engine that is far behind")
 	require.Zero(t, room.RateFor(engines, own, "other", 5))
 }
 
-// ranked returns the groups in the order of their ranks.
+// ranked returns the groups in rank order.
 func ranked(samples []Sample) []string {
 	byRank := map[int]string{}
 	var ranks []int
@@ -209,8 +212,9 @@
 	return out
 }
 
-// Hints are in tokens, lengths in events, and hints are off; what is learnt of
-// some samples gives the length of others, and nothing is guessed of few.
+// Hints are in tokens and lengths in events, and hints are inaccurate. The estimator
+// predicts the length of samples from observed ones and returns no estimate from too
+// few.
 func TestLengths(t *testing.T) {
 	var l LengthEstimator
 	_, known := l.Estimate(300)
@@ -224,19 +228,20 @@
 	require.InDelta(t, 30, got, 0.5)
 	l.Observe(0, 10)
 	got, _ = l.Estimate(0)
-	require.InDelta(t, 31, got, 5, "without a hint it is the mean")
+	require.InDelta(t, 31, got, 5, "the mean without a hint")
 
 	var same LengthEstimator
 	for range 20 {
 		same.Observe(500, 10)
 	}
 	got, _ = same.Estimate(5000)
-	require.InDelta(t, 10, got, 0.1, "hints that never differ tell nothing")
+	require.InDelta(t, 10, got, 0.1, "equal hints carry no information")
 	require.InDelta(t, 4, Remaining(10, 6), 0)
-	require.InDelta(t, 10, Remaining(10, 20), 0, "it is longer than was guessed")
+	require.InDelta(t, 10, Remaining(10, 20), 0, "the sample has exceeded its estimate")
 }
 
-// A fleet's steps: 1,500 engines of 8 places, a step of 2,048 samples in groups of 8.
+// A step of 2,048 samples in groups of 8, in a fleet of 1,500 engines with 8 slots
+// each.
 func BenchmarkOrderAndAssignFleet(b *testing.B) {
 	samples := make([]Sample, 2048)
 	for i := range samples {
@@ -257,9 +262,10 @@
 }
 
 // A third of the engines takes 1.3 times as long. A step waits for the long samples of
-// nearly all its groups, and one that begins at a slower engine comes after the step is
-// due; its trainer, which asks for the next but one step when it is whole, falls ever
-// further behind. Places are not scarce: the faster engines have room for all.
+// nearly all its groups, and one that starts on a slower engine finishes after the step
+// is due. Its trainer, which requests the step after next when this one is complete,
+// would fall further and further behind. Slots are not scarce: the faster engines have
+// room for all samples.
 func TestLongSamplesRunAtFastEngines(t *testing.T) {
 	play := func(alike bool) outcome {
 		return runSeeds(2, func(seed uint64) load {
@@ -269,15 +275,15 @@
 		})
 	}
 	unlike, alike := play(false), play(true)
-	t.Logf("in time of %d: %d, where engines are taken for equal %d; late %d, %d", unlike.awaited, unlike.inTime, alike.inTime, unlike.late, alike.late)
+	t.Logf("in time of %d: %d, with engines assumed equal %d; late %d, %d", unlike.awaited, unlike.inTime, alike.inTime, unlike.late, alike.late)
 	require.GreaterOrEqual(t, float64(unlike.inTime), 0.99*float64(unlike.awaited))
 	require.Less(t, float64(alike.inTime), 0.97*float64(unlike.inTime))
 }
 
-// A fourth of the engines turns 3.5 times slower while places are scarce. Their places
-// stand free as soon as the others are taken, so that the most urgent samples began
-// there, and groups came too late for one sample in eight. Now a sample begins at such
-// an engine only where it is whole there in good time, and leaves it where it is not.
+// A fourth of the engines becomes 3.5 times slower while slots are scarce. Their slots
+// are free as soon as the others are taken, so the most urgent samples started there,
+// and one sample in eight made its group late. A sample must start on such an engine
+// only if it finishes there well in time, and must leave it otherwise.
 func TestGoodputHoldsWhenEnginesSlowDown(t *testing.T) {
 	play := func(anyPlace bool) outcome {
 		return runSeeds(2, func(seed uint64) load {
@@ -287,14 +293,14 @@
 		})
 	}
 	chosen, anywhere := play(false), play(true)
-	t.Logf("in time of %d: %d, where any free place is taken %d", chosen.awaited, chosen.inTime, anywhere.inTime)
+	t.Logf("in time of %d: %d, with any free slot taken %d", chosen.awaited, chosen.inTime, anywhere.inTime)
 	require.GreaterOrEqual(t, float64(chosen.inTime), 0.9*float64(chosen.awaited))
 	require.Greater(t, chosen.inTime, anywhere.inTime)
 }
 
-// A fourth of the engines turns six times slower: an event takes 0.46 s there. Each
-// stream was cut as silent after one event, 18,000 times in half a minute, and since a
-// cut taught nothing of the engine's pace the next sample took its place.
+// A fourth of the engines becomes six times slower, so that an event takes 0.46 s
+// there. Each stream timed out after one event, 18,000 times in half a minute. Since a
+// timeout did not change the engine's known pace, the next sample took the free slot.
 func TestStreamsAtSlowEnginesDoNotTimeOutForever(t *testing.T) {
 	play := func(ignoringPace bool) outcome {
 		return runSeeds(1, func(seed uint64) load {
@@ -304,13 +310,13 @@
 		})
 	}
 	withPace, ignoringPace := play(false), play(true)
-	t.Logf("streams cut: %d, by the usual limits alone %d; groups in time of %d: %d, %d", withPace.endedStreams, ignoringPace.endedStreams, withPace.awaited, withPace.inTime, ignoringPace.inTime)
+	t.Logf("streams timed out: %d, with the usual limits alone %d; groups in time of %d: %d, %d", withPace.endedStreams, ignoringPace.endedStreams, withPace.awaited, withPace.inTime, ignoringPace.inTime)
 	require.Less(t, withPace.endedStreams, ignoringPace.endedStreams/4)
 }
 
-// A fifth of the engines crashes and stays listed for some seconds. Their places look
-// free, so that the most urgent samples tried one dead engine after the other, six at a
-// time, while others took what became free elsewhere.
+// A fifth of the engines crashes and stays listed for some seconds. Their slots appear
+// free, so the most urgent samples tried one crashed engine after the other, six at a
+// time, while other samples took the slots that became free elsewhere.
 func TestCrashedEnginesAreRarelyTried(t *testing.T) {
 	play := func(noProbation bool) outcome {
 		return runSeeds(1, func(seed uint64) load {
@@ -324,8 +330,9 @@
 	require.Less(t, withProbation.endedStreams, withoutProbation.endedStreams/3)
 }
 
-// An engine that fails gets nothing for a while, longer each time, then one sample until
-// it has made an event. What others run there and what ran there before changes nothing.
+// An engine that fails gets no samples for a pause that grows with each failure, then
+// one sample until it has made an event. Neither the load of other callers nor its
+// earlier samples change this.
 func TestProbation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var p Probation
--- a/decide/place/lengths.go
+++ b/decide/place/lengths.go
@@ -2,29 +2,31 @@
 
 import "math"
 
-// Lengths learns how long samples become from those that are whole: a regression
-// of the logarithm of the length on that of the trainer's hint. Hints are in
-// another unit than lengths and often far off; a high one is more often too high
-// than too low, so that a guess lies between the hint and the mean. Its zero value
-// knows nothing. It is not safe for concurrent use.
+// LengthEstimator estimates the length of samples from finished ones, by a linear
+// regression of the logarithm of the length on the logarithm of the trainer's hint.
+// Hints are in another unit than lengths and often far off, and a high hint is more
+// often too high than too low. An estimate therefore lies between the hint and the
+// mean. The zero value is ready to use. It is not safe for concurrent use.
 type LengthEstimator struct {
-	// Sums of the weights, of hints x and lengths y.
+	// Decaying sums over the observed samples: weights, log hints (X), log lengths (Y)
+	// and their products.
 	sumWeights, sumX, sumY, sumXX, sumXY float64
 }
 
 const (
-	// lengthsFew is how many samples have to be known for a guess: about two
+	// minKnownLengths is the total weight of samples needed for an estimate, about two
 	// groups.
 	minKnownLengths = 16
-	// lengthsKeep is the weight that the past keeps at each new sample: some steps
-	// of a few hundred samples are remembered.
+	// lengthDecay is the factor applied to past samples at each new one. At 0.998 the
+	// estimate covers some steps of a few hundred samples.
 	lengthDecay = 0.998
-	// leastVariance is the variance of the logarithm of hints below which they are
-	// all the same but for errors of rounding.
+	// minHintVariance is the variance of the log hints below which all hints are
+	// considered equal, apart from rounding errors.
 	minHintVariance = 1e-6
 )
 
-// Learn notes a whole sample.
+// Observe records the hint and the length of a finished sample. It ignores values that
+// are not positive.
 func (l *LengthEstimator) Observe(hint, length float64) {
 	if hint <= 0 || length <= 0 {
 		return
@@ -38,8 +40,8 @@
 	}
 }
 
-// Guess returns the likely length of a sample with a hint, 0: without; false: too
-// few are known.
+// Estimate returns the expected length of a sample with the given hint (0 if it has
+// none), and false if too few samples are known.
 func (l *LengthEstimator) Estimate(hint float64) (float64, bool) {
 	if l.sumWeights < minKnownLengths {
 		return 0, false
@@ -51,7 +53,8 @@
 	return math.Exp(meanY + l.slope()*(math.Log(hint)-meanX)), true
 }
 
-// slope is how much of a hint's difference from the mean is believed.
+// slope returns the regression slope, limited to 0 to 1: the share of a hint's
+// deviation from the mean that is trusted.
 func (l *LengthEstimator) slope() float64 {
 	meanX := l.sumX / l.sumWeights
 	variance := l.sumXX/l.sumWeights - meanX*meanX
@@ -61,9 +64,9 @@
 	return min(1, max(0, (l.sumXY/l.sumWeights-meanX*l.sumY/l.sumWeights)/variance))
 }
 
-// Left guesses what is still to be made of a sample of which made units are there.
-// One that is longer than was guessed is likely to be much longer: the hint was
-// wrong.
+// Remaining estimates the remaining length of a sample of which made units exist. A
+// sample that has exceeded its estimate is likely to become much longer, because its
+// hint was wrong.
 func Remaining(estimate, made float64) float64 {
 	if made >= estimate {
 		return max(estimate, made) / 2
--- a/decide/place/migrate.go
+++ b/decide/place/migrate.go
@@ -1,21 +1,24 @@
 package place
 
-// Running is a sample that runs.
+// Running is a sample that is running on an engine.
 type Running struct {
 	Sample
 	Engine string
-	// Guessed: Left is a guess in the units of engines' Pace, by lengths that were
-	// seen; else it only tells the longer of two samples.
+	// Estimated reports whether Remaining was estimated from observed lengths and so is
+	// in units of the engines' Pace. Otherwise Remaining only orders samples by length.
 	Estimated bool
 }
 
-// Leave returns the index of a running sample that should go on elsewhere; -1: none.
-// It answers two loads: engines that a fault has slowed down several times, which
-// all samples leave, and a fleet of unlike engines, where a step waits for the long
-// sample that began at a slower engine because its hint was too low, or that engine's
-// pace not known yet. Where no other has room a sample leaves only an engine that a
-// fault has slowed down, if it comes late there and is in time elsewhere. The one that gains the most goes first. One at a time
-// keeps the room that was seen from being promised twice.
+// ChooseMigration returns the index of a running sample that should continue on another
+// engine, or -1. It covers two cases. An engine made several times slower by a fault
+// times loses all its samples. In a fleet of engines with different speeds, a step
+// waits for a long sample that started on a slower engine because its hint was too low
+// or the engine's pace was not yet known.
+//
+// If no other engine has a free slot, a sample leaves only an engine that a fault has
+// slowed down, and only if it would be late there and in time elsewhere. The sample
+// that gains the most is chosen. Migrating one at a time keeps the same free slot from
+// being used for two samples.
 func ChooseMigration(engines []Engine, running []Running) int {
 	paces := pacesOf(engines)
 	l := &migrator{
@@ -37,23 +40,27 @@
 	return best
 }
 
-// leaver is one Leave.
+// migrator holds the state of one ChooseMigration call.
 type migrator struct {
 	engines []Engine
 	median  float64
-	// fast is the pace that is believed of the fastest engines, that of the quarter. A
-	// process that reads its streams late and then several events at once measures some
-	// paces far too low, and samples followed those from one engine to the next.
+	// fastPace is the first quartile of the engines' paces; no engine is believed to be
+	// faster. A process that reads its streams late and then receives several events at
+	// once measures some paces far too low, and samples would follow these from engine
+	// to engine.
 	fastPace float64
 	byID     map[string]*Engine
-	// fastest are the engines with room for each kind of sample; nil: there is none.
+	// fastest holds the fastest engine with a free slot for each requirement; nil if
+	// there is none.
 	fastest map[requirement]*Engine
-	// usuals tells for each kind of sample whether an engine of the usual pace serves it.
+	// usualByRequirement caches for each requirement whether an engine of normal speed
+	// serves it.
 	usualByRequirement map[requirement]bool
 }
 
-// gain is the seconds that a sample wins at the fastest engine with room for it; 0:
-// too little. Samples on engines slowed by a fault come before all others.
+// gain returns the seconds that a sample saves on the fastest engine with a free slot
+// for it, or 0 if it should stay. Samples on engines slowed by a fault get
+// faultyEngineBonus on top, so that they precede all others.
 func (l *migrator) gain(r *Running) float64 {
 	current := l.byID[r.Engine]
 	if current == nil || current.Pace <= 0 {
@@ -78,10 +85,11 @@
 	}
 }
 
-// faulty is more seconds than a sample takes.
+// faultyEngineBonus is more seconds than any sample takes.
 const faultyEngineBonus = 1e6
 
-// pace is an engine's as far as it is believed, or the median's where it is not known.
+// pace returns the pace assumed for an engine: at least fastPace, or the median if it
+// is not known.
 func (l *migrator) pace(e *Engine) float64 {
 	if e.Pace > 0 {
 		return max(e.Pace, l.fastPace)
@@ -89,8 +97,8 @@
 	return l.median
 }
 
-// elsewhere returns the fastest engine with room for a sample, but those that it
-// avoids.
+// fastestElsewhere returns the fastest engine with a free slot for a sample, without
+// its current engine and those that it avoids; nil if there is none.
 func (l *migrator) fastestElsewhere(r *Running) *Engine {
 	key := requirement{r.Model, r.Floor, r.OnlyVersion}
 	fastest, known := l.fastest[key]
@@ -104,15 +112,16 @@
 	return l.searchFastest(&r.Sample, r.Engine)
 }
 
-// shouldWait tells whether a sample does better to wait for a place than to go on at a
-// slow engine: it would not begin there any more, and is in time elsewhere.
+// shouldWaitForSlot reports whether a sample should leave a slow engine and wait for a
+// slot elsewhere: it is not expected to finish there early enough to be started there,
+// but would finish in time on an engine of normal speed.
 func (l *migrator) shouldWaitForSlot(r *Running, current *Engine) bool {
 	lateHere := r.Remaining*current.Pace > maxSlowShare*r.Due
 	inTimeElsewhere := r.Remaining*l.median+minMigrationGain < r.Due
 	return r.Estimated && isSlow(current, l.median) && lateHere && inTimeElsewhere && l.hasUsualEngine(r)
 }
 
-// usual tells whether an engine of the usual pace serves a sample.
+// hasUsualEngine reports whether an engine of normal speed serves a sample.
 func (l *migrator) hasUsualEngine(r *Running) bool {
 	key := requirement{r.Model, r.Floor, r.OnlyVersion}
 	known, ok := l.usualByRequirement[key]
--- a/decide/place/order.go
+++ b/decide/place/order.go
@@ -6,35 +6,36 @@
 	"slices"
 )
 
-// Step is a trainer's step: the samples of a batch job, in groups. Its trainer
-// waits until a number of groups is whole, trains, and only then asks for a later
-// step.
+// Step is one training step: the samples of a batch job, in groups. Its trainer waits
+// until a number of groups is complete, trains, and only then requests a later step.
 type Step struct {
-	// Turn orders steps by their age, in any unit; lower is older. Steps of one
-	// turn are made side by side, the longest samples first.
+	// AgeRank orders steps by age, in any unit; lower is older. Steps of equal AgeRank
+	// run concurrently, the longest samples first.
 	AgeRank int
-	// Due is how long until results are due, in seconds; below 0: they are late.
+	// Due is the time until results are due, in seconds. It is negative if they are
+	// late.
 	Due float64
 	// Need is the number of groups that the trainer still waits for.
 	Need int
-	// Model is what makes its samples and Rate what the engines that may make them
-	// can, in units of samples' Left a second; 0: as much as Room has.
+	// Model is the model that makes the samples. Rate is the throughput of the engines
+	// that may make them, in units of Remaining per second; 0 means that of Capacity.
 	Model string
 	Rate  float64
 }
 
-// Room is what the engines of a service can do for some samples.
+// Capacity is what the engines of a service can process for a set of samples.
 type Capacity struct {
-	// Free is the number of places where none runs.
+	// FreeSlots is the number of unoccupied slots.
 	FreeSlots int
-	// Rate is the units of samples' Left that can be made in a second; 0: not known.
+	// Rate is the units of Remaining that can be made per second; 0 if it is not known.
 	Rate float64
-	// Pace is the seconds that one unit takes.
+	// Pace is the number of seconds that one unit takes.
 	Pace float64
 }
 
-// RoomOf is the room that engines have for one process that runs some samples
-// there: their places but for those that others have.
+// CapacityOf returns the engines' capacity for one process: their free slots and the
+// slots that this process already uses. own holds the number of its running samples by
+// engine id.
 func CapacityOf(engines []Engine, own map[string]int) Capacity {
 	capacity := Capacity{Pace: medianPace(engines)}
 	for i := range engines {
@@ -44,7 +45,7 @@
 	return capacity
 }
 
-// rateOf is an engine's part of the rate.
+// engineRate returns an engine's contribution to Rate.
 func (r Capacity) engineRate(e *Engine, own map[string]int) float64 {
 	pace := cmp.Or(e.Pace, r.Pace)
 	if pace == 0 {
@@ -53,9 +54,10 @@
 	return float64(max(0, e.Slots-e.Load)+own[e.ID]) / pace
 }
 
-// RateFor is the part of the rate that a step of a model can use, whose oldest
-// usable version is floor. An engine one version behind the floor, or that loads,
-// counts: it is about to serve. One that is further behind does not follow the model.
+// RateFor returns the part of Rate available to a step of the given model whose oldest
+// permitted version is floor. An engine that is one version behind the floor or is
+// loading the model counts, because it will serve soon. An engine that is further
+// behind does not follow the model.
 func (r Capacity) RateFor(engines []Engine, own map[string]int, model string, floor uint64) float64 {
 	rate := 0.0
 	for i := range engines {
@@ -68,54 +70,55 @@
 	return rate
 }
 
-// Limits of Order, for trainers that ask for several times what the engines make.
+// Limits of Order, for trainers that request several times what the engines can make.
 const (
-	// usable is the share of the places' time that turns into samples in time: the
-	// rest goes to loads of weights, to the tails of steps and to guesses that were
-	// too low.
+	// usableShare is the share of slot time that produces results in time. The rest is
+	// lost to weight loads, to the ends of steps and to lengths that were
+	// underestimated.
 	usableShare = 0.65
-	// surely is the part of a sample's guessed length that it surely has: hints
-	// are off by a factor of two and more, and a group must not be passed over for
-	// a length that it will not reach.
+	// certainShare is the share of a sample's estimated length that it certainly has.
+	// Hints are off by a factor of two and more, and a group must not be skipped
+	// because of a length that it will not reach.
 	certainShare = 0.4
-	// closing is the seconds of all places in which what a step lacks must be made
-	// to go before all else.
+	// finishingSeconds is the number of seconds of all slots within which a step's
+	// missing groups must be completed for them to precede all other groups.
 	finishingSeconds = 0.5
 )
 
-// class is what a group is to its trainer, in the order of places.
+// class is the priority class of a group, highest first.
 type class uint8
 
 const (
-	// closes: the last groups of a step, late but soon made. They let the trainer
-	// go on, who else waits until it gives the step up.
+	// finishing is for the last groups of a step, which are late but soon complete.
+	// They let the trainer continue, which otherwise waits until it gives up the step.
 	finishing class = iota
-	// timely: it can be made in time beside all others of this class.
+	// timely is for groups that can be completed in time together with all others of
+	// this class.
 	timely
-	// late: the trainer waits for it, but it comes too late.
+	// late is for groups that the trainer waits for but that will miss their due time.
 	late
-	// surplus: the trainer has enough without it.
+	// surplus is for groups that the trainer does not need.
 	surplus
 )
 
-// group is the samples of a step that count only together.
+// group is a set of samples of one step that count only together.
 type group struct {
 	step     int
 	required bool
-	work     float64 // left of all its samples
-	longest  float64 // left of the longest
+	work     float64 // total Remaining of its samples
+	longest  float64 // largest Remaining of its samples
 	class    class
 	samples  []int
 }
 
-// Order ranks samples, running ones included, for scarce places. It answers the
-// load of trainers that ask for more than the engines can make: with the steps' age
-// and the samples' length alone all groups advance together and nearly all miss
-// their time by a little. A group counts when its last sample is listed, so that
-// the groups which can be made in time are chosen first, as many as possible, and
-// the others wait behind them instead of beside them. What has been begun has
-// little left and so stays chosen. Where all can be made in time the ranks are the
-// steps' turns, and the longest samples go first.
+// Order ranks samples, including running ones, for scarce slots. It handles trainers
+// that request more than the engines can make. Ranked by step age and sample length
+// alone, all groups would progress together and nearly all would just miss their due
+// time. A group counts only when its last sample is listed, so Order selects as many
+// groups as can be completed in time and ranks the others behind them. Groups in
+// progress have little work remaining and so stay selected. If all groups can be
+// completed in time, the ranks are the steps' AgeRanks, and the longest samples go
+// first.
 func Order(steps []Step, samples []Sample, capacity Capacity) {
 	groups := groupSamples(samples)
 	byDue := func(a, b *group) int {
@@ -142,7 +145,7 @@
 			rank = math.MinInt
 		case timely:
 			rank = steps[g.step].AgeRank
-		default: // of a step side by side, the longest samples first
+		default: // groups of one step share a rank, the longest samples first
 			if previous == nil || previous.class != g.class || previous.step != g.step {
 				lastRank++
 			}
@@ -166,7 +169,7 @@
 	}
 }
 
-// gather returns the groups of the samples.
+// groupSamples collects the samples into groups.
 func groupSamples(samples []Sample) []*group {
 	type key struct {
 		step int
@@ -191,8 +194,9 @@
 	return groups
 }
 
-// classify tells the groups that trainers wait for, those with the least work of
-// each step, from the surplus. Groups come step by step in the order of preference.
+// classify marks the groups that trainers wait for as late and the others as surplus.
+// Trainers wait for the required groups and those with the least work of each step.
+// groups must be sorted by step and then by preference.
 func classify(steps []Step, groups []*group) {
 	counted := make([]int, len(steps))
 	for _, g := range groups {
@@ -204,22 +208,23 @@
 	}
 }
 
-// chooser finds the groups that can be made in time: as many as possible, by the
-// method of Moore and Hodgson for the fewest late jobs on one machine. All places
-// together are taken for one machine of their rate, and those of the engines that
-// have a model fresh for another that makes this model's steps alone: where loads
-// of weights take long only some engines follow each model.
+// groupSelector selects as many groups as possible that can be completed in time. It
+// uses the Moore-Hodgson algorithm, which minimizes the number of late jobs on one
+// machine. All slots together are treated as one machine with their total rate. The
+// engines with a fresh version of a model are in addition treated as a machine for the
+// steps of this model only, because only some engines follow each model where weight
+// loads take long.
 type groupSelector struct {
 	steps    []Step
 	capacity Capacity
-	// order holds the steps by the time at which they are due, place a step's
-	// index in it, work what is chosen of each step.
+	// stepsByDue holds the indexes of the steps by due time, position the index of each
+	// step in stepsByDue, and work the selected work of each step.
 	stepsByDue []int
 	position   []int
 	work       []float64
 	chosen     []*group
-	// model holds the number of each step's model, byModel sums the work of each
-	// while steps are looked at.
+	// modelNumbers holds the number of each step's model. workByModel is scratch space
+	// for the selected work of each model.
 	modelNumbers []int
 	workByModel  []float64
 }
@@ -244,8 +249,9 @@
 	return c
 }
 
-// choose marks the groups that can be made in time. Groups that trainers wait for
-// put out those with the most work; what is surplus comes in where there is room.
+// selectGroups marks the groups that can be completed in time as timely. Groups that
+// trainers wait for evict the selected groups with the most work; surplus groups are
+// added where capacity is left.
 func (c *groupSelector) selectGroups(groups []*group) {
 	for _, g := range groups {
 		if g.class != late || !c.canFinishInTime(g) {
@@ -273,7 +279,7 @@
 	}
 }
 
-// reachable tells whether a group may be made in time if it is begun now.
+// canFinishInTime reports whether a group may be completed in time if it starts now.
 func (c *groupSelector) canFinishInTime(g *group) bool {
 	return certainShare*g.longest*c.capacity.Pace <= c.steps[g.step].Due
 }
@@ -284,9 +290,10 @@
 	c.chosen = append(c.chosen, g)
 }
 
-// overloaded returns the place of the first step that can't be in time with all
-// that is chosen of it and of those before, and the model whose engines are too
-// few; anyModel: all of them are. A place of -1: there is none.
+// firstOverloaded returns the position of the first step that cannot be in time with
+// the work selected for it and for the steps before it, and the model whose engines are
+// overloaded, or anyModel if all engines together are. It returns position -1 if there
+// is no such step.
 func (c *groupSelector) firstOverloaded() (position, model int) {
 	total := 0.0
 	clear(c.workByModel)
@@ -309,9 +316,9 @@
 // anyModel stands for the steps of all models.
 const anyModel = -1
 
-// putOut takes the group with the most work of a model's steps up to a place out.
-// Those that were handed in again stay the longest: their trainer can't do without
-// them, and put out in each step they would be left for ever.
+// evict removes the group with the most work from the steps of a model up to a
+// position. Required groups are evicted last: their trainer cannot continue without them, and
+// evicted in each step they would never be completed.
 func (c *groupSelector) evict(position, model int) {
 	largest := -1
 	for k, g := range c.chosen {
@@ -324,11 +331,11 @@
 	c.work[g.step] -= g.work
 	c.chosen = slices.Delete(c.chosen, largest, largest+1)
 	if !slices.ContainsFunc(c.chosen, func(h *group) bool { return h.step == g.step }) {
-		c.work[g.step] = 0 // what is left is an error of rounding
+		c.work[g.step] = 0 // clear the rounding error
 	}
 }
 
-// before tells whether a is put out rather than b.
+// evictsFirst reports whether a is evicted in preference to b.
 func (c *groupSelector) evictsFirst(a, b *group) bool {
 	if a.required != b.required {
 		return b.required
@@ -336,7 +343,8 @@
 	return a.work > b.work
 }
 
-// closeSteps marks the last groups of steps that nothing timely is left of.
+// markFinishing marks the late groups of steps that have no timely group and little
+// work remaining as finishing.
 func markFinishing(steps []Step, groups []*group, capacity Capacity) {
 	work := make([]float64, len(steps))
 	inTime := make([]bool, len(steps))
--- a/decide/place/pace.go
+++ b/decide/place/pace.go
@@ -8,14 +8,15 @@
 const (
 	// paceWeight is the weight of the newest event in an engine's pace.
 	paceWeight = 0.15
-	// paceFades is the time in which half of what is known of an engine's pace is
-	// forgotten while it gets no sample: an engine that was slowed by a fault for some
-	// seconds is tried again after as many.
+	// paceHalfLife is the time after which half of the knowledge of an engine's pace is
+	// discarded while it gets no samples. An engine that a fault slowed down for some
+	// seconds is tried again after about as long.
 	paceHalfLife = 6 * time.Second
 )
 
-// Paces learns how long engines take for an event, from the gaps between the events of
-// streams. Its zero value knows nothing. It is not safe for concurrent use.
+// PaceEstimator estimates the seconds that each engine takes per event, from the gaps
+// between the events of streams. The zero value is ready to use. It is not safe for
+// concurrent use.
 type PaceEstimator struct {
 	engines map[string]*pace
 }
@@ -25,7 +26,8 @@
 	observedAt time.Time
 }
 
-// Saw notes that two events of a stream at an engine lay apart by a gap at a time.
+// Observe records the gap between two consecutive events of a stream from an engine, of
+// which the later came at the given time.
 func (p *PaceEstimator) Observe(engine string, gap time.Duration, at time.Time) {
 	if p.engines == nil {
 		p.engines = map[string]*pace{}
@@ -39,8 +41,8 @@
 	e.observedAt = at
 }
 
-// At returns the seconds an event of each engine that is known at a time. What was seen
-// long ago of an engine counts less and the median of all more.
+// At returns the estimated seconds per event of each known engine at the given time.
+// Old estimates are pulled toward the median of all engines.
 func (p *PaceEstimator) At(now time.Time) map[string]float64 {
 	paces := make([]float64, 0, len(p.engines))
 	for _, e := range p.engines {
--- a/decide/place/place.go
+++ b/decide/place/place.go
@@ -1,59 +1,60 @@
-// Package place decides which engine gets which sample. It answers the load of
-// synchronous training: a whole step arrives at once, the trainer waits for the
-// last sample of almost every group, and one sample in twelve is several times
-// longer than the others. So samples are bound late, the longest first, to the
-// engine with the most room, and leave an engine that is much slower than its
-// peers (Assign, Leave). Where trainers ask for more than the engines can make,
-// groups that can be made in time go before the others (Order). It has no clock and
+// Package place decides which engine runs which sample. It is designed for synchronous
+// training: a whole step arrives at once, the trainer waits for the last sample of
+// almost every group, and one sample in twelve is several times longer than the others.
+// Samples are therefore bound late, the longest first, to the engine with the most
+// room, and leave engines that are much slower than their peers (Assign,
+// ChooseMigration). Where trainers request more than the engines can make, groups that
+// can be completed in time precede the others (Order). The package has no clock and
 // does no I/O.
 package place
 
 import "slices"
 
-// Engine is a model engine as its users see it.
+// Engine is a model engine as seen by the process that places samples.
 type Engine struct {
 	ID    string
 	Slots int
-	// Load is the number of samples that run or wait there.
+	// Load is the number of samples that run or wait on the engine.
 	Load int
-	// Pace is the time of one event there, in any unit that all engines
-	// share; 0: not known.
+	// Pace is the time of one event, in a unit that all engines share; 0 if it is not
+	// known.
 	Pace float64
-	// Versions holds the weight version of each model that may be used now. A
-	// model whose weights are being loaded is not in it.
+	// Versions holds the usable weight version of each model. It does not contain a
+	// model whose weights are being loaded.
 	Versions map[string]uint64
-	// Loading holds the version of each model that is being loaded; it is not in
-	// Versions.
+	// Loading holds the version of each model that is being loaded. These models are
+	// not in Versions.
 	Loading map[string]uint64
 }
 
-// Sample is one sample that wants an engine.
+// Sample is a sample to be placed on an engine.
 type Sample struct {
 	ID    string
 	Model string
-	// Floor is the oldest weight version that may make it.
+	// Floor is the oldest weight version allowed.
 	Floor uint64
-	// Only is the one version that may go on with it; 0: any from the floor on.
+	// OnlyVersion is the only version that may continue the sample; 0 means any version
+	// from Floor on.
 	OnlyVersion uint64
-	// Left is how much of it is still to be made, in any unit that all
-	// samples share.
+	// Remaining is the length still to be made, in a unit that all samples share.
 	Remaining float64
-	// Rank goes before Left; lower is sooner.
+	// Rank takes precedence over Remaining; lower goes first.
 	Rank int
-	// Due is how long until its results are due, in units of engines' Pace; 0 or
-	// below: it is late, or this is not known.
+	// Due is the time until results are due, in units of the engines' Pace. It is 0 or
+	// negative if the sample is late or its due time is not known.
 	Due float64
-	// Waited is the seconds for which it has been at no engine.
+	// Waited is the number of seconds for which the sample has been on no engine.
 	Waited float64
-	// Step is the index of its step, Group names its group there. Must: the step's
-	// trainer waits for this group, whatever others are whole.
+	// Step is the index of the sample's step and Group the name of its group in the
+	// step. Required means that the trainer waits for this group, however many others
+	// are complete.
 	Step     int
 	Group    string
 	Required bool
-	// Avoid names engines that failed it lately.
+	// Avoid holds the ids of engines on which the sample failed recently.
 	Avoid map[string]bool
-	// Prompt names what it shares with its siblings; an engine that has read
-	// it need not do so again.
+	// Prompt identifies the prompt that the sample shares with its siblings. An engine
+	// that has read it need not read it again.
 	Prompt string
 }
 
@@ -63,58 +64,63 @@
 	Engine int // index
 }
 
-// Weights of the choice, in shares of a full engine.
+// Weights of the score, as shares of a full engine.
 const (
-	// warmGain is what a prompt that the engine has read is worth: reading one
-	// takes as long as a few tokens, so it only breaks ties of a slot or less.
+	// warmPromptBonus is the advantage of an engine that has read the sample's prompt.
+	// Reading a prompt takes as long as a few tokens, so the bonus only decides between
+	// engines whose loads differ by at most one slot.
 	warmPromptBonus = 0.13
-	// paceGain is what an engine that takes twice as long as the median costs. One
-	// sample more slows an engine down by under 1%, so that a step is as long as its
-	// longest samples take at the engines that they got; with a third of the engines
-	// 1.3 times slower these are used once the others are two thirds full. It is no
-	// more than that, since places that others have just taken are known late.
+	// slowPacePenalty is the penalty of an engine that takes twice as long as the
+	// median. One more sample slows an engine down by under 1%, so a step lasts as long
+	// as its longest samples take on the engines that they got. With a third of the
+	// engines 1.3 times slower, these are used once the others are two thirds full. A
+	// higher penalty would rely too much on loads that are out of date, because slots
+	// just taken by other processes become known late.
 	slowPacePenalty = 2
 )
 
-// slowShare is the part of the time left until results are due in which a sample has to
-// be whole at an engine that a fault has slowed down, to begin there while engines of
-// the usual pace serve it too, though they are full. Guesses of lengths are off by a
-// factor of two and more, and a group waits for the last of its samples, so that one which
-// just fits by its guess is often late.
+// maxSlowShare is the share of the time until the due time within which a sample must
+// be expected to finish on an engine slowed by a fault in order to start there, if
+// engines of normal speed serve it but are full. Length estimates are off by a factor
+// of two and more, and a group waits for its last sample, so a sample that just fits by
+// its estimate is often late.
 const maxSlowShare = 0.25
 
-// slowWait is the seconds after which a sample takes a slow engine's place all the same,
-// so that none is left at no engine for long while places are free. Scarce engines make
-// most samples wait for some seconds; sent to slow ones sooner they take those from short
-// ones.
+// maxSlowWait is the number of seconds after which a sample takes a slot on a slow
+// engine in any case, so that no sample waits long while slots are free. When engines
+// are scarce, most samples wait for some seconds; with a shorter wait, long samples
+// would take slots on slow engines from short ones.
 const maxSlowWait = 4.5
 
-// Limits of leaving an engine.
+// Limits of migration.
 const (
-	// slowFactor is how much slower than the median an engine has to be for
-	// its samples to leave it whatever is left of them: those slowed by a fault.
+	// slowFactor is how many times slower than the median an engine must be to count as
+	// slowed by a fault. All samples leave such an engine, whatever their remaining
+	// length.
 	slowFactor = 1.7
-	// apart is how much slower an engine has to be than another for a long sample to
-	// go on there. Measured paces of equal engines differ by a tenth.
+	// minPaceRatio is how many times slower than another an engine must be for a long
+	// sample to migrate between them. Measured paces of equal engines differ by a
+	// tenth.
 	minPaceRatio = 1.25
-	// leaveCost is the seconds that a sample has to gain by going on elsewhere, some
-	// times what it costs: the prompt and text so far are read again in 30 ms, and
-	// the event in the making, 40 to 100 ms, is made again.
+	// minMigrationGain is the number of seconds that a migration must save. It is
+	// several times its cost: reading the prompt and the text so far again takes 30 ms,
+	// and the event in progress, 40 to 100 ms, is made again.
 	minMigrationGain = 0.4
 )
 
-// isSlow tells whether a fault has slowed an engine down, by the median pace of all.
+// isSlow reports whether an engine counts as slowed by a fault, given the median pace
+// of all engines.
 func isSlow(e *Engine, median float64) bool { return e.Pace > slowFactor*median }
 
 func hasRoomFor(e *Engine, s *Sample) bool { return e.Load < e.Slots && serves(e, s) }
 
-// serves tells whether an engine has weights that may make a sample.
+// serves reports whether an engine has weights that may make a sample.
 func serves(e *Engine, s *Sample) bool {
 	version, known := e.Versions[s.Model]
 	return known && version >= s.Floor && (s.OnlyVersion == 0 || version == s.OnlyVersion)
 }
 
-// score rates an engine; less is better.
+// score rates an engine; lower is better.
 func score(e *Engine, median float64) float64 {
 	load := float64(e.Load+1) / float64(max(1, e.Slots))
 	if e.Pace > 0 && median > 0 {
@@ -133,8 +139,8 @@
 	return paces
 }
 
-// quantile is the value above zero below which one in so many of them lie, 2 for the
-// lower median; 0: there are none.
+// quantile returns the lower 1/parts quantile of the positive values: 2 gives the lower
+// median, 4 the first quartile. It returns 0 if no value is positive.
 func quantile(values []float64, parts int) float64 {
 	values = slices.DeleteFunc(values, func(v float64) bool { return v <= 0 })
 	if len(values) == 0 {
@@ -144,8 +150,8 @@
 	return values[(len(values)-1)/parts]
 }
 
-// Served tells whether any engine has the one version that may go on with a
-// sample, with room or without.
+// HasOnlyVersion reports whether any engine, with or without a free slot, has the
+// sample's OnlyVersion.
 func HasOnlyVersion(engines []Engine, s *Sample) bool {
 	for i := range engines {
 		if version, serves := engines[i].Versions[s.Model]; serves && version == s.OnlyVersion {
@@ -155,39 +161,40 @@
 	return false
 }
 
-// Progress is how the text of a sample has come on so far.
+// Progress is the progress of a sample's text.
 type Progress struct {
-	// Made is how much of it is there.
+	// Made is the length made so far.
 	Made float64
-	// Since is how much of Made came in the last Took seconds: since the sample
-	// began, or since its present owner took it on.
+	// MadeByOwner is the part of Made that was made in the last OwnerSeconds, which is
+	// the time since the sample started or since its present owner took it over.
 	MadeByOwner, OwnerSeconds float64
-	// Setbacks is how many of its streams ended early in that time.
+	// BrokenStreams is the number of the sample's streams that ended early in that
+	// time.
 	BrokenStreams int
 }
 
-// BeginsAgain tells whether a sample that only one weight version may go on with
-// is likely to be whole sooner if its text is dropped and another engine begins
-// it. The failure it answers: the only engine with that version breaks off each
-// stream after an event or two, while others with newer weights stand free. The
-// sample then crept on by an event in 0.4 s, and its group, which it held up,
-// came too late or never. What the text still needs at the rate so far is weighed
-// against the whole of it at the usual pace, so that one broken connection late in
-// a text drops nothing.
+// ShouldRestart reports whether a sample that only one weight version may continue is
+// likely to finish sooner if its text is dropped and another engine starts it again. It
+// guards against this failure: the only engine with that version breaks off each stream
+// after an event or two, while engines with newer weights are free. The sample then
+// progressed by one event per 0.4 s, and its group completed too late or never.
+// ShouldRestart compares the time to finish at the rate so far with the time to make
+// the whole text at the median pace. One broken connection near the end of a text
+// therefore does not drop it.
 func ShouldRestart(engines []Engine, s *Sample, p Progress) bool {
 	if s.OnlyVersion == 0 || p.BrokenStreams == 0 || !canRestartElsewhere(engines, s) {
 		return false
 	}
 	pace := medianPace(engines)
 	if pace == 0 {
-		return p.BrokenStreams > 1 // no stream has brought two events in a row yet
+		return p.BrokenStreams > 1 // no stream has delivered two consecutive events yet
 	}
 	continueSeconds := s.Remaining * p.OwnerSeconds / max(1, p.MadeByOwner)
 	return continueSeconds > (p.Made+s.Remaining)*pace
 }
 
-// canBegin tells whether an engine with another version than the sample's own has
-// room for it.
+// canRestartElsewhere reports whether an engine with a version other than the sample's
+// OnlyVersion has room for it.
 func canRestartElsewhere(engines []Engine, s *Sample) bool {
 	restarted := *s
 	restarted.OnlyVersion = 0
--- a/decide/place/place_test.go
+++ b/decide/place/place_test.go
@@ -40,14 +40,14 @@
 		samples []Sample
 		want    []Choice
 	}{
-		{"the longest first where places are scarce", []Engine{engine("e1", 1, 0)}, []Sample{sample("s", 1), sample("l", 9)}, []Choice{{1, 0}}},
-		{"rank goes before length", []Engine{engine("e1", 1, 0)}, []Sample{sample("l", 9), carried}, []Choice{{1, 0}}},
+		{"the longest first if slots are scarce", []Engine{engine("e1", 1, 0)}, []Sample{sample("s", 1), sample("l", 9)}, []Choice{{1, 0}}},
+		{"rank takes precedence over length", []Engine{engine("e1", 1, 0)}, []Sample{sample("l", 9), carried}, []Choice{{1, 0}}},
 		{"the engine with the most room", []Engine{engine("e1", 8, 5), engine("e2", 8, 2)}, []Sample{sample("s", 1)}, []Choice{{0, 1}}},
-		{"nothing where all are full", []Engine{engine("e1", 8, 8)}, []Sample{sample("s", 1)}, nil},
-		{"no weights older than the floor", []Engine{stale}, []Sample{sample("s", 1)}, nil},
-		{"no engine that loads the model", []Engine{loading}, []Sample{sample("s", 1)}, nil},
-		{"not where it failed lately", []Engine{engine("e1", 8, 0), engine("e2", 8, 7)}, []Sample{avoiding}, []Choice{{0, 1}}},
-		{"only the version that began it", []Engine{newer, engine("e1", 8, 7)}, []Sample{only}, []Choice{{0, 1}}},
+		{"nothing if all engines are full", []Engine{engine("e1", 8, 8)}, []Sample{sample("s", 1)}, nil},
+		{"no engine with weights older than the floor", []Engine{stale}, []Sample{sample("s", 1)}, nil},
+		{"no engine that is loading the model", []Engine{loading}, []Sample{sample("s", 1)}, nil},
+		{"no engine on which it failed recently", []Engine{engine("e1", 8, 0), engine("e2", 8, 7)}, []Sample{avoiding}, []Choice{{0, 1}}},
+		{"only the version that started it", []Engine{newer, engine("e1", 8, 7)}, []Sample{only}, []Choice{{0, 1}}},
 		{"a slow engine last", []Engine{slow, usual, usual2}, []Sample{sample("s", 1)}, []Choice{{0, 1}}},
 		{"a slow engine rather than none", []Engine{slow}, []Sample{sample("s", 1)}, []Choice{{0, 0}}},
 	}
@@ -58,8 +58,8 @@
 	}
 }
 
-// Siblings share a prompt that an engine reads once. With equal room they go
-// to the same engine, but never so many that another engine stands idle.
+// Siblings share a prompt that an engine reads once. With equal room they go to the
+// same engine, but not so many that another engine stays idle.
 func TestSiblingsShareAnEngineWithinASlot(t *testing.T) {
 	siblings := make([]Sample, 4)
 	for i := range siblings {
@@ -87,13 +87,13 @@
 	slow, usual, full := engine("slow", 8, 2), engine("usual", 8, 3), engine("full", 8, 8)
 	slow.Pace, usual.Pace, full.Pace = 0.12, 0.037, 0.038
 	at := func(id string, left float64) Running { return Running{Sample: sample(id, left), Engine: "slow"} }
-	require.Equal(t, 1, ChooseMigration([]Engine{slow, usual, full}, []Running{at("short", 1), at("long", 9)}), "the longest leaves")
-	require.Equal(t, -1, ChooseMigration([]Engine{slow, full, full}, []Running{at("long", 9)}), "nowhere to go")
+	require.Equal(t, 1, ChooseMigration([]Engine{slow, usual, full}, []Running{at("short", 1), at("long", 9)}), "the longest sample migrates")
+	require.Equal(t, -1, ChooseMigration([]Engine{slow, full, full}, []Running{at("long", 9)}), "no free slot elsewhere")
 	require.Equal(t, -1, ChooseMigration([]Engine{usual, full}, []Running{{Sample: sample("s", 1), Engine: "usual"}}), "not slow")
-	require.Equal(t, -1, ChooseMigration([]Engine{engine("unknown", 8, 0)}, []Running{at("s", 1)}), "no pace known")
+	require.Equal(t, -1, ChooseMigration([]Engine{engine("unknown", 8, 0)}, []Running{at("s", 1)}), "no pace is known")
 }
 
-// anyRoom tells whether there is a free place that a sample should have taken.
+// hasUsableSlot reports whether there is a free slot that a sample should have taken.
 func hasUsableSlot(engines []Engine, s *Sample) bool {
 	median := medianPace(engines)
 	usual, slow := 0, 0
@@ -112,10 +112,10 @@
 	})
 }
 
-// Whatever the load: no engine gets more than its places, no sample goes to an
-// engine that may not make it, and none is left waiting beside a free place, but where
-// that is at a slow engine, as many others of the usual pace serve the sample, it would
-// come late there and has not waited for long.
+// For any load, no engine gets more samples than it has slots, no sample goes to an
+// engine that may not make it, and no sample waits while a slot is free. The exception
+// is a free slot on a slow engine, if at least as many engines of normal speed serve
+// the sample, it would be late there and it has not waited long.
 func TestAssignInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		engines := make([]Engine, rapid.IntRange(0, 6).Draw(t, "engines"))
@@ -143,13 +143,13 @@
 		}
 		for i := range samples {
 			if !placed[i] {
-				require.False(t, hasUsableSlot(engines, &samples[i]), "a free place was left")
+				require.False(t, hasUsableSlot(engines, &samples[i]), "a usable slot stayed free")
 			}
 		}
 	})
 }
 
-// The whole step of a trainer at a fleet of 45 engines.
+// A whole step of one trainer in a fleet of 45 engines.
 func BenchmarkAssignStep(b *testing.B) {
 	samples := make([]Sample, 136)
 	for i := range samples {
@@ -165,10 +165,10 @@
 	}
 }
 
-// A sample may be made by one version only, and the only engine that has it breaks
-// off each stream after an event. Others with newer weights stand free; its
-// trainer waits for this sample alone. It begins again there, unless what it has is
-// worth more than the time that its engine costs it.
+// Only one version may continue a sample, and the only engine that has this version
+// breaks off each stream after an event. Engines with newer weights are free, and the
+// trainer waits for this sample alone. It must restart on one of them, unless its text
+// is worth more than the time that staying costs.
 func TestShouldRestart(t *testing.T) {
 	old, fresh := engine("old", 8, 1), engine("fresh", 8, 1)
 	old.Versions, fresh.Versions = map[string]uint64{"m": 1}, map[string]uint64{"m": 2}
@@ -185,15 +185,15 @@
 		want     bool
 	}{
 		{"an event in each stream", []Engine{old, fresh}, 1, 30, Progress{Made: 3, MadeByOwner: 3, OwnerSeconds: 1.3, BrokenStreams: 3}, true},
-		{"nothing made, broken at once", []Engine{old, fresh}, 1, 30, Progress{Made: 1, MadeByOwner: 1, OwnerSeconds: 0.5, BrokenStreams: 1}, true},
-		{"one break late in the text", []Engine{old, fresh}, 1, 20, Progress{Made: 140, MadeByOwner: 140, OwnerSeconds: 4.7, BrokenStreams: 1}, false},
+		{"the first stream breaks off after one event", []Engine{old, fresh}, 1, 30, Progress{Made: 1, MadeByOwner: 1, OwnerSeconds: 0.5, BrokenStreams: 1}, true},
+		{"one break near the end of the text", []Engine{old, fresh}, 1, 20, Progress{Made: 140, MadeByOwner: 140, OwnerSeconds: 4.7, BrokenStreams: 1}, false},
 		{"taken over late, one break", []Engine{old, fresh}, 1, 20, Progress{Made: 140, MadeByOwner: 0, OwnerSeconds: 0.05, BrokenStreams: 1}, false},
-		{"it waits for a place, nothing broke", []Engine{old, fresh}, 1, 30, Progress{Made: 3, MadeByOwner: 3, OwnerSeconds: 9}, false},
-		{"nobody has brought two events, broken twice", []Engine{unknown(old), unknown(fresh)}, 1, 30, Progress{Made: 2, MadeByOwner: 2, OwnerSeconds: 0.5, BrokenStreams: 2}, true},
-		{"nobody has brought two events, broken once", []Engine{unknown(old), unknown(fresh)}, 1, 30, Progress{Made: 1, MadeByOwner: 1, OwnerSeconds: 0.1, BrokenStreams: 1}, false},
-		{"nobody else has room", []Engine{old, full}, 1, 30, Progress{Made: 3, MadeByOwner: 3, OwnerSeconds: 1.3, BrokenStreams: 3}, false},
-		{"nobody else at all", []Engine{old}, 1, 30, Progress{Made: 3, MadeByOwner: 3, OwnerSeconds: 1.3, BrokenStreams: 3}, false},
-		{"any version may go on", []Engine{old, fresh}, 0, 30, Progress{Made: 3, MadeByOwner: 3, OwnerSeconds: 1.3, BrokenStreams: 3}, false},
+		{"it waits for a slot, no stream broke", []Engine{old, fresh}, 1, 30, Progress{Made: 3, MadeByOwner: 3, OwnerSeconds: 9}, false},
+		{"no engine has delivered two events, two breaks", []Engine{unknown(old), unknown(fresh)}, 1, 30, Progress{Made: 2, MadeByOwner: 2, OwnerSeconds: 0.5, BrokenStreams: 2}, true},
+		{"no engine has delivered two events, one break", []Engine{unknown(old), unknown(fresh)}, 1, 30, Progress{Made: 1, MadeByOwner: 1, OwnerSeconds: 0.1, BrokenStreams: 1}, false},
+		{"no other engine has room", []Engine{old, full}, 1, 30, Progress{Made: 3, MadeByOwner: 3, OwnerSeconds: 1.3, BrokenStreams: 3}, false},
+		{"no other engine exists", []Engine{old}, 1, 30, Progress{Made: 3, MadeByOwner: 3, OwnerSeconds: 1.3, BrokenStreams: 3}, false},
+		{"any version may continue it", []Engine{old, fresh}, 0, 30, Progress{Made: 3, MadeByOwner: 3, OwnerSeconds: 1.3, BrokenStreams: 3}, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -203,8 +203,9 @@
 	}
 }
 
-// An engine is 1.3 times slower than the others. A long sample gains seconds by going
-// on elsewhere, a short one less than that costs; by a hint alone nobody knows.
+// An engine is 1.3 times slower than the others. A long sample saves seconds by
+// continuing elsewhere, a short one saves less than the migration costs. Without an
+// estimate, from a hint alone, this is unknown.
 func TestLongSampleMigratesFromSlightlySlowEngine(t *testing.T) {
 	slower, usual, full := engine("slower", 8, 3), engine("usual", 8, 3), engine("full", 8, 8)
 	slower.Pace, usual.Pace, full.Pace = 0.1, 0.075, 0.05
@@ -223,9 +224,9 @@
 	require.Equal(t, -1, ChooseMigration(engines, []Running{avoiding}))
 }
 
-// An engine that a fault has slowed down is left, so that nothing more is seen of it. It
-// is tried again some seconds later: taken for slow for ever it would be lost to the
-// day's end.
+// Samples leave an engine that a fault has slowed down, so its pace is no longer
+// measured. It must be tried again some seconds later; otherwise it would count as slow
+// and stay unused for the rest of the day.
 func TestPaceEstimatesDecay(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var paces PaceEstimator
--- a/decide/place/probation.go
+++ b/decide/place/probation.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// Probation keeps samples from engines that give no sign of life. It answers the load
-// of scarce engines some of which have crashed and are still listed: their places look
-// free when all others are taken, so that the most urgent samples went there, six at a
-// time and one dead engine after the other, while less urgent ones got the places that
-// became free elsewhere. An engine that failed gets nothing for a while, longer each
-// time, and then one sample until it has made an event. Its zero value knows nothing.
-// It is not safe for concurrent use.
+// Probation limits the samples sent to engines that do not respond. When engines are
+// scarce and some have crashed but are still listed, the crashed ones appear to have
+// the only free slots. The most urgent samples were then sent to one crashed engine
+// after the other, six at a time, while less urgent ones got the slots that became free
+// elsewhere. With Probation, an engine that failed gets no samples for a pause that
+// grows with each failure, and then one sample until it has made an event. The zero
+// value is ready to use. It is not safe for concurrent use.
 type Probation struct {
-	failures map[string]int // in a row, by engine
+	failures map[string]int // consecutive failures by engine
 }
 
 const (
-	// probationPause is how long an engine gets nothing after its first failure: a
-	// connection that broke on the way is tried again soon.
+	// minProbationPause is the pause after an engine's first failure. It is short so
+	// that an engine is retried soon after a mere connection error.
 	minProbationPause = 250 * time.Millisecond
-	// probationDoublings bounds the pause at 1 s: one that is back is missed for no
-	// longer than a short sample takes.
+	// maxProbationDoublings limits the pause to 1 s, so that an engine that has
+	// recovered stays unused for no longer than a short sample takes.
 	maxProbationDoublings = 2
 )
 
-// Failed notes that an engine could not be reached, or a stream there brought nothing,
-// and returns how long it gets no sample.
+// RecordFailure records that an engine could not be reached or that a stream from it
+// delivered nothing. It returns how long the engine must get no samples.
 func (p *Probation) RecordFailure(engine string) time.Duration {
 	if p.failures == nil {
 		p.failures = map[string]int{}
@@ -33,11 +33,12 @@
 	return pause
 }
 
-// Passed notes that an engine has made an event.
+// RecordSuccess records that an engine has made an event.
 func (p *Probation) RecordSuccess(engine string) { delete(p.failures, engine) }
 
-// Slots is how many samples an engine may have, all callers' together, of which load
-// run there and own are this caller's.
+// Slots returns how many samples an engine may have from all callers together. load is
+// the number that it has now, and own is the number of these that belong to this
+// caller.
 func (p *Probation) Slots(engine string, slots, load, own int) int {
 	if p.failures[engine] == 0 {
 		return slots
--- a/decide/place/replay_events_test.go
+++ b/decide/place/replay_events_test.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// progress makes the events that are due.
+// makeEvents makes the events that are due.
 func (r *replay) makeEvents() {
 	for i, e := range r.engines {
 		if r.isCrashed(i) {
@@ -26,13 +26,13 @@
 	}
 }
 
-// inOrder returns what runs in an order that is the same in each run, for what is learnt
-// of lengths and paces depends on it.
+// sortedSamples returns the running samples in an order that is the same in each run,
+// because the learned lengths and paces depend on it.
 func (e *replayEngine) sortedSamples() []*replaySample {
 	return slices.SortedFunc(maps.Keys(e.running), func(a, b *replaySample) int { return cmp.Compare(a.id, b.id) })
 }
 
-// make makes a sample's events that are due at an engine.
+// make makes a sample's due events on an engine.
 func (r *replay) make(engine int, s *replaySample) {
 	for s.nextEventAt <= r.now && !s.done() {
 		if gap := seconds(s.nextEventAt - s.lastEventAt); s.streamEvents > 0 {
--- a/decide/place/replay_faults_test.go
+++ b/decide/place/replay_faults_test.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// breakOff ends the streams at an engine that has crashed, as an owner does whose
+// breakStreams ends the streams on a crashed engine, as an owner does when its
 // connections are refused.
 func (r *replay) breakStreams(engine int) {
 	id, e := r.fleet.Engines[engine], r.engines[engine]
@@ -17,8 +17,8 @@
 	}
 }
 
-// dead tells whether an engine has crashed and is still listed; listed whether its
-// entry is there.
+// isCrashed reports whether an engine has crashed, and isListed whether its entry still
+// exists.
 func (r *replay) isCrashed(engine int) bool {
 	return r.now >= r.crashedAt && float64((engine+faultCycle/2)%faultCycle) < r.crashedShare*faultCycle
 }
@@ -27,7 +27,7 @@
 	return !r.isCrashed(engine) || r.now < r.crashedAt+staleEntrySeconds
 }
 
-// cutIfSilent ends a stream that was silent for too long, as an owner does.
+// timeOutIfSilent ends a stream that was silent for too long, as an owner does.
 func (r *replay) timeOutIfSilent(engine int, s *replaySample) {
 	silent, first := seconds(r.now-s.lastEventAt), s.streamEvents == 0
 	if silent < r.timeouts.Limit(first, s.pace) {
@@ -40,7 +40,7 @@
 	r.unplace(s)
 }
 
-// pace is the seconds that an engine takes for an event now.
+// pace returns the seconds that an engine takes for an event now.
 func (r *replay) pace(engine int) float64 {
 	pace := r.engines[engine].pace
 	if r.now >= r.slowedAt && float64(engine%faultCycle) < r.slowedShare*faultCycle {
@@ -49,5 +49,5 @@
 	return pace
 }
 
-// clock is a moment of virtual time.
+// timeAt converts seconds of virtual time to a time.Time.
 func timeAt(now float64) time.Time { return time.Unix(0, 0).Add(seconds(now)) }
--- a/decide/place/replay_loads_test.go
+++ b/decide/place/replay_loads_test.go
@@ -5,51 +5,52 @@
 	"math"
 )
 
-// load is what trainers ask of the engines of one service.
+// load describes what trainers request from the engines of one service, and the faults.
 type load struct {
 	engines, slots int
-	pace           float64 // seconds an event, at an engine of speed 1
-	// speeds are how many times as long the engines take, in turn; none: 1 for all.
+	pace           float64 // seconds per event on an engine with factor 1
+	// slownessFactors are the engines' factors on pace, applied in turn; empty means 1
+	// for all.
 	slownessFactors []float64
-	loading         float64 // seconds a load of weights
-	loadsAtOnce     int     // that don't slow each other down
+	loading         float64 // seconds per weight load
+	loadsAtOnce     int     // number of loads that do not slow each other down
 	trainers        []trainer
-	stepInterval    float64 // seconds between steps by the schedule
+	stepInterval    float64 // scheduled seconds between steps
 	dueAfter        float64 // seconds until a step's results are due
-	giveUpAfter     float64 // seconds until its trainer gives it up
-	duration        float64 // seconds in which steps are asked for
+	giveUpAfter     float64 // seconds after which a trainer gives up a step
+	duration        float64 // seconds during which steps are requested
 	hintError       float64 // standard deviation of the logarithm of a hint's error
 	seed            uint64
-	// byAge leaves Order out.
+	// skipOrder omits Order, so that samples are ranked by step age and length alone.
 	skipOrder bool
-	// unbounded: engines follow models as if loads took no time.
+	// unboundedFollowing makes engines follow models as if loads took no time.
 	unboundedFollowing bool
-	// alike: engines of unlike speed are taken for equal ones.
+	// assumeEqualPaces treats engines of different speeds as equal.
 	assumeEqualPaces bool
-	// slowed is the share of the engines that take slowedBy times as long from
-	// slowedAt on.
+	// slowedShare is the share of the engines that become slowedFactor times slower at
+	// slowedAt.
 	slowedShare, slowedFactor, slowedAt float64
-	// crashed is the share of the engines that crash at crashedAt and stay listed.
+	// crashedShare is the share of the engines that crash at crashedAt but stay listed.
 	crashedShare, crashedAt float64
-	// measured: paces are what the gaps between events tell, and silent streams are
-	// cut, in place of the true paces.
+	// measuredPaces replaces the true paces by those measured from the gaps between
+	// events, and makes silent streams time out.
 	measuredPaces bool
-	// anyPlace lets samples begin at slowed engines as at others, noProbation lets them
-	// go to crashed ones as long as these are listed, and impatient cuts streams at
-	// engines that are known to be slow.
+	// allowSlowEngines lets samples start on slowed engines as on others. noProbation
+	// lets samples go to crashed engines while these are listed. ignoreKnownPace
+	// applies the usual time limit to streams from engines that are known to be slow.
 	allowSlowEngines, noProbation, ignoreKnownPace bool
 }
 
-// trainer is one trainer with a model of its own.
+// trainer is a trainer with its own model.
 type trainer struct {
 	groups, groupSize int
 	awaitedShare      float64 // of a step's groups that it waits for
 	trainSeconds      float64 // seconds
-	meanEvents        float64 // mean of a sample; one in twelve is five times as long
+	meanEvents        float64 // mean of a sample; one sample in twelve is five times as long
 	spread, maxEvents float64
 }
 
-// twoTrainers ask for x times the groups that nine engines make on a quiet day.
+// twoTrainers request x times the groups that nine engines make on a quiet day.
 func twoTrainers(x float64, seed uint64) load {
 	return load{
 		engines: 9, slots: 8, pace: 0.0314, loading: 0.9, loadsAtOnce: 2, stepInterval: 4, dueAfter: 7.5, giveUpAfter: 12, duration: 34, hintError: 0.5, seed: seed,
@@ -60,9 +61,9 @@
 	}
 }
 
-// sixTrainers ask for x times the groups of a quiet day of 73 engines, of which each
-// third takes 1.3 times as long. A long sample takes seven seconds of the 7.5 in which
-// its step is due, at the faster ones.
+// sixTrainers request x times the groups that 73 engines make on a quiet day. Every
+// third engine takes 1.3 times as long. On the faster engines, a long sample takes
+// seven of the 7.5 s until its step is due.
 func sixTrainers(x float64, seed uint64) load {
 	l := load{
 		engines: 73, slots: 6, pace: 0.0745, slownessFactors: []float64{1, 1, 1.3}, loading: 0.9, loadsAtOnce: 15, stepInterval: 4, dueAfter: 7.5, giveUpAfter: 12, duration: 34, hintError: 0.5, seed: seed,
@@ -78,9 +79,9 @@
 	return l
 }
 
-// fourTrainers ask for x times the groups of a quiet day of 44 engines. Two have samples
-// of which the longest take seven seconds of the 7.5 in which their step is due; half of
-// the engines' places stand free in the mean, and all are wanted when a step comes.
+// fourTrainers request x times the groups that 44 engines make on a quiet day. Two have
+// samples of which the longest take seven of the 7.5 s until their step is due. On
+// average half of the slots are free; all of them are needed when a step arrives.
 func fourTrainers(x float64, seed uint64) load {
 	l := load{
 		engines: 44, slots: 6, pace: 0.0475, loading: 0.9, loadsAtOnce: 9, stepInterval: 4, dueAfter: 7.5, giveUpAfter: 12, duration: 34, hintError: 0.5, seed: seed,
@@ -95,9 +96,9 @@
 	return l
 }
 
-// slowedFleet is six trainers that ask for about what the engines can make, a fourth of
-// which a fault then slows down by a factor. Their paces are learnt from what streams
-// show.
+// slowedFleet is a load of six trainers that request about what the engines can make. A
+// fault then makes a fourth of the engines slower by a factor. Paces are measured from
+// the streams.
 func slowedFleet(factor float64, seed uint64) load {
 	l := sixTrainers(2.6, seed)
 	l.slowedShare, l.slowedFactor, l.slowedAt, l.measuredPaces = 0.25, factor, 3, true
--- a/decide/place/replay_test.go
+++ b/decide/place/replay_test.go
@@ -13,14 +13,14 @@
 // outcome counts the groups that trainers waited for.
 type outcome struct {
 	awaited, inTime, late int
-	// took is how long each step took, by trainer and number, in seconds.
+	// stepTimes holds the duration of each step in seconds, by trainer and step number.
 	stepTimes map[[2]int]float64
-	// unserved is the longest time for which a group that was asked for stayed
-	// unfinished, in seconds.
+	// maxUnfinished is the longest time in seconds for which a requested group stayed
+	// unfinished.
 	maxUnfinished float64
-	// idle is set when a place stood free beside a sample that might have used it.
+	// unusedSlot is set if a slot was free while a sample could have used it.
 	unusedSlot bool
-	// cut counts the streams that were given up as silent.
+	// endedStreams counts the streams that timed out or broke off.
 	endedStreams int
 }
 
@@ -31,14 +31,14 @@
 	length  int // events
 	hint    float64
 	made    int
-	version uint64 // that began it
-	engine  int    // -1: it has none
-	// heard is when its last event came, or its stream began; next when the next is
-	// due.
+	version uint64 // that started it
+	engine  int    // -1 if it has none
+	// lastEventAt is the time of its last event, or of the start of its stream;
+	// nextEventAt is when the next event is due.
 	lastEventAt, nextEventAt float64
-	unplacedSince            float64 // when it left its last engine, or was asked for
+	unplacedSince            float64 // when it left its last engine or was requested
 	streamEvents             int     // events of this stream
-	pace                     float64 // of its engine, as known when the stream began
+	pace                     float64 // of its engine, as known when the stream started
 	avoidUntil               map[string]float64
 }
 
@@ -61,23 +61,22 @@
 	requestedAt     float64
 	groups          []*replayGroup
 	target          int
-	listedAt        map[*replayGroup]float64 // when it can be read
+	listedAt        map[*replayGroup]float64 // when its results can be read
 	ended           bool
 }
 
 type replayEngine struct {
 	running        map[*replaySample]bool
 	versions       []uint64
-	pace           float64 // seconds an event
-	loading        int     // model; -1: none
-	loadingVersion uint64  // version that it loads
-	loadRemaining  float64 // seconds of its load, were it alone
-	usedSinceTurn  bool    // a sample went there since the last turn
+	pace           float64 // seconds per event
+	loading        int     // index of the model; -1 if none
+	loadingVersion uint64  // version being loaded
+	loadRemaining  float64 // seconds until its load ends, if no other slows it down
+	usedSinceTurn  bool    // a sample was placed there since the last turn
 }
 
-// replay plays a load in virtual time through the decisions of this package and
-// of decide/loads. What these don't see is left out: failures, the log, the
-// network.
+// replay simulates a load in virtual time with the decisions of this package and of
+// decide/loads. It leaves out what these do not see: failures, the log and the network.
 type replay struct {
 	load
 	rng           *rand.Rand
@@ -95,13 +94,13 @@
 	lengths       []LengthEstimator
 	paces         PaceEstimator
 	timeouts      StreamTimeouts
-	// shunned holds until when engines get no samples.
+	// excludedUntil holds the time until which engines get no samples.
 	probation     Probation
 	excludedUntil map[string]float64
 	out           outcome
 }
 
-// naming is a version that a trainer will name.
+// announcement is a version that a trainer is going to name.
 type announcement struct {
 	model   int
 	version uint64
@@ -110,20 +109,22 @@
 
 const (
 	replayTick = 0.04
-	// firstEvent is how long a prompt takes to be read, and avoidSilent and avoidFailed how
-	// long a sample stays away from an engine where its stream was cut or broke off, in
-	// seconds.
+	// promptReadSeconds is the time to read a prompt. avoidAfterTimeout and
+	// avoidAfterFailure are the seconds for which a sample avoids an engine on which
+	// its stream timed out or broke off.
 	promptReadSeconds                    = 0.03
 	avoidAfterTimeout, avoidAfterFailure = 1.5, 0.4
-	// listedFor is how long a crashed engine's entry stays, in seconds.
+	// staleEntrySeconds is how long a crashed engine stays listed.
 	staleEntrySeconds = 3.6
-	// slowedOf engines in a row hold slowed ones in their share.
+	// faultCycle is the number of consecutive engines among which faults are spread by
+	// their share.
 	faultCycle = 20
-	// listing is how long a whole group takes to be scored, listed and read, and
-	// announcing how long a named version takes to be known, in seconds.
+	// listingSeconds is the time for a complete group to be scored, listed and read,
+	// and announceSeconds the time for a named version to become known.
 	listingSeconds  = 0.3
 	announceSeconds = 0.25
-	// lateBy is how much later than due a group may be listed.
+	// lateTolerance is the number of seconds after its due time at which a group still
+	// counts as in time.
 	lateTolerance = 0.7
 )
 
@@ -179,7 +180,8 @@
 	return r
 }
 
-// train does what trainers do: name versions, read results, ask for steps.
+// runTrainers does what trainers do: it names versions, reads results and requests
+// steps.
 func (r *replay) runTrainers() {
 	r.announcement = slices.DeleteFunc(r.announcement, func(n announcement) bool {
 		if r.now < n.at {
@@ -203,7 +205,8 @@
 	}
 }
 
-// ask makes step k of a trainer. Groups that were not whole come again first.
+// requestStep creates step k of a trainer. Groups that an earlier step did not complete
+// come first.
 func (r *replay) requestStep(t, k int) *replayStep {
 	spec := r.trainers[t]
 	st := &replayStep{trainer: t, number: k, requestedAt: r.now, target: spec.target(), listedAt: map[*replayGroup]float64{}}
@@ -224,10 +227,10 @@
 	return st
 }
 
-// floor is the oldest version that may make step k.
+// floor returns the oldest version allowed for step k.
 func floor(k int) uint64 { return uint64(max(1, k-1)) }
 
-// read lists what is whole and ends the step as its trainer would.
+// readResults lists the complete groups of a step and ends it as its trainer would.
 func (r *replay) readResults(st *replayStep) {
 	awaited, ready := 0, 0
 	for _, g := range st.groups {
@@ -275,8 +278,8 @@
 	r.announcement = append(r.announcement, announcement{st.trainer, uint64(st.number + 2), r.now + announceSeconds + r.trainers[st.trainer].trainSeconds})
 }
 
-// loadWeights loads weights. More loads at one moment than can be made side by side
-// slow each other down.
+// loadWeights advances weight loads and starts new ones. If more loads run than
+// loadsAtOnce, they slow each other down.
 func (r *replay) loadWeights() {
 	busy := 0
 	for _, e := range r.engines {
@@ -307,7 +310,7 @@
 	}
 }
 
-// place gives the free places away.
+// placeSamples assigns samples to the free slots.
 func (r *replay) placeSamples() {
 	if !slices.ContainsFunc(r.engines, func(e *replayEngine) bool { return len(e.running) < r.slots }) {
 		return
@@ -358,7 +361,7 @@
 	}
 }
 
-// leave takes one sample from a slower engine; it is placed anew in the next turn.
+// migrateSample takes one sample from a slower engine; the next turn places it again.
 func (r *replay) migrateSample(engines []Engine, all []Sample, replaySamples []*replaySample) {
 	var running []Running
 	var samples []*replaySample
@@ -402,7 +405,7 @@
 	return engines
 }
 
-// open are the steps that their trainers have not ended.
+// open returns the steps that their trainers have not ended.
 func (r *replay) open() []*replayStep {
 	var open []*replayStep
 	for _, st := range r.steps {
@@ -413,7 +416,8 @@
 	return open
 }
 
-// waiting describes the open steps and their samples, running ones included.
+// unfinishedSamples returns the open steps and their unfinished samples, including
+// running ones.
 func (r *replay) unfinishedSamples() ([]Step, []Sample, []*replaySample) {
 	var steps []Step
 	var samples []Sample
--- a/decide/place/stream_timeouts.go
+++ b/decide/place/stream_timeouts.go
@@ -2,47 +2,48 @@
 
 import "time"
 
-// Silence decides when a silent stream is given up, by what streams have shown. It
-// answers two loads: an engine that went dark, which has to be left at once, and
-// engines that are slow, each event of which takes longer than any fixed limit:
-// with events of 0.4 s a limit of 0.35 s cut two streams a sample, each of which read
-// its prompt again. Its zero value knows nothing. It is not safe for concurrent use.
+// StreamTimeouts decides when a silent stream is abandoned, based on the gaps observed
+// in all streams. An engine that stops responding must be left quickly, but a fixed
+// limit fails where engines are slow: with 0.4 s per event, a limit of 0.35 s cut two
+// streams per sample, each of which read its prompt again. The zero value is ready to
+// use. It is not safe for concurrent use.
 type StreamTimeouts struct {
-	// first and next estimate how long streams take to their first event and from
-	// one event to the next, in seconds, over all engines.
+	// firstGap is the mean time in seconds from the start of a stream to its first
+	// event, and nextGap that between consecutive events, over all engines.
 	firstGap, nextGap decayingMean
 }
 
 // Limits of silence.
 const (
-	// firstLeast and nextLeast are what a stream may be silent for in any case
-	// before and behind its first event: an event of a usual engine takes about
-	// 40 ms, the first some more, and going on elsewhere costs one reading of the
-	// prompt.
+	// minFirstLimit and minNextLimit are the shortest limits before and after the first
+	// event of a stream. An event of a typical engine takes about 40 ms and the first a
+	// little longer; continuing elsewhere costs one reading of the prompt.
 	minFirstLimit = 500 * time.Millisecond
 	minNextLimit  = 350 * time.Millisecond
-	// patience is how many times the usual gap a stream may be silent for: gaps of
-	// a full engine that reads long prompts are about twice the usual one.
+	// gapFactor is the limit as a multiple of the mean gap. A full engine that reads
+	// long prompts has gaps of about twice the mean.
 	gapFactor = 3
-	// slowMost bounds the patience with a stream at an engine that was known to be
-	// slow when it began: an event of 0.4 s is waited for, and one that goes dark is
-	// left before a caller would notice the difference.
+	// maxSlowLimit is the longest limit granted because an engine was known to be slow
+	// when the stream started. It allows for events of 0.4 s, and an engine that stops
+	// responding is left before a caller would notice the difference.
 	maxSlowLimit = 1500 * time.Millisecond
-	// silenceWeight is the weight of the newest gap, a few hundred samples'.
+	// gapWeight is the weight of the newest gap; the mean covers the gaps of a few
+	// hundred samples.
 	gapWeight = 0.02
-	// cutWeight is the weight of a silence that was cut: it was longer than what
-	// was seen, and where all engines are slow nothing else would ever raise the
-	// limit. The streams of one dark engine raise it by a fifth.
+	// timeoutWeight is the weight of a silence that ended in a timeout. The true gap is
+	// longer than this silence, and where all engines are slow nothing else would ever
+	// raise the limit. The streams of a single unresponsive engine raise it by a fifth.
 	timeoutWeight = 0.03
 )
 
-// First notes how long a stream took to its first event.
+// ObserveFirst records the time from the start of a stream to its first event.
 func (s *StreamTimeouts) ObserveFirst(gap time.Duration) { s.firstGap.add(gap.Seconds(), gapWeight) }
 
-// Next notes the time between two events of a stream.
+// ObserveNext records the time between two consecutive events of a stream.
 func (s *StreamTimeouts) ObserveNext(gap time.Duration) { s.nextGap.add(gap.Seconds(), gapWeight) }
 
-// Cut notes that a stream was given up after a silence; first: before its first event.
+// ObserveTimeout records that a stream was abandoned after a silence; first means that
+// this was before its first event.
 func (s *StreamTimeouts) ObserveTimeout(silence time.Duration, first bool) {
 	if first {
 		s.firstGap.add(silence.Seconds(), timeoutWeight)
@@ -51,11 +52,12 @@
 	s.nextGap.add(silence.Seconds(), timeoutWeight)
 }
 
-// Limit is how long a stream may be silent, first: before its first event. It goes by
-// all engines together, so that an engine that turns much slower than the others is
-// left. One that was known to be slow when the stream began, which took pace seconds for
-// an event then, was chosen all the same, for want of others: cut off there, samples
-// came and went and made one event each.
+// Limit returns how long a stream may be silent; first means before its first event.
+// The limit is based on all engines together, so that an engine much slower than the
+// others is left. pace is the engine's known seconds per event when the stream started,
+// or 0. An engine that was already known to be slow was chosen for lack of others; with
+// the normal limit, samples there would be cut off after one event each, again and
+// again.
 func (s *StreamTimeouts) Limit(first bool, pace float64) time.Duration {
 	usual := limit(minNextLimit, s.nextGap.mean)
 	if first {
@@ -68,7 +70,7 @@
 	return max(minLimit, time.Duration(gapFactor*gap*float64(time.Second)))
 }
 
-// estimate is a mean in which the past fades.
+// decayingMean is an exponentially weighted mean.
 type decayingMean struct {
 	mean  float64
 	known bool
--- a/decide/place/stream_timeouts_test.go
+++ b/decide/place/stream_timeouts_test.go
@@ -7,11 +7,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Streams of usual engines: one that goes dark is left after the least limit, and a
-// few dark ones change nothing.
+// With typical engines, a stream that stops is left after the shortest limit, and a few
+// unresponsive engines do not change this.
 func TestUnresponsiveEngineTimesOutQuickly(t *testing.T) {
 	var s StreamTimeouts
-	require.Equal(t, minFirstLimit, s.Limit(true, 0), "nothing is known")
+	require.Equal(t, minFirstLimit, s.Limit(true, 0), "no gap observed yet")
 	require.Equal(t, minNextLimit, s.Limit(false, 0))
 	for range 200 {
 		s.ObserveFirst(60 * time.Millisecond)
@@ -24,9 +24,9 @@
 	require.Equal(t, minFirstLimit, s.Limit(true, 0))
 }
 
-// All engines take longer for an event than a stream may be silent for at first. Cut
-// off each time, no sample would ever be whole; the limits rise until streams go on,
-// within two rounds of some seventy streams.
+// All engines take longer per event than the initial limits. If the limits stayed,
+// every stream would be cut off and no sample would ever complete. The limits must rise
+// until streams continue, within two rounds of about seventy streams.
 func TestLimitsRiseWhenAllEnginesAreSlow(t *testing.T) {
 	const event, firstEvent = 900 * time.Millisecond, 1500 * time.Millisecond
 	var s StreamTimeouts
@@ -43,8 +43,8 @@
 	}
 }
 
-// Two of nine engines are three and a half times slower than the others. Streams there
-// that pause for long still go on elsewhere.
+// Two of nine engines are 3.5 times slower than the others. Streams that pause for long
+// there must still time out.
 func TestSlowEngineTimesOutAmongFastOnes(t *testing.T) {
 	var s StreamTimeouts
 	for range 100 {
@@ -58,9 +58,9 @@
 	}
 }
 
-// A stream began at an engine that was known to take 0.45 s for an event, for want of
-// others. It is waited for as long as that engine's events take, but not for ever; one
-// that began at an engine of the usual pace is left as before.
+// A stream started on an engine that was known to take 0.45 s per event, for lack of
+// others. The limit must allow for that pace, but stay bounded. A stream that started
+// on an engine of normal pace gets the usual limit.
 func TestLimitAllowsForKnownSlowPace(t *testing.T) {
 	var s StreamTimeouts
 	for range 100 {
