--- a/decide/loads/loads.go
+++ b/decide/loads/loads.go
@@ -12,26 +12,26 @@
 )
 
 // Want is what an engine should load.
-type Want struct {
+type Target struct {
 	Model   string
 	Version uint64
 	// Wait is how long after the version was named the load should begin, so
 	// that engines load in waves.
-	Wait time.Duration
+	Delay time.Duration
 	// Urgent: what the engine has is too old for the step that runs now.
 	Urgent bool
 }
 
 // atOnce is the share of the engines that load at one moment. Loads slow each
 // other down when about a quarter of the engines load.
-const atOnce = 5
+const enginesPerParallelLoad = 5
 
 // spread is how many engines serve a model, in parts of what it would get if each
 // engine served one model: an engine serves two. Each version is then loaded by as many
 // as a model's share of the engines. With fewer the samples of a step, which comes as a
 // whole, wait for each other's places, and a long one that was taken for a short one
 // begins too late; with more, loads are due that can't be done.
-const spread = 2
+const modelsPerEngine = 2
 
 // Fleet is the engines of a service and the models that they share.
 type Fleet struct {
@@ -39,7 +39,7 @@
 	Models  []string
 	// Took is how long a load takes and Every how often a version of a model is
 	// named; 0: not known.
-	Took, Every time.Duration
+	LoadTime, NamingInterval time.Duration
 }
 
 // Serves tells whether an engine is among those that follow a model's versions.
@@ -55,13 +55,13 @@
 func (f Fleet) rank(engine, model string) (rank, size int) {
 	engines := slices.Sorted(slices.Values(f.Engines))
 	models := slices.Sorted(slices.Values(f.Models))
-	at, index := slices.Index(engines, engine), slices.Index(models, model)
-	if at < 0 || index < 0 {
+	engineIndex, modelIndex := slices.Index(engines, engine), slices.Index(models, model)
+	if engineIndex < 0 || modelIndex < 0 {
 		return -1, 0
 	}
 	n := len(engines)
-	size = f.window()
-	rank = (at + n - index*n/len(models)) % n
+	size = f.windowSize()
+	rank = (engineIndex + n - modelIndex*n/len(models)) % n
 	if rank >= size {
 		return -1, size
 	}
@@ -72,23 +72,23 @@
 // than can load each second version in time. Were more to follow, so many would
 // load at one moment that each load took longer than the next version leaves time
 // for, and hardly any engine would be fresh enough.
-func (f Fleet) window() int {
+func (f Fleet) windowSize() int {
 	n, models := len(f.Engines), len(f.Models)
-	size := max(1, min(n, spread*n/models))
-	if f.Took <= 0 || f.Every <= 0 {
+	size := max(1, min(n, modelsPerEngine*n/models))
+	if f.LoadTime <= 0 || f.NamingInterval <= 0 {
 		return size
 	}
-	turns := 2 * f.Every.Seconds() / f.Took.Seconds() // loads that one place for loads makes in two versions
-	can := int(float64(loadsAtOnce(n)) * turns / float64(models))
-	return min(size, max(can, leastWindow))
+	loadsPerSlot := 2 * f.NamingInterval.Seconds() / f.LoadTime.Seconds() // loads that one place for loads makes in two versions
+	feasible := int(float64(maxParallelLoads(n)) * loadsPerSlot / float64(models))
+	return min(size, max(feasible, minWindow))
 }
 
 // leastWindow is one engine for each parity.
-const leastWindow = 2
+const minWindow = 2
 
 // loadsAtOnce is how many of n engines load at one moment without slowing each
 // other down.
-func loadsAtOnce(n int) int { return (n + atOnce - 1) / atOnce }
+func maxParallelLoads(n int) int { return (n + enginesPerParallelLoad - 1) / enginesPerParallelLoad }
 
 // Parity is which versions an engine loads in its turn: the even or the odd ones.
 type Parity uint64
@@ -104,25 +104,25 @@
 
 // Choose returns what the engine self should load of a model whose newest
 // version is named; nil: nothing. have is what self serves now.
-func (f Fleet) Choose(self string, have uint64, model string, named uint64, parity Parity) *Want {
-	if have >= named {
+func (f Fleet) Choose(self string, current uint64, model string, named uint64, parity Parity) *Target {
+	if current >= named {
 		return nil
 	}
 	rank, size := f.rank(self, model)
 	if rank < 0 {
 		return nil
 	}
-	turn := named%2 == uint64(parity)
-	urgent := have+1 < named
-	if !turn && !urgent {
+	isTurn := named%2 == uint64(parity)
+	urgent := current+1 < named
+	if !isTurn && !urgent {
 		return nil
 	}
-	wave := max(1, loadsAtOnce(len(f.Engines)/len(f.Models)))
-	wave = max(wave, (size/2+waves-1)/waves)
-	place := rank / 2 // among those whose turn it is
-	return &Want{Model: model, Version: named, Wait: time.Duration(place/wave) * f.Took, Urgent: urgent}
+	waveSize := max(1, maxParallelLoads(len(f.Engines)/len(f.Models)))
+	waveSize = max(waveSize, (size/2+maxWaves-1)/maxWaves)
+	position := rank / 2 // among those whose turn it is
+	return &Target{Model: model, Version: named, Delay: time.Duration(position/waveSize) * f.LoadTime, Urgent: urgent}
 }
 
 // waves is the most waves in which a model's engines load a version. A step
 // that begins with the version has samples for all its engines within two.
-const waves = 2
+const maxWaves = 2
--- a/decide/loads/loads_test.go
+++ b/decide/loads/loads_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-func names(n int) []string {
+func engineIDs(n int) []string {
 	out := make([]string, n)
 	for i := range out {
 		out[i] = fmt.Sprintf("e%02d", i)
@@ -23,24 +23,24 @@
 func TestHalfOfAModelsEnginesLoadEachVersion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 50).Draw(t, "engines")
-		fleet := Fleet{Engines: names(n), Models: []string{"a", "b", "c"}[:rapid.IntRange(1, 3).Draw(t, "models")]}
-		have := make([]uint64, n)
-		for i := range have {
-			have[i] = 1
+		fleet := Fleet{Engines: engineIDs(n), Models: []string{"a", "b", "c"}[:rapid.IntRange(1, 3).Draw(t, "models")]}
+		current := make([]uint64, n)
+		for i := range current {
+			current[i] = 1
 		}
 		for named := uint64(2); named < 9; named++ {
 			loading, serving := 0, 0
 			for i, e := range fleet.Engines {
-				if fleet.Choose(e, have[i], "a", named, fleet.Parity(e, "a")) != nil {
+				if fleet.Choose(e, current[i], "a", named, fleet.Parity(e, "a")) != nil {
 					loading++
-					have[i] = named
+					current[i] = named
 				}
 				if !fleet.Serves(e, "a") {
-					require.EqualValues(t, 1, have[i])
+					require.EqualValues(t, 1, current[i])
 					continue
 				}
 				serving++
-				require.GreaterOrEqual(t, have[i]+1, named, "too old for the step of this version")
+				require.GreaterOrEqual(t, current[i]+1, named, "too old for the step of this version")
 			}
 			require.Positive(t, serving)
 			require.LessOrEqual(t, loading, serving/2+1)
@@ -53,10 +53,10 @@
 // follow every model, the versions of a few seconds would take longer to load
 // than the seconds last.
 func TestEnginesShareTheModels(t *testing.T) {
-	for _, test := range []struct{ engines, models, most, each int }{
+	for _, test := range []struct{ engines, models, maxModels, followers int }{
 		{8, 2, 2, 8}, {9, 2, 2, 9}, {45, 4, 2, 22}, {40, 3, 2, 26}, {3, 1, 1, 3}, {1, 2, 2, 1}, {2, 4, 2, 1}, {1, 4, 4, 1},
 	} {
-		fleet := Fleet{Engines: names(test.engines), Models: []string{"a", "b", "c", "d"}[:test.models]}
+		fleet := Fleet{Engines: engineIDs(test.engines), Models: []string{"a", "b", "c", "d"}[:test.models]}
 		for _, m := range fleet.Models {
 			serving := 0
 			for _, e := range fleet.Engines {
@@ -64,7 +64,7 @@
 					serving++
 				}
 			}
-			require.Equal(t, test.each, serving, "%v", test)
+			require.Equal(t, test.followers, serving, "%v", test)
 		}
 		for _, e := range fleet.Engines {
 			models := 0
@@ -73,7 +73,7 @@
 					models++
 				}
 			}
-			require.LessOrEqual(t, models, test.most, "%v", test)
+			require.LessOrEqual(t, models, test.maxModels, "%v", test)
 		}
 	}
 }
@@ -83,7 +83,7 @@
 // the step meanwhile have to be a model's whole share.
 func TestAModelsShareServesWhileTheOthersLoad(t *testing.T) {
 	for _, test := range []struct{ engines, models int }{{44, 4}, {8, 2}, {48, 3}, {73, 6}, {12, 1}} {
-		fleet := Fleet{Engines: names(test.engines), Models: []string{"a", "b", "c", "d", "e", "f"}[:test.models]}
+		fleet := Fleet{Engines: engineIDs(test.engines), Models: []string{"a", "b", "c", "d", "e", "f"}[:test.models]}
 		for _, m := range fleet.Models {
 			var ready int
 			for _, e := range fleet.Engines {
@@ -97,7 +97,7 @@
 }
 
 func TestChoose(t *testing.T) {
-	fleet := Fleet{Engines: names(10), Models: []string{"a"}}
+	fleet := Fleet{Engines: engineIDs(10), Models: []string{"a"}}
 	require.Nil(t, fleet.Choose("e00", 4, "a", 4, 0), "nothing newer")
 	require.Nil(t, fleet.Choose("gone", 1, "a", 4, 0), "not among the engines")
 	require.Nil(t, fleet.Choose("e00", 1, "b", 4, 0), "not among the models")
@@ -108,11 +108,11 @@
 
 // Loads slow each other down when many run at once, so they come in two waves.
 func TestLoadsComeInWaves(t *testing.T) {
-	fleet := Fleet{Engines: names(45), Models: []string{"a", "b", "c", "d"}, Took: time.Second}
+	fleet := Fleet{Engines: engineIDs(45), Models: []string{"a", "b", "c", "d"}, LoadTime: time.Second}
 	waves := map[time.Duration]int{}
 	for _, e := range fleet.Engines {
 		if w := fleet.Choose(e, 3, "a", 4, fleet.Parity(e, "a")); w != nil {
-			waves[w.Wait]++
+			waves[w.Delay]++
 		}
 	}
 	require.Equal(t, map[time.Duration]int{0: 6, time.Second: 5}, waves)
@@ -121,9 +121,9 @@
 // Servers are replaced one after the other: one more engine is listed, then one
 // less. An engine that has the version before must not find itself due at once,
 // with half of the fleet, because its place among the others has moved.
-func TestParityOutlastsAChangeOfTheFleet(t *testing.T) {
-	before := Fleet{Engines: names(10), Models: []string{"a"}}
-	after := Fleet{Engines: append([]string{"a-new-one"}, names(10)...), Models: []string{"a"}}
+func TestParityIsKeptWhenTheFleetChanges(t *testing.T) {
+	before := Fleet{Engines: engineIDs(10), Models: []string{"a"}}
+	after := Fleet{Engines: append([]string{"a-new-one"}, engineIDs(10)...), Models: []string{"a"}}
 	kept := before.Parity("e03", "a")
 	require.NotEqual(t, kept, after.Parity("e03", "a"), "its place has moved")
 	require.Nil(t, after.Choose("e03", 3, "a", 4, kept))
@@ -145,7 +145,7 @@
 		{20 * time.Second, 4 * time.Second, 2}, // one of each parity
 		{2400 * time.Millisecond, 8 * time.Second, 6},
 	} {
-		fleet := Fleet{Engines: names(9), Models: []string{"a", "b"}, Took: test.took, Every: test.every}
+		fleet := Fleet{Engines: engineIDs(9), Models: []string{"a", "b"}, LoadTime: test.took, NamingInterval: test.every}
 		following := 0
 		for _, e := range fleet.Engines {
 			if fleet.Serves(e, "a") {
@@ -157,12 +157,12 @@
 }
 
 // Whatever the fleet, the loads of two versions' time fit into it.
-func TestLoadsFitIntoTheirTime(t *testing.T) {
+func TestLoadsFitIntoAvailableTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fleet := Fleet{
-			Engines: names(rapid.IntRange(2, 60).Draw(t, "engines")), Models: []string{"a", "b", "c"}[:rapid.IntRange(1, 3).Draw(t, "models")],
-			Took:  time.Duration(rapid.IntRange(100, 9000).Draw(t, "took ms")) * time.Millisecond,
-			Every: time.Duration(rapid.IntRange(1000, 9000).Draw(t, "every ms")) * time.Millisecond,
+			Engines: engineIDs(rapid.IntRange(2, 60).Draw(t, "engines")), Models: []string{"a", "b", "c"}[:rapid.IntRange(1, 3).Draw(t, "models")],
+			LoadTime:       time.Duration(rapid.IntRange(100, 9000).Draw(t, "took ms")) * time.Millisecond,
+			NamingInterval: time.Duration(rapid.IntRange(1000, 9000).Draw(t, "every ms")) * time.Millisecond,
 		}
 		following := 0
 		for _, e := range fleet.Engines {
@@ -171,43 +171,43 @@
 			}
 		}
 		require.Positive(t, following)
-		if following <= leastWindow {
+		if following <= minWindow {
 			return
 		}
-		busy := float64(following*len(fleet.Models)) * fleet.Took.Seconds() / (2 * fleet.Every.Seconds())
-		require.LessOrEqual(t, busy, float64(loadsAtOnce(len(fleet.Engines))))
+		busy := float64(following*len(fleet.Models)) * fleet.LoadTime.Seconds() / (2 * fleet.NamingInterval.Seconds())
+		require.LessOrEqual(t, busy, float64(maxParallelLoads(len(fleet.Engines))))
 	})
 }
 
-func TestLoadTime(t *testing.T) {
-	var l LoadTime
-	require.Equal(t, tookFirst, l.Took(), "nothing was seen")
-	l.Peer(2 * time.Second)
-	require.Equal(t, tookFirst, l.Took(), "a quick load may be listed that late")
-	l.Peer(6 * time.Second)
-	require.Equal(t, 4500*time.Millisecond, l.Took(), "no peer is listed yet")
-	l.Measured(3 * time.Second)
-	l.Measured(5 * time.Second)
-	require.Equal(t, 4*time.Second, l.Took(), "a longer one may have been slowed by others")
-	l.Measured(2 * time.Second)
-	require.Equal(t, 2*time.Second, l.Took())
-	l.Named()
-	require.Equal(t, 2*time.Second, l.Took())
+func TestLoadTimeEstimator(t *testing.T) {
+	var l LoadTimeEstimator
+	require.Equal(t, initialLoadTime, l.LoadTime(), "nothing was seen")
+	l.ObservePeers(2 * time.Second)
+	require.Equal(t, initialLoadTime, l.LoadTime(), "a quick load may be listed that late")
+	l.ObservePeers(6 * time.Second)
+	require.Equal(t, 4500*time.Millisecond, l.LoadTime(), "no peer is listed yet")
+	l.ObserveOwn(3 * time.Second)
+	l.ObserveOwn(5 * time.Second)
+	require.Equal(t, 4*time.Second, l.LoadTime(), "a longer one may have been slowed by others")
+	l.ObserveOwn(2 * time.Second)
+	require.Equal(t, 2*time.Second, l.LoadTime())
+	l.VersionNamed()
+	require.Equal(t, 2*time.Second, l.LoadTime())
 	for range 30 {
-		l.Named()
+		l.VersionNamed()
 	}
-	require.Less(t, l.Took(), time.Second, "an engine that stands back tries again")
+	require.Less(t, l.LoadTime(), time.Second, "an engine that stands back tries again")
 }
 
-func TestCadence(t *testing.T) {
-	var c Cadence
+func TestCadenceEstimator(t *testing.T) {
+	var c CadenceEstimator
 	start := time.Unix(1000, 0)
-	c.Named(start, 1)
-	require.Zero(t, c.Every())
-	c.Named(start.Add(4*time.Second), 1)
-	require.Equal(t, 4*time.Second, c.Every())
-	c.Named(start.Add(12*time.Second), 2)
-	require.Equal(t, 4*time.Second, c.Every(), "one that was not heard of lies between")
-	c.Named(start.Add(20*time.Second), 1)
-	require.Equal(t, 6*time.Second, c.Every())
+	c.VersionNamed(start, 1)
+	require.Zero(t, c.NamingInterval())
+	c.VersionNamed(start.Add(4*time.Second), 1)
+	require.Equal(t, 4*time.Second, c.NamingInterval())
+	c.VersionNamed(start.Add(12*time.Second), 2)
+	require.Equal(t, 4*time.Second, c.NamingInterval(), "one that was not heard of lies between")
+	c.VersionNamed(start.Add(20*time.Second), 1)
+	require.Equal(t, 6*time.Second, c.NamingInterval())
 }
--- a/decide/place/replay_test.go
+++ b/decide/place/replay_test.go
@@ -153,7 +153,7 @@
 		every = 0
 	}
 	r := &replay{
-		load: l, fleet: loads.Fleet{Took: seconds(l.loading), Every: every}, rng: rand.New(rand.NewPCG(l.seed, 1)), namedVersions: make([]uint64, n), namedAt: make([]float64, n), nextStep: make([]int, n),
+		load: l, fleet: loads.Fleet{LoadTime: seconds(l.loading), NamingInterval: every}, rng: rand.New(rand.NewPCG(l.seed, 1)), namedVersions: make([]uint64, n), namedAt: make([]float64, n), nextStep: make([]int, n),
 		carriedGroups: make([][]*replayGroup, n), lengths: make([]LengthEstimator, n), excludedUntil: map[string]float64{}, out: outcome{stepTimes: map[[2]int]float64{}},
 	}
 	for m := range n {
@@ -302,7 +302,7 @@
 				continue
 			}
 			want := r.fleet.Choose(r.fleet.Engines[i], e.versions[m], model, r.namedVersions[m], r.parity[i][m])
-			if want == nil || r.now < r.namedAt[m]+want.Wait.Seconds() {
+			if want == nil || r.now < r.namedAt[m]+want.Delay.Seconds() {
 				continue
 			}
 			e.loading, e.loadRemaining, e.loadingVersion = m, r.loading, want.Version
--- a/gateway/orders/orders.go
+++ b/gateway/orders/orders.go
@@ -74,8 +74,8 @@
 	// listed: an engine is listed with the model's newest version.
 	listed map[string]bool
 	// loadTime and cadence (by model) are what loads are planned by.
-	loadTime loads.LoadTime
-	cadence  map[string]*loads.Cadence
+	loadTime loads.LoadTimeEstimator
+	cadence  map[string]*loads.CadenceEstimator
 	fence    uint64
 	lost     bool
 	// gone is the server that was found not to be at the engine's address any more.
@@ -91,7 +91,7 @@
 func New(cfg Config) *Agent {
 	return &Agent{
 		cfg: cfg, log: cfg.Logger,
-		named: map[string]time.Time{}, seen: map[string]uint64{}, listed: map[string]bool{}, cadence: map[string]*loads.Cadence{},
+		named: map[string]time.Time{}, seen: map[string]uint64{}, listed: map[string]bool{}, cadence: map[string]*loads.CadenceEstimator{},
 		follows: map[string]bool{}, told: map[jobs.EngineKey]jobs.Engine{}, parity: map[jobs.EngineKey]loads.Parity{},
 	}
 }
@@ -138,7 +138,7 @@
 		a.tellServed(ctx, self.ID, report)
 		return lookIdle
 	}
-	if due := a.named[want.Model].Add(want.Wait); time.Now().Before(due) {
+	if due := a.named[want.Model].Add(want.Delay); time.Now().Before(due) {
 		return max(time.Until(due), time.Millisecond)
 	}
 	return a.order(ctx, snap, self, report, want)
@@ -150,11 +150,11 @@
 			continue
 		}
 		if a.cadence[model] == nil {
-			a.cadence[model] = &loads.Cadence{}
+			a.cadence[model] = &loads.CadenceEstimator{}
 		}
 		now := time.Now()
-		a.cadence[model].Named(now, version-a.seen[model])
-		a.loadTime.Named()
+		a.cadence[model].VersionNamed(now, version-a.seen[model])
+		a.loadTime.VersionNamed()
 		a.seen[model], a.named[model] = version, now
 		delete(a.listed, model)
 	}
@@ -167,7 +167,7 @@
 		if a.listed[model] || version < 2 {
 			continue
 		}
-		a.loadTime.Peer(time.Since(a.named[model]))
+		a.loadTime.ObservePeers(time.Since(a.named[model]))
 		a.listed[model] = slices.ContainsFunc(snap.Servers[service], func(s members.Server) bool { return s.Versions[model] >= version })
 	}
 }
@@ -228,21 +228,21 @@
 }
 
 // choose returns the most urgent load, then the one that is due first.
-func (a *Agent) choose(snap *view.Snapshot, self *members.Server, peers []string, report hosted.EngineReport) *loads.Want {
-	fleet := loads.Fleet{Engines: peers, Models: slices.Collect(maps.Keys(report.Versions)), Took: a.loadTime.Took()}
-	var chosen *loads.Want
+func (a *Agent) choose(snap *view.Snapshot, self *members.Server, peers []string, report hosted.EngineReport) *loads.Target {
+	fleet := loads.Fleet{Engines: peers, Models: slices.Collect(maps.Keys(report.Versions)), LoadTime: a.loadTime.LoadTime()}
+	var chosen *loads.Target
 	for _, model := range slices.Sorted(maps.Keys(report.Versions)) {
 		if snap.Versions[model] == 0 {
 			continue
 		}
-		fleet.Every = a.cadence[model].Every()
+		fleet.NamingInterval = a.cadence[model].NamingInterval()
 		a.noteFollowing(fleet, self.ID, model)
 		want := fleet.Choose(self.ID, report.Versions[model], model, snap.Versions[model], a.parityOf(fleet, self.ID, model))
 		if want == nil {
 			continue
 		}
 		if chosen == nil || want.Urgent && !chosen.Urgent ||
-			want.Urgent == chosen.Urgent && a.named[want.Model].Add(want.Wait).Before(a.named[chosen.Model].Add(chosen.Wait)) {
+			want.Urgent == chosen.Urgent && a.named[want.Model].Add(want.Delay).Before(a.named[chosen.Model].Add(chosen.Delay)) {
 			chosen = want
 		}
 	}
@@ -258,7 +258,7 @@
 	}
 	a.follows[model] = follows
 	a.log.Info("Engine's part in a model.", zap.String("server", server), zap.String("model", model), zap.Bool("follows", follows),
-		zap.Int("engines", len(fleet.Engines)), zap.Int("models", len(fleet.Models)), zap.Duration("load_time", fleet.Took), zap.Duration("every", fleet.Every))
+		zap.Int("engines", len(fleet.Engines)), zap.Int("models", len(fleet.Models)), zap.Duration("load_time", fleet.LoadTime), zap.Duration("every", fleet.NamingInterval))
 }
 
 // parityOf returns the parity that the engine got when a version of the model
@@ -274,7 +274,7 @@
 }
 
 // order gives one order and follows it to its end.
-func (a *Agent) order(ctx context.Context, snap *view.Snapshot, self *members.Server, report hosted.EngineReport, want *loads.Want) time.Duration {
+func (a *Agent) order(ctx context.Context, snap *view.Snapshot, self *members.Server, report hosted.EngineReport, want *loads.Target) time.Duration {
 	begin := time.Now()
 	o := hosted.LoadOrder{
 		Server: self.Name, Model: want.Model, Version: want.Version, Mode: a.mode(snap, self.Service),
@@ -284,7 +284,7 @@
 	outcome, err := a.cfg.Engine.Order(ctx, o)
 	a.log.Info("Order to load weights.", zap.String("server", self.ID), zap.String("model", o.Model), zap.Uint64("version", o.Version),
 		zap.Uint64("from", report.Versions[o.Model]), zap.String("mode", string(o.Mode)), zap.Uint64("fence", o.Fence),
-		zap.Uint64("after", o.After), zap.Bool("urgent", want.Urgent), zap.Duration("load_time", a.loadTime.Took()), zap.Int("running", report.Running),
+		zap.Uint64("after", o.After), zap.Bool("urgent", want.Urgent), zap.Duration("load_time", a.loadTime.LoadTime()), zap.Int("running", report.Running),
 		zap.Uint8("outcome", uint8(outcome)), zap.Error(err))
 	switch outcome {
 	case hosted.OrderTaken, hosted.OrderHolds:
@@ -305,7 +305,7 @@
 		return lookBusy
 	}
 	if after.Versions[o.Model] >= o.Version && outcome == hosted.OrderTaken {
-		a.loadTime.Measured(time.Since(begin))
+		a.loadTime.ObserveOwn(time.Since(begin))
 	}
 	a.tellServed(ctx, self.ID, after)
 	if outcome != hosted.OrderTaken && outcome != hosted.OrderHolds {
