--- a/decide/loads/estimate.go
+++ b/decide/loads/estimate.go
@@ -3,30 +3,31 @@
 import "time"
 
 const (
-	// tookFirst is how long a load is thought to take until one was seen.
+	// initialLoadTime is the estimate until a load was observed.
 	initialLoadTime = time.Second
-	// tookRise is the share of a longer load that is believed: one may have been
-	// slowed by others that ran beside it, so that the shortest ones tell most.
+	// longerLoadWeight is the weight of a load that took longer than the estimate. Such
+	// a load may have been slowed down by others at the same time, so the shortest
+	// loads are the most reliable.
 	longerLoadWeight = 0.5
-	// tookFade is what an engine that has loaded nothing since the version before
-	// keeps of its estimate. One that stood back while loads took long tries
-	// again some versions later.
+	// idleDecay is the factor applied to the estimate of an engine that has loaded
+	// nothing since the previous version. An engine that stopped loading while loads
+	// took long thus tries again some versions later.
 	idleDecay = 0.97
-	// listLag is how much later than an engine's load ended the list of servers
-	// tells of it, at most: engines write their entries about every second.
+	// maxListDelay is the longest time from the end of an engine's load until the list
+	// of servers shows it. Engines write their entries about every second.
 	maxListDelay = 1500 * time.Millisecond
 )
 
-// LoadTime estimates how long a load of weights takes, in the place of one engine.
-// Until it has loaded itself, it goes by how long the first of its peers took. Its
-// zero value knows nothing. It is not safe for concurrent use.
+// LoadTimeEstimator estimates how long a weight load takes on one engine. Until the
+// engine has loaded weights itself, the estimate is based on the fastest of its peers.
+// The zero value is ready to use. It is not safe for concurrent use.
 type LoadTimeEstimator struct {
-	own        time.Duration // 0: none was measured
+	own        time.Duration // 0 if no load was observed
 	peerTime   time.Duration
-	unmeasured bool // no load was measured since the last version
+	unmeasured bool // no load was observed since the last version
 }
 
-// Measured notes a load of the engine itself.
+// ObserveOwn records the duration of a load of the engine itself.
 func (l *LoadTimeEstimator) ObserveOwn(took time.Duration) {
 	if l.own == 0 || took < l.own {
 		l.own = took
@@ -36,13 +37,13 @@
 	l.unmeasured = false
 }
 
-// Peer notes that no peer was listed with a version before it had been named for
-// that long, or that none is yet.
+// ObservePeers records how long after a version was named the first peer was listed
+// with it, or how long ago it was named if no peer is listed yet.
 func (l *LoadTimeEstimator) ObservePeers(since time.Duration) {
 	l.peerTime = max(0, since-maxListDelay)
 }
 
-// Named notes that a version was named.
+// VersionNamed records that a version was named.
 func (l *LoadTimeEstimator) VersionNamed() {
 	if l.unmeasured {
 		l.own = time.Duration(idleDecay * float64(l.own))
@@ -50,7 +51,7 @@
 	l.unmeasured = true
 }
 
-// Took returns the estimate.
+// LoadTime returns the estimate.
 func (l *LoadTimeEstimator) LoadTime() time.Duration {
 	if l.own > 0 {
 		return l.own
@@ -58,14 +59,15 @@
 	return max(initialLoadTime, l.peerTime)
 }
 
-// Cadence estimates how often versions of a model are named. Its zero value knows
-// nothing. It is not safe for concurrent use.
+// CadenceEstimator estimates how often versions of a model are named. The zero value is
+// ready to use. It is not safe for concurrent use.
 type CadenceEstimator struct {
 	lastNamedAt time.Time
 	interval    time.Duration
 }
 
-// Named notes that versions up to one some later than the last one were named.
+// VersionNamed records that a version was named that is the given number of versions
+// later than the last one recorded.
 func (c *CadenceEstimator) VersionNamed(now time.Time, versions uint64) {
 	if !c.lastNamedAt.IsZero() && versions > 0 {
 		gap := now.Sub(c.lastNamedAt) / time.Duration(versions)
@@ -77,7 +79,8 @@
 	c.lastNamedAt = now
 }
 
-// Every returns the estimate; 0: not known, as for no cadence at all.
+// NamingInterval returns the estimated time between versions, or 0 if it is not known
+// or c is nil.
 func (c *CadenceEstimator) NamingInterval() time.Duration {
 	if c == nil {
 		return 0
--- a/decide/loads/loads_test.go
+++ b/decide/loads/loads_test.go
@@ -17,9 +17,8 @@
 	return out
 }
 
-// A step may use the newest version and the one before. Were all engines of a
-// model to load each version as it is named, none would serve for the time of a
-// load.
+// A step may use the newest version and the one before. If all engines of a model
+// loaded each version as soon as it is named, none would serve during a load.
 func TestHalfOfAModelsEnginesLoadEachVersion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 50).Draw(t, "engines")
@@ -49,9 +48,8 @@
 	})
 }
 
-// Loads are what binds a large fleet with several models: were every engine to
-// follow every model, the versions of a few seconds would take longer to load
-// than the seconds last.
+// Loads limit a large fleet with several models: if every engine followed every model,
+// loading the versions named within a few seconds would take longer than those seconds.
 func TestEnginesShareTheModels(t *testing.T) {
 	for _, test := range []struct{ engines, models, maxModels, followers int }{
 		{8, 2, 2, 8}, {9, 2, 2, 9}, {45, 4, 2, 22}, {40, 3, 2, 26}, {3, 1, 1, 3}, {1, 2, 2, 1}, {2, 4, 2, 1}, {1, 4, 4, 1},
@@ -78,9 +76,9 @@
 	}
 }
 
-// Guards against a step whose samples wait for each other's places while engines stand
-// free: as a version is named, the engines that load it are busy, and those that serve
-// the step meanwhile have to be a model's whole share.
+// Guards against a step whose samples wait for each other's slots while engines are
+// free. When a version is named, the engines that load it are busy, and those that
+// serve the step meanwhile must amount to the model's whole share.
 func TestAModelsShareServesWhileTheOthersLoad(t *testing.T) {
 	for _, test := range []struct{ engines, models int }{{44, 4}, {8, 2}, {48, 3}, {73, 6}, {12, 1}} {
 		fleet := Fleet{Engines: engineIDs(test.engines), Models: []string{"a", "b", "c", "d", "e", "f"}[:test.models]}
@@ -106,7 +104,7 @@
 	require.True(t, fleet.Choose("e01", 2, "a", 4, 1).Urgent, "two versions behind")
 }
 
-// Loads slow each other down when many run at once, so they come in two waves.
+// Loads slow each other down when many run at the same time, so they run in two waves.
 func TestLoadsComeInWaves(t *testing.T) {
 	fleet := Fleet{Engines: engineIDs(45), Models: []string{"a", "b", "c", "d"}, LoadTime: time.Second}
 	waves := map[time.Duration]int{}
@@ -118,27 +116,27 @@
 	require.Equal(t, map[time.Duration]int{0: 6, time.Second: 5}, waves)
 }
 
-// Servers are replaced one after the other: one more engine is listed, then one
-// less. An engine that has the version before must not find itself due at once,
-// with half of the fleet, because its place among the others has moved.
+// Servers are replaced one after the other: one engine is added, then another removed.
+// An engine that has the previous version must not become due at once, together with
+// half of the fleet, because its position among the engines has changed.
 func TestParityIsKeptWhenTheFleetChanges(t *testing.T) {
 	before := Fleet{Engines: engineIDs(10), Models: []string{"a"}}
 	after := Fleet{Engines: append([]string{"a-new-one"}, engineIDs(10)...), Models: []string{"a"}}
 	kept := before.Parity("e03", "a")
-	require.NotEqual(t, kept, after.Parity("e03", "a"), "its place has moved")
+	require.NotEqual(t, kept, after.Parity("e03", "a"), "its position has changed")
 	require.Nil(t, after.Choose("e03", 3, "a", 4, kept))
 	require.NotNil(t, after.Choose("e03", 4, "a", 5, kept))
 }
 
-// Engines load more slowly than usual. Did as many follow each model as ever, all
-// would load at one moment, slow each other down and be too old for the next step.
+// Engines load more slowly than usual. If as many followed each model as usual, all
+// would load at the same time, slow each other down and be too old for the next step.
 func TestNoMoreEnginesFollowThanCanLoadInTime(t *testing.T) {
 	for _, test := range []struct {
 		took, every time.Duration
-		follow      int // of nine engines, two models
+		follow      int // of nine engines, with two models
 	}{
 		{0, 0, 9},
-		{time.Second, 0, 9}, // not known yet how often versions are named
+		{time.Second, 0, 9}, // naming interval not known yet
 		{900 * time.Millisecond, 4 * time.Second, 8},
 		{1800 * time.Millisecond, 4 * time.Second, 4},
 		{2400 * time.Millisecond, 4 * time.Second, 3},
@@ -156,7 +154,7 @@
 	}
 }
 
-// Whatever the fleet, the loads of two versions' time fit into it.
+// For any fleet, the loads of two versions fit into the time of two versions.
 func TestLoadsFitIntoAvailableTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fleet := Fleet{
@@ -181,14 +179,14 @@
 
 func TestLoadTimeEstimator(t *testing.T) {
 	var l LoadTimeEstimator
-	require.Equal(t, initialLoadTime, l.LoadTime(), "nothing was seen")
+	require.Equal(t, initialLoadTime, l.LoadTime(), "no load observed")
 	l.ObservePeers(2 * time.Second)
-	require.Equal(t, initialLoadTime, l.LoadTime(), "a quick load may be listed that late")
+	require.Equal(t, initialLoadTime, l.LoadTime(), "a quick load may be listed this late")
 	l.ObservePeers(6 * time.Second)
 	require.Equal(t, 4500*time.Millisecond, l.LoadTime(), "no peer is listed yet")
 	l.ObserveOwn(3 * time.Second)
 	l.ObserveOwn(5 * time.Second)
-	require.Equal(t, 4*time.Second, l.LoadTime(), "a longer one may have been slowed by others")
+	require.Equal(t, 4*time.Second, l.LoadTime(), "a longer load may have been slowed down by others")
 	l.ObserveOwn(2 * time.Second)
 	require.Equal(t, 2*time.Second, l.LoadTime())
 	l.VersionNamed()
@@ -196,7 +194,7 @@
 	for range 30 {
 		l.VersionNamed()
 	}
-	require.Less(t, l.LoadTime(), time.Second, "an engine that stands back tries again")
+	require.Less(t, l.LoadTime(), time.Second, "an engine that stopped loading tries again")
 }
 
 func TestCadenceEstimator(t *testing.T) {
@@ -207,7 +205,7 @@
 	c.VersionNamed(start.Add(4*time.Second), 1)
 	require.Equal(t, 4*time.Second, c.NamingInterval())
 	c.VersionNamed(start.Add(12*time.Second), 2)
-	require.Equal(t, 4*time.Second, c.NamingInterval(), "one that was not heard of lies between")
+	require.Equal(t, 4*time.Second, c.NamingInterval(), "two versions in one observation count as two intervals")
 	c.VersionNamed(start.Add(20*time.Second), 1)
 	require.Equal(t, 6*time.Second, c.NamingInterval())
 }
