--- a/decide/gather/gather.go
+++ b/decide/gather/gather.go
@@ -12,17 +12,17 @@
 const (
 	// holdMost bounds how long results at hand are kept back, two pauses of a trainer
 	// between reads: a caller that would wait for minutes gets what there is.
-	holdMost = time.Second
+	maxReadHold = time.Second
 	// timelyBehindDue is how long behind their due time results may be read and still
 	// count as timely: 0.7 s by the users' protocol, less an answer's way.
-	timelyBehindDue = 600 * time.Millisecond
+	timelyGrace = 600 * time.Millisecond
 	// textsTake is kept for reading the results' texts from whoever has them: some 30
 	// ms, and several times that while the log is busy.
-	textsTake = 200 * time.Millisecond
+	textReadTime = 200 * time.Millisecond
 )
 
 // pause is what a trainer leaves between the beginnings of two reads.
-const pause = 500 * time.Millisecond
+const readPause = 500 * time.Millisecond
 
 // Read is a waiting read.
 type Read struct {
@@ -31,7 +31,7 @@
 	// Waited is how long it has waited.
 	Waited time.Duration
 	// Most is how long its caller lets it wait; 0: not at all.
-	Most time.Duration
+	MaxWait time.Duration
 	// Enough: the caller has all that it waits for with these results.
 	Enough bool
 	// Due is how long from now results are due, below 0: were due; 0: nobody said.
@@ -50,26 +50,26 @@
 	if r.Enough && !r.Empty {
 		return 0
 	}
-	most := min(holdMost, r.Most)
-	hold := max(0, most-r.Waited)
+	maxHold := min(maxReadHold, r.MaxWait)
+	hold := max(0, maxHold-r.Waited)
 	if r.Empty {
-		hold = max(0, r.Most-r.Waited)
+		hold = max(0, r.MaxWait-r.Waited)
 		if r.Enough {
 			return hold
 		}
-	} else if timely := r.Due + timelyBehindDue; r.Due != 0 && timely > 0 {
-		hold = max(0, min(hold, timely-textsTake))
+	} else if timely := r.Due + timelyGrace; r.Due != 0 && timely > 0 {
+		hold = max(0, min(hold, timely-textReadTime))
 	}
-	return aligned(r, hold, most)
+	return aligned(r, hold, maxHold)
 }
 
 // aligned shortens a hold so that the caller's next read is about as old as it may get
 // without a pause, and not the oldest, when it has all.
-func aligned(r Read, hold, most time.Duration) time.Duration {
-	const aim = 0.75 // of the longest read
-	if r.Expected <= hold || r.Expected > hold+most {
+func aligned(r Read, hold, maxHold time.Duration) time.Duration {
+	const targetAge = 0.75 // of the longest read
+	if r.Expected <= hold || r.Expected > hold+maxHold {
 		return hold
 	}
-	next := r.Expected - time.Duration(aim*float64(most)) // when the next read should begin
-	return min(hold, max(next, pause-r.Waited, 0))
+	next := r.Expected - time.Duration(targetAge*float64(maxHold)) // when the next read should begin
+	return min(hold, max(next, readPause-r.Waited, 0))
 }
--- a/decide/gather/gather_test.go
+++ b/decide/gather/gather_test.go
@@ -18,17 +18,17 @@
 		want time.Duration
 	}{
 		{"the caller does not wait", gather.Read{}, 0},
-		{"results were there when it came", gather.Read{Most: time.Second}, 1000 * ms},
-		{"the first result comes soon", gather.Read{Waited: 120 * ms, Most: time.Second}, 880 * ms},
-		{"it has waited as long as its caller lets it", gather.Read{Waited: time.Second, Most: time.Second}, 0},
-		{"it has waited longer", gather.Read{Waited: 1200 * ms, Most: time.Second}, 0},
-		{"its caller would wait for long", gather.Read{Waited: 300 * ms, Most: time.Minute}, 700 * ms},
-		{"its caller waits for less", gather.Read{Waited: 100 * ms, Most: 300 * ms}, 200 * ms},
-		{"its caller has all that it waits for", gather.Read{Waited: 100 * ms, Most: time.Second, Enough: true}, 0},
-		{"results are due soon", gather.Read{Most: time.Second, Due: 200 * ms}, 600 * ms},
-		{"they were due just now", gather.Read{Most: time.Second, Due: -300 * ms}, 100 * ms},
-		{"they are timely if they are read at once", gather.Read{Most: time.Second, Due: -500 * ms}, 0},
-		{"they no longer count as timely", gather.Read{Most: time.Second, Due: -time.Second}, 1000 * ms},
+		{"results were there when it came", gather.Read{MaxWait: time.Second}, 1000 * ms},
+		{"the first result comes soon", gather.Read{Waited: 120 * ms, MaxWait: time.Second}, 880 * ms},
+		{"it has waited as long as its caller lets it", gather.Read{Waited: time.Second, MaxWait: time.Second}, 0},
+		{"it has waited longer", gather.Read{Waited: 1200 * ms, MaxWait: time.Second}, 0},
+		{"its caller would wait for long", gather.Read{Waited: 300 * ms, MaxWait: time.Minute}, 700 * ms},
+		{"its caller waits for less", gather.Read{Waited: 100 * ms, MaxWait: 300 * ms}, 200 * ms},
+		{"its caller has all that it waits for", gather.Read{Waited: 100 * ms, MaxWait: time.Second, Enough: true}, 0},
+		{"results are due soon", gather.Read{MaxWait: time.Second, Due: 200 * ms}, 600 * ms},
+		{"they were due just now", gather.Read{MaxWait: time.Second, Due: -300 * ms}, 100 * ms},
+		{"they are timely if they are read at once", gather.Read{MaxWait: time.Second, Due: -500 * ms}, 0},
+		{"they no longer count as timely", gather.Read{MaxWait: time.Second, Due: -time.Second}, 1000 * ms},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			require.Equal(t, c.want, gather.Hold(c.read))
@@ -41,7 +41,7 @@
 // row, the last two close together, at any moment against the trainer's reads. Answered
 // at once, or after as long as the pause, reads are mostly young when the last result is
 // listed, and the trainer goes on a quarter of a second late in the mean.
-func TestTheLastResultFindsAnOldRead(t *testing.T) {
+func TestHoldReducesLagOfLastResult(t *testing.T) {
 	meanLag := func(hold func(gather.Read) time.Duration) time.Duration {
 		const steps = 100
 		sum := time.Duration(0)
@@ -49,26 +49,26 @@
 			shift := time.Duration(i) * 20 * ms
 			last := 7360*ms + shift
 			listed := []time.Duration{130 * ms, 180 * ms, 700 * ms, 1900 * ms, 7290*ms + shift, last}
-			sum += trains(listed, hold) - last
+			sum += trainingStart(listed, hold) - last
 		}
 		return sum / steps
 	}
 	atOnce := meanLag(func(gather.Read) time.Duration { return 0 })
-	forThePause := meanLag(func(r gather.Read) time.Duration {
+	heldForPause := meanLag(func(r gather.Read) time.Duration {
 		if r.Enough {
 			return 0
 		}
-		return max(0, pause-r.Waited)
+		return max(0, readPause-r.Waited)
 	})
 	held := meanLag(gather.Hold)
-	t.Logf("mean lag: answered at once %v, held for the pause %v, as decided %v", atOnce, forThePause, held)
-	require.LessOrEqual(t, held, pause*3/10)
-	require.Less(t, held, forThePause*7/10)
+	t.Logf("mean lag: answered at once %v, held for the pause %v, as decided %v", atOnce, heldForPause, held)
+	require.LessOrEqual(t, held, readPause*3/10)
+	require.Less(t, held, heldForPause*7/10)
 	require.Less(t, held, atOnce*7/10)
 }
 
 // pause is what a trainer leaves between the beginnings of two reads.
-const pause = 500 * ms
+const readPause = 500 * ms
 
 func TestHoldBeforeTheExpectedEnd(t *testing.T) {
 	for _, c := range []struct {
@@ -76,17 +76,17 @@
 		read gather.Read
 		want time.Duration
 	}{
-		{"all is expected in this read", gather.Read{Most: time.Second, Expected: 700 * ms}, 1000 * ms},
-		{"all is expected at the beginning of the next read", gather.Read{Most: time.Second, Expected: 1400 * ms}, 650 * ms},
-		{"the next read can't begin before the pause", gather.Read{Most: time.Second, Expected: 1050 * ms}, 500 * ms},
-		{"the next read will be old enough", gather.Read{Most: time.Second, Expected: 1900 * ms}, 1000 * ms},
-		{"the end is far off", gather.Read{Most: time.Second, Expected: 5 * time.Second}, 1000 * ms},
-		{"it should have been all by now", gather.Read{Waited: 300 * ms, Most: time.Second, Expected: -100 * ms}, 700 * ms},
-		{"results are due, too", gather.Read{Most: time.Second, Expected: 1400 * ms, Due: 300 * ms}, 650 * ms},
-		{"results are due sooner", gather.Read{Most: time.Second, Expected: 1400 * ms, Due: 50 * ms}, 450 * ms},
-		{"there is no result yet", gather.Read{Empty: true, Waited: 100 * ms, Most: time.Second, Expected: 1400 * ms}, 650 * ms},
-		{"there is no result yet, and none is expected soon", gather.Read{Empty: true, Most: time.Minute, Expected: 5 * time.Second}, time.Minute},
-		{"it reads behind all that its caller waits for", gather.Read{Empty: true, Most: time.Second, Enough: true}, 1000 * ms},
+		{"all is expected in this read", gather.Read{MaxWait: time.Second, Expected: 700 * ms}, 1000 * ms},
+		{"all is expected at the beginning of the next read", gather.Read{MaxWait: time.Second, Expected: 1400 * ms}, 650 * ms},
+		{"the next read can't begin before the pause", gather.Read{MaxWait: time.Second, Expected: 1050 * ms}, 500 * ms},
+		{"the next read will be old enough", gather.Read{MaxWait: time.Second, Expected: 1900 * ms}, 1000 * ms},
+		{"the end is far off", gather.Read{MaxWait: time.Second, Expected: 5 * time.Second}, 1000 * ms},
+		{"it should have been all by now", gather.Read{Waited: 300 * ms, MaxWait: time.Second, Expected: -100 * ms}, 700 * ms},
+		{"results are due, too", gather.Read{MaxWait: time.Second, Expected: 1400 * ms, Due: 300 * ms}, 650 * ms},
+		{"results are due sooner", gather.Read{MaxWait: time.Second, Expected: 1400 * ms, Due: 50 * ms}, 450 * ms},
+		{"there is no result yet", gather.Read{Empty: true, Waited: 100 * ms, MaxWait: time.Second, Expected: 1400 * ms}, 650 * ms},
+		{"there is no result yet, and none is expected soon", gather.Read{Empty: true, MaxWait: time.Minute, Expected: 5 * time.Second}, time.Minute},
+		{"it reads behind all that its caller waits for", gather.Read{Empty: true, MaxWait: time.Second, Enough: true}, 1000 * ms},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			require.Equal(t, c.want, gather.Hold(c.read))
@@ -97,49 +97,49 @@
 // The load is the end of a step that takes about as long as those before, off by a fifth
 // of a second either way. Guards against a trainer that sits out its pause, for its read
 // was young when the last sample was listed.
-func TestAnExpectedEndFindsAnOldRead(t *testing.T) {
+func TestExpectedEndReducesLagFurther(t *testing.T) {
 	const steps = 200
 	var held, aligned time.Duration
 	for i := range steps {
 		last := 7360*ms + time.Duration(i)*10*ms
 		expected := last + time.Duration(i*37%41-20)*10*ms
 		listed := []time.Duration{130 * ms, 180 * ms, 700 * ms, 1900 * ms, last - 70*ms, last}
-		held += trains(listed, gather.Hold) - last
-		aligned += trainsUntil(expected, listed, gather.Hold) - last
+		held += trainingStart(listed, gather.Hold) - last
+		aligned += trainingStartExpecting(expected, listed, gather.Hold) - last
 	}
 	t.Logf("mean lag: held %v, aligned with the expected end %v", held/steps, aligned/steps)
 	require.Less(t, aligned, held/4)
 }
 
-func TestUsualTimeOfSteps(t *testing.T) {
-	var s *gather.Steps
-	require.Zero(t, s.Usual())
-	s = &gather.Steps{}
+func TestStepTimes(t *testing.T) {
+	var s *gather.StepTimes
+	require.Zero(t, s.Median())
+	s = &gather.StepTimes{}
 	for _, d := range []time.Duration{9, 3, 4, 3, 4, 20} {
-		s.Took(d)
+		s.Observe(d)
 	}
-	require.Equal(t, time.Duration(4), s.Usual(), "the middle one of the newest five")
+	require.Equal(t, time.Duration(4), s.Median(), "the middle one of the newest five")
 }
 
 // trains plays a trainer's reads and returns when it begins to train: when it looks at
 // what it has and has all results.
-func trains(listed []time.Duration, hold func(gather.Read) time.Duration) time.Duration {
-	return trainsUntil(0, listed, hold)
+func trainingStart(listed []time.Duration, hold func(gather.Read) time.Duration) time.Duration {
+	return trainingStartExpecting(0, listed, hold)
 }
 
 // trainsUntil plays reads while the last result is expected at a time; 0: at none.
-func trainsUntil(expected time.Duration, listed []time.Duration, hold func(gather.Read) time.Duration) time.Duration {
-	const most = time.Second
+func trainingStartExpecting(expected time.Duration, listed []time.Duration, hold func(gather.Read) time.Duration) time.Duration {
+	const maxWait = time.Second
 	last := listed[len(listed)-1]
 	have := 0
 	for now := time.Duration(0); ; {
-		began := now
-		answered := began + most
+		startedAt := now
+		answered := startedAt + maxWait
 		if expected > 0 {
-			answered = began + hold(gather.Read{Empty: true, Most: most, Expected: expected - began})
+			answered = startedAt + hold(gather.Read{Empty: true, MaxWait: maxWait, Expected: expected - startedAt})
 		}
-		if first := max(began, listed[have]); first <= answered {
-			read := gather.Read{Waited: first - began, Most: most, Enough: first >= last}
+		if first := max(startedAt, listed[have]); first <= answered {
+			read := gather.Read{Waited: first - startedAt, MaxWait: maxWait, Enough: first >= last}
 			if expected > 0 {
 				read.Expected = expected - first
 			}
@@ -151,7 +151,7 @@
 		for have < len(listed) && listed[have] <= answered {
 			have++
 		}
-		now = max(answered, began+pause)
+		now = max(answered, startedAt+readPause)
 		if have == len(listed) {
 			return now
 		}
--- a/gateway/jobs/api.go
+++ b/gateway/jobs/api.go
@@ -357,7 +357,7 @@
 	for {
 		changed := s.book.Changed.Next()
 		total, results, over, read := s.results(job, after)
-		read.Waited, read.Most, read.Empty = time.Since(began), wait, len(results) == 0
+		read.Waited, read.MaxWait, read.Empty = time.Since(began), wait, len(results) == 0
 		hold := gather.Hold(read)
 		if over && read.Empty {
 			hold = 0
--- a/gateway/jobs/book.go
+++ b/gateway/jobs/book.go
@@ -74,7 +74,7 @@
 	arrived map[string]time.Time
 	// steps tells how long the steps of each model take, and enough which jobs were seen
 	// to have all that their trainers wait for.
-	steps  map[string]*gather.Steps
+	steps  map[string]*gather.StepTimes
 	enough map[string]bool
 	next   uint64
 	// asOf is when the read that last reached the log's end was sent: all that
@@ -95,7 +95,7 @@
 	return &Book{
 		Texts: newLibrary(reader, zlog), pace: func() time.Duration { return 0 }, log: reader, zlog: zlog, state: jobs.New(),
 		heard: map[jobs.Writer]time.Time{}, engineAt: map[jobs.EngineKey]time.Time{}, arrived: map[string]time.Time{},
-		steps: map[string]*gather.Steps{}, enough: map[string]bool{},
+		steps: map[string]*gather.StepTimes{}, enough: map[string]bool{},
 	}
 }
 
@@ -209,16 +209,16 @@
 			continue
 		}
 		if b.steps[j.Model] == nil {
-			b.steps[j.Model] = &gather.Steps{}
+			b.steps[j.Model] = &gather.StepTimes{}
 		}
-		b.steps[j.Model].Took(now.Sub(at))
+		b.steps[j.Model].Observe(now.Sub(at))
 	}
 }
 
 // expected is how long from now a job's trainer will likely have all that it waits for;
 // 0: that is not known. mu is held.
 func (b *Book) expected(j *jobs.Job, now time.Time) time.Duration {
-	usual := b.steps[j.Model].Usual()
+	usual := b.steps[j.Model].Median()
 	if usual == 0 {
 		return 0
 	}
