--- a/decide/gather/gather.go
+++ b/decide/gather/gather.go
@@ -1,51 +1,57 @@
-// Package gather decides how long a read that waits for results goes on waiting
-// once there is one. It answers the load of synchronous training: a trainer asks
-// for results again and again, and can't train before it has read the last group
-// that it waits for. It looks at what it has, and asks again, no sooner than a pause
-// after it began its last read. An answer with the first of several results makes it
-// sit out that pause while the last ones are listed, and so does a read that was
-// begun just before they are. The package has no clock and does no I/O.
+// Package gather decides how long a read that waits for results continues to wait once
+// there is one. It is designed for synchronous training: a trainer reads results
+// repeatedly and cannot train before it has read the last group that it waits for.
+// After each answer the trainer processes what it has and reads again, no sooner than a
+// pause after it started its last read. An answer with only the first of several
+// results makes the trainer sit out that pause while the last ones are listed, and so
+// does a read that started just before they are. The package has no clock and does no
+// I/O.
 package gather
 
 import "time"
 
 const (
-	// holdMost bounds how long results at hand are kept back, two pauses of a trainer
-	// between reads: a caller that would wait for minutes gets what there is.
+	// maxReadHold limits how long available results are held back, to two of a
+	// trainer's pauses between reads. A caller that would wait for minutes then gets
+	// the results available.
 	maxReadHold = time.Second
-	// timelyBehindDue is how long behind their due time results may be read and still
-	// count as timely: 0.7 s by the users' protocol, less an answer's way.
+	// timelyGrace is how long after their due time results may be read and still count
+	// as timely: 0.7 s in the users' protocol, less the time to deliver an answer.
 	timelyGrace = 600 * time.Millisecond
-	// textsTake is kept for reading the results' texts from whoever has them: some 30
-	// ms, and several times that while the log is busy.
+	// textReadTime is reserved for reading the results' texts from the processes that
+	// have them. This takes some 30 ms, and several times as long while the log is
+	// busy.
 	textReadTime = 200 * time.Millisecond
 )
 
-// pause is what a trainer leaves between the beginnings of two reads.
+// readPause is the minimum time between the starts of two of a trainer's reads.
 const readPause = 500 * time.Millisecond
 
 // Read is a waiting read.
 type Read struct {
-	// Empty: there is no result for it yet.
+	// Empty reports whether there is no result for it yet.
 	Empty bool
 	// Waited is how long it has waited.
 	Waited time.Duration
-	// Most is how long its caller lets it wait; 0: not at all.
+	// MaxWait is how long its caller lets it wait; 0 means not at all.
 	MaxWait time.Duration
-	// Enough: the caller has all that it waits for with these results.
+	// Enough reports whether the caller has all results that it waits for with the ones
+	// available.
 	Enough bool
-	// Due is how long from now results are due, below 0: were due; 0: nobody said.
+	// Due is the time until results are due. It is negative if they are overdue and 0
+	// if no due time is known.
 	Due time.Duration
-	// Expected is how long from now its caller will likely have all that it waits for;
-	// 0 or below: nobody knows.
+	// Expected is the estimated time until the caller has all results that it waits
+	// for. It is 0 or negative if not known.
 	Expected time.Duration
 }
 
-// Hold returns how long the read goes on waiting; 0: it is answered now. It waits for as
-// long as its caller lets it, a second at most: the longer reads last, the fewer of them
-// are young when the last result is listed, and one that is older than its caller's pause
-// costs nothing. Where it is known when that will likely be, the read before is answered
-// sooner, so that the last one is of an age to bear an error either way.
+// Hold returns how long the read continues to wait; 0 means that it is answered now. It
+// waits for as long as its caller permits, up to one second. The longer reads last, the
+// fewer of them are recent when the last result is listed, and a read that is older
+// than its caller's pause causes no delay. If it is known when the last result is
+// expected, the preceding read is answered earlier, so that the last read is at an age
+// that tolerates an error in either direction.
 func Hold(r Read) time.Duration {
 	if r.Enough && !r.Empty {
 		return 0
@@ -63,13 +69,13 @@
 	return aligned(r, hold, maxHold)
 }
 
-// aligned shortens a hold so that the caller's next read is about as old as it may get
-// without a pause, and not the oldest, when it has all.
+// aligned shortens a hold so that the caller's next read has lasted about as long as it
+// can without a pause, but not the maximum, when all results are available.
 func aligned(r Read, hold, maxHold time.Duration) time.Duration {
-	const targetAge = 0.75 // of the longest read
+	const targetAge = 0.75 // share of the longest read
 	if r.Expected <= hold || r.Expected > hold+maxHold {
 		return hold
 	}
-	next := r.Expected - time.Duration(targetAge*float64(maxHold)) // when the next read should begin
+	next := r.Expected - time.Duration(targetAge*float64(maxHold)) // when the next read should start
 	return min(hold, max(next, readPause-r.Waited, 0))
 }
--- a/decide/gather/gather_test.go
+++ b/decide/gather/gather_test.go
@@ -18,17 +18,17 @@
 		want time.Duration
 	}{
 		{"the caller does not wait", gather.Read{}, 0},
-		{"results were there when it came", gather.Read{MaxWait: time.Second}, 1000 * ms},
-		{"the first result comes soon", gather.Read{Waited: 120 * ms, MaxWait: time.Second}, 880 * ms},
-		{"it has waited as long as its caller lets it", gather.Read{Waited: time.Second, MaxWait: time.Second}, 0},
+		{"results were available when it started", gather.Read{MaxWait: time.Second}, 1000 * ms},
+		{"the first result arrives soon", gather.Read{Waited: 120 * ms, MaxWait: time.Second}, 880 * ms},
+		{"it has waited as long as its caller permits", gather.Read{Waited: time.Second, MaxWait: time.Second}, 0},
 		{"it has waited longer", gather.Read{Waited: 1200 * ms, MaxWait: time.Second}, 0},
-		{"its caller would wait for long", gather.Read{Waited: 300 * ms, MaxWait: time.Minute}, 700 * ms},
-		{"its caller waits for less", gather.Read{Waited: 100 * ms, MaxWait: 300 * ms}, 200 * ms},
-		{"its caller has all that it waits for", gather.Read{Waited: 100 * ms, MaxWait: time.Second, Enough: true}, 0},
+		{"its caller would wait for a long time", gather.Read{Waited: 300 * ms, MaxWait: time.Minute}, 700 * ms},
+		{"its caller waits for less than a second", gather.Read{Waited: 100 * ms, MaxWait: 300 * ms}, 200 * ms},
+		{"its caller has all results that it waits for", gather.Read{Waited: 100 * ms, MaxWait: time.Second, Enough: true}, 0},
 		{"results are due soon", gather.Read{MaxWait: time.Second, Due: 200 * ms}, 600 * ms},
-		{"they were due just now", gather.Read{MaxWait: time.Second, Due: -300 * ms}, 100 * ms},
-		{"they are timely if they are read at once", gather.Read{MaxWait: time.Second, Due: -500 * ms}, 0},
-		{"they no longer count as timely", gather.Read{MaxWait: time.Second, Due: -time.Second}, 1000 * ms},
+		{"results were due just now", gather.Read{MaxWait: time.Second, Due: -300 * ms}, 100 * ms},
+		{"results are timely if read at once", gather.Read{MaxWait: time.Second, Due: -500 * ms}, 0},
+		{"results no longer count as timely", gather.Read{MaxWait: time.Second, Due: -time.Second}, 1000 * ms},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			require.Equal(t, c.want, gather.Hold(c.read))
@@ -36,11 +36,11 @@
 	}
 }
 
-// A trainer looks at what it has, and reads again, when a read is answered, but no sooner
-// than a pause after that read began. The load is the end of a step: short samples in a
-// row, the last two close together, at any moment against the trainer's reads. Answered
-// at once, or after as long as the pause, reads are mostly young when the last result is
-// listed, and the trainer goes on a quarter of a second late in the mean.
+// A trainer reads again when a read is answered, but no sooner than a pause after that
+// read started. The load is the end of a step: short samples in a row, the last two
+// close together, at any moment relative to the trainer's reads. If reads are answered
+// at once, or after as long as the pause, most are recent when the last result is
+// listed, and the trainer continues a quarter of a second late on average.
 func TestHoldReducesLagOfLastResult(t *testing.T) {
 	meanLag := func(hold func(gather.Read) time.Duration) time.Duration {
 		const steps = 100
@@ -61,13 +61,13 @@
 		return max(0, readPause-r.Waited)
 	})
 	held := meanLag(gather.Hold)
-	t.Logf("mean lag: answered at once %v, held for the pause %v, as decided %v", atOnce, heldForPause, held)
+	t.Logf("mean lag: answered at once %v, held for the pause %v, with Hold %v", atOnce, heldForPause, held)
 	require.LessOrEqual(t, held, readPause*3/10)
 	require.Less(t, held, heldForPause*7/10)
 	require.Less(t, held, atOnce*7/10)
 }
 
-// pause is what a trainer leaves between the beginnings of two reads.
+// readPause is the minimum time between the starts of two of a trainer's reads.
 const readPause = 500 * ms
 
 func TestHoldBeforeTheExpectedEnd(t *testing.T) {
@@ -76,17 +76,17 @@
 		read gather.Read
 		want time.Duration
 	}{
-		{"all is expected in this read", gather.Read{MaxWait: time.Second, Expected: 700 * ms}, 1000 * ms},
-		{"all is expected at the beginning of the next read", gather.Read{MaxWait: time.Second, Expected: 1400 * ms}, 650 * ms},
-		{"the next read can't begin before the pause", gather.Read{MaxWait: time.Second, Expected: 1050 * ms}, 500 * ms},
+		{"the last result is expected during this read", gather.Read{MaxWait: time.Second, Expected: 700 * ms}, 1000 * ms},
+		{"the last result is expected at the start of the next read", gather.Read{MaxWait: time.Second, Expected: 1400 * ms}, 650 * ms},
+		{"the next read cannot start before the pause", gather.Read{MaxWait: time.Second, Expected: 1050 * ms}, 500 * ms},
 		{"the next read will be old enough", gather.Read{MaxWait: time.Second, Expected: 1900 * ms}, 1000 * ms},
-		{"the end is far off", gather.Read{MaxWait: time.Second, Expected: 5 * time.Second}, 1000 * ms},
-		{"it should have been all by now", gather.Read{Waited: 300 * ms, MaxWait: time.Second, Expected: -100 * ms}, 700 * ms},
-		{"results are due, too", gather.Read{MaxWait: time.Second, Expected: 1400 * ms, Due: 300 * ms}, 650 * ms},
-		{"results are due sooner", gather.Read{MaxWait: time.Second, Expected: 1400 * ms, Due: 50 * ms}, 450 * ms},
-		{"there is no result yet", gather.Read{Empty: true, Waited: 100 * ms, MaxWait: time.Second, Expected: 1400 * ms}, 650 * ms},
-		{"there is no result yet, and none is expected soon", gather.Read{Empty: true, MaxWait: time.Minute, Expected: 5 * time.Second}, time.Minute},
-		{"it reads behind all that its caller waits for", gather.Read{Empty: true, MaxWait: time.Second, Enough: true}, 1000 * ms},
+		{"the last result is expected much later", gather.Read{MaxWait: time.Second, Expected: 5 * time.Second}, 1000 * ms},
+		{"the last result is overdue", gather.Read{Waited: 300 * ms, MaxWait: time.Second, Expected: -100 * ms}, 700 * ms},
+		{"results are due later than the read is answered", gather.Read{MaxWait: time.Second, Expected: 1400 * ms, Due: 300 * ms}, 650 * ms},
+		{"results are due before that", gather.Read{MaxWait: time.Second, Expected: 1400 * ms, Due: 50 * ms}, 450 * ms},
+		{"no result yet", gather.Read{Empty: true, Waited: 100 * ms, MaxWait: time.Second, Expected: 1400 * ms}, 650 * ms},
+		{"no result yet, and none is expected soon", gather.Read{Empty: true, MaxWait: time.Minute, Expected: 5 * time.Second}, time.Minute},
+		{"its caller already has all results that it waits for", gather.Read{Empty: true, MaxWait: time.Second, Enough: true}, 1000 * ms},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			require.Equal(t, c.want, gather.Hold(c.read))
@@ -94,9 +94,9 @@
 	}
 }
 
-// The load is the end of a step that takes about as long as those before, off by a fifth
-// of a second either way. Guards against a trainer that sits out its pause, for its read
-// was young when the last sample was listed.
+// The load is the end of a step that takes about as long as earlier steps, within a
+// fifth of a second. Guards against a trainer that sits out its pause because its read
+// was recent when the last sample was listed.
 func TestExpectedEndReducesLagFurther(t *testing.T) {
 	const steps = 200
 	var held, aligned time.Duration
@@ -118,16 +118,17 @@
 	for _, d := range []time.Duration{9, 3, 4, 3, 4, 20} {
 		s.Observe(d)
 	}
-	require.Equal(t, time.Duration(4), s.Median(), "the middle one of the newest five")
+	require.Equal(t, time.Duration(4), s.Median(), "the median of the newest five")
 }
 
-// trains plays a trainer's reads and returns when it begins to train: when it looks at
-// what it has and has all results.
+// trainingStart simulates a trainer's reads and returns when it starts to train, that
+// is, when it processes an answer and has all results.
 func trainingStart(listed []time.Duration, hold func(gather.Read) time.Duration) time.Duration {
 	return trainingStartExpecting(0, listed, hold)
 }
 
-// trainsUntil plays reads while the last result is expected at a time; 0: at none.
+// trainingStartExpecting is trainingStart with the last result expected at the given
+// time; 0 means not known.
 func trainingStartExpecting(expected time.Duration, listed []time.Duration, hold func(gather.Read) time.Duration) time.Duration {
 	const maxWait = time.Second
 	last := listed[len(listed)-1]
--- a/decide/gather/steps.go
+++ b/decide/gather/steps.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// stepsKept is how many steps of a trainer are remembered: few enough to follow it when
-// its samples change, and enough for one slow step not to matter.
+// maxStepTimes is the number of a trainer's steps that are remembered: few enough to
+// follow changes in its samples, and enough that one slow step does not matter.
 const maxStepTimes = 5
 
-// Steps learns how long the steps of a trainer take until it has all that it waits for.
-// Its zero value knows nothing. It is not safe for concurrent use.
+// StepTimes estimates how long the steps of a trainer take until it has all results
+// that it waits for. The zero value is ready to use. It is not safe for concurrent use.
 type StepTimes struct {
-	times []time.Duration // the newest last
+	times []time.Duration // newest last
 }
 
-// Took notes a step.
+// Observe records the duration of a step.
 func (s *StepTimes) Observe(d time.Duration) {
 	s.times = append(s.times, d)
 	if len(s.times) > maxStepTimes {
@@ -23,7 +23,7 @@
 	}
 }
 
-// Usual returns how long a step usually takes; 0: none is known.
+// Median returns the median duration of the recent steps, or 0 if none is known.
 func (s *StepTimes) Median() time.Duration {
 	if s == nil || len(s.times) == 0 {
 		return 0
