--- a/decide/fetch/delays_test.go
+++ b/decide/fetch/delays_test.go
@@ -14,17 +14,17 @@
 func TestDelaysFollowRefusals(t *testing.T) {
 	var d fetch.Delays
 	require.Zero(t, d.Of("jobs"))
-	d.Refused("jobs", fetch.Away, 10)
+	d.RecordRefusal("jobs", fetch.Unavailable, 10)
 	require.Equal(t, 50*time.Millisecond, d.Of("jobs"))
 	require.Zero(t, d.Of("texts"))
 	for range 10 {
-		d.Refused("jobs", fetch.Away, 100)
-		d.Refused("jobs", fetch.Spent, 100)
+		d.RecordRefusal("jobs", fetch.Unavailable, 100)
+		d.RecordRefusal("jobs", fetch.RateLimited, 100)
 	}
 	require.Equal(t, 800*time.Millisecond, d.Of("texts"))
 	require.Equal(t, 800*time.Millisecond, d.Of("jobs"))
 	for range 5 {
-		d.Answered("texts")
+		d.RecordAnswer("texts")
 	}
 	require.Zero(t, d.Of("texts"))
 	require.Equal(t, 400*time.Millisecond, d.Of("jobs"))
@@ -33,24 +33,24 @@
 // The store is back after an outage. The first answer shows it: a process that then went
 // on to wait half as long, and half of that, was two seconds late with what it had to
 // read before it could go on with a step.
-func TestCallsComeAsFastAsEverAfterAnOutage(t *testing.T) {
+func TestDelayEndsAfterAnOutage(t *testing.T) {
 	var d fetch.Delays
 	for range 10 {
-		d.Refused("jobs", fetch.Away, 133)
+		d.RecordRefusal("jobs", fetch.Unavailable, 133)
 	}
 	require.LessOrEqual(t, d.Of("jobs"), 500*time.Millisecond)
-	d.Answered("jobs")
+	d.RecordAnswer("jobs")
 	require.Zero(t, d.Of("jobs"))
 }
 
-func TestPatienceGrowsWithWhatIsCutOff(t *testing.T) {
-	var p fetch.Patience
-	require.Zero(t, p.Of("list"))
-	p.CutOff("list")
-	require.Equal(t, 900*time.Millisecond, p.Of("list"))
-	p.CutOff("list")
-	require.Equal(t, 1200*time.Millisecond, p.Of("list"))
-	require.Zero(t, p.Of("read"))
-	p.Answered("list")
-	require.Zero(t, p.Of("list"))
+func TestExtraTimeGrowsWithTimeouts(t *testing.T) {
+	var extraTime fetch.ExtraTime
+	require.Zero(t, extraTime.Of("list"))
+	extraTime.RecordTimeout("list")
+	require.Equal(t, 900*time.Millisecond, extraTime.Of("list"))
+	extraTime.RecordTimeout("list")
+	require.Equal(t, 1200*time.Millisecond, extraTime.Of("list"))
+	require.Zero(t, extraTime.Of("read"))
+	extraTime.RecordAnswer("list")
+	require.Zero(t, extraTime.Of("list"))
 }
--- a/decide/fetch/fetch_test.go
+++ b/decide/fetch/fetch_test.go
@@ -14,38 +14,38 @@
 
 func TestWindowGrowsWithQuickFullAnswers(t *testing.T) {
 	var w fetch.Window
-	first := w.KB()
-	w.Answered(first, first*kb, 10*time.Millisecond)
-	require.Equal(t, 2*first, w.KB())
+	initialKB := w.KB()
+	w.RecordAnswer(initialKB, initialKB*kb, 10*time.Millisecond)
+	require.Equal(t, 2*initialKB, w.KB())
 	for range 10 {
-		w.Answered(w.KB(), w.KB()*kb, fetch.Quick)
+		w.RecordAnswer(w.KB(), w.KB()*kb, fetch.QuickAnswer)
 	}
 	require.Equal(t, 1024, w.KB(), "the largest answer that the log gives")
 }
 
-func TestWindowKeepsItsSizeOnPartAnswers(t *testing.T) {
+func TestWindowKeepsItsSizeOnPartialAnswers(t *testing.T) {
 	var w fetch.Window
-	first := w.KB()
-	w.Answered(first, 100, time.Millisecond)
-	w.Answered(first, 100, time.Minute)
-	require.Equal(t, first, w.KB(), "a read that waited for a record tells nothing")
+	initialKB := w.KB()
+	w.RecordAnswer(initialKB, 100, time.Millisecond)
+	w.RecordAnswer(initialKB, 100, time.Minute)
+	require.Equal(t, initialKB, w.KB(), "a read that waited for a record tells nothing")
 }
 
 // Reads that ran side by side are given up at the same moment. Were each to halve the
 // size, a process with eight of them would go on with the smallest after one hiccup.
-func TestReadsSideBySideShrinkTheWindowOnce(t *testing.T) {
+func TestConcurrentReadsShrinkTheWindowOnce(t *testing.T) {
 	var w fetch.Window
-	first := w.KB()
+	initialKB := w.KB()
 	for range 8 {
-		w.CutOff(first)
+		w.RecordTimeout(initialKB)
 	}
-	require.Equal(t, first/2, w.KB())
+	require.Equal(t, initialKB/2, w.KB())
 }
 
-func TestLarger(t *testing.T) {
-	require.Equal(t, 256, fetch.Larger(128))
-	require.Equal(t, 1024, fetch.Larger(1000))
-	require.Zero(t, fetch.Larger(1024))
+func TestLargerKB(t *testing.T) {
+	require.Equal(t, 256, fetch.LargerKB(128))
+	require.Equal(t, 1024, fetch.LargerKB(1000))
+	require.Zero(t, fetch.LargerKB(1024))
 }
 
 // Whatever comes, a process goes on reading, and no read asks for more than the log
@@ -56,9 +56,9 @@
 		for range rapid.IntRange(1, 200).Draw(t, "reads") {
 			asked := w.KB()
 			if rapid.Bool().Draw(t, "cut") {
-				w.CutOff(asked)
+				w.RecordTimeout(asked)
 			} else {
-				w.Answered(asked, rapid.IntRange(0, asked*kb).Draw(t, "got"), time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms"))*time.Millisecond)
+				w.RecordAnswer(asked, rapid.IntRange(0, asked*kb).Draw(t, "got"), time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms"))*time.Millisecond)
 			}
 			require.GreaterOrEqual(t, w.KB(), 32)
 			require.LessOrEqual(t, w.KB(), 1024)
--- a/gateway/jobs/reads.go
+++ b/gateway/jobs/reads.go
@@ -56,7 +56,7 @@
 		}
 		// A log that gives no record larger than what was asked for would be asked
 		// for the same one for ever.
-		if kb = fetch.Larger(kb); kb == 0 {
+		if kb = fetch.LargerKB(kb); kb == 0 {
 			return page, errors.Errorf("record %d of %s is larger than the log gives", from, stream)
 		}
 	}
@@ -68,7 +68,7 @@
 	defer r.mu.Unlock()
 	if errors.Is(err, context.DeadlineExceeded) {
 		readsCutOff.Add(1)
-		r.window.CutOff(kb)
+		r.window.RecordTimeout(kb)
 		return
 	}
 	got := 0
@@ -76,7 +76,7 @@
 		got += len(rec.Data)
 	}
 	bytesRead.Add(int64(got))
-	r.window.Answered(kb, got, took)
+	r.window.RecordAnswer(kb, got, took)
 }
 
 // end returns the offset behind the last record of a stream; from is one that is
