--- a/decide/fetch/delays_test.go
+++ b/decide/fetch/delays_test.go
@@ -9,8 +9,9 @@
 	"dandelionsill.org/decide/fetch"
 )
 
-// A part of the store is away, and what all ask together is more than it takes. Calls
-// are held back for what may meet them, the longer the more processes share the store.
+// A part of the store is unavailable, and the calls of all processes exceed the rate
+// limit. Calls that either condition may affect are delayed, and more processes sharing
+// the store mean longer delays.
 func TestDelaysFollowRefusals(t *testing.T) {
 	var d fetch.Delays
 	require.Zero(t, d.Of("jobs"))
@@ -30,9 +31,9 @@
 	require.Equal(t, 400*time.Millisecond, d.Of("jobs"))
 }
 
-// The store is back after an outage. The first answer shows it: a process that then went
-// on to wait half as long, and half of that, was two seconds late with what it had to
-// read before it could go on with a step.
+// The store is available again after an outage, as the first answer shows. A process
+// that then continued to wait half as long, and half of that, was two seconds late with
+// what it had to read before it could continue a step.
 func TestDelayEndsAfterAnOutage(t *testing.T) {
 	var d fetch.Delays
 	for range 10 {
--- a/decide/fetch/fetch.go
+++ b/decide/fetch/fetch.go
@@ -1,45 +1,46 @@
-// Package fetch decides how much a process asks for with one read of a log whose
-// bandwidth all processes share. It answers the load of a fleet that starts again
-// after it has lost power: every process reads the same past at one moment. The
-// package has no clock and does no I/O.
+// Package fetch decides how much data a process requests with one read of a log whose
+// bandwidth all processes share. It is designed for a fleet that restarts after a power
+// loss, where every process reads the same history at the same time. The package has no
+// clock and does no I/O.
 //
-// With large reads they ask for more at once than the log gives before their deadlines.
-// Each read is then given up, what it would have brought is thrown away after the log
-// has spent its bandwidth on it, and all of them ask again, so that few ever read the
-// past to its end.
+// With large reads, the processes would request more at once than the log can deliver
+// before their deadlines. Each read would time out, its data would be discarded after
+// the log has spent bandwidth on it, and all processes would retry, so that few of them
+// ever reach the end of the history.
 package fetch
 
 import "time"
 
 // Sizes of reads, in KB.
 const (
-	// first is the size of a process's first read. Some hundred processes that start
-	// at one moment ask for a fraction of a second's bandwidth with it, and a process
-	// alone reaches the largest size within four answers.
+	// initialKB is the size of a process's first read. With it, some hundred processes
+	// that start at the same time request a fraction of the log's bandwidth for a
+	// second, and a single process reaches the largest size within four answers.
 	initialKB = 64
-	// least keeps the number of calls for a long past small: the log bounds calls too.
+	// minKB limits the number of calls for a long history, because the log limits calls
+	// too.
 	minKB = 32
-	// most is the largest answer that the log gives.
+	// maxKB is the largest answer that the log gives.
 	maxKB = 1024
 )
 
 const (
-	// Quick is how long an answer may take for the next read to be twice as large. A
-	// log that takes a quarter of a second for any answer, however small, is read in
-	// large pieces, since small ones would not bring them sooner.
+	// QuickAnswer is the longest duration of an answer after which the next read is
+	// twice as large. A log that takes a quarter of a second for any answer, however
+	// small, is read in large pieces, because small ones would not arrive sooner.
 	QuickAnswer = 300 * time.Millisecond
-	// Slow is from when on the next read is half as large: well before any read is
-	// given up.
+	// SlowAnswer is the duration of an answer above which the next read is half as
+	// large. It is well below the timeout of a read.
 	SlowAnswer = 600 * time.Millisecond
 )
 
-// Window is the size of a process's next read. Its zero value is ready. It is not safe
-// for concurrent use.
+// Window is the size of a process's next read. The zero value is ready to use. It is
+// not safe for concurrent use.
 type Window struct {
-	kb int // 0: nothing was read yet
+	kb int // 0 if nothing was read yet
 }
 
-// KB returns how many KB the next read should ask for.
+// KB returns how many KB the next read should request.
 func (w *Window) KB() int {
 	if w.kb == 0 {
 		return initialKB
@@ -47,9 +48,9 @@
 	return w.kb
 }
 
-// Answered notes that a read of asked KB brought got bytes after it had taken some
-// time. An answer that is not full says nothing: the read may have waited for its
-// first record, and a larger one would have brought no more.
+// RecordAnswer records that a read of asked KB returned got bytes after took. An answer
+// that is not full carries no information: the read may have waited for its first
+// record, and a larger one would have returned no more.
 func (w *Window) RecordAnswer(asked, got int, took time.Duration) {
 	switch {
 	case got < minFullBytesPerKB*asked:
@@ -60,16 +61,17 @@
 	}
 }
 
-// fullShare is the bytes of each KB asked for from which on an answer counts as full:
-// records are not cut, so that the last one may not have fitted.
+// minFullBytesPerKB is the number of bytes per requested KB from which an answer counts
+// as full. Records are not split, so the next record may not have fitted.
 const minFullBytesPerKB = 512
 
-// CutOff notes that a read of asked KB was given up before its answer was whole.
+// RecordTimeout records that a read of asked KB was cancelled before its answer was
+// complete.
 func (w *Window) RecordTimeout(asked int) { w.shrink(asked) }
 
-// Larger returns how many KB to ask for where a read of asked KB brought nothing
-// although there are records: the next one is larger than that. 0: a record of this
-// size can't be read.
+// LargerKB returns how many KB to request after a read of asked KB returned nothing
+// although there are records, which means that the next record is larger than asked. It
+// returns 0 if a record of this size cannot be read.
 func LargerKB(asked int) int {
 	if asked >= maxKB {
 		return 0
@@ -77,8 +79,8 @@
 	return min(maxKB, 2*asked)
 }
 
-// shrink halves the size that was too large. Reads that ran side by side are answered
-// one after the other and tell the same thing, once.
+// shrink halves the size that was too large. Concurrent reads are answered one after
+// the other with the same outcome, so they count only once.
 func (w *Window) shrink(asked int) {
 	w.kb = max(minKB, min(w.KB(), asked/2))
 }
--- a/decide/fetch/fetch_test.go
+++ b/decide/fetch/fetch_test.go
@@ -28,11 +28,11 @@
 	initialKB := w.KB()
 	w.RecordAnswer(initialKB, 100, time.Millisecond)
 	w.RecordAnswer(initialKB, 100, time.Minute)
-	require.Equal(t, initialKB, w.KB(), "a read that waited for a record tells nothing")
+	require.Equal(t, initialKB, w.KB(), "a read that waited for a record carries no information")
 }
 
-// Reads that ran side by side are given up at the same moment. Were each to halve the
-// size, a process with eight of them would go on with the smallest after one hiccup.
+// Concurrent reads time out at the same moment. If each halved the size, a process with
+// eight of them would continue with the smallest size after a single interruption.
 func TestConcurrentReadsShrinkTheWindowOnce(t *testing.T) {
 	var w fetch.Window
 	initialKB := w.KB()
@@ -48,8 +48,8 @@
 	require.Zero(t, fetch.LargerKB(1024))
 }
 
-// Whatever comes, a process goes on reading, and no read asks for more than the log
-// gives at once.
+// For any sequence of answers, a process continues to read, and no read requests more
+// than the log gives at once.
 func TestWindowStaysWithinItsBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var w fetch.Window
