--- a/decide/fetch/delays.go
+++ b/decide/fetch/delays.go
@@ -36,7 +36,7 @@
 // Delays holds how long calls are delayed while the store refuses similar calls.
 // Without it, 300 processes that exceeded the common rate limit retried each refused
 // call through two more peers, which were refused too. This tripled the number of
-// calls: no process followed the log for 20 s at a time, and only a fraction of 0.06 of
+// calls: no process followed the log for 20 s at a time, and only 0.06 of
 // a quiet day's load was served. The zero value is ready to use. It is not safe for
 // concurrent use.
 type Delays struct {
