--- a/decide/place/goodput_test.go
+++ b/decide/place/goodput_test.go
@@ -285,10 +285,10 @@
 // and one sample in eight made its group late. A sample must start on such an engine
 // only if it finishes there well in time, and must leave it otherwise.
 func TestGoodputHoldsWhenEnginesSlowDown(t *testing.T) {
-	play := func(anyPlace bool) outcome {
+	play := func(allowSlowEngines bool) outcome {
 		return runSeeds(2, func(seed uint64) load {
 			l := slowedFleet(3.5, seed)
-			l.allowSlowEngines = anyPlace
+			l.allowSlowEngines = allowSlowEngines
 			return l
 		})
 	}
