--- a/decide/place/pace.go
+++ b/decide/place/pace.go
@@ -8,25 +8,27 @@
 const (
 	// paceWeight is the weight of the newest event in an engine's pace.
 	paceWeight = 0.15
-	// paceFades is the time in which half of what is known of an engine's pace is
-	// forgotten while it gets no sample: an engine that was slowed by a fault for some
-	// seconds is tried again after as many.
-	paceFades = 6 * time.Second
+	// paceHalfLife is the time after which half of the knowledge of an engine's pace is
+	// discarded while it gets no samples. An engine that a fault slowed down for some
+	// seconds is tried again after about as long.
+	paceHalfLife = 6 * time.Second
 )
 
-// Paces learns how long engines take for an event, from the gaps between the events of
-// streams. Its zero value knows nothing. It is not safe for concurrent use.
-type Paces struct {
+// PaceEstimator estimates the seconds that each engine takes per event, from the gaps
+// between the events of streams. The zero value is ready to use. It is not safe for
+// concurrent use.
+type PaceEstimator struct {
 	engines map[string]*pace
 }
 
 type pace struct {
-	seconds float64
-	seen    time.Time
+	seconds    float64
+	observedAt time.Time
 }
 
-// Saw notes that two events of a stream at an engine lay apart by a gap at a time.
-func (p *Paces) Saw(engine string, gap time.Duration, at time.Time) {
+// Observe records the gap between two consecutive events of a stream from an engine, of
+// which the later came at the given time.
+func (p *PaceEstimator) Observe(engine string, gap time.Duration, at time.Time) {
 	if p.engines == nil {
 		p.engines = map[string]*pace{}
 	}
@@ -36,21 +38,21 @@
 		return
 	}
 	e.seconds += paceWeight * (gap.Seconds() - e.seconds)
-	e.seen = at
+	e.observedAt = at
 }
 
-// At returns the seconds an event of each engine that is known at a time. What was seen
-// long ago of an engine counts less and the median of all more.
-func (p *Paces) At(now time.Time) map[string]float64 {
+// At returns the estimated seconds per event of each known engine at the given time.
+// Old estimates are pulled toward the median of all engines.
+func (p *PaceEstimator) At(now time.Time) map[string]float64 {
 	paces := make([]float64, 0, len(p.engines))
 	for _, e := range p.engines {
 		paces = append(paces, e.seconds)
 	}
-	usual := quantile(paces, 2)
+	median := quantile(paces, 2)
 	out := make(map[string]float64, len(p.engines))
 	for id, e := range p.engines {
-		kept := math.Exp2(-now.Sub(e.seen).Seconds() / paceFades.Seconds())
-		out[id] = usual + kept*(e.seconds-usual)
+		weight := math.Exp2(-now.Sub(e.observedAt).Seconds() / paceHalfLife.Seconds())
+		out[id] = median + weight*(e.seconds-median)
 	}
 	return out
 }
