--- a/capacity/decide_test.go
+++ b/capacity/decide_test.go
@@ -134,7 +134,7 @@
 		all[i] = route.Candidate{
 			Name: agentName(i), Hash: route.Hash(agentName(i)), FailureDomain: domainOf(i),
 			Distance: route.Distance(i % 3), Ready: true, Version: 7, Slots: 32,
-			Reported: rng.IntN(32), StreamRate: 40 + 20*rng.Float64(), Warm: make([]uint64, 64),
+			ReportedLoad: rng.IntN(32), StreamRate: 40 + 20*rng.Float64(), WarmPrefixes: make([]uint64, 64),
 		}
 	}
 	return all
--- a/decide/route/filters.go
+++ b/decide/route/filters.go
@@ -18,27 +18,27 @@
 
 func (Ready) Keep(_ *Request, c *Candidate) bool { return c.Ready }
 
-// Staying drops servers that are leaving.
-type Staying struct{}
+// NotLeaving drops servers that are leaving.
+type NotLeaving struct{}
 
-func (Staying) Keep(_ *Request, c *Candidate) bool { return !c.Leaving }
+func (NotLeaving) Keep(_ *Request, c *Candidate) bool { return !c.Leaving }
 
 // Untried drops servers that had their turn with this request.
 type Untried struct{}
 
 func (Untried) Keep(r *Request, c *Candidate) bool { return !r.Tried[c.Name] }
 
-// Fresh drops servers whose weights are older than the request's floor.
-type Fresh struct{}
+// FreshWeights drops servers whose weights are older than the request's floor.
+type FreshWeights struct{}
 
-func (Fresh) Keep(r *Request, c *Candidate) bool { return c.Version >= r.Floor }
+func (FreshWeights) Keep(r *Request, c *Candidate) bool { return c.Version >= r.Floor }
 
-// InTime drops servers whose queue alone outlasts the request's deadline, so
+// WithinDeadline drops servers whose queue alone outlasts the request's deadline, so
 // that what can't be met is refused before it waits anywhere.
-type InTime struct{}
+type WithinDeadline struct{}
 
-func (InTime) Keep(r *Request, c *Candidate) bool {
-	return r.Left == 0 || c.QueueWait < r.Left
+func (WithinDeadline) Keep(r *Request, c *Candidate) bool {
+	return r.Remaining == 0 || c.QueueWait < r.Remaining
 }
 
 // NotEjected drops outliers. It is used as a soft stage: when only ejected
@@ -52,19 +52,19 @@
 
 func (OtherDomain) Keep(r *Request, c *Candidate) bool { return !r.TriedDomains[c.FailureDomain] }
 
-// Free keeps servers with a free slot.
-type Free struct{}
+// HasFreeSlot keeps servers with a free slot.
+type HasFreeSlot struct{}
 
-func (Free) Keep(_ *Request, c *Candidate) bool { return c.Load() < max(1, c.Slots) }
+func (HasFreeSlot) Keep(_ *Request, c *Candidate) bool { return c.Load() < max(1, c.Slots) }
 
 // HardStages returns the filters that always hold, in order.
 func HardStages() []Stage {
 	return []Stage{
 		{Name: StageReady, Filter: Ready{}},
-		{Name: StageLeaving, Filter: Staying{}},
+		{Name: StageLeaving, Filter: NotLeaving{}},
 		{Name: StageTried, Filter: Untried{}},
-		{Name: StageFresh, Filter: Fresh{}},
-		{Name: StageDeadline, Filter: InTime{}},
+		{Name: StageFresh, Filter: FreshWeights{}},
+		{Name: StageDeadline, Filter: WithinDeadline{}},
 	}
 }
 
--- a/decide/route/pickers.go
+++ b/decide/route/pickers.go
@@ -8,9 +8,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// PrefixChars is how much of a prompt counts as its prefix: enough to tell
+// PrefixBytes is how much of a prompt counts as its prefix: enough to tell
 // one template from another, less than where two uses of one template part.
-const PrefixChars = 256
+const PrefixBytes = 256
 
 // Hash hashes a name or an idempotency key. It is never 0.
 func Hash(s string) uint64 {
@@ -19,8 +19,8 @@
 
 // PrefixHash hashes the first PrefixChars bytes of a prompt.
 func PrefixHash(prompt string) uint64 {
-	if len(prompt) > PrefixChars {
-		prompt = prompt[:PrefixChars]
+	if len(prompt) > PrefixBytes {
+		prompt = prompt[:PrefixBytes]
 	}
 	return Hash(prompt)
 }
@@ -35,16 +35,16 @@
 	return x ^ (x >> 31)
 }
 
-// Lowest takes the lowest score; equal ones are told apart at random.
-type Lowest struct{}
+// LowestScore takes the lowest score; equal ones are told apart at random.
+type LowestScore struct{}
 
-func (Lowest) Pick(_ *Request, left []Scored, rng *rand.Rand) (int, string) {
+func (LowestScore) Pick(_ *Request, eligible []Scored, rng *rand.Rand) (int, string) {
 	best, equal := 0, 1
-	for i := 1; i < len(left); i++ {
+	for i := 1; i < len(eligible); i++ {
 		switch {
-		case left[i].Score < left[best].Score:
+		case eligible[i].Score < eligible[best].Score:
 			best, equal = i, 1
-		case left[i].Score == left[best].Score:
+		case eligible[i].Score == eligible[best].Score:
 			equal++
 			if rng.IntN(equal) == 0 {
 				best = i
@@ -58,47 +58,47 @@
 // of them. Every entry sees the same stale reports; if all took the lowest
 // score, all would meet at one server.
 type TwoChoices struct {
-	// Share of the candidates that count as the best; at least two do.
-	Share float64
+	// BestShare of the candidates that count as the best; at least two do.
+	BestShare float64
 }
 
-func (t TwoChoices) Pick(_ *Request, left []Scored, rng *rand.Rand) (int, string) {
-	best := max(2, int(math.Ceil(t.Share*float64(len(left)))))
-	if best < len(left) {
-		shuffle(left, rng)
-		selectBest(left, best)
+func (t TwoChoices) Pick(_ *Request, eligible []Scored, rng *rand.Rand) (int, string) {
+	bestCount := max(2, int(math.Ceil(t.BestShare*float64(len(eligible)))))
+	if bestCount < len(eligible) {
+		shuffle(eligible, rng)
+		selectLowest(eligible, bestCount)
 	}
-	best = min(best, len(left))
-	a, b := rng.IntN(best), rng.IntN(best)
-	for best > 1 && a == b {
-		b = rng.IntN(best)
+	bestCount = min(bestCount, len(eligible))
+	a, b := rng.IntN(bestCount), rng.IntN(bestCount)
+	for bestCount > 1 && a == b {
+		b = rng.IntN(bestCount)
 	}
-	if left[b].Score < left[a].Score {
+	if eligible[b].Score < eligible[a].Score {
 		a = b
 	}
 	return a, "two choices"
 }
 
 // shuffle makes ties at the edge of the best share fall at random.
-func shuffle(left []Scored, rng *rand.Rand) {
-	for i := len(left) - 1; i > 0; i-- {
+func shuffle(scored []Scored, rng *rand.Rand) {
+	for i := len(scored) - 1; i > 0; i-- {
 		j := rng.IntN(i + 1)
-		left[i], left[j] = left[j], left[i]
+		scored[i], scored[j] = scored[j], scored[i]
 	}
 }
 
-// selectBest moves the n lowest scores to the front (quickselect). Equal
+// selectLowest moves the n lowest scores to the front (quickselect). Equal
 // scores are parted off together: idle pools are full of them, and parting
 // them one by one would take quadratic time.
-func selectBest(left []Scored, n int) {
-	lo, hi := 0, len(left)
+func selectLowest(scored []Scored, n int) {
+	lo, hi := 0, len(scored)
 	for hi-lo > 1 {
-		less, more := partition(left, lo, hi)
+		equalStart, higherStart := partition(scored, lo, hi)
 		switch {
-		case n <= less:
-			hi = less
-		case n >= more:
-			lo = more
+		case n <= equalStart:
+			hi = equalStart
+		case n >= higherStart:
+			lo = higherStart
 		default:
 			return
 		}
@@ -107,23 +107,23 @@
 
 // partition orders left[lo:hi] around a pivot: scores below it stand before
 // less, equal ones before more, higher ones behind.
-func partition(left []Scored, lo, hi int) (less, more int) {
-	pivot := left[lo+(hi-lo)/2].Score
-	less, more = lo, hi
-	for i := lo; i < more; {
-		switch score := left[i].Score; {
+func partition(scored []Scored, lo, hi int) (equalStart, higherStart int) {
+	pivot := scored[lo+(hi-lo)/2].Score
+	equalStart, higherStart = lo, hi
+	for i := lo; i < higherStart; {
+		switch score := scored[i].Score; {
 		case score < pivot:
-			left[i], left[less] = left[less], left[i]
-			less++
+			scored[i], scored[equalStart] = scored[equalStart], scored[i]
+			equalStart++
 			i++
 		case score > pivot:
-			more--
-			left[i], left[more] = left[more], left[i]
+			higherStart--
+			scored[i], scored[higherStart] = scored[higherStart], scored[i]
 		default:
 			i++
 		}
 	}
-	return less, more
+	return equalStart, higherStart
 }
 
 // PrefixAffinity sends prompts with one prefix to one server, whose engine
@@ -132,56 +132,56 @@
 // Without the bound one hot template would queue up before one engine. A
 // warm-prefix report is a hint: a warm server within the bound goes first.
 type PrefixAffinity struct {
-	Bound float64 // > 1
-	Else  Picker  // for requests without a prefix
+	MaxLoadFactor float64 // > 1
+	Fallback      Picker  // for requests without a prefix
 }
 
-func (p PrefixAffinity) Pick(r *Request, left []Scored, rng *rand.Rand) (int, string) {
+func (p PrefixAffinity) Pick(r *Request, eligible []Scored, rng *rand.Rand) (int, string) {
 	if r.Prefix == 0 {
-		return p.Else.Pick(r, left, rng)
+		return p.Fallback.Pick(r, eligible, rng)
 	}
-	limit := p.limit(left)
-	owner := ownerOf(r.Prefix, left)
+	maxLoad := p.maxLoadPerSlot(eligible)
+	owner := ownerOf(r.Prefix, eligible)
 	best, bestRank := -1, 0
 	var bestWeight uint64
-	for i := range left {
-		c := left[i].C
-		if float64(c.Load()+1) > math.Ceil(limit*c.slots()) {
+	for i := range eligible {
+		c := eligible[i].Candidate
+		if float64(c.Load()+1) > math.Ceil(maxLoad*c.slots()) {
 			continue
 		}
-		weight, rank := Rendezvous(r.Prefix, c.Hash), prefixRank(c, r.Warm)
+		weight, rank := Rendezvous(r.Prefix, c.Hash), prefixRank(c, r.EnginePrefix)
 		if best < 0 || rank > bestRank || rank == bestRank && weight > bestWeight {
 			best, bestWeight, bestRank = i, weight, rank
 		}
 	}
 	switch {
 	case best < 0:
-		at, _ := p.Else.Pick(r, left, rng)
-		return at, "prefix: all above the bound"
+		index, _ := p.Fallback.Pick(r, eligible, rng)
+		return index, "prefix: all above the bound"
 	case best == owner:
 		return best, "prefix"
-	case isWarm(left[best].C, r.Warm):
+	case isWarm(eligible[best].Candidate, r.EnginePrefix):
 		return best, "prefix: warm"
 	default:
 		return best, "prefix: spilled"
 	}
 }
 
-// limit is the load per slot that a server may reach.
-func (p PrefixAffinity) limit(left []Scored) float64 {
+// maxLoadPerSlot is the load per slot that a server may reach.
+func (p PrefixAffinity) maxLoadPerSlot(eligible []Scored) float64 {
 	load, slots := 1, 0.0
-	for i := range left {
-		load += left[i].C.Load()
-		slots += left[i].C.slots()
+	for i := range eligible {
+		load += eligible[i].Candidate.Load()
+		slots += eligible[i].Candidate.slots()
 	}
-	return p.Bound * float64(load) / slots
+	return p.MaxLoadFactor * float64(load) / slots
 }
 
 // prefixRank puts servers of the entry's region before far ones, and warm
 // ones before cold.
 func prefixRank(c *Candidate, warm uint64) int {
 	rank := 0
-	if c.Distance != Far {
+	if c.Distance != OtherRegion {
 		rank += 2
 	}
 	if isWarm(c, warm) {
@@ -191,28 +191,28 @@
 }
 
 func isWarm(c *Candidate, prefix uint64) bool {
-	return prefix != 0 && slices.Contains(c.Warm, prefix)
+	return prefix != 0 && slices.Contains(c.WarmPrefixes, prefix)
 }
 
 // KeyAffinity sends requests with one idempotency key to one server, so that
 // a repeat lands where the first answer is held and needs no forwarding.
 type KeyAffinity struct {
-	Else Picker // for requests without a key
+	Fallback Picker // for requests without a key
 }
 
-func (k KeyAffinity) Pick(r *Request, left []Scored, rng *rand.Rand) (int, string) {
+func (k KeyAffinity) Pick(r *Request, eligible []Scored, rng *rand.Rand) (int, string) {
 	if r.Key == 0 {
-		return k.Else.Pick(r, left, rng)
+		return k.Fallback.Pick(r, eligible, rng)
 	}
-	return ownerOf(r.Key, left), "key"
+	return ownerOf(r.Key, eligible), "key"
 }
 
 // ownerOf returns the server with the highest rendezvous weight.
-func ownerOf(item uint64, left []Scored) int {
+func ownerOf(item uint64, eligible []Scored) int {
 	best := 0
-	weight := Rendezvous(item, left[0].C.Hash)
-	for i := 1; i < len(left); i++ {
-		if w := Rendezvous(item, left[i].C.Hash); w > weight {
+	weight := Rendezvous(item, eligible[0].Candidate.Hash)
+	for i := 1; i < len(eligible); i++ {
+		if w := Rendezvous(item, eligible[i].Candidate.Hash); w > weight {
 			best, weight = i, w
 		}
 	}
--- a/decide/route/policies.go
+++ b/decide/route/policies.go
@@ -2,49 +2,49 @@
 
 // Constants of the usual policies.
 const (
-	bestShare   = 0.25
-	prefixBound = 1.25
+	bestShare           = 0.25
+	maxPrefixLoadFactor = 1.25
 )
 
 // ForCalls is the policy for unkeyed requests to plain services.
 func ForCalls() *Policy {
 	stages := append(HardStages(), SoftStages()...)
-	stages = append(stages, Stage{Name: StageCapacity, Filter: Free{}, Soft: true})
+	stages = append(stages, Stage{Name: StageCapacity, Filter: HasFreeSlot{}, Soft: true})
 	return &Policy{
 		Stages:  stages,
 		Scorers: []Scorer{LoadScore{}, DistanceScore{}},
-		Picker:  TwoChoices{Share: bestShare},
+		Picker:  TwoChoices{BestShare: bestShare},
 	}
 }
 
 // ForKeyed is the policy for requests with an idempotency key. It has no soft
 // stages: where a repeat lands must not hang on load.
 func ForKeyed() *Policy {
-	return &Policy{Stages: HardStages(), Picker: KeyAffinity{Else: Lowest{}}}
+	return &Policy{Stages: HardStages(), Picker: KeyAffinity{Fallback: LowestScore{}}}
 }
 
 // ForModels is the policy for completions. typical is the pool's usual
 // tokens/s of one stream.
-func ForModels(typical float64) *Policy {
+func ForModels(meanStreamRate float64) *Policy {
 	return &Policy{
 		Stages:  append(HardStages(), SoftStages()...),
-		Scorers: []Scorer{SpeedScore{Typical: typical}, DistanceScore{}},
-		Picker:  PrefixAffinity{Bound: prefixBound, Else: TwoChoices{Share: bestShare}},
+		Scorers: []Scorer{SpeedScore{TypicalRate: meanStreamRate}, DistanceScore{}},
+		Picker:  PrefixAffinity{MaxLoadFactor: maxPrefixLoadFactor, Fallback: TwoChoices{BestShare: bestShare}},
 	}
 }
 
-// TypicalRate is the mean tokens/s of one stream over the candidates that
+// MeanStreamRate is the mean tokens/s of one stream over the candidates that
 // know theirs; 0: nobody does.
-func TypicalRate(candidates []Candidate) float64 {
-	sum, n := 0.0, 0
+func MeanStreamRate(candidates []Candidate) float64 {
+	sum, known := 0.0, 0
 	for i := range candidates {
 		if candidates[i].StreamRate > 0 {
 			sum += candidates[i].StreamRate
-			n++
+			known++
 		}
 	}
-	if n == 0 {
+	if known == 0 {
 		return 0
 	}
-	return sum / float64(n)
+	return sum / float64(known)
 }
--- a/decide/route/route.go
+++ b/decide/route/route.go
@@ -13,12 +13,12 @@
 type Distance uint8
 
 const (
-	// Near: in the entry's own failure domain.
-	Near Distance = iota
+	// SameDomain: in the entry's own failure domain.
+	SameDomain Distance = iota
 	// SameRegion: in another failure domain of the entry's region.
 	SameRegion
-	// Far: in another region.
-	Far
+	// OtherRegion: in another region.
+	OtherRegion
 )
 
 // Candidate is one server as the entry sees it when it decides.
@@ -32,17 +32,17 @@
 	Ejected       bool
 	Version       uint64 // weight version; 0: none
 	Slots         int
-	// Reported is the load (running and queued) of the last report.
-	Reported int
-	// OwnAtReport is this entry's own work there when the report came;
+	// ReportedLoad is the load (running and queued) of the last report.
+	ReportedLoad int
+	// OwnLoadAtReport is this entry's own work there when the report came;
 	// OwnNow is the same at this moment.
-	OwnAtReport int
-	OwnNow      int
+	OwnLoadAtReport int
+	OwnLoad         int
 	// StreamRate is tokens/s of one stream; 0: unknown.
-	StreamRate float64
-	QueueWait  time.Duration
-	Warm       []uint64 // prefixes that the engine may hold
-	Connected  bool     // an idle connection to it is at hand
+	StreamRate   float64
+	QueueWait    time.Duration
+	WarmPrefixes []uint64 // prefixes that the engine may hold
+	Connected    bool     // an idle connection to it is at hand
 }
 
 // Load is the reported load corrected by this entry's own work. A report lags:
@@ -50,8 +50,8 @@
 // to the server that was idle when it last spoke. The load is never taken
 // below what this entry itself has there.
 func (c *Candidate) Load() int {
-	others := max(0, c.Reported-c.OwnAtReport)
-	return others + c.OwnNow
+	others := max(0, c.ReportedLoad-c.OwnLoadAtReport)
+	return others + c.OwnLoad
 }
 
 // slots is never zero, so that it can divide.
@@ -62,13 +62,13 @@
 // Request is what matters of a request for the choice of a server.
 type Request struct {
 	Prefix uint64 // PrefixHash of the prompt; 0: none
-	// Warm is the prompt's prefix as engines name it in their cache events
-	// (Candidate.Warm); 0: not known.
-	Warm  uint64
-	Key   uint64 // Hash of the idempotency key; 0: none
-	Floor uint64 // oldest weight version that will do
-	// Left is the time until the deadline; 0: no deadline.
-	Left time.Duration
+	// EnginePrefix is the prompt's prefix as engines name it in their cache events
+	// (Candidate.EnginePrefix); 0: not known.
+	EnginePrefix uint64
+	Key          uint64 // Hash of the idempotency key; 0: none
+	Floor        uint64 // oldest weight version that will do
+	// Remaining is the time until the deadline; 0: no deadline.
+	Remaining time.Duration
 	// Tried names servers that had their turn, TriedDomains the failure
 	// domains of those that failed.
 	Tried        map[string]bool
@@ -88,15 +88,15 @@
 
 // Scored is a candidate left by the filters.
 type Scored struct {
-	Index int // in the slice given to Pick
-	C     *Candidate
-	Score float64
+	Index     int // in the slice given to Pick
+	Candidate *Candidate
+	Score     float64
 }
 
 // Picker takes one of the candidates left; there is at least one. why is a
 // short constant text for traces.
 type Picker interface {
-	Pick(r *Request, left []Scored, rng *rand.Rand) (at int, why string)
+	Pick(r *Request, eligible []Scored, rng *rand.Rand) (index int, reason string)
 }
 
 // Stage is a filter with its name. A soft filter that would leave nobody is
@@ -116,71 +116,71 @@
 
 // Choice is the outcome of Pick.
 type Choice struct {
-	Index int // -1: nobody
-	Score float64
-	Load  int
-	Why   string // how the picker chose
-	Left  int    // candidates left by the filters
-	// Emptied is the name of the hard filter that left nobody.
-	Emptied string
-	// Passed names the last soft filter that had to be passed over.
-	Passed string
+	Index    int // -1: nobody
+	Score    float64
+	Load     int
+	Reason   string // how the picker chose
+	Eligible int    // candidates left by the filters
+	// EmptiedBy is the name of the hard filter that left nobody.
+	EmptiedBy string
+	// SkippedStage names the last soft filter that had to be passed over.
+	SkippedStage string
 }
 
 // Scratch is memory that Pick reuses between requests of one goroutine.
 type Scratch struct {
-	left, kept []Scored
+	eligible, kept []Scored
 }
 
 // Pick chooses among candidates.
 func (p *Policy) Pick(r *Request, candidates []Candidate, rng *rand.Rand, s *Scratch) Choice {
 	choice := Choice{Index: -1}
-	left := s.left[:0]
+	eligible := s.eligible[:0]
 	for i := range candidates {
-		left = append(left, Scored{Index: i, C: &candidates[i]})
+		eligible = append(eligible, Scored{Index: i, Candidate: &candidates[i]})
 	}
-	if len(left) == 0 {
-		choice.Emptied = StageMembers
+	if len(eligible) == 0 {
+		choice.EmptiedBy = StageMembers
 		return choice
 	}
 	kept := s.kept[:0]
 	for _, stage := range p.Stages {
-		kept = keep(r, stage.Filter, left, kept[:0])
+		kept = appendKept(r, stage.Filter, eligible, kept[:0])
 		if len(kept) > 0 {
-			left, kept = kept, left
+			eligible, kept = kept, eligible
 			continue
 		}
 		if !stage.Soft {
-			choice.Emptied = stage.Name
-			s.left, s.kept = left, kept
+			choice.EmptiedBy = stage.Name
+			s.eligible, s.kept = eligible, kept
 			return choice
 		}
-		choice.Passed = stage.Name
+		choice.SkippedStage = stage.Name
 	}
-	p.score(r, left)
-	at, why := p.Picker.Pick(r, left, rng)
-	choice.Index = left[at].Index
-	choice.Score = left[at].Score
-	choice.Load = left[at].C.Load()
-	choice.Why = why
-	choice.Left = len(left)
-	s.left, s.kept = left, kept
+	p.addScores(r, eligible)
+	index, reason := p.Picker.Pick(r, eligible, rng)
+	choice.Index = eligible[index].Index
+	choice.Score = eligible[index].Score
+	choice.Load = eligible[index].Candidate.Load()
+	choice.Reason = reason
+	choice.Eligible = len(eligible)
+	s.eligible, s.kept = eligible, kept
 	return choice
 }
 
-func keep(r *Request, f Filter, from, to []Scored) []Scored {
+func appendKept(r *Request, f Filter, from, to []Scored) []Scored {
 	for _, s := range from {
-		if f.Keep(r, s.C) {
+		if f.Keep(r, s.Candidate) {
 			to = append(to, s)
 		}
 	}
 	return to
 }
 
-func (p *Policy) score(r *Request, left []Scored) {
-	for i := range left {
+func (p *Policy) addScores(r *Request, eligible []Scored) {
+	for i := range eligible {
 		for _, scorer := range p.Scorers {
-			left[i].Score += scorer.Score(r, left[i].C)
+			eligible[i].Score += scorer.Score(r, eligible[i].Candidate)
 		}
 	}
 }
--- a/decide/route/scorers.go
+++ b/decide/route/scorers.go
@@ -22,14 +22,14 @@
 
 // SpeedScore rates by load, stretched for servers whose streams are slower
 // than Typical tokens/s (a server without a known rate counts as typical).
-type SpeedScore struct{ Typical float64 }
+type SpeedScore struct{ TypicalRate float64 }
 
 func (s SpeedScore) Score(r *Request, c *Candidate) float64 {
 	score := LoadScore{}.Score(r, c)
-	if c.StreamRate <= 0 || s.Typical <= 0 {
+	if c.StreamRate <= 0 || s.TypicalRate <= 0 {
 		return score
 	}
-	return score * s.Typical / c.StreamRate
+	return score * s.TypicalRate / c.StreamRate
 }
 
 // DistanceScore prefers the entry's own failure domain, then its region.
@@ -37,7 +37,7 @@
 
 func (DistanceScore) Score(_ *Request, c *Candidate) float64 {
 	switch c.Distance {
-	case Near:
+	case SameDomain:
 		return 0
 	case SameRegion:
 		return sameRegionCost
--- a/entry/calls/run.go
+++ b/entry/calls/run.go
@@ -23,7 +23,7 @@
 		if c.key != "" {
 			r.Key = route.Hash(c.key)
 		}
-		if r.Left <= 0 {
+		if r.Remaining <= 0 {
 			return nil, h.final(ctx, c, "an agent", c.OutOfTime(last))
 		}
 		server, choice := h.choose.Pick(pool, r, c.policy)
@@ -82,7 +82,7 @@
 		}
 		to.client, to.release = client, release
 	}
-	res, err := h.traced(ctx, c, to, route.Choice{Why: "holder of the key"})
+	res, err := h.traced(ctx, c, to, route.Choice{Reason: "holder of the key"})
 	if err != nil {
 		return nil, h.final(ctx, c, holder, err)
 	}
--- a/entry/completions/run.go
+++ b/entry/completions/run.go
@@ -94,8 +94,8 @@
 			return c.Final(ctx, stopped)
 		}
 		r := c.Route()
-		r.Prefix, r.Warm, r.Floor = prefix, warm, out.made.newest()
-		if r.Left <= 0 {
+		r.Prefix, r.EnginePrefix, r.Floor = prefix, warm, out.made.newest()
+		if r.Remaining <= 0 {
 			return c.OutOfTime(last)
 		}
 		server, choice := h.choose.Pick(pool, r, policy)
@@ -119,7 +119,7 @@
 }
 
 func policy(candidates []route.Candidate) *route.Policy {
-	return route.ForModels(route.TypicalRate(candidates))
+	return route.ForModels(route.MeanStreamRate(candidates))
 }
 
 // traced is try with its span and its decision records.
--- a/entry/fleet/agents_test.go
+++ b/entry/fleet/agents_test.go
@@ -374,7 +374,7 @@
 	pool := a.Snapshot().By[ServicePool("orders")]
 	candidates := Candidates(a, pool, "r", nil)
 	require.Equal(t, 3, candidates[0].Load())
-	require.Equal(t, route.Near, candidates[0].Distance)
+	require.Equal(t, route.SameDomain, candidates[0].Distance)
 }
 
 // BenchmarkWatchedAgent reports the memory of one watched agent at the entry;
--- a/entry/fleet/candidates.go
+++ b/entry/fleet/candidates.go
@@ -20,31 +20,31 @@
 func candidate(f Fleet, s *Server, region string) route.Candidate {
 	state := s.State
 	return route.Candidate{
-		Name:          s.Name,
-		Hash:          route.Hash(s.Name),
-		FailureDomain: s.FailureDomain,
-		Distance:      distance(s, region),
-		Ready:         state.GetReady(),
-		Leaving:       state.GetLeaving(),
-		Ejected:       s.Ejected,
-		Version:       state.GetVersion(),
-		Slots:         int(state.GetSlots()),
-		Reported:      int(state.GetRunning() + state.GetQueued()),
-		OwnAtReport:   s.InFlight,
-		OwnNow:        f.InFlightNow(s.Name),
-		StreamRate:    state.GetStreamTokensPerS(),
-		QueueWait:     time.Duration(state.GetQueueWaitMs()) * time.Millisecond,
-		Warm:          state.GetWarmPrefixes(),
+		Name:            s.Name,
+		Hash:            route.Hash(s.Name),
+		FailureDomain:   s.FailureDomain,
+		Distance:        distance(s, region),
+		Ready:           state.GetReady(),
+		Leaving:         state.GetLeaving(),
+		Ejected:         s.Ejected,
+		Version:         state.GetVersion(),
+		Slots:           int(state.GetSlots()),
+		ReportedLoad:    int(state.GetRunning() + state.GetQueued()),
+		OwnLoadAtReport: s.InFlight,
+		OwnLoad:         f.InFlightNow(s.Name),
+		StreamRate:      state.GetStreamTokensPerS(),
+		QueueWait:       time.Duration(state.GetQueueWaitMs()) * time.Millisecond,
+		WarmPrefixes:    state.GetWarmPrefixes(),
 	}
 }
 
 func distance(s *Server, region string) route.Distance {
 	switch {
 	case s.Local:
-		return route.Near
+		return route.SameDomain
 	case s.Region == region:
 		return route.SameRegion
 	default:
-		return route.Far
+		return route.OtherRegion
 	}
 }
--- a/entry/fleet/chooser.go
+++ b/entry/fleet/chooser.go
@@ -59,13 +59,13 @@
 // Refuse says why nobody of a pool was left. The request is still held.
 func Refuse(held *kinds.Held, pool string, choice route.Choice) *kinds.Error {
 	pool = strings.Replace(pool, "/", " ", 1) // "model/NAME" in a caller's words
-	switch choice.Emptied {
+	switch choice.EmptiedBy {
 	case route.StageFresh:
 		return held.Refuse(kinds.StaleWeights, "no server of %s is fresh enough yet", pool)
 	case route.StageDeadline:
 		return held.Refuse(kinds.DeadlineTooShort, "the queues of %s outlast the deadline", pool).WithRetryAfter(deadlineAdvice)
 	default:
-		return held.Refuse(kinds.NoServer, "no server of %s takes work now: %s", pool, emptied(choice.Emptied))
+		return held.Refuse(kinds.NoServer, "no server of %s takes work now: %s", pool, emptied(choice.EmptiedBy))
 	}
 }
 
--- a/entry/front/explain.go
+++ b/entry/front/explain.go
@@ -29,13 +29,13 @@
 
 // chosen words a routing decision for the decision record.
 func chosen(c route.Choice) string {
-	why := word(chosenWords, c.Why)
-	if c.Left == 0 { // no routing: the holder of a key
+	why := word(chosenWords, c.Reason)
+	if c.Eligible == 0 { // no routing: the holder of a key
 		return why
 	}
-	why += fmt.Sprintf("; load %d; servers to choose from: %d", c.Load, c.Left)
-	if c.Passed != "" {
-		why += "; " + word(passedWords, c.Passed)
+	why += fmt.Sprintf("; load %d; servers to choose from: %d", c.Load, c.Eligible)
+	if c.SkippedStage != "" {
+		why += "; " + word(passedWords, c.SkippedStage)
 	}
 	return why
 }
--- a/entry/front/front_test.go
+++ b/entry/front/front_test.go
@@ -172,8 +172,8 @@
 
 func TestDecisionRecordsReadAsSentences(t *testing.T) {
 	require.Equal(t, "the less loaded of two at random; load 3; servers to choose from: 2; only outliers were left",
-		chosen(route.Choice{Why: "two choices", Load: 3, Left: 2, Passed: route.StageEjected}))
-	require.Equal(t, "holds this idempotency key", chosen(route.Choice{Why: "holder of the key"}))
+		chosen(route.Choice{Reason: "two choices", Load: 3, Eligible: 2, SkippedStage: route.StageEjected}))
+	require.Equal(t, "holds this idempotency key", chosen(route.Choice{Reason: "holder of the key"}))
 	require.Equal(t, "refused by vm-1, not run", failed("vm-1", kinds.Hold().Refuse(kinds.Leaving, "x")))
 	require.Equal(t, "no whole answer from vm-1", failed("vm-1", kinds.New(kinds.BackendFailed, "x")))
 }
--- a/entry/front/hop.go
+++ b/entry/front/hop.go
@@ -31,10 +31,10 @@
 	ctx, span := trace.Tracer(hop.Part).Start(ctx, hop.Span, oteltrace.WithAttributes(
 		attribute.String("server", hop.Server),
 		attribute.Int("attempt", t.Count()+1),
-		attribute.String("route.why", hop.Choice.Why),
-		attribute.Int("route.left", hop.Choice.Left),
+		attribute.String("route.why", hop.Choice.Reason),
+		attribute.Int("route.left", hop.Choice.Eligible),
 		attribute.Int("route.load", hop.Choice.Load),
-		attribute.String("route.passed", hop.Choice.Passed),
+		attribute.String("route.passed", hop.Choice.SkippedStage),
 	), oteltrace.WithAttributes(hop.Attributes...))
 	defer span.End()
 	hop.Ring.Add(ctx, hop.Part, t.ID, "sent to "+hop.Server, chosen(hop.Choice))
--- a/entry/front/tries.go
+++ b/entry/front/tries.go
@@ -35,7 +35,7 @@
 
 // Route is what routing must know of the request.
 func (t *Tries) Route() *route.Request {
-	return &route.Request{Left: t.Left(), Tried: t.tried, TriedDomains: t.domains}
+	return &route.Request{Remaining: t.Left(), Tried: t.tried, TriedDomains: t.domains}
 }
 
 // Begin counts a try at a server.
--- a/gateway/forward/fleet.go
+++ b/gateway/forward/fleet.go
@@ -48,7 +48,7 @@
 			Leaving:       s.Leaving,
 			Ejected:       ejected[s.ID],
 			Slots:         s.Slots,
-			OwnNow:        f.inFlight[s.ID],
+			OwnLoad:       f.inFlight[s.ID],
 		}
 	}
 	return out
@@ -56,7 +56,7 @@
 
 func distance(ours, theirs string) route.Distance {
 	if ours == theirs {
-		return route.Near
+		return route.SameDomain
 	}
 	return route.SameRegion
 }
--- a/gateway/forward/forward.go
+++ b/gateway/forward/forward.go
@@ -100,7 +100,7 @@
 	policy := &route.Policy{
 		Stages:  append(route.HardStages(), route.SoftStages()...),
 		Scorers: []route.Scorer{route.LoadScore{}, route.DistanceScore{}, route.ConnectScore{}},
-		Picker:  route.Lowest{},
+		Picker:  route.LowestScore{},
 	}
 	return &Forwarder{View: v, Pool: pool, Quarantine: quarantine.New(logs.Part(log, "quarantine")), domain: domain, log: log, fleet: newFleet(), policy: policy}
 }
@@ -330,8 +330,8 @@
 		return choice{}, false
 	}
 	return choice{
-		server: servers[picked.Index], listed: len(servers), left: picked.Left, load: picked.Load, why: picked.Why,
-		ejected: picked.Passed == route.StageEjected,
+		server: servers[picked.Index], listed: len(servers), left: picked.Eligible, load: picked.Load, why: picked.Reason,
+		ejected: picked.SkippedStage == route.StageEjected,
 	}, true
 }
 
