--- a/decide/route/filters.go
+++ b/decide/route/filters.go
@@ -1,8 +1,8 @@
 package route
 
-// Names of the stages, as they stand in traces and in Choice.Emptied.
+// Names of the stages in traces, Choice.EmptiedBy and Choice.SkippedStage.
 const (
-	StageMembers  = "members" // the pool is empty
+	StageMembers  = "members" // not a filter: the pool has no servers
 	StageReady    = "ready"
 	StageLeaving  = "leaving"
 	StageTried    = "tried"
@@ -13,7 +13,7 @@
 	StageCapacity = "capacity"
 )
 
-// Ready keeps servers that take work by their own last report.
+// Ready keeps servers whose latest report says that they accept work.
 type Ready struct{}
 
 func (Ready) Keep(_ *Request, c *Candidate) bool { return c.Ready }
@@ -23,7 +23,7 @@
 
 func (NotLeaving) Keep(_ *Request, c *Candidate) bool { return !c.Leaving }
 
-// Untried drops servers that had their turn with this request.
+// Untried drops servers that this request was already sent to.
 type Untried struct{}
 
 func (Untried) Keep(r *Request, c *Candidate) bool { return !r.Tried[c.Name] }
@@ -33,21 +33,23 @@
 
 func (FreshWeights) Keep(r *Request, c *Candidate) bool { return c.Version >= r.Floor }
 
-// WithinDeadline drops servers whose queue alone outlasts the request's deadline, so
-// that what can't be met is refused before it waits anywhere.
+// WithinDeadline drops servers whose estimated queue wait reaches the request's
+// deadline. A request that can't meet its deadline is so refused before it is
+// queued anywhere.
 type WithinDeadline struct{}
 
 func (WithinDeadline) Keep(r *Request, c *Candidate) bool {
 	return r.Remaining == 0 || c.QueueWait < r.Remaining
 }
 
-// NotEjected drops outliers. It is used as a soft stage: when only ejected
-// servers are left, a slow answer is better than none.
+// NotEjected drops servers ejected as outliers. It is a soft stage: when only
+// ejected servers are left, a slow answer is better than none.
 type NotEjected struct{}
 
 func (NotEjected) Keep(_ *Request, c *Candidate) bool { return !c.Ejected }
 
-// OtherDomain drops servers that share a failure domain with one that failed.
+// OtherDomain drops servers in the failure domain of a server that failed this
+// request.
 type OtherDomain struct{}
 
 func (OtherDomain) Keep(r *Request, c *Candidate) bool { return !r.TriedDomains[c.FailureDomain] }
@@ -57,7 +59,8 @@
 
 func (HasFreeSlot) Keep(_ *Request, c *Candidate) bool { return c.Load() < max(1, c.Slots) }
 
-// HardStages returns the filters that always hold, in order.
+// HardStages returns the filters that are never skipped, in order. If one leaves
+// no candidate, the request is refused.
 func HardStages() []Stage {
 	return []Stage{
 		{Name: StageReady, Filter: Ready{}},
@@ -68,7 +71,8 @@
 	}
 }
 
-// SoftStages returns the filters that give way when they would leave nobody.
+// SoftStages returns the filters that are skipped when they would leave no
+// candidate.
 func SoftStages() []Stage {
 	return []Stage{
 		{Name: StageEjected, Filter: NotEjected{}, Soft: true},
--- a/decide/route/pickers.go
+++ b/decide/route/pickers.go
@@ -8,16 +8,18 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// PrefixBytes is how much of a prompt counts as its prefix: enough to tell
-// one template from another, less than where two uses of one template part.
+// PrefixBytes is how many leading bytes of a prompt count as its prefix. They
+// are enough to distinguish templates, and end before two prompts made from one
+// template differ.
 const PrefixBytes = 256
 
-// Hash hashes a name or an idempotency key. It is never 0.
+// Hash returns the hash of a name or an idempotency key. It is never 0, because 0
+// means "none" in Request.
 func Hash(s string) uint64 {
 	return max(1, xxhash.Sum64String(s))
 }
 
-// PrefixHash hashes the first PrefixChars bytes of a prompt.
+// PrefixHash returns the hash of the first PrefixBytes bytes of a prompt.
 func PrefixHash(prompt string) uint64 {
 	if len(prompt) > PrefixBytes {
 		prompt = prompt[:PrefixBytes]
@@ -25,9 +27,9 @@
 	return Hash(prompt)
 }
 
-// Rendezvous mixes the hashes of an item and a server into the server's
-// weight for that item: the highest weight owns the item, and when a server
-// goes only its own items move.
+// Rendezvous returns a server's weight for an item in rendezvous (highest random
+// weight) hashing, from their two hashes. The server with the highest weight owns
+// the item, so that the loss of a server moves only the items that it owned.
 func Rendezvous(item, server uint64) uint64 {
 	x := item ^ (server * 0x9e3779b97f4a7c15)
 	x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9
@@ -35,7 +37,7 @@
 	return x ^ (x >> 31)
 }
 
-// LowestScore takes the lowest score; equal ones are told apart at random.
+// LowestScore picks the candidate with the lowest score; ties are broken at random.
 type LowestScore struct{}
 
 func (LowestScore) Pick(_ *Request, eligible []Scored, rng *rand.Rand) (int, string) {
@@ -54,11 +56,12 @@
 	return best, "lowest score"
 }
 
-// TwoChoices takes the better of two random candidates out of the best share
-// of them. Every entry sees the same stale reports; if all took the lowest
-// score, all would meet at one server.
+// TwoChoices picks the better of two random candidates out of the best share of
+// them. All entries see the same stale reports: if each picked the lowest score,
+// all would send to the same server.
 type TwoChoices struct {
-	// BestShare of the candidates that count as the best; at least two do.
+	// BestShare is the share of candidates, by score, to draw from; at least two
+	// are drawn from.
 	BestShare float64
 }
 
@@ -79,7 +82,8 @@
 	return a, "two choices"
 }
 
-// shuffle makes ties at the edge of the best share fall at random.
+// shuffle orders the candidates at random, so that ties at the edge of the best
+// share are broken at random.
 func shuffle(scored []Scored, rng *rand.Rand) {
 	for i := len(scored) - 1; i > 0; i-- {
 		j := rng.IntN(i + 1)
@@ -87,9 +91,9 @@
 	}
 }
 
-// selectLowest moves the n lowest scores to the front (quickselect). Equal
-// scores are parted off together: idle pools are full of them, and parting
-// them one by one would take quadratic time.
+// selectLowest moves the n lowest scores to the front (quickselect). It uses a
+// three-way partition: in idle pools most scores are equal, and a two-way
+// partition would take quadratic time on them.
 func selectLowest(scored []Scored, n int) {
 	lo, hi := 0, len(scored)
 	for hi-lo > 1 {
@@ -105,8 +109,8 @@
 	}
 }
 
-// partition orders left[lo:hi] around a pivot: scores below it stand before
-// less, equal ones before more, higher ones behind.
+// partition orders scored[lo:hi] around a pivot: lower scores come before
+// equalStart, equal ones before higherStart, and higher ones from there on.
 func partition(scored []Scored, lo, hi int) (equalStart, higherStart int) {
 	pivot := scored[lo+(hi-lo)/2].Score
 	equalStart, higherStart = lo, hi
@@ -126,11 +130,12 @@
 	return equalStart, higherStart
 }
 
-// PrefixAffinity sends prompts with one prefix to one server, whose engine
-// then has the prefix in its cache, until that server's load passes Bound
-// times the mean load per slot; then the next in rendezvous order takes over.
-// Without the bound one hot template would queue up before one engine. A
-// warm-prefix report is a hint: a warm server within the bound goes first.
+// PrefixAffinity sends prompts with the same prefix to the same server, whose
+// engine then has the prefix in its cache (rendezvous hashing with bounded load).
+// When that server's load exceeds MaxLoadFactor times the mean load per slot, the
+// next server in rendezvous order is picked; without this bound all prompts of a
+// popular template would queue at one engine. Servers that report the prefix as
+// cached are preferred within the bound; the report may be out of date.
 type PrefixAffinity struct {
 	MaxLoadFactor float64 // > 1
 	Fallback      Picker  // for requests without a prefix
@@ -167,7 +172,8 @@
 	}
 }
 
-// maxLoadPerSlot is the load per slot that a server may reach.
+// maxLoadPerSlot returns the highest load per slot that a server may reach: the
+// mean over all candidates, this request included, times MaxLoadFactor.
 func (p PrefixAffinity) maxLoadPerSlot(eligible []Scored) float64 {
 	load, slots := 1, 0.0
 	for i := range eligible {
@@ -177,8 +183,9 @@
 	return p.MaxLoadFactor * float64(load) / slots
 }
 
-// prefixRank puts servers of the entry's region before far ones, and warm
-// ones before cold.
+// prefixRank returns a server's preference, the highest first: servers in the
+// entry's region before those in other regions, then servers that have the prefix
+// cached.
 func prefixRank(c *Candidate, warm uint64) int {
 	rank := 0
 	if c.Distance != OtherRegion {
@@ -194,8 +201,9 @@
 	return prefix != 0 && slices.Contains(c.WarmPrefixes, prefix)
 }
 
-// KeyAffinity sends requests with one idempotency key to one server, so that
-// a repeat lands where the first answer is held and needs no forwarding.
+// KeyAffinity sends all requests with the same idempotency key to the same server.
+// A repeat then reaches the server that holds the first answer and need not be
+// forwarded.
 type KeyAffinity struct {
 	Fallback Picker // for requests without a key
 }
@@ -207,7 +215,8 @@
 	return ownerOf(r.Key, eligible), "key"
 }
 
-// ownerOf returns the server with the highest rendezvous weight.
+// ownerOf returns the index of the candidate with the highest rendezvous weight
+// for the item.
 func ownerOf(item uint64, eligible []Scored) int {
 	best := 0
 	weight := Rendezvous(item, eligible[0].Candidate.Hash)
--- a/decide/route/policies.go
+++ b/decide/route/policies.go
@@ -1,12 +1,12 @@
 package route
 
-// Constants of the usual policies.
 const (
-	bestShare           = 0.25
-	maxPrefixLoadFactor = 1.25
+	bestShare           = 0.25 // TwoChoices.BestShare
+	maxPrefixLoadFactor = 1.25 // PrefixAffinity.MaxLoadFactor
 )
 
-// ForCalls is the policy for unkeyed requests to plain services.
+// ForCalls returns the policy for requests without an idempotency key to services
+// other than models.
 func ForCalls() *Policy {
 	stages := append(HardStages(), SoftStages()...)
 	stages = append(stages, Stage{Name: StageCapacity, Filter: HasFreeSlot{}, Soft: true})
@@ -17,14 +17,14 @@
 	}
 }
 
-// ForKeyed is the policy for requests with an idempotency key. It has no soft
-// stages: where a repeat lands must not hang on load.
+// ForKeyed returns the policy for requests with an idempotency key. It has no soft
+// stages, because the server that a repeat is sent to must not depend on load.
 func ForKeyed() *Policy {
 	return &Policy{Stages: HardStages(), Picker: KeyAffinity{Fallback: LowestScore{}}}
 }
 
-// ForModels is the policy for completions. typical is the pool's usual
-// tokens/s of one stream.
+// ForModels returns the policy for completions. meanStreamRate is the pool's mean
+// rate of one stream in tokens/s; 0: unknown.
 func ForModels(meanStreamRate float64) *Policy {
 	return &Policy{
 		Stages:  append(HardStages(), SoftStages()...),
@@ -33,8 +33,8 @@
 	}
 }
 
-// MeanStreamRate is the mean tokens/s of one stream over the candidates that
-// know theirs; 0: nobody does.
+// MeanStreamRate returns the mean rate of one stream, in tokens/s, over the
+// candidates that report one; 0 if none does.
 func MeanStreamRate(candidates []Candidate) float64 {
 	sum, known := 0.0, 0
 	for i := range candidates {
--- a/decide/route/route.go
+++ b/decide/route/route.go
@@ -1,7 +1,7 @@
-// Package route decides which server gets a request. A Policy runs small
-// plugins over the candidates of one pool: filters drop servers, scorers rate
-// those left, a picker takes one. The package does no I/O and has no clock or
-// randomness of its own.
+// Package route decides which server gets a request. A Policy applies plugins to
+// the candidates of one pool: filters drop servers, scorers rate the remaining
+// ones, a picker selects one. The package does no I/O; time and randomness are
+// passed in.
 package route
 
 import (
@@ -9,19 +9,19 @@
 	"time"
 )
 
-// Distance is how far a server is from this entry.
+// Distance is the network distance between an entry and a server.
 type Distance uint8
 
 const (
-	// SameDomain: in the entry's own failure domain.
+	// SameDomain means the entry's own failure domain.
 	SameDomain Distance = iota
-	// SameRegion: in another failure domain of the entry's region.
+	// SameRegion means another failure domain in the entry's region.
 	SameRegion
-	// OtherRegion: in another region.
+	// OtherRegion means a region other than the entry's.
 	OtherRegion
 )
 
-// Candidate is one server as the entry sees it when it decides.
+// Candidate is what an entry knows of one server at the time of a decision.
 type Candidate struct {
 	Name          string
 	Hash          uint64 // Hash(Name), for rendezvous hashing
@@ -32,82 +32,86 @@
 	Ejected       bool
 	Version       uint64 // weight version; 0: none
 	Slots         int
-	// ReportedLoad is the load (running and queued) of the last report.
+	// ReportedLoad is the number of running and queued requests in the server's
+	// last report.
 	ReportedLoad int
-	// OwnLoadAtReport is this entry's own work there when the report came;
-	// OwnNow is the same at this moment.
+	// OwnLoadAtReport is how many requests of this entry were in flight at the
+	// server when that report arrived; OwnLoad is how many are now.
 	OwnLoadAtReport int
 	OwnLoad         int
-	// StreamRate is tokens/s of one stream; 0: unknown.
+	// StreamRate is the rate of one stream in tokens/s; 0: unknown.
 	StreamRate   float64
 	QueueWait    time.Duration
-	WarmPrefixes []uint64 // prefixes that the engine may hold
-	Connected    bool     // an idle connection to it is at hand
+	WarmPrefixes []uint64 // prefixes that the engine may have in its cache
+	Connected    bool     // an idle connection to it exists
 }
 
-// Load is the reported load corrected by this entry's own work. A report lags:
-// work sent since is not in it, and without the correction every request goes
-// to the server that was idle when it last spoke. The load is never taken
-// below what this entry itself has there.
+// Load returns the reported load, corrected for this entry's own requests. A
+// report does not contain requests sent after it; without the correction every
+// request would go to the server that was idle at its last report. The result is
+// never less than OwnLoad.
 func (c *Candidate) Load() int {
 	others := max(0, c.ReportedLoad-c.OwnLoadAtReport)
 	return others + c.OwnLoad
 }
 
-// slots is never zero, so that it can divide.
+// slots returns the number of slots, at least 1 because callers divide by it.
 func (c *Candidate) slots() float64 {
 	return float64(max(1, c.Slots))
 }
 
-// Request is what matters of a request for the choice of a server.
+// Request holds the properties of a request that affect the choice of a server.
 type Request struct {
 	Prefix uint64 // PrefixHash of the prompt; 0: none
-	// EnginePrefix is the prompt's prefix as engines name it in their cache events
-	// (Candidate.EnginePrefix); 0: not known.
+	// EnginePrefix identifies the prompt's prefix as the engines' cache events do
+	// (see Candidate.WarmPrefixes); 0: unknown.
 	EnginePrefix uint64
 	Key          uint64 // Hash of the idempotency key; 0: none
-	Floor        uint64 // oldest weight version that will do
+	Floor        uint64 // oldest weight version allowed
 	// Remaining is the time until the deadline; 0: no deadline.
 	Remaining time.Duration
-	// Tried names servers that had their turn, TriedDomains the failure
-	// domains of those that failed.
+	// Tried holds the names of the servers that this request was already sent to,
+	// TriedDomains the failure domains of those that failed.
 	Tried        map[string]bool
 	TriedDomains map[string]bool
 }
 
-// Filter tells whether a candidate may get the request.
+// Filter excludes candidates.
 type Filter interface {
+	// Keep reports whether the candidate may get the request.
 	Keep(r *Request, c *Candidate) bool
 }
 
-// Scorer rates a candidate; less is better. The unit is one whole server's
-// load: 1 means "as good as a server with every slot in use".
+// Scorer rates a candidate; lower is better. A score of 1 is the load of a server
+// with every slot in use.
 type Scorer interface {
 	Score(r *Request, c *Candidate) float64
 }
 
-// Scored is a candidate left by the filters.
+// Scored is a candidate that passed the filters.
 type Scored struct {
-	Index     int // in the slice given to Pick
+	Index     int // in the candidates given to Policy.Pick
 	Candidate *Candidate
 	Score     float64
 }
 
-// Picker takes one of the candidates left; there is at least one. why is a
-// short constant text for traces.
+// Picker selects one candidate.
 type Picker interface {
+	// Pick returns the index in eligible, which is never empty, of the selected
+	// candidate. reason is a short constant text for traces. Pick may reorder
+	// eligible; the index refers to the new order.
 	Pick(r *Request, eligible []Scored, rng *rand.Rand) (index int, reason string)
 }
 
-// Stage is a filter with its name. A soft filter that would leave nobody is
-// passed over.
+// Stage is a named filter. A soft stage is skipped if it would leave no candidate.
 type Stage struct {
 	Name   string
 	Filter Filter
 	Soft   bool
 }
 
-// Policy is one way to choose.
+// Policy is a way to choose a server: stages in order, the sum of all scorers, and
+// a picker.
 type Policy struct {
 	Stages  []Stage
 	Scorers []Scorer
@@ -116,23 +120,24 @@
 
 // Choice is the outcome of Pick.
 type Choice struct {
-	Index    int // -1: nobody
+	Index    int // in the candidates given to Pick; -1: none chosen
 	Score    float64
 	Load     int
-	Reason   string // how the picker chose
-	Eligible int    // candidates left by the filters
-	// EmptiedBy is the name of the hard filter that left nobody.
+	Reason   string // the picker's reason
+	Eligible int    // number of candidates that passed the filters
+	// EmptiedBy is the name of the hard stage that left no candidate.
 	EmptiedBy string
-	// SkippedStage names the last soft filter that had to be passed over.
+	// SkippedStage is the name of the last soft stage that was skipped.
 	SkippedStage string
 }
 
-// Scratch is memory that Pick reuses between requests of one goroutine.
+// Scratch holds buffers that Pick reuses. It must not be used concurrently.
 type Scratch struct {
 	eligible, kept []Scored
 }
 
-// Pick chooses among candidates.
+// Pick chooses one of the candidates. Choice.Index is -1 if a hard stage leaves
+// none.
 func (p *Policy) Pick(r *Request, candidates []Candidate, rng *rand.Rand, s *Scratch) Choice {
 	choice := Choice{Index: -1}
 	eligible := s.eligible[:0]
@@ -168,6 +173,7 @@
 	return choice
 }
 
+// appendKept appends to to the candidates in from that f keeps.
 func appendKept(r *Request, f Filter, from, to []Scored) []Scored {
 	for _, s := range from {
 		if f.Keep(r, s.Candidate) {
@@ -177,6 +183,7 @@
 	return to
 }
 
+// addScores adds the scores of all scorers to each candidate's score.
 func (p *Policy) addScores(r *Request, eligible []Scored) {
 	for i := range eligible {
 		for _, scorer := range p.Scorers {
--- a/decide/route/route_test.go
+++ b/decide/route/route_test.go
@@ -68,10 +68,10 @@
 func TestLoadCorrectsStaleReports(t *testing.T) {
 	cases := []struct{ reported, ownAtReport, ownNow, want int }{
 		{0, 0, 0, 0},
-		{5, 2, 2, 5}, // the report holds our two
-		{5, 2, 6, 9}, // four more sent since
-		{5, 2, 0, 3}, // ours ended since
-		{0, 4, 4, 4}, // the report is older than our four
+		{5, 2, 2, 5}, // the report includes our two
+		{5, 2, 6, 9}, // four more were sent since the report
+		{5, 2, 0, 3}, // ours have ended since the report
+		{0, 4, 4, 4}, // the report predates our four
 	}
 	for _, c := range cases {
 		got := Candidate{ReportedLoad: c.reported, OwnLoadAtReport: c.ownAtReport, OwnLoad: c.ownNow}
@@ -79,9 +79,9 @@
 	}
 }
 
-// Callers send a burst while every report says "server 0 is idle, the others
-// have one request". Without the correction by our own work, each request of
-// the burst goes to server 0 and queues there.
+// A burst arrives while the reports show server 0 idle and one request at each
+// other server. Without the correction for the entry's own requests, the whole
+// burst would go to server 0 and queue there.
 func TestStaleReportsCauseNoHerding(t *testing.T) {
 	servers := newCandidates(4)
 	for i := 1; i < 4; i++ {
@@ -98,8 +98,9 @@
 	}
 }
 
-// Two hundred entries hold the same report, in which one server is idle. Each
-// sends one request. If each took the lowest score, all would queue there.
+// Two hundred entries have the same report, in which one server is idle, and each
+// sends one request. If each picked the lowest score, all would queue at that
+// server.
 func TestTwoChoicesSpreadsRequestsOfManyEntries(t *testing.T) {
 	hits := map[int]int{}
 	for seed := range 200 {
@@ -158,8 +159,9 @@
 	require.Equal(t, StageDeadline, ForCalls().Pick(&Request{Remaining: time.Second}, servers, newRand(), &Scratch{}).EmptiedBy)
 }
 
-// One hot template floods one engine: its queue grows while others idle. The
-// bound lets it go to the next server in rendezvous order, and come back.
+// Prompts of one popular template overload one engine while others are idle. At
+// the load bound they must go to the next server in rendezvous order, and return
+// to the first one when its load has dropped.
 func TestPrefixAffinitySpillsAtMaxLoad(t *testing.T) {
 	servers := newCandidates(8)
 	r := &Request{Prefix: PrefixHash("order template")}
@@ -195,9 +197,9 @@
 	})
 }
 
-// A keyed request is repeated through another entry, which knows the servers
-// in another order and under other loads. The repeat must land on the same
-// server, or the first answer has to be fetched from elsewhere.
+// A request with an idempotency key is repeated through another entry, which lists
+// the servers in another order and sees other loads. The repeat must go to the
+// same server; otherwise the first answer has to be fetched from elsewhere.
 func TestKeyAffinityIsIndependentOfEntryAndLoad(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		servers := newCandidates(rapid.IntRange(1, 30).Draw(t, "n"))
--- a/decide/route/scorers.go
+++ b/decide/route/scorers.go
@@ -1,27 +1,30 @@
 package route
 
-// Weights of the usual policy, in units of a full server's load.
+// Costs in the unit of Scorer: 1 is the load of a server with every slot in use.
 const (
-	// sameRegionCost is small: half a millisecond is worth less than a
-	// twentieth of a server's load.
+	// sameRegionCost is the cost of a server in another failure domain. It is
+	// small: half a millisecond of network latency is worth less than a twentieth
+	// of a server's load.
 	sameRegionCost = 0.05
-	// connectCost is what a new connection costs: a round trip, and a slot of
-	// the server for a moment. It is below the cost of two requests at a server
-	// of six slots, so that load goes first.
+	// connectCost is the cost of a new connection: a round trip, and one of the
+	// server's slots for a short time. It is lower than the cost of two requests
+	// at a server with six slots, so that load outweighs it.
 	connectCost = 0.3
-	// farCost keeps requests in their region until it is full.
+	// farCost is the cost of a server in another region. At 1, requests stay in
+	// their region until its servers are full.
 	farCost = 1.0
 )
 
-// LoadScore rates by corrected load per slot, this request included.
+// LoadScore rates a candidate by Candidate.Load per slot, this request included.
 type LoadScore struct{}
 
 func (LoadScore) Score(_ *Request, c *Candidate) float64 {
 	return float64(c.Load()+1) / c.slots()
 }
 
-// SpeedScore rates by load, stretched for servers whose streams are slower
-// than Typical tokens/s (a server without a known rate counts as typical).
+// SpeedScore rates a candidate by LoadScore times the ratio of TypicalRate, in
+// tokens/s of one stream, to its own rate. A server whose rate is unknown counts
+// as typical.
 type SpeedScore struct{ TypicalRate float64 }
 
 func (s SpeedScore) Score(r *Request, c *Candidate) float64 {
@@ -46,7 +49,7 @@
 	}
 }
 
-// ConnectScore prefers servers to which a connection is at hand.
+// ConnectScore prefers servers to which an idle connection exists.
 type ConnectScore struct{}
 
 func (ConnectScore) Score(_ *Request, c *Candidate) float64 {
