--- a/decide/admit/admit.go
+++ b/decide/admit/admit.go
@@ -20,9 +20,9 @@
 )
 
 const (
-	// DefaultLowShare is the share of starts that lower classes get while
+	// DefaultLowerShare is the share of starts that lower classes get while
 	// higher ones wait.
-	DefaultLowShare = 0.1
+	DefaultLowerShare = 0.1
 	// minWeight stands in for a weight that is zero, negative or not a number.
 	minWeight = 0.01
 )
@@ -39,9 +39,9 @@
 
 // Config sets a queue's bounds.
 type Config struct {
-	Slots    int     // requests running at once
-	MaxQueue int     // requests waiting at most
-	LowShare float64 // 0: DefaultLowShare
+	Slots      int     // requests running at once
+	MaxQueue   int     // requests waiting at most
+	LowerShare float64 // 0: DefaultLowShare
 }
 
 // Reason says why a request was refused. Every reason is for a request that
@@ -85,12 +85,12 @@
 	queued  time.Time
 	started time.Time
 	flow    *flow
-	elem    *list.Element // in flow.items while waiting
+	element *list.Element // in flow.items while waiting
 	running bool
 }
 
 // Waiting tells whether the item still waits in the queue.
-func (it *Item) Waiting() bool { return it.elem != nil }
+func (it *Item) Waiting() bool { return it.element != nil }
 
 // Refused is an item that left the queue without a start.
 type Refused struct {
@@ -100,42 +100,42 @@
 
 // flow is the waiting work of one caller in one class.
 type flow struct {
-	caller string
-	class  *class
-	items  list.List
-	cost   float64 // of all waiting items
-	weight float64
-	start  float64 // virtual start time of the first item
-	index  int     // in class.heap; -1 when idle
+	caller       string
+	class        *class
+	items        list.List
+	cost         float64 // of all waiting items
+	weight       float64
+	virtualStart float64 // virtual start time of the first item
+	index        int     // in class.heap; -1 when idle
 }
 
 // class is one priority class.
 type class struct {
-	priority int
-	flows    map[string]*flow
-	heap     flowHeap // backlogged flows by virtual start time
-	virtual  float64  // virtual time: the start tag last served
-	waiting  int
-	cost     float64
-	last     uint64 // start sequence number of its last start
+	priority    int
+	flows       map[string]*flow
+	heap        flowHeap // backlogged flows by virtual start time
+	virtualTime float64  // virtual time: the start tag last served
+	waiting     int
+	cost        float64
+	lastStart   uint64 // start sequence number of its last start
 }
 
 // Queue is the bounded queue.
 type Queue struct {
-	cfg     Config
-	classes []*class // highest priority first
-	waiting int
-	running int
-	leaving bool
-	starts  uint64
-	credit  float64 // starts that lower classes have earned
-	rate    rate
+	cfg         Config
+	classes     []*class // highest priority first
+	waiting     int
+	running     int
+	leaving     bool
+	starts      uint64
+	lowerCredit float64 // starts that lower classes have earned
+	rate        rate
 }
 
 // New returns an empty queue.
 func New(cfg Config) *Queue {
-	if cfg.LowShare <= 0 || cfg.LowShare >= 1 {
-		cfg.LowShare = DefaultLowShare
+	if cfg.LowerShare <= 0 || cfg.LowerShare >= 1 {
+		cfg.LowerShare = DefaultLowerShare
 	}
 	return &Queue{cfg: cfg}
 }
@@ -144,29 +144,29 @@
 // is refused. displaced holds items that had to give up their places in a full
 // queue to this one: they did not start.
 func (q *Queue) Offer(now time.Time, t Ticket, tag any) (it *Item, refusal *Refusal, displaced []Refused) {
-	t = normalized(t)
-	if r := q.refuse(now, t); r != nil {
+	t = normalize(t)
+	if r := q.earlyRefusal(now, t); r != nil {
 		return nil, r, nil
 	}
 	it = &Item{Ticket: t, Tag: tag, queued: now}
 	if q.waiting == 0 && q.running < q.cfg.Slots {
-		q.begin(now, it)
+		q.startItem(now, it)
 		return it, nil, nil
 	}
 	if q.waiting >= q.cfg.MaxQueue {
-		victim := q.victim(t)
+		victim := q.chooseVictim(t)
 		if victim == nil {
-			return nil, q.overloaded(now), nil
+			return nil, q.overloadRefusal(now), nil
 		}
 		q.remove(victim)
-		displaced = append(displaced, Refused{victim, *q.overloaded(now)})
+		displaced = append(displaced, Refused{victim, *q.overloadRefusal(now)})
 	}
 	q.push(it)
 	return it, nil, displaced
 }
 
-// refuse decides on what can be refused before it waits.
-func (q *Queue) refuse(now time.Time, t Ticket) *Refusal {
+// earlyRefusal decides on what can be refused before it waits.
+func (q *Queue) earlyRefusal(now time.Time, t Ticket) *Refusal {
 	if q.leaving {
 		return &Refusal{Reason: Leaving}
 	}
@@ -182,21 +182,21 @@
 		return nil
 	}
 	wait := q.Wait(now, t)
-	late := now.Add(wait + q.rate.service(t.Cost)).Sub(t.Deadline)
+	late := now.Add(wait + q.rate.serviceTime(t.Cost)).Sub(t.Deadline)
 	if late < 0 {
 		return nil
 	}
 	return &Refusal{Reason: DeadlineTooShort, RetryAfter: min(late, wait), Wait: wait}
 }
 
-// overloaded advises to come back when half of the queue has drained at the
+// overloadRefusal advises to come back when half of the queue has drained at the
 // measured rate: a shorter advice would meet the full queue again.
-func (q *Queue) overloaded(now time.Time) *Refusal {
+func (q *Queue) overloadRefusal(now time.Time) *Refusal {
 	var cost float64
 	for _, c := range q.classes {
 		cost += c.cost
 	}
-	return &Refusal{Reason: Overloaded, RetryAfter: q.drain(now, cost/2), Wait: q.drain(now, cost)}
+	return &Refusal{Reason: Overloaded, RetryAfter: q.drainTime(now, cost/2), Wait: q.drainTime(now, cost)}
 }
 
 // Next starts the next item if a slot is free. expired are items whose
@@ -208,7 +208,7 @@
 			expired = append(expired, Refused{it, Refusal{Reason: DeadlineTooShort, Wait: now.Sub(it.queued)}})
 			continue
 		}
-		q.begin(now, it)
+		q.startItem(now, it)
 		return it, expired
 	}
 	return nil, expired
@@ -221,7 +221,7 @@
 	}
 	it.running = false
 	q.running--
-	q.rate.done(now, it.started, it.Cost, q.waiting > 0)
+	q.rate.observeEnd(now, it.started, it.Cost, q.waiting > 0)
 }
 
 // Cancel takes a waiting item out of the queue; false when it no longer waits.
@@ -273,7 +273,7 @@
 	return !now.Before(deadline) || !now.Round(0).Before(deadline.Round(0))
 }
 
-func normalized(t Ticket) Ticket {
+func normalize(t Ticket) Ticket {
 	if !(t.Weight >= minWeight) || math.IsInf(t.Weight, 1) {
 		t.Weight = minWeight
 	}
@@ -283,17 +283,17 @@
 	return t
 }
 
-func (q *Queue) begin(now time.Time, it *Item) {
+func (q *Queue) startItem(now time.Time, it *Item) {
 	it.running = true
 	it.started = now
 	q.running++
 	if q.running == q.cfg.Slots {
-		q.rate.saturated(now)
+		q.rate.observeSaturation(now)
 	}
 }
 
 func (q *Queue) push(it *Item) {
-	c := q.class(it.Priority)
+	c := q.classFor(it.Priority)
 	f := c.flows[it.Caller]
 	if f == nil {
 		f = &flow{caller: it.Caller, class: c, index: -1}
@@ -302,11 +302,11 @@
 	f.weight = it.Weight
 	if f.items.Len() == 0 {
 		// A caller that was idle has no claim on the past.
-		f.start = max(f.start, c.virtual)
+		f.virtualStart = max(f.virtualStart, c.virtualTime)
 		heap.Push(&c.heap, f)
 	}
 	it.flow = f
-	it.elem = f.items.PushBack(it)
+	it.element = f.items.PushBack(it)
 	f.cost += it.Cost
 	c.cost += it.Cost
 	c.waiting++
@@ -315,47 +315,47 @@
 
 // pop takes the item whose turn it is.
 func (q *Queue) pop() *Item {
-	c := q.choose()
+	c := q.chooseClass()
 	f := c.heap[0]
 	it := f.items.Front().Value.(*Item)
-	c.virtual = f.start
-	f.start += it.Cost / it.Weight
+	c.virtualTime = f.virtualStart
+	f.virtualStart += it.Cost / it.Weight
 	q.starts++
-	c.last = q.starts
+	c.lastStart = q.starts
 	q.remove(it)
 	return it
 }
 
-// choose picks the class: the highest that waits, but for the share of starts
+// chooseClass picks the class: the highest that waits, but for the share of starts
 // that the classes below have earned. Of those, the one longest without a
 // start is next, so that each gets its turn and none starves.
-func (q *Queue) choose() *class {
-	var top, low *class
+func (q *Queue) chooseClass() *class {
+	var highest, lowerClass *class
 	for _, c := range q.classes {
 		switch {
 		case c.waiting == 0:
-		case top == nil:
-			top = c
-		case low == nil || c.last < low.last:
-			low = c
+		case highest == nil:
+			highest = c
+		case lowerClass == nil || c.lastStart < lowerClass.lastStart:
+			lowerClass = c
 		}
 	}
-	if low == nil {
-		return top
+	if lowerClass == nil {
+		return highest
 	}
-	q.credit += q.cfg.LowShare
-	if q.credit < 1 {
-		return top
+	q.lowerCredit += q.cfg.LowerShare
+	if q.lowerCredit < 1 {
+		return highest
 	}
-	q.credit--
-	return low
+	q.lowerCredit--
+	return lowerClass
 }
 
 // remove takes a waiting item out of all counts.
 func (q *Queue) remove(it *Item) {
 	f, c := it.flow, it.flow.class
-	f.items.Remove(it.elem)
-	it.elem = nil
+	f.items.Remove(it.element)
+	it.element = nil
 	f.cost -= it.Cost
 	c.cost -= it.Cost
 	c.waiting--
@@ -370,15 +370,15 @@
 		// The end of a busy period: shares of the past are forgotten and the
 		// memory of idle callers with them.
 		clear(c.flows)
-		c.cost, c.virtual = 0, 0
+		c.cost, c.virtualTime = 0, 0
 		return
 	}
-	if f.start <= c.virtual {
+	if f.virtualStart <= c.virtualTime {
 		delete(c.flows, f.caller)
 	}
 }
 
-func (q *Queue) class(priority int) *class {
+func (q *Queue) classFor(priority int) *class {
 	i, ok := slices.BinarySearchFunc(q.classes, priority, func(c *class, p int) int { return p - c.priority })
 	if ok {
 		return q.classes[i]
@@ -394,8 +394,8 @@
 
 func (h flowHeap) Len() int { return len(h) }
 func (h flowHeap) Less(i, j int) bool {
-	if h[i].start != h[j].start {
-		return h[i].start < h[j].start
+	if h[i].virtualStart != h[j].virtualStart {
+		return h[i].virtualStart < h[j].virtualStart
 	}
 	return h[i].caller < h[j].caller
 }
--- a/decide/admit/admit_test.go
+++ b/decide/admit/admit_test.go
@@ -17,15 +17,15 @@
 // started a refused request, or lost one that it took, the caller would get
 // two runs or none. The run mixes offers, ends, cancels, fewer and more slots
 // and a leave; each request must end in exactly one way.
-func TestEveryRequestEndsInExactlyOneWay(t *testing.T) {
+func TestEveryRequestHasExactlyOneOutcome(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := epoch
 		slots := rapid.IntRange(0, 4).Draw(t, "slots")
 		q := New(Config{Slots: slots, MaxQueue: rapid.IntRange(0, 6).Draw(t, "queue")})
-		fate := make(map[string]string)
+		outcomes := make(map[string]string)
 		end := func(it *Item, how string) {
-			require.Empty(t, fate[it.ID], "%s: %s after %s", it.ID, how, fate[it.ID])
-			fate[it.ID] = how
+			require.Empty(t, outcomes[it.ID], "%s: %s after %s", it.ID, how, outcomes[it.ID])
+			outcomes[it.ID] = how
 		}
 		var waiting, running []*Item
 		refuse := func(list []Refused) {
@@ -61,7 +61,7 @@
 				it, refusal, displaced := q.Offer(now, tk, nil)
 				refuse(displaced)
 				if refusal != nil {
-					fate[tk.ID] = "refused"
+					outcomes[tk.ID] = "refused"
 					continue
 				}
 				if it.Waiting() {
@@ -91,7 +91,7 @@
 		}
 		refuse(q.Leave())
 		for _, it := range waiting {
-			require.NotEmpty(t, fate[it.ID], "%s was taken and lost", it.ID)
+			require.NotEmpty(t, outcomes[it.ID], "%s was taken and lost", it.ID)
 		}
 		require.Zero(t, q.Waiting())
 		require.Equal(t, len(running), q.Running())
@@ -101,7 +101,7 @@
 // Two trainers share an engine by weight. While both always have work waiting,
 // neither may get ahead of its share by more than one request of each: this is
 // the bound of start-time fair queueing.
-func TestWeightsAreRespectedWithinABound(t *testing.T) {
+func TestWeightedSharesDeviateWithinBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const maxCost = 8.0
 		callers := []string{"a", "b", "c"}
@@ -110,7 +110,7 @@
 			weights[c] = rapid.Float64Range(0.1, 10).Draw(t, "weight")
 		}
 		q := New(Config{Slots: 1, MaxQueue: 1000})
-		holder, _, _ := q.Offer(epoch, Ticket{ID: "first", Caller: "z"}, nil)
+		running, _, _ := q.Offer(epoch, Ticket{ID: "first", Caller: "z"}, nil)
 		offer := func(c string) {
 			cost := rapid.Float64Range(0.1, maxCost).Draw(t, "cost")
 			_, refusal, _ := q.Offer(epoch, Ticket{Caller: c, Weight: weights[c], Cost: cost}, nil)
@@ -120,16 +120,16 @@
 			offer(c)
 			offer(c)
 		}
-		got := make(map[string]float64)
+		served := make(map[string]float64)
 		for range 200 {
-			q.Done(epoch, holder)
-			holder, _ = q.Next(epoch)
-			got[holder.Caller] += holder.Cost / holder.Weight
-			offer(holder.Caller)
+			q.Done(epoch, running)
+			running, _ = q.Next(epoch)
+			served[running.Caller] += running.Cost / running.Weight
+			offer(running.Caller)
 			for _, a := range callers {
 				for _, b := range callers {
 					bound := maxCost/weights[a] + maxCost/weights[b] + 1e-6
-					require.LessOrEqual(t, math.Abs(got[a]-got[b]), bound, "%s and %s", a, b)
+					require.LessOrEqual(t, math.Abs(served[a]-served[b]), bound, "%s and %s", a, b)
 				}
 			}
 		}
@@ -143,7 +143,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		lower := rapid.IntRange(1, 4).Draw(t, "lower")
 		q := New(Config{Slots: 1, MaxQueue: 1000})
-		holder, _, _ := q.Offer(epoch, Ticket{}, nil)
+		running, _, _ := q.Offer(epoch, Ticket{}, nil)
 		offer := func(p int) {
 			_, refusal, _ := q.Offer(epoch, Ticket{Caller: fmt.Sprint(p), Weight: 1, Priority: p}, nil)
 			require.Nil(t, refusal)
@@ -152,33 +152,33 @@
 			offer(p)
 			offer(p)
 		}
-		since := make(map[int]int)
-		bound := int(float64(lower)/DefaultLowShare) + lower + 1
-		tops := 0
+		startsSince := make(map[int]int)
+		bound := int(float64(lower)/DefaultLowerShare) + lower + 1
+		highestStarts := 0
 		const starts = 300
 		for range starts {
-			q.Done(epoch, holder)
-			holder, _ = q.Next(epoch)
-			offer(holder.Priority)
+			q.Done(epoch, running)
+			running, _ = q.Next(epoch)
+			offer(running.Priority)
 			for p := range lower + 1 {
-				since[p]++
+				startsSince[p]++
 			}
-			since[holder.Priority] = 0
-			if holder.Priority == lower {
-				tops++
+			startsSince[running.Priority] = 0
+			if running.Priority == lower {
+				highestStarts++
 			}
-			for p, n := range since {
+			for p, n := range startsSince {
 				require.LessOrEqual(t, n, bound, "class %d starves", p)
 			}
 		}
-		require.GreaterOrEqual(t, tops, int(starts*(1-DefaultLowShare))-1, "the share is a bound for the top class too")
+		require.GreaterOrEqual(t, highestStarts, int(starts*(1-DefaultLowerShare))-1, "the share is a bound for the top class too")
 	})
 }
 
 // One caller fills the queue with its step before another's first request
 // comes. Refusing the other would starve it however fair the starts are: the
 // newest request of the biggest caller gives up its place, not run.
-func TestFullQueueMakesRoomForAnotherCaller(t *testing.T) {
+func TestFullQueueDisplacesLargestCaller(t *testing.T) {
 	q := New(Config{Slots: 1, MaxQueue: 10})
 	for range 11 {
 		_, refusal, _ := q.Offer(epoch, Ticket{Caller: "step", Weight: 1}, nil)
@@ -204,7 +204,7 @@
 // A request that can't be met is refused before it waits, with the time when a
 // repeat has a chance; one that can be met is taken; and a free slot is given
 // whatever the mean says, else one slow hour would refuse everything for ever.
-func TestDeadlineIsRefusedBeforeQueueing(t *testing.T) {
+func TestUnreachableDeadlineIsRefusedBeforeQueueing(t *testing.T) {
 	q := New(Config{Slots: 1, MaxQueue: 100})
 	now := epoch
 	it, _, _ := q.Offer(now, Ticket{}, nil)
@@ -279,7 +279,7 @@
 // somebody waits; from then on it is fast. The gap between two ends is measured
 // only while others wait, and whoever would wait is refused by the old measure:
 // it is never measured again, however many requests run meanwhile.
-func TestOneStallIsForgotten(t *testing.T) {
+func TestOneStallDoesNotInflateLaterEstimates(t *testing.T) {
 	q := New(Config{Slots: 1, MaxQueue: 10})
 	now := time.Unix(1e6, 0)
 	run := func(took time.Duration) {
