--- a/capacity/decide_test.go
+++ b/capacity/decide_test.go
@@ -47,7 +47,7 @@
 				pool, n := agents[0].Pool, 0
 				for i := 0; b.Loop(); i++ {
 					self, cfg := entries[i%len(entries)], subset.Default
-					cfg.Wide = map[string]int{pool: subset.Width(self, agents, pool, Trainers/pools, cfg)}
+					cfg.MinPicks = map[string]int{pool: subset.PicksForSteps(self, agents, pool, Trainers/pools, cfg)}
 					n += countPool(subset.Choose(self, entries, agents, cfg), agents, pool)
 				}
 				b.ReportMetric(float64(n)/float64(b.N), "of-pool/entry")
--- a/decide/subset/subset.go
+++ b/decide/subset/subset.go
@@ -32,15 +32,15 @@
 	// CoverLocal and CoverRemote count the entries that an agent is given in
 	// its own failure domain and elsewhere, whatever the entries picked.
 	CoverLocal, CoverRemote int
-	// Wide raises Local and Remote of some pools to at least so much. The
+	// MinPicks raises Local and Remote of some pools to at least so much. The
 	// order of rank goes on, so that the narrow subset is part of the wide one.
-	Wide map[string]int
+	MinPicks map[string]int
 }
 
 // Default suits small sites (a full mesh) and the full size alike.
 var Default = Config{FullBelow: 48, Local: 12, Remote: 1, CoverLocal: 2, CoverRemote: 1}
 
-type hashed struct {
+type hashedMember struct {
 	Member
 	hash uint64
 }
@@ -48,7 +48,7 @@
 type group struct{ domain, pool string }
 
 type ranked struct {
-	at     int
+	index  int
 	weight uint64
 }
 
@@ -59,13 +59,13 @@
 		return names(agents)
 	}
 	all := hashAll(agents)
-	me := hashed{self, route.Hash(self.Name)}
-	chosen := make([]bool, len(all))
-	picks(me, all, cfg, chosen)
-	covers(me, withSelf(entries, self), all, cfg, chosen)
+	hashedSelf := hashedMember{self, route.Hash(self.Name)}
+	selected := make([]bool, len(all))
+	selectPicks(hashedSelf, all, cfg, selected)
+	selectCovered(hashedSelf, withSelf(entries, self), all, cfg, selected)
 	var out []string
 	for i := range all {
-		if chosen[i] {
+		if selected[i] {
 			out = append(out, all[i].Name)
 		}
 	}
@@ -73,72 +73,72 @@
 	return out
 }
 
-// picks marks the agents that self ranks highest in each pool and domain.
-func picks(me hashed, agents []hashed, cfg Config, chosen []bool) {
+// selectPicks marks the agents that self ranks highest in each pool and domain.
+func selectPicks(self hashedMember, agents []hashedMember, cfg Config, selected []bool) {
 	groups := map[group][]ranked{}
 	for i := range agents {
 		g := group{agents[i].FailureDomain, agents[i].Pool}
-		groups[g] = append(groups[g], ranked{i, route.Rendezvous(me.hash, agents[i].hash)})
+		groups[g] = append(groups[g], ranked{i, route.Rendezvous(self.hash, agents[i].hash)})
 	}
 	for g, members := range groups {
-		n := wide(cfg.Wide[g.pool], g.domain == me.FailureDomain, cfg)
+		count := picksInDomain(cfg.MinPicks[g.pool], g.domain == self.FailureDomain, cfg)
 		slices.SortFunc(members, byWeight)
-		for _, m := range members[:min(n, len(members))] {
-			chosen[m.at] = true
+		for _, m := range members[:min(count, len(members))] {
+			selected[m.index] = true
 		}
 	}
 }
 
-// covers marks the agents that rank self among their own entries. It is the
+// selectCovered marks the agents that rank self among their own entries. It is the
 // guarantee that picks can't give: by chance alone some agents would be
 // picked by nobody and stand idle.
-func covers(me hashed, entries, agents []hashed, cfg Config, chosen []bool) {
-	var local []hashed
-	byDomain := map[string][]hashed{}
+func selectCovered(self hashedMember, entries, agents []hashedMember, cfg Config, selected []bool) {
+	var local []hashedMember
+	byDomain := map[string][]hashedMember{}
 	for _, e := range entries {
 		byDomain[e.FailureDomain] = append(byDomain[e.FailureDomain], e)
 	}
 	for i := range agents {
-		if chosen[i] {
+		if selected[i] {
 			continue
 		}
 		agent := &agents[i]
 		local = byDomain[agent.FailureDomain]
-		if agent.FailureDomain == me.FailureDomain {
-			chosen[i] = ranksAmong(me, agent, local, cfg.CoverLocal)
+		if agent.FailureDomain == self.FailureDomain {
+			selected[i] = isInTop(self, agent, local, cfg.CoverLocal)
 			continue
 		}
 		// An agent whose domain has too few entries takes more elsewhere.
 		n := cfg.CoverRemote + max(0, cfg.CoverLocal-len(local))
-		chosen[i] = ranksOutside(me, agent, entries, n)
+		selected[i] = isInTopOutside(self, agent, entries, n)
 	}
 }
 
-// ranksAmong tells whether fewer than n entries outrank me for the agent.
-func ranksAmong(me hashed, agent *hashed, entries []hashed, n int) bool {
-	mine, above := route.Rendezvous(agent.hash, me.hash), 0
+// isInTop tells whether fewer than n entries outrank me for the agent.
+func isInTop(self hashedMember, agent *hashedMember, entries []hashedMember, n int) bool {
+	ownWeight, higher := route.Rendezvous(agent.hash, self.hash), 0
 	for i := range entries {
-		if route.Rendezvous(agent.hash, entries[i].hash) > mine {
-			above++
+		if route.Rendezvous(agent.hash, entries[i].hash) > ownWeight {
+			higher++
 		}
-		if above >= n {
+		if higher >= n {
 			return false
 		}
 	}
 	return n > 0
 }
 
-// ranksOutside is ranksAmong over the entries outside of the agent's domain.
-func ranksOutside(me hashed, agent *hashed, entries []hashed, n int) bool {
-	mine, above := route.Rendezvous(agent.hash, me.hash), 0
+// isInTopOutside is ranksAmong over the entries outside of the agent's domain.
+func isInTopOutside(self hashedMember, agent *hashedMember, entries []hashedMember, n int) bool {
+	ownWeight, higher := route.Rendezvous(agent.hash, self.hash), 0
 	for i := range entries {
 		if entries[i].FailureDomain == agent.FailureDomain {
 			continue
 		}
-		if route.Rendezvous(agent.hash, entries[i].hash) > mine {
-			above++
+		if route.Rendezvous(agent.hash, entries[i].hash) > ownWeight {
+			higher++
 		}
-		if above >= n {
+		if higher >= n {
 			return false
 		}
 	}
@@ -147,18 +147,18 @@
 
 func byWeight(a, b ranked) int { return cmp.Compare(b.weight, a.weight) }
 
-func hashAll(members []Member) []hashed {
-	all := make([]hashed, len(members))
+func hashAll(members []Member) []hashedMember {
+	all := make([]hashedMember, len(members))
 	for i, m := range members {
-		all[i] = hashed{m, route.Hash(m.Name)}
+		all[i] = hashedMember{m, route.Hash(m.Name)}
 	}
 	return all
 }
 
-func withSelf(entries []Member, self Member) []hashed {
+func withSelf(entries []Member, self Member) []hashedMember {
 	all := hashAll(entries)
 	if !slices.ContainsFunc(entries, func(m Member) bool { return m.Name == self.Name }) {
-		all = append(all, hashed{self, route.Hash(self.Name)})
+		all = append(all, hashedMember{self, route.Hash(self.Name)})
 	}
 	return all
 }
--- a/decide/subset/subset_test.go
+++ b/decide/subset/subset_test.go
@@ -22,73 +22,73 @@
 	return all
 }
 
-func TestSmallSitesAreFullMesh(t *testing.T) {
+func TestSmallSiteGetsFullMesh(t *testing.T) {
 	agents := members("vm", 13, 4, 2)
 	require.Len(t, Choose(Member{Name: "e"}, nil, agents, Default), 13)
 }
 
-func TestFullSizeIsNoMesh(t *testing.T) {
+func TestFullSizeCoversEveryAgentWithFewStreams(t *testing.T) {
 	entries, agents := members("entry", 360, 24, 1), members("vm", 1500, 24, 3)
-	cover := map[string]int{}
-	most, streams := 0, 0
+	watchers := map[string]int{}
+	maxStreams, streams := 0, 0
 	for _, e := range entries {
 		chosen := Choose(e, entries, agents, Default)
-		most = max(most, len(chosen))
+		maxStreams = max(maxStreams, len(chosen))
 		streams += len(chosen)
 		for _, name := range chosen {
-			cover[name]++
+			watchers[name]++
 		}
 	}
-	least := len(entries)
+	minWatchers := len(entries)
 	for _, a := range agents {
-		least = min(least, cover[a.Name])
+		minWatchers = min(minWatchers, watchers[a.Name])
 	}
-	t.Logf("streams %d, mean %d, most per entry %d, fewest entries per agent %d", streams, streams/360, most, least)
-	require.GreaterOrEqual(t, least, Default.CoverLocal+Default.CoverRemote)
-	require.Less(t, most, 200)
+	t.Logf("streams %d, mean %d, most per entry %d, fewest entries per agent %d", streams, streams/360, maxStreams, minWatchers)
+	require.GreaterOrEqual(t, minWatchers, Default.CoverLocal+Default.CoverRemote)
+	require.Less(t, maxStreams, 200)
 }
 
-func draw(t *rapid.T) (entries, agents []Member, cfg Config) {
+func drawConfig(t *rapid.T) (entries, agents []Member, cfg Config) {
 	domains := rapid.IntRange(1, 6).Draw(t, "domains")
 	entries = members("entry", rapid.IntRange(1, 30).Draw(t, "entries"), domains, 1)
 	agents = members("vm", rapid.IntRange(1, 80).Draw(t, "agents"), domains, rapid.IntRange(1, 3).Draw(t, "pools"))
 	cfg = Config{Local: 3, Remote: 1, CoverLocal: 2, CoverRemote: 1}
 	// All properties hold for an entry that owns steps as well.
-	cfg.Wide = map[string]int{"pool-0": rapid.IntRange(0, 9).Draw(t, "wide")}
+	cfg.MinPicks = map[string]int{"pool-0": rapid.IntRange(0, 9).Draw(t, "wide")}
 	return entries, agents, cfg
 }
 
 func TestEveryAgentIsCovered(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		entries, agents, cfg := draw(t)
-		cover := map[string]int{}
+		entries, agents, cfg := drawConfig(t)
+		watchers := map[string]int{}
 		for _, e := range entries {
 			for _, name := range Choose(e, entries, agents, cfg) {
-				cover[name]++
+				watchers[name]++
 			}
 		}
 		want := min(cfg.CoverLocal+cfg.CoverRemote, len(entries))
 		for _, a := range agents {
 			local := countDomain(entries, a.FailureDomain)
-			reach := min(cfg.CoverLocal, local) + min(cfg.CoverRemote+max(0, cfg.CoverLocal-local), len(entries)-local)
-			if cover[a.Name] < min(want, reach) {
-				t.Fatalf("%s is watched by %d entries", a.Name, cover[a.Name])
+			reachable := min(cfg.CoverLocal, local) + min(cfg.CoverRemote+max(0, cfg.CoverLocal-local), len(entries)-local)
+			if watchers[a.Name] < min(want, reachable) {
+				t.Fatalf("%s is watched by %d entries", a.Name, watchers[a.Name])
 			}
 		}
 	})
 }
 
-func TestEveryPoolIsReached(t *testing.T) {
+func TestEveryGroupGetsItsPicks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		entries, agents, cfg := draw(t)
+		entries, agents, cfg := drawConfig(t)
 		chosen := Choose(entries[0], entries, agents, cfg)
-		have := map[group]int{}
+		chosenCount := map[group]int{}
 		size := map[group]int{}
 		for _, a := range agents {
 			g := group{a.FailureDomain, a.Pool}
 			size[g]++
 			if slices.Contains(chosen, a.Name) {
-				have[g]++
+				chosenCount[g]++
 			}
 		}
 		for g, n := range size {
@@ -96,8 +96,8 @@
 			if g.domain == entries[0].FailureDomain {
 				want = cfg.Local
 			}
-			want = max(want, cfg.Wide[g.pool])
-			require.GreaterOrEqual(t, have[g], min(want, n))
+			want = max(want, cfg.MinPicks[g.pool])
+			require.GreaterOrEqual(t, chosenCount[g], min(want, n))
 		}
 	})
 }
@@ -105,14 +105,14 @@
 // A VM is replaced 200 times a day. If the choice were by position in the
 // list, one new VM would move most streams of all entries at once; by
 // rendezvous only its own place changes.
-func TestReplacedMembersMoveLittle(t *testing.T) {
+func TestReplacedMembersMoveFewStreams(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		entries, agents, cfg := draw(t)
+		entries, agents, cfg := drawConfig(t)
 		self := entries[0]
 		before := Choose(self, entries, agents, cfg)
-		gone := rapid.IntRange(0, len(agents)-1).Draw(t, "gone")
-		after := Choose(self, entries, slices.Delete(slices.Clone(agents), gone, gone+1), cfg)
-		require.LessOrEqual(t, changes(before, after), 2, "agent replaced")
+		removed := rapid.IntRange(0, len(agents)-1).Draw(t, "gone")
+		after := Choose(self, entries, slices.Delete(slices.Clone(agents), removed, removed+1), cfg)
+		require.LessOrEqual(t, countChanges(before, after), 2, "agent replaced")
 		if len(entries) > 1 {
 			fewer := slices.Delete(slices.Clone(entries), len(entries)-1, len(entries))
 			after = Choose(self, fewer, agents, cfg)
@@ -125,7 +125,7 @@
 
 func TestOrderOfListsDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		entries, agents, cfg := draw(t)
+		entries, agents, cfg := drawConfig(t)
 		want := Choose(entries[0], entries, agents, cfg)
 		got := Choose(entries[0], rapid.Permutation(entries).Draw(t, "e"), rapid.Permutation(agents).Draw(t, "a"), cfg)
 		require.Equal(t, want, got)
@@ -136,9 +136,9 @@
 // engines stand idle outside of the entry's subset: the step needs 62.5 of
 // 1,500 for itself and the entry watches 46. While it owns the step, its pool
 // is wide enough; no stream that it had moves, and other pools stay as they are.
-func TestStepOwnersSeeTheirShare(t *testing.T) {
+func TestStepOwnersWatchTheirShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		entries, agents, cfg := draw(t)
+		entries, agents, cfg := drawConfig(t)
 		trainers := rapid.IntRange(0, 30).Draw(t, "trainers")
 		pool := map[string]bool{}
 		for _, a := range agents {
@@ -146,48 +146,48 @@
 				pool[a.Name] = true
 			}
 		}
-		cfg.Wide = nil
-		narrow := Choose(entries[0], entries, agents, cfg)
-		width := Width(entries[0], agents, "pool-0", trainers, cfg)
-		cfg.Wide = map[string]int{"pool-0": width}
-		wider, got := Choose(entries[0], entries, agents, cfg), 0
-		require.Subset(t, wider, narrow)
-		for _, name := range wider {
+		cfg.MinPicks = nil
+		before := Choose(entries[0], entries, agents, cfg)
+		minPicks := PicksForSteps(entries[0], agents, "pool-0", trainers, cfg)
+		cfg.MinPicks = map[string]int{"pool-0": minPicks}
+		after, inPool := Choose(entries[0], entries, agents, cfg), 0
+		require.Subset(t, after, before)
+		for _, name := range after {
 			if pool[name] {
-				got++
+				inPool++
 			} else {
-				require.Contains(t, narrow, name, "of another pool")
+				require.Contains(t, before, name, "of another pool")
 			}
 		}
-		require.GreaterOrEqual(t, got*max(1, trainers), min(stepShare, max(1, trainers))*len(pool))
-		require.LessOrEqual(t, width, max(cfg.Remote, len(pool)))
+		require.GreaterOrEqual(t, inPool*max(1, trainers), min(stepShareFactor, max(1, trainers))*len(pool))
+		require.LessOrEqual(t, minPicks, max(cfg.Remote, len(pool)))
 	})
 	entries, agents := members("entry", 360, 24, 1), members("vm", 1500, 24, 1)
-	cfg, most, least := Default, 0, len(agents)
+	cfg, maxWatched, minWatched := Default, 0, len(agents)
 	for _, e := range entries {
-		cfg.Wide = map[string]int{"pool-0": Width(e, agents, "pool-0", 24, Default)}
+		cfg.MinPicks = map[string]int{"pool-0": PicksForSteps(e, agents, "pool-0", 24, Default)}
 		n := len(Choose(e, entries, agents, cfg))
-		most, least = max(most, n), min(least, n)
+		maxWatched, minWatched = max(maxWatched, n), min(minWatched, n)
 	}
-	t.Logf("an owner of steps watches %d to %d of 1,500", least, most)
-	require.GreaterOrEqual(t, least, 125)
-	require.Less(t, most, 150)
+	t.Logf("an owner of steps watches %d to %d of 1,500", minWatched, maxWatched)
+	require.GreaterOrEqual(t, minWatched, 125)
+	require.Less(t, maxWatched, 150)
 }
 
 // A trainer's steps follow each other within seconds, VMs come and go. If the
 // subset followed each of these, some 90 streams would be opened and closed
 // every time; it gets wider at once and narrower only long after the last step.
-func TestWideningHolds(t *testing.T) {
-	var w Widening
+func TestRaisedPicksAreHeld(t *testing.T) {
+	var w RaisedPicks
 	start := time.Now()
-	require.False(t, w.Need(start, nil))
-	require.True(t, w.Need(start, map[string]int{"a": 5}))
-	require.False(t, w.Need(start, map[string]int{"a": 4}), "narrower while steps are owned")
-	require.True(t, w.Need(start, map[string]int{"a": 6}))
-	require.False(t, w.Need(start.Add(wideHold), nil), "just after the last step")
-	require.Equal(t, map[string]int{"a": 6}, w.Wide())
-	require.True(t, w.Need(start.Add(wideHold+1), nil))
-	require.Empty(t, w.Wide())
+	require.False(t, w.Update(start, nil))
+	require.True(t, w.Update(start, map[string]int{"a": 5}))
+	require.False(t, w.Update(start, map[string]int{"a": 4}), "narrower while steps are owned")
+	require.True(t, w.Update(start, map[string]int{"a": 6}))
+	require.False(t, w.Update(start.Add(raisedHold), nil), "just after the last step")
+	require.Equal(t, map[string]int{"a": 6}, w.MinPicks())
+	require.True(t, w.Update(start.Add(raisedHold+1), nil))
+	require.Empty(t, w.MinPicks())
 }
 
 func countDomain(members []Member, domain string) int {
@@ -200,7 +200,7 @@
 	return n
 }
 
-func changes(before, after []string) int {
+func countChanges(before, after []string) int {
 	n := 0
 	for _, name := range before {
 		if !slices.Contains(after, name) {
--- a/entry/fleet/agents.go
+++ b/entry/fleet/agents.go
@@ -88,7 +88,7 @@
 	pools   map[string]string
 	learnt  bool // pools changed since the subset was chosen
 	dirty   bool // a load report waits to be published
-	wide    subset.Widening
+	wide    subset.RaisedPicks
 	closing bool
 	watches sync.WaitGroup
 }
@@ -198,7 +198,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	cfg := a.cfg.Subset
-	cfg.Wide = a.wide.Wide()
+	cfg.MinPicks = a.wide.MinPicks()
 	return cfg
 }
 
@@ -214,12 +214,12 @@
 		self := subset.Member{Name: a.cfg.Name, FailureDomain: a.cfg.FailureDomain}
 		for _, model := range models {
 			pool := ModelPool(model)
-			widths[pool] = subset.Width(self, agents, pool, a.trainers(model), a.cfg.Subset)
+			widths[pool] = subset.PicksForSteps(self, agents, pool, a.trainers(model), a.cfg.Subset)
 		}
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.wide.Need(now, widths)
+	return a.wide.Update(now, widths)
 }
 
 // trainers counts the trainers of a model.
--- a/entry/fleet/pace_test.go
+++ b/entry/fleet/pace_test.go
@@ -162,7 +162,7 @@
 	owned <- nil
 	require.False(t, a.widen(time.Now()), "narrows at once")
 	require.True(t, a.widen(time.Now().Add(time.Hour)))
-	require.Empty(t, a.subsetNow().Wide)
+	require.Empty(t, a.subsetNow().MinPicks)
 }
 
 func allIn(members []subset.Member, pool string) bool {
