--- a/decide/admit/admit.go
+++ b/decide/admit/admit.go
@@ -1,14 +1,13 @@
 // Package admit decides which request gets a backend server's next free slot,
-// and which request is refused before it waits in vain.
+// and which request is refused because waiting would be pointless.
 //
 // It is a bounded queue with strict priority classes (the higher number goes
-// first; a small share of starts is kept for the classes below), start-time
-// fair queueing between the callers of a class, and refusals made before
-// queueing from an estimate of the wait.
+// first; a small share of starts is reserved for lower classes), start-time fair
+// queueing between the callers of a class, and early refusals that are based on
+// an estimate of the wait.
 //
-// The package is pure: no clock, no locks, no goroutines. Times are passed in
-// and one goroutine at a time uses a Queue; agent/admission is its concurrent
-// shell.
+// The package has no clock, locks or goroutines. Times are passed in, and a Queue
+// must not be used concurrently; agent/admission wraps it for concurrent use.
 package admit
 
 import (
@@ -20,40 +19,40 @@
 )
 
 const (
-	// DefaultLowerShare is the share of starts that lower classes get while
-	// higher ones wait.
+	// DefaultLowerShare is the share of starts reserved for lower classes while
+	// higher classes have requests waiting.
 	DefaultLowerShare = 0.1
-	// minWeight stands in for a weight that is zero, negative or not a number.
+	// minWeight replaces a weight that is smaller, infinite or not a number.
 	minWeight = 0.01
 )
 
-// Ticket describes one request that asks for a slot.
+// Ticket describes a request that asks for a slot.
 type Ticket struct {
 	ID       string
 	Caller   string
-	Weight   float64 // fair share between the callers of one class
-	Priority int     // the higher class goes first
-	Cost     float64 // expected work in any one unit (requests, tokens); 0 counts as 1
-	Deadline time.Time
+	Weight   float64   // share relative to the other callers of the class
+	Priority int       // the higher class goes first
+	Cost     float64   // expected work, in one unit for all requests (requests or tokens); 0 counts as 1
+	Deadline time.Time // zero: none
 }
 
-// Config sets a queue's bounds.
+// Config sets the bounds of a Queue.
 type Config struct {
-	Slots      int     // requests running at once
-	MaxQueue   int     // requests waiting at most
-	LowerShare float64 // 0: DefaultLowShare
+	Slots      int     // maximum number of running requests
+	MaxQueue   int     // maximum number of waiting requests
+	LowerShare float64 // between 0 and 1, both exclusive; otherwise DefaultLowerShare
 }
 
-// Reason says why a request was refused. Every reason is for a request that
-// has not started.
+// Reason is why a request was refused. A refused request was never started.
 type Reason uint8
 
 const (
-	// Overloaded: the queue is full.
+	// Overloaded means that the queue is full.
 	Overloaded Reason = iota + 1
-	// DeadlineTooShort: the deadline can't be met, or has passed while waiting.
+	// DeadlineTooShort means that the deadline can't be met, or passed while the
+	// request waited.
 	DeadlineTooShort
-	// Leaving: the backend server takes no new work.
+	// Leaving means that the backend server accepts no new work.
 	Leaving
 )
 
@@ -72,63 +71,63 @@
 // Refusal is a decision not to run a request.
 type Refusal struct {
 	Reason     Reason
-	RetryAfter time.Duration // when a repeat has a chance; 0: no advice
-	Wait       time.Duration // the estimated wait that led to it
+	RetryAfter time.Duration // after which a retry may succeed; 0: no advice
+	Wait       time.Duration // estimated wait at refusal; for an expired item, the time that it waited
 }
 
-// Item is a request in the queue's hands, waiting or running.
+// Item is a request that is waiting or running.
 type Item struct {
 	Ticket
-	// Tag is the user's own.
+	// Tag is data of the package's user; the queue does not read it.
 	Tag any
 
 	queued  time.Time
 	started time.Time
 	flow    *flow
-	element *list.Element // in flow.items while waiting
+	element *list.Element // in flow.items while waiting; nil otherwise
 	running bool
 }
 
-// Waiting tells whether the item still waits in the queue.
+// Waiting reports whether the item is still waiting in the queue.
 func (it *Item) Waiting() bool { return it.element != nil }
 
-// Refused is an item that left the queue without a start.
+// Refused is an item that left the queue without being started.
 type Refused struct {
 	Item    *Item
 	Refusal Refusal
 }
 
-// flow is the waiting work of one caller in one class.
+// flow holds the waiting items of one caller in one class.
 type flow struct {
 	caller       string
 	class        *class
 	items        list.List
-	cost         float64 // of all waiting items
+	cost         float64 // sum over the waiting items
 	weight       float64
 	virtualStart float64 // virtual start time of the first item
-	index        int     // in class.heap; -1 when idle
+	index        int     // in class.heap; -1 when no items wait
 }
 
-// class is one priority class.
+// class holds the waiting items of one priority.
 type class struct {
 	priority    int
 	flows       map[string]*flow
 	heap        flowHeap // backlogged flows by virtual start time
-	virtualTime float64  // virtual time: the start tag last served
+	virtualTime float64  // virtual start time of the item started last
 	waiting     int
 	cost        float64
-	lastStart   uint64 // start sequence number of its last start
+	lastStart   uint64 // value of Queue.starts at the last start from this class
 }
 
-// Queue is the bounded queue.
+// Queue is a bounded queue in front of a fixed number of slots.
 type Queue struct {
 	cfg         Config
 	classes     []*class // highest priority first
 	waiting     int
 	running     int
 	leaving     bool
-	starts      uint64
-	lowerCredit float64 // starts that lower classes have earned
+	starts      uint64  // number of items started from the queue
+	lowerCredit float64 // starts that lower classes have earned and not used
 	rate        rate
 }
 
@@ -140,9 +139,9 @@
 	return &Queue{cfg: cfg}
 }
 
-// Offer asks for a slot. Either the item started at once, or it waits, or it
-// is refused. displaced holds items that had to give up their places in a full
-// queue to this one: they did not start.
+// Offer asks for a slot. It returns the item, started or waiting, or else a
+// refusal. displaced are items that were removed from a full queue to make room
+// for this one; they were not started.
 func (q *Queue) Offer(now time.Time, t Ticket, tag any) (it *Item, refusal *Refusal, displaced []Refused) {
 	t = normalize(t)
 	if r := q.earlyRefusal(now, t); r != nil {
@@ -165,7 +164,8 @@
 	return it, nil, displaced
 }
 
-// earlyRefusal decides on what can be refused before it waits.
+// earlyRefusal returns the refusal of a request that can be refused without
+// waiting, or nil. It does not check whether the queue is full.
 func (q *Queue) earlyRefusal(now time.Time, t Ticket) *Refusal {
 	if q.leaving {
 		return &Refusal{Reason: Leaving}
@@ -176,8 +176,8 @@
 	if Expired(now, t.Deadline) {
 		return &Refusal{Reason: DeadlineTooShort}
 	}
-	// A free slot is always given: a mean that went up once could otherwise
-	// refuse everything and would never be measured again.
+	// A free slot is always granted. Otherwise a mean that has become too high
+	// could refuse every request and would never be measured again.
 	if q.waiting == 0 && q.running < q.cfg.Slots {
 		return nil
 	}
@@ -189,8 +189,9 @@
 	return &Refusal{Reason: DeadlineTooShort, RetryAfter: min(late, wait), Wait: wait}
 }
 
-// overloadRefusal advises to come back when half of the queue has drained at the
-// measured rate: a shorter advice would meet the full queue again.
+// overloadRefusal returns a refusal with the advice to retry when half of the
+// queue has drained at the measured rate: after a shorter time the queue would
+// probably be full again.
 func (q *Queue) overloadRefusal(now time.Time) *Refusal {
 	var cost float64
 	for _, c := range q.classes {
@@ -199,8 +200,8 @@
 	return &Refusal{Reason: Overloaded, RetryAfter: q.drainTime(now, cost/2), Wait: q.drainTime(now, cost)}
 }
 
-// Next starts the next item if a slot is free. expired are items whose
-// deadline passed while they waited: they did not start.
+// Next starts the next item if a slot is free, and returns nil otherwise. expired
+// are items whose deadline passed while they waited; they were not started.
 func (q *Queue) Next(now time.Time) (it *Item, expired []Refused) {
 	for q.running < q.cfg.Slots && q.waiting > 0 {
 		it := q.pop()
@@ -214,7 +215,8 @@
 	return nil, expired
 }
 
-// Done frees a running item's slot.
+// Done releases the slot of a running item. It does nothing if the item is not
+// running.
 func (q *Queue) Done(now time.Time, it *Item) {
 	if !it.running {
 		return
@@ -224,7 +226,7 @@
 	q.rate.observeEnd(now, it.started, it.Cost, q.waiting > 0)
 }
 
-// Cancel takes a waiting item out of the queue; false when it no longer waits.
+// Cancel removes a waiting item. It returns false if the item is not waiting.
 func (q *Queue) Cancel(it *Item) bool {
 	if !it.Waiting() {
 		return false
@@ -233,8 +235,8 @@
 	return true
 }
 
-// Leave refuses all new work from now on and returns all that waited. None of
-// it started. Running items go on to their end.
+// Leave makes the queue refuse all new requests and returns the items that were
+// waiting; they were not started. Running items continue.
 func (q *Queue) Leave() []Refused {
 	q.leaving = true
 	var out []Refused
@@ -244,28 +246,31 @@
 	return out
 }
 
-// Rejoin takes new work again after Leave.
+// Rejoin makes the queue accept requests again after Leave.
 func (q *Queue) Rejoin() { q.leaving = false }
 
-// SetSlots changes the number of slots. Fewer slots cut off nothing that runs.
+// SetSlots changes the number of slots. Items that are running continue even if
+// there are fewer slots than that.
 func (q *Queue) SetSlots(n int) { q.cfg.Slots = n }
 
-// SetMaxQueue changes the bound of the queue. What waits already stays.
+// SetMaxQueue changes the maximum number of waiting items. Items that already
+// wait stay.
 func (q *Queue) SetMaxQueue(n int) { q.cfg.MaxQueue = n }
 
 // Slots returns the number of slots.
 func (q *Queue) Slots() int { return q.cfg.Slots }
 
-// Running returns how many items hold a slot.
+// Running returns the number of running items.
 func (q *Queue) Running() int { return q.running }
 
-// Waiting returns how many items wait.
+// Waiting returns the number of waiting items.
 func (q *Queue) Waiting() int { return q.waiting }
 
-// Expired tells whether a deadline has passed by the monotonic or by the wall
-// clock. The monotonic clock stands still while a VM is suspended: an agent
-// that looked at it alone would start work whose caller gave up long ago. A
-// wall clock that was set forward refuses too early, which is harmless.
+// Expired reports whether the deadline has passed by the monotonic or by the wall
+// clock; a zero deadline never passes. The monotonic clock stops while a VM is
+// suspended: an agent that checked it alone would start work that the caller gave
+// up long ago. A wall clock that is set forward causes an early refusal, which is
+// harmless.
 func Expired(now, deadline time.Time) bool {
 	if deadline.IsZero() {
 		return false
@@ -273,6 +278,7 @@
 	return !now.Before(deadline) || !now.Round(0).Before(deadline.Round(0))
 }
 
+// normalize replaces a weight or cost that can't be used in computations.
 func normalize(t Ticket) Ticket {
 	if !(t.Weight >= minWeight) || math.IsInf(t.Weight, 1) {
 		t.Weight = minWeight
@@ -283,6 +289,7 @@
 	return t
 }
 
+// startItem gives the item a slot.
 func (q *Queue) startItem(now time.Time, it *Item) {
 	it.running = true
 	it.started = now
@@ -292,6 +299,7 @@
 	}
 }
 
+// push adds an item to the waiting items of its caller and class.
 func (q *Queue) push(it *Item) {
 	c := q.classFor(it.Priority)
 	f := c.flows[it.Caller]
@@ -301,7 +309,7 @@
 	}
 	f.weight = it.Weight
 	if f.items.Len() == 0 {
-		// A caller that was idle has no claim on the past.
+		// An idle caller earns no share for the time that it was idle.
 		f.virtualStart = max(f.virtualStart, c.virtualTime)
 		heap.Push(&c.heap, f)
 	}
@@ -313,7 +321,7 @@
 	q.waiting++
 }
 
-// pop takes the item whose turn it is.
+// pop removes and returns the next item to start.
 func (q *Queue) pop() *Item {
 	c := q.chooseClass()
 	f := c.heap[0]
@@ -326,9 +334,10 @@
 	return it
 }
 
-// chooseClass picks the class: the highest that waits, but for the share of starts
-// that the classes below have earned. Of those, the one longest without a
-// start is next, so that each gets its turn and none starves.
+// chooseClass returns the class to start from: the highest one with waiting
+// items, except for the share of starts that is reserved for lower classes. Among
+// the lower classes it is the one whose last start is the longest ago, so that
+// none of them starves.
 func (q *Queue) chooseClass() *class {
 	var highest, lowerClass *class
 	for _, c := range q.classes {
@@ -351,7 +360,7 @@
 	return lowerClass
 }
 
-// remove takes a waiting item out of all counts.
+// remove removes a waiting item and updates all counts.
 func (q *Queue) remove(it *Item) {
 	f, c := it.flow, it.flow.class
 	f.items.Remove(it.element)
@@ -367,8 +376,8 @@
 	f.cost = 0
 	heap.Remove(&c.heap, f.index)
 	if c.waiting == 0 {
-		// The end of a busy period: shares of the past are forgotten and the
-		// memory of idle callers with them.
+		// The busy period of this class has ended: past shares no longer count, and
+		// the entries of idle callers are released.
 		clear(c.flows)
 		c.cost, c.virtualTime = 0, 0
 		return
@@ -378,6 +387,7 @@
 	}
 }
 
+// classFor returns the class of a priority and creates it if needed.
 func (q *Queue) classFor(priority int) *class {
 	i, ok := slices.BinarySearchFunc(q.classes, priority, func(c *class, p int) int { return p - c.priority })
 	if ok {
@@ -388,8 +398,8 @@
 	return c
 }
 
-// flowHeap orders flows by virtual start time, then by name so that equal
-// queues decide alike.
+// flowHeap orders flows by virtual start time, then by caller name so that the
+// order is deterministic.
 type flowHeap []*flow
 
 func (h flowHeap) Len() int { return len(h) }
--- a/decide/admit/admit_test.go
+++ b/decide/admit/admit_test.go
@@ -13,10 +13,10 @@
 
 var epoch = time.Unix(1_700_000_000, 0)
 
-// A caller that was refused repeats its request elsewhere. If the queue had
-// started a refused request, or lost one that it took, the caller would get
-// two runs or none. The run mixes offers, ends, cancels, fewer and more slots
-// and a leave; each request must end in exactly one way.
+// A caller sends a refused request to another server. If the queue had started a
+// refused request, or lost an accepted one, the caller would get two runs or none.
+// The test mixes offers, ends, cancellations, changes of the slot count and Leave;
+// each request must have exactly one outcome.
 func TestEveryRequestHasExactlyOneOutcome(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := epoch
@@ -40,8 +40,8 @@
 				if it == nil {
 					return
 				}
-				require.LessOrEqual(t, q.Running(), slots, "a start beyond the slots")
-				require.True(t, it.Deadline.IsZero() || now.Before(it.Deadline), "a start after the deadline")
+				require.LessOrEqual(t, q.Running(), slots, "started more items than there are slots")
+				require.True(t, it.Deadline.IsZero() || now.Before(it.Deadline), "started after the deadline")
 				end(it, "started")
 				running = append(running, it)
 			}
@@ -68,7 +68,7 @@
 					waiting = append(waiting, it)
 					continue
 				}
-				require.LessOrEqual(t, q.Running(), slots, "a start beyond the slots")
+				require.LessOrEqual(t, q.Running(), slots, "started more items than there are slots")
 				end(it, "started")
 				running = append(running, it)
 			case op < 7 && len(running) > 0:
@@ -91,15 +91,15 @@
 		}
 		refuse(q.Leave())
 		for _, it := range waiting {
-			require.NotEmpty(t, outcomes[it.ID], "%s was taken and lost", it.ID)
+			require.NotEmpty(t, outcomes[it.ID], "%s was accepted and lost", it.ID)
 		}
 		require.Zero(t, q.Waiting())
 		require.Equal(t, len(running), q.Running())
 	})
 }
 
-// Two trainers share an engine by weight. While both always have work waiting,
-// neither may get ahead of its share by more than one request of each: this is
+// Three callers share an engine by weight. While all of them have work waiting,
+// none may get ahead of another's share by more than one request of each: this is
 // the bound of start-time fair queueing.
 func TestWeightedSharesDeviateWithinBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -136,9 +136,9 @@
 	})
 }
 
-// Application calls go before a step's samples. When they never stop, the
-// lower classes must still get their share of starts, each class its own:
-// otherwise a trainer's step never ends.
+// Application calls have priority over the samples of a step. While they keep
+// arriving, each lower class must still get its share of starts; otherwise a
+// trainer's step never ends.
 func TestLowerClassesAreNotStarved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		lower := rapid.IntRange(1, 4).Draw(t, "lower")
@@ -171,13 +171,14 @@
 				require.LessOrEqual(t, n, bound, "class %d starves", p)
 			}
 		}
-		require.GreaterOrEqual(t, highestStarts, int(starts*(1-DefaultLowerShare))-1, "the share is a bound for the top class too")
+		require.GreaterOrEqual(t, highestStarts, int(starts*(1-DefaultLowerShare))-1, "the lower classes get more than their share")
 	})
 }
 
-// One caller fills the queue with its step before another's first request
-// comes. Refusing the other would starve it however fair the starts are: the
-// newest request of the biggest caller gives up its place, not run.
+// One caller fills the queue with its step before another caller's first request
+// arrives. Refusing that request would starve the second caller, however fair the
+// order of starts is. Instead the newest request of the largest caller loses its
+// place without being run.
 func TestFullQueueDisplacesLargestCaller(t *testing.T) {
 	q := New(Config{Slots: 1, MaxQueue: 10})
 	for range 11 {
@@ -193,17 +194,18 @@
 	require.Len(t, displaced, 1)
 	require.Equal(t, "step", displaced[0].Item.Caller)
 
-	// A higher class takes places too, but leaves the lower one its room.
+	// A higher class displaces items too, except for the lower class's reserved places.
 	for range 30 {
 		q.Offer(epoch, Ticket{Caller: "urgent", Weight: 1, Priority: 5}, nil)
 	}
 	require.Equal(t, 10, q.Waiting())
-	require.Equal(t, 1, q.classes[len(q.classes)-1].waiting, "a tenth of the places stays with the class below")
+	require.Equal(t, 1, q.classes[len(q.classes)-1].waiting, "a tenth of the places is reserved for the lower class")
 }
 
-// A request that can't be met is refused before it waits, with the time when a
-// repeat has a chance; one that can be met is taken; and a free slot is given
-// whatever the mean says, else one slow hour would refuse everything for ever.
+// A request whose deadline can't be met is refused before it waits, with the time
+// after which a retry may succeed; one that can be met is accepted. A free slot is
+// granted whatever the mean says; otherwise one slow hour would cause refusals
+// forever.
 func TestUnreachableDeadlineIsRefusedBeforeQueueing(t *testing.T) {
 	q := New(Config{Slots: 1, MaxQueue: 100})
 	now := epoch
@@ -224,7 +226,7 @@
 	_, refusal, _ = q.Offer(now, Ticket{Deadline: now.Add(3 * time.Second)}, nil)
 	require.Nil(t, refusal)
 
-	// The server stands still: nothing ends, so the estimate must grow by itself.
+	// The server is stalled and nothing ends, so the estimate must grow with time.
 	_, refusal, _ = q.Offer(now.Add(10*time.Second), Ticket{Deadline: now.Add(13 * time.Second)}, nil)
 	require.Equal(t, DeadlineTooShort, refusal.Reason)
 
@@ -234,16 +236,16 @@
 	require.Nil(t, refusal)
 }
 
-// A VM was suspended: the monotonic clock did not move, the caller's deadline
-// passed long ago. Either clock alone must be enough to say so.
+// A VM was suspended: its monotonic clock did not advance, and the caller's
+// deadline passed long ago. Either clock alone must be enough to detect this.
 func TestExpiredByEitherClock(t *testing.T) {
 	now := time.Now()
 	deadline := now.Add(time.Second)
 	require.False(t, Expired(now, deadline))
 	require.True(t, Expired(now.Add(time.Second), deadline))
 	suspended := now
-	// A time.Time's first word holds the wall clock's seconds from bit 30 on;
-	// the monotonic reading, in the second word, stays.
+	// The first word of a time.Time holds the wall clock's seconds from bit 30 on;
+	// the monotonic reading, in the second word, is not changed.
 	*(*uint64)(unsafe.Pointer(&suspended)) += 2 << 30
 	require.Equal(t, 2*time.Second, suspended.Round(0).Sub(now.Round(0)))
 	require.Zero(t, suspended.Sub(now))
@@ -274,11 +276,11 @@
 	}
 }
 
-// Callers hear deadline_too_short from a server that would serve them in 10 ms,
-// and entries route around it. Order: the server stalls once for a minute while
-// somebody waits; from then on it is fast. The gap between two ends is measured
-// only while others wait, and whoever would wait is refused by the old measure:
-// it is never measured again, however many requests run meanwhile.
+// The server stalls once for a minute while a request waits, and is fast from then
+// on. The gap between two ends is measured only while others wait, and every
+// request that would wait is refused because of the old gap, so that the gap is
+// never measured again. Callers then get deadline_too_short from a server that
+// would serve them in 10 ms, and entries avoid it.
 func TestOneStallDoesNotInflateLaterEstimates(t *testing.T) {
 	q := New(Config{Slots: 1, MaxQueue: 10})
 	now := time.Unix(1e6, 0)
--- a/decide/admit/displace.go
+++ b/decide/admit/displace.go
@@ -2,14 +2,15 @@
 
 import "math"
 
-// chooseVictim picks the waiting item that gives up its place in a full queue to a
-// new one, or nil when the new one has no better claim. Without it a caller
-// that fills the queue would shut all others out, whatever their weight or
-// priority: fairness between those that wait is not enough.
+// chooseVictim returns the waiting item that is removed from a full queue to make
+// room for a new one, or nil if the new one is refused instead. Without
+// displacement, a caller that fills the queue would exclude all others, whatever
+// their weight or priority: fairness among waiting items alone is not enough.
 //
-//   - Work of a lower class goes first, but for the room that lower classes keep.
-//   - Within a class the caller with the most waiting work per weight goes first.
-//   - Classes below the top take back their room from the classes above.
+//   - Items of a lower class are displaced first, down to the places that are
+//     reserved for lower classes.
+//   - Within a class, the caller with the most waiting items per weight loses one.
+//   - Lower classes reclaim their reserved places from higher ones.
 func (q *Queue) chooseVictim(t Ticket) *Item {
 	if q.cfg.MaxQueue <= 0 {
 		return nil
@@ -38,8 +39,9 @@
 	return nil
 }
 
-// fairVictim picks from the same class the caller that holds clearly more
-// places per weight than the new item's caller would.
+// fairVictim returns an item of the caller with the most waiting items per weight
+// in the same class. It returns nil if that is the new item's caller, or if it
+// would keep fewer items per weight than the new item's caller would have.
 func (q *Queue) fairVictim(t Ticket) *Item {
 	c := q.classFor(t.Priority)
 	ownItems := 1.0
@@ -56,8 +58,8 @@
 	return f.items.Back().Value.(*Item)
 }
 
-// newestOfLowest picks the newest item of the biggest caller in the lowest class that
-// qualifies.
+// newestOfLowest returns the newest item of the largest flow in the lowest class
+// that qualifies.
 func (q *Queue) newestOfLowest(qualifies func(*class) bool) *Item {
 	for i := len(q.classes) - 1; i >= 0; i-- {
 		c := q.classes[i]
@@ -71,7 +73,8 @@
 	return nil
 }
 
-// largestFlow is the flow with the most waiting items per weight.
+// largestFlow returns the flow with the most waiting items per weight; nil if no
+// item waits.
 func (c *class) largestFlow() *flow {
 	var largest *flow
 	for _, f := range c.heap {
--- a/decide/admit/estimate.go
+++ b/decide/admit/estimate.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// smoothing is the weight of a new measurement in the moving means.
+// smoothing is the weight of a new measurement in the moving averages.
 const smoothing = 0.1
 
 // maxEstimate bounds every estimate, so that sums can't overflow.
 const maxEstimate = time.Hour
 
-// rate measures how fast the server works, as ratios of exponentially
-// weighted means: time over cost.
+// rate measures how fast the server works, as time per cost: ratios of
+// exponentially weighted moving averages.
 type rate struct {
-	serviceSeconds, serviceCost float64 // per item: seconds from start to end, cost
-	gapSeconds, gapCost         float64 // between ends while others waited
-	lastEnd                     time.Time
+	serviceSeconds, serviceCost float64   // per item: time from start to end, cost
+	gapSeconds, gapCost         float64   // per item: time since the previous end while others waited, cost
+	lastEnd                     time.Time // last end, or when the last free slot was taken; zero if no item waited at the last end
 }
 
-// observeSaturation notes that the last free slot was taken.
+// observeSaturation records that the last free slot was taken.
 func (r *rate) observeSaturation(now time.Time) {
 	if r.lastEnd.IsZero() {
 		r.lastEnd = now
 	}
 }
 
-// observeEnd measures an item's end. waited tells whether others wait for its slot:
-// only then does the time between two ends tell the drain rate.
+// observeEnd records the end of an item. othersWait reports whether items wait for
+// its slot: only then does the time between two ends measure the drain rate.
 func (r *rate) observeEnd(now, started time.Time, cost float64, othersWait bool) {
 	updateMean(&r.serviceSeconds, now.Sub(started).Seconds())
 	updateMean(&r.serviceCost, cost)
@@ -42,6 +42,7 @@
 	r.lastEnd = now
 }
 
+// updateMean updates a moving average; the first measurement counts in full.
 func updateMean(m *float64, x float64) {
 	if *m == 0 {
 		*m = x
@@ -50,7 +51,8 @@
 	*m += smoothing * (x - *m)
 }
 
-// serviceTime is the expected time from start to end of an item of this cost.
+// serviceTime returns the expected time from start to end of an item of this
+// cost; 0 if nothing has been measured.
 func (r *rate) serviceTime(cost float64) time.Duration {
 	if r.serviceCost == 0 {
 		return 0
@@ -58,7 +60,8 @@
 	return toDuration(cost * r.serviceSeconds / r.serviceCost)
 }
 
-// secondsPerCost is the time in seconds in which one unit of waiting cost is started.
+// secondsPerCost returns the expected time, in seconds, in which one unit of
+// waiting cost is started; 0 if nothing has been measured.
 func (r *rate) secondsPerCost(slots int) float64 {
 	if r.serviceCost == 0 {
 		return 0
@@ -67,25 +70,28 @@
 	if r.gapCost == 0 {
 		return one / float64(max(1, slots))
 	}
-	// While something runs an item ends within a service time. The gap is
-	// measured only while others wait, and none wait who are refused by it: it
-	// must not outlive what the service time has since shown.
+	// While something runs, an item ends at least once per service time. The gap
+	// is measured only while others wait, and a request that is refused because
+	// of it does not wait. The service time therefore bounds the gap; otherwise a
+	// gap that was long once would never be measured again.
 	return min(r.gapSeconds/r.gapCost, one)
 }
 
-// drainTime is the expected time until this much waiting cost has been started.
+// drainTime returns the expected time until this much waiting cost has been
+// started.
 func (q *Queue) drainTime(now time.Time, cost float64) time.Duration {
 	r := &q.rate
 	d := toDuration(cost * r.secondsPerCost(q.cfg.Slots))
 	if !r.lastEnd.IsZero() {
-		// A server that stands still ends nothing and so measures nothing: the
-		// time without an end beyond a usual service time counts as wait.
+		// If the server is stalled, no item ends and nothing is measured. The time
+		// since the last end, beyond a mean service time, is added to the wait.
 		d += max(0, now.Sub(r.lastEnd)-toDuration(r.serviceSeconds))
 	}
 	return min(d, maxEstimate)
 }
 
-// Wait estimates how long a request that comes now would wait for its slot.
+// Wait returns the estimated time that a request offered now would wait for a
+// slot.
 func (q *Queue) Wait(now time.Time, t Ticket) time.Duration {
 	if q.waiting == 0 && q.running < q.cfg.Slots {
 		return 0
@@ -94,7 +100,7 @@
 	return q.drainTime(now, q.costAhead(t)+t.Cost)
 }
 
-// costAhead is the cost of the waiting work that would start before t.
+// costAhead returns the cost of the waiting items that would start before t.
 func (q *Queue) costAhead(t Ticket) float64 {
 	var higher, lower, same float64
 	for _, c := range q.classes {
@@ -111,9 +117,9 @@
 	return ahead + min(lower, ahead*q.cfg.LowerShare/(1-q.cfg.LowerShare))
 }
 
-// costAhead is the cost in this class that starts before a new item of t's caller:
-// the caller's own backlog and of each other caller what its share gives it
-// until then.
+// costAhead returns the cost of the items in this class that would start before a
+// new item of t's caller: all waiting items of that caller, and of every other
+// caller as much as its share allows until then.
 func (c *class) costAhead(t Ticket) float64 {
 	start := c.virtualTime
 	var own float64
@@ -132,6 +138,7 @@
 	return sum
 }
 
+// toDuration converts seconds to a duration of at most maxEstimate.
 func toDuration(s float64) time.Duration {
 	if math.IsNaN(s) || s > maxEstimate.Seconds() {
 		return maxEstimate
