--- a/decide/eject/eject.go
+++ b/decide/eject/eject.go
@@ -19,7 +19,7 @@
 	FailureRate float64       // average failure share of an outlier
 	MaxShare    float64       // largest share of a pool that is ejected at once
 	Base        time.Duration // length of a first ejection
-	Longest     time.Duration // bound of any ejection
+	MaxDuration time.Duration // bound of any ejection
 	// Probation follows an ejection: an outlier in it is ejected for twice as long.
 	Probation time.Duration
 }
@@ -27,18 +27,18 @@
 // Default is what entries use unless their settings say otherwise.
 var Default = Config{
 	Alpha: 0.3, MinSamples: 3, Factor: 3, FailureRate: 0.5, MaxShare: 0.34,
-	Base: 5 * time.Second, Longest: 2 * time.Minute, Probation: 30 * time.Second,
+	Base: 5 * time.Second, MaxDuration: 2 * time.Minute, Probation: 30 * time.Second,
 }
 
 // minPool is the smallest pool with a median that means anything.
 const minPool = 3
 
 type member struct {
-	cost, failures float64 // moving averages
-	costs, samples int
-	until          time.Time // ejected until; zero: not ejected
-	probation      time.Time
-	times          int // ejections in a row
+	meanCost, failureRate      float64 // moving averages
+	costSamples, resultSamples int
+	ejectedUntil               time.Time // ejected until; zero: not ejected
+	probationUntil             time.Time
+	ejections                  int // ejections in a row
 }
 
 // Pool judges the servers of one pool.
@@ -52,23 +52,23 @@
 	return &Pool{cfg: cfg, members: map[string]*member{}}
 }
 
-// Served adds a sample of a server's cost: seconds an answer, or seconds a
+// AddCost adds a sample of a server's cost: seconds an answer, or seconds a
 // token. Any unit will do as long as the pool shares it.
-func (p *Pool) Served(name string, cost float64) {
+func (p *Pool) AddCost(name string, cost float64) {
 	m := p.member(name)
-	m.costs++
-	m.cost += (cost - m.cost) * p.alpha(m.costs)
+	m.costSamples++
+	m.meanCost += (cost - m.meanCost) * p.alpha(m.costSamples)
 }
 
-// Ended adds how a piece of work ended.
-func (p *Pool) Ended(name string, failed bool) {
+// AddResult adds how a piece of work ended.
+func (p *Pool) AddResult(name string, failed bool) {
 	m := p.member(name)
-	m.samples++
+	m.resultSamples++
 	value := 0.0
 	if failed {
 		value = 1
 	}
-	m.failures += (value - m.failures) * p.cfg.Alpha
+	m.failureRate += (value - m.failureRate) * p.cfg.Alpha
 }
 
 // Forget drops what is known of a server, for one that was started anew.
@@ -88,25 +88,25 @@
 	return m
 }
 
-// Judge returns the ejected ones of the pool's present members. Servers that
+// Evaluate returns the ejected ones of the pool's present members. Servers that
 // are no longer members are forgotten.
-func (p *Pool) Judge(now time.Time, members []string) map[string]bool {
-	p.forgetOthers(members)
+func (p *Pool) Evaluate(now time.Time, members []string) map[string]bool {
+	p.forgetAbsent(members)
 	for _, name := range members {
 		p.readmit(p.member(name), now)
 	}
 	ejected := map[string]bool{}
 	for _, name := range members {
-		if !p.members[name].until.IsZero() {
+		if !p.members[name].ejectedUntil.IsZero() {
 			ejected[name] = true
 		}
 	}
-	room := int(p.cfg.MaxShare * float64(len(members)))
+	maxEjected := int(p.cfg.MaxShare * float64(len(members)))
 	if len(members) < minPool {
 		return ejected
 	}
 	for _, name := range p.outliers(members) {
-		if len(ejected) >= room {
+		if len(ejected) >= maxEjected {
 			break
 		}
 		p.eject(p.members[name], now)
@@ -115,7 +115,7 @@
 	return ejected
 }
 
-func (p *Pool) forgetOthers(members []string) {
+func (p *Pool) forgetAbsent(members []string) {
 	present := make(map[string]bool, len(members))
 	for _, name := range members {
 		present[name] = true
@@ -130,39 +130,39 @@
 // readmit ends an ejection whose time is over. The old samples go, or they
 // would eject the server again before it had served anything.
 func (p *Pool) readmit(m *member, now time.Time) {
-	if !m.until.IsZero() && !now.Before(m.until) {
-		*m = member{probation: now.Add(p.cfg.Probation), times: m.times}
+	if !m.ejectedUntil.IsZero() && !now.Before(m.ejectedUntil) {
+		*m = member{probationUntil: now.Add(p.cfg.Probation), ejections: m.ejections}
 	}
-	if !m.probation.IsZero() && now.After(m.probation) {
-		m.probation, m.times = time.Time{}, 0
+	if !m.probationUntil.IsZero() && now.After(m.probationUntil) {
+		m.probationUntil, m.ejections = time.Time{}, 0
 	}
 }
 
 func (p *Pool) eject(m *member, now time.Time) {
-	length := p.cfg.Base << min(m.times, 16)
-	m.until = now.Add(min(length, p.cfg.Longest))
-	m.times++
+	length := p.cfg.Base << min(m.ejections, 16)
+	m.ejectedUntil = now.Add(min(length, p.cfg.MaxDuration))
+	m.ejections++
 }
 
 // outliers returns the members to eject, the worst first.
 func (p *Pool) outliers(members []string) []string {
 	median := p.median(members)
 	type outlier struct {
-		name  string
-		worse float64
+		name     string
+		severity float64
 	}
 	var found []outlier
 	for _, name := range members {
 		m := p.members[name]
-		if !m.until.IsZero() {
+		if !m.ejectedUntil.IsZero() {
 			continue
 		}
-		if worse := p.badness(m, median); worse > 0 {
-			found = append(found, outlier{name, worse})
+		if severity := p.severity(m, median); severity > 0 {
+			found = append(found, outlier{name, severity})
 		}
 	}
 	slices.SortFunc(found, func(a, b outlier) int {
-		return cmp.Or(cmp.Compare(b.worse, a.worse), cmp.Compare(a.name, b.name))
+		return cmp.Or(cmp.Compare(b.severity, a.severity), cmp.Compare(a.name, b.name))
 	})
 	out := make([]string, len(found))
 	for i, o := range found {
@@ -171,14 +171,14 @@
 	return out
 }
 
-// badness is above zero for an outlier; failing ranks above slow.
-func (p *Pool) badness(m *member, median float64) float64 {
-	const failing = 1e6
-	if m.samples >= p.cfg.MinSamples && m.failures >= p.cfg.FailureRate {
-		return failing * (1 + m.failures)
+// severity is above zero for an outlier; failing ranks above slow.
+func (p *Pool) severity(m *member, median float64) float64 {
+	const failureFactor = 1e6
+	if m.resultSamples >= p.cfg.MinSamples && m.failureRate >= p.cfg.FailureRate {
+		return failureFactor * (1 + m.failureRate)
 	}
-	if m.costs >= p.cfg.MinSamples && median > 0 && m.cost > p.cfg.Factor*median {
-		return m.cost / median
+	if m.costSamples >= p.cfg.MinSamples && median > 0 && m.meanCost > p.cfg.Factor*median {
+		return m.meanCost / median
 	}
 	return 0
 }
@@ -187,8 +187,8 @@
 func (p *Pool) median(members []string) float64 {
 	var costs []float64
 	for _, name := range members {
-		if m := p.members[name]; m.costs >= p.cfg.MinSamples {
-			costs = append(costs, m.cost)
+		if m := p.members[name]; m.costSamples >= p.cfg.MinSamples {
+			costs = append(costs, m.meanCost)
 		}
 	}
 	if len(costs) < minPool {
--- a/decide/eject/eject_test.go
+++ b/decide/eject/eject_test.go
@@ -11,7 +11,7 @@
 
 var start = time.Unix(1000, 0)
 
-func names(n int) []string {
+func serverNames(n int) []string {
 	all := make([]string, n)
 	for i := range all {
 		all[i] = fmt.Sprintf("vm-%d", i)
@@ -19,11 +19,11 @@
 	return all
 }
 
-func serve(p *Pool, members []string, costs ...float64) {
+func addSamples(p *Pool, members []string, costs ...float64) {
 	for range 5 {
 		for i, name := range members {
-			p.Served(name, costs[i])
-			p.Ended(name, false)
+			p.AddCost(name, costs[i])
+			p.AddResult(name, false)
 		}
 	}
 }
@@ -32,51 +32,51 @@
 // gets is a straggler. It is ejected, comes back on probation after the base
 // time, and stays away twice as long when nothing has changed.
 func TestSlowServerIsEjectedThenOnProbation(t *testing.T) {
-	p, members := New(Default), names(6)
-	serve(p, members, 1, 1, 1, 1.5, 0.8, 10)
-	require.Equal(t, map[string]bool{"vm-5": true}, p.Judge(start, members))
-	back := start.Add(Default.Base)
-	require.True(t, p.Judge(back.Add(-1), members)["vm-5"])
-	require.Empty(t, p.Judge(back, members))
-	serve(p, members, 1, 1, 1, 1.5, 0.8, 10)
-	require.True(t, p.Judge(back, members)["vm-5"])
-	require.True(t, p.Judge(back.Add(2*Default.Base-1), members)["vm-5"])
-	recovered := back.Add(2 * Default.Base)
-	require.Empty(t, p.Judge(recovered, members))
-	require.Empty(t, p.Judge(recovered.Add(Default.Probation+1), members))
-	serve(p, members, 1, 1, 1, 1.5, 0.8, 10)
+	p, members := New(Default), serverNames(6)
+	addSamples(p, members, 1, 1, 1, 1.5, 0.8, 10)
+	require.Equal(t, map[string]bool{"vm-5": true}, p.Evaluate(start, members))
+	readmitted := start.Add(Default.Base)
+	require.True(t, p.Evaluate(readmitted.Add(-1), members)["vm-5"])
+	require.Empty(t, p.Evaluate(readmitted, members))
+	addSamples(p, members, 1, 1, 1, 1.5, 0.8, 10)
+	require.True(t, p.Evaluate(readmitted, members)["vm-5"])
+	require.True(t, p.Evaluate(readmitted.Add(2*Default.Base-1), members)["vm-5"])
+	recovered := readmitted.Add(2 * Default.Base)
+	require.Empty(t, p.Evaluate(recovered, members))
+	require.Empty(t, p.Evaluate(recovered.Add(Default.Probation+1), members))
+	addSamples(p, members, 1, 1, 1, 1.5, 0.8, 10)
 	last := recovered.Add(Default.Probation + 1)
-	require.True(t, p.Judge(last, members)["vm-5"])
-	require.Empty(t, p.Judge(last.Add(Default.Base), members), "a served probation shortens the next ejection")
+	require.True(t, p.Evaluate(last, members)["vm-5"])
+	require.Empty(t, p.Evaluate(last.Add(Default.Base), members), "a served probation shortens the next ejection")
 }
 
 func TestFailingServerIsEjected(t *testing.T) {
-	p, members := New(Default), names(4)
+	p, members := New(Default), serverNames(4)
 	for range 2 {
-		p.Ended("vm-2", true)
+		p.AddResult("vm-2", true)
 	}
-	require.Empty(t, p.Judge(start, members), "two samples prove little")
-	p.Ended("vm-2", true)
-	require.Equal(t, map[string]bool{"vm-2": true}, p.Judge(start, members))
+	require.Empty(t, p.Evaluate(start, members), "two samples prove little")
+	p.AddResult("vm-2", true)
+	require.Equal(t, map[string]bool{"vm-2": true}, p.Evaluate(start, members))
 }
 
 // A switch dies and half of the pool looks bad at once. Were all of them
 // ejected, the other half would be overrun: the floor keeps most in use.
-func TestFloorIsKept(t *testing.T) {
+func TestMaxShareIsNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		members := names(rapid.IntRange(1, 30).Draw(t, "n"))
+		members := serverNames(rapid.IntRange(1, 30).Draw(t, "n"))
 		p, now := New(Default), start
 		for range rapid.IntRange(1, 20).Draw(t, "rounds") {
 			for _, name := range members {
 				if rapid.Bool().Draw(t, "failed") {
-					p.Ended(name, true)
-					p.Ended(name, true)
-					p.Ended(name, true)
+					p.AddResult(name, true)
+					p.AddResult(name, true)
+					p.AddResult(name, true)
 				}
-				p.Served(name, rapid.Float64Range(0.1, 100).Draw(t, "cost"))
+				p.AddCost(name, rapid.Float64Range(0.1, 100).Draw(t, "cost"))
 			}
 			now = now.Add(time.Duration(rapid.IntRange(0, 20).Draw(t, "s")) * time.Second)
-			ejected := p.Judge(now, members)
+			ejected := p.Evaluate(now, members)
 			if float64(len(ejected)) > Default.MaxShare*float64(len(members)) {
 				t.Fatalf("%d of %d ejected", len(ejected), len(members))
 			}
@@ -84,9 +84,9 @@
 	})
 }
 
-func TestForgetsServersThatLeft(t *testing.T) {
+func TestServersThatLeftAreForgotten(t *testing.T) {
 	p := New(Default)
-	serve(p, names(6), 1, 1, 1, 1, 1, 1)
-	p.Judge(start, names(2))
+	addSamples(p, serverNames(6), 1, 1, 1, 1, 1, 1)
+	p.Evaluate(start, serverNames(2))
 	require.Len(t, p.members, 2)
 }
--- a/entry/fleet/load.go
+++ b/entry/fleet/load.go
@@ -71,11 +71,11 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	pool := l.pool(poolOf(server.State))
-	pool.Ended(server.Name, outcome == Failed)
+	pool.AddResult(server.Name, outcome == Failed)
 	// An engine's answers differ in length, so that its time per answer says
 	// little; its stream rate is judged instead (heard).
 	if outcome == OK && server.Kind != kindEngine {
-		pool.Served(server.Name, took.Seconds())
+		pool.AddCost(server.Name, took.Seconds())
 	}
 }
 
@@ -91,7 +91,7 @@
 		return
 	}
 	l.sampled[report.Name] = now
-	l.pool(poolOf(report)).Served(report.Name, 1/report.StreamTokensPerS)
+	l.pool(poolOf(report)).AddCost(report.Name, 1/report.StreamTokensPerS)
 }
 
 func (l *loads) pool(name string) *eject.Pool {
@@ -110,7 +110,7 @@
 	defer l.mu.Unlock()
 	out := map[string]bool{}
 	for name, pool := range l.pools {
-		for server := range pool.Judge(now, members[name]) {
+		for server := range pool.Evaluate(now, members[name]) {
 			out[server] = true
 		}
 	}
--- a/gateway/forward/fleet.go
+++ b/gateway/forward/fleet.go
@@ -13,7 +13,7 @@
 // there, so that a server is known within seconds and tried again as soon.
 var ejection = eject.Config{
 	Alpha: 0.3, MinSamples: 3, Factor: 4, FailureRate: 0.5, MaxShare: 0.67,
-	Base: 2 * time.Second, Longest: 10 * time.Second, Probation: 10 * time.Second,
+	Base: 2 * time.Second, MaxDuration: 10 * time.Second, Probation: 10 * time.Second,
 }
 
 // fleet is what this process has learnt about the servers of each service from
@@ -36,7 +36,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	ejected := f.pool(service).Judge(now, ids)
+	ejected := f.pool(service).Evaluate(now, ids)
 	out := make([]route.Candidate, len(servers))
 	for i, s := range servers {
 		out[i] = route.Candidate{
@@ -85,6 +85,6 @@
 		delete(f.inFlight, server)
 	}
 	p := f.pool(service)
-	p.Served(server, took.Seconds())
-	p.Ended(server, failed)
+	p.AddCost(server, took.Seconds())
+	p.AddResult(server, failed)
 }
