--- a/decide/limit/limit.go
+++ b/decide/limit/limit.go
@@ -14,9 +14,9 @@
 
 // Limits are what a caller may use, as the manifest says.
 type Limits struct {
-	Rate       float64 // requests a second; 0: no limit
-	Burst      int     // requests at one moment; 0: one second's worth
-	Concurrent int     // requests at once; 0: no limit
+	Rate          float64 // requests a second; 0: no limit
+	Burst         int     // requests at one moment; 0: one second's worth
+	MaxConcurrent int     // requests at once; 0: no limit
 	// RetryPercent is how many retries a hundred requests earn.
 	RetryPercent float64
 }
@@ -24,95 +24,95 @@
 // Share returns the part of the limits that one of n entries enforces when a
 // balancer spreads a caller's requests over them. Parts round up: a caller
 // gets at least what it was promised.
-func (t Limits) Share(n int) Limits {
+func (l Limits) Share(n int) Limits {
 	if n <= 1 {
-		return t
+		return l
 	}
-	t.Rate /= float64(n)
-	t.Burst = ceilDiv(t.Burst, n)
-	t.Concurrent = ceilDiv(t.Concurrent, n)
-	return t
+	l.Rate /= float64(n)
+	l.Burst = ceilDiv(l.Burst, n)
+	l.MaxConcurrent = ceilDiv(l.MaxConcurrent, n)
+	return l
 }
 
 func ceilDiv(a, n int) int { return (a + n - 1) / n }
 
 // Retry budget.
 const (
-	// retryBurst bounds the retries that a caller may have saved up: enough
+	// maxSavedRetries bounds the retries that a caller may have saved up: enough
 	// for the requests that one lost server held, too few to double a load.
-	retryBurst = 10
-	// concurrencyWait is the advice to a caller at its concurrency limit; when
+	maxSavedRetries = 10
+	// concurrencyRetryAfter is the advice to a caller at its concurrency limit; when
 	// one of its own requests ends is its own to know.
-	concurrencyWait = time.Second
+	concurrencyRetryAfter = time.Second
 )
 
-// Caller holds one caller's use. It is safe for concurrent use.
-type Caller struct {
-	mu      sync.Mutex
-	limits  Limits
-	bucket  *rate.Limiter // nil: no limit
-	running int
-	retries float64
+// Limiter holds one caller's use. It is safe for concurrent use.
+type Limiter struct {
+	mu           sync.Mutex
+	limits       Limits
+	bucket       *rate.Limiter // nil: no limit
+	running      int
+	savedRetries float64
 }
 
 // New returns a caller that has used nothing yet.
-func New(limits Limits, now time.Time) *Caller {
-	c := &Caller{retries: retryBurst}
-	c.set(limits, now)
-	return c
+func New(limits Limits, now time.Time) *Limiter {
+	l := &Limiter{savedRetries: maxSavedRetries}
+	l.applyLimits(limits, now)
+	return l
 }
 
-// Set puts new limits in force; what was used stays used.
-func (c *Caller) Set(limits Limits, now time.Time) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.limits != limits {
-		c.set(limits, now)
+// SetLimits puts new limits in force; what was used stays used.
+func (l *Limiter) SetLimits(limits Limits, now time.Time) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.limits != limits {
+		l.applyLimits(limits, now)
 	}
 }
 
-func (c *Caller) set(limits Limits, now time.Time) {
-	c.limits = limits
+func (l *Limiter) applyLimits(limits Limits, now time.Time) {
+	l.limits = limits
 	if limits.Rate <= 0 {
-		c.bucket = nil
+		l.bucket = nil
 		return
 	}
 	burst := limits.Burst
 	if burst <= 0 {
 		burst = int(math.Ceil(limits.Rate))
 	}
-	if c.bucket == nil {
-		c.bucket = rate.NewLimiter(rate.Limit(limits.Rate), burst)
+	if l.bucket == nil {
+		l.bucket = rate.NewLimiter(rate.Limit(limits.Rate), burst)
 		return
 	}
-	c.bucket.SetLimitAt(now, rate.Limit(limits.Rate))
-	c.bucket.SetBurstAt(now, burst)
+	l.bucket.SetLimitAt(now, rate.Limit(limits.Rate))
+	l.bucket.SetBurstAt(now, burst)
 }
 
 // Admit takes one request in, or refuses it with when to come back. A request
 // that was taken in ends with End.
-func (c *Caller) Admit(now time.Time, held *kinds.Held) *kinds.Error {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.limits.Concurrent > 0 && c.running >= c.limits.Concurrent {
-		return held.Refuse(kinds.RateLimited, "%d requests of this caller are running, its limit here", c.running).
-			WithRetryAfter(concurrencyWait)
+func (l *Limiter) Admit(now time.Time, held *kinds.Held) *kinds.Error {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.limits.MaxConcurrent > 0 && l.running >= l.limits.MaxConcurrent {
+		return held.Refuse(kinds.RateLimited, "%d requests of this caller are running, its limit here", l.running).
+			WithRetryAfter(concurrencyRetryAfter)
 	}
-	if wait := c.take(now); wait > 0 {
-		return held.Refuse(kinds.RateLimited, "over this caller's rate of %.3g requests/s here", c.limits.Rate).
+	if wait := l.takeToken(now); wait > 0 {
+		return held.Refuse(kinds.RateLimited, "over this caller's rate of %.3g requests/s here", l.limits.Rate).
 			WithRetryAfter(wait)
 	}
-	c.running++
-	c.retries = min(retryBurst, c.retries+c.limits.RetryPercent/100)
+	l.running++
+	l.savedRetries = min(maxSavedRetries, l.savedRetries+l.limits.RetryPercent/100)
 	return nil
 }
 
-// take takes a token or tells how long until there is one.
-func (c *Caller) take(now time.Time) time.Duration {
-	if c.bucket == nil {
+// takeToken takes a token or tells how long until there is one.
+func (l *Limiter) takeToken(now time.Time) time.Duration {
+	if l.bucket == nil {
 		return 0
 	}
-	token := c.bucket.ReserveN(now, 1)
+	token := l.bucket.ReserveN(now, 1)
 	wait := token.DelayFrom(now)
 	if wait > 0 {
 		token.CancelAt(now)
@@ -120,21 +120,21 @@
 	return wait
 }
 
-// End ends a request that Admit took in.
-func (c *Caller) End() {
-	c.mu.Lock()
-	c.running--
-	c.mu.Unlock()
+// Release ends a request that Admit took in.
+func (l *Limiter) Release() {
+	l.mu.Lock()
+	l.running--
+	l.mu.Unlock()
 }
 
-// Retry takes one retry from the budget. Without a budget every failing
+// TakeRetry takes one retry from the budget. Without a budget every failing
 // server would multiply its requests onto the others just when they are short.
-func (c *Caller) Retry() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.limits.RetryPercent <= 0 || c.retries < 1 {
+func (l *Limiter) TakeRetry() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.limits.RetryPercent <= 0 || l.savedRetries < 1 {
 		return false
 	}
-	c.retries--
+	l.savedRetries--
 	return true
 }
--- a/decide/limit/limit_test.go
+++ b/decide/limit/limit_test.go
@@ -12,7 +12,7 @@
 
 var start = time.Unix(1000, 0)
 
-func TestRateTellsWhenToComeBack(t *testing.T) {
+func TestRateRefusalHasRetryAfter(t *testing.T) {
 	c := New(Limits{Rate: 2, Burst: 3}, start)
 	for range 3 {
 		require.Nil(t, c.Admit(start, kinds.Hold()))
@@ -26,34 +26,34 @@
 	require.Nil(t, c.Admit(start.Add(wait+time.Millisecond), kinds.Hold()))
 }
 
-func TestConcurrency(t *testing.T) {
-	c := New(Limits{Concurrent: 2}, start)
+func TestConcurrencyLimit(t *testing.T) {
+	c := New(Limits{MaxConcurrent: 2}, start)
 	require.Nil(t, c.Admit(start, kinds.Hold()))
 	require.Nil(t, c.Admit(start, kinds.Hold()))
 	refusal := c.Admit(start, kinds.Hold())
 	require.Equal(t, string(kinds.RateLimited), refusal.Kind())
 	require.Positive(t, refusal.Answer().RetryAfter)
-	c.End()
+	c.Release()
 	require.Nil(t, c.Admit(start, kinds.Hold()))
 }
 
-func TestNewLimitsKeepWhatWasUsed(t *testing.T) {
-	c := New(Limits{Concurrent: 2, Rate: 1, Burst: 1}, start)
+func TestNewLimitsKeepUsage(t *testing.T) {
+	c := New(Limits{MaxConcurrent: 2, Rate: 1, Burst: 1}, start)
 	require.Nil(t, c.Admit(start, kinds.Hold()))
-	c.Set(Limits{Concurrent: 1}, start)
+	c.SetLimits(Limits{MaxConcurrent: 1}, start)
 	require.NotNil(t, c.Admit(start, kinds.Hold()))
-	c.Set(Limits{}, start)
+	c.SetLimits(Limits{}, start)
 	require.Nil(t, c.Admit(start, kinds.Hold()))
 }
 
 func TestShareRoundsUp(t *testing.T) {
-	whole := Limits{Rate: 10, Burst: 4, Concurrent: 7, RetryPercent: 10}
+	whole := Limits{Rate: 10, Burst: 4, MaxConcurrent: 7, RetryPercent: 10}
 	require.Equal(t, whole, whole.Share(1))
-	require.Equal(t, Limits{Rate: 2.5, Burst: 1, Concurrent: 2, RetryPercent: 10}, whole.Share(4))
+	require.Equal(t, Limits{Rate: 2.5, Burst: 1, MaxConcurrent: 2, RetryPercent: 10}, whole.Share(4))
 	require.Equal(t, Limits{}, Limits{}.Share(3))
 }
 
-func TestAdmittedNeverPassTheRate(t *testing.T) {
+func TestAdmittedRequestsNeverExceedRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := Limits{Rate: float64(rapid.IntRange(1, 50).Draw(t, "rate")), Burst: rapid.IntRange(1, 20).Draw(t, "burst")}
 		c, now, admitted := New(limits, start), start, 0
@@ -61,7 +61,7 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 200).Draw(t, "ms")) * time.Millisecond)
 			if c.Admit(now, kinds.Hold()) == nil {
 				admitted++
-				c.End()
+				c.Release()
 			}
 		}
 		limit := float64(limits.Burst) + limits.Rate*now.Sub(start).Seconds()
@@ -74,7 +74,7 @@
 // Every server fails for minutes and each request of a caller wants three
 // retries. With the budget the servers see the requests and a tenth more, not
 // four times the load.
-func TestRetriesDoNotMultiply(t *testing.T) {
+func TestRetriesStayWithinBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		percent := float64(rapid.IntRange(0, 50).Draw(t, "percent"))
 		requests := rapid.IntRange(0, 500).Draw(t, "requests")
@@ -82,13 +82,13 @@
 		for range requests {
 			require.Nil(t, c.Admit(start, kinds.Hold()))
 			for range 3 {
-				if c.Retry() {
+				if c.TakeRetry() {
 					retries++
 				}
 			}
-			c.End()
+			c.Release()
 		}
-		if limit := retryBurst + percent/100*float64(requests); float64(retries) > limit+0.01 {
+		if limit := maxSavedRetries + percent/100*float64(requests); float64(retries) > limit+0.01 {
 			t.Fatalf("%d retries of %d requests", retries, requests)
 		}
 		if percent == 0 && retries > 0 {
--- a/entry/front/front.go
+++ b/entry/front/front.go
@@ -150,8 +150,8 @@
 	if refusal := use.Admit(f.cfg.Now(), r.Held); refusal != nil {
 		return refusal
 	}
-	defer use.End()
-	r.Retry = use.Retry
+	defer use.Release()
+	r.Retry = use.TakeRetry
 	if refusal := f.readBody(w, r); refusal != nil {
 		return refusal
 	}
@@ -161,20 +161,20 @@
 }
 
 // use returns what the caller uses, held to the limits in force.
-func (f *Front) use(caller manifest.Caller) *limit.Caller {
+func (f *Front) use(caller manifest.Caller) *limit.Limiter {
 	limits := limit.Limits{
-		Rate:         caller.Rate,
-		Burst:        caller.Burst,
-		Concurrent:   caller.Concurrent,
-		RetryPercent: caller.RetryPercent,
+		Rate:          caller.Rate,
+		Burst:         caller.Burst,
+		MaxConcurrent: caller.Concurrent,
+		RetryPercent:  caller.RetryPercent,
 	}.Share(f.cfg.Entries())
 	now := f.cfg.Now()
 	used, ok := f.callers.Load(caller.Name)
 	if !ok {
 		used, _ = f.callers.LoadOrStore(caller.Name, limit.New(limits, now))
 	}
-	use := used.(*limit.Caller)
-	use.Set(limits, now)
+	use := used.(*limit.Limiter)
+	use.SetLimits(limits, now)
 	return use
 }
 
