--- a/decide/subset/picks.go
+++ b/decide/subset/picks.go
@@ -6,21 +6,23 @@
 )
 
 const (
-	// stepShareFactor is how many times the fair share of a pool an entry watches
-	// while it owns steps: pool / trainers would do if all of it were free,
-	// and others' work is on it.
+	// stepShareFactor is how many times its fair share of a pool (the pool's size
+	// divided by the number of trainers) an entry watches while it owns steps. The
+	// fair share alone would be enough only if no other work ran on the servers.
 	stepShareFactor = 2
-	// maxStepAgents bounds it, as each watched agent has its cost: at the 24
-	// trainers of docs/CAPACITY.md it is far, with four it is their share.
+	// maxStepAgents limits that number, because each watched agent has a cost. With
+	// the 24 trainers of docs/CAPACITY.md it is far from reached; with four it is
+	// about the fair share of each.
 	maxStepAgents = 384
-	// raisedHold is how long a pool stays wide after the last step's end. Steps
-	// follow each other; without it each would open and close the streams.
+	// raisedHold is how long a pool keeps its raised number of picks after its last
+	// step has ended. Steps follow each other closely; otherwise the streams would
+	// be opened and closed for each step.
 	raisedHold = time.Minute
 )
 
-// PicksForSteps returns how many agents of a pool entry self should pick in each
-// failure domain (Config.Wide) while it owns steps there: a step of one of the
-// pool's trainers must get its share of the servers out of this entry alone.
+// PicksForSteps returns how many agents of the pool entry self must pick in each
+// failure domain (Config.MinPicks) while it owns steps there. A step of one of
+// the pool's trainers must get its share of the servers from this entry alone.
 func PicksForSteps(self Member, agents []Member, pool string, trainers int, cfg Config) int {
 	sizes := map[string]int{}
 	total := 0
@@ -43,7 +45,8 @@
 	}
 }
 
-// picksInDomain is how many agents of a group are picked at a width.
+// picksInDomain returns how many agents of a pool are picked in the entry's own
+// domain (local) or in another one, given the pool's minPicks.
 func picksInDomain(minPicks int, local bool, cfg Config) int {
 	if local {
 		return max(minPicks, cfg.Local)
@@ -51,7 +54,8 @@
 	return max(minPicks, cfg.Remote)
 }
 
-// RaisedPicks remembers which pools an entry keeps wide. The zero value is ready.
+// RaisedPicks remembers for which pools an entry picks more agents than the
+// default. The zero value is ready to use.
 type RaisedPicks struct {
 	pools map[string]raised
 }
@@ -61,10 +65,10 @@
 	until    time.Time
 }
 
-// Update tells the widths that owned steps need now, by pool. A pool that is no
-// longer named stays wide for a while, and none gets narrower before it ends:
-// a pool's size changes with each VM and would move streams each time. It
-// reports whether Wide changed.
+// Update sets the numbers of picks that owned steps need now, by pool. A pool that
+// is no longer listed keeps its number for raisedHold, and no number is lowered
+// before that: a pool's size changes with every VM, and lowering it each time
+// would move streams. Update reports whether MinPicks has changed.
 func (w *RaisedPicks) Update(now time.Time, needed map[string]int) bool {
 	before := w.MinPicks()
 	for pool, held := range w.pools {
@@ -81,7 +85,7 @@
 	return !maps.Equal(before, w.MinPicks())
 }
 
-// MinPicks returns what Config.MinPicks should be.
+// MinPicks returns the value for Config.MinPicks.
 func (w *RaisedPicks) MinPicks() map[string]int {
 	minPicks := make(map[string]int, len(w.pools))
 	for pool, held := range w.pools {
--- a/decide/subset/subset.go
+++ b/decide/subset/subset.go
@@ -1,8 +1,8 @@
-// Package subset decides which agents an entry watches. At full size 360
-// entries before 1,500 servers must not hold 540,000 streams; every entry
-// needs enough servers of each pool, every server enough entries, and a
-// replaced VM must move few streams. The choice is a pure function of the two
-// member lists, so that it needs no coordinator.
+// Package subset decides which agents an entry watches. If each of 360 entries
+// watched all of 1,500 servers, there would be 540,000 streams. With subsets,
+// every entry has enough servers of each pool, every server has enough entries,
+// and the replacement of a VM moves few streams. The choice is a pure function of
+// the two member lists, so that no coordinator is needed.
 package subset
 
 import (
@@ -16,44 +16,48 @@
 type Member struct {
 	Name          string
 	FailureDomain string
-	// Pool is what an agent serves; empty while it is not known. Agents of
-	// unknown pool form a pool of their own: a few are watched until their
-	// first word tells the pool.
+	// Pool is the pool that an agent serves; empty while it is unknown and for
+	// entries. Agents of unknown pool form a pool of their own: a few of them are
+	// watched until their first report names their pool.
 	Pool string
 }
 
-// Config sizes subsets.
+// Config sets the size of subsets.
 type Config struct {
-	// FullBelow: with no more agents than this an entry watches all of them.
+	// FullBelow is the largest number of agents at which every entry watches all
+	// of them.
 	FullBelow int
-	// Local and Remote count the agents of each pool that an entry picks in
-	// its own failure domain and in each other one.
+	// Local and Remote are how many agents of each pool an entry picks in its own
+	// failure domain and in each other one.
 	Local, Remote int
-	// CoverLocal and CoverRemote count the entries that an agent is given in
-	// its own failure domain and elsewhere, whatever the entries picked.
+	// CoverLocal and CoverRemote are how many entries in its own failure domain
+	// and in other ones are assigned to each agent, whatever the entries pick.
 	CoverLocal, CoverRemote int
-	// MinPicks raises Local and Remote of some pools to at least so much. The
-	// order of rank goes on, so that the narrow subset is part of the wide one.
+	// MinPicks raises Local and Remote for some pools to at least this number. The
+	// ranking is the same, so that the larger subset contains the smaller one.
 	MinPicks map[string]int
 }
 
-// Default suits small sites (a full mesh) and the full size alike.
+// Default is a full mesh for small sites and also suits the full size.
 var Default = Config{FullBelow: 48, Local: 12, Remote: 1, CoverLocal: 2, CoverRemote: 1}
 
+// hashedMember is a member with the hash of its name.
 type hashedMember struct {
 	Member
 	hash uint64
 }
 
+// group is the agents of one pool in one failure domain.
 type group struct{ domain, pool string }
 
+// ranked is an agent's index and its rendezvous weight for the entry.
 type ranked struct {
 	index  int
 	weight uint64
 }
 
-// Choose returns the names of the agents that entry self watches, sorted.
-// entries should hold self; it is added where a lagging list misses it.
+// Choose returns the sorted names of the agents that entry self watches. self is
+// added to entries if it is missing, as a list may lag behind.
 func Choose(self Member, entries, agents []Member, cfg Config) []string {
 	if len(agents) <= cfg.FullBelow {
 		return names(agents)
@@ -73,7 +77,7 @@
 	return out
 }
 
-// selectPicks marks the agents that self ranks highest in each pool and domain.
+// selectPicks selects the agents that self ranks highest in each pool and domain.
 func selectPicks(self hashedMember, agents []hashedMember, cfg Config, selected []bool) {
 	groups := map[group][]ranked{}
 	for i := range agents {
@@ -89,9 +93,9 @@
 	}
 }
 
-// selectCovered marks the agents that rank self among their own entries. It is the
-// guarantee that picks can't give: by chance alone some agents would be
-// picked by nobody and stand idle.
+// selectCovered selects the agents that rank self among their assigned entries.
+// selectPicks can't guarantee that every agent is watched: by chance some agents
+// would be picked by no entry and stay idle.
 func selectCovered(self hashedMember, entries, agents []hashedMember, cfg Config, selected []bool) {
 	var local []hashedMember
 	byDomain := map[string][]hashedMember{}
@@ -108,13 +112,13 @@
 			selected[i] = isInTop(self, agent, local, cfg.CoverLocal)
 			continue
 		}
-		// An agent whose domain has too few entries takes more elsewhere.
+		// An agent whose domain has too few entries is assigned more in other domains.
 		n := cfg.CoverRemote + max(0, cfg.CoverLocal-len(local))
 		selected[i] = isInTopOutside(self, agent, entries, n)
 	}
 }
 
-// isInTop tells whether fewer than n entries outrank me for the agent.
+// isInTop reports whether fewer than n entries rank higher than self for the agent.
 func isInTop(self hashedMember, agent *hashedMember, entries []hashedMember, n int) bool {
 	ownWeight, higher := route.Rendezvous(agent.hash, self.hash), 0
 	for i := range entries {
@@ -128,7 +132,7 @@
 	return n > 0
 }
 
-// isInTopOutside is ranksAmong over the entries outside of the agent's domain.
+// isInTopOutside is isInTop over the entries outside the agent's failure domain.
 func isInTopOutside(self hashedMember, agent *hashedMember, entries []hashedMember, n int) bool {
 	ownWeight, higher := route.Rendezvous(agent.hash, self.hash), 0
 	for i := range entries {
@@ -145,6 +149,7 @@
 	return n > 0
 }
 
+// byWeight orders by rendezvous weight, highest first.
 func byWeight(a, b ranked) int { return cmp.Compare(b.weight, a.weight) }
 
 func hashAll(members []Member) []hashedMember {
@@ -155,6 +160,7 @@
 	return all
 }
 
+// withSelf returns the entries with their hashes, and self if it is missing.
 func withSelf(entries []Member, self Member) []hashedMember {
 	all := hashAll(entries)
 	if !slices.ContainsFunc(entries, func(m Member) bool { return m.Name == self.Name }) {
@@ -163,6 +169,7 @@
 	return all
 }
 
+// names returns the sorted names of the members.
 func names(members []Member) []string {
 	out := make([]string, len(members))
 	for i, m := range members {
--- a/decide/subset/subset_test.go
+++ b/decide/subset/subset_test.go
@@ -53,7 +53,7 @@
 	entries = members("entry", rapid.IntRange(1, 30).Draw(t, "entries"), domains, 1)
 	agents = members("vm", rapid.IntRange(1, 80).Draw(t, "agents"), domains, rapid.IntRange(1, 3).Draw(t, "pools"))
 	cfg = Config{Local: 3, Remote: 1, CoverLocal: 2, CoverRemote: 1}
-	// All properties hold for an entry that owns steps as well.
+	// The tested properties must also hold for an entry that owns steps.
 	cfg.MinPicks = map[string]int{"pool-0": rapid.IntRange(0, 9).Draw(t, "wide")}
 	return entries, agents, cfg
 }
@@ -102,9 +102,9 @@
 	})
 }
 
-// A VM is replaced 200 times a day. If the choice were by position in the
-// list, one new VM would move most streams of all entries at once; by
-// rendezvous only its own place changes.
+// VMs are replaced 200 times a day. If the choice depended on positions in the
+// list, one new VM would move most streams of all entries at once; with rendezvous
+// hashing only the streams to that VM change.
 func TestReplacedMembersMoveFewStreams(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		entries, agents, cfg := drawConfig(t)
@@ -117,7 +117,7 @@
 			fewer := slices.Delete(slices.Clone(entries), len(entries)-1, len(entries))
 			after = Choose(self, fewer, agents, cfg)
 			for _, name := range before {
-				require.Contains(t, after, name, "an entry's end takes no stream from the others")
+				require.Contains(t, after, name, "removing an entry must not close streams of the others")
 			}
 		}
 	})
@@ -132,10 +132,11 @@
 	})
 }
 
-// An entry owns a step, and the trainer waits for 326 s in place of 240 while
-// engines stand idle outside of the entry's subset: the step needs 62.5 of
-// 1,500 for itself and the entry watches 46. While it owns the step, its pool
-// is wide enough; no stream that it had moves, and other pools stay as they are.
+// A trainer waits 326 s instead of 240 s for a step while engines outside the
+// subset of the entry that owns the step are idle: the step needs 62.5 of 1,500
+// engines for itself, and the entry watches 46. While it owns the step, its subset
+// of that pool must be large enough; streams that it already has must stay, and
+// other pools must not change.
 func TestStepOwnersWatchTheirShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		entries, agents, cfg := drawConfig(t)
@@ -156,7 +157,7 @@
 			if pool[name] {
 				inPool++
 			} else {
-				require.Contains(t, before, name, "of another pool")
+				require.Contains(t, before, name, "agents of other pools must not change")
 			}
 		}
 		require.GreaterOrEqual(t, inPool*max(1, trainers), min(stepShareFactor, max(1, trainers))*len(pool))
@@ -169,22 +170,22 @@
 		n := len(Choose(e, entries, agents, cfg))
 		maxWatched, minWatched = max(maxWatched, n), min(minWatched, n)
 	}
-	t.Logf("an owner of steps watches %d to %d of 1,500", minWatched, maxWatched)
+	t.Logf("an owner of steps watches %d to %d of 1,500 agents", minWatched, maxWatched)
 	require.GreaterOrEqual(t, minWatched, 125)
 	require.Less(t, maxWatched, 150)
 }
 
-// A trainer's steps follow each other within seconds, VMs come and go. If the
-// subset followed each of these, some 90 streams would be opened and closed
-// every time; it gets wider at once and narrower only long after the last step.
+// A trainer's steps follow each other within seconds, and VMs come and go. If the
+// subset followed each change, some 90 streams would be opened and closed every
+// time. It must grow at once, and shrink only long after the last step.
 func TestRaisedPicksAreHeld(t *testing.T) {
 	var w RaisedPicks
 	start := time.Now()
 	require.False(t, w.Update(start, nil))
 	require.True(t, w.Update(start, map[string]int{"a": 5}))
-	require.False(t, w.Update(start, map[string]int{"a": 4}), "narrower while steps are owned")
+	require.False(t, w.Update(start, map[string]int{"a": 4}), "the number is not lowered while steps are owned")
 	require.True(t, w.Update(start, map[string]int{"a": 6}))
-	require.False(t, w.Update(start.Add(raisedHold), nil), "just after the last step")
+	require.False(t, w.Update(start.Add(raisedHold), nil), "the number is held after the last step")
 	require.Equal(t, map[string]int{"a": 6}, w.MinPicks())
 	require.True(t, w.Update(start.Add(raisedHold+1), nil))
 	require.Empty(t, w.MinPicks())
