--- a/decide/route/scorers.go
+++ b/decide/route/scorers.go
@@ -10,9 +10,9 @@
 	// server's slots for a short time. It is lower than the cost of two requests
 	// at a server with six slots, so that load outweighs it.
 	connectCost = 0.3
-	// farCost is the cost of a server in another region. At 1, requests stay in
+	// otherRegionCost is the cost of a server in another region. At 1, requests stay in
 	// their region until its servers are full.
-	farCost = 1.0
+	otherRegionCost = 1.0
 )
 
 // LoadScore rates a candidate by Candidate.Load per slot, this request included.
@@ -45,7 +45,7 @@
 	case SameRegion:
 		return sameRegionCost
 	default:
-		return farCost
+		return otherRegionCost
 	}
 }
 
--- a/decide/subset/picks.go
+++ b/decide/subset/picks.go
@@ -69,26 +69,26 @@
 // is no longer listed keeps its number for raisedHold, and no number is lowered
 // before that: a pool's size changes with every VM, and lowering it each time
 // would move streams. Update reports whether MinPicks has changed.
-func (w *RaisedPicks) Update(now time.Time, needed map[string]int) bool {
-	before := w.MinPicks()
-	for pool, held := range w.pools {
+func (r *RaisedPicks) Update(now time.Time, needed map[string]int) bool {
+	before := r.MinPicks()
+	for pool, held := range r.pools {
 		if _, named := needed[pool]; !named && now.After(held.until) {
-			delete(w.pools, pool)
+			delete(r.pools, pool)
 		}
 	}
 	for pool, minPicks := range needed {
-		if w.pools == nil {
-			w.pools = map[string]raised{}
+		if r.pools == nil {
+			r.pools = map[string]raised{}
 		}
-		w.pools[pool] = raised{max(minPicks, w.pools[pool].minPicks), now.Add(raisedHold)}
+		r.pools[pool] = raised{max(minPicks, r.pools[pool].minPicks), now.Add(raisedHold)}
 	}
-	return !maps.Equal(before, w.MinPicks())
+	return !maps.Equal(before, r.MinPicks())
 }
 
 // MinPicks returns the value for Config.MinPicks.
-func (w *RaisedPicks) MinPicks() map[string]int {
-	minPicks := make(map[string]int, len(w.pools))
-	for pool, held := range w.pools {
+func (r *RaisedPicks) MinPicks() map[string]int {
+	minPicks := make(map[string]int, len(r.pools))
+	for pool, held := range r.pools {
 		minPicks[pool] = held.minPicks
 	}
 	return minPicks
