--- a/decide/eject/eject_test.go
+++ b/decide/eject/eject_test.go
@@ -28,9 +28,9 @@
 	}
 }
 
-// One server of six answers ten times slower than the rest; every request it
-// gets is a straggler. It is ejected, comes back on probation after the base
-// time, and stays away twice as long when nothing has changed.
+// One of six servers answers ten times slower than the others, and delays every
+// request that it gets. It must be ejected, be put on probation after the base
+// duration, and be ejected for twice as long if it is still slow.
 func TestSlowServerIsEjectedThenOnProbation(t *testing.T) {
 	p, members := New(Default), serverNames(6)
 	addSamples(p, members, 1, 1, 1, 1.5, 0.8, 10)
@@ -47,7 +47,7 @@
 	addSamples(p, members, 1, 1, 1, 1.5, 0.8, 10)
 	last := recovered.Add(Default.Probation + 1)
 	require.True(t, p.Evaluate(last, members)["vm-5"])
-	require.Empty(t, p.Evaluate(last.Add(Default.Base), members), "a served probation shortens the next ejection")
+	require.Empty(t, p.Evaluate(last.Add(Default.Base), members), "after a completed probation the next ejection has the base duration")
 }
 
 func TestFailingServerIsEjected(t *testing.T) {
@@ -55,13 +55,14 @@
 	for range 2 {
 		p.AddResult("vm-2", true)
 	}
-	require.Empty(t, p.Evaluate(start, members), "two samples prove little")
+	require.Empty(t, p.Evaluate(start, members), "two samples are too few")
 	p.AddResult("vm-2", true)
 	require.Equal(t, map[string]bool{"vm-2": true}, p.Evaluate(start, members))
 }
 
-// A switch dies and half of the pool looks bad at once. Were all of them
-// ejected, the other half would be overrun: the floor keeps most in use.
+// A network switch fails and half of the pool looks bad at once. If all of these
+// servers were ejected, the others would be overloaded: most of the pool must stay
+// in use.
 func TestMaxShareIsNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := serverNames(rapid.IntRange(1, 30).Draw(t, "n"))
