--- a/decide/limit/limit.go
+++ b/decide/limit/limit.go
@@ -1,5 +1,6 @@
-// Package limit decides whether a caller may send one more request now: its
-// rate, its requests at once, and its budget of retries. Time is passed in.
+// Package limit decides whether a caller may send one more request now. It checks
+// the caller's request rate, its number of concurrent requests and its budget of
+// retries. Time is passed in.
 package limit
 
 import (
@@ -12,18 +13,19 @@
 	"dandelionsill.org/kinds"
 )
 
-// Limits are what a caller may use, as the manifest says.
+// Limits are the limits of a caller in the manifest.
 type Limits struct {
-	Rate          float64 // requests a second; 0: no limit
-	Burst         int     // requests at one moment; 0: one second's worth
-	MaxConcurrent int     // requests at once; 0: no limit
-	// RetryPercent is how many retries a hundred requests earn.
+	Rate          float64 // requests per second; 0: no limit
+	Burst         int     // requests that may arrive at once; 0: as many as Rate allows in one second
+	MaxConcurrent int     // requests in progress at once; 0: no limit
+	// RetryPercent is how many retries are earned by a hundred admitted requests.
 	RetryPercent float64
 }
 
-// Share returns the part of the limits that one of n entries enforces when a
-// balancer spreads a caller's requests over them. Parts round up: a caller
-// gets at least what it was promised.
+// Share returns the limits that each of n entries enforces when a load balancer
+// spreads a caller's requests over them. Burst and MaxConcurrent are rounded up,
+// so that a caller gets at least what it was promised. RetryPercent is not
+// divided.
 func (l Limits) Share(n int) Limits {
 	if n <= 1 {
 		return l
@@ -34,35 +36,37 @@
 	return l
 }
 
+// ceilDiv returns a/n rounded up.
 func ceilDiv(a, n int) int { return (a + n - 1) / n }
 
-// Retry budget.
 const (
-	// maxSavedRetries bounds the retries that a caller may have saved up: enough
-	// for the requests that one lost server held, too few to double a load.
+	// maxSavedRetries bounds the retries that a caller can accumulate. They are
+	// enough for the requests in progress at one lost server, and too few to
+	// double the load.
 	maxSavedRetries = 10
-	// concurrencyRetryAfter is the advice to a caller at its concurrency limit; when
-	// one of its own requests ends is its own to know.
+	// concurrencyRetryAfter is the retry advice to a caller at its concurrency
+	// limit. Only the caller can know when one of its own requests will end.
 	concurrencyRetryAfter = time.Second
 )
 
-// Limiter holds one caller's use. It is safe for concurrent use.
+// Limiter enforces the limits of one caller. It is safe for concurrent use.
 type Limiter struct {
 	mu           sync.Mutex
 	limits       Limits
 	bucket       *rate.Limiter // nil: no limit
-	running      int
-	savedRetries float64
+	running      int           // admitted and not yet released
+	savedRetries float64       // retries earned and not taken, at most maxSavedRetries
 }
 
-// New returns a caller that has used nothing yet.
+// New returns a Limiter with a full budget of retries.
 func New(limits Limits, now time.Time) *Limiter {
 	l := &Limiter{savedRetries: maxSavedRetries}
 	l.applyLimits(limits, now)
 	return l
 }
 
-// SetLimits puts new limits in force; what was used stays used.
+// SetLimits replaces the limits. Running requests, tokens taken under a rate limit
+// that remains, and the retry budget are kept.
 func (l *Limiter) SetLimits(limits Limits, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -89,8 +93,8 @@
 	l.bucket.SetBurstAt(now, burst)
 }
 
-// Admit takes one request in, or refuses it with when to come back. A request
-// that was taken in ends with End.
+// Admit admits one request, or returns a refusal that says when to retry. The
+// caller of Admit must call Release when an admitted request has ended.
 func (l *Limiter) Admit(now time.Time, held *kinds.Held) *kinds.Error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -107,7 +111,8 @@
 	return nil
 }
 
-// takeToken takes a token or tells how long until there is one.
+// takeToken takes a token from the rate limiter and returns 0, or returns how long
+// until one is available and takes none.
 func (l *Limiter) takeToken(now time.Time) time.Duration {
 	if l.bucket == nil {
 		return 0
@@ -120,15 +125,16 @@
 	return wait
 }
 
-// Release ends a request that Admit took in.
+// Release records the end of a request that Admit admitted.
 func (l *Limiter) Release() {
 	l.mu.Lock()
 	l.running--
 	l.mu.Unlock()
 }
 
-// TakeRetry takes one retry from the budget. Without a budget every failing
-// server would multiply its requests onto the others just when they are short.
+// TakeRetry takes one retry from the budget and reports whether there was one.
+// Without a budget, the requests of every failing server would be multiplied and
+// sent to the other servers just when capacity is short.
 func (l *Limiter) TakeRetry() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/decide/limit/limit_test.go
+++ b/decide/limit/limit_test.go
@@ -71,9 +71,9 @@
 	})
 }
 
-// Every server fails for minutes and each request of a caller wants three
-// retries. With the budget the servers see the requests and a tenth more, not
-// four times the load.
+// Every server fails for minutes, and each request of a caller asks for three
+// retries. With a budget of 10 percent the servers must get the requests and a
+// tenth more, instead of four times the load.
 func TestRetriesStayWithinBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		percent := float64(rapid.IntRange(0, 50).Draw(t, "percent"))
