--- a/decide/admit/admit.go
+++ b/decide/admit/admit.go
@@ -301,7 +301,7 @@
 
 // push adds an item to the waiting items of its caller and class.
 func (q *Queue) push(it *Item) {
-	c := q.classFor(it.Priority)
+	c := q.class(it.Priority)
 	f := c.flows[it.Caller]
 	if f == nil {
 		f = &flow{caller: it.Caller, class: c, index: -1}
@@ -387,8 +387,8 @@
 	}
 }
 
-// classFor returns the class of a priority and creates it if needed.
-func (q *Queue) classFor(priority int) *class {
+// class returns the class of a priority and creates it if needed.
+func (q *Queue) class(priority int) *class {
 	i, ok := slices.BinarySearchFunc(q.classes, priority, func(c *class, p int) int { return p - c.priority })
 	if ok {
 		return q.classes[i]
--- a/decide/admit/displace.go
+++ b/decide/admit/displace.go
@@ -43,7 +43,7 @@
 // in the same class. It returns nil if that is the new item's caller, or if it
 // would keep fewer items per weight than the new item's caller would have.
 func (q *Queue) fairVictim(t Ticket) *Item {
-	c := q.classFor(t.Priority)
+	c := q.class(t.Priority)
 	ownItems := 1.0
 	if f := c.flows[t.Caller]; f != nil {
 		ownItems += float64(f.items.Len())
--- a/decide/admit/estimate.go
+++ b/decide/admit/estimate.go
@@ -113,8 +113,8 @@
 			lower += c.cost
 		}
 	}
-	ahead := higher + same
-	return ahead + min(lower, ahead*q.cfg.LowerShare/(1-q.cfg.LowerShare))
+	costAhead := higher + same
+	return costAhead + min(lower, costAhead*q.cfg.LowerShare/(1-q.cfg.LowerShare))
 }
 
 // costAhead returns the cost of the items in this class that would start before a
--- a/decide/eject/eject.go
+++ b/decide/eject/eject.go
@@ -166,7 +166,7 @@
 		if !m.ejectedUntil.IsZero() {
 			continue
 		}
-		if severity := p.severity(m, median); severity > 0 {
+		if severity := p.outlierSeverity(m, median); severity > 0 {
 			found = append(found, outlier{name, severity})
 		}
 	}
@@ -180,9 +180,9 @@
 	return out
 }
 
-// severity returns a value above zero if the server is an outlier, and zero
+// outlierSeverity returns a value above zero if the server is an outlier, and zero
 // otherwise. Failing servers always rank above slow ones.
-func (p *Pool) severity(m *member, median float64) float64 {
+func (p *Pool) outlierSeverity(m *member, median float64) float64 {
 	const failureFactor = 1e6
 	if m.resultSamples >= p.cfg.MinSamples && m.failureRate >= p.cfg.FailureRate {
 		return failureFactor * (1 + m.failureRate)
--- a/decide/route/pickers.go
+++ b/decide/route/pickers.go
@@ -150,7 +150,7 @@
 	best, bestRank := -1, 0
 	var bestWeight uint64
 	for i := range eligible {
-		c := eligible[i].Candidate
+		c := eligible[i].Server
 		if float64(c.Load()+1) > math.Ceil(maxLoad*c.slots()) {
 			continue
 		}
@@ -165,7 +165,7 @@
 		return index, "prefix: all above the bound"
 	case best == owner:
 		return best, "prefix"
-	case isWarm(eligible[best].Candidate, r.EnginePrefix):
+	case isWarm(eligible[best].Server, r.EnginePrefix):
 		return best, "prefix: warm"
 	default:
 		return best, "prefix: spilled"
@@ -177,8 +177,8 @@
 func (p PrefixAffinity) maxLoadPerSlot(eligible []Scored) float64 {
 	load, slots := 1, 0.0
 	for i := range eligible {
-		load += eligible[i].Candidate.Load()
-		slots += eligible[i].Candidate.slots()
+		load += eligible[i].Server.Load()
+		slots += eligible[i].Server.slots()
 	}
 	return p.MaxLoadFactor * float64(load) / slots
 }
@@ -219,9 +219,9 @@
 // for the item.
 func ownerOf(item uint64, eligible []Scored) int {
 	best := 0
-	weight := Rendezvous(item, eligible[0].Candidate.Hash)
+	weight := Rendezvous(item, eligible[0].Server.Hash)
 	for i := 1; i < len(eligible); i++ {
-		if w := Rendezvous(item, eligible[i].Candidate.Hash); w > weight {
+		if w := Rendezvous(item, eligible[i].Server.Hash); w > weight {
 			best, weight = i, w
 		}
 	}
--- a/decide/route/route.go
+++ b/decide/route/route.go
@@ -90,9 +90,9 @@
 
 // Scored is a candidate that passed the filters.
 type Scored struct {
-	Index     int // in the candidates given to Policy.Pick
-	Candidate *Candidate
-	Score     float64
+	Index  int // in the candidates given to Policy.Pick
+	Server *Candidate
+	Score  float64
 }
 
 // Picker selects one candidate.
@@ -142,7 +142,7 @@
 	choice := Choice{Index: -1}
 	eligible := s.eligible[:0]
 	for i := range candidates {
-		eligible = append(eligible, Scored{Index: i, Candidate: &candidates[i]})
+		eligible = append(eligible, Scored{Index: i, Server: &candidates[i]})
 	}
 	if len(eligible) == 0 {
 		choice.EmptiedBy = StageMembers
@@ -166,7 +166,7 @@
 	index, reason := p.Picker.Pick(r, eligible, rng)
 	choice.Index = eligible[index].Index
 	choice.Score = eligible[index].Score
-	choice.Load = eligible[index].Candidate.Load()
+	choice.Load = eligible[index].Server.Load()
 	choice.Reason = reason
 	choice.Eligible = len(eligible)
 	s.eligible, s.kept = eligible, kept
@@ -176,7 +176,7 @@
 // appendKept appends to to the candidates in from that f keeps.
 func appendKept(r *Request, f Filter, from, to []Scored) []Scored {
 	for _, s := range from {
-		if f.Keep(r, s.Candidate) {
+		if f.Keep(r, s.Server) {
 			to = append(to, s)
 		}
 	}
@@ -187,7 +187,7 @@
 func (p *Policy) addScores(r *Request, eligible []Scored) {
 	for i := range eligible {
 		for _, scorer := range p.Scorers {
-			eligible[i].Score += scorer.Score(r, eligible[i].Candidate)
+			eligible[i].Score += scorer.Score(r, eligible[i].Server)
 		}
 	}
 }
