--- a/decide/admit/estimate.go
+++ b/decide/admit/estimate.go
@@ -14,9 +14,11 @@
 // rate measures how fast the server works, as time per cost: ratios of
 // exponentially weighted moving averages.
 type rate struct {
-	serviceSeconds, serviceCost float64   // per item: time from start to end, cost
-	gapSeconds, gapCost         float64   // per item: time since the previous end while others waited, cost
-	lastEnd                     time.Time // last end, or when the last free slot was taken; zero if no item waited at the last end
+	serviceSeconds, serviceCost float64 // per item: time from start to end, cost
+	gapSeconds, gapCost         float64 // per item: time since the previous end while others waited, cost
+	// lastEnd is the time of the last end after which items still waited, or, if
+	// there was none since, when the last free slot was taken. Zero: neither.
+	lastEnd time.Time
 }
 
 // observeSaturation records that the last free slot was taken.
--- a/decide/route/route.go
+++ b/decide/route/route.go
@@ -173,7 +173,8 @@
 	return choice
 }
 
-// appendKept appends to to the candidates in from that f keeps.
+// appendKept appends the candidates of from that f keeps to the slice to, and
+// returns it.
 func appendKept(r *Request, f Filter, from, to []Scored) []Scored {
 	for _, s := range from {
 		if f.Keep(r, s.Server) {
--- a/decide/route/scorers.go
+++ b/decide/route/scorers.go
@@ -10,8 +10,8 @@
 	// server's slots for a short time. It is lower than the cost of two requests
 	// at a server with six slots, so that load outweighs it.
 	connectCost = 0.3
-	// otherRegionCost is the cost of a server in another region. At 1, requests stay in
-	// their region until its servers are full.
+	// otherRegionCost is the cost of a server in another region. At 1, requests
+	// stay in their region until its servers are full.
 	otherRegionCost = 1.0
 )
 
