--- a/capacity/decide_test.go
+++ b/capacity/decide_test.go
@@ -47,7 +47,7 @@
 				pool, n := agents[0].Pool, 0
 				for i := 0; b.Loop(); i++ {
 					self, cfg := entries[i%len(entries)], subset.Default
-					cfg.Wide = map[string]int{pool: subset.Width(self, agents, pool, Trainers/pools, cfg)}
+					cfg.MinPicks = map[string]int{pool: subset.PicksForSteps(self, agents, pool, Trainers/pools, cfg)}
 					n += countPool(subset.Choose(self, entries, agents, cfg), agents, pool)
 				}
 				b.ReportMetric(float64(n)/float64(b.N), "of-pool/entry")
@@ -134,7 +134,7 @@
 		all[i] = route.Candidate{
 			Name: agentName(i), Hash: route.Hash(agentName(i)), FailureDomain: domainOf(i),
 			Distance: route.Distance(i % 3), Ready: true, Version: 7, Slots: 32,
-			Reported: rng.IntN(32), StreamRate: 40 + 20*rng.Float64(), Warm: make([]uint64, 64),
+			ReportedLoad: rng.IntN(32), StreamRate: 40 + 20*rng.Float64(), WarmPrefixes: make([]uint64, 64),
 		}
 	}
 	return all
--- a/decide/admit/displace.go
+++ b/decide/admit/displace.go
@@ -2,19 +2,20 @@
 
 import "math"
 
-// victim picks the waiting item that gives up its place in a full queue to a
-// new one, or nil when the new one has no better claim. Without it a caller
-// that fills the queue would shut all others out, whatever their weight or
-// priority: fairness between those that wait is not enough.
+// chooseVictim returns the waiting item that is removed from a full queue to make
+// room for a new one, or nil if the new one is refused instead. Without
+// displacement, a caller that fills the queue would exclude all others, whatever
+// their weight or priority: fairness among waiting items alone is not enough.
 //
-//   - Work of a lower class goes first, but for the room that lower classes keep.
-//   - Within a class the caller with the most waiting work per weight goes first.
-//   - Classes below the top take back their room from the classes above.
-func (q *Queue) victim(t Ticket) *Item {
+//   - Items of a lower class are displaced first, down to the places that are
+//     reserved for lower classes.
+//   - Within a class, the caller with the most waiting items per weight loses one.
+//   - Lower classes reclaim their reserved places from higher ones.
+func (q *Queue) chooseVictim(t Ticket) *Item {
 	if q.cfg.MaxQueue <= 0 {
 		return nil
 	}
-	room := int(math.Ceil(q.cfg.LowShare * float64(q.cfg.MaxQueue)))
+	reserved := int(math.Ceil(q.cfg.LowerShare * float64(q.cfg.MaxQueue)))
 	var lower, higher, same int
 	for _, c := range q.classes {
 		switch {
@@ -26,60 +27,62 @@
 			same += c.waiting
 		}
 	}
-	if lower > room {
-		return q.last(func(c *class) bool { return c.priority < t.Priority })
+	if lower > reserved {
+		return q.newestOfLowest(func(c *class) bool { return c.priority < t.Priority })
 	}
 	if it := q.fairVictim(t); it != nil {
 		return it
 	}
-	if higher > 0 && same+lower < room {
-		return q.last(func(c *class) bool { return c.priority > t.Priority })
+	if higher > 0 && same+lower < reserved {
+		return q.newestOfLowest(func(c *class) bool { return c.priority > t.Priority })
 	}
 	return nil
 }
 
-// fairVictim picks from the same class the caller that holds clearly more
-// places per weight than the new item's caller would.
+// fairVictim returns an item of the caller with the most waiting items per weight
+// in the same class. It returns nil if that is the new item's caller, or if it
+// would keep fewer items per weight than the new item's caller would have.
 func (q *Queue) fairVictim(t Ticket) *Item {
 	c := q.class(t.Priority)
-	mine := 1.0
+	ownItems := 1.0
 	if f := c.flows[t.Caller]; f != nil {
-		mine += float64(f.items.Len())
+		ownItems += float64(f.items.Len())
 	}
-	f := c.biggest()
+	f := c.largestFlow()
 	if f == nil || f.caller == t.Caller {
 		return nil
 	}
-	if float64(f.items.Len()-1)/f.weight < mine/t.Weight {
+	if float64(f.items.Len()-1)/f.weight < ownItems/t.Weight {
 		return nil
 	}
 	return f.items.Back().Value.(*Item)
 }
 
-// last picks the newest item of the biggest caller in the lowest class that
-// qualifies.
-func (q *Queue) last(qualifies func(*class) bool) *Item {
+// newestOfLowest returns the newest item of the largest flow in the lowest class
+// that qualifies.
+func (q *Queue) newestOfLowest(qualifies func(*class) bool) *Item {
 	for i := len(q.classes) - 1; i >= 0; i-- {
 		c := q.classes[i]
 		if !qualifies(c) {
 			continue
 		}
-		if f := c.biggest(); f != nil {
+		if f := c.largestFlow(); f != nil {
 			return f.items.Back().Value.(*Item)
 		}
 	}
 	return nil
 }
 
-// biggest is the flow with the most waiting items per weight.
-func (c *class) biggest() *flow {
-	var big *flow
+// largestFlow returns the flow with the most waiting items per weight; nil if no
+// item waits.
+func (c *class) largestFlow() *flow {
+	var largest *flow
 	for _, f := range c.heap {
-		if big == nil || perWeight(f) > perWeight(big) || perWeight(f) == perWeight(big) && f.caller < big.caller {
-			big = f
+		if largest == nil || itemsPerWeight(f) > itemsPerWeight(largest) || itemsPerWeight(f) == itemsPerWeight(largest) && f.caller < largest.caller {
+			largest = f
 		}
 	}
-	return big
+	return largest
 }
 
-func perWeight(f *flow) float64 { return float64(f.items.Len()) / f.weight }
+func itemsPerWeight(f *flow) float64 { return float64(f.items.Len()) / f.weight }
--- a/decide/limit/limit.go
+++ b/decide/limit/limit.go
@@ -1,5 +1,6 @@
-// Package limit decides whether a caller may send one more request now: its
-// rate, its requests at once, and its budget of retries. Time is passed in.
+// Package limit decides whether a caller may send one more request now. It checks
+// the caller's request rate, its number of concurrent requests and its budget of
+// retries. Time is passed in.
 package limit
 
 import (
@@ -12,107 +13,111 @@
 	"dandelionsill.org/kinds"
 )
 
-// Limits are what a caller may use, as the manifest says.
+// Limits are the limits of a caller in the manifest.
 type Limits struct {
-	Rate       float64 // requests a second; 0: no limit
-	Burst      int     // requests at one moment; 0: one second's worth
-	Concurrent int     // requests at once; 0: no limit
-	// RetryPercent is how many retries a hundred requests earn.
+	Rate          float64 // requests per second; 0: no limit
+	Burst         int     // requests that may arrive at once; 0: as many as Rate allows in one second
+	MaxConcurrent int     // requests in progress at once; 0: no limit
+	// RetryPercent is how many retries are earned by a hundred admitted requests.
 	RetryPercent float64
 }
 
-// Share returns the part of the limits that one of n entries enforces when a
-// balancer spreads a caller's requests over them. Parts round up: a caller
-// gets at least what it was promised.
-func (t Limits) Share(n int) Limits {
+// Share returns the limits that each of n entries enforces when a load balancer
+// spreads a caller's requests over them. Burst and MaxConcurrent are rounded up,
+// so that a caller gets at least what it was promised. RetryPercent is not
+// divided.
+func (l Limits) Share(n int) Limits {
 	if n <= 1 {
-		return t
+		return l
 	}
-	t.Rate /= float64(n)
-	t.Burst = ceilDiv(t.Burst, n)
-	t.Concurrent = ceilDiv(t.Concurrent, n)
-	return t
+	l.Rate /= float64(n)
+	l.Burst = ceilDiv(l.Burst, n)
+	l.MaxConcurrent = ceilDiv(l.MaxConcurrent, n)
+	return l
 }
 
+// ceilDiv returns a/n rounded up.
 func ceilDiv(a, n int) int { return (a + n - 1) / n }
 
-// Retry budget.
 const (
-	// retryBurst bounds the retries that a caller may have saved up: enough
-	// for the requests that one lost server held, too few to double a load.
-	retryBurst = 10
-	// concurrencyWait is the advice to a caller at its concurrency limit; when
-	// one of its own requests ends is its own to know.
-	concurrencyWait = time.Second
+	// maxSavedRetries bounds the retries that a caller can accumulate. They are
+	// enough for the requests in progress at one lost server, and too few to
+	// double the load.
+	maxSavedRetries = 10
+	// concurrencyRetryAfter is the retry advice to a caller at its concurrency
+	// limit. Only the caller can know when one of its own requests will end.
+	concurrencyRetryAfter = time.Second
 )
 
-// Caller holds one caller's use. It is safe for concurrent use.
-type Caller struct {
-	mu      sync.Mutex
-	limits  Limits
-	bucket  *rate.Limiter // nil: no limit
-	running int
-	retries float64
+// Limiter enforces the limits of one caller. It is safe for concurrent use.
+type Limiter struct {
+	mu           sync.Mutex
+	limits       Limits
+	bucket       *rate.Limiter // nil: no limit
+	running      int           // admitted and not yet released
+	savedRetries float64       // retries earned and not taken, at most maxSavedRetries
 }
 
-// New returns a caller that has used nothing yet.
-func New(limits Limits, now time.Time) *Caller {
-	c := &Caller{retries: retryBurst}
-	c.set(limits, now)
-	return c
+// New returns a Limiter with a full budget of retries.
+func New(limits Limits, now time.Time) *Limiter {
+	l := &Limiter{savedRetries: maxSavedRetries}
+	l.applyLimits(limits, now)
+	return l
 }
 
-// Set puts new limits in force; what was used stays used.
-func (c *Caller) Set(limits Limits, now time.Time) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.limits != limits {
-		c.set(limits, now)
+// SetLimits replaces the limits. Running requests, tokens taken under a rate limit
+// that remains, and the retry budget are kept.
+func (l *Limiter) SetLimits(limits Limits, now time.Time) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.limits != limits {
+		l.applyLimits(limits, now)
 	}
 }
 
-func (c *Caller) set(limits Limits, now time.Time) {
-	c.limits = limits
+func (l *Limiter) applyLimits(limits Limits, now time.Time) {
+	l.limits = limits
 	if limits.Rate <= 0 {
-		c.bucket = nil
+		l.bucket = nil
 		return
 	}
 	burst := limits.Burst
 	if burst <= 0 {
 		burst = int(math.Ceil(limits.Rate))
 	}
-	if c.bucket == nil {
-		c.bucket = rate.NewLimiter(rate.Limit(limits.Rate), burst)
+	if l.bucket == nil {
+		l.bucket = rate.NewLimiter(rate.Limit(limits.Rate), burst)
 		return
 	}
-	c.bucket.SetLimitAt(now, rate.Limit(limits.Rate))
-	c.bucket.SetBurstAt(now, burst)
+	l.bucket.SetLimitAt(now, rate.Limit(limits.Rate))
+	l.bucket.SetBurstAt(now, burst)
 }
 
-// Admit takes one request in, or refuses it with when to come back. A request
-// that was taken in ends with End.
-func (c *Caller) Admit(now time.Time, held *kinds.Held) *kinds.Error {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.limits.Concurrent > 0 && c.running >= c.limits.Concurrent {
-		return held.Refuse(kinds.RateLimited, "%d requests of this caller are running, its limit here", c.running).
-			WithRetryAfter(concurrencyWait)
+// Admit admits one request, or returns a refusal that says when to retry. The
+// caller of Admit must call Release when an admitted request has ended.
+func (l *Limiter) Admit(now time.Time, held *kinds.Held) *kinds.Error {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.limits.MaxConcurrent > 0 && l.running >= l.limits.MaxConcurrent {
+		return held.Refuse(kinds.RateLimited, "%d requests of this caller are running, its limit here", l.running).
+			WithRetryAfter(concurrencyRetryAfter)
 	}
-	if wait := c.take(now); wait > 0 {
-		return held.Refuse(kinds.RateLimited, "over this caller's rate of %.3g requests/s here", c.limits.Rate).
+	if wait := l.takeToken(now); wait > 0 {
+		return held.Refuse(kinds.RateLimited, "over this caller's rate of %.3g requests/s here", l.limits.Rate).
 			WithRetryAfter(wait)
 	}
-	c.running++
-	c.retries = min(retryBurst, c.retries+c.limits.RetryPercent/100)
+	l.running++
+	l.savedRetries = min(maxSavedRetries, l.savedRetries+l.limits.RetryPercent/100)
 	return nil
 }
 
-// take takes a token or tells how long until there is one.
-func (c *Caller) take(now time.Time) time.Duration {
-	if c.bucket == nil {
+// takeToken takes a token from the rate limiter and returns 0, or returns how long
+// until one is available and takes none.
+func (l *Limiter) takeToken(now time.Time) time.Duration {
+	if l.bucket == nil {
 		return 0
 	}
-	token := c.bucket.ReserveN(now, 1)
+	token := l.bucket.ReserveN(now, 1)
 	wait := token.DelayFrom(now)
 	if wait > 0 {
 		token.CancelAt(now)
@@ -120,21 +125,22 @@
 	return wait
 }
 
-// End ends a request that Admit took in.
-func (c *Caller) End() {
-	c.mu.Lock()
-	c.running--
-	c.mu.Unlock()
+// Release records the end of a request that Admit admitted.
+func (l *Limiter) Release() {
+	l.mu.Lock()
+	l.running--
+	l.mu.Unlock()
 }
 
-// Retry takes one retry from the budget. Without a budget every failing
-// server would multiply its requests onto the others just when they are short.
-func (c *Caller) Retry() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.limits.RetryPercent <= 0 || c.retries < 1 {
+// TakeRetry takes one retry from the budget and reports whether there was one.
+// Without a budget, the requests of every failing server would be multiplied and
+// sent to the other servers just when capacity is short.
+func (l *Limiter) TakeRetry() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.limits.RetryPercent <= 0 || l.savedRetries < 1 {
 		return false
 	}
-	c.retries--
+	l.savedRetries--
 	return true
 }
--- a/decide/route/pickers.go
+++ b/decide/route/pickers.go
@@ -8,26 +8,28 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// PrefixChars is how much of a prompt counts as its prefix: enough to tell
-// one template from another, less than where two uses of one template part.
-const PrefixChars = 256
+// PrefixBytes is how many leading bytes of a prompt count as its prefix. They
+// are enough to distinguish templates, and end before two prompts made from one
+// template differ.
+const PrefixBytes = 256
 
-// Hash hashes a name or an idempotency key. It is never 0.
+// Hash returns the hash of a name or an idempotency key. It is never 0, because 0
+// means "none" in Request.
 func Hash(s string) uint64 {
 	return max(1, xxhash.Sum64String(s))
 }
 
-// PrefixHash hashes the first PrefixChars bytes of a prompt.
+// PrefixHash returns the hash of the first PrefixBytes bytes of a prompt.
 func PrefixHash(prompt string) uint64 {
-	if len(prompt) > PrefixChars {
-		prompt = prompt[:PrefixChars]
+	if len(prompt) > PrefixBytes {
+		prompt = prompt[:PrefixBytes]
 	}
 	return Hash(prompt)
 }
 
-// Rendezvous mixes the hashes of an item and a server into the server's
-// weight for that item: the highest weight owns the item, and when a server
-// goes only its own items move.
+// Rendezvous returns a server's weight for an item in rendezvous (highest random
+// weight) hashing, from their two hashes. The server with the highest weight owns
+// the item, so that the loss of a server moves only the items that it owned.
 func Rendezvous(item, server uint64) uint64 {
 	x := item ^ (server * 0x9e3779b97f4a7c15)
 	x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9
@@ -35,16 +37,16 @@
 	return x ^ (x >> 31)
 }
 
-// Lowest takes the lowest score; equal ones are told apart at random.
-type Lowest struct{}
+// LowestScore picks the candidate with the lowest score; ties are broken at random.
+type LowestScore struct{}
 
-func (Lowest) Pick(_ *Request, left []Scored, rng *rand.Rand) (int, string) {
+func (LowestScore) Pick(_ *Request, eligible []Scored, rng *rand.Rand) (int, string) {
 	best, equal := 0, 1
-	for i := 1; i < len(left); i++ {
+	for i := 1; i < len(eligible); i++ {
 		switch {
-		case left[i].Score < left[best].Score:
+		case eligible[i].Score < eligible[best].Score:
 			best, equal = i, 1
-		case left[i].Score == left[best].Score:
+		case eligible[i].Score == eligible[best].Score:
 			equal++
 			if rng.IntN(equal) == 0 {
 				best = i
@@ -54,134 +56,139 @@
 	return best, "lowest score"
 }
 
-// TwoChoices takes the better of two random candidates out of the best share
-// of them. Every entry sees the same stale reports; if all took the lowest
-// score, all would meet at one server.
+// TwoChoices picks the better of two random candidates out of the best share of
+// them. All entries see the same stale reports: if each picked the lowest score,
+// all would send to the same server.
 type TwoChoices struct {
-	// Share of the candidates that count as the best; at least two do.
-	Share float64
+	// BestShare is the share of candidates, by score, to draw from; at least two
+	// are drawn from.
+	BestShare float64
 }
 
-func (t TwoChoices) Pick(_ *Request, left []Scored, rng *rand.Rand) (int, string) {
-	best := max(2, int(math.Ceil(t.Share*float64(len(left)))))
-	if best < len(left) {
-		shuffle(left, rng)
-		selectBest(left, best)
+func (t TwoChoices) Pick(_ *Request, eligible []Scored, rng *rand.Rand) (int, string) {
+	bestCount := max(2, int(math.Ceil(t.BestShare*float64(len(eligible)))))
+	if bestCount < len(eligible) {
+		shuffle(eligible, rng)
+		selectLowest(eligible, bestCount)
 	}
-	best = min(best, len(left))
-	a, b := rng.IntN(best), rng.IntN(best)
-	for best > 1 && a == b {
-		b = rng.IntN(best)
+	bestCount = min(bestCount, len(eligible))
+	a, b := rng.IntN(bestCount), rng.IntN(bestCount)
+	for bestCount > 1 && a == b {
+		b = rng.IntN(bestCount)
 	}
-	if left[b].Score < left[a].Score {
+	if eligible[b].Score < eligible[a].Score {
 		a = b
 	}
 	return a, "two choices"
 }
 
-// shuffle makes ties at the edge of the best share fall at random.
-func shuffle(left []Scored, rng *rand.Rand) {
-	for i := len(left) - 1; i > 0; i-- {
+// shuffle orders the candidates at random, so that ties at the edge of the best
+// share are broken at random.
+func shuffle(scored []Scored, rng *rand.Rand) {
+	for i := len(scored) - 1; i > 0; i-- {
 		j := rng.IntN(i + 1)
-		left[i], left[j] = left[j], left[i]
+		scored[i], scored[j] = scored[j], scored[i]
 	}
 }
 
-// selectBest moves the n lowest scores to the front (quickselect). Equal
-// scores are parted off together: idle pools are full of them, and parting
-// them one by one would take quadratic time.
-func selectBest(left []Scored, n int) {
-	lo, hi := 0, len(left)
+// selectLowest moves the n lowest scores to the front (quickselect). It uses a
+// three-way partition: in idle pools most scores are equal, and a two-way
+// partition would take quadratic time on them.
+func selectLowest(scored []Scored, n int) {
+	lo, hi := 0, len(scored)
 	for hi-lo > 1 {
-		less, more := partition(left, lo, hi)
+		equalStart, higherStart := partition(scored, lo, hi)
 		switch {
-		case n <= less:
-			hi = less
-		case n >= more:
-			lo = more
+		case n <= equalStart:
+			hi = equalStart
+		case n >= higherStart:
+			lo = higherStart
 		default:
 			return
 		}
 	}
 }
 
-// partition orders left[lo:hi] around a pivot: scores below it stand before
-// less, equal ones before more, higher ones behind.
-func partition(left []Scored, lo, hi int) (less, more int) {
-	pivot := left[lo+(hi-lo)/2].Score
-	less, more = lo, hi
-	for i := lo; i < more; {
-		switch score := left[i].Score; {
+// partition orders scored[lo:hi] around a pivot: lower scores come before
+// equalStart, equal ones before higherStart, and higher ones from there on.
+func partition(scored []Scored, lo, hi int) (equalStart, higherStart int) {
+	pivot := scored[lo+(hi-lo)/2].Score
+	equalStart, higherStart = lo, hi
+	for i := lo; i < higherStart; {
+		switch score := scored[i].Score; {
 		case score < pivot:
-			left[i], left[less] = left[less], left[i]
-			less++
+			scored[i], scored[equalStart] = scored[equalStart], scored[i]
+			equalStart++
 			i++
 		case score > pivot:
-			more--
-			left[i], left[more] = left[more], left[i]
+			higherStart--
+			scored[i], scored[higherStart] = scored[higherStart], scored[i]
 		default:
 			i++
 		}
 	}
-	return less, more
+	return equalStart, higherStart
 }
 
-// PrefixAffinity sends prompts with one prefix to one server, whose engine
-// then has the prefix in its cache, until that server's load passes Bound
-// times the mean load per slot; then the next in rendezvous order takes over.
-// Without the bound one hot template would queue up before one engine. A
-// warm-prefix report is a hint: a warm server within the bound goes first.
+// PrefixAffinity sends prompts with the same prefix to the same server, whose
+// engine then has the prefix in its cache (rendezvous hashing with bounded load).
+// When that server's load exceeds MaxLoadFactor times the mean load per slot, the
+// next server in rendezvous order is picked; without this bound all prompts of a
+// popular template would queue at one engine. Servers that report the prefix as
+// cached are preferred within the bound; the report may be out of date.
 type PrefixAffinity struct {
-	Bound float64 // > 1
-	Else  Picker  // for requests without a prefix
+	MaxLoadFactor float64 // > 1
+	Fallback      Picker  // for requests without a prefix
 }
 
-func (p PrefixAffinity) Pick(r *Request, left []Scored, rng *rand.Rand) (int, string) {
+func (p PrefixAffinity) Pick(r *Request, eligible []Scored, rng *rand.Rand) (int, string) {
 	if r.Prefix == 0 {
-		return p.Else.Pick(r, left, rng)
+		return p.Fallback.Pick(r, eligible, rng)
 	}
-	limit := p.limit(left)
-	owner := ownerOf(r.Prefix, left)
+	maxLoad := p.maxLoadPerSlot(eligible)
+	owner := ownerOf(r.Prefix, eligible)
 	best, bestRank := -1, 0
 	var bestWeight uint64
-	for i := range left {
-		c := left[i].C
-		if float64(c.Load()+1) > math.Ceil(limit*c.slots()) {
+	for i := range eligible {
+		c := eligible[i].Server
+		if float64(c.Load()+1) > math.Ceil(maxLoad*c.slots()) {
 			continue
 		}
-		weight, rank := Rendezvous(r.Prefix, c.Hash), prefixRank(c, r.Warm)
+		weight, rank := Rendezvous(r.Prefix, c.Hash), prefixRank(c, r.EnginePrefix)
 		if best < 0 || rank > bestRank || rank == bestRank && weight > bestWeight {
 			best, bestWeight, bestRank = i, weight, rank
 		}
 	}
 	switch {
 	case best < 0:
-		at, _ := p.Else.Pick(r, left, rng)
-		return at, "prefix: all above the bound"
+		index, _ := p.Fallback.Pick(r, eligible, rng)
+		return index, "prefix: all above the bound"
 	case best == owner:
 		return best, "prefix"
-	case isWarm(left[best].C, r.Warm):
+	case isWarm(eligible[best].Server, r.EnginePrefix):
 		return best, "prefix: warm"
 	default:
 		return best, "prefix: spilled"
 	}
 }
 
-// limit is the load per slot that a server may reach.
-func (p PrefixAffinity) limit(left []Scored) float64 {
+// maxLoadPerSlot returns the highest load per slot that a server may reach: the
+// mean over all candidates, this request included, times MaxLoadFactor.
+func (p PrefixAffinity) maxLoadPerSlot(eligible []Scored) float64 {
 	load, slots := 1, 0.0
-	for i := range left {
-		load += left[i].C.Load()
-		slots += left[i].C.slots()
+	for i := range eligible {
+		load += eligible[i].Server.Load()
+		slots += eligible[i].Server.slots()
 	}
-	return p.Bound * float64(load) / slots
+	return p.MaxLoadFactor * float64(load) / slots
 }
 
-// prefixRank puts servers of the entry's region before far ones, and warm
-// ones before cold.
+// prefixRank returns a server's preference, the highest first: servers in the
+// entry's region before those in other regions, then servers that have the prefix
+// cached.
 func prefixRank(c *Candidate, warm uint64) int {
 	rank := 0
-	if c.Distance != Far {
+	if c.Distance != OtherRegion {
 		rank += 2
 	}
 	if isWarm(c, warm) {
@@ -191,28 +198,30 @@
 }
 
 func isWarm(c *Candidate, prefix uint64) bool {
-	return prefix != 0 && slices.Contains(c.Warm, prefix)
+	return prefix != 0 && slices.Contains(c.WarmPrefixes, prefix)
 }
 
-// KeyAffinity sends requests with one idempotency key to one server, so that
-// a repeat lands where the first answer is held and needs no forwarding.
+// KeyAffinity sends all requests with the same idempotency key to the same server.
+// A repeat then reaches the server that holds the first answer and need not be
+// forwarded.
 type KeyAffinity struct {
-	Else Picker // for requests without a key
+	Fallback Picker // for requests without a key
 }
 
-func (k KeyAffinity) Pick(r *Request, left []Scored, rng *rand.Rand) (int, string) {
+func (k KeyAffinity) Pick(r *Request, eligible []Scored, rng *rand.Rand) (int, string) {
 	if r.Key == 0 {
-		return k.Else.Pick(r, left, rng)
+		return k.Fallback.Pick(r, eligible, rng)
 	}
-	return ownerOf(r.Key, left), "key"
+	return ownerOf(r.Key, eligible), "key"
 }
 
-// ownerOf returns the server with the highest rendezvous weight.
-func ownerOf(item uint64, left []Scored) int {
+// ownerOf returns the index of the candidate with the highest rendezvous weight
+// for the item.
+func ownerOf(item uint64, eligible []Scored) int {
 	best := 0
-	weight := Rendezvous(item, left[0].C.Hash)
-	for i := 1; i < len(left); i++ {
-		if w := Rendezvous(item, left[i].C.Hash); w > weight {
+	weight := Rendezvous(item, eligible[0].Server.Hash)
+	for i := 1; i < len(eligible); i++ {
+		if w := Rendezvous(item, eligible[i].Server.Hash); w > weight {
 			best, weight = i, w
 		}
 	}
--- a/decide/route/route.go
+++ b/decide/route/route.go
@@ -1,7 +1,7 @@
-// Package route decides which server gets a request. A Policy runs small
-// plugins over the candidates of one pool: filters drop servers, scorers rate
-// those left, a picker takes one. The package does no I/O and has no clock or
-// randomness of its own.
+// Package route decides which server gets a request. A Policy applies plugins to
+// the candidates of one pool: filters drop servers, scorers rate the remaining
+// ones, a picker selects one. The package does no I/O; time and randomness are
+// passed in.
 package route
 
 import (
@@ -9,19 +9,19 @@
 	"time"
 )
 
-// Distance is how far a server is from this entry.
+// Distance is the network distance between an entry and a server.
 type Distance uint8
 
 const (
-	// Near: in the entry's own failure domain.
-	Near Distance = iota
-	// SameRegion: in another failure domain of the entry's region.
+	// SameDomain means the entry's own failure domain.
+	SameDomain Distance = iota
+	// SameRegion means another failure domain in the entry's region.
 	SameRegion
-	// Far: in another region.
-	Far
+	// OtherRegion means a region other than the entry's.
+	OtherRegion
 )
 
-// Candidate is one server as the entry sees it when it decides.
+// Candidate is what an entry knows of one server at the time of a decision.
 type Candidate struct {
 	Name          string
 	Hash          uint64 // Hash(Name), for rendezvous hashing
@@ -32,82 +32,86 @@
 	Ejected       bool
 	Version       uint64 // weight version; 0: none
 	Slots         int
-	// Reported is the load (running and queued) of the last report.
-	Reported int
-	// OwnAtReport is this entry's own work there when the report came;
-	// OwnNow is the same at this moment.
-	OwnAtReport int
-	OwnNow      int
-	// StreamRate is tokens/s of one stream; 0: unknown.
-	StreamRate float64
-	QueueWait  time.Duration
-	Warm       []uint64 // prefixes that the engine may hold
-	Connected  bool     // an idle connection to it is at hand
+	// ReportedLoad is the number of running and queued requests in the server's
+	// last report.
+	ReportedLoad int
+	// OwnLoadAtReport is how many requests of this entry were in flight at the
+	// server when that report arrived; OwnLoad is how many are now.
+	OwnLoadAtReport int
+	OwnLoad         int
+	// StreamRate is the rate of one stream in tokens/s; 0: unknown.
+	StreamRate   float64
+	QueueWait    time.Duration
+	WarmPrefixes []uint64 // prefixes that the engine may have in its cache
+	Connected    bool     // an idle connection to it exists
 }
 
-// Load is the reported load corrected by this entry's own work. A report lags:
-// work sent since is not in it, and without the correction every request goes
-// to the server that was idle when it last spoke. The load is never taken
-// below what this entry itself has there.
+// Load returns the reported load, corrected for this entry's own requests. A
+// report does not contain requests sent after it; without the correction every
+// request would go to the server that was idle at its last report. The result is
+// never less than OwnLoad.
 func (c *Candidate) Load() int {
-	others := max(0, c.Reported-c.OwnAtReport)
-	return others + c.OwnNow
+	others := max(0, c.ReportedLoad-c.OwnLoadAtReport)
+	return others + c.OwnLoad
 }
 
-// slots is never zero, so that it can divide.
+// slots returns the number of slots, at least 1 because callers divide by it.
 func (c *Candidate) slots() float64 {
 	return float64(max(1, c.Slots))
 }
 
-// Request is what matters of a request for the choice of a server.
+// Request holds the properties of a request that affect the choice of a server.
 type Request struct {
 	Prefix uint64 // PrefixHash of the prompt; 0: none
-	// Warm is the prompt's prefix as engines name it in their cache events
-	// (Candidate.Warm); 0: not known.
-	Warm  uint64
-	Key   uint64 // Hash of the idempotency key; 0: none
-	Floor uint64 // oldest weight version that will do
-	// Left is the time until the deadline; 0: no deadline.
-	Left time.Duration
-	// Tried names servers that had their turn, TriedDomains the failure
-	// domains of those that failed.
+	// EnginePrefix identifies the prompt's prefix as the engines' cache events do
+	// (see Candidate.WarmPrefixes); 0: unknown.
+	EnginePrefix uint64
+	Key          uint64 // Hash of the idempotency key; 0: none
+	Floor        uint64 // oldest weight version allowed
+	// Remaining is the time until the deadline; 0: no deadline.
+	Remaining time.Duration
+	// Tried holds the names of the servers that this request was already sent to,
+	// TriedDomains the failure domains of those that failed.
 	Tried        map[string]bool
 	TriedDomains map[string]bool
 }
 
-// Filter tells whether a candidate may get the request.
+// Filter excludes candidates.
 type Filter interface {
+	// Keep reports whether the candidate may get the request.
 	Keep(r *Request, c *Candidate) bool
 }
 
-// Scorer rates a candidate; less is better. The unit is one whole server's
-// load: 1 means "as good as a server with every slot in use".
+// Scorer rates a candidate; lower is better. A score of 1 is the load of a server
+// with every slot in use.
 type Scorer interface {
 	Score(r *Request, c *Candidate) float64
 }
 
-// Scored is a candidate left by the filters.
+// Scored is a candidate that passed the filters.
 type Scored struct {
-	Index int // in the slice given to Pick
-	C     *Candidate
-	Score float64
+	Index  int // in the candidates given to Policy.Pick
+	Server *Candidate
+	Score  float64
 }
 
-// Picker takes one of the candidates left; there is at least one. why is a
-// short constant text for traces.
+// Picker selects one candidate.
 type Picker interface {
-	Pick(r *Request, left []Scored, rng *rand.Rand) (at int, why string)
+	// Pick returns the index in eligible, which is never empty, of the selected
+	// candidate. reason is a short constant text for traces. Pick may reorder
+	// eligible; the index refers to the new order.
+	Pick(r *Request, eligible []Scored, rng *rand.Rand) (index int, reason string)
 }
 
-// Stage is a filter with its name. A soft filter that would leave nobody is
-// passed over.
+// Stage is a named filter. A soft stage is skipped if it would leave no candidate.
 type Stage struct {
 	Name   string
 	Filter Filter
 	Soft   bool
 }
 
-// Policy is one way to choose.
+// Policy is a way to choose a server: stages in order, the sum of all scorers, and
+// a picker.
 type Policy struct {
 	Stages  []Stage
 	Scorers []Scorer
@@ -116,71 +120,75 @@
 
 // Choice is the outcome of Pick.
 type Choice struct {
-	Index int // -1: nobody
-	Score float64
-	Load  int
-	Why   string // how the picker chose
-	Left  int    // candidates left by the filters
-	// Emptied is the name of the hard filter that left nobody.
-	Emptied string
-	// Passed names the last soft filter that had to be passed over.
-	Passed string
+	Index    int // in the candidates given to Pick; -1: none chosen
+	Score    float64
+	Load     int
+	Reason   string // the picker's reason
+	Eligible int    // number of candidates that passed the filters
+	// EmptiedBy is the name of the hard stage that left no candidate.
+	EmptiedBy string
+	// SkippedStage is the name of the last soft stage that was skipped.
+	SkippedStage string
 }
 
-// Scratch is memory that Pick reuses between requests of one goroutine.
+// Scratch holds buffers that Pick reuses. It must not be used concurrently.
 type Scratch struct {
-	left, kept []Scored
+	eligible, kept []Scored
 }
 
-// Pick chooses among candidates.
+// Pick chooses one of the candidates. Choice.Index is -1 if a hard stage leaves
+// none.
 func (p *Policy) Pick(r *Request, candidates []Candidate, rng *rand.Rand, s *Scratch) Choice {
 	choice := Choice{Index: -1}
-	left := s.left[:0]
+	eligible := s.eligible[:0]
 	for i := range candidates {
-		left = append(left, Scored{Index: i, C: &candidates[i]})
+		eligible = append(eligible, Scored{Index: i, Server: &candidates[i]})
 	}
-	if len(left) == 0 {
-		choice.Emptied = StageMembers
+	if len(eligible) == 0 {
+		choice.EmptiedBy = StageMembers
 		return choice
 	}
 	kept := s.kept[:0]
 	for _, stage := range p.Stages {
-		kept = keep(r, stage.Filter, left, kept[:0])
+		kept = appendKept(r, stage.Filter, eligible, kept[:0])
 		if len(kept) > 0 {
-			left, kept = kept, left
+			eligible, kept = kept, eligible
 			continue
 		}
 		if !stage.Soft {
-			choice.Emptied = stage.Name
-			s.left, s.kept = left, kept
+			choice.EmptiedBy = stage.Name
+			s.eligible, s.kept = eligible, kept
 			return choice
 		}
-		choice.Passed = stage.Name
+		choice.SkippedStage = stage.Name
 	}
-	p.score(r, left)
-	at, why := p.Picker.Pick(r, left, rng)
-	choice.Index = left[at].Index
-	choice.Score = left[at].Score
-	choice.Load = left[at].C.Load()
-	choice.Why = why
-	choice.Left = len(left)
-	s.left, s.kept = left, kept
+	p.addScores(r, eligible)
+	index, reason := p.Picker.Pick(r, eligible, rng)
+	choice.Index = eligible[index].Index
+	choice.Score = eligible[index].Score
+	choice.Load = eligible[index].Server.Load()
+	choice.Reason = reason
+	choice.Eligible = len(eligible)
+	s.eligible, s.kept = eligible, kept
 	return choice
 }
 
-func keep(r *Request, f Filter, from, to []Scored) []Scored {
+// appendKept appends the candidates of from that f keeps to the slice to, and
+// returns it.
+func appendKept(r *Request, f Filter, from, to []Scored) []Scored {
 	for _, s := range from {
-		if f.Keep(r, s.C) {
+		if f.Keep(r, s.Server) {
 			to = append(to, s)
 		}
 	}
 	return to
 }
 
-func (p *Policy) score(r *Request, left []Scored) {
-	for i := range left {
+// addScores adds the scores of all scorers to each candidate's score.
+func (p *Policy) addScores(r *Request, eligible []Scored) {
+	for i := range eligible {
 		for _, scorer := range p.Scorers {
-			left[i].Score += scorer.Score(r, left[i].C)
+			eligible[i].Score += scorer.Score(r, eligible[i].Server)
 		}
 	}
 }
