--- a/fold/jobs/pack.go
+++ b/fold/jobs/compress.go
@@ -15,43 +15,43 @@
 // 80 MB/s, in place of 3.4 s.
 
 const (
-	// packed is the first byte of a packed record; JSON begins with another.
-	packed = 0x01
-	// packFrom is the size from which on records are packed, in bytes: an empty one, a
+	// compressed is the first byte of a compressed record; JSON begins with another.
+	compressed = 0x01
+	// minCompressBytes is the size from which on records are packed, in bytes: an empty one, a
 	// sign of life, is no smaller for it.
-	packFrom = 100
-	// unpackedMost bounds an unpacked record, in bytes: the platform takes records of
+	minCompressBytes = 100
+	// maxDecompressedBytes bounds an unpacked record, in bytes: the platform takes records of
 	// 256 KB, and what is larger was not written by us.
-	unpackedMost = 8 << 20
+	maxDecompressedBytes = 8 << 20
 )
 
-// packWords is what records begin with in common: the packer refers to it. It is a
+// compressionDictionary is what records begin with in common: the packer refers to it. It is a
 // part of the format, and may not change.
-const packWords = `{"n":"front-a-1","l":"orders","en":[{"s":"i-","m":"","v":1,"l":true},{"s":"i-` +
+const compressionDictionary = `{"n":"front-a-1","l":"orders","en":[{"s":"i-","m":"","v":1,"l":true},{"s":"i-` +
 	`"cp":1200,"a":{"id":"","h":".example","p":"/","s":1,"m":"","mv":1,"tg":10,"t":100,"at":17,"du":7500,"o":{"n":"","l":""},` +
 	`"bd":{"p":1,"o":,"b":0},"sub":"","pt":0,"ps":1,"it":[{"id":"","g":"g"},{"id":"` +
 	`"c":[{"j":"","pr":}],"r":["],"e":["],"lv":true,` +
 	`"st":[{"j":"","i":"","s":"i-"},{"j":"","i":""}],"rs":[{"j":"","i":"","x":true,"t":{"p":1,"o":,"b":},"v":[1],"s":"00.00.000.00.00"},{"j":"`
 
-var packers = sync.Pool{New: func() any {
-	w, err := flate.NewWriterDict(nil, flate.DefaultCompression, []byte(packWords))
+var compressors = sync.Pool{New: func() any {
+	w, err := flate.NewWriterDict(nil, flate.DefaultCompression, []byte(compressionDictionary))
 	if err != nil {
 		panic(err) // the level is a constant
 	}
 	return w
 }}
 
-var unpackers = sync.Pool{New: func() any { return flate.NewReaderDict(nil, []byte(packWords)) }}
+var decompressors = sync.Pool{New: func() any { return flate.NewReaderDict(nil, []byte(compressionDictionary)) }}
 
-// pack returns a record's bytes packed, or as they are where that is no larger.
-func pack(data []byte) ([]byte, error) {
-	if len(data) < packFrom {
+// compress returns a record's bytes packed, or as they are where that is no larger.
+func compress(data []byte) ([]byte, error) {
+	if len(data) < minCompressBytes {
 		return data, nil
 	}
 	var out bytes.Buffer
-	out.WriteByte(packed)
-	w := packers.Get().(*flate.Writer)
-	defer packers.Put(w)
+	out.WriteByte(compressed)
+	w := compressors.Get().(*flate.Writer)
+	defer compressors.Put(w)
 	w.Reset(&out)
 	if _, err := w.Write(data); err != nil {
 		return nil, errors.Trace(err)
@@ -65,16 +65,16 @@
 	return out.Bytes(), nil
 }
 
-// unpack returns the bytes that were packed, or those that were not as they are.
-func unpack(data []byte) ([]byte, error) {
-	if len(data) == 0 || data[0] != packed {
+// decompress returns the bytes that were packed, or those that were not as they are.
+func decompress(data []byte) ([]byte, error) {
+	if len(data) == 0 || data[0] != compressed {
 		return data, nil
 	}
-	r := unpackers.Get().(io.ReadCloser)
-	defer unpackers.Put(r)
-	if err := r.(flate.Resetter).Reset(bytes.NewReader(data[1:]), []byte(packWords)); err != nil {
+	r := decompressors.Get().(io.ReadCloser)
+	defer decompressors.Put(r)
+	if err := r.(flate.Resetter).Reset(bytes.NewReader(data[1:]), []byte(compressionDictionary)); err != nil {
 		return nil, errors.Trace(err)
 	}
-	out, err := io.ReadAll(io.LimitReader(r, unpackedMost))
+	out, err := io.ReadAll(io.LimitReader(r, maxDecompressedBytes))
 	return out, errors.Annotate(err, "packed record")
 }
--- a/fold/jobs/jobs.go
+++ b/fold/jobs/jobs.go
@@ -25,39 +25,39 @@
 
 // Job is an accepted batch job.
 type Job struct {
-	Head
+	Spec
 	Items   map[string]*ItemState
 	Order   []string // item ids in the order of submission
 	Results []Result
 	Ended   bool
 
 	groups map[string]*group
-	// complete is the number of groups all of whose items have a result.
-	complete int
-	// awaited is the number of groups without all results that an earlier job
+	// completeGroups is the number of groups all of whose items have a result.
+	completeGroups int
+	// incompleteResubmitted is the number of groups without all results that an earlier job
 	// had as well.
-	awaited int
+	incompleteResubmitted int
 
 	Owner Writer
-	// Accepted is the offset of the record that made the job.
-	Accepted uint64
+	// AcceptedOffset is the offset of the record that made the job.
+	AcceptedOffset uint64
 	// Claim is the offset of the record that made Owner the owner.
 	Claim    uint64
 	Released bool // the owner has given the job up
-	// At is where the items stand, and their texts behind.
-	At TextRef
+	// ItemsRef is where the items stand, and their texts behind.
+	ItemsRef TextRef
 }
 
 // group is the items of a job that share their prompt.
 type group struct {
-	left  int  // items without a result
-	again bool // an earlier job had it as well
+	unfinished  int  // items without a result
+	resubmitted bool // an earlier job had it as well
 }
 
 // Enough tells whether the trainer has all that it waits for: as many complete
 // groups as it said, those that it handed in a second time among them.
 func (j *Job) Enough() bool {
-	return len(j.Results) == j.Total || j.Groups > 0 && j.complete >= j.Groups && j.awaited == 0
+	return len(j.Results) == j.Total || j.Groups > 0 && j.completeGroups >= j.Groups && j.incompleteResubmitted == 0
 }
 
 // Need is the number of groups that the trainer still waits for; where it named
@@ -66,22 +66,22 @@
 	if j.Groups == 0 {
 		return j.Total - len(j.Results)
 	}
-	return max(0, j.Groups-j.complete)
+	return max(0, j.Groups-j.completeGroups)
 }
 
-// Again tells whether the trainer has handed a group in a second time. It then
+// IsResubmitted tells whether the trainer has handed a group in a second time. It then
 // waits for this group whatever others are whole.
-func (j *Job) Again(name string) bool {
+func (j *Job) IsResubmitted(name string) bool {
 	g := j.groups[name]
-	return g != nil && g.again
+	return g != nil && g.resubmitted
 }
 
-// Open tells whether there is still work for an owner.
-func (j *Job) Open() bool { return !j.Ended && len(j.Results) < j.Total }
+// IsOpen tells whether there is still work for an owner.
+func (j *Job) IsOpen() bool { return !j.Ended && len(j.Results) < j.Total }
 
 // submission gathers the parts of an accepted job.
 type submission struct {
-	parts map[int]*Accept
+	parts map[int]*Acceptance
 }
 
 // Change tells what a record changed.
@@ -102,11 +102,11 @@
 	Jobs map[string]*Job
 
 	pending map[string]*submission
-	// running counts the items at each server by the owners' own word.
-	running map[string]int
-	order   []string // jobs in the order of acceptance
-	engines map[EngineKey]Engine
-	leaving map[Writer]bool
+	// runningItems counts the items at each server by the owners' own word.
+	runningItems map[string]int
+	jobOrder     []string // jobs in the order of acceptance
+	engines      map[EngineKey]Engine
+	leaving      map[Writer]bool
 	// capacity is how many items each process can run, by its own word.
 	capacity map[Writer]int
 	// groups are those of the jobs that are known.
@@ -115,11 +115,11 @@
 
 // New returns the state before the first record.
 func New() *State {
-	return &State{Jobs: map[string]*Job{}, pending: map[string]*submission{}, running: map[string]int{}, engines: map[EngineKey]Engine{}, leaving: map[Writer]bool{}, capacity: map[Writer]int{}, groups: map[groupKey]bool{}}
+	return &State{Jobs: map[string]*Job{}, pending: map[string]*submission{}, runningItems: map[string]int{}, engines: map[EngineKey]Engine{}, leaving: map[Writer]bool{}, capacity: map[Writer]int{}, groups: map[groupKey]bool{}}
 }
 
 // Running is the number of items that run at a server, by their owners' word.
-func (s *State) Running(server string) int { return s.running[server] }
+func (s *State) Running(server string) int { return s.runningItems[server] }
 
 // Engine is the last word about a model at a server.
 func (s *State) Engine(server, model string) (Engine, bool) {
@@ -136,7 +136,7 @@
 	if r.Capacity > 0 {
 		s.capacity[r.Writer] = r.Capacity
 	}
-	if r.Accept != nil {
+	if r.Acceptance != nil {
 		s.accept(offset, r, &c)
 	}
 	for _, claim := range r.Claims {
@@ -147,30 +147,30 @@
 	}
 	for _, result := range r.Results {
 		result.Writer = r.Node
-		s.result(result, &c)
+		s.addResult(result, &c)
 	}
 	for _, e := range r.Engines {
 		s.engines[EngineKey{e.Server, e.Model}] = e
 		c.Engines++
 	}
 	for _, id := range r.Releases {
-		s.release(id, r.Writer, &c)
+		s.releaseJob(id, r.Writer, &c)
 	}
 	for _, id := range r.Ends {
-		s.end(id, &c)
+		s.endJob(id, &c)
 	}
 	return c
 }
 
 func (s *State) accept(offset uint64, r *Record, c *Change) {
-	a := r.Accept
+	a := r.Acceptance
 	if s.Jobs[a.ID] != nil || a.Parts < 1 || a.Part < 0 || a.Part >= a.Parts {
 		return
 	}
 	key := a.ID + "/" + a.Submission
 	sub := s.pending[key]
 	if sub == nil {
-		sub = &submission{parts: map[int]*Accept{}}
+		sub = &submission{parts: map[int]*Acceptance{}}
 		s.pending[key] = sub
 	}
 	sub.parts[a.Part] = a
@@ -181,13 +181,13 @@
 	if a.Owner != nil {
 		owner = *a.Owner
 	}
-	s.add(offset, owner, sub, a)
+	s.addJob(offset, owner, sub, a)
 	c.Accepted = append(c.Accepted, a.ID)
 }
 
-// add makes the job of a whole submission and forgets what others handed in of it.
-func (s *State) add(offset uint64, owner Writer, sub *submission, last *Accept) {
-	j := &Job{Head: last.Head, Items: map[string]*ItemState{}, Owner: owner, Accepted: offset, Claim: offset, At: last.At, groups: map[string]*group{}}
+// addJob makes the job of a whole submission and forgets what others handed in of it.
+func (s *State) addJob(offset uint64, owner Writer, sub *submission, last *Acceptance) {
+	j := &Job{Spec: last.Spec, Items: map[string]*ItemState{}, Owner: owner, AcceptedOffset: offset, Claim: offset, ItemsRef: last.ItemsRef, groups: map[string]*group{}}
 	for part := range last.Parts {
 		for _, item := range sub.parts[part].Items {
 			if j.Items[item.ID] != nil {
@@ -195,12 +195,12 @@
 			}
 			j.Items[item.ID] = &ItemState{ItemRef: item, Position: -1}
 			j.Order = append(j.Order, item.ID)
-			s.join(j, item.Group)
+			s.joinGroup(j, item.Group)
 		}
 	}
 	j.Total = len(j.Order)
 	s.Jobs[j.ID] = j
-	s.order = append(s.order, j.ID)
+	s.jobOrder = append(s.jobOrder, j.ID)
 	for key := range s.pending {
 		if strings.HasPrefix(key, j.ID+"/") {
 			delete(s.pending, key)
@@ -211,29 +211,29 @@
 // groupKey names a group of items: trainers draw the names of their own.
 type groupKey struct{ model, group string }
 
-// join adds an item to its group.
-func (s *State) join(j *Job, name string) {
+// joinGroup adds an item to its group.
+func (s *State) joinGroup(j *Job, name string) {
 	g := j.groups[name]
 	if g == nil {
 		key := groupKey{j.Model, name}
-		g = &group{again: s.groups[key]}
+		g = &group{resubmitted: s.groups[key]}
 		j.groups[name], s.groups[key] = g, true
-		if g.again {
-			j.awaited++
+		if g.resubmitted {
+			j.incompleteResubmitted++
 		}
 	}
-	g.left++
+	g.unfinished++
 }
 
-// listed notes that one more item of a group has its result.
-func (j *Job) listed(g *group) {
-	g.left--
-	if g.left > 0 {
+// completeItem notes that one more item of a group has its result.
+func (j *Job) completeItem(g *group) {
+	g.unfinished--
+	if g.unfinished > 0 {
 		return
 	}
-	j.complete++
-	if g.again {
-		j.awaited--
+	j.completeGroups++
+	if g.resubmitted {
+		j.incompleteResubmitted--
 	}
 }
 
@@ -248,56 +248,56 @@
 
 func (s *State) claim(offset uint64, w Writer, claim Claim, c *Change) {
 	j := s.Jobs[claim.Job]
-	if j == nil || j.Claim != claim.Prior || !j.Open() {
+	if j == nil || j.Claim != claim.PriorOffset || !j.IsOpen() {
 		return
 	}
 	j.Owner, j.Claim, j.Released = w, offset, false
-	s.leaveServers(j)
+	s.clearServers(j)
 	c.Owned = append(c.Owned, j.ID)
 }
 
-func (s *State) release(id string, w Writer, c *Change) {
+func (s *State) releaseJob(id string, w Writer, c *Change) {
 	j := s.Owned(id, w)
 	if j == nil {
 		return
 	}
 	j.Released = true
-	s.leaveServers(j)
+	s.clearServers(j)
 	c.Owned = append(c.Owned, id)
 }
 
-// leaveServers forgets where a job's items ran, for its owner is gone.
-func (s *State) leaveServers(j *Job) {
+// clearServers forgets where a job's items ran, for its owner is gone.
+func (s *State) clearServers(j *Job) {
 	for _, item := range j.Items {
-		s.move(item, "")
+		s.setServer(item, "")
 	}
 }
 
-func (s *State) move(item *ItemState, server string) {
+func (s *State) setServer(item *ItemState, server string) {
 	if item.Server != "" {
-		s.running[item.Server]--
-		if s.running[item.Server] <= 0 {
-			delete(s.running, item.Server)
+		s.runningItems[item.Server]--
+		if s.runningItems[item.Server] <= 0 {
+			delete(s.runningItems, item.Server)
 		}
 	}
 	item.Server = server
 	if server != "" {
-		s.running[server]++
+		s.runningItems[server]++
 	}
 }
 
 func (s *State) start(w Writer, start Start) {
 	j := s.Owned(start.Job, w)
-	if j == nil || !j.Open() {
+	if j == nil || !j.IsOpen() {
 		return
 	}
 	if item := j.Items[start.Item]; item != nil && !item.Done() {
-		s.move(item, start.Server)
+		s.setServer(item, start.Server)
 	}
 }
 
-// result lists an item; only the first result of an item counts.
-func (s *State) result(r Result, c *Change) {
+// addResult lists an item; only the first addResult of an item counts.
+func (s *State) addResult(r Result, c *Change) {
 	j := s.Jobs[r.Job]
 	if j == nil {
 		return
@@ -307,48 +307,48 @@
 		return
 	}
 	item.Position = len(j.Results)
-	s.move(item, "")
+	s.setServer(item, "")
 	j.Results = append(j.Results, r)
 	c.Results++
-	j.listed(j.groups[item.Group])
+	j.completeItem(j.groups[item.Group])
 	if len(j.Results) == j.Total {
 		c.Ended = append(c.Ended, j.ID)
 	}
 }
 
-func (s *State) end(id string, c *Change) {
+func (s *State) endJob(id string, c *Change) {
 	j := s.Jobs[id]
 	if j == nil || j.Ended {
 		return
 	}
 	j.Ended = true
-	s.leaveServers(j)
+	s.clearServers(j)
 	c.Ended = append(c.Ended, id)
 }
 
-// Owners returns the processes that may be given jobs: owners first, that of the
+// EligibleOwners returns the processes that may be given jobs: owners first, that of the
 // newest job at the front, then the others in no order. Those that have said
 // that they leave are left out.
-func (s *State) Owners() []OwnerLoad {
+func (s *State) EligibleOwners() []OwnerLoad {
 	var owners []OwnerLoad
-	at := map[Writer]int{}
-	for _, id := range slices.Backward(s.order) {
+	indexOf := map[Writer]int{}
+	for _, id := range slices.Backward(s.jobOrder) {
 		j := s.Jobs[id]
 		if j.Released || s.leaving[j.Owner] {
 			continue
 		}
-		i, known := at[j.Owner]
+		i, known := indexOf[j.Owner]
 		if !known {
 			i = len(owners)
-			at[j.Owner] = i
+			indexOf[j.Owner] = i
 			owners = append(owners, OwnerLoad{Owner: j.Owner, Capacity: s.capacity[j.Owner]})
 		}
-		if j.Open() {
+		if j.IsOpen() {
 			owners[i].Items += j.Total - len(j.Results)
 		}
 	}
 	for w, capacity := range s.capacity {
-		if _, known := at[w]; !known && !s.leaving[w] {
+		if _, known := indexOf[w]; !known && !s.leaving[w] {
 			owners = append(owners, OwnerLoad{Owner: w, Capacity: capacity})
 		}
 	}
@@ -364,16 +364,16 @@
 
 // Each calls f for each job in the order of acceptance.
 func (s *State) Each(f func(*Job)) {
-	for _, id := range s.order {
+	for _, id := range s.jobOrder {
 		f(s.Jobs[id])
 	}
 }
 
-// Open is the number of jobs with work for an owner.
-func (s *State) Open() int {
+// CountOpen is the number of jobs with work for an owner.
+func (s *State) CountOpen() int {
 	open := 0
 	s.Each(func(j *Job) {
-		if j.Open() {
+		if j.IsOpen() {
 			open++
 		}
 	})
@@ -383,9 +383,9 @@
 // Forget drops jobs that were submitted before a time of day, in Unix
 // milliseconds, and are no longer open.
 func (s *State) Forget(beforeMS int64) {
-	s.order = slices.DeleteFunc(s.order, func(id string) bool {
+	s.jobOrder = slices.DeleteFunc(s.jobOrder, func(id string) bool {
 		j := s.Jobs[id]
-		if j.Open() || j.SubmittedMS >= beforeMS {
+		if j.IsOpen() || j.SubmittedMS >= beforeMS {
 			return false
 		}
 		delete(s.Jobs, id)
--- a/fold/jobs/jobs_test.go
+++ b/fold/jobs/jobs_test.go
@@ -13,10 +13,10 @@
 	bob = Writer{Node: "bob", Life: "1"}
 )
 
-// accepted returns a record that hands in a job of two items.
-func accepted(w Writer, id string) *Record {
-	return &Record{Writer: w, Accept: &Accept{
-		Head: Head{ID: id, Model: "m", Total: 2}, Submission: w.Node, Parts: 1,
+// acceptRecord returns a record that hands in a job of two items.
+func acceptRecord(w Writer, id string) *Record {
+	return &Record{Writer: w, Acceptance: &Acceptance{
+		Spec: Spec{ID: id, Model: "m", Total: 2}, Submission: w.Node, Parts: 1,
 		Items: []ItemRef{{ID: "a"}, {ID: "b"}},
 	}}
 }
@@ -25,18 +25,18 @@
 // records reach the log. The job has to exist once, with the first one's owner.
 func TestJobIsAcceptedOnce(t *testing.T) {
 	s := New()
-	require.Equal(t, []string{"j"}, s.Apply(0, accepted(ann, "j")).Accepted)
-	require.Empty(t, s.Apply(1, accepted(bob, "j")).Accepted)
+	require.Equal(t, []string{"j"}, s.Apply(0, acceptRecord(ann, "j")).Accepted)
+	require.Empty(t, s.Apply(1, acceptRecord(bob, "j")).Accepted)
 	require.Equal(t, ann, s.Jobs["j"].Owner)
 	require.Equal(t, 2, s.Jobs["j"].Total)
 }
 
 // A large job stands in several records. Until the last is read nobody may see
 // it, or its items would be counted wrong.
-func TestJobShowsWithItsLastPart(t *testing.T) {
+func TestJobIsVisibleAfterItsLastPart(t *testing.T) {
 	s := New()
 	part := func(n int, item string) *Record {
-		return &Record{Writer: ann, Accept: &Accept{Head: Head{ID: "j"}, Submission: "x", Part: n, Parts: 2, Items: []ItemRef{{ID: item}}}}
+		return &Record{Writer: ann, Acceptance: &Acceptance{Spec: Spec{ID: "j"}, Submission: "x", Part: n, Parts: 2, Items: []ItemRef{{ID: item}}}}
 	}
 	require.Empty(t, s.Apply(0, part(1, "b")).Accepted)
 	require.Nil(t, s.Jobs["j"])
@@ -46,47 +46,47 @@
 
 // A trainer waits for one of two groups, and for a group that it hands in again
 // whatever else is complete. It has enough once all of these are listed.
-func TestEnoughForTheTrainer(t *testing.T) {
-	step := func(id string, groups ...string) *Record {
-		a := &Accept{Head: Head{ID: id, Model: "m", Groups: 1}, Parts: 1}
+func TestEnough(t *testing.T) {
+	acceptGroups := func(id string, groups ...string) *Record {
+		a := &Acceptance{Spec: Spec{ID: id, Model: "m", Groups: 1}, Parts: 1}
 		for _, g := range groups {
 			a.Items = append(a.Items, ItemRef{ID: g + "1", Group: g}, ItemRef{ID: g + "2", Group: g})
 		}
-		return &Record{Writer: ann, Accept: a}
+		return &Record{Writer: ann, Acceptance: a}
 	}
-	list := func(job, item string) *Record {
+	addResult := func(job, item string) *Record {
 		return &Record{Writer: ann, Results: []Result{{Job: job, Item: item}}}
 	}
 	s := New()
-	s.Apply(0, step("j", "x", "y"))
-	s.Apply(1, list("j", "x1"))
-	s.Apply(2, list("j", "y1"))
+	s.Apply(0, acceptGroups("j", "x", "y"))
+	s.Apply(1, addResult("j", "x1"))
+	s.Apply(2, addResult("j", "y1"))
 	require.False(t, s.Jobs["j"].Enough())
-	s.Apply(3, list("j", "x2"))
+	s.Apply(3, addResult("j", "x2"))
 	require.True(t, s.Jobs["j"].Enough())
 
 	s.Apply(4, &Record{Writer: ann, Ends: []string{"j"}})
-	s.Apply(5, step("k", "y", "z"))
-	s.Apply(6, list("k", "z1"))
-	s.Apply(7, list("k", "z2"))
+	s.Apply(5, acceptGroups("k", "y", "z"))
+	s.Apply(6, addResult("k", "z1"))
+	s.Apply(7, addResult("k", "z2"))
 	require.False(t, s.Jobs["k"].Enough())
-	s.Apply(8, list("k", "y1"))
-	s.Apply(9, list("k", "y2"))
+	s.Apply(8, addResult("k", "y1"))
+	s.Apply(9, addResult("k", "y2"))
 	require.True(t, s.Jobs["k"].Enough())
 }
 
 // Two owners finish an item, or the store carries an append out twice. The
 // trainer has read the first result: its position and text must not change.
-func TestFirstResultStands(t *testing.T) {
+func TestFirstResultWins(t *testing.T) {
 	s := New()
-	s.Apply(0, accepted(ann, "j"))
+	s.Apply(0, acceptRecord(ann, "j"))
 	s.Apply(1, &Record{Writer: ann, Results: []Result{{Job: "j", Item: "b", Score: "first"}}})
 	s.Apply(2, &Record{Writer: bob, Results: []Result{{Job: "j", Item: "b", Score: "second"}, {Job: "j", Item: "a", Score: "x"}}})
 	j := s.Jobs["j"]
 	require.Equal(t, "first", j.Results[0].Score)
 	require.Equal(t, "a", j.Results[1].Item)
 	require.Len(t, j.Results, 2)
-	require.False(t, j.Open())
+	require.False(t, j.IsOpen())
 }
 
 // Two entries see the owner silent and claim its job at the same moment. Both
@@ -94,47 +94,47 @@
 // owner's later words about its streams are void.
 func TestFirstClaimWins(t *testing.T) {
 	s := New()
-	s.Apply(0, accepted(ann, "j"))
+	s.Apply(0, acceptRecord(ann, "j"))
 	cyd := Writer{Node: "cyd", Life: "1"}
-	s.Apply(1, &Record{Writer: bob, Claims: []Claim{{Job: "j", Prior: 0}}})
-	s.Apply(2, &Record{Writer: cyd, Claims: []Claim{{Job: "j", Prior: 0}}})
+	s.Apply(1, &Record{Writer: bob, Claims: []Claim{{Job: "j", PriorOffset: 0}}})
+	s.Apply(2, &Record{Writer: cyd, Claims: []Claim{{Job: "j", PriorOffset: 0}}})
 	require.Equal(t, bob, s.Jobs["j"].Owner)
 	s.Apply(3, &Record{Writer: ann, Starts: []Start{{Job: "j", Item: "a", Server: "e1"}}})
 	require.Zero(t, s.Running("e1"))
-	s.Apply(4, &Record{Writer: cyd, Claims: []Claim{{Job: "j", Prior: 1}}})
+	s.Apply(4, &Record{Writer: cyd, Claims: []Claim{{Job: "j", PriorOffset: 1}}})
 	require.Equal(t, cyd, s.Jobs["j"].Owner)
 }
 
 // A leaving entry gives its jobs up. Nobody counts its samples at the engines
 // any more, or their places would stay taken.
-func TestReleaseFreesPlaces(t *testing.T) {
+func TestReleaseClearsRunningItems(t *testing.T) {
 	s := New()
-	s.Apply(0, accepted(ann, "j"))
+	s.Apply(0, acceptRecord(ann, "j"))
 	s.Apply(1, &Record{Writer: ann, Starts: []Start{{Job: "j", Item: "a", Server: "e1"}, {Job: "j", Item: "b", Server: "e1"}}})
 	require.Equal(t, 2, s.Running("e1"))
 	s.Apply(2, &Record{Writer: ann, Releases: []string{"j"}, Leaving: true})
 	require.Zero(t, s.Running("e1"))
 	require.True(t, s.Jobs["j"].Released)
-	require.Empty(t, s.Owners())
+	require.Empty(t, s.EligibleOwners())
 }
 
 // The owner of the newest job comes first, so that a trainer's next step goes
 // to who has its connections; processes that only told their capacity follow.
-func TestOwnersComeBeforeOthers(t *testing.T) {
+func TestEligibleOwnersOrder(t *testing.T) {
 	s := New()
 	s.Apply(0, &Record{Writer: Writer{Node: "cyd", Life: "1"}, Capacity: 600})
 	s.Apply(1, &Record{Writer: ann, Capacity: 100})
-	s.Apply(2, accepted(ann, "j"))
-	s.Apply(3, accepted(bob, "k"))
+	s.Apply(2, acceptRecord(ann, "j"))
+	s.Apply(3, acceptRecord(bob, "k"))
 	s.Apply(4, &Record{Writer: bob, Results: []Result{{Job: "k", Item: "a"}}})
-	require.Equal(t, []OwnerLoad{{bob, 1, 0}, {ann, 2, 100}, {Writer{Node: "cyd", Life: "1"}, 0, 600}}, s.Owners())
+	require.Equal(t, []OwnerLoad{{bob, 1, 0}, {ann, 2, 100}, {Writer{Node: "cyd", Life: "1"}, 0, 600}}, s.EligibleOwners())
 }
 
 // Jobs that are over and old are dropped; an open one never is.
 func TestForgetKeepsOpenJobs(t *testing.T) {
 	s := New()
-	s.Apply(0, accepted(ann, "open"))
-	s.Apply(1, accepted(ann, "over"))
+	s.Apply(0, acceptRecord(ann, "open"))
+	s.Apply(1, acceptRecord(ann, "over"))
 	s.Apply(2, &Record{Writer: ann, Ends: []string{"over"}})
 	s.Forget(1)
 	require.NotNil(t, s.Jobs["open"])
@@ -147,9 +147,9 @@
 	item := rapid.SampledFrom([]string{"a", "b", "zz"}).Draw(t, "item")
 	switch rapid.IntRange(0, 6).Draw(t, "what") {
 	case 0:
-		return accepted(writer, job)
+		return acceptRecord(writer, job)
 	case 1:
-		return &Record{Writer: writer, Claims: []Claim{{Job: job, Prior: rapid.Uint64Range(0, 40).Draw(t, "prior")}}}
+		return &Record{Writer: writer, Claims: []Claim{{Job: job, PriorOffset: rapid.Uint64Range(0, 40).Draw(t, "prior")}}}
 	case 2:
 		return &Record{Writer: writer, Leaving: true}
 	case 3:
@@ -166,21 +166,21 @@
 // Whatever the log holds: results never move or change, an item stands at one
 // position, the places at the engines add up, and two readers that take the
 // same records in other pages end alike.
-func TestFoldHoldsForAnyLog(t *testing.T) {
+func TestFoldInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		one, other := New(), New()
+		first, second := New(), New()
 		listed := map[string][]Result{}
 		n := rapid.IntRange(0, 40).Draw(t, "records")
 		for offset := range n {
 			r := genRecord(t)
-			one.Apply(uint64(offset), r)
+			first.Apply(uint64(offset), r)
 			data, err := r.Encode()
 			require.NoError(t, err)
-			again, err := Decode(data)
+			decoded, err := Decode(data)
 			require.NoError(t, err)
-			other.Apply(uint64(offset), again)
+			second.Apply(uint64(offset), decoded)
 			running := map[string]int{}
-			for id, j := range one.Jobs {
+			for id, j := range first.Jobs {
 				require.GreaterOrEqual(t, len(j.Results), len(listed[id]))
 				for i, before := range listed[id] {
 					require.Equal(t, before, j.Results[i], "a result that was listed")
@@ -198,20 +198,20 @@
 				}
 			}
 			for _, server := range []string{"e1", "e2"} {
-				require.Equal(t, running[server], one.Running(server))
+				require.Equal(t, running[server], first.Running(server))
 			}
 		}
-		require.Equal(t, len(one.Jobs), len(other.Jobs))
-		for id, j := range one.Jobs {
-			require.Equal(t, j.Results, other.Jobs[id].Results)
-			require.Equal(t, j.Owner, other.Jobs[id].Owner)
+		require.Equal(t, len(first.Jobs), len(second.Jobs))
+		for id, j := range first.Jobs {
+			require.Equal(t, j.Results, second.Jobs[id].Results)
+			require.Equal(t, j.Owner, second.Jobs[id].Owner)
 		}
 	})
 }
 
 // A record that the log brings twice (its answer was lost and it was appended
 // again) changes nothing the second time, apart from where a stream runs.
-func TestRepeatedRecordsChangeNoResult(t *testing.T) {
+func TestRepeatedRecordsDoNotChangeResults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		once, twice := New(), New()
 		offset := uint64(0)
@@ -235,7 +235,7 @@
 // A record that can't be read is told apart from one that can; no input may
 // make the fold panic.
 func FuzzDecode(f *testing.F) {
-	good, err := accepted(ann, "j").Encode()
+	good, err := acceptRecord(ann, "j").Encode()
 	require.NoError(f, err)
 	f.Add(good)
 	f.Add([]byte(`{}`))
@@ -248,7 +248,7 @@
 			return
 		}
 		s := New()
-		s.Apply(0, accepted(ann, "j"))
+		s.Apply(0, acceptRecord(ann, "j"))
 		s.Apply(1, r)
 	})
 }
--- a/gateway/jobs/api.go
+++ b/gateway/jobs/api.go
@@ -72,7 +72,7 @@
 
 // Submit accepts a job durably: nil means that the log has it. It tries until
 // ctx ends, and says "not run" only if the job does not stand in the log.
-func (s *Service) Submit(ctx context.Context, head jobs.Head, items []jobs.Item) *kinds.Error {
+func (s *Service) Submit(ctx context.Context, head jobs.Spec, items []jobs.Item) *kinds.Error {
 	if s.has(head.ID) {
 		return s.sameJob(&head)
 	}
@@ -93,7 +93,7 @@
 
 // sameJob tells whether a job that stands is the one that is handed in; one of another
 // organisation only has its id.
-func (s *Service) sameJob(head *jobs.Head) *kinds.Error {
+func (s *Service) sameJob(head *jobs.Spec) *kinds.Error {
 	if s.owned(head.ID, head.Organisation) {
 		return nil
 	}
@@ -144,7 +144,7 @@
 	return s.book.Synced(ctx) && !s.has(job)
 }
 
-func (s *Service) submit(ctx context.Context, head jobs.Head, items []jobs.Item) *kinds.Error {
+func (s *Service) submit(ctx context.Context, head jobs.Spec, items []jobs.Item) *kinds.Error {
 	head.SubmittedMS = time.Now().UnixMilli()
 	done := func() bool { return s.has(head.ID) }
 	at, failed := s.appendItems(ctx, head.ID, items, done)
@@ -171,7 +171,7 @@
 	for part := partOf(job, s.parts); ; part = (part + 1) % s.parts {
 		offset, err := s.appendAllTo(ctx, textStream(part), records)
 		if err == nil || done() {
-			return jobs.TextRef{Part: part, Offset: offset}, nil
+			return jobs.TextRef{Partition: part, Offset: offset}, nil
 		}
 		if errors.Is(err, platform.ErrLogRefused) {
 			s.zlog.Error("The log refuses records.", zap.Int("records", len(records)), zap.Error(err))
@@ -208,7 +208,7 @@
 }
 
 // submission splits a job into records that the log takes.
-func (s *Service) submission(head jobs.Head, items []jobs.Item, at jobs.TextRef) ([][]byte, error) {
+func (s *Service) submission(head jobs.Spec, items []jobs.Item, at jobs.TextRef) ([][]byte, error) {
 	refs := make([]jobs.ItemRef, 0, len(items))
 	for _, item := range items {
 		refs = append(refs, jobs.ItemRef{ID: item.ID, Group: item.Group})
@@ -218,7 +218,7 @@
 	name := s.writer.Node + "/" + s.writer.Life + "/" + strconv.FormatUint(s.count.Add(1), 10)
 	records := make([][]byte, 0, len(parts))
 	for i, part := range parts {
-		r := jobs.Record{Writer: s.writer, Accept: &jobs.Accept{Head: head, Owner: owner, At: at, Submission: name, Part: i, Parts: len(parts), Items: part}}
+		r := jobs.Record{Writer: s.writer, Acceptance: &jobs.Acceptance{Spec: head, Owner: owner, ItemsRef: at, Submission: name, Part: i, Parts: len(parts), Items: part}}
 		data, err := r.Encode()
 		if err != nil {
 			return nil, errors.Trace(err)
@@ -237,7 +237,7 @@
 	s.book.mu.Lock()
 	defer s.book.mu.Unlock()
 	var able *jobs.Writer
-	for _, o := range s.book.state.Owners() {
+	for _, o := range s.book.state.EligibleOwners() {
 		silent := s.book.silent(o.Owner, time.Now())
 		switch {
 		case o.Items+items > capacityOr(o.Capacity):
@@ -414,7 +414,7 @@
 	read.Enough = j.Ended || j.Enough()
 	read.Due = time.Until(time.UnixMilli(j.SubmittedMS + j.DueMS))
 	read.Expected = s.book.expected(j, time.Now())
-	return j.Total, results, !j.Open(), read
+	return j.Total, results, !j.IsOpen(), read
 }
 
 // Body returns the body of an item of a job that was not ended.
@@ -442,5 +442,5 @@
 	if j == nil || j.Ended || j.Items[item] == nil {
 		return jobs.TextRef{}, false
 	}
-	return j.At, true
+	return j.ItemsRef, true
 }
--- a/gateway/jobs/book.go
+++ b/gateway/jobs/book.go
@@ -249,7 +249,7 @@
 	b.next = page.Next
 	if page.Next >= page.End {
 		if b.asOf.IsZero() {
-			b.zlog.Info("Read the log to its end.", zap.Uint64("offset", page.Next), zap.Int("jobs", len(b.state.Jobs)), zap.Int("open", b.state.Open()))
+			b.zlog.Info("Read the log to its end.", zap.Uint64("offset", page.Next), zap.Int("jobs", len(b.state.Jobs)), zap.Int("open", b.state.CountOpen()))
 		}
 		b.asOf = sent
 	}
--- a/gateway/jobs/gap_test.go
+++ b/gateway/jobs/gap_test.go
@@ -58,11 +58,11 @@
 }
 
 func accept(id string, items ...string) jobs.Record {
-	a := &jobs.Accept{Head: jobs.Head{ID: id, SubmittedMS: time.Now().UnixMilli()}, Parts: 1}
+	a := &jobs.Acceptance{Spec: jobs.Spec{ID: id, SubmittedMS: time.Now().UnixMilli()}, Parts: 1}
 	for _, item := range items {
 		a.Items = append(a.Items, jobs.ItemRef{ID: item})
 	}
-	return jobs.Record{Writer: jobs.Writer{Node: "a", Life: "1"}, Accept: a}
+	return jobs.Record{Writer: jobs.Writer{Node: "a", Life: "1"}, Acceptance: a}
 }
 
 func result(job, item string) jobs.Record {
@@ -107,7 +107,7 @@
 		_, _, err := service.Results(t.Context(), job, 0, 0)
 		require.NotNil(t, err, job)
 		require.Equal(t, string(kinds.LogUnavailable), err.Kind(), job)
-		err = service.Submit(t.Context(), jobs.Head{ID: job}, nil)
+		err = service.Submit(t.Context(), jobs.Spec{ID: job}, nil)
 		require.NotNil(t, err, job)
 		require.False(t, err.NotRun(), "%s runs elsewhere", job)
 	}
@@ -129,7 +129,7 @@
 	pool := backend.NewPool(func(http.Header) string { return "" })
 	r := NewRunner(book, log, forward.New(view.New(nil, zap.NewNop()), pool, "zone-a", zap.NewNop()), me, 1, 600, zap.NewNop())
 	read(t, book, log)
-	r.works["j"] = map[string]*work{"i0": newWork(book.state.Jobs["j"], jobs.Item{}, jobs.Made{})}
+	r.works["j"] = map[string]*work{"i0": newWork(book.state.Jobs["j"], jobs.Item{}, jobs.Output{})}
 
 	log.forget(1)
 	log.add(t, accept("other", "o0"))
--- a/gateway/jobs/known_test.go
+++ b/gateway/jobs/known_test.go
@@ -28,8 +28,8 @@
 // that it has not reached the log's end ever since makes nothing "not found".
 func TestJobThatWasReadIsKnownBeforeTheEndIsReached(t *testing.T) {
 	book := NewBook(endlessLog{end: 1}, zap.NewNop())
-	record := jobs.Record{Writer: jobs.Writer{Node: "a", Life: "1"}, Accept: &jobs.Accept{
-		Head: jobs.Head{ID: "j"}, Parts: 1, Items: []jobs.ItemRef{{ID: "i"}},
+	record := jobs.Record{Writer: jobs.Writer{Node: "a", Life: "1"}, Acceptance: &jobs.Acceptance{
+		Spec: jobs.Spec{ID: "j"}, Parts: 1, Items: []jobs.ItemRef{{ID: "i"}},
 	}}
 	data, err := record.Encode()
 	require.NoError(t, err)
--- a/gateway/jobs/order.go
+++ b/gateway/jobs/order.go
@@ -98,5 +98,5 @@
 	if w.item.Group == "" || w.job.Groups == 0 {
 		return w.item.ID, false
 	}
-	return w.item.Group, w.job.Again(w.item.Group)
+	return w.item.Group, w.job.IsResubmitted(w.item.Group)
 }
--- a/gateway/jobs/outbox.go
+++ b/gateway/jobs/outbox.go
@@ -113,7 +113,7 @@
 func (o *outbox) progress(job *jobs.Job, claim uint64, p jobs.Progress) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	t := o.lane(job.At.Part).of(claimed{job.ID, claim})
+	t := o.lane(job.ItemsRef.Partition).of(claimed{job.ID, claim})
 	t.progress = append(t.progress, p)
 }
 
@@ -125,7 +125,7 @@
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	l := o.lane(job.At.Part)
+	l := o.lane(job.ItemsRef.Partition)
 	t := l.of(claimed{job.ID, claim})
 	t.results = append(t.results, r)
 	o.kick(l)
@@ -135,7 +135,7 @@
 func (o *outbox) release(job *jobs.Job) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	l := o.lane(job.At.Part)
+	l := o.lane(job.ItemsRef.Partition)
 	l.releases = append(l.releases, job.ID)
 	o.kick(l)
 }
@@ -182,7 +182,7 @@
 	r := o.pending
 	o.pending = jobs.Record{}
 	o.mu.Unlock()
-	if r.Empty() && !beat {
+	if r.IsEmpty() && !beat {
 		return false
 	}
 	records, err := o.encode(&r)
@@ -250,7 +250,7 @@
 	}
 	// Jobs are given up behind the text that goes with them.
 	s.part.Releases = r.Releases
-	if !s.part.Empty() || len(s.records) == 0 {
+	if !s.part.IsEmpty() || len(s.records) == 0 {
 		s.close()
 	}
 	return s.records, errors.Trace(s.err)
--- a/gateway/jobs/outbox_test.go
+++ b/gateway/jobs/outbox_test.go
@@ -64,7 +64,7 @@
 	for i := range items {
 		items[i] = jobs.Item{Request: jobs.Request{ID: fmt.Sprintf("%064d", i)}, Group: fmt.Sprintf("%032d", i/8)}
 	}
-	records, err := s.submission(jobs.Head{ID: "j", Total: len(items)}, items, jobs.TextRef{})
+	records, err := s.submission(jobs.Spec{ID: "j", Total: len(items)}, items, jobs.TextRef{})
 	require.NoError(t, err)
 	require.Len(t, records, 3)
 	state := jobs.New()
@@ -90,7 +90,7 @@
 		r.Releases = []string{"j"}
 	})
 	for i := range 500 {
-		o.result(&jobs.Job{Head: jobs.Head{ID: "j"}}, 7, jobs.Result{Job: "j", Item: fmt.Sprint(i), Text: strings.Repeat("x", 20_000)})
+		o.result(&jobs.Job{Spec: jobs.Spec{ID: "j"}}, 7, jobs.Result{Job: "j", Item: fmt.Sprint(i), Text: strings.Repeat("x", 20_000)})
 	}
 	require.True(t, flushAll(t, o))
 	starts, results, texts, last := 0, 0, 0, -1
@@ -160,7 +160,7 @@
 func TestTextsSoFarWaitForTheirPartition(t *testing.T) {
 	l := &awayLog{away: textStream(2)}
 	o := newOutbox(l, jobs.Writer{Node: "a", Life: "1"}, 4, func() bool { return true }, func(textKey, string) {}, zap.NewNop())
-	j := &jobs.Job{Head: jobs.Head{ID: "j"}, At: jobs.TextRef{Part: 2}}
+	j := &jobs.Job{Spec: jobs.Spec{ID: "j"}, ItemsRef: jobs.TextRef{Partition: 2}}
 	event := func(i int) jobs.Progress {
 		return jobs.Progress{Item: "slow", From: i, Events: []jobs.Event{{Data: fmt.Sprint(i), Version: 1}}}
 	}
@@ -174,7 +174,7 @@
 	require.Len(t, o.pending.Results, 5)
 	require.Empty(t, o.pending.Releases)
 	for _, r := range o.pending.Results {
-		require.NotEqual(t, 2, r.Ref.Part)
+		require.NotEqual(t, 2, r.Ref.Partition)
 	}
 	l.away = ""
 	require.True(t, o.flushLane(t.Context(), o.lanes[2]))
@@ -188,7 +188,7 @@
 		}
 		texts.Apply(record)
 	}
-	require.Len(t, texts.Best("slow", 1).Events, 5)
+	require.Len(t, texts.LongestOutput("slow", 1).Events, 5)
 }
 
 // A job's partition is away. Its owner loses the job and has it again, and goes on from
@@ -197,7 +197,7 @@
 func TestEventsOfTwoClaimsAreKeptApart(t *testing.T) {
 	l := &awayLog{away: textStream(2)}
 	o := newOutbox(l, jobs.Writer{Node: "a", Life: "1"}, 4, func() bool { return true }, func(textKey, string) {}, zap.NewNop())
-	j := &jobs.Job{Head: jobs.Head{ID: "j"}, At: jobs.TextRef{Part: 2}}
+	j := &jobs.Job{Spec: jobs.Spec{ID: "j"}, ItemsRef: jobs.TextRef{Partition: 2}}
 	events := func(run string, from, to int) jobs.Progress {
 		p := jobs.Progress{Item: "i", From: from}
 		for k := from; k < to; k++ {
@@ -216,5 +216,5 @@
 		require.NoError(t, err)
 		texts.Apply(record)
 	}
-	require.Equal(t, events("second", 0, 6).Events, texts.Best("i", 1).Events)
+	require.Equal(t, events("second", 0, 6).Events, texts.LongestOutput("i", 1).Events)
 }
--- a/gateway/jobs/ownership.go
+++ b/gateway/jobs/ownership.go
@@ -22,13 +22,13 @@
 		r.letAllGo()
 	}
 	for id := range r.works {
-		if j := r.book.state.Owned(id, r.writer); j == nil || !j.Open() {
+		if j := r.book.state.Owned(id, r.writer); j == nil || !j.IsOpen() {
 			r.drop(id)
 		}
 	}
 	r.book.state.Each(func(j *jobs.Job) {
 		switch {
-		case !j.Open():
+		case !j.IsOpen():
 		case j.Owner == r.writer && !j.Released && r.leaving:
 			r.release(j)
 		case j.Owner == r.writer && !j.Released:
@@ -76,7 +76,7 @@
 	r.zlog.Info("Claiming a batch job.", zap.String("job", j.ID), zap.String("owner", j.Owner.Node), zap.Uint64("prior", j.Claim),
 		zap.Bool("released", j.Released), zap.Duration("silent", now.Sub(r.book.heard[j.Owner])))
 	r.out.add(true, func(rec *jobs.Record) {
-		rec.Claims = append(rec.Claims, jobs.Claim{Job: j.ID, Prior: j.Claim})
+		rec.Claims = append(rec.Claims, jobs.Claim{Job: j.ID, PriorOffset: j.Claim})
 	})
 }
 
@@ -92,7 +92,7 @@
 	}
 	// Items, and what earlier owners have made, are read beside the plan.
 	r.reading[j.ID] = true
-	head, at, taken := j.Head, j.At, j.Claim != j.Accepted
+	head, at, taken := j.Spec, j.ItemsRef, j.Claim != j.AcceptedOffset
 	r.tasks.Go(func() { r.take(ctx, &head, at, taken) })
 }
 
@@ -123,7 +123,7 @@
 }
 
 // take reads what a job's owner needs and begins its work.
-func (r *Runner) take(ctx context.Context, head *jobs.Head, at jobs.TextRef, taken bool) {
+func (r *Runner) take(ctx context.Context, head *jobs.Spec, at jobs.TextRef, taken bool) {
 	texts, err := readTexts(ctx, r.book.log, head, at, taken)
 	if err != nil {
 		r.zlog.Warn("A job's texts can't be read yet.", zap.String("job", head.ID), zap.Uint64("offset", at.Offset), zap.Error(err))
@@ -136,7 +136,7 @@
 	delete(r.reading, head.ID)
 	r.book.mu.Lock()
 	defer r.book.mu.Unlock()
-	if j := r.book.state.Owned(head.ID, r.writer); err == nil && j != nil && j.Open() && r.works[head.ID] == nil {
+	if j := r.book.state.Owned(head.ID, r.writer); err == nil && j != nil && j.IsOpen() && r.works[head.ID] == nil {
 		r.begin(j, texts)
 	}
 	r.rouse()
@@ -152,7 +152,7 @@
 		if state.Done() {
 			continue
 		}
-		made := texts.Best(id, j.MinVersion)
+		made := texts.LongestOutput(id, j.MinVersion)
 		if len(made.Events) == 0 {
 			made = r.carriedText(j, id, made)
 		}
@@ -182,13 +182,13 @@
 // carriedText goes on with what this process made of an item in an earlier job,
 // where its versions are not too old for this one: a trainer hands in again the
 // groups that it did not wait for.
-func (r *Runner) carriedText(j *jobs.Job, item string, made jobs.Made) jobs.Made {
+func (r *Runner) carriedText(j *jobs.Job, item string, made jobs.Output) jobs.Output {
 	before, known := r.dropped[item]
-	if !known || before.model != j.Model || jobs.Stale(before.events, j.MinVersion) {
+	if !known || before.model != j.Model || jobs.HasStaleEvent(before.events, j.MinVersion) {
 		return made
 	}
 	samplesReused.Add(1)
-	made.Events, made.Whole = append([]jobs.Event(nil), before.events...), before.whole
+	made.Events, made.Complete = append([]jobs.Event(nil), before.events...), before.whole
 	return made
 }
 
--- a/gateway/jobs/placing.go
+++ b/gateway/jobs/placing.go
@@ -205,7 +205,7 @@
 func (r *Runner) othersLoad() map[string]int {
 	load := map[string]int{}
 	r.book.state.Each(func(j *jobs.Job) {
-		if !j.Open() || j.Owner == r.writer {
+		if !j.IsOpen() || j.Owner == r.writer {
 			return
 		}
 		for _, item := range j.Items {
--- a/gateway/jobs/plan_bench_test.go
+++ b/gateway/jobs/plan_bench_test.go
@@ -25,15 +25,15 @@
 	now := time.Now()
 	for k := range steps {
 		job := fmt.Sprint("j", k)
-		a := &jobs.Accept{Head: jobs.Head{ID: job, Host: "app.example", Path: "/jobs/" + job, Model: "m", Groups: 10, SubmittedMS: now.UnixMilli()}, Parts: 1, Owner: &writer}
+		a := &jobs.Acceptance{Spec: jobs.Spec{ID: job, Host: "app.example", Path: "/jobs/" + job, Model: "m", Groups: 10, SubmittedMS: now.UnixMilli()}, Parts: 1, Owner: &writer}
 		for i := range items {
 			a.Items = append(a.Items, jobs.ItemRef{ID: fmt.Sprintf("%s-%03d", job, i), Group: fmt.Sprint("g", i/8)})
 		}
-		book.state.Apply(uint64(k), &jobs.Record{Writer: writer, Accept: a})
+		book.state.Apply(uint64(k), &jobs.Record{Writer: writer, Acceptance: a})
 		j := book.state.Jobs[job]
 		works := map[string]*work{}
 		for i, id := range j.Order {
-			w := newWork(j, jobs.Item{Request: jobs.Request{ID: id, Host: "app.example", Path: "/chat/" + id}, Group: a.Items[i].Group}, jobs.Made{})
+			w := newWork(j, jobs.Item{Request: jobs.Request{ID: id, Host: "app.example", Path: "/chat/" + id}, Group: a.Items[i].Group}, jobs.Output{})
 			w.lastEvent, w.streamed = now.Add(time.Hour), 1 // not silent
 			w.size.Model, w.size.Expected = "m", 100+i
 			w.phase, w.server = running, servers[i%engines].ID
--- a/gateway/jobs/runner.go
+++ b/gateway/jobs/runner.go
@@ -186,10 +186,10 @@
 	if w.phase == running {
 		server = w.server
 	}
-	p := jobs.Progress{Item: w.item.ID, Run: w.run, From: w.noted, Failures: w.failures, Whole: w.whole}
+	p := jobs.Progress{Item: w.item.ID, Run: w.run, From: w.noted, Failures: w.failures, Complete: w.whole}
 	p.Events = append(p.Events, w.events[w.noted:]...)
 	w.noted = len(w.events)
-	if len(p.Events) > 0 || p.Failures > 0 || p.Whole {
+	if len(p.Events) > 0 || p.Failures > 0 || p.Complete {
 		r.out.progress(w.job, w.claim, p)
 	}
 	if w.told == server {
--- a/gateway/jobs/stream.go
+++ b/gateway/jobs/stream.go
@@ -48,7 +48,7 @@
 		w.first = now
 	}
 	w.stream++
-	if jobs.Stale(w.events, w.job.MinVersion) {
+	if jobs.HasStaleEvent(w.events, w.job.MinVersion) {
 		samplesRestart.Add(1)
 		w.restart()
 	}
--- a/gateway/jobs/textcalls.go
+++ b/gateway/jobs/textcalls.go
@@ -80,7 +80,7 @@
 			open[addr], size[addr] = at, 0
 		}
 		size[addr] += r.Ref.Bytes
-		calls[at].asked = append(calls[at].asked, textAsked{r.Ref.Part, r.Ref.Offset, r.Item})
+		calls[at].asked = append(calls[at].asked, textAsked{r.Ref.Partition, r.Ref.Offset, r.Item})
 	}
 	return calls
 }
@@ -145,7 +145,7 @@
 }
 
 func compareRefs(a, b *jobs.TextRef) int {
-	return cmp.Or(cmp.Compare(a.Part, b.Part), cmp.Compare(a.Offset, b.Offset))
+	return cmp.Or(cmp.Compare(a.Partition, b.Partition), cmp.Compare(a.Offset, b.Offset))
 }
 
 // read reads the first of some texts, which are in the order of the log, and those
@@ -153,7 +153,7 @@
 func (l *Library) read(ctx context.Context, missing []*jobs.Result) ([]*jobs.Result, error) {
 	first := missing[0].Ref
 	textReads.Add(1)
-	page, err := l.log.readMost(ctx, textStream(first.Part), first.Offset, readFor(missing), 0)
+	page, err := l.log.readMost(ctx, textStream(first.Partition), first.Offset, readFor(missing), 0)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
@@ -164,13 +164,13 @@
 			continue // another record's fault; ours shows as missing below
 		}
 		for _, text := range record.Texts {
-			l.put(textKey{first.Part, rec.Offset, text.Item}, text.Text)
+			l.put(textKey{first.Partition, rec.Offset, text.Item}, text.Text)
 		}
 	}
 	left := slices.DeleteFunc(slices.Clone(missing), func(r *jobs.Result) bool {
-		return r.Ref.Part == first.Part && r.Ref.Offset < page.Next && l.has(keyOf(r))
+		return r.Ref.Partition == first.Partition && r.Ref.Offset < page.Next && l.has(keyOf(r))
 	})
-	if len(left) > 0 && left[0].Ref.Part == first.Part && left[0].Ref.Offset < page.Next {
+	if len(left) > 0 && left[0].Ref.Partition == first.Partition && left[0].Ref.Offset < page.Next {
 		return nil, errors.NotFoundf("text of item %s at offset %d", left[0].Item, left[0].Ref.Offset)
 	}
 	return left, nil
@@ -185,7 +185,7 @@
 func readFor(missing []*jobs.Result) int {
 	size := 0
 	for _, r := range missing {
-		if r.Ref.Part == missing[0].Ref.Part {
+		if r.Ref.Partition == missing[0].Ref.Partition {
 			size += besideTexts * r.Ref.Bytes
 		}
 	}
--- a/gateway/jobs/texts.go
+++ b/gateway/jobs/texts.go
@@ -27,9 +27,9 @@
 
 // readTexts folds the items of a job and, where earlier owners may have made
 // texts, all that stands behind them to the end of the stream.
-func readTexts(ctx context.Context, log *reader, j *jobs.Head, from jobs.TextRef, all bool) (*jobs.Texts, error) {
+func readTexts(ctx context.Context, log *reader, j *jobs.Spec, from jobs.TextRef, all bool) (*jobs.Texts, error) {
 	return foldTexts(ctx, log, j.ID, from, func(texts *jobs.Texts, atEnd bool) bool {
-		return texts.Known() >= j.Total && (!all || atEnd)
+		return texts.ItemCount() >= j.Total && (!all || atEnd)
 	})
 }
 
@@ -51,7 +51,7 @@
 	defer cancel()
 	texts := jobs.NewTexts(job)
 	for next := from.Offset; ; {
-		page, err := log.read(ctx, textStream(from.Part), next, 0)
+		page, err := log.read(ctx, textStream(from.Partition), next, 0)
 		if errors.Is(err, platform.ErrTruncated) && page.First > next {
 			next = page.First
 			continue
--- a/gateway/jobs/work.go
+++ b/gateway/jobs/work.go
@@ -84,10 +84,10 @@
 
 // newWork takes an item on with what was made of it before; that is appended
 // anew under this owner's claim.
-func newWork(j *jobs.Job, item jobs.Item, made jobs.Made) *work {
+func newWork(j *jobs.Job, item jobs.Item, made jobs.Output) *work {
 	now := time.Now()
 	return &work{
-		job: j, claim: j.Claim, item: item, size: hosted.SizeOf(item.Header), events: made.Events, whole: made.Whole, failures: made.Failures,
+		job: j, claim: j.Claim, item: item, size: hosted.SizeOf(item.Header), events: made.Events, whole: made.Complete, failures: made.Failures,
 		avoid: map[string]time.Time{}, owned: now, left: now,
 	}
 }
