--- a/fold/control/control_test.go
+++ b/fold/control/control_test.go
@@ -16,15 +16,15 @@
 )
 
 var (
-	priv     = ed25519.NewKeyFromSeed(make([]byte, ed25519.SeedSize))
-	testKeys = manifest.Keys{"k": priv.Public().(ed25519.PublicKey)}
-	epoch    = time.Unix(1_800_000_000, 0)
+	privateKey = ed25519.NewKeyFromSeed(make([]byte, ed25519.SeedSize))
+	testKeys   = manifest.Keys{"k": privateKey.Public().(ed25519.PublicKey)}
+	epoch      = time.Unix(1_800_000_000, 0)
 )
 
 // signed makes a revision whose manifest differs with its tag; a tag with "!"
 // can't be read.
 func signed(number, parent uint64, tag string) *pb.SignedRevision {
-	return manifest.Sign(priv, "k", number, parent, []byte("# "+tag+"\n[fleet]\nname = f\n"+unreadable(tag)))
+	return manifest.Sign(privateKey, "k", number, parent, []byte("# "+tag+"\n[fleet]\nname = f\n"+unreadable(tag)))
 }
 
 func unreadable(tag string) string {
@@ -43,29 +43,29 @@
 	return offset
 }
 
-// fold reads records [from, to) into s.
-func (l stream) fold(s *State, from, to int) (events []Event) {
+// foldInto reads records [from, to) into s.
+func (l stream) foldInto(s *State, from, to int) (events []Event) {
 	for _, rec := range l[from:to] {
 		events = append(events, s.Apply(rec)...)
 	}
 	return events
 }
 
-func read(l stream, from int) *State {
+func readFrom(l stream, from int) *State {
 	s := New(testKeys)
-	l.fold(s, from, len(l))
+	l.foldInto(s, from, len(l))
 	return s
 }
 
 // Two operators read revision 1 and commit over it. The record that comes
 // first wins; the other operator is told by which revision it was overtaken.
-func TestFirstCommitOverAParentWins(t *testing.T) {
+func TestFirstCommitForParentWins(t *testing.T) {
 	var l stream
 	l.add(EncodeCommit("a", signed(1, 0, "a")))
 	l.add(EncodeCommit("b", signed(2, 1, "b")))
 	l.add(EncodeCommit("c", signed(2, 1, "c")))
 	s := New(testKeys)
-	events := l.fold(s, 0, len(l))
+	events := l.foldInto(s, 0, len(l))
 	require.Len(t, events, 3)
 	require.Equal(t, Accepted{"b", s.Revision()}, events[1])
 	require.Equal(t, Rejected{"c", 2, "k", "its parent is revision 1, but 2 is in force", 2}, events[2])
@@ -84,7 +84,7 @@
 	l.add([]byte(`{"id":"x","type":"from a newer release"}`))
 	l.add([]byte(`junk`))
 	s := New(testKeys)
-	for i, e := range l.fold(s, 0, len(l)) {
+	for i, e := range l.foldInto(s, 0, len(l)) {
 		require.IsType(t, Rejected{}, e, i)
 	}
 	require.Nil(t, s.Revision())
@@ -93,7 +93,7 @@
 
 // The platform repeats an append whose answer it lost. The record's writer is
 // told its outcome once, and nothing is accepted twice.
-func TestRepeatedRecord(t *testing.T) {
+func TestRepeatedRecordHasNoOutcome(t *testing.T) {
 	var l stream
 	l.add(EncodeCommit("a", signed(1, 0, "a")))
 	l.add(EncodeCommit("b", signed(1, 0, "b")))
@@ -103,34 +103,34 @@
 		l.add(rec.Data)
 	}
 	s := New(testKeys)
-	require.Len(t, l.fold(s, 0, 3), 3)
-	require.Empty(t, l.fold(s, 3, 6))
-	require.Equal(t, Copy{3, l[3].Time}, s.Copy())
+	require.Len(t, l.foldInto(s, 0, 3), 3)
+	require.Empty(t, l.foldInto(s, 3, 6))
+	require.Equal(t, NewestCopy{3, l[3].Time}, s.NewestCopy())
 	require.Equal(t, map[string]uint64{"m": 7}, s.Versions())
 }
 
 // A reader starts while the winner of a race is truncated already and its
 // loser is not. Without more it must not take the loser; the reappend that
 // some process wrote settles it, and the commit that follows is judged.
-func TestLoserOfARaceBehindTruncation(t *testing.T) {
+func TestRaceLoserAfterTruncation(t *testing.T) {
 	var l stream
 	l.add(EncodeCommit("a", signed(1, 0, "winner")))
 	l.add(EncodeCommit("b", signed(1, 0, "loser")))
-	writer := read(l, 0)
+	writer := readFrom(l, 0)
 	l.add(EncodeCommit("c", signed(2, 1, "next")))
-	late := read(l, 1)
+	late := readFrom(l, 1)
 	require.False(t, late.Settled())
 	require.Nil(t, late.Revision())
 
 	data, ok := writer.EncodeReappend("r")
 	require.True(t, ok)
 	l.add(data)
-	events := l.fold(late, 3, 4)
+	events := l.foldInto(late, 3, 4)
 	require.True(t, late.Settled())
-	require.Equal(t, read(l, 0).Revision(), late.Revision())
+	require.Equal(t, readFrom(l, 0).Revision(), late.Revision())
 	require.IsType(t, Accepted{}, events[len(events)-1])
 	require.Equal(t, uint64(2), late.Revision().Number)
-	_, ok = read(l[:3], 1).EncodeReappend("x")
+	_, ok = readFrom(l[:3], 1).EncodeReappend("x")
 	require.False(t, ok, "an unsettled reader must not vouch for anything")
 }
 
@@ -140,21 +140,21 @@
 	var l stream
 	l.add(EncodeCommit("a", signed(1, 0, "a")))
 	l.add(EncodeCommit("b", signed(2, 1, "b")))
-	peer := read(l, 0).Revision().Signed
+	peer := readFrom(l, 0).Revision().Signed
 	s := New(testKeys)
-	l.fold(s, 0, 1)
-	up, err := s.Offer(peer)
+	l.foldInto(s, 0, 1)
+	raised, err := s.Offer(peer)
 	require.NoError(t, err)
-	require.True(t, up)
+	require.True(t, raised)
 	require.Equal(t, uint64(2), s.Revision().Number)
-	up, err = s.Offer(peer)
+	raised, err = s.Offer(peer)
 	require.NoError(t, err)
-	require.False(t, up)
+	require.False(t, raised)
 	_, err = s.Offer(signed(2, 1, "other"))
 	require.ErrorContains(t, err, "hash")
 	_, err = s.Offer(&pb.SignedRevision{Number: 9, KeyId: "k"})
 	require.Error(t, err)
-	require.IsType(t, Accepted{}, l.fold(s, 1, 2)[0])
+	require.IsType(t, Accepted{}, l.foldInto(s, 1, 2)[0])
 	require.Equal(t, uint64(2), s.Revision().Number)
 }
 
@@ -164,11 +164,11 @@
 	var l stream
 	l.add(EncodeCommit("a", signed(1, 0, "a")))
 	l.add(EncodeCommit("b", signed(2, 1, "!b")))
-	s := read(l, 0)
+	s := readFrom(l, 0)
 	require.Equal(t, uint64(1), s.Revision().Number)
 	require.Equal(t, uint64(2), s.Head().Number)
 	l.add(EncodeCommit("c", signed(3, 2, "c")))
-	require.Equal(t, uint64(3), read(l, 0).Revision().Number)
+	require.Equal(t, uint64(3), readFrom(l, 0).Revision().Number)
 }
 
 // Every record was truncated while no process ran. An operator restarts from
@@ -180,7 +180,7 @@
 	}
 	l.add(EncodeRestart("r", signed(9, 8, "a"), 3))
 	l.add(EncodeCommit("b", signed(10, 9, "b")))
-	s := read(l, 3)
+	s := readFrom(l, 3)
 	require.True(t, s.Settled())
 	require.Equal(t, uint64(10), s.Revision().Number)
 }
@@ -195,9 +195,9 @@
 	require.Len(t, s.ids.seen, 1)
 
 	big := make([]byte, 1<<20)
-	s.Gap()
+	s.HandleTruncation()
 	for i := range uint64(20) {
-		rev := manifest.Sign(priv, "k", i+1, i, big)
+		rev := manifest.Sign(privateKey, "k", i+1, i, big)
 		s.Apply(platform.Record{Offset: 3*maxIDs + i, Time: epoch, Data: EncodeCommit(fmt.Sprint(i), rev)})
 	}
 	require.LessOrEqual(t, s.heldBytes, maxHeldBytes)
@@ -209,7 +209,7 @@
 	var l stream
 	for i := range rapid.IntRange(1, 24).Draw(t, "records") {
 		id := fmt.Sprint(i)
-		current := read(l, 0).headNumber()
+		current := readFrom(l, 0).headNumber()
 		switch rapid.SampledFrom([]string{"commit", "commit", "stray", "forged", "repeat", "copy", "version", "reappend", "reappend"}).Draw(t, "type") {
 		case "commit":
 			l.add(EncodeCommit(id, signed(current+1, current, rapid.SampledFrom([]string{"a", "b", "!c"}).Draw(t, "tag"))))
@@ -226,12 +226,12 @@
 			}
 		case "copy":
 			if current > 0 {
-				l.add(EncodeCommit(id, read(l, 0).Head().Signed))
+				l.add(EncodeCommit(id, readFrom(l, 0).Head().Signed))
 			}
 		case "version":
 			l.add(EncodeVersion(id, rapid.SampledFrom([]string{"m", "n"}).Draw(t, "model"), rapid.Uint64Range(1, 9).Draw(t, "version")))
 		case "reappend":
-			writer := read(l[:rapid.IntRange(0, len(l)).Draw(t, "lag")], 0)
+			writer := readFrom(l[:rapid.IntRange(0, len(l)).Draw(t, "lag")], 0)
 			if data, ok := writer.EncodeReappend(id); ok {
 				l.add(data)
 			}
@@ -265,18 +265,18 @@
 		s := New(testKeys)
 		stop := rapid.IntRange(0, len(l)).Draw(t, "stop")
 		resume := rapid.IntRange(stop, len(l)).Draw(t, "resume")
-		l.fold(s, 0, rapid.IntRange(0, stop).Draw(t, "first"))
+		l.foldInto(s, 0, rapid.IntRange(0, stop).Draw(t, "first"))
 		if resume > stop {
-			s.Gap()
+			s.HandleTruncation()
 		}
 		exactVersions := true
 		for _, rec := range l[min(resume, len(l)):] {
 			before, readable := s.Head(), s.Revision()
 			if len(history) > 0 && rapid.Bool().Draw(t, "offer") {
 				n := rapid.Uint64Range(1, uint64(len(history))).Draw(t, "peer's")
-				up, err := s.Offer(history[n].Signed)
+				raised, err := s.Offer(history[n].Signed)
 				require.NoError(t, err)
-				exactVersions = exactVersions && !up
+				exactVersions = exactVersions && !raised
 			}
 			s.Apply(rec)
 			if before != nil {
@@ -335,11 +335,11 @@
 	const commits = 512
 	var l stream
 	for n := range uint64(commits) {
-		l.add(EncodeCommit(fmt.Sprint(n), manifest.Sign(priv, "k", n+1, n, data)))
+		l.add(EncodeCommit(fmt.Sprint(n), manifest.Sign(privateKey, "k", n+1, n, data)))
 	}
 	b.ResetTimer()
 	for i := 0; i < b.N; i += commits {
 		s := New(testKeys)
-		l.fold(s, 0, min(commits, b.N-i))
+		l.foldInto(s, 0, min(commits, b.N-i))
 	}
 }
--- a/fold/control/gap.go
+++ b/fold/control/gap.go
@@ -10,15 +10,15 @@
 	"dandelionsill.org/wire/pb"
 )
 
-// reappend takes another process's word for what the log gave up to an offset.
-func (s *State) reappend(r record, rec platform.Record) []Event {
+// applyReappend takes another process's word for what the log gave up to an offset.
+func (s *State) applyReappend(r record, rec platform.Record) []Event {
 	rev := r.Revision.signed(r.Accepted)
 	if err := s.keys.Verify(rev); err != nil {
-		return []Event{s.rejected(r.ID, rev, err.Error())}
+		return []Event{s.newRejected(r.ID, rev, err.Error())}
 	}
 	var events []Event
 	for _, model := range slices.Sorted(maps.Keys(r.Versions)) {
-		events = append(events, s.raise(model, r.Versions[model])...)
+		events = append(events, s.raiseVersion(model, r.Versions[model])...)
 	}
 	switch {
 	case rev.Number > s.headNumber():
@@ -28,11 +28,11 @@
 	case s.isCopy(rev):
 		events = append(events, Refreshed{r.ID, rev.Number, rev.Hash})
 	default:
-		return append(events, s.rejected(r.ID, rev, "it is a copy of an older revision"))
+		return append(events, s.newRejected(r.ID, rev, "it is a copy of an older revision"))
 	}
-	s.copyAt(rec.Offset, rec.Time)
+	s.recordCopy(rec.Offset, rec.Time)
 	// The writer can't have folded records behind its own.
-	return append(events, s.settle(min(r.At, rec.Offset))...)
+	return append(events, s.endGap(min(r.NextOffset, rec.Offset))...)
 }
 
 // Offer takes a revision from a peer that accepted it, with the offset that
@@ -52,14 +52,14 @@
 	if s.offered.Err == nil {
 		s.offeredReadable = s.offered
 	}
-	s.settleByOffer()
+	s.endGapByOffer()
 	return true, nil
 }
 
-// settleByOffer ends the gap where every record behind the offset that
+// endGapByOffer ends the gap where every record behind the offset that
 // accepted the peer's revision is known.
-func (s *State) settleByOffer() []Event {
-	if !s.gap || !s.placed || s.offered == nil || s.offered.Offset >= s.next {
+func (s *State) endGapByOffer() []Event {
+	if !s.gap || !s.nextKnown || s.offered == nil || s.offered.Offset >= s.next {
 		return nil
 	}
 	if s.offered.Offset+1 < s.gapEnd {
@@ -67,13 +67,13 @@
 	}
 	offered := s.offered
 	events := s.advance(offered)
-	return append(events, s.settle(offered.Offset+1)...)
+	return append(events, s.endGap(offered.Offset+1)...)
 }
 
-// settle ends the gap if all records from offset at on are known; head is the
+// endGap ends the gap if all records from offset at on are known; head is the
 // revision that was in force there.
-func (s *State) settle(at uint64) []Event {
-	if !s.gap || at < s.gapEnd {
+func (s *State) endGap(offset uint64) []Event {
+	if !s.gap || offset < s.gapEnd {
 		return nil
 	}
 	held := s.held
@@ -81,13 +81,13 @@
 	var events []Event
 	for _, c := range held {
 		switch {
-		case c.rev.Offset >= at:
-			events = append(events, s.judge(c)...)
+		case c.rev.Offset >= offset:
+			events = append(events, s.evaluate(c)...)
 		case s.isCopy(c.rev) && c.rev.Offset == s.head.Offset:
-			s.copyAt(c.rev.Offset, c.at)
+			s.recordCopy(c.rev.Offset, c.recordedAt)
 			events = append(events, Accepted{c.id, s.head})
 		case s.isCopy(c.rev):
-			s.copyAt(c.rev.Offset, c.at)
+			s.recordCopy(c.rev.Offset, c.recordedAt)
 		}
 	}
 	return events
--- a/fold/control/ids.go
+++ b/fold/control/ids.go
@@ -13,13 +13,13 @@
 }
 
 type seenID struct {
-	id string
-	at time.Time
+	id     string
+	seenAt time.Time
 }
 
-// add tells whether the id is new, and remembers it.
-func (w *idWindow) add(id string, at time.Time, keep time.Duration) bool {
-	w.expire(at.Add(-keep))
+// addIfNew tells whether the id is new, and remembers it.
+func (w *idWindow) addIfNew(id string, at time.Time, retention time.Duration) bool {
+	w.expire(at.Add(-retention))
 	if w.seen[id] {
 		return false
 	}
@@ -32,7 +32,7 @@
 }
 
 func (w *idWindow) expire(before time.Time) {
-	for len(w.queue) > 0 && (len(w.queue) >= maxIDs || w.queue[0].at.Before(before)) {
+	for len(w.queue) > 0 && (len(w.queue) >= maxIDs || w.queue[0].seenAt.Before(before)) {
 		delete(w.seen, w.queue[0].id)
 		w.queue = w.queue[1:]
 	}
--- a/fold/control/state.go
+++ b/fold/control/state.go
@@ -36,13 +36,13 @@
 type State struct {
 	keys manifest.Keys
 
-	next     uint64    // the next offset to fold
-	placed   bool      // next is known; false right after Gap
-	head     *Revision // the newest revision by the log; a lower bound after a gap
-	readable *Revision // the newest by the log that this program can read
-	copied   Copy
-	versions map[string]uint64
-	ids      idWindow
+	next       uint64    // the next offset to fold
+	nextKnown  bool      // next is known; false right after Gap
+	head       *Revision // the newest revision by the log; a lower bound after a gap
+	readable   *Revision // the newest by the log that this program can read
+	newestCopy NewestCopy
+	versions   map[string]uint64
+	ids        idWindow
 
 	offered         *Revision // from a peer, while higher than head
 	offeredReadable *Revision
@@ -55,30 +55,30 @@
 	skipped uint64
 }
 
-// Copy is the newest copy of the newest revision in the log.
-type Copy struct {
+// NewestCopy is the newest copy of the newest revision in the log.
+type NewestCopy struct {
 	Offset uint64
 	Time   time.Time // the log service's clock
 }
 
 // heldCommit is a validly signed commit that waits for the end of a gap.
 type heldCommit struct {
-	id  string
-	rev *pb.SignedRevision // with its own offset
-	at  time.Time
+	id         string
+	rev        *pb.SignedRevision // with its own offset
+	recordedAt time.Time
 }
 
 // New returns the state before the log's first record.
 func New(keys manifest.Keys) *State {
-	return &State{keys: keys, placed: true, versions: map[string]uint64{}}
+	return &State{keys: keys, nextKnown: true, versions: map[string]uint64{}}
 }
 
-// Gap tells that records were truncated before they were read; the next record
+// HandleTruncation tells that records were truncated before they were read; the next record
 // may have any offset. Apply notices a jump in the offsets itself.
-func (s *State) Gap() {
+func (s *State) HandleTruncation() {
 	s.gap = true
-	s.placed = false
-	s.copied = Copy{}
+	s.nextKnown = false
+	s.newestCopy = NewestCopy{}
 	s.held, s.heldBytes = nil, 0
 }
 
@@ -98,10 +98,10 @@
 // program can read; nil: none yet.
 func (s *State) Revision() *Revision { return higher(s.readable, s.offeredReadable) }
 
-// Copy returns the newest copy of the newest revision in the log; whoever
+// NewestCopy returns the newest copy of the newest revision in the log; whoever
 // keeps the revision alive reappends when it grows old. It is zero where no
 // copy was read (after a gap).
-func (s *State) Copy() Copy { return s.copied }
+func (s *State) NewestCopy() NewestCopy { return s.newestCopy }
 
 // Versions returns the newest announced weight version of each model.
 func (s *State) Versions() map[string]uint64 { return maps.Clone(s.versions) }
@@ -116,14 +116,14 @@
 
 // Apply folds the record in. Records before Next are ignored.
 func (s *State) Apply(rec platform.Record) []Event {
-	if s.placed && rec.Offset < s.next {
+	if s.nextKnown && rec.Offset < s.next {
 		return nil
 	}
-	if !s.placed || rec.Offset > s.next {
-		s.Gap()
+	if !s.nextKnown || rec.Offset > s.next {
+		s.HandleTruncation()
 		s.gapEnd = rec.Offset
 	}
-	s.next, s.placed = rec.Offset+1, true
+	s.next, s.nextKnown = rec.Offset+1, true
 
 	r, err := decode(rec.Data)
 	if err != nil {
@@ -133,18 +133,18 @@
 	var events []Event
 	switch r.Type {
 	case typeCommit:
-		events = s.commit(r, rec)
+		events = s.applyCommit(r, rec)
 	case typeReappend:
-		events = s.reappend(r, rec)
+		events = s.applyReappend(r, rec)
 	case typeVersion:
-		events = s.raise(r.Model, r.Version)
+		events = s.raiseVersion(r.Model, r.Version)
 	default:
 		s.skipped++
 		return nil
 	}
-	events = append(events, s.settleByOffer()...)
-	if !s.ids.add(r.ID, rec.Time, s.idWindow()) {
-		return without(events, r.ID)
+	events = append(events, s.endGapByOffer()...)
+	if !s.ids.addIfNew(r.ID, rec.Time, s.idWindow()) {
+		return dropOutcomes(events, r.ID)
 	}
 	return events
 }
@@ -156,8 +156,8 @@
 	return defaultIDWindow
 }
 
-// without drops the outcomes of a record that was told before.
-func without(events []Event, id string) []Event {
+// dropOutcomes drops the outcomes of a record that was told before.
+func dropOutcomes(events []Event, id string) []Event {
 	var rest []Event
 	for _, e := range events {
 		switch e := e.(type) {
@@ -179,38 +179,38 @@
 	return rest
 }
 
-func (s *State) commit(r record, rec platform.Record) []Event {
+func (s *State) applyCommit(r record, rec platform.Record) []Event {
 	rev := r.Revision.signed(rec.Offset)
 	if err := s.keys.Verify(rev); err != nil {
-		return []Event{s.rejected(r.ID, rev, err.Error())}
+		return []Event{s.newRejected(r.ID, rev, err.Error())}
 	}
 	if s.gap {
 		s.hold(heldCommit{r.ID, rev, rec.Time})
 		return []Event{Held{r.ID, rev.Number}}
 	}
-	return s.judge(heldCommit{r.ID, rev, rec.Time})
+	return s.evaluate(heldCommit{r.ID, rev, rec.Time})
 }
 
-// judge accepts or rejects a validly signed commit; no gap is open.
-func (s *State) judge(c heldCommit) []Event {
+// evaluate accepts or rejects a validly signed commit; no gap is open.
+func (s *State) evaluate(c heldCommit) []Event {
 	current := s.headNumber()
 	switch {
 	case s.isCopy(c.rev):
-		s.copyAt(c.rev.Offset, c.at)
+		s.recordCopy(c.rev.Offset, c.recordedAt)
 		return []Event{Refreshed{c.id, c.rev.Number, c.rev.Hash}}
 	case c.rev.Parent != current:
-		return []Event{s.rejected(c.id, c.rev, fmt.Sprintf("its parent is revision %d, but %d is in force", c.rev.Parent, current))}
+		return []Event{s.newRejected(c.id, c.rev, fmt.Sprintf("its parent is revision %d, but %d is in force", c.rev.Parent, current))}
 	case c.rev.Number != current+1:
-		return []Event{s.rejected(c.id, c.rev, fmt.Sprintf("its number is %d, but its parent's is %d", c.rev.Number, current))}
+		return []Event{s.newRejected(c.id, c.rev, fmt.Sprintf("its number is %d, but its parent's is %d", c.rev.Number, current))}
 	}
 	events := s.advance(newRevision(c.rev))
-	s.copyAt(c.rev.Offset, c.at)
+	s.recordCopy(c.rev.Offset, c.recordedAt)
 	return append([]Event{Accepted{c.id, s.head}}, events...)
 }
 
 // advance makes rev the newest revision by the log.
 func (s *State) advance(rev *Revision) []Event {
-	s.head, s.copied = rev, Copy{}
+	s.head, s.newestCopy = rev, NewestCopy{}
 	if s.offered != nil && s.offered.Number <= rev.Number {
 		s.offered = nil
 	}
@@ -224,15 +224,15 @@
 	return nil
 }
 
-// copyAt notes a copy of the newest revision. After a gap copies may come to
+// recordCopy notes a copy of the newest revision. After a gap copies may come to
 // light out of order.
-func (s *State) copyAt(offset uint64, at time.Time) {
-	if s.copied.Time.IsZero() || offset > s.copied.Offset {
-		s.copied = Copy{offset, at}
+func (s *State) recordCopy(offset uint64, at time.Time) {
+	if s.newestCopy.Time.IsZero() || offset > s.newestCopy.Offset {
+		s.newestCopy = NewestCopy{offset, at}
 	}
 }
 
-func (s *State) rejected(id string, rev *pb.SignedRevision, reason string) Rejected {
+func (s *State) newRejected(id string, rev *pb.SignedRevision, reason string) Rejected {
 	return Rejected{ID: id, Number: rev.Number, KeyID: rev.KeyId, Reason: reason, Current: s.headNumber()}
 }
 
@@ -247,7 +247,7 @@
 	return s.head != nil && rev.Number == s.head.Number && rev.Parent == s.head.Parent && rev.Hash == s.head.Hash
 }
 
-func (s *State) raise(model string, version uint64) []Event {
+func (s *State) raiseVersion(model string, version uint64) []Event {
 	if version <= s.versions[model] {
 		return nil
 	}
