--- a/fold/once/heap_test.go
+++ b/fold/once/heap_test.go
@@ -2,8 +2,8 @@
 
 import "runtime"
 
-// heap is the live heap in bytes after a collection.
-func heap() uint64 {
+// liveHeapBytes is the live liveHeapBytes in bytes after a collection.
+func liveHeapBytes() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/fold/once/once.go
+++ b/fold/once/once.go
@@ -26,17 +26,17 @@
 	"dandelionsill.org/platform"
 )
 
-// segmentMS is the width in ms of issue time of the segments in which keys are
+// segmentWidthMS is the width in ms of issue time of the segments in which keys are
 // kept; a whole segment is dropped at a time.
-const segmentMS = int64(time.Minute / time.Millisecond)
+const segmentWidthMS = int64(time.Minute / time.Millisecond)
 
-// skewsPerKey bounds, in clock skews, how far ahead of the log's clock a key
+// maxKeySkews bounds, in clock skews, how far ahead of the log's clock a key
 // may have been issued that an agent let through: one skew between caller and
 // agent, one between agent and log.
-const skewsPerKey = 2
+const maxKeySkews = 2
 
-// Terms are the manifest's bounds of idempotency keys.
-type Terms struct {
+// Limits are the manifest's bounds of idempotency keys.
+type Limits struct {
 	Window time.Duration // how old a key may be; 0: not known yet, nothing is forgotten
 	Skew   time.Duration // bound between any two clocks
 }
@@ -56,11 +56,11 @@
 	Lost
 )
 
-// Finding is the state of one key.
-type Finding struct {
+// KeyState is the state of one key.
+type KeyState struct {
 	Status Status
-	Owner  Holder    // Claimed only
-	Hash   ShortHash // Claimed only
+	Owner  OwnerDigest // Claimed only
+	Hash   ShortHash   // Claimed only
 }
 
 // Applied tells what a record was.
@@ -75,18 +75,18 @@
 
 // State is the fold. It is not safe for concurrent use.
 type State struct {
-	terms Terms
-	next  uint64
-	clock int64 // latest record time, ms
+	limits Limits
+	next   uint64
+	clock  int64 // latest record time, ms
 
 	windowFloor int64 // keys issued before it are too old, ms
 	gapFloor    int64 // keys issued before it may have been claimed in lost records, ms
 	gap         bool  // records were lost; gapFloor is not known yet
 
-	segments map[int64]map[Digest]claim
-	size     int
-	owners   holders
-	active   map[Holder]int64 // owner -> time of its last batch, ms
+	segments  map[int64]map[Digest]claim
+	keyCount  int
+	owners    ownerTable
+	lastBatch map[OwnerDigest]int64 // owner -> time of its last batch, ms
 }
 
 // claim is what is kept of a key besides its digest.
@@ -96,23 +96,23 @@
 }
 
 // New returns the state before the stream's first record.
-func New(terms Terms) *State {
+func New(limits Limits) *State {
 	return &State{
-		terms:    terms,
-		segments: make(map[int64]map[Digest]claim),
-		active:   make(map[Holder]int64),
+		limits:    limits,
+		segments:  make(map[int64]map[Digest]claim),
+		lastBatch: make(map[OwnerDigest]int64),
 	}
 }
 
-// SetTerms changes the bounds. A longer window does not bring back what was
+// SetLimits changes the bounds. A longer window does not bring back what was
 // forgotten: the floors never sink.
-func (s *State) SetTerms(terms Terms) { s.terms = terms }
+func (s *State) SetLimits(limits Limits) { s.limits = limits }
 
 // Next is the offset to read from.
 func (s *State) Next() uint64 { return s.next }
 
 // Len is the number of keys held.
-func (s *State) Len() int { return s.size }
+func (s *State) Len() int { return s.keyCount }
 
 // Apply folds one record. Records come in offset order; a jump counts as a gap.
 func (s *State) Apply(rec platform.Record) Applied {
@@ -129,16 +129,16 @@
 		s.closeGap(s.clock)
 		return Applied{Unreadable: true}
 	}
-	s.active[record.Owner] = s.clock
+	s.lastBatch[record.Owner] = s.clock
 	for _, c := range record.Claims {
 		s.claim(record.Owner, c)
 	}
 	return Applied{Record: record}
 }
 
-// Gap notes that the records before first were truncated unread. Until the
+// HandleTruncation notes that the records before first were truncated unread. Until the
 // next record shows the lost records' time, every unknown key counts as lost.
-func (s *State) Gap(first uint64) {
+func (s *State) HandleTruncation(first uint64) {
 	if first <= s.next {
 		return
 	}
@@ -146,21 +146,21 @@
 	s.gap = true
 }
 
-// Reset notes that the log lost what was read from it: the stream now begins
+// HandleLogReset notes that the log lost what was read from it: the stream now begins
 // at first, which may be an offset that was applied before. What was read stays
 // known; of the lost records that were not, every unknown key counts as lost,
 // as after Gap.
-func (s *State) Reset(first uint64) {
+func (s *State) HandleLogReset(first uint64) {
 	s.next = first
 	s.gap = true
 }
 
-// Empty notes that after a gap the stream holds no record yet. now is the
+// HandleEmptyStream notes that after a gap the stream holds no record yet. now is the
 // reader's own clock at a time when the read had not begun or later; it stands
 // in for the record time.
-func (s *State) Empty(now time.Time) {
+func (s *State) HandleEmptyStream(now time.Time) {
 	if s.gap {
-		s.closeGap(now.Add(s.terms.Skew).UnixMilli())
+		s.closeGap(now.Add(s.limits.Skew).UnixMilli())
 	}
 }
 
@@ -170,20 +170,20 @@
 	if s.gap {
 		s.closeGap(s.clock)
 	}
-	floor := s.clock - s.terms.Window.Milliseconds()
-	if floor <= s.windowFloor || s.terms.Window <= 0 {
+	floor := s.clock - s.limits.Window.Milliseconds()
+	if floor <= s.windowFloor || s.limits.Window <= 0 {
 		return
 	}
 	s.windowFloor = floor
 	for n, segment := range s.segments {
-		if (n+1)*segmentMS <= floor {
-			s.size -= len(segment)
+		if (n+1)*segmentWidthMS <= floor {
+			s.keyCount -= len(segment)
 			delete(s.segments, n)
 		}
 	}
-	for owner, last := range s.active {
+	for owner, last := range s.lastBatch {
 		if last < floor {
-			delete(s.active, owner)
+			delete(s.lastBatch, owner)
 		}
 	}
 }
@@ -194,19 +194,19 @@
 // lost record, and if it were taken for free its request would run twice.
 func (s *State) closeGap(ms int64) {
 	s.gap = false
-	lastIssue := ms + skewsPerKey*s.terms.Skew.Milliseconds()
+	lastIssue := ms + maxKeySkews*s.limits.Skew.Milliseconds()
 	s.gapFloor = max(s.gapFloor, lastIssue+1)
 }
 
 // claim lets the first claim win. A claim below a floor never wins: the one
 // that won may already be forgotten, or was never read, and its request may
 // have run.
-func (s *State) claim(owner Holder, c RecordClaim) {
+func (s *State) claim(owner OwnerDigest, c RecordClaim) {
 	issued := issuedMS(c.Key[:])
 	if issued < s.windowFloor || issued < s.gapFloor {
 		return
 	}
-	n := issued / segmentMS
+	n := issued / segmentWidthMS
 	segment := s.segments[n]
 	if segment == nil {
 		segment = make(map[Digest]claim)
@@ -215,32 +215,32 @@
 	if _, taken := segment[c.Key]; taken {
 		return
 	}
-	segment[c.Key] = claim{hash: c.Hash, owner: s.owners.number(owner)}
-	s.size++
+	segment[c.Key] = claim{hash: c.Hash, owner: s.owners.index(owner)}
+	s.keyCount++
 }
 
 // Find tells a key's state. The window comes first, before any claim that is
 // still held: users forget what they know of a key once it is too old.
-func (s *State) Find(key Key) Finding {
+func (s *State) Find(key Key) KeyState {
 	digest := key.Digest()
 	issued := issuedMS(digest[:])
 	if issued < s.windowFloor {
-		return Finding{Status: TooOld}
+		return KeyState{Status: TooOld}
 	}
-	if c, ok := s.segments[issued/segmentMS][digest]; ok {
-		return Finding{Status: Claimed, Owner: s.owners.list[c.owner], Hash: c.hash}
+	if c, ok := s.segments[issued/segmentWidthMS][digest]; ok {
+		return KeyState{Status: Claimed, Owner: s.owners.byIndex[c.owner], Hash: c.hash}
 	}
 	if s.gap || issued < s.gapFloor {
-		return Finding{Status: Lost}
+		return KeyState{Status: Lost}
 	}
-	return Finding{}
+	return KeyState{}
 }
 
-// Active counts the owners whose last claim is younger than the given time, by
+// ActiveOwners counts the owners whose last claim is younger than the given time, by
 // the log's clock.
-func (s *State) Active(within time.Duration) int {
+func (s *State) ActiveOwners(within time.Duration) int {
 	n := 0
-	for _, last := range s.active {
+	for _, last := range s.lastBatch {
 		if s.clock-last <= within.Milliseconds() {
 			n++
 		}
@@ -248,21 +248,21 @@
 	return n
 }
 
-// holders numbers the few owners that many keys share.
-type holders struct {
-	list    []Holder
-	numbers map[Holder]uint32
+// ownerTable numbers the few owners that many keys share.
+type ownerTable struct {
+	byIndex []OwnerDigest
+	indexes map[OwnerDigest]uint32
 }
 
-func (h *holders) number(owner Holder) uint32 {
-	if n, ok := h.numbers[owner]; ok {
+func (t *ownerTable) index(owner OwnerDigest) uint32 {
+	if n, ok := t.indexes[owner]; ok {
 		return n
 	}
-	if h.numbers == nil {
-		h.numbers = make(map[Holder]uint32)
+	if t.indexes == nil {
+		t.indexes = make(map[OwnerDigest]uint32)
 	}
-	n := uint32(len(h.list))
-	h.list = append(h.list, owner)
-	h.numbers[owner] = n
+	n := uint32(len(t.byIndex))
+	t.byIndex = append(t.byIndex, owner)
+	t.indexes[owner] = n
 	return n
 }
