--- a/fold/steps/steps.go
+++ b/fold/steps/steps.go
@@ -25,9 +25,9 @@
 	"dandelionsill.org/platform"
 )
 
-// keepPerTrainer bounds the state: a trainer works on few steps at a time,
+// maxStepsPerTrainer bounds the state: a trainer works on few steps at a time,
 // and a step that far behind its newest is over.
-const keepPerTrainer = 64
+const maxStepsPerTrainer = 64
 
 const claimType = "claim"
 
@@ -70,9 +70,9 @@
 	return data
 }
 
-// ClaimAt returns the Epoch.Claim of a record at an offset. It is the offset
+// ClaimNumber returns the Epoch.Claim of a record at an offset. It is the offset
 // plus one, since zero means "no claim" and the first record has offset zero.
-func ClaimAt(offset uint64) uint64 { return offset + 1 }
+func ClaimNumber(offset uint64) uint64 { return offset + 1 }
 
 // Change tells that a claim was folded.
 type Change struct {
@@ -82,7 +82,7 @@
 	Owner Owner
 }
 
-type trainer struct {
+type trainerState struct {
 	newest uint64
 	steps  map[uint64]Owner
 }
@@ -90,11 +90,11 @@
 // State is the fold. Not safe for concurrent use.
 type State struct {
 	next     uint64
-	trainers map[string]*trainer
+	trainers map[string]*trainerState
 }
 
 // New returns the state before the first record.
-func New() *State { return &State{trainers: map[string]*trainer{}} }
+func New() *State { return &State{trainers: map[string]*trainerState{}} }
 
 // Owner returns the step's owner, if it is known.
 func (s *State) Owner(k Key) (Owner, bool) {
@@ -124,30 +124,30 @@
 	}
 	t := s.trainers[c.Trainer]
 	if t == nil {
-		t = &trainer{steps: map[uint64]Owner{}}
+		t = &trainerState{steps: map[uint64]Owner{}}
 		s.trainers[c.Trainer] = t
 	}
-	if t.old(c.Step) {
+	if t.isExpired(c.Step) {
 		return Change{}, false
 	}
 	t.newest = max(t.newest, c.Step)
 	if c.Attempt > t.steps[c.Step].Epoch.Attempt {
-		t.steps[c.Step] = Owner{Entry: c.Entry, Epoch: Epoch{Attempt: c.Attempt, Claim: ClaimAt(rec.Offset)}}
+		t.steps[c.Step] = Owner{Entry: c.Entry, Epoch: Epoch{Attempt: c.Attempt, Claim: ClaimNumber(rec.Offset)}}
 	}
 	t.prune()
 	return Change{Key: Key{c.Trainer, c.Step}, Claim: c, Owner: t.steps[c.Step]}, true
 }
 
-func (t *trainer) old(step uint64) bool {
-	return t.newest >= keepPerTrainer && step <= t.newest-keepPerTrainer
+func (t *trainerState) isExpired(step uint64) bool {
+	return t.newest >= maxStepsPerTrainer && step <= t.newest-maxStepsPerTrainer
 }
 
-func (t *trainer) prune() {
-	if len(t.steps) <= keepPerTrainer {
+func (t *trainerState) prune() {
+	if len(t.steps) <= maxStepsPerTrainer {
 		return
 	}
 	for step := range t.steps {
-		if t.old(step) {
+		if t.isExpired(step) {
 			delete(t.steps, step)
 		}
 	}
--- a/fold/steps/steps_test.go
+++ b/fold/steps/steps_test.go
@@ -17,9 +17,9 @@
 	return steps.Encode(steps.Claim{ID: id, Trainer: key.Trainer, Step: key.Step, Attempt: attempt, Entry: entry})
 }
 
-func fold(datas ...[]byte) *steps.State {
+func foldRecords(records ...[]byte) *steps.State {
 	s := steps.New()
-	for i, d := range datas {
+	for i, d := range records {
 		s.Apply(platform.Record{Offset: uint64(i), Data: d})
 	}
 	return s
@@ -34,33 +34,33 @@
 // A paused owner's claim lands after the take-over: the trainer raised its
 // attempt for the new owner, so the late record changes nothing.
 func TestLateClaimOfOlderAttemptLoses(t *testing.T) {
-	s := fold(claim("b", 2, "entry-b"), claim("a", 1, "entry-a"))
+	s := foldRecords(claim("b", 2, "entry-b"), claim("a", 1, "entry-a"))
 	require.Equal(t, steps.Owner{Entry: "entry-b", Epoch: steps.Epoch{Attempt: 2, Claim: 1}}, owner(t, s))
 }
 
 // The balancer delivers one POST to two entries, the copy late: both claim
 // attempt 1. The first stays the owner, as the trainer talks to it already.
 func TestSameAttemptFirstClaimWins(t *testing.T) {
-	s := fold(claim("a", 1, "entry-a"), claim("b", 1, "entry-b"))
+	s := foldRecords(claim("a", 1, "entry-a"), claim("b", 1, "entry-b"))
 	require.Equal(t, "entry-a", owner(t, s).Entry)
 }
 
 // The answer to an append was lost and the entry appends its claim again. The
 // owner's epoch must not move with the repeat: its trainer knows the first.
 func TestRepeatedAppendChangesNothing(t *testing.T) {
-	s := fold(claim("a", 1, "entry-a"), claim("b", 1, "entry-b"), claim("a", 1, "entry-a"))
+	s := foldRecords(claim("a", 1, "entry-a"), claim("b", 1, "entry-b"), claim("a", 1, "entry-a"))
 	require.Equal(t, uint64(1), owner(t, s).Epoch.Claim)
 }
 
-func TestForeignRecordsAreSkipped(t *testing.T) {
-	s := fold([]byte("{"), []byte(`{"type":"other","id":"x"}`), claim("a", 1, "entry-a"))
+func TestUnknownRecordsAreSkipped(t *testing.T) {
+	s := foldRecords([]byte("{"), []byte(`{"type":"other","id":"x"}`), claim("a", 1, "entry-a"))
 	require.Equal(t, uint64(3), owner(t, s).Epoch.Claim)
 	require.Equal(t, uint64(3), s.Next())
 }
 
 // Any two readers agree at the same offset, whether they read some pages
 // twice or not, and an owner is only ever replaced by a newer epoch.
-func TestFoldProperties(t *testing.T) {
+func TestReadersAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var recs []platform.Record
 		for i := range rapid.IntRange(0, 200).Draw(t, "n") {
