--- a/fold/agents/agents.go
+++ b/fold/agents/agents.go
@@ -11,7 +11,7 @@
 	"dandelionsill.org/platform"
 )
 
-const typeClaim = "agent_claim"
+const claimType = "agent_claim"
 
 // Claim is one agent's claim of a backend server.
 type Claim struct {
@@ -28,16 +28,16 @@
 
 // Encode returns the record data of a claim.
 func Encode(id, server string, incarnation uint64) ([]byte, error) {
-	data, err := json.Marshal(Claim{ID: id, Type: typeClaim, Server: server, Incarnation: incarnation})
+	data, err := json.Marshal(Claim{ID: id, Type: claimType, Server: server, Incarnation: incarnation})
 	return data, errors.Trace(err)
 }
 
 // State is the fold's state. It is not safe for concurrent use.
 type State struct {
-	only   string
-	next   uint64
-	newest map[string]Claim   // by server
-	seen   map[claimKey]Claim // a repeated append must not count as a new claim
+	onlyServer string
+	next       uint64
+	newest     map[string]Claim   // by server
+	claims     map[claimKey]Claim // a repeated append must not count as a new claim
 }
 
 type claimKey struct{ server, id string }
@@ -45,7 +45,7 @@
 // New returns an empty state. Where server is not empty only its claims are
 // kept, which bounds an agent's memory to its own server's history.
 func New(server string) *State {
-	return &State{only: server, newest: map[string]Claim{}, seen: map[claimKey]Claim{}}
+	return &State{onlyServer: server, newest: map[string]Claim{}, claims: map[claimKey]Claim{}}
 }
 
 // Apply folds one record in. Records already folded, records of other kinds
@@ -56,26 +56,26 @@
 	}
 	s.next = rec.Offset + 1
 	var c Claim
-	if json.Unmarshal(rec.Data, &c) != nil || c.Type != typeClaim || c.ID == "" || c.Server == "" {
+	if json.Unmarshal(rec.Data, &c) != nil || c.Type != claimType || c.ID == "" || c.Server == "" {
 		return
 	}
-	if s.only != "" && c.Server != s.only {
+	if s.onlyServer != "" && c.Server != s.onlyServer {
 		return
 	}
 	key := claimKey{c.Server, c.ID}
-	if _, repeated := s.seen[key]; repeated {
+	if _, repeated := s.claims[key]; repeated {
 		return
 	}
 	c.Offset = rec.Offset
-	s.seen[key] = c
+	s.claims[key] = c
 	s.newest[c.Server] = c
 }
 
 // Next returns the offset to read from next.
 func (s *State) Next() uint64 { return s.next }
 
-// Skip tells that records before offset are no longer kept.
-func (s *State) Skip(offset uint64) {
+// SkipTo tells that records before offset are no longer kept.
+func (s *State) SkipTo(offset uint64) {
 	s.next = max(s.next, offset)
 }
 
@@ -85,9 +85,9 @@
 	return c, ok
 }
 
-// Earlier tells whether another claim of the same server stands before c.
-func (s *State) Earlier(c Claim) bool {
-	for _, other := range s.seen {
+// HasEarlier tells whether another claim of the same server stands before c.
+func (s *State) HasEarlier(c Claim) bool {
+	for _, other := range s.claims {
 		if other.Server == c.Server && other.Offset < c.Offset {
 			return true
 		}
@@ -97,6 +97,6 @@
 
 // Find returns a server's claim with an ID.
 func (s *State) Find(server, id string) (Claim, bool) {
-	c, ok := s.seen[claimKey{server, id}]
+	c, ok := s.claims[claimKey{server, id}]
 	return c, ok
 }
