--- a/fold/jobs/bench_test.go
+++ b/fold/jobs/bench_test.go
@@ -9,10 +9,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// randomID returns an id as callers draw them.
+// randomID returns an id in the format that callers use.
 func randomID(rng *rand.Rand) string { return fmt.Sprintf("%016x", rng.Uint64()) }
 
-// randomResult returns a result with the names and seals of a real one's lengths.
+// randomResult returns a result whose ids and score have realistic lengths.
 func randomResult(rng *rand.Rand, job string) Result {
 	return Result{
 		Job: job, Item: randomID(rng), Ref: &TextRef{Partition: 3, Offset: rng.Uint64N(1e5), Bytes: rng.IntN(20000)},
@@ -20,8 +20,9 @@
 	}
 }
 
-// Samples that start and get their results, four in a record: the bytes that each process
-// reads of one are 71, where they are not packed 210. Unpacking the record takes 11 µs.
+// Measures the size per sample, and the time to decompress, of a record with the starts
+// and results of four samples. Each sample takes 71 bytes compressed and 210 uncompressed;
+// decompressing the record takes 11 µs.
 func BenchmarkSampleRecord(b *testing.B) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	r := Record{Writer: ann}
@@ -44,7 +45,7 @@
 	b.ReportMetric(float64(len(data))/each, "B/packed")
 }
 
-// One result read and folded by one process, and its bytes in the record.
+// Measures decoding and applying a record with results, and the size per result.
 func BenchmarkFoldResult(b *testing.B) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	r := Record{Writer: ann}
@@ -65,7 +66,7 @@
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/each, "ns/result")
 }
 
-// A job of 100 items without their bodies, read and folded by one process.
+// Measures decoding and applying a job of 100 items without their bodies.
 func BenchmarkFoldJob(b *testing.B) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	a := &Acceptance{Spec: Spec{ID: "j"}, Parts: 1}
--- a/fold/jobs/compress.go
+++ b/fold/jobs/compress.go
@@ -9,24 +9,24 @@
 	"github.com/juju/errors"
 )
 
-// Every process reads every record, and after a loss of power all of them read the past
-// at one moment: its bytes are what that takes. Packed, a record of starts and results
-// has a third of its bytes; 133 readers of a past of 2 MB take 1.2 s of a log that gives
-// 80 MB/s, in place of 3.4 s.
+// Records are compressed because every process reads every record, and after a power
+// failure all processes read the whole stream at the same time, limited by the log's
+// throughput. Compression reduces a record of starts and results to a third: 133 readers
+// of a stream of 2 MB then need 1.2 s from a log that serves 80 MB/s, instead of 3.4 s.
 
 const (
-	// compressed is the first byte of a compressed record; JSON begins with another.
+	// compressed is the first byte of a compressed record. JSON never starts with it.
 	compressed = 0x01
-	// minCompressBytes is the size from which on records are packed, in bytes: an empty one, a
-	// sign of life, is no smaller for it.
+	// minCompressBytes is the minimum size of records that are compressed, in bytes.
+	// Smaller ones, such as heartbeats, would not shrink.
 	minCompressBytes = 100
-	// maxDecompressedBytes bounds an unpacked record, in bytes: the platform takes records of
-	// 256 KB, and what is larger was not written by us.
+	// maxDecompressedBytes bounds the size of a decompressed record, in bytes. The platform
+	// accepts records of at most 256 KB, so this program writes no larger one.
 	maxDecompressedBytes = 8 << 20
 )
 
-// compressionDictionary is what records begin with in common: the packer refers to it. It is a
-// part of the format, and may not change.
+// compressionDictionary is the preset dictionary of the compression: text that most
+// records contain. It is part of the format and must not change.
 const compressionDictionary = `{"n":"front-a-1","l":"orders","en":[{"s":"i-","m":"","v":1,"l":true},{"s":"i-` +
 	`"cp":1200,"a":{"id":"","h":".example","p":"/","s":1,"m":"","mv":1,"tg":10,"t":100,"at":17,"du":7500,"o":{"n":"","l":""},` +
 	`"bd":{"p":1,"o":,"b":0},"sub":"","pt":0,"ps":1,"it":[{"id":"","g":"g"},{"id":"` +
@@ -43,7 +43,8 @@
 
 var decompressors = sync.Pool{New: func() any { return flate.NewReaderDict(nil, []byte(compressionDictionary)) }}
 
-// compress returns a record's bytes packed, or as they are where that is no larger.
+// compress returns the compressed record, or data itself if compression would not make
+// it smaller.
 func compress(data []byte) ([]byte, error) {
 	if len(data) < minCompressBytes {
 		return data, nil
@@ -65,7 +66,8 @@
 	return out.Bytes(), nil
 }
 
-// decompress returns the bytes that were packed, or those that were not as they are.
+// decompress returns the decompressed record, or data itself if it is not compressed. It
+// returns at most the first maxDecompressedBytes bytes.
 func decompress(data []byte) ([]byte, error) {
 	if len(data) == 0 || data[0] != compressed {
 		return data, nil
@@ -76,5 +78,5 @@
 		return nil, errors.Trace(err)
 	}
 	out, err := io.ReadAll(io.LimitReader(r, maxDecompressedBytes))
-	return out, errors.Annotate(err, "packed record")
+	return out, errors.Annotate(err, "decompress record")
 }
--- a/fold/jobs/compress_test.go
+++ b/fold/jobs/compress_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever a record holds, its reader gets it back, and a writer of before, which did
-// not pack, is understood.
+// Every record must decode to its original content. Records of older writers, which did
+// not compress, must decode to the same.
 func TestCompressedRecordsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := Record{Writer: Writer{Node: "n", Life: rapid.String().Draw(t, "life")}, Ends: rapid.SliceOf(rapid.String()).Draw(t, "ends")}
@@ -27,8 +27,8 @@
 	})
 }
 
-// A record that was cut or spoiled is an error, not a part of what was written, and
-// leaves the next one readable.
+// A truncated or corrupt record must give an error rather than part of its content, and
+// must not affect decoding of the next record by the pooled decompressors.
 func TestCorruptCompressedRecordIsAnError(t *testing.T) {
 	r := Record{Writer: ann, Ends: []string{strings.Repeat("ab", 500)}}
 	data, err := r.Encode()
@@ -43,7 +43,7 @@
 	require.Equal(t, r.Ends, decoded.Ends)
 }
 
-// Bytes that unpack to more than any record holds are not unpacked to their end.
+// Data that decompresses to more than the maximum record size must be cut off there.
 func TestDecompressionIsBounded(t *testing.T) {
 	data, err := compress([]byte(strings.Repeat(" ", maxDecompressedBytes+1000)))
 	require.NoError(t, err)
--- a/fold/jobs/jobs.go
+++ b/fold/jobs/jobs.go
@@ -1,11 +1,12 @@
-// Package jobs is the pure fold of the records of batch jobs. Every process
-// folds the same records in the same order, so that all of them hold the same
-// jobs, the same results at the same positions and the same owner of a job.
+// Package jobs computes the state of all batch jobs from the records of their
+// log stream. The fold is pure: every process that applies the same records in
+// the same order has the same jobs, the same results at the same positions and
+// the same owner of each job.
 //
-// Correctness rests on the fold alone: of two results of an item the first in
-// the log stands, of two claims with the same prior owner the first wins, and
-// records that come late, twice or from a process that lost its job change
-// nothing. Owners only save work.
+// Correctness depends on the fold alone. Of two results of an item the first in
+// the log is kept, and of two claims with the same prior offset the first wins.
+// Records that arrive late or twice, or whose writer has lost the job, change
+// nothing. Ownership only avoids duplicate work.
 package jobs
 
 import (
@@ -13,14 +14,14 @@
 	"strings"
 )
 
-// ItemState is an item with what has become of it.
+// ItemState is an item of a job and its progress.
 type ItemState struct {
 	ItemRef
-	Server   string // where the owner last said that it runs
-	Position int    // in Job.Results; -1: no result yet
+	Server   string // that runs the item according to the owner's last report; empty: none
+	Position int    // index in Job.Results; -1: no result yet
 }
 
-// Done tells whether the item has its result.
+// Done reports whether the item has a result.
 func (i *ItemState) Done() bool { return i.Position >= 0 }
 
 // Job is an accepted batch job.
@@ -32,36 +33,39 @@
 	Ended   bool
 
 	groups map[string]*group
-	// completeGroups is the number of groups all of whose items have a result.
+	// completeGroups is the number of groups in which every item has a result.
 	completeGroups int
-	// incompleteResubmitted is the number of groups without all results that an earlier job
-	// had as well.
+	// incompleteResubmitted is the number of resubmitted groups in which some
+	// item has no result yet.
 	incompleteResubmitted int
 
 	Owner Writer
-	// AcceptedOffset is the offset of the record that made the job.
+	// AcceptedOffset is the offset of the record that completed the submission.
 	AcceptedOffset uint64
-	// Claim is the offset of the record that made Owner the owner.
+	// Claim is the offset of the record that made Owner the job's owner.
 	Claim    uint64
-	Released bool // the owner has given the job up
-	// ItemsRef is where the items stand, and their texts behind.
+	Released bool // the owner has released the job
+	// ItemsRef is the position of the items in the text stream. All other text
+	// records of the job follow it.
 	ItemsRef TextRef
 }
 
-// group is the items of a job that share their prompt.
+// group counts the items of a job that have the same prompt.
 type group struct {
 	unfinished  int  // items without a result
-	resubmitted bool // an earlier job had it as well
+	resubmitted bool // an earlier job that is still known has the group too
 }
 
-// Enough tells whether the trainer has all that it waits for: as many complete
-// groups as it said, those that it handed in a second time among them.
+// Enough reports whether the job has all results that the trainer waits for:
+// the requested number of complete groups, including every resubmitted group,
+// or the results of all items.
 func (j *Job) Enough() bool {
 	return len(j.Results) == j.Total || j.Groups > 0 && j.completeGroups >= j.Groups && j.incompleteResubmitted == 0
 }
 
-// Need is the number of groups that the trainer still waits for; where it named
-// none, it waits for all items.
+// Need returns the number of complete groups that the trainer still waits for.
+// If the trainer requested no number of groups it waits for all items, and Need
+// returns the number of items without a result.
 func (j *Job) Need() int {
 	if j.Groups == 0 {
 		return j.Total - len(j.Results)
@@ -69,47 +73,49 @@
 	return max(0, j.Groups-j.completeGroups)
 }
 
-// IsResubmitted tells whether the trainer has handed a group in a second time. It then
-// waits for this group whatever others are whole.
+// IsResubmitted reports whether the trainer submitted the group with an earlier
+// job too. The trainer then waits for this group regardless of how many others
+// are complete.
 func (j *Job) IsResubmitted(name string) bool {
 	g := j.groups[name]
 	return g != nil && g.resubmitted
 }
 
-// IsOpen tells whether there is still work for an owner.
+// IsOpen reports whether the job has not ended and has items without a result.
 func (j *Job) IsOpen() bool { return !j.Ended && len(j.Results) < j.Total }
 
-// submission gathers the parts of an accepted job.
+// submission collects the parts of a job until all of them have been read.
 type submission struct {
 	parts map[int]*Acceptance
 }
 
-// Change tells what a record changed.
+// Change lists what a record changed.
 type Change struct {
-	Accepted []string
-	Ended    []string
-	// Owned are jobs whose owner changed.
+	Accepted []string // ids of jobs
+	Ended    []string // ids of jobs
+	// Owned lists the ids of the jobs whose owner changed or released them.
 	Owned   []string
-	Results int
-	Engines int
+	Results int // number of new results
+	Engines int // number of engine reports
 }
 
-// EngineKey names a model at a server.
+// EngineKey identifies a model on a backend server.
 type EngineKey struct{ Server, Model string }
 
-// State is the fold. It is not safe for concurrent use.
+// State is the state after the records applied so far. It is not safe for
+// concurrent use.
 type State struct {
 	Jobs map[string]*Job
 
-	pending map[string]*submission
-	// runningItems counts the items at each server by the owners' own word.
+	pending map[string]*submission // incomplete, by job id and submission name
+	// runningItems counts the items that the owners report as running, by server.
 	runningItems map[string]int
-	jobOrder     []string // jobs in the order of acceptance
+	jobOrder     []string // job ids in the order of acceptance
 	engines      map[EngineKey]Engine
-	leaving      map[Writer]bool
-	// capacity is how many items each process can run, by its own word.
+	leaving      map[Writer]bool // processes that take no more jobs
+	// capacity is the number of items that each process reports it can run.
 	capacity map[Writer]int
-	// groups are those of the jobs that are known.
+	// groups contains the groups of all jobs in Jobs.
 	groups map[groupKey]bool
 }
 
@@ -118,16 +124,17 @@
 	return &State{Jobs: map[string]*Job{}, pending: map[string]*submission{}, runningItems: map[string]int{}, engines: map[EngineKey]Engine{}, leaving: map[Writer]bool{}, capacity: map[Writer]int{}, groups: map[groupKey]bool{}}
 }
 
-// Running is the number of items that run at a server, by their owners' word.
+// Running returns the number of items that run on a server according to their
+// owners' reports.
 func (s *State) Running(server string) int { return s.runningItems[server] }
 
-// Engine is the last word about a model at a server.
+// Engine returns the latest report about a model on a server.
 func (s *State) Engine(server, model string) (Engine, bool) {
 	e, ok := s.engines[EngineKey{server, model}]
 	return e, ok
 }
 
-// Apply folds the record at an offset.
+// Apply applies the record at an offset and returns what it changed.
 func (s *State) Apply(offset uint64, r *Record) Change {
 	var c Change
 	if r.Leaving {
@@ -185,7 +192,8 @@
 	c.Accepted = append(c.Accepted, a.ID)
 }
 
-// addJob makes the job of a whole submission and forgets what others handed in of it.
+// addJob adds the job of a complete submission and drops all pending
+// submissions of the same job.
 func (s *State) addJob(offset uint64, owner Writer, sub *submission, last *Acceptance) {
 	j := &Job{Spec: last.Spec, Items: map[string]*ItemState{}, Owner: owner, AcceptedOffset: offset, Claim: offset, ItemsRef: last.ItemsRef, groups: map[string]*group{}}
 	for part := range last.Parts {
@@ -208,10 +216,12 @@
 	}
 }
 
-// groupKey names a group of items: trainers draw the names of their own.
+// groupKey identifies a group of items. Trainers choose group names
+// independently, so the model is part of the key.
 type groupKey struct{ model, group string }
 
-// joinGroup adds an item to its group.
+// joinGroup adds an item to its group of the job, and creates the group with
+// its first item.
 func (s *State) joinGroup(j *Job, name string) {
 	g := j.groups[name]
 	if g == nil {
@@ -225,7 +235,7 @@
 	g.unfinished++
 }
 
-// completeItem notes that one more item of a group has its result.
+// completeItem records that one more item of a group has a result.
 func (j *Job) completeItem(g *group) {
 	g.unfinished--
 	if g.unfinished > 0 {
@@ -237,7 +247,8 @@
 	}
 }
 
-// Owned returns the job if the writer owns it and has not given it up.
+// Owned returns the job if the writer owns it and has not released it, and nil
+// otherwise.
 func (s *State) Owned(id string, w Writer) *Job {
 	j := s.Jobs[id]
 	if j == nil || j.Owner != w || j.Released {
@@ -266,7 +277,8 @@
 	c.Owned = append(c.Owned, id)
 }
 
-// clearServers forgets where a job's items ran, for its owner is gone.
+// clearServers clears the servers of a job's items: they are valid only while
+// their owner runs the job.
 func (s *State) clearServers(j *Job) {
 	for _, item := range j.Items {
 		s.setServer(item, "")
@@ -296,7 +308,8 @@
 	}
 }
 
-// addResult lists an item; only the first addResult of an item counts.
+// addResult appends a result to its job's list. Later results of the same item
+// are ignored.
 func (s *State) addResult(r Result, c *Change) {
 	j := s.Jobs[r.Job]
 	if j == nil {
@@ -326,9 +339,10 @@
 	c.Ended = append(c.Ended, id)
 }
 
-// EligibleOwners returns the processes that may be given jobs: owners first, that of the
-// newest job at the front, then the others in no order. Those that have said
-// that they leave are left out.
+// EligibleOwners returns the processes that can be assigned jobs. Owners of jobs
+// come first, starting with the owner of the newest job; processes that have only
+// reported their capacity follow in no particular order. Processes that reported
+// that they are leaving are excluded.
 func (s *State) EligibleOwners() []OwnerLoad {
 	var owners []OwnerLoad
 	indexOf := map[Writer]int{}
@@ -355,21 +369,21 @@
 	return owners
 }
 
-// OwnerLoad is a process with its work.
+// OwnerLoad is a process and its load.
 type OwnerLoad struct {
 	Owner    Writer
-	Items    int // without a result
-	Capacity int // items that it can run; 0: not told
+	Items    int // of its open jobs, without a result
+	Capacity int // items that it can run; 0: not reported
 }
 
-// Each calls f for each job in the order of acceptance.
+// Each calls f for every job in the order of acceptance.
 func (s *State) Each(f func(*Job)) {
 	for _, id := range s.jobOrder {
 		f(s.Jobs[id])
 	}
 }
 
-// CountOpen is the number of jobs with work for an owner.
+// CountOpen returns the number of open jobs.
 func (s *State) CountOpen() int {
 	open := 0
 	s.Each(func(j *Job) {
@@ -380,8 +394,8 @@
 	return open
 }
 
-// Forget drops jobs that were submitted before a time of day, in Unix
-// milliseconds, and are no longer open.
+// Forget drops all jobs that are no longer open and were submitted before the
+// given time in Unix milliseconds.
 func (s *State) Forget(beforeMS int64) {
 	s.jobOrder = slices.DeleteFunc(s.jobOrder, func(id string) bool {
 		j := s.Jobs[id]
--- a/fold/jobs/jobs_test.go
+++ b/fold/jobs/jobs_test.go
@@ -13,7 +13,7 @@
 	bob = Writer{Node: "bob", Life: "1"}
 )
 
-// acceptRecord returns a record that hands in a job of two items.
+// acceptRecord returns a record that accepts a job of two items.
 func acceptRecord(w Writer, id string) *Record {
 	return &Record{Writer: w, Acceptance: &Acceptance{
 		Spec: Spec{ID: id, Model: "m", Total: 2}, Submission: w.Node, Parts: 1,
@@ -21,8 +21,8 @@
 	}}
 }
 
-// A trainer gets no answer and hands the same job in at another entry; both
-// records reach the log. The job has to exist once, with the first one's owner.
+// A trainer that gets no answer submits the same job at another entry, and both
+// records reach the log. The job must exist once, with the first record's owner.
 func TestJobIsAcceptedOnce(t *testing.T) {
 	s := New()
 	require.Equal(t, []string{"j"}, s.Apply(0, acceptRecord(ann, "j")).Accepted)
@@ -31,8 +31,8 @@
 	require.Equal(t, 2, s.Jobs["j"].Total)
 }
 
-// A large job stands in several records. Until the last is read nobody may see
-// it, or its items would be counted wrong.
+// A large job is split over several records. It must not be visible until all of
+// them have been read, or its items would be miscounted.
 func TestJobIsVisibleAfterItsLastPart(t *testing.T) {
 	s := New()
 	part := func(n int, item string) *Record {
@@ -44,8 +44,8 @@
 	require.Equal(t, []string{"a", "b"}, s.Jobs["j"].Order)
 }
 
-// A trainer waits for one of two groups, and for a group that it hands in again
-// whatever else is complete. It has enough once all of these are listed.
+// A trainer waits for one of two groups, and always for a group that it submits a
+// second time. Enough must become true only when all of these are complete.
 func TestEnough(t *testing.T) {
 	acceptGroups := func(id string, groups ...string) *Record {
 		a := &Acceptance{Spec: Spec{ID: id, Model: "m", Groups: 1}, Parts: 1}
@@ -75,8 +75,8 @@
 	require.True(t, s.Jobs["k"].Enough())
 }
 
-// Two owners finish an item, or the store carries an append out twice. The
-// trainer has read the first result: its position and text must not change.
+// Two owners finish an item, or the store executes an append twice. The trainer
+// may have read the first result, so its position and text must not change.
 func TestFirstResultWins(t *testing.T) {
 	s := New()
 	s.Apply(0, acceptRecord(ann, "j"))
@@ -89,9 +89,9 @@
 	require.False(t, j.IsOpen())
 }
 
-// Two entries see the owner silent and claim its job at the same moment. Both
-// claims name the same prior owner; only the first may win, and the old
-// owner's later words about its streams are void.
+// Two entries find the owner unresponsive and claim its job at the same time. Both
+// claims have the same prior offset: only the first may win, and later starts that
+// the old owner reports must be ignored.
 func TestFirstClaimWins(t *testing.T) {
 	s := New()
 	s.Apply(0, acceptRecord(ann, "j"))
@@ -105,8 +105,8 @@
 	require.Equal(t, cyd, s.Jobs["j"].Owner)
 }
 
-// A leaving entry gives its jobs up. Nobody counts its samples at the engines
-// any more, or their places would stay taken.
+// A process that leaves releases its jobs. Their samples must no longer count as
+// running, or the engines' capacity would stay reserved.
 func TestReleaseClearsRunningItems(t *testing.T) {
 	s := New()
 	s.Apply(0, acceptRecord(ann, "j"))
@@ -118,8 +118,9 @@
 	require.Empty(t, s.EligibleOwners())
 }
 
-// The owner of the newest job comes first, so that a trainer's next step goes
-// to who has its connections; processes that only told their capacity follow.
+// The owner of the newest job must come first, so that a trainer's next step goes to
+// the process that has its connections. Processes that have only reported their
+// capacity follow.
 func TestEligibleOwnersOrder(t *testing.T) {
 	s := New()
 	s.Apply(0, &Record{Writer: Writer{Node: "cyd", Life: "1"}, Capacity: 600})
@@ -130,7 +131,7 @@
 	require.Equal(t, []OwnerLoad{{bob, 1, 0}, {ann, 2, 100}, {Writer{Node: "cyd", Life: "1"}, 0, 600}}, s.EligibleOwners())
 }
 
-// Jobs that are over and old are dropped; an open one never is.
+// Forget must drop old jobs that have ended, and never an open one.
 func TestForgetKeepsOpenJobs(t *testing.T) {
 	s := New()
 	s.Apply(0, acceptRecord(ann, "open"))
@@ -163,9 +164,9 @@
 	}
 }
 
-// Whatever the log holds: results never move or change, an item stands at one
-// position, the places at the engines add up, and two readers that take the
-// same records in other pages end alike.
+// For any log: results never move or change, an item has at most one result, the
+// running items per server add up, and a reader of the encoded records reaches the
+// same state.
 func TestFoldInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		first, second := New(), New()
@@ -183,7 +184,7 @@
 			for id, j := range first.Jobs {
 				require.GreaterOrEqual(t, len(j.Results), len(listed[id]))
 				for i, before := range listed[id] {
-					require.Equal(t, before, j.Results[i], "a result that was listed")
+					require.Equal(t, before, j.Results[i], "an already listed result must not change")
 				}
 				listed[id] = append([]Result(nil), j.Results...)
 				seen := map[string]bool{}
@@ -209,8 +210,8 @@
 	})
 }
 
-// A record that the log brings twice (its answer was lost and it was appended
-// again) changes nothing the second time, apart from where a stream runs.
+// A record that is in the log twice, because its response was lost and it was
+// appended again, must not change results or the end of a job the second time.
 func TestRepeatedRecordsDoNotChangeResults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		once, twice := New(), New()
@@ -218,7 +219,7 @@
 		for range rapid.IntRange(0, 30).Draw(t, "records") {
 			r := genRecord(t)
 			if len(r.Claims) > 0 {
-				continue // claims name offsets, which differ between the two logs
+				continue // claims refer to offsets, which would differ between the two logs
 			}
 			once.Apply(offset, r)
 			twice.Apply(offset, r)
@@ -232,8 +233,7 @@
 	})
 }
 
-// A record that can't be read is told apart from one that can; no input may
-// make the fold panic.
+// No input may make Decode or Apply panic.
 func FuzzDecode(f *testing.F) {
 	good, err := acceptRecord(ann, "j").Encode()
 	require.NoError(f, err)
--- a/fold/jobs/record.go
+++ b/fold/jobs/record.go
@@ -6,13 +6,13 @@
 	"github.com/juju/errors"
 )
 
-// Writer names the process that wrote a record.
+// Writer identifies the process that wrote a record.
 type Writer struct {
-	Node string `json:"n"`
-	Life string `json:"l"` // changes at each start of the process
+	Node string `json:"n"` // the VM's name
+	Life string `json:"l"` // the incarnation; differs after each start of the process
 }
 
-// Request is a request to be sent to a backend server.
+// Request is a request to a backend server.
 type Request struct {
 	ID     string            `json:"id"`
 	Host   string            `json:"h,omitempty"`
@@ -21,22 +21,23 @@
 	Body   []byte            `json:"b,omitempty"`
 }
 
-// Item is one sample that a batch job asks for. It stands with the texts, for
-// only the job's owner needs it.
+// Item is one sample that a batch job requests. Items are stored in the text
+// stream, because only the job's owner needs them.
 type Item struct {
 	Request
 	Group  string   `json:"g,omitempty"`
-	Tokens int      `json:"tk,omitempty"` // prompt and most output tokens together
-	Score  *Request `json:"sc,omitempty"` // asked for the score of the text; nil: none
+	Tokens int      `json:"tk,omitempty"` // sum of the prompt's tokens and the maximum of output tokens
+	Score  *Request `json:"sc,omitempty"` // request for the score of the text; nil: no score
 }
 
-// ItemRef names an item of a job: all that others than its owner need of it.
+// ItemRef identifies an item of a job. Processes other than the job's owner need
+// no more of it.
 type ItemRef struct {
 	ID    string `json:"id"`
 	Group string `json:"g,omitempty"`
 }
 
-// Spec is a batch job without its items.
+// Spec describes a batch job without its items.
 type Spec struct {
 	ID         string `json:"id"`
 	Host       string `json:"h"`
@@ -46,53 +47,59 @@
 	MinVersion uint64 `json:"mv,omitempty"`
 	Groups     int    `json:"tg,omitempty"` // complete groups that the trainer waits for
 	Total      int    `json:"t"`            // number of items
-	// SubmittedMS is the accepting process's time of day, in Unix milliseconds.
+	// SubmittedMS is the time of submission by the accepting process's clock, in
+	// Unix milliseconds.
 	SubmittedMS int64 `json:"at"`
-	// DueMS is how long after that results are due, in milliseconds; 0: not told.
+	// DueMS is the time from submission until the results are due, in
+	// milliseconds; 0: not specified.
 	DueMS int64 `json:"du,omitempty"`
-	// Organisation is whose job it is; empty: anybody's.
+	// Organisation is the name of the organisation that submitted the job; empty:
+	// every caller may access the job.
 	Organisation string `json:"og,omitempty"`
 }
 
-// Acceptance is a batch job, or the part of one that fits into a record. The parts
-// are appended together, all or none of them.
+// Acceptance is an accepted batch job, or the part of one that fits into a
+// record. All parts of a job are appended atomically.
 type Acceptance struct {
 	Spec
-	// Owner is who is to run the job; nil: the writer.
+	// Owner is the process that is to run the job; nil: the writer.
 	Owner *Writer `json:"o,omitempty"`
-	// ItemsRef is where the items stand; all that is kept of their texts stands
-	// behind it.
+	// ItemsRef is the position of the items in the text stream. All other text
+	// records of the job follow it.
 	ItemsRef TextRef `json:"bd"`
-	// Submission tells apart what two processes accepted of the same job.
+	// Submission distinguishes submissions of the same job that several processes
+	// accepted.
 	Submission string    `json:"sub"`
 	Part       int       `json:"pt"`
 	Parts      int       `json:"ps"`
 	Items      []ItemRef `json:"it"`
 }
 
-// Claim takes over the ownership of a job from the owner whose claim stands at
-// offset Prior; it is void where somebody else was faster.
+// Claim takes over the ownership of a job from the owner whose claim is at offset
+// PriorOffset. It has no effect if an earlier record claimed the job.
 type Claim struct {
 	Job         string `json:"j"`
 	PriorOffset uint64 `json:"pr"`
 }
 
-// Start tells where an item runs now; an empty Server: nowhere.
+// Start reports the server on which an item runs now; an empty Server: it runs on
+// none.
 type Start struct {
 	Job    string `json:"j"`
 	Item   string `json:"i"`
 	Server string `json:"s,omitempty"`
 }
 
-// TextRef tells where a text stands: the partition of the texts' stream and the
-// offset of the record that holds it.
+// TextRef is the position of a text: the partition of the text stream, and the
+// offset and size of the record that contains it.
 type TextRef struct {
 	Partition int    `json:"p"`
 	Offset    uint64 `json:"o"`
 	Bytes     int    `json:"b"`
 }
 
-// Result ends an item. Its text stands apart, for most processes never need it.
+// Result is the result of an item. Its text is stored in the text stream, because
+// most processes never need it.
 type Result struct {
 	Job      string   `json:"j"`
 	Item     string   `json:"i"`
@@ -100,41 +107,46 @@
 	Ref      *TextRef `json:"t,omitempty"`
 	Versions []uint64 `json:"v,omitempty"`
 	Score    string   `json:"s,omitempty"`
-	// Text is filled in by whoever has it; it is not in the record.
+	// Text is the text, set only by processes that have read it; it is not part of
+	// the record.
 	Text string `json:"-"`
-	// Writer is the VM of the process that listed it, from the record's head.
+	// Writer is the VM of the process that wrote the record with the result, from
+	// the record's own writer.
 	Writer string `json:"-"`
 }
 
-// Engine is what the process beside an engine says of it.
+// Engine is the report of an engine by the agent on its VM.
 type Engine struct {
 	Server string `json:"s"`
 	Model  string `json:"m"`
-	// Version is what the engine serves now, or is loading.
+	// Version is the version of the weights that the engine serves, or loads if
+	// Loading is set.
 	Version uint64 `json:"v"`
 	Loading bool   `json:"l,omitempty"`
 }
 
-// Record is one record of the stream: what one process has to say at once.
+// Record is one record of the stream: all updates of one process that were
+// pending when it was written.
 type Record struct {
 	Writer
 	Acceptance *Acceptance `json:"a,omitempty"`
 	Claims     []Claim     `json:"c,omitempty"`
-	Releases   []string    `json:"r,omitempty"`  // jobs that their owner gives up
+	Releases   []string    `json:"r,omitempty"`  // ids of jobs that their owner releases
 	Leaving    bool        `json:"lv,omitempty"` // the writer takes no more jobs
-	Capacity   int         `json:"cp,omitempty"` // items that the writer can run; 0: not told
+	Capacity   int         `json:"cp,omitempty"` // items that the writer can run; 0: not reported
 	Starts     []Start     `json:"st,omitempty"`
 	Results    []Result    `json:"rs,omitempty"`
-	Ends       []string    `json:"e,omitempty"` // jobs that their trainer ended
+	Ends       []string    `json:"e,omitempty"` // ids of jobs that their trainer ended
 	Engines    []Engine    `json:"en,omitempty"`
 }
 
-// IsEmpty tells whether the record says nothing but that its writer lives.
+// IsEmpty reports whether the record contains no updates. An empty record is a
+// heartbeat of its writer. Capacity is not an update.
 func (r *Record) IsEmpty() bool {
 	return r.Acceptance == nil && !r.Leaving && len(r.Claims)+len(r.Releases)+len(r.Starts)+len(r.Results)+len(r.Ends)+len(r.Engines) == 0
 }
 
-// Encode returns the record's bytes.
+// Encode returns the record as JSON, compressed if that makes it smaller.
 func (r *Record) Encode() ([]byte, error) {
 	data, err := json.Marshal(r)
 	if err != nil {
@@ -143,18 +155,18 @@
 	return compress(data)
 }
 
-// Decode reads a record.
+// Decode parses a record. It fails if the record names no writer.
 func Decode(data []byte) (*Record, error) {
 	data, err := decompress(data)
 	if err != nil {
-		return nil, errors.Annotate(err, "record of batch jobs")
+		return nil, errors.Annotate(err, "batch job record")
 	}
 	var r Record
 	if err := json.Unmarshal(data, &r); err != nil {
-		return nil, errors.Annotate(err, "record of batch jobs")
+		return nil, errors.Annotate(err, "batch job record")
 	}
 	if r.Node == "" {
-		return nil, errors.New("record of batch jobs names no writer")
+		return nil, errors.New("batch job record has no writer")
 	}
 	return &r, nil
 }
--- a/fold/jobs/texts.go
+++ b/fold/jobs/texts.go
@@ -6,87 +6,90 @@
 	"github.com/juju/errors"
 )
 
-// Event is one event of a stream.
+// Event is one event of an item's response stream.
 type Event struct {
 	Data    string `json:"d"`
-	Version uint64 `json:"v,omitempty"` // weights that made it
+	Version uint64 `json:"v,omitempty"` // of the weights that generated it
 }
 
-// Progress adds events to an item's text, of which From were known before.
+// Progress appends events to an item's text.
 type Progress struct {
 	Item string `json:"i"`
-	// Run grows each time the item starts again without its earlier text.
+	// Run is incremented each time the item restarts without its earlier text.
 	Run    int     `json:"n,omitempty"`
-	From   int     `json:"f"`
+	From   int     `json:"f"` // index of the first of Events in the item's text
 	Events []Event `json:"e,omitempty"`
-	// Failures counts the answers of servers that failed the item.
+	// Failures is the number of failed responses of servers to the item so far.
 	Failures int `json:"x,omitempty"`
-	// Complete tells that no further event follows.
+	// Complete means that no further events follow.
 	Complete bool `json:"w,omitempty"`
 }
 
-// ItemText is the whole text of an item.
+// ItemText is the complete text of an item.
 type ItemText struct {
 	Item string `json:"i"`
 	Text string `json:"t"`
 }
 
-// TextRecord is one record of the texts' stream: a job's items, or what its
-// owner has of their texts. Only owners read items, only a successor reads the
-// progress, and only who is asked for a result reads its text: with them in the
-// jobs' stream each of 44 entries read each text, 1.3 GB on a day, and all of
-// them took 20 s to come back after a loss of power.
+// TextRecord is one record of the text stream: a job's items, or the progress and
+// texts of its owner. Texts have a stream of their own because few processes need
+// them: only owners read items, only an owner's successor reads progress, and only
+// a process that was asked for a result reads its text. When they were part of the
+// job stream each of 44 entries read every text, 1.3 GB in a day, and recovery
+// after a power failure took 20 s.
 type TextRecord struct {
 	Writer
 	Job string `json:"j"`
-	// Claim is that under which the writer owns the job. Progress of one claim
-	// never goes on behind that of another.
+	// Claim is the offset of the claim by which the writer owns the job. Progress
+	// of one claim never continues that of another.
 	Claim    uint64     `json:"c"`
 	Progress []Progress `json:"pg,omitempty"`
 	Texts    []ItemText `json:"tx,omitempty"`
 	Items    []Item     `json:"it,omitempty"`
 }
 
-// Encode returns the record's bytes.
+// Encode returns the record as JSON.
 func (r *TextRecord) Encode() ([]byte, error) {
 	data, err := json.Marshal(r)
 	return data, errors.Trace(err)
 }
 
-// DecodeText reads a record of the texts' stream.
+// DecodeText parses a record of the text stream. It fails if the record names no
+// job.
 func DecodeText(data []byte) (*TextRecord, error) {
 	var r TextRecord
 	if err := json.Unmarshal(data, &r); err != nil {
-		return nil, errors.Annotate(err, "record of texts")
+		return nil, errors.Annotate(err, "text record")
 	}
 	if r.Job == "" {
-		return nil, errors.New("record of texts names no job")
+		return nil, errors.New("text record has no job")
 	}
 	return &r, nil
 }
 
-// Output is what was made of an item.
+// Output is the text that one owner has generated for an item.
 type Output struct {
-	Run      int
+	Run      int // as in Progress
 	Events   []Event
-	Complete bool
-	Failures int
+	Complete bool // no further events follow
+	Failures int  // as in Progress
 }
 
-// Texts is the fold of one job's items and progress.
+// Texts is the state of one job's items and progress after the records applied so
+// far. It is not safe for concurrent use.
 type Texts struct {
 	job string
-	// outputs is by item and by the claim of its owner.
+	// outputs contains the outputs by item id and by the owner's claim.
 	outputs map[string]map[uint64]*Output
 	items   map[string]Item
 }
 
-// NewTexts returns the state of a job before its first record.
+// NewTexts returns the state before the first record of a job.
 func NewTexts(job string) *Texts {
 	return &Texts{job: job, outputs: map[string]map[uint64]*Output{}, items: map[string]Item{}}
 }
 
-// Apply folds a record; those of other jobs change nothing.
+// Apply applies a record. Records of other jobs are ignored.
 func (t *Texts) Apply(r *TextRecord) {
 	if r.Job != t.job {
 		return
@@ -99,18 +102,18 @@
 	}
 }
 
-// Item returns an item of the job.
+// Item returns an item of the job, and whether it has been read.
 func (t *Texts) Item(id string) (Item, bool) {
 	item, ok := t.items[id]
 	return item, ok
 }
 
-// ItemCount is the number of items that are known.
+// ItemCount returns the number of items that have been read.
 func (t *Texts) ItemCount() int { return len(t.items) }
 
-// progress adds events that follow on what is known of the same run and claim.
-// A record that the store carried out late would else put events of two runs
-// into one text.
+// progress appends the events that directly continue the known text of the same
+// run and claim, and ignores all others. Otherwise an append that the store
+// executes late could mix the events of two runs in one text.
 func (t *Texts) progress(claim uint64, p Progress) {
 	byClaim := t.outputs[p.Item]
 	if byClaim == nil {
@@ -137,8 +140,9 @@
 	m.Complete = m.Complete || p.Complete
 }
 
-// LongestOutput returns the longest text of an item that weights of the floor or newer
-// made; each claim's text is whole up to its last event.
+// LongestOutput returns the longest output of an item of which no event was
+// generated by weights older than floor. Each output has no gaps up to its last
+// event. Failures is the maximum over all outputs of the item.
 func (t *Texts) LongestOutput(item string, floor uint64) Output {
 	var best Output
 	failures := 0
@@ -152,7 +156,8 @@
 	return best
 }
 
-// HasStaleEvent tells whether an event was made by weights older than a floor.
+// HasStaleEvent reports whether any event was generated by weights older than
+// floor.
 func HasStaleEvent(events []Event, floor uint64) bool {
 	for _, e := range events {
 		if e.Version < floor {
