--- a/fold/control/control_test.go
+++ b/fold/control/control_test.go
@@ -21,8 +21,8 @@
 	epoch      = time.Unix(1_800_000_000, 0)
 )
 
-// signed makes a revision whose manifest differs with its tag; a tag with "!"
-// can't be read.
+// signed returns a revision whose manifest contains the tag. If the tag starts with
+// "!" the manifest can't be read.
 func signed(number, parent uint64, tag string) *pb.SignedRevision {
 	return manifest.Sign(privateKey, "k", number, parent, []byte("# "+tag+"\n[fleet]\nname = f\n"+unreadable(tag)))
 }
@@ -34,7 +34,7 @@
 	return ""
 }
 
-// stream is a log's control stream.
+// stream is the control stream of a log.
 type stream []platform.Record
 
 func (l *stream) add(data []byte) uint64 {
@@ -43,7 +43,7 @@
 	return offset
 }
 
-// foldInto reads records [from, to) into s.
+// foldInto applies the records [from, to) to s.
 func (l stream) foldInto(s *State, from, to int) (events []Event) {
 	for _, rec := range l[from:to] {
 		events = append(events, s.Apply(rec)...)
@@ -57,8 +57,8 @@
 	return s
 }
 
-// Two operators read revision 1 and commit over it. The record that comes
-// first wins; the other operator is told by which revision it was overtaken.
+// Two operators commit with revision 1 as parent. The first record in the log must
+// win, and the rejection of the other must name the revision in force.
 func TestFirstCommitForParentWins(t *testing.T) {
 	var l stream
 	l.add(EncodeCommit("a", signed(1, 0, "a")))
@@ -91,8 +91,8 @@
 	require.Equal(t, uint64(3), s.Skipped())
 }
 
-// The platform repeats an append whose answer it lost. The record's writer is
-// told its outcome once, and nothing is accepted twice.
+// The platform repeats an append whose response was lost. The outcome must be
+// reported once, and nothing may be accepted twice.
 func TestRepeatedRecordHasNoOutcome(t *testing.T) {
 	var l stream
 	l.add(EncodeCommit("a", signed(1, 0, "a")))
@@ -109,9 +109,9 @@
 	require.Equal(t, map[string]uint64{"m": 7}, s.Versions())
 }
 
-// A reader starts while the winner of a race is truncated already and its
-// loser is not. Without more it must not take the loser; the reappend that
-// some process wrote settles it, and the commit that follows is judged.
+// A reader starts when the winner of a race has been truncated and the loser has
+// not. It must not accept the loser. The reappend of another process must end the
+// gap, after which the held commit that follows the race is evaluated.
 func TestRaceLoserAfterTruncation(t *testing.T) {
 	var l stream
 	l.add(EncodeCommit("a", signed(1, 0, "winner")))
@@ -131,11 +131,11 @@
 	require.IsType(t, Accepted{}, events[len(events)-1])
 	require.Equal(t, uint64(2), late.Revision().Number)
 	_, ok = readFrom(l[:3], 1).EncodeReappend("x")
-	require.False(t, ok, "an unsettled reader must not vouch for anything")
+	require.False(t, ok, "a reader with a gap must not reappend")
 }
 
-// A process cut off from the log hears of revision 2 from a peer. It is in
-// force at once; reading the log later neither takes it back nor doubles it.
+// A process that cannot reach the log receives revision 2 from a peer. It must be in
+// force at once, and reading the log later must neither revert nor repeat it.
 func TestOffer(t *testing.T) {
 	var l stream
 	l.add(EncodeCommit("a", signed(1, 0, "a")))
@@ -158,8 +158,8 @@
 	require.Equal(t, uint64(2), s.Revision().Number)
 }
 
-// During an upgrade an old release can't read a new manifest. It keeps the
-// last one that it can read, but follows the same history as the others.
+// During an upgrade an old release can't read a new manifest. It must keep the last
+// one that it can read and still follow the same history as the other processes.
 func TestUnreadableManifestDoesNotForkHistory(t *testing.T) {
 	var l stream
 	l.add(EncodeCommit("a", signed(1, 0, "a")))
@@ -171,8 +171,8 @@
 	require.Equal(t, uint64(3), readFrom(l, 0).Revision().Number)
 }
 
-// Every record was truncated while no process ran. An operator restarts from
-// the revision after the last one known.
+// Every record was truncated while no process was running. An operator restarts the
+// history with the revision after the last one known.
 func TestRestart(t *testing.T) {
 	l := stream{}
 	for range 3 {
@@ -204,7 +204,8 @@
 	require.Equal(t, uint64(3*maxIDs+12), s.gapEnd)
 }
 
-// drawStream makes a history of races, forgeries, repeats and late reappends.
+// drawStream draws a history with races, forgeries, repeated records and late
+// reappends.
 func drawStream(t *rapid.T) stream {
 	var l stream
 	for i := range rapid.IntRange(1, 24).Draw(t, "records") {
@@ -240,9 +241,9 @@
 	return l
 }
 
-// Readers that start anywhere, lose any part of the log and hear from peers at
-// any time agree with the reader of everything once they are settled, and
-// never hold what that reader did not accept. Revisions never fall.
+// Readers that start anywhere, miss any part of the log and get offers from peers at
+// any time must agree, once settled, with a reader of the whole log. They must never
+// hold a revision that it did not accept, and their revisions must never go back.
 func TestReadersAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := drawStream(t)
@@ -252,14 +253,14 @@
 			before := full.headNumber()
 			for _, e := range full.Apply(rec) {
 				if a, ok := e.(Accepted); ok {
-					require.NotContains(t, history, a.Revision.Number, "one winner per parent")
+					require.NotContains(t, history, a.Revision.Number, "only one commit per parent may be accepted")
 					require.Equal(t, before, a.Revision.Parent)
 					history[a.Revision.Number] = a.Revision
 				}
 			}
 		}
 		for _, rec := range l {
-			require.Empty(t, full.Apply(rec), "a prefix read twice changes nothing")
+			require.Empty(t, full.Apply(rec), "records that are applied again must change nothing")
 		}
 
 		s := New(testKeys)
@@ -304,8 +305,8 @@
 	})
 }
 
-// Nothing in the log makes a reader panic, and a commit that is accepted
-// encodes to the same record's meaning again.
+// No record may make a reader panic, and the reappend of an accepted commit must give
+// another reader the same revision.
 func FuzzApply(f *testing.F) {
 	f.Add(EncodeCommit("a", signed(1, 0, "a")), uint64(0))
 	f.Add(EncodeVersion("v", "m", 3), uint64(5))
@@ -327,8 +328,8 @@
 	})
 }
 
-// The cost of one accepted commit with a deployment's manifest: what a process
-// that starts pays for each record of the retention time.
+// Measures applying one accepted commit with a deployment's manifest. A process that
+// starts does this for each record that the log keeps.
 func BenchmarkApplyCommit(b *testing.B) {
 	data, err := os.ReadFile("../../examples/manifests/spolek.ini")
 	require.NoError(b, err)
--- a/fold/control/event.go
+++ b/fold/control/event.go
@@ -1,45 +1,45 @@
 package control
 
-// Event tells what one record changed.
+// Event is one change or outcome caused by a record.
 type Event interface{ isEvent() }
 
-// Accepted: the record's commit is the newest revision.
+// Accepted reports that the commit in a record has become the newest revision.
 type Accepted struct {
 	ID       string
 	Revision *Revision
 }
 
-// Refreshed: the record holds a copy of the newest revision.
+// Refreshed reports that a record contains a copy of the newest revision.
 type Refreshed struct {
 	ID     string
 	Number uint64
 	Hash   string
 }
 
-// Rejected: the record's commit is not accepted and never will be.
+// Rejected reports that the commit in a record is not accepted and never will be.
 type Rejected struct {
 	ID      string
 	Number  uint64 // the commit's own number
-	KeyID   string // the key that it names
+	KeyID   string // the key that the commit names
 	Reason  string
-	Current uint64 // the newest accepted revision
+	Current uint64 // number of the newest accepted revision
 }
 
-// Held: a gap leaves open whether the record's commit won. Accepted or
-// Rejected may follow once that is settled.
+// Held reports that, because of a gap, it is not yet known whether the commit in
+// a record is accepted. Accepted or Rejected may follow when the gap ends.
 type Held struct {
 	ID     string
 	Number uint64
 }
 
-// Unreadable: an accepted revision's manifest can't be read by this program;
-// the last readable one stays in force.
+// Unreadable reports that this program can't read the manifest of an accepted
+// revision. The last readable revision stays in force.
 type Unreadable struct {
 	Number uint64
 	Err    error
 }
 
-// Version: a model's newest weight version rose.
+// Version reports a new newest weight version of a model.
 type Version struct {
 	Model   string
 	Version uint64
--- a/fold/control/gap.go
+++ b/fold/control/gap.go
@@ -10,7 +10,8 @@
 	"dandelionsill.org/wire/pb"
 )
 
-// applyReappend takes another process's word for what the log gave up to an offset.
+// applyReappend takes over the revision and versions of another process's reappend
+// record (package comment).
 func (s *State) applyReappend(r record, rec platform.Record) []Event {
 	rev := r.Revision.signed(r.Accepted)
 	if err := s.keys.Verify(rev); err != nil {
@@ -31,12 +32,14 @@
 		return append(events, s.newRejected(r.ID, rev, "it is a copy of an older revision"))
 	}
 	s.recordCopy(rec.Offset, rec.Time)
-	// The writer can't have folded records behind its own.
+	// The writer can't have applied records after its own.
 	return append(events, s.endGap(min(r.NextOffset, rec.Offset))...)
 }
 
-// Offer takes a revision from a peer that accepted it, with the offset that
-// did. It returns true when the newest known revision rose.
+// Offer takes a revision that a peer has accepted, with the offset that accepted
+// it, and returns whether it is higher than the newest known one. It fails if the
+// signature is invalid, or if the revision has the number of the newest known one
+// but another hash.
 func (s *State) Offer(signed *pb.SignedRevision) (bool, error) {
 	if err := s.keys.Verify(signed); err != nil {
 		return false, errors.Trace(err)
@@ -44,7 +47,7 @@
 	head := s.Head()
 	if head != nil && signed.Number <= head.Number {
 		if signed.Number == head.Number && signed.Hash != head.Hash {
-			return false, errors.Errorf("a peer's revision %d has hash %s, ours has %s", signed.Number, signed.Hash, head.Hash)
+			return false, errors.Errorf("peer's revision %d has hash %s, but the known one has %s", signed.Number, signed.Hash, head.Hash)
 		}
 		return false, nil
 	}
@@ -56,8 +59,8 @@
 	return true, nil
 }
 
-// endGapByOffer ends the gap where every record behind the offset that
-// accepted the peer's revision is known.
+// endGapByOffer ends the gap if every record after the offset that accepted the
+// peer's revision is known.
 func (s *State) endGapByOffer() []Event {
 	if !s.gap || !s.nextKnown || s.offered == nil || s.offered.Offset >= s.next {
 		return nil
@@ -70,8 +73,8 @@
 	return append(events, s.endGap(offered.Offset+1)...)
 }
 
-// endGap ends the gap if all records from offset at on are known; head is the
-// revision that was in force there.
+// endGap ends the gap if every record from offset on is known. head must be the
+// revision that was in force at that offset.
 func (s *State) endGap(offset uint64) []Event {
 	if !s.gap || offset < s.gapEnd {
 		return nil
@@ -93,8 +96,8 @@
 	return events
 }
 
-// hold keeps a commit until the gap ends. Beyond the bound the oldest go, and
-// the gap then reaches up to them.
+// hold keeps a commit until the gap ends. Above maxHeldBytes the oldest commits are
+// dropped and the gap is extended to include them.
 func (s *State) hold(c heldCommit) {
 	s.held = append(s.held, c)
 	s.heldBytes += len(c.rev.Manifest)
--- a/fold/control/ids.go
+++ b/fold/control/ids.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// maxIDs bounds the memory for ids. Today's rate of some 6,000 records a day
-// (4,300 commits, 24 trainers' versions each 25 min) fits more than twice.
+// maxIDs bounds the number of remembered ids. It is more than twice the about
+// 6,000 records of a day (4,300 commits, and 24 trainers' versions every 25 min).
 const maxIDs = 1 << 14
 
-// idWindow remembers record ids for a time of the log's clock.
+// idWindow remembers the record ids of a limited time, measured by the log's clock.
 type idWindow struct {
 	seen  map[string]bool
 	queue []seenID // oldest first
@@ -17,7 +17,8 @@
 	seenAt time.Time
 }
 
-// addIfNew tells whether the id is new, and remembers it.
+// addIfNew remembers the id and reports whether it is new. It first drops the ids
+// that were seen longer than retention before at.
 func (w *idWindow) addIfNew(id string, at time.Time, retention time.Duration) bool {
 	w.expire(at.Add(-retention))
 	if w.seen[id] {
--- a/fold/control/record.go
+++ b/fold/control/record.go
@@ -15,15 +15,15 @@
 	typeVersion  = "version"
 )
 
-// record is the JSON form of a record's data. Fields are only ever added, and
-// none may change what a commit's acceptance hangs on: an older reader ignores
-// fields that it does not know and would accept or reject something else.
+// record is the JSON encoding of a record. Fields may only be added, and none may
+// affect whether a commit is accepted: an older reader ignores unknown fields, and
+// would accept or reject other commits.
 type record struct {
 	ID         string            `json:"id"`
 	Type       string            `json:"type"`
 	Revision   *revisionJSON     `json:"revision,omitempty"`
-	Accepted   uint64            `json:"accepted,omitempty"` // reappend: offset that accepted the revision
-	NextOffset uint64            `json:"at,omitempty"`       // reappend: all records before this offset were folded
+	Accepted   uint64            `json:"accepted,omitempty"` // reappend: offset of the record that accepted the revision
+	NextOffset uint64            `json:"at,omitempty"`       // reappend: the writer had applied all records before this offset
 	Versions   map[string]uint64 `json:"versions,omitempty"` // reappend
 	Model      string            `json:"model,omitempty"`    // version
 	Version    uint64            `json:"version,omitempty"`  // version
@@ -38,21 +38,22 @@
 	Signature []byte `json:"signature"`
 }
 
-// EncodeCommit writes the data of a commit record. id names the record for
-// its writer and must be new for each commit.
+// EncodeCommit returns the data of a commit record. The id identifies the record
+// to its writer and must be unique to the commit.
 func EncodeCommit(id string, rev *pb.SignedRevision) []byte {
 	return encode(record{ID: id, Type: typeCommit, Revision: revisionToJSON(rev)})
 }
 
-// EncodeVersion writes the data of a record that announces a model's weight version.
+// EncodeVersion returns the data of a record that announces a weight version of a
+// model.
 func EncodeVersion(id, model string, version uint64) []byte {
 	return encode(record{ID: id, Type: typeVersion, Model: model, Version: version})
 }
 
-// EncodeReappend writes the data of a reappend record (package comment) with
-// the revision and the versions that the log gave so far. ok is false where
-// there is none or a gap leaves open what it is. Use it, not EncodeCommit, to
-// keep a revision in the log: a plain copy settles nothing after a gap.
+// EncodeReappend returns the data of a reappend record (package comment) with the
+// newest revision and versions by the log. ok is false if there is no revision or
+// a gap is open. Use it, not EncodeCommit, to keep a revision in the log: a copy
+// by EncodeCommit does not end a reader's gap.
 func (s *State) EncodeReappend(id string) (data []byte, ok bool) {
 	if s.gap || s.head == nil {
 		return nil, false
@@ -63,9 +64,9 @@
 	}), true
 }
 
-// EncodeRestart writes a reappend record for a revision that no log record
-// carries. Operators need it only where every record of a revision was
-// truncated while no process ran that could have reappended it.
+// EncodeRestart returns the data of a reappend record, accepted at offset, for a
+// revision that no log record contains. Operators need it only if every record of
+// the revision was truncated while no process was running to reappend it.
 func EncodeRestart(id string, rev *pb.SignedRevision, offset uint64) []byte {
 	return encode(record{ID: id, Type: typeReappend, Revision: revisionToJSON(rev), Accepted: offset, NextOffset: offset})
 }
--- a/fold/control/state.go
+++ b/fold/control/state.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	// defaultIDWindow is how long ids are kept before a manifest tells the
-	// log's retention time.
+	// defaultIDWindow is how long ids are kept while no manifest is in force
+	// that sets the log's retention time.
 	defaultIDWindow = 24 * time.Hour
-	// maxHeldBytes bounds the manifests of commits held after a gap.
+	// maxHeldBytes bounds the total size of the manifests of held commits.
 	maxHeldBytes = 8 << 20
 )
 
@@ -25,46 +25,47 @@
 	Number   uint64
 	Parent   uint64
 	Hash     string // sha256 of the manifest, hex
-	Offset   uint64 // the offset that accepted it
+	Offset   uint64 // of the record that accepted it
 	Signed   *pb.SignedRevision
-	Manifest *manifest.Manifest // nil where this program can't read it
-	Err      error              // why it can't
+	Manifest *manifest.Manifest // nil if this program can't read it
+	Err      error              // why the manifest can't be read; nil if it can
 }
 
-// State is the fold of the control stream up to an offset. It is not safe for
-// concurrent use.
+// State is the state of the control stream after the records applied so far. It
+// is not safe for concurrent use.
 type State struct {
 	keys manifest.Keys
 
-	next       uint64    // the next offset to fold
-	nextKnown  bool      // next is known; false right after Gap
+	next       uint64    // offset of the next record to apply
+	nextKnown  bool      // false between HandleTruncation and the next record
 	head       *Revision // the newest revision by the log; a lower bound after a gap
-	readable   *Revision // the newest by the log that this program can read
+	readable   *Revision // the newest revision by the log that this program can read
 	newestCopy NewestCopy
 	versions   map[string]uint64
 	ids        idWindow
 
-	offered         *Revision // from a peer, while higher than head
+	offered         *Revision // the newest from a peer, while higher than head
 	offeredReadable *Revision
 
 	gap       bool
-	gapEnd    uint64 // every record from this offset on is known
+	gapEnd    uint64 // every record from this offset up to next is known
 	held      []heldCommit
 	heldBytes int
 
 	skipped uint64
 }
 
-// NewestCopy is the newest copy of the newest revision in the log.
+// NewestCopy is the position of the newest copy in the log of the newest revision.
 type NewestCopy struct {
 	Offset uint64
-	Time   time.Time // the log service's clock
+	Time   time.Time // by the log service's clock
 }
 
-// heldCommit is a validly signed commit that waits for the end of a gap.
+// heldCommit is a commit with a valid signature that may have to wait for the end
+// of a gap.
 type heldCommit struct {
 	id         string
-	rev        *pb.SignedRevision // with its own offset
+	rev        *pb.SignedRevision // its Offset is that of the commit's record
 	recordedAt time.Time
 }
 
@@ -73,8 +74,9 @@
 	return &State{keys: keys, nextKnown: true, versions: map[string]uint64{}}
 }
 
-// HandleTruncation tells that records were truncated before they were read; the next record
-// may have any offset. Apply notices a jump in the offsets itself.
+// HandleTruncation opens a gap because records were truncated before they were
+// read. The next record may have any offset. Apply detects a jump in the offsets
+// by itself.
 func (s *State) HandleTruncation() {
 	s.gap = true
 	s.nextKnown = false
@@ -82,31 +84,35 @@
 	s.held, s.heldBytes = nil, 0
 }
 
-// Settled tells whether the newest revision is known for sure: no gap is open.
+// Settled reports whether the newest revision is known for certain, that is, no
+// gap is open.
 func (s *State) Settled() bool { return !s.gap }
 
-// Next is the offset of the next record to fold.
+// Next returns the offset of the next record to apply.
 func (s *State) Next() uint64 { return s.next }
 
-// Skipped counts records that this program does not understand.
+// Skipped returns the number of records that this program could not decode or
+// whose type it does not know.
 func (s *State) Skipped() uint64 { return s.skipped }
 
-// Head returns the newest accepted revision, readable or not; nil: none yet.
+// Head returns the newest accepted revision, readable or not, or nil if there is
+// none yet.
 func (s *State) Head() *Revision { return higher(s.head, s.offered) }
 
-// Revision returns the revision in force: the newest accepted one that this
-// program can read; nil: none yet.
+// Revision returns the revision in force, which is the newest accepted one that
+// this program can read, or nil if there is none yet.
 func (s *State) Revision() *Revision { return higher(s.readable, s.offeredReadable) }
 
-// NewestCopy returns the newest copy of the newest revision in the log; whoever
-// keeps the revision alive reappends when it grows old. It is zero where no
-// copy was read (after a gap).
+// NewestCopy returns the position of the newest copy in the log of the newest
+// revision. A process must reappend the revision before that copy is truncated.
+// It is zero if no copy has been read, as after a gap.
 func (s *State) NewestCopy() NewestCopy { return s.newestCopy }
 
 // Versions returns the newest announced weight version of each model.
 func (s *State) Versions() map[string]uint64 { return maps.Clone(s.versions) }
 
-// higher prefers a, the log's word, where the numbers are equal.
+// higher returns the revision with the higher number, and a if they are equal:
+// callers pass the revision by the log as a.
 func higher(a, b *Revision) *Revision {
 	if a == nil || b != nil && b.Number > a.Number {
 		return b
@@ -114,7 +120,8 @@
 	return a
 }
 
-// Apply folds the record in. Records before Next are ignored.
+// Apply applies a record and returns what it changed. Records before Next are
+// ignored.
 func (s *State) Apply(rec platform.Record) []Event {
 	if s.nextKnown && rec.Offset < s.next {
 		return nil
@@ -156,7 +163,8 @@
 	return defaultIDWindow
 }
 
-// dropOutcomes drops the outcomes of a record that was told before.
+// dropOutcomes returns the events without the outcomes of the record with an id,
+// which have been reported before.
 func dropOutcomes(events []Event, id string) []Event {
 	var rest []Event
 	for _, e := range events {
@@ -191,7 +199,7 @@
 	return s.evaluate(heldCommit{r.ID, rev, rec.Time})
 }
 
-// evaluate accepts or rejects a validly signed commit; no gap is open.
+// evaluate accepts or rejects a commit with a valid signature. No gap may be open.
 func (s *State) evaluate(c heldCommit) []Event {
 	current := s.headNumber()
 	switch {
@@ -208,7 +216,8 @@
 	return append([]Event{Accepted{c.id, s.head}}, events...)
 }
 
-// advance makes rev the newest revision by the log.
+// advance makes rev the newest revision by the log, and drops a peer's revision
+// that is not higher.
 func (s *State) advance(rev *Revision) []Event {
 	s.head, s.newestCopy = rev, NewestCopy{}
 	if s.offered != nil && s.offered.Number <= rev.Number {
@@ -224,8 +233,8 @@
 	return nil
 }
 
-// recordCopy notes a copy of the newest revision. After a gap copies may come to
-// light out of order.
+// recordCopy records a copy of the newest revision if it is the newest copy. At
+// the end of a gap copies may be found out of order.
 func (s *State) recordCopy(offset uint64, at time.Time) {
 	if s.newestCopy.Time.IsZero() || offset > s.newestCopy.Offset {
 		s.newestCopy = NewestCopy{offset, at}
