--- a/fold/once/fuzz_test.go
+++ b/fold/once/fuzz_test.go
@@ -10,9 +10,9 @@
 	"dandelionsill.org/platform"
 )
 
-// FuzzRecords: the stream holds what nobody wrote. Two readers, one of which
-// gets every record twice, must agree on each key; a record that can't be read
-// leaves no key free that may stand in it.
+// FuzzRecords applies arbitrary data. Two readers, one of which gets every record
+// twice, must agree on each key, and a key that may be claimed in a record that can't
+// be decoded must not be Free.
 func FuzzRecords(f *testing.F) {
 	key := Key{Caller: "c", ID: uuid.MustParse("018bcfe5-6800-7000-8000-000000000001")}
 	whole := Encode(Batch{Owner: Owner{"vm", "1"}, Seq: 3, Claims: []Claim{{Key: key}}})
--- a/fold/once/heap_test.go
+++ b/fold/once/heap_test.go
@@ -2,7 +2,7 @@
 
 import "runtime"
 
-// liveHeapBytes is the live liveHeapBytes in bytes after a collection.
+// liveHeapBytes returns the size of the heap in bytes after a garbage collection.
 func liveHeapBytes() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
--- a/fold/once/once.go
+++ b/fold/once/once.go
@@ -1,23 +1,25 @@
-// Package once folds a service's stream of idempotency claims: which
-// incarnation of which agent may run a key's request. The first claim in offset
-// order wins for ever; nothing gives a key to a second owner.
+// Package once computes the owners of idempotency keys from the claims in a
+// service's stream: which incarnation of which agent may run the request of a
+// key. The first claim of a key in offset order wins for ever; a key never gets a
+// second owner.
 //
-// The fold is pure and deterministic. It knows no clock but the log's own
-// record times. Claims of a batch that was appended twice (its first answer
-// was lost) change nothing: the first stands, and it is the same owner's.
+// The fold is pure and deterministic. Its only clock is the log's record times.
+// Claims of a batch that was appended twice, because the first response was
+// lost, change nothing: the first claim already won and has the same owner.
 //
-// Memory is bounded by the key window, and forgetting is safe: the floor below
-// which keys were forgotten only rises, and a claim below it never wins.
+// Memory is bounded by the key window. Dropping old keys is safe: the floor below
+// which keys have been dropped only rises, and a claim of a key below it never
+// wins.
 //
-// Releases meet in one stream for years. A record that a reader can't read may
-// hold any key's claim, so it raises the reader's floor as lost records do: a
-// key that may stand in it is Lost, never Free. While agents of a newer release
-// keep writing such records, an older agent therefore answers outcome_unknown
-// to nearly every new key; it is safe and useless. So that no fleet gets there,
-// a new version of the encoding is read by one release before the next release
-// writes it, and a version stays readable until the log's retention has passed
-// since its last writer went. Versions are the record's first byte, never used
-// again for another form.
+// Agents of different releases share a stream for years. A record that a reader
+// can't decode may contain a claim of any key, so it raises the reader's floor as
+// lost records do: a key that may be claimed in it is Lost, never Free. While
+// agents of a newer release keep writing such records, an older agent therefore
+// answers outcome_unknown for nearly every new key, which is safe but useless. To
+// avoid this, one release must be able to read a new version of the encoding
+// before the next release writes it, and a version must stay readable until the
+// log's retention time has passed since its last writer stopped. The version is
+// the record's first byte and is never reused for another encoding.
 package once
 
 import (
@@ -26,73 +28,74 @@
 	"dandelionsill.org/platform"
 )
 
-// segmentWidthMS is the width in ms of issue time of the segments in which keys are
-// kept; a whole segment is dropped at a time.
+// segmentWidthMS is the range of issue times of a segment in ms. Keys are kept in
+// segments, which are dropped as a whole.
 const segmentWidthMS = int64(time.Minute / time.Millisecond)
 
-// maxKeySkews bounds, in clock skews, how far ahead of the log's clock a key
-// may have been issued that an agent let through: one skew between caller and
-// agent, one between agent and log.
+// maxKeySkews bounds, in clock skews, how far the issue time of an admitted key may
+// be ahead of the log's clock: one skew between caller and agent, and one between
+// agent and log.
 const maxKeySkews = 2
 
-// Limits are the manifest's bounds of idempotency keys.
+// Limits contains the manifest's limits for idempotency keys.
 type Limits struct {
-	Window time.Duration // how old a key may be; 0: not known yet, nothing is forgotten
-	Skew   time.Duration // bound between any two clocks
+	Window time.Duration // maximum age of a key; 0: not known yet, no key is dropped
+	Skew   time.Duration // maximum difference between any two clocks
 }
 
-// Status says what the stream tells of a key.
+// Status is the status of a key by the records applied so far.
 type Status uint8
 
 const (
-	// Free: no claim has been read.
+	// Free means that no claim has been read and none can have been missed.
 	Free Status = iota
-	// Claimed: a claim won.
+	// Claimed means that a claim has won.
 	Claimed
-	// TooOld: the key is older than the window; no claim of it can win any more.
+	// TooOld means that the key is older than the window. No claim of it can win.
 	TooOld
-	// Lost: records that may have held the key's claim were truncated before
-	// they were read. Whether it ran can't be known here.
+	// Lost means that records which may have contained a claim of the key were
+	// lost, or could not be decoded. Whether its request ran is unknown.
 	Lost
 )
 
-// KeyState is the state of one key.
+// KeyState is the state of one key, as returned by Find.
 type KeyState struct {
 	Status Status
 	Owner  OwnerDigest // Claimed only
 	Hash   ShortHash   // Claimed only
 }
 
-// Applied tells what a record was.
+// Applied is the result of applying a record.
 type Applied struct {
 	Record Record
-	// Unreadable: the record is no batch of claims that this release can read.
-	// It was skipped, and keys that it may hold count as lost.
+	// Unreadable means that this release can't decode the record. The record was
+	// skipped, and keys that may be claimed in it are Lost.
 	Unreadable bool
-	// Seen: the offset had been applied before; nothing changed.
+	// Seen means that the offset had been applied before, and nothing changed.
 	Seen bool
 }
 
-// State is the fold. It is not safe for concurrent use.
+// State is the state after the records applied so far. It is not safe for
+// concurrent use.
 type State struct {
 	limits Limits
 	next   uint64
 	clock  int64 // latest record time, ms
 
 	windowFloor int64 // keys issued before it are too old, ms
-	gapFloor    int64 // keys issued before it may have been claimed in lost records, ms
-	gap         bool  // records were lost; gapFloor is not known yet
+	gapFloor    int64 // keys issued before it may be claimed in lost records, ms
+	gap         bool  // records were lost and gapFloor does not cover them yet
 
 	segments  map[int64]map[Digest]claim
 	keyCount  int
 	owners    ownerTable
-	lastBatch map[OwnerDigest]int64 // owner -> time of its last batch, ms
+	lastBatch map[OwnerDigest]int64 // time of each owner's last batch, ms
 }
 
-// claim is what is kept of a key besides its digest.
+// claim is the winning claim of a key.
 type claim struct {
 	hash  ShortHash
-	owner uint32
+	owner uint32 // index in State.owners
 }
 
 // New returns the state before the stream's first record.
@@ -104,17 +107,18 @@
 	}
 }
 
-// SetLimits changes the bounds. A longer window does not bring back what was
-// forgotten: the floors never sink.
+// SetLimits changes the limits. A longer window does not restore keys that were
+// dropped: the floors never fall.
 func (s *State) SetLimits(limits Limits) { s.limits = limits }
 
-// Next is the offset to read from.
+// Next returns the offset of the next record to apply.
 func (s *State) Next() uint64 { return s.next }
 
-// Len is the number of keys held.
+// Len returns the number of keys held.
 func (s *State) Len() int { return s.keyCount }
 
-// Apply folds one record. Records come in offset order; a jump counts as a gap.
+// Apply applies one record. Records must be passed in offset order; a jump in the
+// offsets means that records were lost.
 func (s *State) Apply(rec platform.Record) Applied {
 	if rec.Offset < s.next {
 		return Applied{Seen: true}
@@ -136,8 +140,9 @@
 	return Applied{Record: record}
 }
 
-// HandleTruncation notes that the records before first were truncated unread. Until the
-// next record shows the lost records' time, every unknown key counts as lost.
+// HandleTruncation records that the log no longer has the records before offset
+// first. If some of them were not applied, every unknown key is Lost until the next
+// record bounds the time of the lost ones.
 func (s *State) HandleTruncation(first uint64) {
 	if first <= s.next {
 		return
@@ -146,25 +151,26 @@
 	s.gap = true
 }
 
-// HandleLogReset notes that the log lost what was read from it: the stream now begins
-// at first, which may be an offset that was applied before. What was read stays
-// known; of the lost records that were not, every unknown key counts as lost,
-// as after Gap.
+// HandleLogReset records that the log lost records that were read from it: the
+// stream now starts at offset first, which may have been applied before. Claims that
+// were read stay known. Records that were lost unread may contain others, so every
+// unknown key is Lost until the next record, as after HandleTruncation.
 func (s *State) HandleLogReset(first uint64) {
 	s.next = first
 	s.gap = true
 }
 
-// HandleEmptyStream notes that after a gap the stream holds no record yet. now is the
-// reader's own clock at a time when the read had not begun or later; it stands
-// in for the record time.
+// HandleEmptyStream records that the stream contains no record after a gap. now is
+// the reader's own time when the read started or later; it is used in place of a
+// record time.
 func (s *State) HandleEmptyStream(now time.Time) {
 	if s.gap {
 		s.closeGap(now.Add(s.limits.Skew).UnixMilli())
 	}
 }
 
-// advance moves the clock and the floors. Both only rise.
+// advance raises the clock and the floors, which never fall, and drops the keys
+// below the window.
 func (s *State) advance(ms int64) {
 	s.clock = max(s.clock, ms)
 	if s.gap {
@@ -188,19 +194,19 @@
 	}
 }
 
-// closeGap sets the floor from a time not before that of any lost record: a
-// key claimed in one of those was issued at most skewsPerKey skews later. The
-// floor lies behind that millisecond: a key that was issued in it may stand in a
-// lost record, and if it were taken for free its request would run twice.
+// closeGap raises gapFloor from a time in ms that is not before any lost record. A
+// key claimed in a lost record was issued at most maxKeySkews skews after that time.
+// The floor is one millisecond higher: a key issued in that very millisecond may be
+// claimed in a lost record, and if it were Free its request would run twice.
 func (s *State) closeGap(ms int64) {
 	s.gap = false
 	lastIssue := ms + maxKeySkews*s.limits.Skew.Milliseconds()
 	s.gapFloor = max(s.gapFloor, lastIssue+1)
 }
 
-// claim lets the first claim win. A claim below a floor never wins: the one
-// that won may already be forgotten, or was never read, and its request may
-// have run.
+// claim stores a claim unless the key already has one. A claim of a key below a floor
+// never wins: the winning claim may have been dropped or never read, and its request
+// may have run.
 func (s *State) claim(owner OwnerDigest, c RecordClaim) {
 	issued := issuedMS(c.Key[:])
 	if issued < s.windowFloor || issued < s.gapFloor {
@@ -219,8 +225,8 @@
 	s.keyCount++
 }
 
-// Find tells a key's state. The window comes first, before any claim that is
-// still held: users forget what they know of a key once it is too old.
+// Find returns the state of a key. A key older than the window is TooOld even if its
+// claim is still held, because users of State drop their own data of such keys.
 func (s *State) Find(key Key) KeyState {
 	digest := key.Digest()
 	issued := issuedMS(digest[:])
@@ -236,7 +242,7 @@
 	return KeyState{}
 }
 
-// ActiveOwners counts the owners whose last claim is younger than the given time, by
+// ActiveOwners returns the number of owners whose last batch is at most within old by
 // the log's clock.
 func (s *State) ActiveOwners(within time.Duration) int {
 	n := 0
@@ -248,12 +254,14 @@
 	return n
 }
 
-// ownerTable numbers the few owners that many keys share.
+// ownerTable assigns indexes to owners, because many keys have the same few owners
+// and an index is smaller.
 type ownerTable struct {
 	byIndex []OwnerDigest
 	indexes map[OwnerDigest]uint32
 }
 
+// index returns the owner's index in byIndex, and adds the owner if it is new.
 func (t *ownerTable) index(owner OwnerDigest) uint32 {
 	if n, ok := t.indexes[owner]; ok {
 		return n
--- a/fold/once/once_test.go
+++ b/fold/once/once_test.go
@@ -18,7 +18,7 @@
 	limits = Limits{Window: 10 * time.Minute, Skew: time.Second}
 )
 
-// keyAt makes the nth key issued at a time.
+// keyAt returns the nth key issued at a time.
 func keyAt(caller string, at time.Time, n uint16) Key {
 	var u uuid.UUID
 	ms := at.UnixMilli()
@@ -29,10 +29,9 @@
 	return Key{Caller: caller, ID: u}
 }
 
-// drawStream draws records as agents write them that keep to the rules. Every
-// clock is within half a skew of the true time, so that any two differ by a
-// skew at most; an agent lets keys through that are a skew ahead of its clock.
-// So the log's record times may jump back.
+// drawStream draws records of agents that respect the limits. Every clock is within
+// half a skew of the true time, so any two differ by at most a skew, and the log's
+// record times may go back. Agents admit keys up to a skew ahead of their clock.
 func drawStream(t *rapid.T) ([]platform.Record, []Key) {
 	now := epoch
 	var records []platform.Record
@@ -61,9 +60,9 @@
 	return records, keys
 }
 
-// Two agents tail the stream, one of them reads parts of it again after a
-// reconnect. At the same offset both must say the same of every key, else each
-// could believe that it owns one.
+// Two agents tail the stream, and one of them reads parts of it again after a
+// reconnect. At the same offset both must have the same state of every key, or both
+// could find that they own it.
 func TestTwoReadersAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		records, keys := drawStream(t)
@@ -84,11 +83,11 @@
 	})
 }
 
-// A caller repeats an order for as long as it likes, at agents that joined
-// late (older records are truncated), hold other revisions of the manifest
-// (another window), were cut off, lost the log's records, or are of a release
-// that can't read some records. Whatever they have forgotten, no two of
-// them may ever name two owners of one key: both would run the order.
+// A caller repeats a request without limit, at agents that started late (older
+// records are truncated), have another revision of the manifest (another window),
+// were partitioned, lost records to a log reset, or have a release that can't decode
+// some records. Whatever claims they have dropped or missed, no two of them may ever
+// find different owners of a key, or both owners would run the request.
 func TestKeyNeverHasTwoOwners(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		records, keys := drawStream(t)
@@ -126,11 +125,10 @@
 	})
 }
 
-// An agent missed the record in which a key was claimed, and reads a later one.
-// The caller's clock and the claiming agent's are as far ahead as the bound on
-// skew allows, so the key was issued in the very millisecond to which the gap
-// reaches. Taken for free, it would be given to a second agent, which runs the
-// order again.
+// An agent missed the record that claimed a key, and reads a later one. The clocks of
+// the caller and of the claiming agent are ahead by the maximum skew, so the key was
+// issued in the last millisecond that the gap covers. If the key were Free, a second
+// agent could claim it and run the request again.
 func TestKeyAtSkewBoundIsLost(t *testing.T) {
 	lastIssue := epoch.Add(maxKeySkews * limits.Skew)
 	k := keyAt("shop", lastIssue, 1)
@@ -148,9 +146,9 @@
 	require.Equal(t, Free, missed.Find(keyAt("shop", lastIssue.Add(time.Millisecond), 2)).Status)
 }
 
-// An order ran; its key fell out of the window and was forgotten. A frozen
-// agent's claim of the same key lands now. If it won, the order would run
-// twice; so would it if a new manifest revision widened the window again.
+// A request ran, its key left the window and was dropped. Then a claim of the same key
+// arrives from an agent that was suspended. If the claim won, also after a new
+// manifest revision with a longer window, the request would run twice.
 func TestForgottenKeyCannotBeClaimed(t *testing.T) {
 	s := New(limits)
 	k := keyAt("shop", epoch, 1)
@@ -166,24 +164,23 @@
 	require.Equal(t, TooOld, s.Find(k).Status)
 }
 
-// An agent starts after the log dropped old records, or was cut off for so
-// long. A key from before may have been claimed in what it never read: it
-// can't know, and must say so. Keys issued later are free. So it is with a
-// record of a newer release, and with a log that lost what was read from it;
-// what was read stays known.
+// An agent starts, or can reach the log again, after old records were truncated. Keys
+// from before may be claimed in records that it never read, so they must be Lost, and
+// keys issued later Free. The same holds after a record of a newer release, and after
+// a log reset, where claims that were read must stay known.
 func TestTruncatedRecordsMakeOldKeysUnknown(t *testing.T) {
 	s := New(limits)
 	s.HandleTruncation(40)
 	old, young := keyAt("shop", epoch, 1), keyAt("shop", epoch.Add(5*time.Second), 2)
-	require.Equal(t, Lost, s.Find(young).Status, "nothing is known before the first record")
+	require.Equal(t, Lost, s.Find(young).Status, "every key is lost before the first record")
 	s.Apply(platform.Record{Offset: 40, Time: epoch, Data: Encode(Batch{Claims: []Claim{{Key: old}}})})
 	require.Equal(t, Lost, s.Find(old).Status)
-	require.Equal(t, Lost, s.Find(keyAt("shop", epoch.Add(1999*time.Millisecond), 3)).Status, "a claim may be issued two skews ahead")
+	require.Equal(t, Lost, s.Find(keyAt("shop", epoch.Add(1999*time.Millisecond), 3)).Status, "a key may be issued two skews ahead of the log")
 	require.Equal(t, Free, s.Find(young).Status)
 
 	at := epoch.Add(10 * time.Second)
 	require.True(t, s.Apply(platform.Record{Offset: 41, Time: at, Data: []byte{versionBinary + 1, 1}}).Unreadable)
-	require.Equal(t, Lost, s.Find(young).Status, "the record may hold its claim")
+	require.Equal(t, Lost, s.Find(young).Status, "the record may contain a claim of the key")
 	young = keyAt("shop", at.Add(5*time.Second), 4)
 	require.Equal(t, Free, s.Find(young).Status)
 	s.Apply(platform.Record{Offset: 42, Time: at, Data: Encode(Batch{Claims: []Claim{{Key: young}}})})
@@ -216,8 +213,8 @@
 	}
 }
 
-// Both forms of a record, as bytes that stand in streams of the past, are read
-// for ever, and nothing cut short or of an unknown version passes for a batch.
+// Both encodings, given here as bytes of existing streams, must stay readable.
+// Truncated records and unknown versions must not decode to claims.
 func TestRecordEncodings(t *testing.T) {
 	key, hash := keyAt("shop", epoch, 7), Hash{1, 2, 3, 4, 5, 6, 7, 8, 9}
 	batch := Batch{Owner: Owner{Name: "a", Incarnation: "i"}, Seq: 300, Claims: []Claim{{Key: key, Hash: hash}}}
@@ -239,11 +236,11 @@
 	}
 	_, err := Decode([]byte{versionBinary + 1})
 	require.ErrorIs(t, err, ErrInvalidRecord)
-	require.NotEqual(t, key.Digest(), Key{Caller: "clinic", ID: key.ID}.Digest(), "callers can't reach each other's keys")
+	require.NotEqual(t, key.Digest(), Key{Caller: "clinic", ID: key.ID}.Digest(), "keys of different callers must differ")
 }
 
-// BenchmarkApply gives time and memory per claim; the slope of bytes/key over
-// the sizes is what CAPACITY.md uses.
+// BenchmarkApply measures time and memory per claim. CAPACITY.md uses the slope of
+// bytes/key over the sizes.
 func BenchmarkApply(b *testing.B) {
 	for _, keys := range []int{10_000, 100_000} {
 		b.Run(fmt.Sprintf("keys=%d", keys), func(b *testing.B) {
--- a/fold/once/record.go
+++ b/fold/once/record.go
@@ -10,45 +10,46 @@
 	"github.com/google/uuid"
 )
 
-// Owner is one incarnation of one agent. Incarnation is random per process
-// start, not a start time: a clock that is set back must not make two look like
-// one.
+// Owner is one incarnation of one agent. Incarnation is random for each process start
+// rather than the start time: a clock that is set back must not give two processes
+// the same one.
 type Owner struct {
 	Name        string
 	Incarnation string
 }
 
-// OwnerDigest is an owner as the stream names it.
+// OwnerDigest is the form of an Owner in the stream.
 type OwnerDigest struct {
 	Name        string
 	Incarnation [8]byte // the first bytes of SHA-256 over Owner.Incarnation
 }
 
-// OwnerDigest returns the owner's form in the stream.
+// OwnerDigest returns the form of the owner in the stream.
 func (o Owner) OwnerDigest() OwnerDigest {
 	sum := sha256.Sum256([]byte(o.Incarnation))
 	return OwnerDigest{Name: o.Name, Incarnation: [8]byte(sum[:])}
 }
 
-// Key is an idempotency key of a caller. Callers can't reach each other's keys.
+// Key is an idempotency key of a caller. Keys of different callers are never equal.
 type Key struct {
 	Caller string
 	ID     uuid.UUID
 }
 
-// Issued is the time at which the caller made the key, by the caller's clock.
+// Issued returns the time at which the caller generated the key, by the caller's
+// clock.
 func (k Key) Issued() time.Time { return time.UnixMilli(issuedMS(k.ID[:])) }
 
-// Digest is a key as the stream carries it: the 6 bytes of its issue time, then
-// 10 bytes of SHA-256 over caller and UUID. So a record needs no caller's name.
-// 80 bits part the keys of one millisecond; to hit another caller's key takes
-// 2^80 tries, and the hit would refuse a request, not run or answer it wrongly:
-// what ran is kept by the whole key.
+// Digest is the form of a Key in the stream: the 6 bytes of its issue time, then 10
+// bytes of the SHA-256 of caller and UUID, so that records need no caller names.
+// These 80 bits distinguish the keys issued in one millisecond. A collision with
+// another caller's key takes 2^80 attempts, and would only make a request be refused,
+// never run twice or answered wrongly: results are stored by the complete key.
 type Digest [16]byte
 
-const issueTimeBytes = 6 // of a UUIDv7: the issue time in ms
+const issueTimeBytes = 6 // length of the issue time in ms at the start of a UUIDv7
 
-// Digest returns the key's form in the stream.
+// Digest returns the form of the key in the stream.
 func (k Key) Digest() Digest {
 	var d Digest
 	text := binary.AppendUvarint(make([]byte, 0, 64), uint64(len(k.Caller)))
@@ -60,7 +61,8 @@
 	return d
 }
 
-// issuedMS reads the issue time of a UUIDv7 or of a Digest, which keeps it.
+// issuedMS returns the issue time in ms since 1970 from the bytes of a UUIDv7, or of
+// a Digest, which starts with the same bytes.
 func issuedMS(b []byte) int64 {
 	var ms int64
 	for _, b := range b[:issueTimeBytes] {
@@ -69,16 +71,17 @@
 	return ms
 }
 
-// ErrInvalidKey is the answer to a key that is not a UUIDv7.
+// ErrInvalidKey is returned for a key that is not a UUIDv7.
 var ErrInvalidKey = errors.New("the idempotency key must be a UUIDv7")
 
-// ErrInvalidRecord: the record is no batch of claims that this release can read.
-var ErrInvalidRecord = errors.New("the record is no batch of claims of a known version")
+// ErrInvalidRecord is returned for a record that this release can't decode as a
+// batch of claims.
+var ErrInvalidRecord = errors.New("record is not a batch of claims in a known version of the encoding")
 
-// uuidV7 is the version whose first 48 bits are the time of issue in ms.
+// uuidV7 is the UUID version whose first 48 bits are the issue time in ms.
 const uuidV7 = 7
 
-// ParseKey checks a caller's key.
+// ParseKey parses a caller's key. It returns ErrInvalidKey if text is not a UUIDv7.
 func ParseKey(caller, text string) (Key, error) {
 	id, err := uuid.Parse(text)
 	if err != nil || id.Version() != uuidV7 || id.Variant() != uuid.RFC4122 {
@@ -90,55 +93,57 @@
 // Hash identifies the request that a key was first used for.
 type Hash [16]byte
 
-// ShortHash is a request's hash as the stream carries it. 8 bytes are enough
-// there, though a caller could make two requests that collide (2^32 tries): the
-// stream's hash only tells "key_reused" early. An answer is replayed only after
-// the agent that ran the request has compared the whole Hash.
+// ShortHash is the form of a Hash in the stream. 8 bytes are enough there, although a
+// caller could find two requests that collide (2^32 attempts): the hash in the stream
+// only serves to answer "key_reused" early. A response is replayed only after the
+// agent that ran the request has compared the complete Hash.
 type ShortHash [8]byte
 
-// Short returns the hash's form in the stream.
+// Short returns the form of the hash in the stream.
 func (h Hash) Short() ShortHash { return ShortHash(h[:]) }
 
-// Claim is one agent's wish to be the only one to run a key's request.
+// Claim is an agent's request to be the only one that runs the request of a key.
 type Claim struct {
 	Key  Key
 	Hash Hash
 }
 
-// Batch is what one append writes: claims that were waiting together.
+// Batch contains the claims of one append, which were pending at the same time.
 type Batch struct {
 	Owner  Owner
-	Seq    uint64 // rises with each batch of one owner; the record's id is (Owner, Seq)
+	Seq    uint64 // increases with each batch of an owner; the record's id is (Owner, Seq)
 	Claims []Claim
 }
 
-// Record is a batch as the stream gives it back.
+// Record is a Batch as decoded from the stream.
 type Record struct {
 	Owner  OwnerDigest
 	Seq    uint64
 	Claims []RecordClaim
 }
 
-// RecordClaim is a claim as the stream gives it back.
+// RecordClaim is a Claim as decoded from the stream.
 type RecordClaim struct {
 	Key  Digest
 	Hash ShortHash
 }
 
-// Versions of the encoding: a record's first byte.
+// Versions of the encoding, which are the first byte of a record.
 const (
-	// versionJSON is '{': a JSON object, as written before the binary form.
+	// versionJSON is the first byte of a JSON object, which releases before the
+	// binary encoding wrote.
 	versionJSON = '{'
-	// versionBinary: incarnation (8 bytes), sequence number (uvarint), length of the
-	// name (uvarint), name, then 24 bytes a claim to the end. Readers pay for
-	// each byte of each claim of their service, and the log's page adds a third
-	// (base64), so that a claim is 24 bytes and a batch some 20 more.
+	// versionBinary is followed by the incarnation (8 bytes), the sequence number
+	// (uvarint), the length of the name (uvarint), the name, and 24 bytes for each
+	// claim. The encoding is compact because readers read every claim of their
+	// service and the log's pages add a third (base64). A batch takes about 20
+	// bytes more than its claims.
 	versionBinary = 2
 )
 
 const claimBytes = len(Digest{}) + len(ShortHash{})
 
-// Encode returns the record data of a batch.
+// Encode returns the record data of a batch in the binary encoding.
 func Encode(b Batch) []byte {
 	owner := b.Owner.OwnerDigest()
 	const header = 1 + len(owner.Incarnation) + 2*binary.MaxVarintLen64
@@ -156,7 +161,8 @@
 	return data
 }
 
-// Decode parses record data. An unknown version is ErrRecord.
+// Decode parses record data. It returns ErrInvalidRecord for malformed data and
+// unknown versions.
 func Decode(data []byte) (Record, error) {
 	if len(data) == 0 {
 		return Record{}, ErrInvalidRecord
@@ -201,8 +207,8 @@
 	return r, nil
 }
 
-// jsonBatch is the older form. It stays readable: a stream may hold it for as
-// long as the log keeps records.
+// jsonBatch is the older encoding. It must stay readable for as long as the log keeps
+// records, because streams may contain it.
 type jsonBatch struct {
 	Name        string `json:"name"`
 	Incarnation string `json:"inc"`
