--- a/fold/steps/fuzz_test.go
+++ b/fold/steps/fuzz_test.go
@@ -8,9 +8,9 @@
 	"dandelionsill.org/platform"
 )
 
-// FuzzRecords: whatever stands in the stream, two readers, one of which gets
-// every record twice, agree on the owner, and no owner loses a step to a claim
-// that is not of a greater attempt.
+// FuzzRecords applies arbitrary data. Two readers, one of which gets every record
+// twice, must agree on the owner, and only a claim with a greater attempt may
+// replace an owner.
 func FuzzRecords(f *testing.F) {
 	claim := Encode(Claim{ID: "a", Trainer: "t", Step: 7, Attempt: 1, Entry: "e1"})
 	f.Add(claim, Encode(Claim{ID: "b", Trainer: "t", Step: 7, Attempt: 2, Entry: "e2"}))
--- a/fold/steps/steps.go
+++ b/fold/steps/steps.go
@@ -1,22 +1,22 @@
-// Package steps folds the log's stream "steps" into who owns each step. It is
-// pure: any two readers at the same offset agree.
+// Package steps computes the owner of each step from the log's stream "steps". It
+// is pure: any two readers at the same offset agree.
 //
-// An entry that takes a step writes one claim. The greater attempt wins, and
-// of two claims of one attempt the first in the log.
+// An entry that takes over a step appends one claim. The claim with the greatest
+// attempt wins, and of several claims of one attempt the first in the log.
 //
-// Why the first: an attempt is the trainer's own word, and its client raises
-// it whenever it turns to another entry. So two entries claim one attempt only
-// where the network or the balancer delivered one POST twice, and the late
-// copy may come in the middle of the step. With the first claim as winner an
-// owner whose claim stands is only ever replaced by the trainer's word: a late
-// copy, or the append of an owner that was paused, changes nothing. The entry
-// whose claim comes second stops and answers "superseded". If the trainer
-// happens to talk to that one, it posts a greater attempt, which beats both:
-// a repost, never a sample. With the last claim as winner a copy delayed by a
-// minute would take the step from the owner that the trainer talks to.
+// The first one wins for the following reason. The trainer chooses the attempt,
+// and its client raises it whenever it switches to another entry. So two entries
+// claim one attempt only if the network or the balancer delivered one POST twice,
+// and the late copy may arrive in the middle of the step. If the first claim wins,
+// only a greater attempt, which the trainer chose, can replace an owner: a late
+// copy, or the append of an owner that was suspended, changes nothing. The entry
+// whose claim comes second stops and answers "superseded". If the trainer is
+// connected to that entry, it posts a greater attempt, which wins over both; this
+// costs a repeated POST but no sample. If the last claim won, a copy delayed by a
+// minute would take the step from the owner that the trainer is connected to.
 //
-// The claim's offset is what makes the order the same for all readers. Agents
-// order owners by the attempt alone, so no offset is needed there.
+// The claim's offset makes the order of claims the same for all readers. Agents
+// order owners by the attempt alone and need no offset.
 package steps
 
 import (
@@ -25,32 +25,32 @@
 	"dandelionsill.org/platform"
 )
 
-// maxStepsPerTrainer bounds the state: a trainer works on few steps at a time,
-// and a step that far behind its newest is over.
+// maxStepsPerTrainer bounds the state. A trainer works on few steps at a time, and
+// a step that is so many steps older than its newest has ended.
 const maxStepsPerTrainer = 64
 
 const claimType = "claim"
 
-// Key names a step.
+// Key identifies a step.
 type Key struct {
 	Trainer string
 	Step    uint64
 }
 
-// Epoch names an ownership of a step.
+// Epoch identifies one ownership of a step.
 type Epoch struct {
 	Attempt uint64
-	Claim   uint64 // offset of the claim's record plus one; 0: none in the log
+	Claim   uint64 // offset of the claim's record plus one; 0: no claim in the log
 }
 
-// Owner is who owns a step.
+// Owner is the owner of a step.
 type Owner struct {
 	Entry string
 	Epoch Epoch
 }
 
-// Claim is the record that an entry appends. ID is unique to one claim and
-// the same in each try to append it.
+// Claim is the record that an entry appends. ID is unique to the claim and the
+// same for each attempt to append it.
 type Claim struct {
 	ID      string `json:"id"`
 	Type    string `json:"type"`
@@ -60,7 +60,7 @@
 	Entry   string `json:"entry"`
 }
 
-// Encode returns the claim as a record's data.
+// Encode returns the record data of a claim.
 func Encode(c Claim) []byte {
 	c.Type = claimType
 	data, err := json.Marshal(c)
@@ -70,24 +70,27 @@
 	return data
 }
 
-// ClaimNumber returns the Epoch.Claim of a record at an offset. It is the offset
-// plus one, since zero means "no claim" and the first record has offset zero.
+// ClaimNumber returns the value of Epoch.Claim for a claim at an offset. It is the
+// offset plus one, because zero means "no claim" and the first offset is zero.
 func ClaimNumber(offset uint64) uint64 { return offset + 1 }
 
-// Change tells that a claim was folded.
+// Change is a claim that was applied, with its outcome.
 type Change struct {
 	Key   Key
 	Claim Claim
-	// Owner after the claim; the claim lost where it names another.
+	// Owner is the step's owner after the claim. If it is another entry or epoch,
+	// the claim lost.
 	Owner Owner
 }
 
+// trainerState is the state of one trainer's steps.
 type trainerState struct {
-	newest uint64
+	newest uint64 // the highest step claimed
 	steps  map[uint64]Owner
 }
 
-// State is the fold. Not safe for concurrent use.
+// State is the state after the records applied so far. It is not safe for
+// concurrent use.
 type State struct {
 	next     uint64
 	trainers map[string]*trainerState
@@ -96,7 +99,7 @@
 // New returns the state before the first record.
 func New() *State { return &State{trainers: map[string]*trainerState{}} }
 
-// Owner returns the step's owner, if it is known.
+// Owner returns the owner of a step, and whether it is known.
 func (s *State) Owner(k Key) (Owner, bool) {
 	t := s.trainers[k.Trainer]
 	if t == nil {
@@ -106,13 +109,13 @@
 	return o, ok
 }
 
-// Next returns the offset after the last folded record.
+// Next returns the offset of the next record to apply.
 func (s *State) Next() uint64 { return s.next }
 
-// Apply folds one record. It returns false for a record that says nothing new:
-// one read before, of a step long gone, or of another type. A claim that was
-// appended twice, as after a lost answer, is reported twice and changes nothing
-// the second time: its attempt is not greater than its own.
+// Apply applies one record. It returns false for a record that was applied before,
+// whose step is too old, or that is not a valid claim. A claim that was appended
+// twice, because the first response was lost, is returned twice and changes nothing
+// the second time: its attempt is not greater than the owner's.
 func (s *State) Apply(rec platform.Record) (Change, bool) {
 	if rec.Offset < s.next {
 		return Change{}, false
--- a/fold/steps/steps_test.go
+++ b/fold/steps/steps_test.go
@@ -31,22 +31,22 @@
 	return o
 }
 
-// A paused owner's claim lands after the take-over: the trainer raised its
-// attempt for the new owner, so the late record changes nothing.
+// The claim of a suspended owner is appended after the takeover. The trainer raised
+// the attempt for the new owner, so the late claim must change nothing.
 func TestLateClaimOfOlderAttemptLoses(t *testing.T) {
 	s := foldRecords(claim("b", 2, "entry-b"), claim("a", 1, "entry-a"))
 	require.Equal(t, steps.Owner{Entry: "entry-b", Epoch: steps.Epoch{Attempt: 2, Claim: 1}}, owner(t, s))
 }
 
-// The balancer delivers one POST to two entries, the copy late: both claim
-// attempt 1. The first stays the owner, as the trainer talks to it already.
+// The balancer delivers one POST to two entries, the second time late, and both claim
+// attempt 1. The first must stay the owner, as the trainer is connected to it.
 func TestSameAttemptFirstClaimWins(t *testing.T) {
 	s := foldRecords(claim("a", 1, "entry-a"), claim("b", 1, "entry-b"))
 	require.Equal(t, "entry-a", owner(t, s).Entry)
 }
 
-// The answer to an append was lost and the entry appends its claim again. The
-// owner's epoch must not move with the repeat: its trainer knows the first.
+// The response to an append is lost and the entry appends its claim again. The
+// owner's epoch must stay the first one, which its trainer knows.
 func TestRepeatedAppendChangesNothing(t *testing.T) {
 	s := foldRecords(claim("a", 1, "entry-a"), claim("b", 1, "entry-b"), claim("a", 1, "entry-a"))
 	require.Equal(t, uint64(1), owner(t, s).Epoch.Claim)
@@ -58,8 +58,8 @@
 	require.Equal(t, uint64(3), s.Next())
 }
 
-// Any two readers agree at the same offset, whether they read some pages
-// twice or not, and an owner is only ever replaced by a newer epoch.
+// Two readers must agree at the same offset even if one reads some records twice, and
+// an owner may only be replaced by one with a greater attempt.
 func TestReadersAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var recs []platform.Record
@@ -84,7 +84,7 @@
 			}
 			old, known := owners[change.Key]
 			if known && old != change.Owner {
-				require.Greater(t, change.Owner.Epoch.Attempt, old.Epoch.Attempt, "only a greater attempt takes a step")
+				require.Greater(t, change.Owner.Epoch.Attempt, old.Epoch.Attempt, "only a greater attempt may replace the owner")
 			}
 			owners[change.Key] = change.Owner
 			got, _ := twice.Owner(change.Key)
