--- a/fold/agents/agents.go
+++ b/fold/agents/agents.go
@@ -1,6 +1,7 @@
-// Package agents is the pure fold of the log's stream "agents": which agent
-// holds which backend server. An agent claims its server with one record; the
-// newest claim wins, and its offset + 1 is the fencing token of its orders.
+// Package agents computes which agent holds each backend server from the log's
+// stream "agents". It is pure: readers at the same offset agree. An agent claims its
+// server with one record. The newest claim wins, and its offset plus one is the
+// fencing token of the agent's orders.
 package agents
 
 import (
@@ -15,41 +16,42 @@
 
 // Claim is one agent's claim of a backend server.
 type Claim struct {
-	ID          string `json:"id"` // unique for this claim; repeats of the append carry it again
+	ID          string `json:"id"` // unique to the claim; the same if the append is repeated
 	Type        string `json:"type"`
 	Server      string `json:"server"`
-	Incarnation uint64 `json:"incarnation"` // the agent's start, ms since 1970
+	Incarnation uint64 `json:"incarnation"` // start time of the agent, ms since 1970
 	Offset      uint64 `json:"-"`           // of the first record with this ID
 }
 
-// Token returns the claim's fencing token. It is never 0, so that 0 can mean
-// "none".
+// Token returns the claim's fencing token. It is never 0, so 0 can mean "none".
 func (c Claim) Token() uint64 { return c.Offset + 1 }
 
-// Encode returns the record data of a claim.
+// Encode returns the record data of a claim with the given id. incarnation is the
+// agent's start time in ms since 1970.
 func Encode(id, server string, incarnation uint64) ([]byte, error) {
 	data, err := json.Marshal(Claim{ID: id, Type: claimType, Server: server, Incarnation: incarnation})
 	return data, errors.Trace(err)
 }
 
-// State is the fold's state. It is not safe for concurrent use.
+// State is the state after the records applied so far. It is not safe for
+// concurrent use.
 type State struct {
 	onlyServer string
 	next       uint64
 	newest     map[string]Claim   // by server
-	claims     map[claimKey]Claim // a repeated append must not count as a new claim
+	claims     map[claimKey]Claim // first claim with each id: a repeated append is not a new claim
 }
 
 type claimKey struct{ server, id string }
 
-// New returns an empty state. Where server is not empty only its claims are
-// kept, which bounds an agent's memory to its own server's history.
+// New returns the state before the first record. If server is not empty, only its
+// claims are kept, which limits an agent's memory to the history of its own server.
 func New(server string) *State {
 	return &State{onlyServer: server, newest: map[string]Claim{}, claims: map[claimKey]Claim{}}
 }
 
-// Apply folds one record in. Records already folded, records of other kinds
-// and records that can't be read change nothing, alike for every reader.
+// Apply applies one record. Records that were applied before, have another type or
+// can't be decoded change nothing, for every reader alike.
 func (s *State) Apply(rec platform.Record) {
 	if rec.Offset < s.next {
 		return
@@ -71,21 +73,23 @@
 	s.newest[c.Server] = c
 }
 
-// Next returns the offset to read from next.
+// Next returns the offset of the next record to apply.
 func (s *State) Next() uint64 { return s.next }
 
-// SkipTo tells that records before offset are no longer kept.
+// SkipTo skips the records before offset, because the log no longer keeps them. It
+// never goes back.
 func (s *State) SkipTo(offset uint64) {
 	s.next = max(s.next, offset)
 }
 
-// Newest returns the claim that holds a server.
+// Newest returns the newest claim of a server, and whether there is one.
 func (s *State) Newest(server string) (Claim, bool) {
 	c, ok := s.newest[server]
 	return c, ok
 }
 
-// HasEarlier tells whether another claim of the same server stands before c.
+// HasEarlier reports whether the state has a claim of the same server with a lower
+// offset than c.
 func (s *State) HasEarlier(c Claim) bool {
 	for _, other := range s.claims {
 		if other.Server == c.Server && other.Offset < c.Offset {
@@ -95,7 +99,7 @@
 	return false
 }
 
-// Find returns a server's claim with an ID.
+// Find returns the claim of a server with an id, and whether there is one.
 func (s *State) Find(server, id string) (Claim, bool) {
 	c, ok := s.claims[claimKey{server, id}]
 	return c, ok
--- a/fold/agents/agents_test.go
+++ b/fold/agents/agents_test.go
@@ -16,8 +16,8 @@
 	return platform.Record{Offset: offset, Data: data}
 }
 
-// An agent repeats an append whose answer was lost. Meanwhile another agent
-// claimed the server: the repeat must not take it back.
+// An agent repeats an append whose response was lost, after another agent has claimed
+// the server. The repeated claim must not take the server back.
 func TestRepeatedClaimDoesNotCount(t *testing.T) {
 	s := agents.New("")
 	s.Apply(record(t, 4, "a", "vm"))
@@ -32,8 +32,8 @@
 	require.False(t, s.HasEarlier(first))
 }
 
-// Any two readers at the same offset agree, however their reads were cut and
-// repeated, and one that keeps only its own server agrees with them about it.
+// Two readers at the same offset must agree even if one repeats reads, and a reader
+// that keeps only one server must agree with them on that server.
 func TestReadersAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var log []platform.Record
--- a/fold/agents/fuzz_test.go
+++ b/fold/agents/fuzz_test.go
@@ -8,8 +8,8 @@
 	"dandelionsill.org/platform"
 )
 
-// FuzzRecords: whatever stands in the stream, two readers agree on who holds
-// the server, be it that one gets each record twice, and tokens only rise.
+// FuzzRecords applies arbitrary data. Two readers, one of which gets every record
+// twice, must agree on the claim that holds the server, and tokens must never fall.
 func FuzzRecords(f *testing.F) {
 	claim, _ := Encode("a", "vm", 1)
 	other, _ := Encode("b", "vm", 2)
