--- a/fold/control/gap.go
+++ b/fold/control/gap.go
@@ -10,15 +10,16 @@
 	"dandelionsill.org/wire/pb"
 )
 
-// reappend takes another process's word for what the log gave up to an offset.
-func (s *State) reappend(r record, rec platform.Record) []Event {
+// applyReappend takes over the revision and versions of another process's reappend
+// record (package comment).
+func (s *State) applyReappend(r record, rec platform.Record) []Event {
 	rev := r.Revision.signed(r.Accepted)
 	if err := s.keys.Verify(rev); err != nil {
-		return []Event{s.rejected(r.ID, rev, err.Error())}
+		return []Event{s.newRejected(r.ID, rev, err.Error())}
 	}
 	var events []Event
 	for _, model := range slices.Sorted(maps.Keys(r.Versions)) {
-		events = append(events, s.raise(model, r.Versions[model])...)
+		events = append(events, s.raiseVersion(model, r.Versions[model])...)
 	}
 	switch {
 	case rev.Number > s.headNumber():
@@ -28,15 +29,17 @@
 	case s.isCopy(rev):
 		events = append(events, Refreshed{r.ID, rev.Number, rev.Hash})
 	default:
-		return append(events, s.rejected(r.ID, rev, "it is a copy of an older revision"))
+		return append(events, s.newRejected(r.ID, rev, "it is a copy of an older revision"))
 	}
-	s.copyAt(rec.Offset, rec.Time)
-	// The writer can't have folded records behind its own.
-	return append(events, s.settle(min(r.At, rec.Offset))...)
+	s.recordCopy(rec.Offset, rec.Time)
+	// The writer can't have applied records after its own.
+	return append(events, s.endGap(min(r.NextOffset, rec.Offset))...)
 }
 
-// Offer takes a revision from a peer that accepted it, with the offset that
-// did. It returns true when the newest known revision rose.
+// Offer takes a revision that a peer has accepted, with the offset that accepted
+// it, and returns whether it is higher than the newest known one. It fails if the
+// signature is invalid, or if the revision has the number of the newest known one
+// but another hash.
 func (s *State) Offer(signed *pb.SignedRevision) (bool, error) {
 	if err := s.keys.Verify(signed); err != nil {
 		return false, errors.Trace(err)
@@ -44,7 +47,7 @@
 	head := s.Head()
 	if head != nil && signed.Number <= head.Number {
 		if signed.Number == head.Number && signed.Hash != head.Hash {
-			return false, errors.Errorf("a peer's revision %d has hash %s, ours has %s", signed.Number, signed.Hash, head.Hash)
+			return false, errors.Errorf("peer's revision %d has hash %s, but the known one has %s", signed.Number, signed.Hash, head.Hash)
 		}
 		return false, nil
 	}
@@ -52,14 +55,14 @@
 	if s.offered.Err == nil {
 		s.offeredReadable = s.offered
 	}
-	s.settleByOffer()
+	s.endGapByOffer()
 	return true, nil
 }
 
-// settleByOffer ends the gap where every record behind the offset that
-// accepted the peer's revision is known.
-func (s *State) settleByOffer() []Event {
-	if !s.gap || !s.placed || s.offered == nil || s.offered.Offset >= s.next {
+// endGapByOffer ends the gap if every record after the offset that accepted the
+// peer's revision is known.
+func (s *State) endGapByOffer() []Event {
+	if !s.gap || !s.nextKnown || s.offered == nil || s.offered.Offset >= s.next {
 		return nil
 	}
 	if s.offered.Offset+1 < s.gapEnd {
@@ -67,13 +70,13 @@
 	}
 	offered := s.offered
 	events := s.advance(offered)
-	return append(events, s.settle(offered.Offset+1)...)
+	return append(events, s.endGap(offered.Offset+1)...)
 }
 
-// settle ends the gap if all records from offset at on are known; head is the
-// revision that was in force there.
-func (s *State) settle(at uint64) []Event {
-	if !s.gap || at < s.gapEnd {
+// endGap ends the gap if every record from offset on is known. head must be the
+// revision that was in force at that offset.
+func (s *State) endGap(offset uint64) []Event {
+	if !s.gap || offset < s.gapEnd {
 		return nil
 	}
 	held := s.held
@@ -81,20 +84,20 @@
 	var events []Event
 	for _, c := range held {
 		switch {
-		case c.rev.Offset >= at:
-			events = append(events, s.judge(c)...)
+		case c.rev.Offset >= offset:
+			events = append(events, s.evaluate(c)...)
 		case s.isCopy(c.rev) && c.rev.Offset == s.head.Offset:
-			s.copyAt(c.rev.Offset, c.at)
+			s.recordCopy(c.rev.Offset, c.recordedAt)
 			events = append(events, Accepted{c.id, s.head})
 		case s.isCopy(c.rev):
-			s.copyAt(c.rev.Offset, c.at)
+			s.recordCopy(c.rev.Offset, c.recordedAt)
 		}
 	}
 	return events
 }
 
-// hold keeps a commit until the gap ends. Beyond the bound the oldest go, and
-// the gap then reaches up to them.
+// hold keeps a commit until the gap ends. Above maxHeldBytes the oldest commits are
+// dropped and the gap is extended to include them.
 func (s *State) hold(c heldCommit) {
 	s.held = append(s.held, c)
 	s.heldBytes += len(c.rev.Manifest)
--- a/fold/control/ids.go
+++ b/fold/control/ids.go
@@ -2,24 +2,25 @@
 
 import "time"
 
-// maxIDs bounds the memory for ids. Today's rate of some 6,000 records a day
-// (4,300 commits, 24 trainers' versions each 25 min) fits more than twice.
+// maxIDs bounds the number of remembered ids. It is more than twice the about
+// 6,000 records of a day (4,300 commits, and 24 trainers' versions every 25 min).
 const maxIDs = 1 << 14
 
-// idWindow remembers record ids for a time of the log's clock.
+// idWindow remembers the record ids of a limited time, measured by the log's clock.
 type idWindow struct {
 	seen  map[string]bool
 	queue []seenID // oldest first
 }
 
 type seenID struct {
-	id string
-	at time.Time
+	id     string
+	seenAt time.Time
 }
 
-// add tells whether the id is new, and remembers it.
-func (w *idWindow) add(id string, at time.Time, keep time.Duration) bool {
-	w.expire(at.Add(-keep))
+// addIfNew remembers the id and reports whether it is new. It first drops the ids
+// that were seen longer than retention before at.
+func (w *idWindow) addIfNew(id string, at time.Time, retention time.Duration) bool {
+	w.expire(at.Add(-retention))
 	if w.seen[id] {
 		return false
 	}
@@ -32,7 +33,7 @@
 }
 
 func (w *idWindow) expire(before time.Time) {
-	for len(w.queue) > 0 && (len(w.queue) >= maxIDs || w.queue[0].at.Before(before)) {
+	for len(w.queue) > 0 && (len(w.queue) >= maxIDs || w.queue[0].seenAt.Before(before)) {
 		delete(w.seen, w.queue[0].id)
 		w.queue = w.queue[1:]
 	}
--- a/fold/control/state.go
+++ b/fold/control/state.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	// defaultIDWindow is how long ids are kept before a manifest tells the
-	// log's retention time.
+	// defaultIDWindow is how long ids are kept while no manifest is in force
+	// that sets the log's retention time.
 	defaultIDWindow = 24 * time.Hour
-	// maxHeldBytes bounds the manifests of commits held after a gap.
+	// maxHeldBytes bounds the total size of the manifests of held commits.
 	maxHeldBytes = 8 << 20
 )
 
@@ -25,88 +25,94 @@
 	Number   uint64
 	Parent   uint64
 	Hash     string // sha256 of the manifest, hex
-	Offset   uint64 // the offset that accepted it
+	Offset   uint64 // of the record that accepted it
 	Signed   *pb.SignedRevision
-	Manifest *manifest.Manifest // nil where this program can't read it
-	Err      error              // why it can't
+	Manifest *manifest.Manifest // nil if this program can't read it
+	Err      error              // why the manifest can't be read; nil if it can
 }
 
-// State is the fold of the control stream up to an offset. It is not safe for
-// concurrent use.
+// State is the state of the control stream after the records applied so far. It
+// is not safe for concurrent use.
 type State struct {
 	keys manifest.Keys
 
-	next     uint64    // the next offset to fold
-	placed   bool      // next is known; false right after Gap
-	head     *Revision // the newest revision by the log; a lower bound after a gap
-	readable *Revision // the newest by the log that this program can read
-	copied   Copy
-	versions map[string]uint64
-	ids      idWindow
+	next       uint64    // offset of the next record to apply
+	nextKnown  bool      // false between HandleTruncation and the next record
+	head       *Revision // the newest revision by the log; a lower bound after a gap
+	readable   *Revision // the newest revision by the log that this program can read
+	newestCopy NewestCopy
+	versions   map[string]uint64
+	ids        idWindow
 
-	offered         *Revision // from a peer, while higher than head
+	offered         *Revision // the newest from a peer, while higher than head
 	offeredReadable *Revision
 
 	gap       bool
-	gapEnd    uint64 // every record from this offset on is known
+	gapEnd    uint64 // every record from this offset up to next is known
 	held      []heldCommit
 	heldBytes int
 
 	skipped uint64
 }
 
-// Copy is the newest copy of the newest revision in the log.
-type Copy struct {
+// NewestCopy is the position of the newest copy in the log of the newest revision.
+type NewestCopy struct {
 	Offset uint64
-	Time   time.Time // the log service's clock
+	Time   time.Time // by the log service's clock
 }
 
-// heldCommit is a validly signed commit that waits for the end of a gap.
+// heldCommit is a commit with a valid signature that may have to wait for the end
+// of a gap.
 type heldCommit struct {
-	id  string
-	rev *pb.SignedRevision // with its own offset
-	at  time.Time
+	id         string
+	rev        *pb.SignedRevision // its Offset is that of the commit's record
+	recordedAt time.Time
 }
 
 // New returns the state before the log's first record.
 func New(keys manifest.Keys) *State {
-	return &State{keys: keys, placed: true, versions: map[string]uint64{}}
+	return &State{keys: keys, nextKnown: true, versions: map[string]uint64{}}
 }
 
-// Gap tells that records were truncated before they were read; the next record
-// may have any offset. Apply notices a jump in the offsets itself.
-func (s *State) Gap() {
+// HandleTruncation opens a gap because records were truncated before they were
+// read. The next record may have any offset. Apply detects a jump in the offsets
+// by itself.
+func (s *State) HandleTruncation() {
 	s.gap = true
-	s.placed = false
-	s.copied = Copy{}
+	s.nextKnown = false
+	s.newestCopy = NewestCopy{}
 	s.held, s.heldBytes = nil, 0
 }
 
-// Settled tells whether the newest revision is known for sure: no gap is open.
+// Settled reports whether the newest revision is known for certain, that is, no
+// gap is open.
 func (s *State) Settled() bool { return !s.gap }
 
-// Next is the offset of the next record to fold.
+// Next returns the offset of the next record to apply.
 func (s *State) Next() uint64 { return s.next }
 
-// Skipped counts records that this program does not understand.
+// Skipped returns the number of records that this program could not decode or
+// whose type it does not know.
 func (s *State) Skipped() uint64 { return s.skipped }
 
-// Head returns the newest accepted revision, readable or not; nil: none yet.
+// Head returns the newest accepted revision, readable or not, or nil if there is
+// none yet.
 func (s *State) Head() *Revision { return higher(s.head, s.offered) }
 
-// Revision returns the revision in force: the newest accepted one that this
-// program can read; nil: none yet.
+// Revision returns the revision in force, which is the newest accepted one that
+// this program can read, or nil if there is none yet.
 func (s *State) Revision() *Revision { return higher(s.readable, s.offeredReadable) }
 
-// Copy returns the newest copy of the newest revision in the log; whoever
-// keeps the revision alive reappends when it grows old. It is zero where no
-// copy was read (after a gap).
-func (s *State) Copy() Copy { return s.copied }
+// NewestCopy returns the position of the newest copy in the log of the newest
+// revision. A process must reappend the revision before that copy is truncated.
+// It is zero if no copy has been read, as after a gap.
+func (s *State) NewestCopy() NewestCopy { return s.newestCopy }
 
 // Versions returns the newest announced weight version of each model.
 func (s *State) Versions() map[string]uint64 { return maps.Clone(s.versions) }
 
-// higher prefers a, the log's word, where the numbers are equal.
+// higher returns the revision with the higher number, and a if they are equal:
+// callers pass the revision by the log as a.
 func higher(a, b *Revision) *Revision {
 	if a == nil || b != nil && b.Number > a.Number {
 		return b
@@ -114,16 +120,17 @@
 	return a
 }
 
-// Apply folds the record in. Records before Next are ignored.
+// Apply applies a record and returns what it changed. Records before Next are
+// ignored.
 func (s *State) Apply(rec platform.Record) []Event {
-	if s.placed && rec.Offset < s.next {
+	if s.nextKnown && rec.Offset < s.next {
 		return nil
 	}
-	if !s.placed || rec.Offset > s.next {
-		s.Gap()
+	if !s.nextKnown || rec.Offset > s.next {
+		s.HandleTruncation()
 		s.gapEnd = rec.Offset
 	}
-	s.next, s.placed = rec.Offset+1, true
+	s.next, s.nextKnown = rec.Offset+1, true
 
 	r, err := decode(rec.Data)
 	if err != nil {
@@ -133,18 +140,18 @@
 	var events []Event
 	switch r.Type {
 	case typeCommit:
-		events = s.commit(r, rec)
+		events = s.applyCommit(r, rec)
 	case typeReappend:
-		events = s.reappend(r, rec)
+		events = s.applyReappend(r, rec)
 	case typeVersion:
-		events = s.raise(r.Model, r.Version)
+		events = s.raiseVersion(r.Model, r.Version)
 	default:
 		s.skipped++
 		return nil
 	}
-	events = append(events, s.settleByOffer()...)
-	if !s.ids.add(r.ID, rec.Time, s.idWindow()) {
-		return without(events, r.ID)
+	events = append(events, s.endGapByOffer()...)
+	if !s.ids.addIfNew(r.ID, rec.Time, s.idWindow()) {
+		return dropOutcomes(events, r.ID)
 	}
 	return events
 }
@@ -156,8 +163,9 @@
 	return defaultIDWindow
 }
 
-// without drops the outcomes of a record that was told before.
-func without(events []Event, id string) []Event {
+// dropOutcomes returns the events without the outcomes of the record with an id,
+// which have been reported before.
+func dropOutcomes(events []Event, id string) []Event {
 	var rest []Event
 	for _, e := range events {
 		switch e := e.(type) {
@@ -179,38 +187,39 @@
 	return rest
 }
 
-func (s *State) commit(r record, rec platform.Record) []Event {
+func (s *State) applyCommit(r record, rec platform.Record) []Event {
 	rev := r.Revision.signed(rec.Offset)
 	if err := s.keys.Verify(rev); err != nil {
-		return []Event{s.rejected(r.ID, rev, err.Error())}
+		return []Event{s.newRejected(r.ID, rev, err.Error())}
 	}
 	if s.gap {
 		s.hold(heldCommit{r.ID, rev, rec.Time})
 		return []Event{Held{r.ID, rev.Number}}
 	}
-	return s.judge(heldCommit{r.ID, rev, rec.Time})
+	return s.evaluate(heldCommit{r.ID, rev, rec.Time})
 }
 
-// judge accepts or rejects a validly signed commit; no gap is open.
-func (s *State) judge(c heldCommit) []Event {
+// evaluate accepts or rejects a commit with a valid signature. No gap may be open.
+func (s *State) evaluate(c heldCommit) []Event {
 	current := s.headNumber()
 	switch {
 	case s.isCopy(c.rev):
-		s.copyAt(c.rev.Offset, c.at)
+		s.recordCopy(c.rev.Offset, c.recordedAt)
 		return []Event{Refreshed{c.id, c.rev.Number, c.rev.Hash}}
 	case c.rev.Parent != current:
-		return []Event{s.rejected(c.id, c.rev, fmt.Sprintf("its parent is revision %d, but %d is in force", c.rev.Parent, current))}
+		return []Event{s.newRejected(c.id, c.rev, fmt.Sprintf("its parent is revision %d, but %d is in force", c.rev.Parent, current))}
 	case c.rev.Number != current+1:
-		return []Event{s.rejected(c.id, c.rev, fmt.Sprintf("its number is %d, but its parent's is %d", c.rev.Number, current))}
+		return []Event{s.newRejected(c.id, c.rev, fmt.Sprintf("its number is %d, but its parent's is %d", c.rev.Number, current))}
 	}
 	events := s.advance(newRevision(c.rev))
-	s.copyAt(c.rev.Offset, c.at)
+	s.recordCopy(c.rev.Offset, c.recordedAt)
 	return append([]Event{Accepted{c.id, s.head}}, events...)
 }
 
-// advance makes rev the newest revision by the log.
+// advance makes rev the newest revision by the log, and drops a peer's revision
+// that is not higher.
 func (s *State) advance(rev *Revision) []Event {
-	s.head, s.copied = rev, Copy{}
+	s.head, s.newestCopy = rev, NewestCopy{}
 	if s.offered != nil && s.offered.Number <= rev.Number {
 		s.offered = nil
 	}
@@ -224,15 +233,15 @@
 	return nil
 }
 
-// copyAt notes a copy of the newest revision. After a gap copies may come to
-// light out of order.
-func (s *State) copyAt(offset uint64, at time.Time) {
-	if s.copied.Time.IsZero() || offset > s.copied.Offset {
-		s.copied = Copy{offset, at}
+// recordCopy records a copy of the newest revision if it is the newest copy. At
+// the end of a gap copies may be found out of order.
+func (s *State) recordCopy(offset uint64, at time.Time) {
+	if s.newestCopy.Time.IsZero() || offset > s.newestCopy.Offset {
+		s.newestCopy = NewestCopy{offset, at}
 	}
 }
 
-func (s *State) rejected(id string, rev *pb.SignedRevision, reason string) Rejected {
+func (s *State) newRejected(id string, rev *pb.SignedRevision, reason string) Rejected {
 	return Rejected{ID: id, Number: rev.Number, KeyID: rev.KeyId, Reason: reason, Current: s.headNumber()}
 }
 
@@ -247,7 +256,7 @@
 	return s.head != nil && rev.Number == s.head.Number && rev.Parent == s.head.Parent && rev.Hash == s.head.Hash
 }
 
-func (s *State) raise(model string, version uint64) []Event {
+func (s *State) raiseVersion(model string, version uint64) []Event {
 	if version <= s.versions[model] {
 		return nil
 	}
--- a/fold/once/once_test.go
+++ b/fold/once/once_test.go
@@ -14,11 +14,11 @@
 )
 
 var (
-	epoch = time.UnixMilli(1_700_000_000_000)
-	terms = Terms{Window: 10 * time.Minute, Skew: time.Second}
+	epoch  = time.UnixMilli(1_700_000_000_000)
+	limits = Limits{Window: 10 * time.Minute, Skew: time.Second}
 )
 
-// keyAt makes the nth key issued at a time.
+// keyAt returns the nth key issued at a time.
 func keyAt(caller string, at time.Time, n uint16) Key {
 	var u uuid.UUID
 	ms := at.UnixMilli()
@@ -29,10 +29,9 @@
 	return Key{Caller: caller, ID: u}
 }
 
-// drawStream draws records as agents write them that keep to the rules. Every
-// clock is within half a skew of the true time, so that any two differ by a
-// skew at most; an agent lets keys through that are a skew ahead of its clock.
-// So the log's record times may jump back.
+// drawStream draws records of agents that respect the limits. Every clock is within
+// half a skew of the true time, so any two differ by at most a skew, and the log's
+// record times may go back. Agents admit keys up to a skew ahead of their clock.
 func drawStream(t *rapid.T) ([]platform.Record, []Key) {
 	now := epoch
 	var records []platform.Record
@@ -61,13 +60,13 @@
 	return records, keys
 }
 
-// Two agents tail the stream, one of them reads parts of it again after a
-// reconnect. At the same offset both must say the same of every key, else each
-// could believe that it owns one.
+// Two agents tail the stream, and one of them reads parts of it again after a
+// reconnect. At the same offset both must have the same state of every key, or both
+// could find that they own it.
 func TestTwoReadersAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		records, keys := drawStream(t)
-		a, b := New(terms), New(terms)
+		a, b := New(limits), New(limits)
 		for i, rec := range records {
 			a.Apply(rec)
 			for _, again := range records[rapid.IntRange(0, i).Draw(t, "from") : i+1] {
@@ -84,31 +83,31 @@
 	})
 }
 
-// A caller repeats an order for as long as it likes, at agents that joined
-// late (older records are truncated), hold other revisions of the manifest
-// (another window), were cut off, lost the log's records, or are of a release
-// that can't read some records. Whatever they have forgotten, no two of
-// them may ever name two owners of one key: both would run the order.
-func TestOneOwnerPerKeyForEver(t *testing.T) {
+// A caller repeats a request without limit, at agents that started late (older
+// records are truncated), have another revision of the manifest (another window),
+// were partitioned, lost records to a log reset, or have a release that can't decode
+// some records. Whatever claims they have dropped or missed, no two of them may ever
+// find different owners of a key, or both owners would run the request.
+func TestKeyNeverHasTwoOwners(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		records, keys := drawStream(t)
-		owner := make(map[Key]Holder)
+		owner := make(map[Key]OwnerDigest)
 		for reader := range 4 {
-			s := New(terms)
+			s := New(limits)
 			for i := 0; i < len(records); i++ {
 				if rapid.IntRange(0, 5).Draw(t, "window") == 0 {
-					s.SetTerms(Terms{Window: time.Duration(rapid.IntRange(1, 30).Draw(t, "minutes")) * time.Minute, Skew: terms.Skew})
+					s.SetLimits(Limits{Window: time.Duration(rapid.IntRange(1, 30).Draw(t, "minutes")) * time.Minute, Skew: limits.Skew})
 				}
 				if reader > 0 && rapid.IntRange(0, 5).Draw(t, "cut") == 0 {
 					i = rapid.IntRange(i, len(records)-1).Draw(t, "first")
-					s.Gap(uint64(i))
+					s.HandleTruncation(uint64(i))
 				}
 				rec := records[i]
 				if reader > 0 && rapid.IntRange(0, 5).Draw(t, "other release") == 0 {
 					rec.Data = []byte{versionBinary + 1}
 				}
 				if reader > 0 && rapid.IntRange(0, 9).Draw(t, "reset") == 0 {
-					s.Reset(uint64(i))
+					s.HandleLogReset(uint64(i))
 				}
 				s.Apply(rec)
 				for _, k := range keys {
@@ -126,33 +125,32 @@
 	})
 }
 
-// An agent missed the record in which a key was claimed, and reads a later one.
-// The caller's clock and the claiming agent's are as far ahead as the bound on
-// skew allows, so the key was issued in the very millisecond to which the gap
-// reaches. Taken for free, it would be given to a second agent, which runs the
-// order again.
-func TestKeyAtTheBoundOfSkewIsLostWithItsRecord(t *testing.T) {
-	lastIssue := epoch.Add(skewsPerKey * terms.Skew)
+// An agent missed the record that claimed a key, and reads a later one. The clocks of
+// the caller and of the claiming agent are ahead by the maximum skew, so the key was
+// issued in the last millisecond that the gap covers. If the key were Free, a second
+// agent could claim it and run the request again.
+func TestKeyAtSkewBoundIsLost(t *testing.T) {
+	lastIssue := epoch.Add(maxKeySkews * limits.Skew)
 	k := keyAt("shop", lastIssue, 1)
 	claim := func(incarnation string) []byte {
 		return Encode(Batch{Owner: Owner{Name: "a", Incarnation: incarnation}, Claims: []Claim{{Key: k}}})
 	}
-	whole, missed := New(terms), New(terms)
-	whole.Apply(platform.Record{Offset: 0, Time: epoch, Data: claim("1")})
-	missed.Gap(1)
+	complete, missed := New(limits), New(limits)
+	complete.Apply(platform.Record{Offset: 0, Time: epoch, Data: claim("1")})
+	missed.HandleTruncation(1)
 	second := platform.Record{Offset: 1, Time: epoch, Data: claim("2")}
-	whole.Apply(second)
+	complete.Apply(second)
 	missed.Apply(second)
-	require.Equal(t, Owner{Name: "a", Incarnation: "1"}.Holder(), whole.Find(k).Owner)
+	require.Equal(t, Owner{Name: "a", Incarnation: "1"}.OwnerDigest(), complete.Find(k).Owner)
 	require.Equal(t, Lost, missed.Find(k).Status)
 	require.Equal(t, Free, missed.Find(keyAt("shop", lastIssue.Add(time.Millisecond), 2)).Status)
 }
 
-// An order ran; its key fell out of the window and was forgotten. A frozen
-// agent's claim of the same key lands now. If it won, the order would run
-// twice; so would it if a new manifest revision widened the window again.
-func TestForgottenKeyIsNeverWonAgain(t *testing.T) {
-	s := New(terms)
+// A request ran, its key left the window and was dropped. Then a claim of the same key
+// arrives from an agent that was suspended. If the claim won, also after a new
+// manifest revision with a longer window, the request would run twice.
+func TestForgottenKeyCannotBeClaimed(t *testing.T) {
+	s := New(limits)
 	k := keyAt("shop", epoch, 1)
 	batch := func(name string) []byte {
 		return Encode(Batch{Owner: Owner{Name: name}, Claims: []Claim{{Key: k}}})
@@ -161,34 +159,33 @@
 	require.Equal(t, "a", s.Find(k).Owner.Name)
 	s.Apply(platform.Record{Offset: 1, Time: epoch.Add(12 * time.Minute), Data: Encode(Batch{})})
 	require.Zero(t, s.Len())
-	s.SetTerms(Terms{Window: time.Hour, Skew: time.Second})
+	s.SetLimits(Limits{Window: time.Hour, Skew: time.Second})
 	s.Apply(platform.Record{Offset: 2, Time: epoch.Add(12 * time.Minute), Data: batch("b")})
 	require.Equal(t, TooOld, s.Find(k).Status)
 }
 
-// An agent starts after the log dropped old records, or was cut off for so
-// long. A key from before may have been claimed in what it never read: it
-// can't know, and must say so. Keys issued later are free. So it is with a
-// record of a newer release, and with a log that lost what was read from it;
-// what was read stays known.
+// An agent starts, or can reach the log again, after old records were truncated. Keys
+// from before may be claimed in records that it never read, so they must be Lost, and
+// keys issued later Free. The same holds after a record of a newer release, and after
+// a log reset, where claims that were read must stay known.
 func TestTruncatedRecordsMakeOldKeysUnknown(t *testing.T) {
-	s := New(terms)
-	s.Gap(40)
+	s := New(limits)
+	s.HandleTruncation(40)
 	old, young := keyAt("shop", epoch, 1), keyAt("shop", epoch.Add(5*time.Second), 2)
-	require.Equal(t, Lost, s.Find(young).Status, "nothing is known before the first record")
+	require.Equal(t, Lost, s.Find(young).Status, "every key is lost before the first record")
 	s.Apply(platform.Record{Offset: 40, Time: epoch, Data: Encode(Batch{Claims: []Claim{{Key: old}}})})
 	require.Equal(t, Lost, s.Find(old).Status)
-	require.Equal(t, Lost, s.Find(keyAt("shop", epoch.Add(1999*time.Millisecond), 3)).Status, "a claim may be issued two skews ahead")
+	require.Equal(t, Lost, s.Find(keyAt("shop", epoch.Add(1999*time.Millisecond), 3)).Status, "a key may be issued two skews ahead of the log")
 	require.Equal(t, Free, s.Find(young).Status)
 
 	at := epoch.Add(10 * time.Second)
 	require.True(t, s.Apply(platform.Record{Offset: 41, Time: at, Data: []byte{versionBinary + 1, 1}}).Unreadable)
-	require.Equal(t, Lost, s.Find(young).Status, "the record may hold its claim")
+	require.Equal(t, Lost, s.Find(young).Status, "the record may contain a claim of the key")
 	young = keyAt("shop", at.Add(5*time.Second), 4)
 	require.Equal(t, Free, s.Find(young).Status)
 	s.Apply(platform.Record{Offset: 42, Time: at, Data: Encode(Batch{Claims: []Claim{{Key: young}}})})
 
-	s.Reset(0)
+	s.HandleLogReset(0)
 	require.Equal(t, Claimed, s.Find(young).Status)
 	require.Equal(t, Lost, s.Find(keyAt("shop", at.Add(6*time.Second), 5)).Status)
 	at = at.Add(10 * time.Second)
@@ -197,9 +194,9 @@
 	require.Equal(t, Lost, s.Find(keyAt("shop", at.Add(time.Second), 6)).Status)
 	require.Equal(t, Free, s.Find(keyAt("shop", at.Add(5*time.Second), 7)).Status)
 
-	empty := New(terms)
-	empty.Gap(40)
-	empty.Empty(epoch)
+	empty := New(limits)
+	empty.HandleTruncation(40)
+	empty.HandleEmptyStream(epoch)
 	require.Equal(t, Lost, empty.Find(old).Status)
 	require.Equal(t, Free, empty.Find(young).Status)
 }
@@ -212,23 +209,23 @@
 	require.Equal(t, epoch, got.Issued())
 	for _, bad := range []string{"", "7", uuid.NewString(), uuid.Nil.String()} {
 		_, err := ParseKey("shop", bad)
-		require.ErrorIs(t, err, ErrKey, bad)
+		require.ErrorIs(t, err, ErrInvalidKey, bad)
 	}
 }
 
-// Both forms of a record, as bytes that stand in streams of the past, are read
-// for ever, and nothing cut short or of an unknown version passes for a batch.
-func TestRecordForms(t *testing.T) {
+// Both encodings, given here as bytes of existing streams, must stay readable.
+// Truncated records and unknown versions must not decode to claims.
+func TestRecordEncodings(t *testing.T) {
 	key, hash := keyAt("shop", epoch, 7), Hash{1, 2, 3, 4, 5, 6, 7, 8, 9}
 	batch := Batch{Owner: Owner{Name: "a", Incarnation: "i"}, Seq: 300, Claims: []Claim{{Key: key, Hash: hash}}}
-	want := Record{Owner: batch.Owner.Holder(), Seq: 300, Claims: []RecordClaim{{Key: key.Digest(), Hash: hash.Short()}}}
+	want := Record{Owner: batch.Owner.OwnerDigest(), Seq: 300, Claims: []RecordClaim{{Key: key.Digest(), Hash: hash.Short()}}}
 	const binary = "02de7d1b721a1e0632ac020161018bcfe568009249103665045e7f5ecb0102030405060708"
-	forms := map[string][]byte{
+	encodings := map[string][]byte{
 		"binary": Encode(batch),
 		"JSON":   []byte(`{"name":"a","inc":"i","seq":300,"claims":[{"c":"shop","k":"AYvP5WgAcACAAAAAAAAABw==","h":"AQIDBAUGBwgJAAAAAAAAAA=="}]}`),
 	}
-	require.Equal(t, binary, hex.EncodeToString(forms["binary"]))
-	for name, data := range forms {
+	require.Equal(t, binary, hex.EncodeToString(encodings["binary"]))
+	for name, data := range encodings {
 		got, err := Decode(data)
 		require.NoError(t, err, name)
 		require.Equal(t, want, got, name)
@@ -238,12 +235,12 @@
 		}
 	}
 	_, err := Decode([]byte{versionBinary + 1})
-	require.ErrorIs(t, err, ErrRecord)
-	require.NotEqual(t, key.Digest(), Key{Caller: "clinic", ID: key.ID}.Digest(), "callers can't reach each other's keys")
+	require.ErrorIs(t, err, ErrInvalidRecord)
+	require.NotEqual(t, key.Digest(), Key{Caller: "clinic", ID: key.ID}.Digest(), "keys of different callers must differ")
 }
 
-// BenchmarkApply gives time and memory per claim; the slope of bytes/key over
-// the sizes is what CAPACITY.md uses.
+// BenchmarkApply measures time and memory per claim. CAPACITY.md uses the slope of
+// bytes/key over the sizes.
 func BenchmarkApply(b *testing.B) {
 	for _, keys := range []int{10_000, 100_000} {
 		b.Run(fmt.Sprintf("keys=%d", keys), func(b *testing.B) {
@@ -263,12 +260,12 @@
 			b.ReportAllocs()
 			var held uint64
 			for b.Loop() {
-				before := heap()
-				s := New(terms)
+				before := liveHeapBytes()
+				s := New(limits)
 				for _, rec := range records {
 					s.Apply(rec)
 				}
-				held = heap() - before
+				held = liveHeapBytes() - before
 				if s.Len() != keys {
 					b.Fatal(s.Len())
 				}
