--- a/capacity/decide_test.go
+++ b/capacity/decide_test.go
@@ -193,7 +193,7 @@
 	var runs []straggle.RunID
 	for _, a := range plan.Next(0, slices.Clone(view)) {
 		runs = append(runs, a.Run)
-		plan.Begin(a.Run, 0)
+		plan.Started(a.Run, 0)
 		plan.Observe(a.Run, 8, 1, 1, 500*time.Millisecond)
 	}
 	for i := range view {
--- a/decide/straggle/group.go
+++ b/decide/straggle/group.go
@@ -9,141 +9,141 @@
 // late already, and the first sample of a group is its probe, where the trainer
 // has no guess of its length.
 const (
-	probeBonus = 1 << 32
-	againBonus = 1 << 40
+	probeBonus    = 1 << 32
+	requeuedBonus = 1 << 40
 )
 
 type group struct {
 	Group
-	index   int
-	waiting []int // never started, by index
-	again   []int // lost and queued again
-	done    []int // lengths of finished samples
-	sum     int   // of done
-	live    int   // tokens that running samples have made
-	probed  bool
-	key     float64
-	pos     int // in the heap; -1: not in it
+	index           int
+	unstarted       []int // never started, by index
+	requeued        []int // lost and queued again
+	finishedLengths []int // lengths of finished samples
+	finishedTokens  int   // of done
+	liveTokens      int   // tokens that running samples have made
+	probeStarted    bool
+	priority        float64
+	heapIndex       int // in the heap; -1: not in it
 }
 
-func (g *group) finish(tokens int) {
-	g.done = append(g.done, tokens)
-	g.sum += tokens
+func (g *group) addFinished(tokens int) {
+	g.finishedLengths = append(g.finishedLengths, tokens)
+	g.finishedTokens += tokens
 }
 
-func (g *group) drop(index int) {
+func (g *group) remove(index int) {
 	same := func(i int) bool { return i == index }
-	g.waiting = slices.DeleteFunc(g.waiting, same)
-	g.again = slices.DeleteFunc(g.again, same)
+	g.unstarted = slices.DeleteFunc(g.unstarted, same)
+	g.requeued = slices.DeleteFunc(g.requeued, same)
 }
 
-// pop takes the group's next sample: of the lost ones, which are late already,
+// nextSample takes the group's next sample: of the lost ones, which are late already,
 // the one that has made the least.
-func (p *Plan) pop(g *group) int {
-	g.probed = true
-	at := -1
-	for i, index := range g.again {
-		if at < 0 || p.samples[index].kept < p.samples[g.again[at]].kept {
-			at = i
+func (p *Plan) nextSample(g *group) int {
+	g.probeStarted = true
+	best := -1
+	for i, index := range g.requeued {
+		if best < 0 || p.samples[index].resumableTokens < p.samples[g.requeued[best]].resumableTokens {
+			best = i
 		}
 	}
-	if at >= 0 {
-		index := g.again[at]
-		g.again = slices.Delete(g.again, at, at+1)
+	if best >= 0 {
+		index := g.requeued[best]
+		g.requeued = slices.Delete(g.requeued, best, best+1)
 		return index
 	}
-	index := g.waiting[0]
-	g.waiting = g.waiting[1:]
+	index := g.unstarted[0]
+	g.unstarted = g.unstarted[1:]
 	return index
 }
 
-// priority is the group's place in the queue: the predicted length of its
+// computePriority is the group's place in the queue: the predicted length of its
 // next sample, with probes and lost samples ahead.
-func (p *Plan) priority(g *group) float64 {
+func (p *Plan) computePriority(g *group) float64 {
 	if p.cfg.Baseline || p.cfg.NoLongestFirst {
-		if len(g.again) > 0 {
-			return againBonus
+		if len(g.requeued) > 0 {
+			return requeuedBonus
 		}
 		return float64(-g.index)
 	}
-	key := p.length(g)
-	if len(g.again) > 0 {
-		return key + againBonus
+	key := p.predictLength(g)
+	if len(g.requeued) > 0 {
+		return key + requeuedBonus
 	}
-	if !g.probed && g.Hint == 0 {
+	if !g.probeStarted && g.Hint == 0 {
 		return key + probeBonus
 	}
 	return key
 }
 
-// length predicts the length of a sample of the group that hasn't begun.
+// predictLength predicts the predictLength of a sample of the group that hasn't begun.
 //
 // The first siblings to finish are the short ones, so a mean over finished
 // samples alone would call every group short. The tokens of running siblings
 // count too, without their number: the estimate for censored lifetimes. The
 // trainer's hint, or else the step's mean, counts as one more sample.
-func (p *Plan) length(g *group) float64 {
+func (p *Plan) predictLength(g *group) float64 {
 	prior := float64(g.Hint)
 	if prior == 0 {
-		prior = p.mean()
+		prior = p.meanLength()
 	}
 	if prior == 0 {
 		prior = float64(g.MaxTokens) / unknownLengthDivisor
 	}
-	guess := (prior + float64(g.sum+g.live)) / float64(1+len(g.done))
-	return min(guess, float64(g.MaxTokens))
+	estimate := (prior + float64(g.finishedTokens+g.liveTokens)) / float64(1+len(g.finishedLengths))
+	return min(estimate, float64(g.MaxTokens))
 }
 
-// mean estimates the mean length of the step's samples; 0: nothing is known.
-func (p *Plan) mean() float64 {
-	if p.lengths.n == 0 {
+// meanLength estimates the meanLength length of the step's samples; 0: nothing is known.
+func (p *Plan) meanLength() float64 {
+	if p.lengthHistogram.samples == 0 {
 		return 0
 	}
-	return float64(p.lengths.sum+p.live) / float64(p.lengths.n)
+	return float64(p.lengthHistogram.tokens+p.liveTokens) / float64(p.lengthHistogram.samples)
 }
 
-// recount takes up what running samples have made and puts the queue in order
+// updateLiveTokens takes up what running samples have made and puts the queue in order
 // by it.
-func (p *Plan) recount() {
-	p.live = 0
+func (p *Plan) updateLiveTokens() {
+	p.liveTokens = 0
 	for _, g := range p.groups {
-		g.live = 0
+		g.liveTokens = 0
 	}
 	for _, r := range p.runs {
-		p.live += r.tokens
-		p.groups[p.samples[r.sample].group].live += r.tokens
+		p.liveTokens += r.tokens
+		p.groups[p.samples[r.sample].group].liveTokens += r.tokens
 	}
-	for _, g := range p.order {
-		g.key = p.priority(g)
+	for _, g := range p.queue {
+		g.priority = p.computePriority(g)
 	}
-	heap.Init(&p.order)
+	heap.Init(&p.queue)
 }
 
-// remaining predicts how many tokens a stream that made `made` still makes. A
+// predictRemaining predicts how many tokens a stream that made `made` still makes. A
 // stream that outlived its siblings is predicted by those of the whole step
 // that were longer still; one that outlived all, by a half of its length (the
 // mean excess of a heavy tail).
-func (p *Plan) remaining(g *group, made int) float64 {
-	room := float64(max(1, g.MaxTokens-made))
-	if made == 0 {
-		return min(p.length(g), room)
+func (p *Plan) predictRemaining(g *group, generated int) float64 {
+	limit := float64(max(1, g.MaxTokens-generated))
+	if generated == 0 {
+		return min(p.predictLength(g), limit)
 	}
-	if mean, ok := meanAbove(g.done, made); ok {
-		return min(mean-float64(made), room)
+	if mean, ok := meanAbove(g.finishedLengths, generated); ok {
+		return min(mean-float64(generated), limit)
 	}
-	if guess := p.length(g); guess > float64(made) {
-		return min(guess-float64(made), room)
+	if estimate := p.predictLength(g); estimate > float64(generated) {
+		return min(estimate-float64(generated), limit)
 	}
-	if mean, ok := p.lengths.meanAbove(made); ok {
-		return min(mean-float64(made), room)
+	if mean, ok := p.lengthHistogram.meanAbove(generated); ok {
+		return min(mean-float64(generated), limit)
 	}
-	return min(max(1, float64(made)/2), room)
+	return min(max(1, float64(generated)/2), limit)
 }
 
-func meanAbove(lengths []int, floor int) (float64, bool) {
+func meanAbove(lengths []int, above int) (float64, bool) {
 	n, sum := 0, 0
 	for _, l := range lengths {
-		if l > floor {
+		if l > above {
 			n++
 			sum += l
 		}
@@ -156,15 +156,15 @@
 
 const lengthBuckets = 80
 
-// lengths is a histogram of the step's finished lengths, in buckets of a
+// lengthHistogram is a histogram of the step's finished lengthHistogram, in buckets of a
 // quarter of a power of two.
-type lengths struct {
-	n, sum int
-	count  [lengthBuckets]int
-	total  [lengthBuckets]int
+type lengthHistogram struct {
+	samples, tokens int
+	bucketSamples   [lengthBuckets]int
+	bucketTokens    [lengthBuckets]int
 }
 
-func bucketOf(tokens int) int {
+func lengthBucket(tokens int) int {
 	b := 0
 	for tokens >= 8 {
 		tokens >>= 1
@@ -173,20 +173,20 @@
 	return min(b+tokens, lengthBuckets-1)
 }
 
-func (l *lengths) add(tokens int) {
-	b := bucketOf(tokens)
-	l.n++
-	l.sum += tokens
-	l.count[b]++
-	l.total[b] += tokens
+func (l *lengthHistogram) add(tokens int) {
+	b := lengthBucket(tokens)
+	l.samples++
+	l.tokens += tokens
+	l.bucketSamples[b]++
+	l.bucketTokens[b] += tokens
 }
 
 // meanAbove averages the lengths in buckets above that of made.
-func (l *lengths) meanAbove(made int) (float64, bool) {
+func (l *lengthHistogram) meanAbove(generated int) (float64, bool) {
 	n, sum := 0, 0
-	for b := bucketOf(made) + 1; b < lengthBuckets; b++ {
-		n += l.count[b]
-		sum += l.total[b]
+	for b := lengthBucket(generated) + 1; b < lengthBuckets; b++ {
+		n += l.bucketSamples[b]
+		sum += l.bucketTokens[b]
 	}
 	if n == 0 {
 		return 0, false
@@ -199,18 +199,18 @@
 
 func (h groupHeap) Len() int { return len(h) }
 func (h groupHeap) Less(i, j int) bool {
-	if h[i].key != h[j].key {
-		return h[i].key > h[j].key
+	if h[i].priority != h[j].priority {
+		return h[i].priority > h[j].priority
 	}
 	return h[i].index < h[j].index
 }
 func (h groupHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].pos, h[j].pos = i, j
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
 func (h *groupHeap) Push(x any) {
 	g := x.(*group)
-	g.pos = len(*h)
+	g.heapIndex = len(*h)
 	*h = append(*h, g)
 }
 func (h *groupHeap) Pop() any {
@@ -218,6 +218,6 @@
 	g := old[len(old)-1]
 	old[len(old)-1] = nil
 	*h = old[:len(old)-1]
-	g.pos = -1
+	g.heapIndex = -1
 	return g
 }
--- a/decide/straggle/next.go
+++ b/decide/straggle/next.go
@@ -7,79 +7,79 @@
 )
 
 const (
-	loadBound      = 1.25 // a server may hold so much of the mean before its siblings spill
-	equallyUrgent  = 0.8  // of the most urgent group's predicted length, for a group with a warm prefix
-	lonelyPatience = 10   // times the limit, where there is nowhere else to go
+	loadBoundFactor      = 1.25 // a server may hold so much of the mean before its siblings spill
+	similarPriorityRatio = 0.8  // of the most urgent group's predicted length, for a group with a warm prefix
+	noAlternativeFactor  = 10   // times the limit, where there is nowhere else to go
 )
 
 // Next returns what is to be done now. servers may be reordered in place by
 // nobody else meanwhile; the plan keeps no reference to it.
 func (p *Plan) Next(now time.Duration, servers []Server) []Action {
-	if now-p.called > p.cfg.MinStall {
+	if now-p.lastNextAt > p.cfg.MinStallTimeout {
 		// The caller stood still (a paused process). Chunks wait unread in its
 		// sockets: its silence must not be taken for the engines'.
-		p.thawed = now
+		p.resumedAt = now
 	}
-	p.called = now
-	p.wake(now)
+	p.lastNextAt = now
+	p.requeueDelayed(now)
 	var acts []Action
-	if p.Due(now) {
-		p.ticked = now
-		acts = p.tick(now, servers)
+	if p.MeasurementDue(now) {
+		p.measuredAt = now
+		acts = p.checkRuns(now, servers)
 	}
-	pool := p.usable(now, servers)
-	acts = append(acts, p.evacuate(now, servers, pool)...)
-	acts = append(acts, p.fill(now, pool)...)
-	return append(acts, p.tail(now, pool)...)
+	pool := p.usableServers(now, servers)
+	acts = append(acts, p.moveOffLeaving(now, servers, pool)...)
+	acts = append(acts, p.startQueued(now, pool)...)
+	return append(acts, p.speedUpTail(now, pool)...)
 }
 
-// Due tells whether the next call of Next measures, so that Observe is of use
+// MeasurementDue tells whether the next call of Next measures, so that Observe is of use
 // before it. The interval grows with the runs: a measurement looks at each, and
 // many of them at each tick would cost the owner of a step its processor.
-func (p *Plan) Due(now time.Duration) bool {
-	return now-p.ticked >= max(measureEvery, time.Duration(len(p.runs))*measurePerRun)
+func (p *Plan) MeasurementDue(now time.Duration) bool {
+	return now-p.measuredAt >= max(measureInterval, time.Duration(len(p.runs))*measureIntervalPerRun)
 }
 
-func (p *Plan) tick(now time.Duration, servers []Server) []Action {
+func (p *Plan) checkRuns(now time.Duration, servers []Server) []Action {
 	ids := slices.Sorted(maps.Keys(p.runs))
 	p.measure(ids, servers)
-	p.recount()
+	p.updateLiveTokens()
 	byName := make(map[string]*Server, len(servers))
 	for i := range servers {
 		byName[servers[i].Name] = &servers[i]
 	}
-	acts := p.replaced(ids, now)
-	acts = append(acts, p.stalled(ids, now, byName)...)
-	return append(acts, p.overspent(ids, now)...)
+	acts := p.cancelMoved(ids, now)
+	acts = append(acts, p.cancelStalled(ids, now, byName)...)
+	return append(acts, p.cancelOverBudget(ids, now)...)
 }
 
-// replaced ends the runs whose move has begun to make tokens elsewhere.
-func (p *Plan) replaced(ids []RunID, now time.Duration) []Action {
+// cancelMoved ends the runs whose move has begun to make tokens elsewhere.
+func (p *Plan) cancelMoved(ids []RunID, now time.Duration) []Action {
 	var acts []Action
 	for _, id := range ids {
 		r := p.runs[id]
-		if r == nil || !r.moving || r.chunks == 0 {
+		if r == nil || !r.replacesParent || r.chunks == 0 {
 			continue
 		}
-		r.moving = false
+		r.replacesParent = false
 		if old := p.runs[r.parent]; old != nil {
-			acts = append(acts, p.writeOff(old, now, "moved"))
+			acts = append(acts, p.abandon(old, now, "moved"))
 		}
 	}
 	return acts
 }
 
-// writeOff gives a run up; its sample goes on in another copy or is queued.
-func (p *Plan) writeOff(r *run, now time.Duration, why string) Action {
-	a := Action{Kind: Cancel, Run: r.id, Sample: r.sample, Server: r.server, Why: why}
+// abandon gives a run up; its sample goes on in another copy or is queued.
+func (p *Plan) abandon(r *run, now time.Duration, reason string) Action {
+	a := Action{Kind: Cancel, Run: r.id, Sample: r.sample, Server: r.server, Reason: reason}
 	p.Lost(r.id, r.tokens, 0, now)
 	return a
 }
 
-// stalled gives up streams that went silent. An engine that froze keeps its
+// cancelStalled gives up streams that went silent. An engine that froze keeps its
 // connections open and its agent may report it ready: only the missing
 // progress tells, and each silent second is one of the trainer's.
-func (p *Plan) stalled(ids []RunID, now time.Duration, byName map[string]*Server) []Action {
+func (p *Plan) cancelStalled(ids []RunID, now time.Duration, byName map[string]*Server) []Action {
 	var acts []Action
 	for _, id := range ids {
 		r := p.runs[id]
@@ -90,80 +90,80 @@
 		if s == nil {
 			s = &Server{Name: r.server}
 		}
-		if now-max(r.last, p.thawed) <= p.patience(r, s, byName) {
+		if now-max(r.lastChunkAt, p.resumedAt) <= p.runStallTimeout(r, s, byName) {
 			continue
 		}
-		why := NoProgress
-		if p.waitsItsTurn(r) {
-			why = "a slot is free elsewhere"
-		} else if st := p.server(r.server); st.alive <= r.last {
-			st.strike(now)
+		reason := ReasonNoProgress
+		if p.isWaitingForSlot(r) {
+			reason = "a slot is free elsewhere"
+		} else if st := p.server(r.server); st.lastProgressAt <= r.lastChunkAt {
+			st.exclude(now)
 		}
 		p.stats.Stalls++
 		p.samples[r.sample].stalls++
-		acts = append(acts, p.writeOff(r, now, why))
+		acts = append(acts, p.abandon(r, now, reason))
 	}
 	return acts
 }
 
-// waitsItsTurn tells whether a silent run waits for a slot at a server that
+// isWaitingForSlot tells whether a silent run waits for a slot at a server that
 // goes on with others. To call that a failure of the server would have healthy
 // ones ejected whenever they are full.
-func (p *Plan) waitsItsTurn(r *run) bool {
-	return r.chunks == 0 && p.server(r.server).alive > r.began
+func (p *Plan) isWaitingForSlot(r *run) bool {
+	return r.chunks == 0 && p.server(r.server).lastProgressAt > r.startedAt
 }
 
-// patience is how long a run may be silent.
-func (p *Plan) patience(r *run, s *Server, byName map[string]*Server) time.Duration {
-	limit := p.stallLimit(s)
+// runStallTimeout is how long a run may be silent.
+func (p *Plan) runStallTimeout(r *run, s *Server, byName map[string]*Server) time.Duration {
+	limit := p.serverStallTimeout(s)
 	if r.chunks == 0 {
-		limit = max(limit, p.cfg.FirstChunk)
-		if p.waitsItsTurn(r) {
+		limit = max(limit, p.cfg.FirstChunkTimeout)
+		if p.isWaitingForSlot(r) {
 			// It is worth a new place only where a slot is free.
-			limit = p.stallLimit(s)
-			if !freeElsewhere(byName, r.server) {
-				limit *= lonelyPatience
+			limit = p.serverStallTimeout(s)
+			if !hasFreeSlotElsewhere(byName, r.server) {
+				limit *= noAlternativeFactor
 			}
 		}
 	}
-	if p.cfg.Baseline || !others(byName, r.server) {
-		limit *= lonelyPatience
+	if p.cfg.Baseline || !hasOtherServer(byName, r.server) {
+		limit *= noAlternativeFactor
 	}
 	// Engines may be slower than all that was seen of them. Without a patience
 	// that grows with each try a sample would be given up for ever.
 	return limit << min(p.samples[r.sample].stalls, maxStallDoublings)
 }
 
-// others tells whether there is any server but one. That one may have left the
+// hasOtherServer tells whether there is any server but one. That one may have left the
 // list already: a silent agent is no longer offered, and were it counted, its
 // samples would wait ten times as long beside the one server that is well.
-func others(byName map[string]*Server, but string) bool {
-	if _, listed := byName[but]; listed {
+func hasOtherServer(byName map[string]*Server, except string) bool {
+	if _, listed := byName[except]; listed {
 		return len(byName) > 1
 	}
 	return len(byName) > 0
 }
 
-func freeElsewhere(byName map[string]*Server, but string) bool {
+func hasFreeSlotElsewhere(byName map[string]*Server, except string) bool {
 	for name, s := range byName {
-		if name != but && s.Free > 0 && !s.Waits && !s.Swapping {
+		if name != except && s.Free > 0 && !s.SlotsFull && !s.Swapping {
 			return true
 		}
 	}
 	return false
 }
 
-// usable returns the servers that may get work: not the suspect ones, nor
+// usableServers returns the servers that may get work: not the suspect ones, nor
 // those in a weight swap, unless there are no others.
-func (p *Plan) usable(now time.Duration, servers []Server) []Server {
+func (p *Plan) usableServers(now time.Duration, servers []Server) []Server {
 	pool := make([]Server, 0, len(servers))
 	for _, s := range servers {
 		st := p.server(s.Name)
-		if s.Leaving || s.Swapping || st.suspects > now {
+		if s.Leaving || s.Swapping || st.excludedUntil > now {
 			continue
 		}
-		if st.strikes > 0 {
-			s.Free = min(s.Free, max(0, 1-st.mine)) // one probe
+		if st.stalls > 0 {
+			s.Free = min(s.Free, max(0, 1-st.ownRuns)) // one probe
 		}
 		pool = append(pool, s)
 	}
@@ -178,86 +178,86 @@
 	return pool
 }
 
-// fill starts queued samples while there are slots.
-func (p *Plan) fill(now time.Duration, pool []Server) []Action {
+// startQueued starts queued samples while there are slots.
+func (p *Plan) startQueued(now time.Duration, pool []Server) []Action {
 	var acts []Action
-	for p.order.Len() > 0 {
-		g := p.order[0]
-		s := p.pick(g, pool)
+	for p.queue.Len() > 0 {
+		g := p.queue[0]
+		s := p.pickServer(g, pool)
 		if s == nil {
 			break
 		}
-		why := "longest predicted first"
-		if p.slow(s) && len(g.again) == 0 {
-			g = p.shortest()
-			why = "short sample for a slow server"
-		} else if h := p.warm(g, s); h != g {
+		reason := "longest predicted first"
+		if p.isSlow(s) && len(g.requeued) == 0 {
+			g = p.shortestGroup()
+			reason = "short sample for a slow server"
+		} else if h := p.warmGroup(g, s); h != g {
 			g = h
-			why = "warm prefix"
+			reason = "warm prefix"
 		}
-		index := p.pop(g)
-		p.rekey(g)
-		p.server(s.Name).computed(g.index)
-		acts = append(acts, p.begin(Start, index, s.Name, nil, now, why))
+		index := p.nextSample(g)
+		p.updateQueue(g)
+		p.server(s.Name).addWarmGroup(g.index)
+		acts = append(acts, p.addRun(Start, index, s.Name, nil, now, reason))
 		s.Free--
 		s.Running++
 	}
 	return acts
 }
 
-// warm returns a group that is about as urgent as g and whose prefix s computed
+// warmGroup returns a group that is about as urgent as g and whose prefix s computed
 // lately; g where there is none. Late binding fills the one slot that is free,
 // so that the choice is among groups and not among servers.
-func (p *Plan) warm(g *group, s *Server) *group {
+func (p *Plan) warmGroup(g *group, s *Server) *group {
 	if p.cfg.Baseline || p.cfg.NoAffinity {
 		return g
 	}
-	recent := p.server(s.Name).recent
+	recent := p.server(s.Name).warmGroups
 	for i := len(recent) - 1; i >= 0; i-- {
-		if h := p.groups[recent[i]]; h.pos >= 0 && h.key >= equallyUrgent*g.key {
+		if h := p.groups[recent[i]]; h.heapIndex >= 0 && h.priority >= similarPriorityRatio*g.priority {
 			return h
 		}
 	}
 	return g
 }
 
-func (p *Plan) slow(s *Server) bool {
+func (p *Plan) isSlow(s *Server) bool {
 	speed := p.server(s.Name).speed
-	return !p.cfg.Baseline && !p.cfg.NoLongestFirst && speed > 0 && speed < slowServer
+	return !p.cfg.Baseline && !p.cfg.NoLongestFirst && speed > 0 && speed < slowServerSpeed
 }
 
-// shortest returns the queued group that is predicted to be shortest.
-func (p *Plan) shortest() *group {
-	return slices.MinFunc(p.order, func(a, b *group) int {
+// shortestGroup returns the queued group that is predicted to be shortestGroup.
+func (p *Plan) shortestGroup() *group {
+	return slices.MinFunc(p.queue, func(a, b *group) int {
 		switch {
-		case a.key < b.key:
+		case a.priority < b.priority:
 			return -1
-		case a.key > b.key:
+		case a.priority > b.priority:
 			return 1
 		}
 		return a.index - b.index
 	})
 }
 
-// pick chooses the server for a sample of the group; nil: no slot.
-func (p *Plan) pick(g *group, pool []Server) *Server {
+// pickServer chooses the server for a sample of the group; nil: no slot.
+func (p *Plan) pickServer(g *group, pool []Server) *Server {
 	if len(pool) == 0 {
 		return nil
 	}
 	if p.cfg.Baseline {
-		p.robin++
-		return &pool[p.robin%len(pool)]
+		p.roundRobin++
+		return &pool[p.roundRobin%len(pool)]
 	}
 	if !p.cfg.PreferNew || sameVersion(pool) {
-		bound := p.bound(pool)
-		if s := p.best(g, pool, func(s *Server) bool { return !s.Waits && s.Running < bound }); s != nil {
+		bound := p.maxRunningPerServer(pool)
+		if s := p.bestServer(g, pool, func(s *Server) bool { return !s.SlotsFull && s.Running < bound }); s != nil {
 			return s
 		}
 	}
-	if s := p.best(g, pool, func(s *Server) bool { return !s.Waits }); s != nil {
+	if s := p.bestServer(g, pool, func(s *Server) bool { return !s.SlotsFull }); s != nil {
 		return s
 	}
-	return p.best(g, pool, func(*Server) bool { return true })
+	return p.bestServer(g, pool, func(*Server) bool { return true })
 }
 
 func sameVersion(pool []Server) bool {
@@ -269,72 +269,72 @@
 	return true
 }
 
-func (p *Plan) bound(pool []Server) int {
+func (p *Plan) maxRunningPerServer(pool []Server) int {
 	total := 1
 	for i := range pool {
 		total += pool[i].Running
 	}
-	return int(loadBound*float64(total)/float64(len(pool))) + 1
+	return int(loadBoundFactor*float64(total)/float64(len(pool))) + 1
 }
 
-// best returns, among the servers that are wanted and whose predicted finish is
+// bestServer returns, among the servers that are wanted and whose predicted finish is
 // about the earliest, the first in the prompt's rendezvous order: siblings
 // meet on one warm prefix as long as it costs them no time.
-func (p *Plan) best(g *group, pool []Server, wanted func(*Server) bool) *Server {
-	var top float64
+func (p *Plan) bestServer(g *group, pool []Server, wanted func(*Server) bool) *Server {
+	var bestRate float64
 	var newest uint64
-	open := func(s *Server) bool {
+	eligible := func(s *Server) bool {
 		return (s.Free > 0 || p.cfg.NoLateBinding) && wanted(s)
 	}
 	for i := range pool {
-		if s := &pool[i]; open(s) {
-			top = max(top, p.rate(s, s.Running+1))
+		if s := &pool[i]; eligible(s) {
+			bestRate = max(bestRate, p.rate(s, s.Running+1))
 			newest = max(newest, s.Version)
 		}
 	}
-	old := func(s *Server) bool { return p.cfg.PreferNew && s.Version < newest }
-	var best *Server
+	outdated := func(s *Server) bool { return p.cfg.PreferNew && s.Version < newest }
+	var bestServer *Server
 	var rank uint64
 	for i := range pool {
 		s := &pool[i]
-		if !open(s) || old(s) || p.rate(s, s.Running+1)*equalFinish < top {
+		if !eligible(s) || outdated(s) || p.rate(s, s.Running+1)*similarRateFactor < bestRate {
 			continue
 		}
 		if p.cfg.NoAffinity {
-			if best == nil || s.Running < best.Running {
-				best = s
+			if bestServer == nil || s.Running < bestServer.Running {
+				bestServer = s
 			}
 			continue
 		}
-		if r := rendezvous(g.Prefix, p.server(s.Name).hash); best == nil || r > rank {
-			best, rank = s, r
+		if r := rendezvousRank(g.Prefix, p.server(s.Name).hash); bestServer == nil || r > rank {
+			bestServer, rank = s, r
 		}
 	}
-	if best == nil && newest > 0 && p.cfg.PreferNew {
-		return p.anyOpen(pool, open)
+	if bestServer == nil && newest > 0 && p.cfg.PreferNew {
+		return p.fastestEligible(pool, eligible)
 	}
-	return best
+	return bestServer
 }
 
-// anyOpen returns the open server that one more stream would run fastest on:
+// fastestEligible returns the open server that one more stream would run fastest on:
 // the newest weights are at none of the fast ones.
-func (p *Plan) anyOpen(pool []Server, open func(*Server) bool) *Server {
+func (p *Plan) fastestEligible(pool []Server, eligible func(*Server) bool) *Server {
 	var best *Server
-	var top float64
+	var bestRate float64
 	for i := range pool {
 		s := &pool[i]
-		if !open(s) {
+		if !eligible(s) {
 			continue
 		}
-		if rate := p.rate(s, s.Running+1); best == nil || rate > top {
-			best, top = s, rate
+		if rate := p.rate(s, s.Running+1); best == nil || rate > bestRate {
+			best, bestRate = s, rate
 		}
 	}
 	return best
 }
 
-// rendezvous mixes two hashes to a rank (the finalizer of splitmix64).
-func rendezvous(prefix, server uint64) uint64 {
+// rendezvousRank mixes two hashes to a rank (the finalizer of splitmix64).
+func rendezvousRank(prefix, server uint64) uint64 {
 	x := prefix ^ (server * 0x9e3779b97f4a7c15)
 	x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9
 	x = (x ^ (x >> 27)) * 0x94d049bb133111eb
--- a/decide/straggle/plan.go
+++ b/decide/straggle/plan.go
@@ -14,57 +14,57 @@
 )
 
 type sample struct {
-	group     int
-	phase     phase
-	notBefore time.Duration // backoff: not started before
-	kept      int           // tokens of a lost run that can be resumed
-	tokens    int           // length once finished
-	moves     int
-	stalls    int
-	runs      []*run
+	group           int
+	phase           phase
+	notBefore       time.Duration // backoff: not started before
+	resumableTokens int           // tokens of a lost run that can be resumed
+	tokens          int           // length once finished
+	moves           int
+	stalls          int
+	runs            []*run
 }
 
 type run struct {
-	id      RunID
-	sample  int
-	server  string
-	parent  RunID // the run that it hedges or replaces
-	hedge   bool
-	moving  bool // replaces parent as soon as it makes tokens
-	base    int  // tokens taken over at its begin
-	forked  int  // parent's tokens when it began
-	tokens  int  // with base
-	chunks  int
-	version uint64 // of the last chunk
-	began   time.Duration
-	last    time.Duration // last chunk; began before the first
-	rate    float64       // smoothed tokens/s
-	seen    int           // tokens at the last measurement
-	seenAt  time.Duration
-	seenCh  int
-	reserve int // hedge budget held
+	id             RunID
+	sample         int
+	server         string
+	parent         RunID // the run that it hedges or replaces
+	isHedge        bool
+	replacesParent bool // replaces parent as soon as it makes tokens
+	resumedTokens  int  // tokens taken over at its begin
+	parentTokens   int  // parent's tokens when it began
+	tokens         int  // with base
+	chunks         int
+	version        uint64 // of the last chunk
+	startedAt      time.Duration
+	lastChunkAt    time.Duration // last chunk; began before the first
+	rate           float64       // smoothed tokens/s
+	measuredTokens int           // tokens at the last measurement
+	measuredAt     time.Duration
+	measuredChunks int
+	reservedTokens int // hedge budget held
 }
 
 // Plan is the state of one step's samples. Not safe for concurrent use.
 type Plan struct {
-	cfg     Config
-	groups  []*group
-	samples []sample
-	runs    map[RunID]*run
-	nextRun RunID
-	order   groupHeap
-	delayed []int // queued samples under backoff
-	lengths lengths
-	live    int // tokens that running samples have made
-	rates   rates
-	called  time.Duration // the last Next
-	thawed  time.Duration // when Next came after a long silence of the caller
-	gap     float64       // usual time between chunks, in s
-	robin   int
-	stats   Stats
-	servers map[string]*serverState
-	ticked  time.Duration // last measurement
-	hedged  int           // hedge budget held by running copies
+	cfg             Config
+	groups          []*group
+	samples         []sample
+	runs            map[RunID]*run
+	lastRunID       RunID
+	queue           groupHeap
+	delayed         []int // queued samples under backoff
+	lengthHistogram lengthHistogram
+	liveTokens      int // tokens that running samples have made
+	rates           rates
+	lastNextAt      time.Duration // the last Next
+	resumedAt       time.Duration // when Next came after a long silence of the caller
+	chunkGap        float64       // usual time between chunks, in s
+	roundRobin      int
+	stats           Stats
+	servers         map[string]*serverState
+	measuredAt      time.Duration // last measurement
+	hedgeReserved   int           // hedge budget held by running copies
 }
 
 // New plans a step. Samples are numbered through, group by group.
@@ -75,20 +75,20 @@
 		servers: map[string]*serverState{},
 	}
 	for i, g := range groups {
-		added := &group{Group: g, index: i, pos: -1}
+		added := &group{Group: g, index: i, heapIndex: -1}
 		for range g.Samples {
-			added.waiting = append(added.waiting, len(p.samples))
+			added.unstarted = append(added.unstarted, len(p.samples))
 			p.samples = append(p.samples, sample{group: i})
 		}
 		p.groups = append(p.groups, added)
-		p.rekey(added)
+		p.updateQueue(added)
 	}
 	p.stats.Queued = len(p.samples)
 	return p
 }
 
-// SetTerms changes what a new manifest revision changed.
-func (p *Plan) SetTerms(mixed bool, hedgePercent float64) {
+// UpdateSettings changes what a new manifest revision changed.
+func (p *Plan) UpdateSettings(mixed bool, hedgePercent float64) {
 	p.cfg.Mixed, p.cfg.HedgePercent = mixed, hedgePercent
 }
 
@@ -98,21 +98,21 @@
 // Stats returns the counts so far.
 func (p *Plan) Stats() Stats { return p.stats }
 
-// Kept returns how many tokens of a lost run the sample may resume from.
-func (p *Plan) Kept(sample int) int { return p.samples[sample].kept }
+// ResumableTokens returns how many tokens of a lost run the sample may resume from.
+func (p *Plan) ResumableTokens(sample int) int { return p.samples[sample].resumableTokens }
 
-// Begin tells from how many taken-over tokens a run starts.
-func (p *Plan) Begin(id RunID, base int) {
+// Started tells from how many taken-over tokens a run starts.
+func (p *Plan) Started(id RunID, base int) {
 	r := p.runs[id]
 	if r == nil {
 		return
 	}
 	s := &p.samples[r.sample]
 	if r.parent == 0 {
-		p.stats.Wasted += max(0, s.kept-base)
-		s.kept = 0
+		p.stats.Wasted += max(0, s.resumableTokens-base)
+		s.resumableTokens = 0
 	}
-	r.base, r.tokens, r.seen = base, base, base
+	r.resumedTokens, r.tokens, r.measuredTokens = base, base, base
 }
 
 // Observe tells a run's progress: tokens (with the taken-over ones) and
@@ -123,10 +123,10 @@
 		return
 	}
 	if r.chunks == 0 {
-		r.seen, r.seenCh, r.seenAt = max(tokens, r.tokens), chunks, last
+		r.measuredTokens, r.measuredChunks, r.measuredAt = max(tokens, r.tokens), chunks, last
 	}
-	r.tokens, r.chunks, r.version, r.last = max(tokens, r.tokens), chunks, version, last
-	p.server(r.server).progress(last)
+	r.tokens, r.chunks, r.version, r.lastChunkAt = max(tokens, r.tokens), chunks, version, last
+	p.server(r.server).recordProgress(last)
 }
 
 // Finished tells that a run completed its sample with that many tokens. It
@@ -136,78 +136,78 @@
 	if r == nil {
 		return false, nil
 	}
-	r.tokens = max(tokens, r.base)
-	r.last = now
-	p.server(r.server).progress(now)
-	return true, p.settle(r.sample, r, tokens)
+	r.tokens = max(tokens, r.resumedTokens)
+	r.lastChunkAt = now
+	p.server(r.server).recordProgress(now)
+	return true, p.finishSample(r.sample, r, tokens)
 }
 
-// Adopt tells that a sample was found finished elsewhere. It reports whether
+// FinishedElsewhere tells that a sample was found finished elsewhere. It reports whether
 // the sample was still open, and which runs lost.
-func (p *Plan) Adopt(sample, tokens int) (won bool, cancel []Action) {
+func (p *Plan) FinishedElsewhere(sample, tokens int) (won bool, cancel []Action) {
 	if p.samples[sample].phase == finished {
 		return false, nil
 	}
-	return true, p.settle(sample, nil, tokens)
+	return true, p.finishSample(sample, nil, tokens)
 }
 
-// settle finishes a sample; winner is nil when the result came from elsewhere.
-func (p *Plan) settle(index int, winner *run, tokens int) []Action {
+// finishSample finishes a sample; winner is nil when the result came from elsewhere.
+func (p *Plan) finishSample(index int, winner *run, tokens int) []Action {
 	s := &p.samples[index]
 	var cancel []Action
 	for _, r := range s.runs {
 		if r == winner {
 			continue
 		}
-		p.waste(r, usedOf(r, winner))
-		cancel = append(cancel, Action{Kind: Cancel, Run: r.id, Sample: index, Server: r.server, Why: "another copy finished first"})
-		p.forget(r)
+		p.recordWaste(r, reusedTokens(r, winner))
+		cancel = append(cancel, Action{Kind: Cancel, Run: r.id, Sample: index, Server: r.server, Reason: "another copy finished first"})
+		p.removeRun(r)
 	}
 	if winner != nil {
-		p.forget(winner)
+		p.removeRun(winner)
 	}
 	if s.phase == queued {
-		p.groups[s.group].drop(index)
+		p.groups[s.group].remove(index)
 	}
-	p.enter(s, finished)
+	p.setPhase(s, finished)
 	s.runs, s.tokens = nil, tokens
 	p.stats.Tokens += tokens
-	p.lengths.add(tokens)
-	p.groups[s.group].finish(tokens)
-	p.rekey(p.groups[s.group])
+	p.lengthHistogram.add(tokens)
+	p.groups[s.group].addFinished(tokens)
+	p.updateQueue(p.groups[s.group])
 	return cancel
 }
 
-// usedOf returns how many of r's tokens live on in the winner.
-func usedOf(r, winner *run) int {
+// reusedTokens returns how many of r's tokens live on in the winner.
+func reusedTokens(r, winner *run) int {
 	if winner != nil && winner.parent == r.id {
-		return winner.base
+		return winner.resumedTokens
 	}
-	return r.base
+	return r.resumedTokens
 }
 
-func (p *Plan) waste(r *run, used int) {
-	lost := max(0, r.tokens-max(used, r.base))
+func (p *Plan) recordWaste(r *run, used int) {
+	lost := max(0, r.tokens-max(used, r.resumedTokens))
 	p.stats.Wasted += lost
-	if r.hedge || p.hasHedge(r) {
+	if r.isHedge || p.hasHedge(r) {
 		p.stats.HedgeWasted += lost
 	}
 }
 
 func (p *Plan) hasHedge(r *run) bool {
 	for _, o := range p.samples[r.sample].runs {
-		if o.hedge && o.parent == r.id {
+		if o.isHedge && o.parent == r.id {
 			return true
 		}
 	}
 	return false
 }
 
-func (p *Plan) forget(r *run) {
+func (p *Plan) removeRun(r *run) {
 	delete(p.runs, r.id)
-	p.server(r.server).mine--
-	if r.hedge {
-		p.hedged -= r.reserve
+	p.server(r.server).ownRuns--
+	if r.isHedge {
+		p.hedgeReserved -= r.reservedTokens
 	}
 }
 
@@ -223,22 +223,22 @@
 		// The other copy goes on; what it took over of this run isn't lost.
 		for _, o := range s.runs {
 			if o != r {
-				p.waste(r, usedOf(r, o))
-				o.hedge, o.moving, o.parent = false, false, 0
-				p.hedged -= o.reserve
-				o.reserve = 0
+				p.recordWaste(r, reusedTokens(r, o))
+				o.isHedge, o.replacesParent, o.parent = false, false, 0
+				p.hedgeReserved -= o.reservedTokens
+				o.reservedTokens = 0
 			}
 		}
-		p.detach(s, r)
+		p.detachRun(s, r)
 		return
 	}
-	p.waste(r, keep)
-	p.detach(s, r)
-	s.kept = min(keep, r.tokens)
-	p.requeue(r.sample, now+backoff, now)
+	p.recordWaste(r, keep)
+	p.detachRun(s, r)
+	s.resumableTokens = min(keep, r.tokens)
+	p.requeueSample(r.sample, now+backoff, now)
 }
 
-func (p *Plan) detach(s *sample, r *run) {
+func (p *Plan) detachRun(s *sample, r *run) {
 	left := s.runs[:0]
 	for _, o := range s.runs {
 		if o != r {
@@ -246,24 +246,24 @@
 		}
 	}
 	s.runs = left
-	p.forget(r)
+	p.removeRun(r)
 }
 
-func (p *Plan) requeue(index int, notBefore, now time.Duration) {
+func (p *Plan) requeueSample(index int, notBefore, now time.Duration) {
 	s := &p.samples[index]
-	p.enter(s, queued)
+	p.setPhase(s, queued)
 	s.notBefore = notBefore
 	if notBefore > now {
 		p.delayed = append(p.delayed, index)
 		return
 	}
 	g := p.groups[s.group]
-	g.again = append(g.again, index)
-	p.rekey(g)
+	g.requeued = append(g.requeued, index)
+	p.updateQueue(g)
 }
 
-// wake queues the samples whose backoff is over.
-func (p *Plan) wake(now time.Duration) {
+// requeueDelayed queues the samples whose backoff is over.
+func (p *Plan) requeueDelayed(now time.Duration) {
 	left := p.delayed[:0]
 	for _, index := range p.delayed {
 		s := &p.samples[index]
@@ -273,20 +273,20 @@
 			left = append(left, index)
 		default:
 			g := p.groups[s.group]
-			g.again = append(g.again, index)
-			p.rekey(g)
+			g.requeued = append(g.requeued, index)
+			p.updateQueue(g)
 		}
 	}
 	p.delayed = left
 }
 
-func (p *Plan) enter(s *sample, to phase) {
-	*p.count(s.phase)--
+func (p *Plan) setPhase(s *sample, to phase) {
+	*p.phaseCount(s.phase)--
 	s.phase = to
-	*p.count(to)++
+	*p.phaseCount(to)++
 }
 
-func (p *Plan) count(ph phase) *int {
+func (p *Plan) phaseCount(ph phase) *int {
 	switch ph {
 	case queued:
 		return &p.stats.Queued
@@ -297,45 +297,45 @@
 	}
 }
 
-// begin books a run; the caller carries the action out.
-func (p *Plan) begin(kind Kind, index int, server string, parent *run, now time.Duration, why string) Action {
-	p.nextRun++
-	r := &run{id: p.nextRun, sample: index, server: server, began: now, last: now, seenAt: now}
-	a := Action{Kind: kind, Run: r.id, Sample: index, Server: server, Why: why}
+// addRun books a run; the caller carries the action out.
+func (p *Plan) addRun(kind Kind, index int, server string, parent *run, now time.Duration, reason string) Action {
+	p.lastRunID++
+	r := &run{id: p.lastRunID, sample: index, server: server, startedAt: now, lastChunkAt: now, measuredAt: now}
+	a := Action{Kind: kind, Run: r.id, Sample: index, Server: server, Reason: reason}
 	s := &p.samples[index]
 	if parent != nil {
-		r.parent, r.forked = parent.id, parent.tokens
+		r.parent, r.parentTokens = parent.id, parent.tokens
 		a.From = parent.id
 	}
 	switch kind {
 	case Hedge:
-		r.hedge = true
+		r.isHedge = true
 		p.stats.Hedges++
 	case Move:
-		r.moving = true
+		r.replacesParent = true
 		s.moves++
 		p.stats.Moves++
 	}
 	p.stats.Runs++
 	p.runs[r.id] = r
 	s.runs = append(s.runs, r)
-	p.server(server).mine++
+	p.server(server).ownRuns++
 	if s.phase != running {
-		p.enter(s, running)
+		p.setPhase(s, running)
 	}
 	return a
 }
 
-func (p *Plan) rekey(g *group) {
-	g.key = p.priority(g)
+func (p *Plan) updateQueue(g *group) {
+	g.priority = p.computePriority(g)
 	switch {
-	case len(g.waiting)+len(g.again) == 0:
-		if g.pos >= 0 {
-			heap.Remove(&p.order, g.pos)
+	case len(g.unstarted)+len(g.requeued) == 0:
+		if g.heapIndex >= 0 {
+			heap.Remove(&p.queue, g.heapIndex)
 		}
-	case g.pos < 0:
-		heap.Push(&p.order, g)
+	case g.heapIndex < 0:
+		heap.Push(&p.queue, g)
 	default:
-		heap.Fix(&p.order, g.pos)
+		heap.Fix(&p.queue, g.heapIndex)
 	}
 }
--- a/decide/straggle/thaw_test.go
+++ b/decide/straggle/resumed_test.go
@@ -14,7 +14,7 @@
 // after that comes before those chunks are read. The plan takes its own silence
 // for theirs: it cancels every stream of the step and takes every server for
 // frozen, so the trainer waits for 2 s more with all engines idle.
-func TestThawedEntryKeepsItsStreams(t *testing.T) {
+func TestResumedEntryKeepsItsStreams(t *testing.T) {
 	p := straggle.New(straggle.Config{}, []straggle.Group{{Samples: 8, MaxTokens: 4000}})
 	acts := p.Next(0, servers(4, 4))
 	require.Len(t, acts, 8)
--- a/decide/straggle/sim_test.go
+++ b/decide/straggle/sim_test.go
@@ -14,21 +14,21 @@
 // wait while it computes the cache of a new one: of the prompt, unless a
 // sibling ran there, and of the tokens that are taken over. Time goes in steps.
 type sim struct {
-	plan     *straggle.Plan
-	servers  []simServer
-	lengths  []int
-	runs     map[straggle.RunID]*simRun
-	now      time.Duration
-	hook     func(s *sim)
-	acts     func(a straggle.Action)
-	made     float64
-	debt     map[string]float64 // prefill to be done, in s
-	warm     map[prefixAt]bool
-	perGroup int
-	cold     int // starts without a warm prefix
+	plan           *straggle.Plan
+	servers        []simServer
+	lengths        []int
+	runs           map[straggle.RunID]*simRun
+	now            time.Duration
+	beforeNext     func(s *sim)
+	onAction       func(a straggle.Action)
+	made           float64
+	prefillBacklog map[string]float64 // prefill to be done, in s
+	warm           map[prefixOnServer]bool
+	perGroup       int
+	coldStarts     int // starts without a warm prefix
 }
 
-type prefixAt struct {
+type prefixOnServer struct {
 	server string
 	group  int
 }
@@ -40,38 +40,38 @@
 }
 
 type simRun struct {
-	a      straggle.Action
-	tokens float64
-	chunks int
-	seen   int
-	last   time.Duration
+	a              straggle.Action
+	tokens         float64
+	chunks         int
+	reportedTokens int
+	last           time.Duration
 }
 
 const (
-	simStep      = 10 * time.Millisecond
-	simBase      = 0.012
-	simCrowding  = 0.00025
-	simChunk     = 8
-	simAloneRate = 1 / (simBase + simCrowding)
-	simPrefill   = 30e-6 // s of a token
-	simPrompt    = 250   // tokens
+	simStep             = 10 * time.Millisecond
+	simBase             = 0.012
+	simCrowding         = 0.00025
+	simChunk            = 8
+	simSingleStreamRate = 1 / (simBase + simCrowding)
+	simPrefill          = 30e-6 // s of a token
+	simPrompt           = 250   // tokens
 )
 
-// natural is a lognormal length; half of its variance belongs to the group.
-func natural(r *rand.Rand, group, mean, sigma float64, limit int) int {
+// randomLength is a lognormal length; half of its variance belongs to the group.
+func randomLength(r *rand.Rand, group, mean, sigma float64, limit int) int {
 	z := math.Sqrt(0.5)*group + math.Sqrt(0.5)*r.NormFloat64()
 	return min(limit, max(1, int(mean*math.Exp(sigma*z-sigma*sigma/2))))
 }
 
 func newSim(cfg straggle.Config, servers, slots, groups, samples, limit int, seed uint64) *sim {
-	s := &sim{runs: map[straggle.RunID]*simRun{}, debt: map[string]float64{}, warm: map[prefixAt]bool{}, perGroup: samples}
+	s := &sim{runs: map[straggle.RunID]*simRun{}, prefillBacklog: map[string]float64{}, warm: map[prefixOnServer]bool{}, perGroup: samples}
 	r := rand.New(rand.NewPCG(seed, 0))
 	var gs []straggle.Group
 	for i := range groups {
 		gs = append(gs, straggle.Group{Samples: samples, MaxTokens: limit, Prefix: uint64(i) * 7919})
 		z := r.NormFloat64()
 		for range samples {
-			s.lengths = append(s.lengths, natural(r, z, 300, 0.8, limit))
+			s.lengths = append(s.lengths, randomLength(r, z, 300, 0.8, limit))
 		}
 	}
 	for i := range servers {
@@ -81,7 +81,7 @@
 	return s
 }
 
-func (s *sim) ideal() float64 {
+func (s *sim) idealMakespan() float64 {
 	total, longest, rate := 0, 0, 0.0
 	for _, l := range s.lengths {
 		total, longest = total+l, max(longest, l)
@@ -89,10 +89,10 @@
 	for _, sv := range s.servers {
 		rate += sv.speed * float64(sv.slots) / (simBase + float64(sv.slots)*simCrowding)
 	}
-	return max(float64(total)/rate, float64(longest)/simAloneRate)
+	return max(float64(total)/rate, float64(longest)/simSingleStreamRate)
 }
 
-func (s *sim) view() []straggle.Server {
+func (s *sim) serverView() []straggle.Server {
 	count := map[string]int{}
 	for _, r := range s.runs {
 		count[r.a.Server]++
@@ -107,11 +107,11 @@
 // run runs the step and returns its makespan.
 func (s *sim) run() time.Duration {
 	for !s.plan.Done() {
-		if s.hook != nil {
-			s.hook(s)
+		if s.beforeNext != nil {
+			s.beforeNext(s)
 		}
-		for _, a := range s.plan.Next(s.now, s.view()) {
-			s.act(a)
+		for _, a := range s.plan.Next(s.now, s.serverView()) {
+			s.apply(a)
 		}
 		s.now += simStep
 		s.advance()
@@ -119,9 +119,9 @@
 	return s.now
 }
 
-func (s *sim) act(a straggle.Action) {
-	if s.acts != nil {
-		s.acts(a)
+func (s *sim) apply(a straggle.Action) {
+	if s.onAction != nil {
+		s.onAction(a)
 	}
 	switch a.Kind {
 	case straggle.Cancel:
@@ -129,24 +129,24 @@
 		return
 	}
 	r := &simRun{a: a, last: s.now}
-	r.tokens = float64(s.plan.Kept(a.Sample))
+	r.tokens = float64(s.plan.ResumableTokens(a.Sample))
 	if from := s.runs[a.From]; from != nil {
-		r.tokens = float64(from.seen)
+		r.tokens = float64(from.reportedTokens)
 	}
-	r.seen = int(r.tokens)
-	s.plan.Begin(a.Run, r.seen)
+	r.reportedTokens = int(r.tokens)
+	s.plan.Started(a.Run, r.reportedTokens)
 	s.runs[a.Run] = r
-	s.prefill(a, r.seen)
+	s.prefill(a, r.reportedTokens)
 }
 
 func (s *sim) prefill(a straggle.Action, base int) {
-	at := prefixAt{a.Server, a.Sample / s.perGroup}
+	at := prefixOnServer{a.Server, a.Sample / s.perGroup}
 	if !s.warm[at] {
 		s.warm[at] = true
-		s.cold++
+		s.coldStarts++
 		base += simPrompt
 	}
-	s.debt[a.Server] += float64(base) * simPrefill
+	s.prefillBacklog[a.Server] += float64(base) * simPrefill
 }
 
 func (s *sim) advance() {
@@ -156,8 +156,8 @@
 		count[r.a.Server]++
 	}
 	for _, sv := range s.servers {
-		busy := min(s.debt[sv.name], simStep.Seconds())
-		s.debt[sv.name] -= busy
+		busy := min(s.prefillBacklog[sv.name], simStep.Seconds())
+		s.prefillBacklog[sv.name] -= busy
 		speed[sv.name] = sv.speed * (1 - busy/simStep.Seconds())
 	}
 	ended := map[straggle.RunID]bool{}
@@ -173,13 +173,13 @@
 			_, cancels := s.plan.Finished(id, s.lengths[r.a.Sample], s.now)
 			delete(s.runs, id)
 			for _, c := range cancels {
-				s.act(c)
+				s.apply(c)
 			}
 			continue
 		}
-		if int(r.tokens) >= r.seen+simChunk {
-			r.seen, r.last, r.chunks = int(r.tokens), s.now, r.chunks+1
-			s.plan.Observe(id, r.seen, r.chunks, 1, s.now)
+		if int(r.tokens) >= r.reportedTokens+simChunk {
+			r.reportedTokens, r.last, r.chunks = int(r.tokens), s.now, r.chunks+1
+			s.plan.Observe(id, r.reportedTokens, r.chunks, 1, s.now)
 		}
 	}
 }
--- a/decide/straggle/straggle.go
+++ b/decide/straggle/straggle.go
@@ -12,25 +12,25 @@
 
 // Defaults of Config.
 const (
-	defaultMinStall      = 300 * time.Millisecond
-	defaultStallFactor   = 10
-	defaultFirstChunk    = 2 * time.Second
-	defaultMoveMargin    = 0.25
-	defaultMinGain       = 100 * time.Millisecond
-	defaultMoveOverhead  = 50 * time.Millisecond
-	defaultMaxMoves      = 3
-	defaultSuspect       = 2 * time.Second
-	measureEvery         = 25 * time.Millisecond
-	measurePerRun        = 70 * time.Microsecond // a measurement looks at every run
-	swappingStallFactor  = 5
-	hedgeSilenceShare    = 0.4 // of the stall limit: when a silent stream is hedged
-	hedgeGain            = 0.6 // a hedge must be predicted to end within this share of the time
-	slowServer           = 0.6 // relative speed below which a server gets the short samples
-	equalFinish          = 1.15
-	maxRunsPerSample     = 2
-	maxSuspectDoublings  = 4
-	maxStallDoublings    = 6
-	unknownLengthDivisor = 2
+	defaultMinStallTimeout   = 300 * time.Millisecond
+	defaultStallFactor       = 10
+	defaultFirstChunkTimeout = 2 * time.Second
+	defaultMinGainRatio      = 0.25
+	defaultMinGain           = 100 * time.Millisecond
+	moveOverhead             = 50 * time.Millisecond
+	maxMoves                 = 3
+	exclusionTime            = 2 * time.Second
+	measureInterval          = 25 * time.Millisecond
+	measureIntervalPerRun    = 70 * time.Microsecond // a measurement looks at every run
+	swappingStallFactor      = 5
+	hedgeSilenceRatio        = 0.4 // of the stall limit: when a silent stream is hedged
+	maxHedgeTimeRatio        = 0.6 // a hedge must be predicted to end within this share of the time
+	slowServerSpeed          = 0.6 // relative speed below which a server gets the short samples
+	similarRateFactor        = 1.15
+	maxRunsPerSample         = 2
+	maxExclusionDoublings    = 4
+	maxStallDoublings        = 6
+	unknownLengthDivisor     = 2
 )
 
 // Policy switches mechanisms off, for measurements.
@@ -56,30 +56,30 @@
 	// HedgePercent bounds the tokens of second copies, in percent of the
 	// step's tokens.
 	HedgePercent float64
-	// MinStall is the shortest silence that counts as a stall; StallFactor
+	// MinStallTimeout is the shortest silence that counts as a stall; StallFactor
 	// times the usual gap between chunks is the limit above it.
-	MinStall    time.Duration
-	StallFactor float64
-	// FirstChunk is how long a stream may wait for its first chunk.
-	FirstChunk time.Duration
-	// MoveMargin is the share of its time that a move must save, MinGain the
+	MinStallTimeout time.Duration
+	StallFactor     float64
+	// FirstChunkTimeout is how long a stream may wait for its first chunk.
+	FirstChunkTimeout time.Duration
+	// MinGainRatio is the share of its time that a move must save, MinGain the
 	// time.
-	MoveMargin float64
-	MinGain    time.Duration
+	MinGainRatio float64
+	MinGain      time.Duration
 }
 
 func (c Config) withDefaults() Config {
-	if c.MinStall == 0 {
-		c.MinStall = defaultMinStall
+	if c.MinStallTimeout == 0 {
+		c.MinStallTimeout = defaultMinStallTimeout
 	}
 	if c.StallFactor == 0 {
 		c.StallFactor = defaultStallFactor
 	}
-	if c.FirstChunk == 0 {
-		c.FirstChunk = defaultFirstChunk
+	if c.FirstChunkTimeout == 0 {
+		c.FirstChunkTimeout = defaultFirstChunkTimeout
 	}
-	if c.MoveMargin == 0 {
-		c.MoveMargin = defaultMoveMargin
+	if c.MinGainRatio == 0 {
+		c.MinGainRatio = defaultMinGainRatio
 	}
 	if c.MinGain == 0 {
 		c.MinGain = defaultMinGain
@@ -102,8 +102,8 @@
 	Name string
 	// Free counts streams that may be started there now.
 	Free int
-	// Waits: the slots are full and Free is a place in the agent's queue.
-	Waits bool
+	// SlotsFull: the slots are full and Free is a place in the agent's queue.
+	SlotsFull bool
 	// Running counts streams there now, everybody's.
 	Running int
 	// StreamRate is the reported rate of one stream, in tokens/s; 0: unknown.
@@ -139,8 +139,8 @@
 	return [...]string{"start", "hedge", "move", "cancel"}[k]
 }
 
-// NoProgress is the reason of a Cancel whose stream went silent.
-const NoProgress = "no progress"
+// ReasonNoProgress is the reason of a Cancel whose stream went silent.
+const ReasonNoProgress = "no progress"
 
 // Action is one decision.
 type Action struct {
@@ -149,8 +149,8 @@
 	Sample int
 	Server string
 	From   RunID
-	// Why is a short reason for the decision record.
-	Why string
+	// Reason is a short reason for the decision record.
+	Reason string
 }
 
 // Stats counts what a plan did.
--- a/decide/straggle/straggle_test.go
+++ b/decide/straggle/straggle_test.go
@@ -29,7 +29,7 @@
 	return samples
 }
 
-func TestOrder(t *testing.T) {
+func TestStartOrder(t *testing.T) {
 	limited := []straggle.Group{{Samples: 2, MaxTokens: 20}, {Samples: 2, MaxTokens: 400}, {Samples: 2, MaxTokens: 200}}
 	hinted := []straggle.Group{
 		{Samples: 2, MaxTokens: 1000, Hint: 10}, {Samples: 2, MaxTokens: 1000, Hint: 200}, {Samples: 2, MaxTokens: 1000, Hint: 100},
@@ -80,9 +80,9 @@
 	}
 }
 
-// begin starts one sample of a group at each of the servers and reports chunks
+// startPlan starts one sample of a group at each of the servers and reports chunks
 // at a usual pace until now.
-func begin(t *testing.T, cfg straggle.Config, n int, pool []straggle.Server) (*straggle.Plan, []straggle.Action, time.Duration) {
+func startPlan(t *testing.T, cfg straggle.Config, n int, pool []straggle.Server) (*straggle.Plan, []straggle.Action, time.Duration) {
 	p := straggle.New(cfg, []straggle.Group{{Samples: n, MaxTokens: 1000, Hint: 500}})
 	acts := p.Next(0, pool)
 	require.Len(t, acts, n)
@@ -103,25 +103,25 @@
 // server gets nothing new.
 func TestSilentStreamIsRunElsewhere(t *testing.T) {
 	t.Run("offered", func(t *testing.T) {
-		silentRunsElsewhere(t, func(string) []straggle.Server { return servers(1, 1) })
+		requireRunElsewhere(t, func(string) []straggle.Server { return servers(1, 1) })
 	})
 	t.Run("not offered", func(t *testing.T) {
-		silentRunsElsewhere(t, func(silent string) []straggle.Server {
+		requireRunElsewhere(t, func(silent string) []straggle.Server {
 			return slices.DeleteFunc(servers(1, 1), func(s straggle.Server) bool { return s.Name == silent })
 		})
 	})
 }
 
-func silentRunsElsewhere(t *testing.T, offered func(silent string) []straggle.Server) {
-	p, acts, now := begin(t, straggle.Config{}, 2, servers(1, 1))
+func requireRunElsewhere(t *testing.T, offered func(silent string) []straggle.Server) {
+	p, acts, now := startPlan(t, straggle.Config{}, 2, servers(1, 1))
 	silent, other := acts[0], acts[1]
 	for i := 11; i <= 25; i++ {
 		now += 100 * time.Millisecond
 		p.Observe(other.Run, 5*i, i, 1, now)
 		for _, a := range p.Next(now, offered(silent.Server)) {
 			if a.Kind == straggle.Cancel && a.Run == silent.Run {
-				require.Equal(t, straggle.NoProgress, a.Why)
-				require.Equal(t, 50, p.Kept(silent.Sample))
+				require.Equal(t, straggle.ReasonNoProgress, a.Reason)
+				require.Equal(t, 50, p.ResumableTokens(silent.Sample))
 			}
 			if a.Kind == straggle.Start {
 				require.Equal(t, silent.Sample, a.Sample)
@@ -138,28 +138,28 @@
 func TestHedgeBeyondItsBudgetIsStopped(t *testing.T) {
 	p, acts, now := slowPlan(t, straggle.Config{HedgePercent: 100}, 2)
 	require.Equal(t, straggle.Hedge, acts[0].Kind)
-	p.Begin(acts[0].Run, 0)
+	p.Started(acts[0].Run, 0)
 	for i := 1; ; i++ {
 		now += 100 * time.Millisecond
 		p.Observe(acts[0].Run, 50*i, i, 2, now)
 		if got := p.Next(now, servers(0, 0)); len(got) > 0 {
 			require.Equal(t, straggle.Cancel, got[0].Kind)
 			require.Equal(t, acts[0].Run, got[0].Run)
-			require.InDelta(t, p.Budget(), 50*i, 50, "no earlier and no later")
+			require.InDelta(t, p.HedgeBudget(), 50*i, 50, "no earlier and no later")
 			return
 		}
 	}
 }
 
-// slowOne makes vm-b's stream ten times slower than vm-a's, ends vm-a's, and
+// slowStreamActions makes vm-b's stream ten times slower than vm-a's, ends vm-a's, and
 // returns what the plan does for the slow one.
-func slowOne(t *testing.T, cfg straggle.Config, version uint64) []straggle.Action {
+func slowStreamActions(t *testing.T, cfg straggle.Config, version uint64) []straggle.Action {
 	_, acts, _ := slowPlan(t, cfg, version)
 	return acts
 }
 
 func slowPlan(t *testing.T, cfg straggle.Config, version uint64) (*straggle.Plan, []straggle.Action, time.Duration) {
-	p, acts, now := begin(t, cfg, 2, servers(1, 1))
+	p, acts, now := startPlan(t, cfg, 2, servers(1, 1))
 	fast, slow := acts[0], acts[1]
 	for i := 11; i <= 60; i++ {
 		now += 100 * time.Millisecond
@@ -194,7 +194,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var got []straggle.Kind
-			for _, a := range slowOne(t, c.cfg, c.version) {
+			for _, a := range slowStreamActions(t, c.cfg, c.version) {
 				got = append(got, a.Kind)
 			}
 			require.Equal(t, c.want, got)
@@ -217,22 +217,22 @@
 			groups = append(groups, g)
 		}
 		p := straggle.New(cfg, groups)
-		m := newMachine(p)
+		d := newDriver(p)
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
-			m.now += time.Duration(rapid.IntRange(1, 400).Draw(t, "ms")) * time.Millisecond
-			m.event(t, total)
-			free := m.decide(t)
+			d.now += time.Duration(rapid.IntRange(1, 400).Draw(t, "ms")) * time.Millisecond
+			d.event(t, total)
+			free := d.decide(t)
 			st := p.Stats()
 			require.Equal(t, total, st.Queued+st.Running+st.Finished)
-			require.Equal(t, len(m.finished), st.Finished)
-			if st.Queued > m.delayed() {
+			require.Equal(t, len(d.finished), st.Finished)
+			if st.Queued > d.delayed() {
 				require.LessOrEqual(t, free, 0, "a free slot while %d samples wait", st.Queued)
 			}
-			for s, n := range m.copies() {
+			for s, n := range d.copies() {
 				require.LessOrEqual(t, n, 2)
-				require.False(t, m.finished[s], "a finished sample runs")
+				require.False(t, d.finished[s], "a finished sample runs")
 			}
-			require.LessOrEqual(t, st.HedgeWasted, p.Budget()+m.burst, "hedge budget")
+			require.LessOrEqual(t, st.HedgeWasted, p.HedgeBudget()+d.burst, "hedge budget")
 		}
 	})
 }
@@ -243,7 +243,7 @@
 	calls := 0
 	for b.Loop() {
 		s := newSim(straggle.Config{HedgePercent: 5}, 40, 32, 256, 8, 1024, 1)
-		s.hook = func(*sim) { calls++ }
+		s.beforeNext = func(*sim) { calls++ }
 		s.run()
 	}
 	b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(calls), "µs/Next(with_sim)")
@@ -253,13 +253,13 @@
 func BenchmarkNext(b *testing.B) {
 	s := newSim(straggle.Config{HedgePercent: 5}, 40, 32, 256, 8, 1024, 1)
 	for s.now < 3*time.Second {
-		for _, a := range s.plan.Next(s.now, s.view()) {
-			s.act(a)
+		for _, a := range s.plan.Next(s.now, s.serverView()) {
+			s.apply(a)
 		}
 		s.now += simStep
 		s.advance()
 	}
-	view := s.view()
+	view := s.serverView()
 	b.ReportAllocs()
 	for b.Loop() {
 		s.now += 60 * time.Millisecond
@@ -276,8 +276,8 @@
 		const seeds = 6
 		for seed := range uint64(seeds) {
 			s := newSim(straggle.Config{Policy: p}, 4, 16, 112, 8, 1200, seed)
-			ratio += s.run().Seconds() / s.ideal() / seeds
-			cold += s.cold
+			ratio += s.run().Seconds() / s.idealMakespan() / seeds
+			cold += s.coldStarts
 		}
 		return ratio, cold
 	}
--- a/entry/steps/generate.go
+++ b/entry/steps/generate.go
@@ -49,7 +49,7 @@
 	if from != nil {
 		base = from.tokens
 	}
-	st.plan.Begin(r.id, base)
+	st.plan.Started(r.id, base)
 	s.mu.Unlock()
 	done, err := s.stream(ctx, st, r, s.request(st, r, from))
 	r.end(outcome(r, err))
--- a/entry/steps/held.go
+++ b/entry/steps/held.go
@@ -84,7 +84,7 @@
 	if oldest(done) < st.floor || (!st.trainer.Mixed && len(done.GetSpans()) > 1) {
 		return false
 	}
-	won, cancels := st.plan.Adopt(i, int(done.GetTokens()))
+	won, cancels := st.plan.FinishedElsewhere(i, int(done.GetTokens()))
 	s.act(st, cancels, nil)
 	if won {
 		s.cfg.Explain.Add(st.ctx, "steps", st.name(sm), "adopted", "an agent held it finished")
--- a/entry/steps/run.go
+++ b/entry/steps/run.go
@@ -142,7 +142,7 @@
 // act carries the plan's decisions out. Steps.mu is held.
 func (s *Steps) act(st *step, acts []straggle.Action, snap *fleet.Snapshot) {
 	for _, a := range acts {
-		s.cfg.Explain.Add(st.ctx, "steps", st.name(st.samples[a.Sample]), a.Kind.String()+" at "+a.Server, a.Why)
+		s.cfg.Explain.Add(st.ctx, "steps", st.name(st.samples[a.Sample]), a.Kind.String()+" at "+a.Server, a.Reason)
 		switch a.Kind {
 		case straggle.Cancel:
 			s.drop(st, a)
@@ -167,7 +167,7 @@
 	if r == nil {
 		return
 	}
-	if a.Why == straggle.NoProgress {
+	if a.Reason == straggle.ReasonNoProgress {
 		r.stalled.Store(true)
 		s.chill(a.Server, fleet.Failed, 0)
 	}
--- a/entry/steps/schedule.go
+++ b/entry/steps/schedule.go
@@ -91,7 +91,7 @@
 	for _, st := range active {
 		s.refresh(st)
 		s.raiseFloor(st, 0)
-		if st.plan.Due(st.now()) {
+		if st.plan.MeasurementDue(st.now()) {
 			st.observe()
 		}
 	}
@@ -127,7 +127,7 @@
 		return
 	}
 	st.trainer.Mixed, st.trainer.StalenessBound = now.Mixed, now.StalenessBound
-	st.plan.SetTerms(now.Mixed, now.HedgePercent)
+	st.plan.UpdateSettings(now.Mixed, now.HedgePercent)
 }
 
 // active returns the steps that may get slots, in an order that rotates, and
@@ -249,7 +249,7 @@
 	return straggle.Server{
 		Name:       sv.Name,
 		Free:       free,
-		Waits:      full,
+		SlotsFull:  full,
 		Running:    min(others+mine, slots(state)),
 		StreamRate: state.GetStreamTokensPerS(),
 		Version:    state.GetVersion(),
