--- a/decide/straggle/driver_test.go
+++ b/decide/straggle/driver_test.go
@@ -10,15 +10,15 @@
 	"dandelionsill.org/decide/straggle"
 )
 
-// driver is a random driver of a plan: it holds the runs that the plan asked
-// for and ends them in any way.
+// driver exercises a plan with random events: it holds the runs that the plan
+// has started and ends them in any way.
 type driver struct {
 	plan     *straggle.Plan
 	now      time.Duration
 	runs     []*driverRun
 	finished map[int]bool
 	waits    []time.Duration // ends of backoffs
-	burst    int             // most tokens between two decisions, of all runs
+	burst    int             // maximum number of tokens between two decisions, of all runs
 }
 
 type driverRun struct {
@@ -60,7 +60,7 @@
 	}
 }
 
-// event lets streams make tokens and then one thing happen.
+// event lets streams generate tokens and then makes one random thing happen.
 func (d *driver) event(t *rapid.T, total int) {
 	made := 0
 	for _, r := range d.runs {
@@ -99,7 +99,8 @@
 	}
 }
 
-// decide asks the plan and returns the slots that are still free.
+// decide carries out the plan's decisions and returns the number of slots that
+// are still free.
 func (d *driver) decide(t *rapid.T) int {
 	const slots = 3
 	at := map[string]int{}
@@ -127,5 +128,6 @@
 	return free
 }
 
-// hasStalls tells whether the plan may have taken a server out for its silence.
+// hasStalls reports whether the plan may have excluded a server because of a
+// stall.
 func (d *driver) hasStalls([]straggle.Server) bool { return d.plan.Stats().Stalls > 0 }
--- a/decide/straggle/group.go
+++ b/decide/straggle/group.go
@@ -5,25 +5,26 @@
 	"slices"
 )
 
-// Priorities above any predicted length: samples that were lost once are
-// late already, and the first sample of a group is its probe, where the trainer
-// has no guess of its length.
+// Priority bonuses, larger than any predicted length. Samples that were lost
+// once are already late. The first sample of a group without a length hint is a
+// probe of the group's length.
 const (
 	probeBonus    = 1 << 32
 	requeuedBonus = 1 << 40
 )
 
+// group is the state of one group of the step.
 type group struct {
 	Group
 	index           int
-	unstarted       []int // never started, by index
-	requeued        []int // lost and queued again
-	finishedLengths []int // lengths of finished samples
-	finishedTokens  int   // of done
-	liveTokens      int   // tokens that running samples have made
+	unstarted       []int // indexes of samples that were never started
+	requeued        []int // indexes of samples to start again after a lost run
+	finishedLengths []int // in tokens
+	finishedTokens  int   // sum of finishedLengths
+	liveTokens      int   // generated so far by running samples
 	probeStarted    bool
 	priority        float64
-	heapIndex       int // in the heap; -1: not in it
+	heapIndex       int // index in Plan.queue; -1: not queued
 }
 
 func (g *group) addFinished(tokens int) {
@@ -37,8 +38,9 @@
 	g.requeued = slices.DeleteFunc(g.requeued, same)
 }
 
-// nextSample takes the group's next sample: of the lost ones, which are late already,
-// the one that has made the least.
+// nextSample removes the group's next sample from the group's lists and
+// returns its index. Lost samples are already late and come first, beginning
+// with the one that has the fewest resumable tokens.
 func (p *Plan) nextSample(g *group) int {
 	g.probeStarted = true
 	best := -1
@@ -57,8 +59,8 @@
 	return index
 }
 
-// computePriority is the group's place in the queue: the predicted length of its
-// next sample, with probes and lost samples ahead.
+// computePriority returns the group's priority in the queue: the predicted
+// length of its next sample, plus a bonus for probes and lost samples.
 func (p *Plan) computePriority(g *group) float64 {
 	if p.cfg.Baseline || p.cfg.NoLongestFirst {
 		if len(g.requeued) > 0 {
@@ -76,12 +78,14 @@
 	return key
 }
 
-// predictLength predicts the predictLength of a sample of the group that hasn't begun.
+// predictLength predicts the length in tokens of a sample that has not
+// started.
 //
-// The first siblings to finish are the short ones, so a mean over finished
-// samples alone would call every group short. The tokens of running siblings
-// count too, without their number: the estimate for censored lifetimes. The
-// trainer's hint, or else the step's mean, counts as one more sample.
+// The first samples of a group to finish are its short ones, so the mean of
+// the finished lengths would underestimate every group. The tokens of running
+// samples are therefore added to the sum but not to the count, as in the
+// estimate for censored lifetimes. The trainer's hint, or else the mean length
+// of the step's samples, counts as one more finished sample.
 func (p *Plan) predictLength(g *group) float64 {
 	prior := float64(g.Hint)
 	if prior == 0 {
@@ -94,7 +98,8 @@
 	return min(estimate, float64(g.MaxTokens))
 }
 
-// meanLength estimates the meanLength length of the step's samples; 0: nothing is known.
+// meanLength estimates the mean length of the step's samples in tokens. It
+// returns 0 if no sample has finished.
 func (p *Plan) meanLength() float64 {
 	if p.lengthHistogram.samples == 0 {
 		return 0
@@ -102,8 +107,8 @@
 	return float64(p.lengthHistogram.tokens+p.liveTokens) / float64(p.lengthHistogram.samples)
 }
 
-// updateLiveTokens takes up what running samples have made and puts the queue in order
-// by it.
+// updateLiveTokens counts the tokens of running samples and reorders the queue
+// by the new predictions.
 func (p *Plan) updateLiveTokens() {
 	p.liveTokens = 0
 	for _, g := range p.groups {
@@ -119,10 +124,12 @@
 	heap.Init(&p.queue)
 }
 
-// predictRemaining predicts how many tokens a stream that made `made` still makes. A
-// stream that outlived its siblings is predicted by those of the whole step
-// that were longer still; one that outlived all, by a half of its length (the
-// mean excess of a heavy tail).
+// predictRemaining predicts how many more tokens a stream generates that has
+// generated the given number. The prediction comes from the longer finished
+// samples of its group, or else from predictLength. A stream that is longer
+// than both is predicted from the longer finished samples of the whole step;
+// one that is longer than all of these, by half of its length (the mean excess
+// of a heavy tail).
 func (p *Plan) predictRemaining(g *group, generated int) float64 {
 	limit := float64(max(1, g.MaxTokens-generated))
 	if generated == 0 {
@@ -140,6 +147,8 @@
 	return min(max(1, float64(generated)/2), limit)
 }
 
+// meanAbove returns the mean of the lengths greater than above, false if there
+// are none.
 func meanAbove(lengths []int, above int) (float64, bool) {
 	n, sum := 0, 0
 	for _, l := range lengths {
@@ -156,8 +165,8 @@
 
 const lengthBuckets = 80
 
-// lengthHistogram is a histogram of the step's finished lengthHistogram, in buckets of a
-// quarter of a power of two.
+// lengthHistogram is a histogram of the step's finished lengths, in buckets of
+// a quarter of a power of two.
 type lengthHistogram struct {
 	samples, tokens int
 	bucketSamples   [lengthBuckets]int
@@ -181,7 +190,8 @@
 	l.bucketTokens[b] += tokens
 }
 
-// meanAbove averages the lengths in buckets above that of made.
+// meanAbove returns the mean of the lengths in the buckets above that of
+// generated, false if there are none.
 func (l *lengthHistogram) meanAbove(generated int) (float64, bool) {
 	n, sum := 0, 0
 	for b := lengthBucket(generated) + 1; b < lengthBuckets; b++ {
@@ -194,7 +204,7 @@
 	return float64(sum) / float64(n), true
 }
 
-// groupHeap orders groups by key, the greatest first, then by index.
+// groupHeap orders groups by descending priority, then by index.
 type groupHeap []*group
 
 func (h groupHeap) Len() int { return len(h) }
--- a/decide/straggle/next.go
+++ b/decide/straggle/next.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	loadBoundFactor      = 1.25 // a server may hold so much of the mean before its siblings spill
-	similarPriorityRatio = 0.8  // of the most urgent group's predicted length, for a group with a warm prefix
-	noAlternativeFactor  = 10   // times the limit, where there is nowhere else to go
+	loadBoundFactor      = 1.25 // load above this multiple of the mean makes samples of a group spill to other servers
+	similarPriorityRatio = 0.8  // minimum share of the highest priority for a group with a warm prefix
+	noAlternativeFactor  = 10   // multiplies the stall timeout if no other server can take the sample
 )
 
-// Next returns what is to be done now. servers may be reordered in place by
-// nobody else meanwhile; the plan keeps no reference to it.
+// Next returns the actions to carry out now. The caller must not change
+// servers during the call; the plan keeps no reference to it.
 func (p *Plan) Next(now time.Duration, servers []Server) []Action {
 	if now-p.lastNextAt > p.cfg.MinStallTimeout {
-		// The caller stood still (a paused process). Chunks wait unread in its
-		// sockets: its silence must not be taken for the engines'.
+		// The caller was suspended and chunks may wait unread in its sockets, so
+		// this pause must not count as a stall of the engines.
 		p.resumedAt = now
 	}
 	p.lastNextAt = now
@@ -33,13 +33,16 @@
 	return append(acts, p.speedUpTail(now, pool)...)
 }
 
-// MeasurementDue tells whether the next call of Next measures, so that Observe is of use
-// before it. The interval grows with the runs: a measurement looks at each, and
-// many of them at each tick would cost the owner of a step its processor.
+// MeasurementDue reports whether the next call of Next measures progress, so
+// that Observe should be called first. The interval grows with the number of
+// runs: a measurement visits each of them, and frequent measurements of many
+// runs would take up the CPU of the step's owner.
 func (p *Plan) MeasurementDue(now time.Duration) bool {
 	return now-p.measuredAt >= max(measureInterval, time.Duration(len(p.runs))*measureIntervalPerRun)
 }
 
+// checkRuns measures the runs' progress and cancels those that were moved,
+// have stalled or exceed the hedge budget.
 func (p *Plan) checkRuns(now time.Duration, servers []Server) []Action {
 	ids := slices.Sorted(maps.Keys(p.runs))
 	p.measure(ids, servers)
@@ -53,7 +56,8 @@
 	return append(acts, p.cancelOverBudget(ids, now)...)
 }
 
-// cancelMoved ends the runs whose move has begun to make tokens elsewhere.
+// cancelMoved cancels runs whose replacement on another server has started to
+// generate tokens.
 func (p *Plan) cancelMoved(ids []RunID, now time.Duration) []Action {
 	var acts []Action
 	for _, id := range ids {
@@ -69,16 +73,18 @@
 	return acts
 }
 
-// abandon gives a run up; its sample goes on in another copy or is queued.
+// abandon gives up a run and returns the action that cancels it. The sample
+// continues in its other copy or is queued again.
 func (p *Plan) abandon(r *run, now time.Duration, reason string) Action {
 	a := Action{Kind: Cancel, Run: r.id, Sample: r.sample, Server: r.server, Reason: reason}
 	p.Lost(r.id, r.tokens, 0, now)
 	return a
 }
 
-// cancelStalled gives up streams that went silent. An engine that froze keeps its
-// connections open and its agent may report it ready: only the missing
-// progress tells, and each silent second is one of the trainer's.
+// cancelStalled cancels streams that stopped sending chunks. A frozen engine
+// keeps its connections open and its agent may still report it ready, so
+// missing progress is the only sign of it, and the trainer loses every second
+// until it is noticed.
 func (p *Plan) cancelStalled(ids []RunID, now time.Duration, byName map[string]*Server) []Action {
 	var acts []Action
 	for _, id := range ids {
@@ -106,20 +112,20 @@
 	return acts
 }
 
-// isWaitingForSlot tells whether a silent run waits for a slot at a server that
-// goes on with others. To call that a failure of the server would have healthy
-// ones ejected whenever they are full.
+// isWaitingForSlot reports whether a run without chunks waits for a slot at a
+// server whose other streams make progress. Counting that as a failure of the
+// server would eject healthy servers whenever they are full.
 func (p *Plan) isWaitingForSlot(r *run) bool {
 	return r.chunks == 0 && p.server(r.server).lastProgressAt > r.startedAt
 }
 
-// runStallTimeout is how long a run may be silent.
+// runStallTimeout returns how long a run may go without a chunk.
 func (p *Plan) runStallTimeout(r *run, s *Server, byName map[string]*Server) time.Duration {
 	limit := p.serverStallTimeout(s)
 	if r.chunks == 0 {
 		limit = max(limit, p.cfg.FirstChunkTimeout)
 		if p.isWaitingForSlot(r) {
-			// It is worth a new place only where a slot is free.
+			// Starting it elsewhere helps only if a slot is free there.
 			limit = p.serverStallTimeout(s)
 			if !hasFreeSlotElsewhere(byName, r.server) {
 				limit *= noAlternativeFactor
@@ -129,14 +135,15 @@
 	if p.cfg.Baseline || !hasOtherServer(byName, r.server) {
 		limit *= noAlternativeFactor
 	}
-	// Engines may be slower than all that was seen of them. Without a patience
-	// that grows with each try a sample would be given up for ever.
+	// Engines may be slower than anything measured so far. If the timeout did
+	// not grow with each attempt, a sample could be cancelled for ever.
 	return limit << min(p.samples[r.sample].stalls, maxStallDoublings)
 }
 
-// hasOtherServer tells whether there is any server but one. That one may have left the
-// list already: a silent agent is no longer offered, and were it counted, its
-// samples would wait ten times as long beside the one server that is well.
+// hasOtherServer reports whether a server other than except is listed. except
+// itself may be missing: a server whose agent is unresponsive is no longer
+// offered. If it were counted, its samples would wait ten times as long
+// although one healthy server is left.
 func hasOtherServer(byName map[string]*Server, except string) bool {
 	if _, listed := byName[except]; listed {
 		return len(byName) > 1
@@ -153,8 +160,9 @@
 	return false
 }
 
-// usableServers returns the servers that may get work: not the suspect ones, nor
-// those in a weight swap, unless there are no others.
+// usableServers returns the servers that may get new samples: those that are
+// neither excluded nor in a weight swap, or, if there are none, all that are
+// not leaving.
 func (p *Plan) usableServers(now time.Duration, servers []Server) []Server {
 	pool := make([]Server, 0, len(servers))
 	for _, s := range servers {
@@ -163,7 +171,7 @@
 			continue
 		}
 		if st.stalls > 0 {
-			s.Free = min(s.Free, max(0, 1-st.ownRuns)) // one probe
+			s.Free = min(s.Free, max(0, 1-st.ownRuns)) // a single run until it makes progress
 		}
 		pool = append(pool, s)
 	}
@@ -178,7 +186,7 @@
 	return pool
 }
 
-// startQueued starts queued samples while there are slots.
+// startQueued starts queued samples while slots are free.
 func (p *Plan) startQueued(now time.Duration, pool []Server) []Action {
 	var acts []Action
 	for p.queue.Len() > 0 {
@@ -205,9 +213,10 @@
 	return acts
 }
 
-// warmGroup returns a group that is about as urgent as g and whose prefix s computed
-// lately; g where there is none. Late binding fills the one slot that is free,
-// so that the choice is among groups and not among servers.
+// warmGroup returns a queued group with a priority close to that of g whose
+// prefix s has computed recently, or g if there is none. With late binding
+// there is usually a single free slot, so the choice is among groups and not
+// among servers.
 func (p *Plan) warmGroup(g *group, s *Server) *group {
 	if p.cfg.Baseline || p.cfg.NoAffinity {
 		return g
@@ -221,12 +230,14 @@
 	return g
 }
 
+// isSlow reports whether s is slow enough to get the shortest samples.
 func (p *Plan) isSlow(s *Server) bool {
 	speed := p.server(s.Name).speed
 	return !p.cfg.Baseline && !p.cfg.NoLongestFirst && speed > 0 && speed < slowServerSpeed
 }
 
-// shortestGroup returns the queued group that is predicted to be shortestGroup.
+// shortestGroup returns the queued group with the lowest priority, whose
+// samples are predicted to be the shortest.
 func (p *Plan) shortestGroup() *group {
 	return slices.MinFunc(p.queue, func(a, b *group) int {
 		switch {
@@ -239,7 +250,8 @@
 	})
 }
 
-// pickServer chooses the server for a sample of the group; nil: no slot.
+// pickServer chooses the server for a sample of g. It returns nil if no slot
+// is free.
 func (p *Plan) pickServer(g *group, pool []Server) *Server {
 	if len(pool) == 0 {
 		return nil
@@ -269,6 +281,8 @@
 	return true
 }
 
+// maxRunningPerServer returns the load bound, above which samples of a group
+// spill to servers without its prefix.
 func (p *Plan) maxRunningPerServer(pool []Server) int {
 	total := 1
 	for i := range pool {
@@ -277,9 +291,9 @@
 	return int(loadBoundFactor*float64(total)/float64(len(pool))) + 1
 }
 
-// bestServer returns, among the servers that are wanted and whose predicted finish is
-// about the earliest, the first in the prompt's rendezvous order: siblings
-// meet on one warm prefix as long as it costs them no time.
+// bestServer returns, among the wanted servers whose predicted rate is close
+// to the highest, the first in the rendezvous order of the group's prompt. The
+// samples of a group thus share a warm prefix as long as that costs no time.
 func (p *Plan) bestServer(g *group, pool []Server, wanted func(*Server) bool) *Server {
 	var bestRate float64
 	var newest uint64
@@ -316,8 +330,9 @@
 	return bestServer
 }
 
-// fastestEligible returns the open server that one more stream would run fastest on:
-// the newest weights are at none of the fast ones.
+// fastestEligible returns the eligible server on which one more stream would
+// run fastest. It is needed if no server with the newest weights is among the
+// fast ones.
 func (p *Plan) fastestEligible(pool []Server, eligible func(*Server) bool) *Server {
 	var best *Server
 	var bestRate float64
@@ -333,7 +348,7 @@
 	return best
 }
 
-// rendezvousRank mixes two hashes to a rank (the finalizer of splitmix64).
+// rendezvousRank mixes two hashes into a rank (the finalizer of splitmix64).
 func rendezvousRank(prefix, server uint64) uint64 {
 	x := prefix ^ (server * 0x9e3779b97f4a7c15)
 	x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9
--- a/decide/straggle/plan.go
+++ b/decide/straggle/plan.go
@@ -13,39 +13,41 @@
 	finished
 )
 
+// sample is the state of one sample.
 type sample struct {
 	group           int
 	phase           phase
-	notBefore       time.Duration // backoff: not started before
-	resumableTokens int           // tokens of a lost run that can be resumed
-	tokens          int           // length once finished
+	notBefore       time.Duration // end of the backoff
+	resumableTokens int           // tokens of a lost run that the next run can resume from
+	tokens          int           // final length, set when the sample finishes
 	moves           int
 	stalls          int
 	runs            []*run
 }
 
+// run is the state of one stream of a sample.
 type run struct {
 	id             RunID
 	sample         int
 	server         string
 	parent         RunID // the run that it hedges or replaces
 	isHedge        bool
-	replacesParent bool // replaces parent as soon as it makes tokens
-	resumedTokens  int  // tokens taken over at its begin
-	parentTokens   int  // parent's tokens when it began
-	tokens         int  // with base
+	replacesParent bool // parent is cancelled once this run generates tokens
+	resumedTokens  int  // taken over from an earlier run at the start
+	parentTokens   int  // the parent's tokens when this run was added
+	tokens         int  // including resumedTokens
 	chunks         int
 	version        uint64 // of the last chunk
 	startedAt      time.Duration
-	lastChunkAt    time.Duration // last chunk; began before the first
-	rate           float64       // smoothed tokens/s
+	lastChunkAt    time.Duration // startedAt before the first chunk
+	rate           float64       // smoothed, in tokens/s
 	measuredTokens int           // tokens at the last measurement
 	measuredAt     time.Duration
 	measuredChunks int
-	reservedTokens int // hedge budget held
+	reservedTokens int // part of the hedge budget reserved for this run
 }
 
-// Plan is the state of one step's samples. Not safe for concurrent use.
+// Plan is the state of one step's samples. It is not safe for concurrent use.
 type Plan struct {
 	cfg             Config
 	groups          []*group
@@ -53,21 +55,22 @@
 	runs            map[RunID]*run
 	lastRunID       RunID
 	queue           groupHeap
-	delayed         []int // queued samples under backoff
+	delayed         []int // indexes of queued samples in backoff
 	lengthHistogram lengthHistogram
-	liveTokens      int // tokens that running samples have made
+	liveTokens      int // generated so far by running samples
 	rates           rates
-	lastNextAt      time.Duration // the last Next
-	resumedAt       time.Duration // when Next came after a long silence of the caller
-	chunkGap        float64       // usual time between chunks, in s
+	lastNextAt      time.Duration // time of the last call of Next
+	resumedAt       time.Duration // time of the last call of Next after the caller was suspended
+	chunkGap        float64       // smoothed time between chunks, in s
 	roundRobin      int
 	stats           Stats
 	servers         map[string]*serverState
-	measuredAt      time.Duration // last measurement
-	hedgeReserved   int           // hedge budget held by running copies
+	measuredAt      time.Duration // time of the last measurement
+	hedgeReserved   int           // hedge budget reserved for running copies
 }
 
-// New plans a step. Samples are numbered through, group by group.
+// New returns the plan of a step. Samples are numbered consecutively, group by
+// group.
 func New(cfg Config, groups []Group) *Plan {
 	p := &Plan{
 		cfg:     cfg.withDefaults(),
@@ -87,21 +90,23 @@
 	return p
 }
 
-// UpdateSettings changes what a new manifest revision changed.
+// UpdateSettings applies the settings of a new manifest revision.
 func (p *Plan) UpdateSettings(mixed bool, hedgePercent float64) {
 	p.cfg.Mixed, p.cfg.HedgePercent = mixed, hedgePercent
 }
 
-// Done tells whether every sample is finished.
+// Done reports whether every sample is finished.
 func (p *Plan) Done() bool { return p.stats.Finished == len(p.samples) }
 
 // Stats returns the counts so far.
 func (p *Plan) Stats() Stats { return p.stats }
 
-// ResumableTokens returns how many tokens of a lost run the sample may resume from.
+// ResumableTokens returns how many tokens of a lost run the sample may resume
+// from.
 func (p *Plan) ResumableTokens(sample int) int { return p.samples[sample].resumableTokens }
 
-// Started tells from how many taken-over tokens a run starts.
+// Started records that a run has started, and with how many tokens taken over
+// from an earlier run (base). Resumable tokens beyond base count as wasted.
 func (p *Plan) Started(id RunID, base int) {
 	r := p.runs[id]
 	if r == nil {
@@ -115,8 +120,8 @@
 	r.resumedTokens, r.tokens, r.measuredTokens = base, base, base
 }
 
-// Observe tells a run's progress: tokens (with the taken-over ones) and
-// chunks so far, the last chunk's weight version and when it came.
+// Observe records a run's progress: its tokens (including the resumed ones)
+// and chunks so far, and the weight version and time of its last chunk.
 func (p *Plan) Observe(id RunID, tokens, chunks int, version uint64, last time.Duration) {
 	r := p.runs[id]
 	if r == nil || chunks == r.chunks {
@@ -129,8 +134,9 @@
 	p.server(r.server).recordProgress(last)
 }
 
-// Finished tells that a run completed its sample with that many tokens. It
-// reports whether the run is the first to do so, and which runs lost.
+// Finished records that a run completed its sample with the given number of
+// tokens. It reports whether the run is the first to do so and returns the
+// actions that cancel the other runs.
 func (p *Plan) Finished(id RunID, tokens int, now time.Duration) (won bool, cancel []Action) {
 	r := p.runs[id]
 	if r == nil {
@@ -142,8 +148,9 @@
 	return true, p.finishSample(r.sample, r, tokens)
 }
 
-// FinishedElsewhere tells that a sample was found finished elsewhere. It reports whether
-// the sample was still open, and which runs lost.
+// FinishedElsewhere records that a result of the sample was found elsewhere.
+// It reports whether the sample was still unfinished and returns the actions
+// that cancel its runs.
 func (p *Plan) FinishedElsewhere(sample, tokens int) (won bool, cancel []Action) {
 	if p.samples[sample].phase == finished {
 		return false, nil
@@ -151,7 +158,8 @@
 	return true, p.finishSample(sample, nil, tokens)
 }
 
-// finishSample finishes a sample; winner is nil when the result came from elsewhere.
+// finishSample finishes a sample and cancels its other runs. winner is nil if
+// the result came from elsewhere.
 func (p *Plan) finishSample(index int, winner *run, tokens int) []Action {
 	s := &p.samples[index]
 	var cancel []Action
@@ -178,7 +186,8 @@
 	return cancel
 }
 
-// reusedTokens returns how many of r's tokens live on in the winner.
+// reusedTokens returns how many of r's tokens the winner contains; if it did
+// not start from r, only the tokens that r itself resumed are not lost.
 func reusedTokens(r, winner *run) int {
 	if winner != nil && winner.parent == r.id {
 		return winner.resumedTokens
@@ -186,6 +195,7 @@
 	return r.resumedTokens
 }
 
+// recordWaste counts the tokens that r generated beyond the used ones.
 func (p *Plan) recordWaste(r *run, used int) {
 	lost := max(0, r.tokens-max(used, r.resumedTokens))
 	p.stats.Wasted += lost
@@ -211,8 +221,8 @@
 	}
 }
 
-// Lost tells that a run ended without a result. keep counts its tokens that
-// can be resumed; backoff delays the next try.
+// Lost records that a run ended without a result. keep is how many of its
+// tokens can be resumed, and backoff delays the next attempt.
 func (p *Plan) Lost(id RunID, keep int, backoff, now time.Duration) {
 	r := p.runs[id]
 	if r == nil {
@@ -220,7 +230,8 @@
 	}
 	s := &p.samples[r.sample]
 	if len(s.runs) > 1 {
-		// The other copy goes on; what it took over of this run isn't lost.
+		// The other copy continues. Tokens that it resumed from this run are
+		// not lost.
 		for _, o := range s.runs {
 			if o != r {
 				p.recordWaste(r, reusedTokens(r, o))
@@ -262,7 +273,7 @@
 	p.updateQueue(g)
 }
 
-// requeueDelayed queues the samples whose backoff is over.
+// requeueDelayed queues the samples whose backoff has ended.
 func (p *Plan) requeueDelayed(now time.Duration) {
 	left := p.delayed[:0]
 	for _, index := range p.delayed {
@@ -297,7 +308,7 @@
 	}
 }
 
-// addRun books a run; the caller carries the action out.
+// addRun records a run and returns the action that starts it.
 func (p *Plan) addRun(kind Kind, index int, server string, parent *run, now time.Duration, reason string) Action {
 	p.lastRunID++
 	r := &run{id: p.lastRunID, sample: index, server: server, startedAt: now, lastChunkAt: now, measuredAt: now}
@@ -326,6 +337,8 @@
 	return a
 }
 
+// updateQueue updates the group's priority, and adds the group to the queue or
+// removes it if it has no more samples to start.
 func (p *Plan) updateQueue(g *group) {
 	g.priority = p.computePriority(g)
 	switch {
--- a/decide/straggle/rates.go
+++ b/decide/straggle/rates.go
@@ -13,13 +13,14 @@
 	speedSmoothing  = 0.3
 	gapSmoothing    = 0.1
 	crowdingBuckets = 12
-	maxWarmGroups   = 32 // prefixes that a server is trusted to keep
+	maxWarmGroups   = 32 // prefixes that a server is assumed to keep in its cache
 )
 
-// rates models engines that batch continuously: one curve for the fleet, the
-// rate of a stream by how many run beside it, and one factor per server.
+// rates models engines with continuous batching: one curve for the whole
+// fleet, the rate of a stream by the number of streams on its server, and one
+// speed factor per server.
 type rates struct {
-	curve [crowdingBuckets]float64 // tokens/s of one stream; 0: not seen
+	curve [crowdingBuckets]float64 // tokens/s of one stream; 0: not measured
 }
 
 func crowdingBucket(running int) int {
@@ -31,7 +32,8 @@
 	*at = smooth(*at, rate, rateSmoothing)
 }
 
-// at returns the curve at a crowding, from the nearest bucket that was seen.
+// at returns the curve's rate for the given number of running streams, from
+// the nearest measured bucket; 0 if there is none.
 func (r *rates) at(running int) float64 {
 	b := crowdingBucket(running)
 	for d := range crowdingBuckets {
@@ -45,6 +47,8 @@
 	return 0
 }
 
+// smooth returns an exponentially weighted moving average. An old value of 0
+// means that there is none yet.
 func smooth(old, sample, weight float64) float64 {
 	if old == 0 {
 		return sample
@@ -52,13 +56,14 @@
 	return old + weight*(sample-old)
 }
 
+// serverState is what the plan has learned about a server.
 type serverState struct {
 	hash           uint64
-	ownRuns        int     // runs of this plan there
-	speed          float64 // against the curve; 0: not measured
-	chunkGap       float64 // usual time between chunks, in s
+	ownRuns        int     // runs of this plan on the server
+	speed          float64 // relative to the curve; 0: not measured
+	chunkGap       float64 // smoothed time between chunks, in s
 	lastProgressAt time.Duration
-	stalls         int           // stalls since the last progress
+	stalls         int           // since the last progress
 	excludedUntil  time.Duration // no new work before
 	warmGroups     []int         // groups whose prefix it computed, the latest last
 }
@@ -78,8 +83,8 @@
 	s.excludedUntil = 0
 }
 
-// addWarmGroup notes that the server has the group's prefix in its cache, which is
-// limited: only the latest count.
+// addWarmGroup records that the server has the group's prefix in its cache.
+// The cache is limited, so only the latest groups are kept.
 func (s *serverState) addWarmGroup(group int) {
 	s.warmGroups = slices.DeleteFunc(s.warmGroups, func(i int) bool { return i == group })
 	if len(s.warmGroups) == maxWarmGroups {
@@ -88,9 +93,9 @@
 	s.warmGroups = append(s.warmGroups, group)
 }
 
-// exclude takes a silent server out for a time that doubles with each stall.
-// Without it the samples of a frozen engine would be queued right back to it,
-// as its agent still reports free slots.
+// exclude excludes a stalled server from new work for a time that doubles with
+// each stall. Otherwise the samples of a frozen engine would be sent straight
+// back to it, because its agent still reports free slots.
 func (s *serverState) exclude(now time.Duration) {
 	if s.excludedUntil > now {
 		return
@@ -99,7 +104,8 @@
 	s.stalls++
 }
 
-// rate predicts the tokens/s of one stream at a server with so many running.
+// rate predicts the tokens/s of one stream on a server that runs the given
+// number of streams.
 func (p *Plan) rate(s *Server, running int) float64 {
 	base := p.rates.at(running)
 	if base == 0 {
@@ -111,12 +117,14 @@
 	return base
 }
 
+// rateSums adds up the rates and chunk gaps of one server's runs.
 type rateSums struct {
 	rate, chunkGap float64
 	measuredRuns   int
 }
 
-// measure updates rates and gaps from what runs did since the last call.
+// measure updates rates and chunk gaps from the runs' progress since the last
+// measurement.
 func (p *Plan) measure(ids []RunID, servers []Server) {
 	sums := map[string]*rateSums{}
 	for _, id := range ids {
@@ -156,11 +164,12 @@
 	}
 }
 
-// serverStallTimeout is the silence after which a running stream counts as stalled.
+// serverStallTimeout returns the time without a chunk after which a running
+// stream on s counts as stalled.
 func (p *Plan) serverStallTimeout(s *Server) time.Duration {
 	gap := max(p.chunkGap, p.server(s.Name).chunkGap)
 	if gap == 0 {
-		return p.cfg.FirstChunkTimeout // the engines' pace isn't known yet
+		return p.cfg.FirstChunkTimeout // no time between chunks measured yet
 	}
 	limit := max(p.cfg.MinStallTimeout, time.Duration(p.cfg.StallFactor*gap*float64(time.Second)))
 	if s.Swapping {
--- a/decide/straggle/resumed_test.go
+++ b/decide/straggle/resumed_test.go
@@ -9,11 +9,13 @@
 	"dandelionsill.org/decide/straggle"
 )
 
-// The entry stands still for 3 s (SIGSTOP, its VM is suspended, a busy host)
-// while all engines go on; their chunks wait in its sockets. Its first decision
-// after that comes before those chunks are read. The plan takes its own silence
-// for theirs: it cancels every stream of the step and takes every server for
-// frozen, so the trainer waits for 2 s more with all engines idle.
+// Guards against an entry that takes its own pause for a stall of the engines.
+// The entry is suspended for 3 s (SIGSTOP, a suspended VM, an overloaded
+// machine) while all engines continue, and its first decision after that comes
+// before it has read the chunks waiting in its sockets. If the plan counted
+// its own pause, it would cancel every stream of the step and exclude every
+// server as frozen, and the trainer would wait for 2 s more with all engines
+// idle.
 func TestResumedEntryKeepsItsStreams(t *testing.T) {
 	p := straggle.New(straggle.Config{}, []straggle.Group{{Samples: 8, MaxTokens: 4000}})
 	acts := p.Next(0, servers(4, 4))
@@ -27,5 +29,5 @@
 		}
 		require.Empty(t, p.Next(now, servers(0, 0)))
 	}
-	require.Empty(t, p.Next(now+3*time.Second, servers(0, 0)), "nobody listened to the streams meanwhile")
+	require.Empty(t, p.Next(now+3*time.Second, servers(0, 0)), "the entry read no streams while it was suspended")
 }
--- a/decide/straggle/sim_test.go
+++ b/decide/straggle/sim_test.go
@@ -9,10 +9,11 @@
 	"dandelionsill.org/decide/straggle"
 )
 
-// sim drives a plan against engines that batch continuously: a token takes
-// 12 ms and 0.25 ms more for each stream beside it. All of an engine's streams
-// wait while it computes the cache of a new one: of the prompt, unless a
-// sibling ran there, and of the tokens that are taken over. Time goes in steps.
+// sim runs a plan against simulated engines with continuous batching: a token
+// takes 12 ms, and 0.25 ms more for each stream on the engine. All streams of
+// an engine wait while it computes the cache of a new one: of the prompt,
+// unless a sample of the same group ran there before, and of the resumed
+// tokens. Time advances in fixed steps.
 type sim struct {
 	plan           *straggle.Plan
 	servers        []simServer
@@ -22,7 +23,7 @@
 	beforeNext     func(s *sim)
 	onAction       func(a straggle.Action)
 	made           float64
-	prefillBacklog map[string]float64 // prefill to be done, in s
+	prefillBacklog map[string]float64 // outstanding prefill time by server, in s
 	warm           map[prefixOnServer]bool
 	perGroup       int
 	coldStarts     int // starts without a warm prefix
@@ -53,11 +54,12 @@
 	simCrowding         = 0.00025
 	simChunk            = 8
 	simSingleStreamRate = 1 / (simBase + simCrowding)
-	simPrefill          = 30e-6 // s of a token
+	simPrefill          = 30e-6 // s per token
 	simPrompt           = 250   // tokens
 )
 
-// randomLength is a lognormal length; half of its variance belongs to the group.
+// randomLength returns a lognormal length; half of its variance is shared by
+// the group.
 func randomLength(r *rand.Rand, group, mean, sigma float64, limit int) int {
 	z := math.Sqrt(0.5)*group + math.Sqrt(0.5)*r.NormFloat64()
 	return min(limit, max(1, int(mean*math.Exp(sigma*z-sigma*sigma/2))))
@@ -81,6 +83,7 @@
 	return s
 }
 
+// idealMakespan returns a lower bound of the makespan in s.
 func (s *sim) idealMakespan() float64 {
 	total, longest, rate := 0, 0, 0.0
 	for _, l := range s.lengths {
--- a/decide/straggle/straggle.go
+++ b/decide/straggle/straggle.go
@@ -1,16 +1,18 @@
-// Package straggle decides which sample of a step runs where, and what is
-// done about the last ones. It does no I/O and reads no clock: times are
-// durations since the step began.
+// Package straggle schedules the samples of one training step: it decides
+// which sample runs on which server and speeds up the ones that would finish
+// last. It does no I/O and reads no clock: times are durations since the start
+// of the step.
 //
-// A step's makespan is what idles its trainer. The plan keeps it near the
-// physical limit by binding samples late (only free slots are filled), the
-// longest predicted sample first, siblings on one warm prefix, and at the
-// tail by moving or hedging the streams that would end last.
+// The trainer idles until the last sample of its step has finished. To keep
+// the step's makespan near the physical limit, the plan binds samples late
+// (only to free slots), starts those with the longest predicted length first,
+// runs the samples of a group on a server with a warm prefix, and at the tail
+// moves or hedges the streams that would end last.
 package straggle
 
 import "time"
 
-// Defaults of Config.
+// Defaults of Config and fixed limits of a plan.
 const (
 	defaultMinStallTimeout   = 300 * time.Millisecond
 	defaultStallFactor       = 10
@@ -20,22 +22,23 @@
 	moveOverhead             = 50 * time.Millisecond
 	maxMoves                 = 3
 	exclusionTime            = 2 * time.Second
-	measureInterval          = 25 * time.Millisecond
-	measureIntervalPerRun    = 70 * time.Microsecond // a measurement looks at every run
+	measureInterval          = 25 * time.Millisecond // minimum time between measurements
+	measureIntervalPerRun    = 70 * time.Microsecond // a measurement visits every run
 	swappingStallFactor      = 5
-	hedgeSilenceRatio        = 0.4 // of the stall limit: when a silent stream is hedged
-	maxHedgeTimeRatio        = 0.6 // a hedge must be predicted to end within this share of the time
-	slowServerSpeed          = 0.6 // relative speed below which a server gets the short samples
-	similarRateFactor        = 1.15
+	hedgeSilenceRatio        = 0.4  // share of the stall timeout after which a silent stream is hedged
+	maxHedgeTimeRatio        = 0.6  // a hedge must be predicted to end within this share of the remaining time
+	slowServerSpeed          = 0.6  // relative speed below which a server gets the shortest samples
+	similarRateFactor        = 1.15 // rates within this factor of the best count as equal
 	maxRunsPerSample         = 2
 	maxExclusionDoublings    = 4
 	maxStallDoublings        = 6
 	unknownLengthDivisor     = 2
 )
 
-// Policy switches mechanisms off, for measurements.
+// Policy disables single mechanisms so that their effect can be measured.
 type Policy struct {
-	// Baseline pushes all samples at once, round robin, with nothing else.
+	// Baseline starts all samples at once, round robin, without any other
+	// mechanism.
 	Baseline       bool
 	NoHedge        bool
 	NoMove         bool
@@ -44,26 +47,28 @@
 	NoLateBinding  bool
 }
 
-// Config sets a plan's limits; zero fields take defaults.
+// Config configures a plan. MinStallTimeout and the fields after it take
+// defaults if they are zero.
 type Config struct {
 	Policy
-	// Mixed: one sample may span weight versions, so that a stream can be
-	// resumed on any server and not only on one with the same version.
+	// Mixed allows one sample to span several weight versions, so that a stream
+	// can be resumed on any server and not only on one with the same version.
 	Mixed bool
-	// PreferNew: of servers that would finish at about the same time, those
-	// with the newest weights go first, before those with a warm prefix.
+	// PreferNew prefers, among servers that would finish at about the same
+	// time, those with the newest weights to those with a warm prefix.
 	PreferNew bool
-	// HedgePercent bounds the tokens of second copies, in percent of the
-	// step's tokens.
+	// HedgePercent limits the tokens of second copies, in percent of the step's
+	// tokens.
 	HedgePercent float64
-	// MinStallTimeout is the shortest silence that counts as a stall; StallFactor
-	// times the usual gap between chunks is the limit above it.
+	// MinStallTimeout is the shortest time without a chunk that counts as a
+	// stall. Where StallFactor times the usual time between chunks is longer,
+	// that is the limit.
 	MinStallTimeout time.Duration
 	StallFactor     float64
 	// FirstChunkTimeout is how long a stream may wait for its first chunk.
 	FirstChunkTimeout time.Duration
-	// MinGainRatio is the share of its time that a move must save, MinGain the
-	// time.
+	// MinGainRatio is the share of its remaining time that a move must save,
+	// MinGain the minimum time that it must save.
 	MinGainRatio float64
 	MinGain      time.Duration
 }
@@ -87,51 +92,54 @@
 	return c
 }
 
-// Group is a prompt and its samples.
+// Group is a prompt and the samples requested for it.
 type Group struct {
 	Samples   int
 	MaxTokens int
-	// Hint is the trainer's guess of a sample's length in tokens; 0: none.
+	// Hint is the trainer's estimate of a sample's length in tokens, 0 if it
+	// has none.
 	Hint int
-	// Prefix is a hash of the prompt; siblings share it.
+	// Prefix is a hash of the prompt, shared by all samples of the group.
 	Prefix uint64
 }
 
-// Server is an engine as the caller of Next sees it.
+// Server is the state of one engine, as the caller of Next knows it.
 type Server struct {
 	Name string
-	// Free counts streams that may be started there now.
+	// Free is the number of streams that may be started there now.
 	Free int
-	// SlotsFull: the slots are full and Free is a place in the agent's queue.
+	// SlotsFull is set if no slot is free, so that Free counts places in the
+	// agent's queue.
 	SlotsFull bool
-	// Running counts streams there now, everybody's.
+	// Running is the number of streams running there, including those of other
+	// steps.
 	Running int
-	// StreamRate is the reported rate of one stream, in tokens/s; 0: unknown.
+	// StreamRate is the reported rate of one stream in tokens/s, 0 if unknown.
 	StreamRate float64
-	// Version is the weight version that it serves.
+	// Version is the weight version that the engine serves.
 	Version uint64
-	// Leaving: its streams go elsewhere and it gets no others; Free counts for
-	// nothing.
+	// Leaving is set if the server is to be left: its streams move to other
+	// servers, it gets no new ones, and Free is ignored.
 	Leaving bool
-	// Swapping: a weight order is under way and streams may pause.
+	// Swapping is set during a weight swap, in which streams may pause.
 	Swapping bool
 }
 
-// RunID names one stream of one sample.
+// RunID identifies one stream of one sample.
 type RunID uint64
 
-// Kind is what an Action asks for.
+// Kind is the kind of an Action.
 type Kind uint8
 
 const (
-	// Start: begin Run for Sample at Server.
+	// Start starts Run for Sample on Server.
 	Start Kind = iota
-	// Hedge: begin Run at Server as a second copy; From goes on.
+	// Hedge starts Run on Server as a second copy of From, which continues.
 	Hedge
-	// Move: begin Run at Server from where From stands; stop From once Run
-	// makes tokens.
+	// Move starts Run on Server where From has got to. From is cancelled once
+	// Run generates tokens.
 	Move
-	// Cancel: stop Run; the plan has already written it off.
+	// Cancel stops Run, which the plan has already abandoned.
 	Cancel
 )
 
@@ -139,26 +147,29 @@
 	return [...]string{"start", "hedge", "move", "cancel"}[k]
 }
 
-// ReasonNoProgress is the reason of a Cancel whose stream went silent.
+// ReasonNoProgress is the Reason of a Cancel whose stream stopped sending
+// chunks.
 const ReasonNoProgress = "no progress"
 
-// Action is one decision.
+// Action is one decision of the plan, to be carried out by the caller.
 type Action struct {
 	Kind   Kind
 	Run    RunID
 	Sample int
 	Server string
-	From   RunID
-	// Reason is a short reason for the decision record.
+	// From is the run that a Hedge or a Move copies; 0 for other kinds.
+	From RunID
+	// Reason is a short explanation for the decision record.
 	Reason string
 }
 
-// Stats counts what a plan did.
+// Stats counts the samples, runs and tokens of a plan.
 type Stats struct {
 	Queued, Running, Finished int
 	Runs, Hedges, Moves       int
 	Stalls                    int
-	// Tokens are those of finished samples; Wasted were made and not used;
-	// HedgeWasted is the part of it that the hedge budget bounds.
+	// Tokens counts tokens of finished samples, Wasted tokens that were
+	// generated and not used, and HedgeWasted the part of Wasted that counts
+	// against the hedge budget.
 	Tokens, Wasted, HedgeWasted int
 }
--- a/decide/straggle/straggle_test.go
+++ b/decide/straggle/straggle_test.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// Siblings go to one server while it has room below the load bound, and spill
-// to the others after it.
+// The samples of a group run on one server until it reaches the load bound,
+// and then spill to the others.
 func TestSiblingsShareAServerUntilTheBound(t *testing.T) {
 	p := straggle.New(straggle.Config{}, []straggle.Group{{Samples: 12, MaxTokens: 100, Prefix: 7}})
 	at := map[string]int{}
@@ -67,8 +67,8 @@
 	require.Less(t, most, 8)
 }
 
-// A fleet that weighs staleness more starts samples on the newest weights
-// while these have room, and no slot stays free for it.
+// A fleet that prefers low staleness starts samples on the newest weights
+// while servers with these have free slots, and leaves no slot idle for that.
 func TestNewestWeightsFirst(t *testing.T) {
 	p := straggle.New(straggle.Config{PreferNew: true}, []straggle.Group{{Samples: 12, MaxTokens: 100, Prefix: 7}})
 	pool := servers(4, 4, 4)
@@ -80,8 +80,8 @@
 	}
 }
 
-// startPlan starts one sample of a group at each of the servers and reports chunks
-// at a usual pace until now.
+// startPlan starts a plan with one group of n samples on pool and reports
+// chunks at a regular pace until the returned time.
 func startPlan(t *testing.T, cfg straggle.Config, n int, pool []straggle.Server) (*straggle.Plan, []straggle.Action, time.Duration) {
 	p := straggle.New(cfg, []straggle.Group{{Samples: n, MaxTokens: 1000, Hint: 500}})
 	acts := p.Next(0, pool)
@@ -97,10 +97,10 @@
 	return p, acts, now
 }
 
-// A stream stops making chunks although its server reports free slots, or its
-// agent fell silent and is not offered any more, so that one server is left. It
-// is given up and started elsewhere as soon in both cases, and the silent
-// server gets nothing new.
+// A stream stops sending chunks although its server reports free slots, or its
+// agent is unresponsive and no longer offered, so that one server is left. In
+// both cases the stream is cancelled and its sample started elsewhere equally
+// soon, and the silent server gets no new work.
 func TestSilentStreamIsRunElsewhere(t *testing.T) {
 	t.Run("offered", func(t *testing.T) {
 		requireRunElsewhere(t, func(string) []straggle.Server { return servers(1, 1) })
@@ -133,8 +133,8 @@
 	t.Fatal("the sample was not started elsewhere")
 }
 
-// A second copy that makes more than was set aside for it, with nothing left in
-// the budget, is stopped.
+// A second copy that generates more tokens than were reserved for it is
+// cancelled if the hedge budget is exhausted.
 func TestHedgeBeyondItsBudgetIsStopped(t *testing.T) {
 	p, acts, now := slowPlan(t, straggle.Config{HedgePercent: 100}, 2)
 	require.Equal(t, straggle.Hedge, acts[0].Kind)
@@ -151,13 +151,14 @@
 	}
 }
 
-// slowStreamActions makes vm-b's stream ten times slower than vm-a's, ends vm-a's, and
-// returns what the plan does for the slow one.
+// slowStreamActions returns what slowPlan's plan does for the slow stream.
 func slowStreamActions(t *testing.T, cfg straggle.Config, version uint64) []straggle.Action {
 	_, acts, _ := slowPlan(t, cfg, version)
 	return acts
 }
 
+// slowPlan makes vm-b's stream ten times slower than vm-a's, finishes vm-a's,
+// and returns the plan, its next actions and the time.
 func slowPlan(t *testing.T, cfg straggle.Config, version uint64) (*straggle.Plan, []straggle.Action, time.Duration) {
 	p, acts, now := startPlan(t, cfg, 2, servers(1, 1))
 	fast, slow := acts[0], acts[1]
@@ -202,10 +203,10 @@
 	}
 }
 
-// Whatever ends, refuses, stalls or is found elsewhere, in any order: each
-// sample is queued, running or finished; no usable slot is free while a sample
-// waits; a sample has at most two copies; and what hedges waste stays within
-// their budget, but for the tokens that come between two decisions.
+// Runs finish, fail, stall and are found finished elsewhere in any order. Each
+// sample is always queued, running or finished; no usable slot is free while a
+// sample waits; a sample has at most two copies; and tokens wasted by hedges
+// stay within their budget, except for those generated between two decisions.
 func TestPlanProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := straggle.Config{HedgePercent: rapid.Float64Range(0, 30).Draw(t, "hedge"), Mixed: rapid.Bool().Draw(t, "mixed"), PreferNew: rapid.Bool().Draw(t, "prefer new")}
@@ -237,7 +238,8 @@
 	})
 }
 
-// BenchmarkStep is a whole step of 2,048 samples at 40 servers with 32 slots.
+// BenchmarkStep runs a whole step of 2,048 samples on 40 servers with 32
+// slots.
 func BenchmarkStep(b *testing.B) {
 	b.ReportAllocs()
 	calls := 0
@@ -249,7 +251,8 @@
 	b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(calls), "µs/Next(with_sim)")
 }
 
-// BenchmarkNext is one decision with everything running, on a measuring tick.
+// BenchmarkNext makes one decision, including a measurement, with all slots in
+// use.
 func BenchmarkNext(b *testing.B) {
 	s := newSim(straggle.Config{HedgePercent: 5}, 40, 32, 256, 8, 1024, 1)
 	for s.now < 3*time.Second {
@@ -267,10 +270,10 @@
 	}
 }
 
-// The mechanisms are worth their cost on steps of several waves. Without
-// longest first, samples that began late and turned out long make the step
-// late; without affinity the engines compute each prompt several times, and
-// all of their streams wait for that.
+// Each mechanism must be worth its cost on steps with several times as many
+// samples as slots. Without longest-first order, long samples that start late
+// delay the end of the step; without affinity, engines compute each prompt
+// several times while all of their streams wait.
 func TestMechanismsShortenSteps(t *testing.T) {
 	mean := func(p straggle.Policy) (ratio float64, cold int) {
 		const seeds = 6
--- a/decide/straggle/tail.go
+++ b/decide/straggle/tail.go
@@ -8,19 +8,20 @@
 )
 
 const (
-	stragglerRatio    = 0.5 // only streams with this share of the longest remaining time matter
-	minRunTime        = 100 * time.Millisecond
+	stragglerRatio    = 0.5                    // minimum share of the longest remaining time
+	minRunTime        = 100 * time.Millisecond // before it, a stream is neither moved nor hedged
 	maxRescuesPerCall = 32
 	maxRemaining      = 24 * time.Hour
 )
 
+// straggler is a stream that is predicted to be among the last to end.
 type straggler struct {
 	stream    *run
-	remaining time.Duration // predicted, where it runs
+	remaining time.Duration // predicted, on its current server
 }
 
-// speedUpTail speeds up the streams that would end last: once nothing is queued,
-// free slots are worth more to them than idle.
+// speedUpTail moves or hedges the streams that would end last. It does so once
+// nothing is queued, when free slots would otherwise be idle.
 func (p *Plan) speedUpTail(now time.Duration, pool []Server) []Action {
 	if p.cfg.Baseline || p.queue.Len() > 0 || (p.cfg.NoHedge && p.cfg.NoMove) {
 		return nil
@@ -43,7 +44,8 @@
 	return acts
 }
 
-// stragglers returns up to n lone streams, the longest remaining time first.
+// stragglers returns up to n streams that have no second copy, the longest
+// remaining time first.
 func (p *Plan) stragglers(now time.Duration, n int) []straggler {
 	var found []straggler
 	for _, stream := range p.runs {
@@ -65,11 +67,13 @@
 	return found[:min(n, len(found))]
 }
 
+// seconds converts seconds to a duration of at most maxRemaining.
 func seconds(s float64) time.Duration {
 	return min(time.Duration(min(s, maxRemaining.Seconds())*float64(time.Second)), maxRemaining)
 }
 
-// moveOrHedge decides on a move or a hedge of one stream.
+// moveOrHedge decides whether to move or hedge one stream. It returns false
+// for neither.
 func (p *Plan) moveOrHedge(st straggler, now time.Duration, pool []Server) (Action, bool) {
 	stream := st.stream
 	s := p.fastestServer(pool, stream.server)
@@ -99,14 +103,16 @@
 	return Action{}, false
 }
 
+// addCopy adds a run of kind Hedge or Move that copies r and takes a slot of
+// s.
 func (p *Plan) addCopy(kind Kind, r *run, s *Server, now time.Duration, reason string) Action {
 	s.Free--
 	s.Running++
 	return p.addRun(kind, r.sample, s.Name, r, now, reason)
 }
 
-// moveOffLeaving moves streams off the servers that are leaving while others have
-// room: a drain waits only so long, and then cuts them off.
+// moveOffLeaving moves streams off leaving servers while others have free
+// slots: a drain waits for a limited time and then ends the remaining streams.
 func (p *Plan) moveOffLeaving(now time.Duration, servers, pool []Server) []Action {
 	if p.cfg.Baseline || p.cfg.NoMove {
 		return nil
@@ -137,8 +143,8 @@
 	return acts
 }
 
-// fastestServer returns the server with a free slot that one more stream would run
-// fastestServer on.
+// fastestServer returns the server with a free slot, other than except, on
+// which one more stream would run fastest. It returns nil if there is none.
 func (p *Plan) fastestServer(pool []Server, except string) *Server {
 	var best *Server
 	var bestRate float64
@@ -154,8 +160,9 @@
 	return best
 }
 
-// HedgeBudget is how many tokens of losing copies are allowed so far: a share of
-// what is finished, so that it never exceeds the same share of the step.
+// HedgeBudget returns how many tokens of losing copies are allowed so far: a
+// share of the tokens of finished samples, so that it never exceeds the same
+// share of the step's tokens.
 func (p *Plan) HedgeBudget() int {
 	return int(p.cfg.HedgePercent / 100 * float64(p.stats.Tokens))
 }
@@ -164,8 +171,8 @@
 	return p.stats.HedgeWasted+p.hedgeReserved+tokens <= p.HedgeBudget()
 }
 
-// cancelOverBudget stops second copies that outran what was reserved for them when
-// the budget has no more.
+// cancelOverBudget cancels second copies that generated more tokens than were
+// reserved for them if the hedge budget is exhausted.
 func (p *Plan) cancelOverBudget(ids []RunID, now time.Duration) []Action {
 	var acts []Action
 	for _, id := range ids {
