--- a/agent/weights/copies.go
+++ b/agent/weights/copies.go
@@ -204,7 +204,7 @@
 	if got := c.fromParents(ctx, version, role.Parents, addrs); got != nil {
 		return got, nil
 	}
-	return c.fromStore(ctx, version, c.rates.fetchers(c.cfg.Model, plan.Fetchers))
+	return c.fromStore(ctx, version, c.rates.fetchers(c.cfg.Model, plan.StoreFetchers))
 }
 
 // fromParents tries the parents in order; nil: none could relay the version. The
--- a/agent/weights/schedule.go
+++ b/agent/weights/schedule.go
@@ -32,7 +32,7 @@
 type unserved struct {
 	newest announcement
 	oldest announcement // the first version not served yet; version 0: none
-	grid   waves.Grid
+	grid   waves.Schedule
 	fetch  time.Duration // how long the last planned version takes to spread
 }
 
@@ -41,8 +41,8 @@
 	r := &k.state.unserved
 	if target > r.newest.version {
 		r.newest = announcement{target, k.cfg.Now()}
-		grid := r.grid.Learn(r.newest.at, k.timing())
-		if !grid.Same(r.grid) {
+		grid := r.grid.Advance(r.newest.at, k.timing())
+		if !grid.SameSlots(r.grid) {
 			k.unschedule() // another server may have its slot now
 		}
 		r.grid = grid
@@ -121,9 +121,9 @@
 // begin returns this server's first slot from ready on.
 func (k *Keeper) begin(w *copyOf, ready time.Time) time.Time {
 	plan, _ := k.copies.plan(w.info.Version)
-	rates := waves.Rates{Bytes: w.info.Bytes, StorePS: k.copies.rates.storePS(k.cfg.Model), LinkPS: linkPS}
+	rates := waves.Rates{Bytes: w.info.Bytes, StoreBytesPerSecond: k.copies.rates.storePS(k.cfg.Model), LinkBytesPerSecond: linkPS}
 	k.state.unserved.fetch = plan.FetchTime(rates)
-	return plan.Begin(k.state.unserved.grid, ready, plan.Role(k.cfg.Server).Wave)
+	return plan.SwapStart(k.state.unserved.grid, ready, plan.Role(k.cfg.Server).Wave)
 }
 
 func (k *Keeper) schedule(at time.Time) {
--- a/capacity/decide_test.go
+++ b/capacity/decide_test.go
@@ -144,7 +144,7 @@
 // arithmetic of the plan for 200 MB, a store of 1 GB/s, links of 750 MB/s and
 // swaps of 1 s.
 func BenchmarkWaves(b *testing.B) {
-	rates := waves.Rates{Bytes: 200e6, StorePS: 1e9, LinkPS: 750e6}
+	rates := waves.Rates{Bytes: 200e6, StoreBytesPerSecond: 1e9, LinkBytesPerSecond: 750e6}
 	for _, servers := range serversUpTo {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
 			fleet := WaveServers(servers)
--- a/decide/waves/waves.go
+++ b/decide/waves/waves.go
@@ -26,16 +26,16 @@
 )
 
 const (
-	// DirectLimit is the largest fleet whose agents all fetch from the store. With
+	// MaxDirectFetchers is the largest fleet whose agents all fetch from the store. With
 	// 16, eight or nine engines each took an eighth of its rate and versions came
 	// later than relayed ones: 0.15 to 0.19 versions behind instead of 0.12 to
 	// 0.15 (bench, scenario weights).
-	DirectLimit = 4
+	MaxDirectFetchers = 4
 	// FanOut is how many children an agent relays to. 2 to 4 take about the
 	// same time (fan-out times depth); 4 has the fewest hops that can fail.
 	FanOut = 4
-	// SeedSize is how many servers of a failure domain one seed carries.
-	SeedSize = 100
+	// ServersPerSeed is how many servers of a failure domain one seed carries.
+	ServersPerSeed = 100
 	// MaxWaves is the number of swap waves of a fleet that is large enough:
 	// two thirds of the engines keep serving.
 	MaxWaves = 3
@@ -61,10 +61,10 @@
 type Plan struct {
 	// Waves is the number of swap waves; 1 only for a single server.
 	Waves int
-	// Servers is how many servers the plan has; Fetchers of them share the
+	// Servers is how many servers the plan has; StoreFetchers of them share the
 	// store's rate.
-	Servers, Fetchers int
-	roles             map[string]Role
+	Servers, StoreFetchers int
+	roles                  map[string]Role
 }
 
 // New makes the plan. The order of servers does not matter. Seeds and tree
@@ -72,33 +72,33 @@
 // Waves do not: a server whose wave changed with each version could miss its
 // slot for ever where versions come faster than a round of slots.
 func New(model string, version uint64, servers []Server) *Plan {
-	order := sorted(model, 0, servers)
+	order := sortServers(model, 0, servers)
 	p := &Plan{Waves: min(MaxWaves, max(1, len(order))), Servers: len(order), roles: make(map[string]Role, len(order))}
 	for i, s := range order {
 		p.roles[s.Name] = Role{Wave: i % p.Waves}
 	}
-	if len(order) <= DirectLimit {
-		p.Fetchers = len(order)
+	if len(order) <= MaxDirectFetchers {
+		p.StoreFetchers = len(order)
 		return p
 	}
 	byDomain := map[string][]string{}
-	for _, s := range sorted(model, version, order) {
+	for _, s := range sortServers(model, version, order) {
 		byDomain[s.FailureDomain] = append(byDomain[s.FailureDomain], s.Name)
 	}
 	for _, names := range byDomain {
-		p.Fetchers += p.tree(names)
+		p.StoreFetchers += p.buildTrees(names)
 	}
 	return p
 }
 
-// sorted removes doubles and orders by failure domain, then by a hash that
+// sortServers removes doubles and orders by failure domain, then by a hash that
 // changes with the version. Waves are dealt out in such an order, so that each
 // wave takes an even share of each failure domain.
-func sorted(model string, version uint64, servers []Server) []Server {
+func sortServers(model string, version uint64, servers []Server) []Server {
 	rank := make(map[string]uint64, len(servers))
 	order := make([]Server, 0, len(servers))
 	for _, s := range servers {
-		if _, double := rank[s.Name]; double {
+		if _, isDuplicate := rank[s.Name]; isDuplicate {
 			continue
 		}
 		rank[s.Name] = hash(model, version, s.Name)
@@ -111,22 +111,22 @@
 	return order
 }
 
-// tree lays a failure domain's servers out as one tree per seed and returns
+// buildTrees lays a failure domain's servers out as one buildTrees per seed and returns
 // the number of seeds.
-func (p *Plan) tree(names []string) int {
-	seeds := (len(names) + SeedSize - 1) / SeedSize
+func (p *Plan) buildTrees(names []string) int {
+	seeds := (len(names) + ServersPerSeed - 1) / ServersPerSeed
 	for i, name := range names {
 		if i < seeds {
 			continue
 		}
 		parent := names[(i-seeds)/FanOut]
-		above := p.roles[parent]
+		parentRole := p.roles[parent]
 		r := p.roles[name]
-		r.Depth = above.Depth + 1
-		r.Parents = append([]string{parent}, above.Parents...)
+		r.Depth = parentRole.Depth + 1
+		r.Parents = append([]string{parent}, parentRole.Parents...)
 		p.roles[name] = r
-		above.Children++
-		p.roles[parent] = above
+		parentRole.Children++
+		p.roles[parent] = parentRole
 	}
 	return seeds
 }
@@ -144,54 +144,54 @@
 	Slot  time.Duration // from one wave to the next (SlotLength)
 }
 
-// Grid is the slots in which the waves swap. They come round by round for
+// Schedule is the slots in which the waves swap. They come round by round for
 // ever: a server whose copy is late or whose streams take longer uses one of a
 // later round. If it swapped when it liked, it would do so together with
 // another wave. All agents learn the versions at about the same times, and so
 // come to the same grid whatever each one serves.
-type Grid struct {
-	origin time.Time // of a slot of the first wave
-	from   time.Time // no swap begins earlier on this grid
-	until  time.Time // a swap to a version learnt so far has ended by then
-	slot   time.Duration
+type Schedule struct {
+	origin      time.Time // of a slot of the first wave
+	from        time.Time // no swap begins earlier on this grid
+	activeUntil time.Time // a swap to a version learnt so far has ended by then
+	slot        time.Duration
 }
 
-// Same tells whether both have the same slots.
-func (g Grid) Same(o Grid) bool { return g.origin.Equal(o.origin) && g.slot == o.slot }
+// SameSlots tells whether both have the same slots.
+func (s Schedule) SameSlots(o Schedule) bool { return s.origin.Equal(o.origin) && s.slot == o.slot }
 
-// Learn returns the grid for a version learnt now. The one in force stays
+// Advance returns the grid for a version learnt now. The one in force stays
 // until all its waves have had a slot: a trainer that publishes more often
 // would move the later waves' slots away for ever. The first wave's slot falls
 // on the moment at which the last copy should be there and the grace is over;
 // who need not wait for these takes its slot of a round before. Slots of the
 // new grid begin after the running one of the old, in which a swap may run.
-func (g Grid) Learn(now time.Time, t Timing) Grid {
+func (s Schedule) Advance(now time.Time, t Timing) Schedule {
 	ready := now.Add(max(t.Fetch, t.Grace))
-	next := g
-	if g.origin.IsZero() || !now.Before(g.origin.Add(MaxWaves*g.slot)) {
-		next = Grid{origin: ready, from: now, slot: t.Slot}
-		if now.Before(g.until) {
-			next.from, next.origin = g.boundary(now), g.boundary(ready)
+	next := s
+	if s.origin.IsZero() || !now.Before(s.origin.Add(MaxWaves*s.slot)) {
+		next = Schedule{origin: ready, from: now, slot: t.Slot}
+		if now.Before(s.activeUntil) {
+			next.from, next.origin = s.nextSlotStart(now), s.nextSlotStart(ready)
 		}
 	}
-	next.until = later(ready, now.Add(t.Hold)).Add((MaxWaves + 1) * next.slot)
+	next.activeUntil = later(ready, now.Add(t.Hold)).Add((MaxWaves + 1) * next.slot)
 	return next
 }
 
-// boundary returns the first begin of a slot from t on.
-func (g Grid) boundary(t time.Time) time.Time {
-	return g.origin.Add(ceilDiv(t.Sub(g.origin), g.slot) * g.slot)
+// nextSlotStart returns the first begin of a slot from t on.
+func (s Schedule) nextSlotStart(t time.Time) time.Time {
+	return s.origin.Add(ceilDiv(t.Sub(s.origin), s.slot) * s.slot)
 }
 
-// Begin returns when a server of a wave that may swap from ready on begins.
-func (p *Plan) Begin(g Grid, ready time.Time, wave int) time.Time {
-	round := g.slot * time.Duration(p.Waves)
+// SwapStart returns when a server of a wave that may swap from ready on begins.
+func (p *Plan) SwapStart(s Schedule, ready time.Time, wave int) time.Time {
+	round := s.slot * time.Duration(p.Waves)
 	if p.Waves <= 1 || round <= 0 {
 		return ready
 	}
-	ready = later(ready, g.from)
-	slot := g.origin.Add(g.slot * time.Duration(wave))
-	late := ready.Sub(slot) - g.slot/slotMargin
+	ready = later(ready, s.from)
+	slot := s.origin.Add(s.slot * time.Duration(wave))
+	late := ready.Sub(slot) - s.slot/slotMargin
 	slot = slot.Add(ceilDiv(late, round) * round)
 	return later(slot, ready)
 }
@@ -215,9 +215,9 @@
 // slotMargin: a slot is a quarter longer than a swap; a fifth of the slot.
 const slotMargin = 5
 
-// slotStep: agents that measured about the same swap time come to the same
+// slotRounding: agents that measured about the same swap time come to the same
 // slots.
-const slotStep = 125 * time.Millisecond
+const slotRounding = 125 * time.Millisecond
 
 // SlotLength returns the time between waves for a measured swap time; before
 // the first measurement it is base.
@@ -225,15 +225,15 @@
 	if swap <= 0 {
 		return base
 	}
-	return (swap + swap/4 + slotStep - 1) / slotStep * slotStep
+	return (swap + swap/4 + slotRounding - 1) / slotRounding * slotRounding
 }
 
 // Rates are what the spread of a version depends on. Rates of 0 are unknown
 // and count as no time.
 type Rates struct {
-	Bytes   int64   // of one version
-	StorePS float64 // bytes a second, shared by all
-	LinkPS  float64 // bytes a second out of one agent
+	Bytes               int64   // of one version
+	StoreBytesPerSecond float64 // bytes a second, shared by all
+	LinkBytesPerSecond  float64 // bytes a second out of one agent
 }
 
 // FetchTime returns when the last server should have its copy.
@@ -242,12 +242,12 @@
 	for _, role := range p.roles {
 		depth = max(depth, role.Depth)
 	}
-	seconds := over(float64(p.Fetchers)*float64(r.Bytes), r.StorePS) +
-		over(float64(depth)*FanOut*float64(r.Bytes), r.LinkPS)
+	seconds := transferSeconds(float64(p.StoreFetchers)*float64(r.Bytes), r.StoreBytesPerSecond) +
+		transferSeconds(float64(depth)*FanOut*float64(r.Bytes), r.LinkBytesPerSecond)
 	return time.Duration(math.Ceil(seconds * float64(time.Second)))
 }
 
-func over(bytes, perSecond float64) float64 {
+func transferSeconds(bytes, perSecond float64) float64 {
 	if perSecond <= 0 {
 		return 0
 	}
--- a/decide/waves/waves_test.go
+++ b/decide/waves/waves_test.go
@@ -28,26 +28,26 @@
 // comment, by the plan itself, and what all from the store would take.
 func TestFleetMakespan(t *testing.T) {
 	plan := waves.New("m", 7, fleet(fleetServers, fleetDomains))
-	rates := waves.Rates{Bytes: 200e6, StorePS: 1e9, LinkPS: 750e6}
-	require.Equal(t, fleetDomains, plan.Fetchers)
+	rates := waves.Rates{Bytes: 200e6, StoreBytesPerSecond: 1e9, LinkBytesPerSecond: 750e6}
+	require.Equal(t, fleetDomains, plan.StoreFetchers)
 	got := plan.Makespan(rates, time.Second)
-	direct := time.Duration(float64(fleetServers) * float64(rates.Bytes) / rates.StorePS * float64(time.Second))
+	direct := time.Duration(float64(fleetServers) * float64(rates.Bytes) / rates.StoreBytesPerSecond * float64(time.Second))
 	t.Logf("fetch %v, all swapped %v; all from the store %v", plan.FetchTime(rates), got, direct)
 	require.Equal(t, 11500*time.Millisecond, got)
 	learnt, last := time.Unix(1000, 0), time.Time{}
 	fetch := plan.FetchTime(rates)
-	grid := waves.Grid{}.Learn(learnt, waves.Timing{Fetch: fetch, Slot: waves.SlotLength(0, time.Second)})
+	schedule := waves.Schedule{}.Advance(learnt, waves.Timing{Fetch: fetch, Slot: waves.SlotLength(0, time.Second)})
 	for wave := range plan.Waves {
-		last = plan.Begin(grid, learnt.Add(fetch), wave).Add(time.Second)
+		last = plan.SwapStart(schedule, learnt.Add(fetch), wave).Add(time.Second)
 	}
-	require.Equal(t, got, last.Sub(learnt), "what the waves' begin comes to")
+	require.Equal(t, got, last.Sub(learnt), "what the waves' start comes to")
 	require.LessOrEqual(t, plan.Makespan(rates, 2*time.Second), 15*time.Second)
 	require.Equal(t, 300*time.Second, direct)
 }
 
 func TestSmallFleetFetchesFromTheStore(t *testing.T) {
-	for _, s := range fleet(waves.DirectLimit, 3) {
-		require.Empty(t, waves.New("m", 1, fleet(waves.DirectLimit, 3)).Role(s.Name).Parents)
+	for _, s := range fleet(waves.MaxDirectFetchers, 3) {
+		require.Empty(t, waves.New("m", 1, fleet(waves.MaxDirectFetchers, 3)).Role(s.Name).Parents)
 	}
 }
 
@@ -83,7 +83,7 @@
 				children[role.Parents[0]]++
 			}
 		}
-		require.Equal(t, plan.Fetchers, seeds)
+		require.Equal(t, plan.StoreFetchers, seeds)
 		for _, s := range servers {
 			require.Equal(t, children[s.Name], plan.Role(s.Name).Children)
 			require.LessOrEqual(t, children[s.Name], waves.FanOut)
@@ -108,19 +108,19 @@
 		plan := waves.New("m", 1, fleet(rapid.IntRange(2, 9).Draw(t, "servers"), 2))
 		swap := time.Duration(rapid.IntRange(1, 5000).Draw(t, "swap ms")) * time.Millisecond
 		timing := waves.Timing{Fetch: time.Second, Grace: 2 * time.Second, Slot: waves.SlotLength(0, swap)}
-		grid := waves.Grid{}.Learn(learnt, timing)
-		begin := make([]time.Time, plan.Waves)
-		for w := range begin {
+		schedule := waves.Schedule{}.Advance(learnt, timing)
+		start := make([]time.Time, plan.Waves)
+		for w := range start {
 			late := time.Duration(rapid.IntRange(0, 60_000).Draw(t, "late ms")) * time.Millisecond
 			hold := time.Duration(rapid.IntRange(0, 20_000).Draw(t, "hold ms")) * time.Millisecond
 			ready := learnt.Add(max(late, hold))
-			begin[w] = plan.Begin(grid, ready, w)
-			require.False(t, begin[w].Before(ready))
-			require.Less(t, begin[w].Sub(ready), timing.Slot*time.Duration(plan.Waves))
+			start[w] = plan.SwapStart(schedule, ready, w)
+			require.False(t, start[w].Before(ready))
+			require.Less(t, start[w].Sub(ready), timing.Slot*time.Duration(plan.Waves))
 		}
-		for a := range begin {
+		for a := range start {
 			for b := range a {
-				require.GreaterOrEqual(t, begin[a].Sub(begin[b]).Abs(), swap-time.Nanosecond*4)
+				require.GreaterOrEqual(t, start[a].Sub(start[b]).Abs(), swap-time.Nanosecond*4)
 			}
 		}
 	})
@@ -131,12 +131,12 @@
 // slot, and no two waves' swaps meet, not even where the slots are laid anew.
 // Were each version a new beginning, or did waves rotate with it, the last wave
 // would never swap.
-func TestNewVersionsDoNotPutOffSwaps(t *testing.T) {
+func TestNewVersionsDoNotDelaySwaps(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		servers := fleet(rapid.IntRange(2, 9).Draw(t, "servers"), 2)
 		slot := time.Duration(rapid.IntRange(1, 16).Draw(t, "slot")) * time.Second / 4
 		timing := waves.Timing{Fetch: 2 * time.Second, Grace: 5 * time.Second, Hold: 20 * time.Second, Slot: slot}
-		now, grid := time.Unix(1000, 0), waves.Grid{}
+		now, schedule := time.Unix(1000, 0), waves.Schedule{}
 		pending := map[string]time.Time{} // server -> since when it may swap
 		type swap struct {
 			wave int
@@ -145,7 +145,7 @@
 		var swaps []swap
 		for version := range uint64(40) {
 			plan := waves.New("m", version, servers)
-			grid = grid.Learn(now, timing)
+			schedule = schedule.Advance(now, timing)
 			next := now.Add(time.Duration(rapid.IntRange(1, 20_000).Draw(t, "pause ms")) * time.Millisecond)
 			for _, s := range servers {
 				if _, waits := pending[s.Name]; !waits {
@@ -156,10 +156,10 @@
 					ready = now
 				}
 				wave := plan.Role(s.Name).Wave
-				begin := plan.Begin(grid, ready, wave)
-				require.Less(t, begin.Sub(pending[s.Name]), 2*waves.MaxWaves*slot+slot)
-				if begin.Before(next) {
-					swaps = append(swaps, swap{wave, begin})
+				start := plan.SwapStart(schedule, ready, wave)
+				require.Less(t, start.Sub(pending[s.Name]), 2*waves.MaxWaves*slot+slot)
+				if start.Before(next) {
+					swaps = append(swaps, swap{wave, start})
 					delete(pending, s.Name)
 				}
 			}
