--- a/agent/generate/produce.go
+++ b/agent/generate/produce.go
@@ -160,7 +160,7 @@
 		return p.addApplication(c)
 	}
 	if c.Tokens > 0 && c.Version != 0 {
-		switch fresh.Chunk(c.Version, p.label.Version(), r.floor.Load(), r.mixed) {
+		switch fresh.CheckChunk(c.Version, p.label.Version(), r.floor.Load(), r.mixed) {
 		case fresh.Cancel:
 			return errBelowFloor
 		case fresh.Resume:
@@ -192,7 +192,7 @@
 // can't continue the text, ends it.
 func (p *product) addApplication(c platform.Chunk) error {
 	if c.Boot != p.boot {
-		return label.ErrBoot
+		return label.ErrEngineRestarted
 	}
 	_ = p.label.Add(c.Version, c.Boot, c.Tokens, c.Text)
 	return nil
@@ -217,7 +217,7 @@
 			continue // the floor rose meanwhile
 		}
 		p.start, p.boot = version, boot
-		p.label.Restart(boot)
+		p.label.ContinueOnBoot(boot)
 		return nil
 	}
 }
--- a/agent/generate/table.go
+++ b/agent/generate/table.go
@@ -178,7 +178,7 @@
 		if !t.owner(r.sample.Trainer, r.sample.Step, r.epoch) {
 			return nil, beginOlder
 		}
-		r.floor.Store(max(r.floor.Load(), t.floors.Of(r.sample.Trainer)))
+		r.floor.Store(max(r.floor.Load(), t.floors.Get(r.sample.Trainer)))
 		same := t.samples[*r.sample]
 		if same != nil && same.epoch == r.epoch && !r.hedge {
 			return nil, beginTwice
@@ -251,9 +251,9 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !t.swapAt.IsZero() {
-		p := fresh.Pending{Left: t.swapAt.Sub(t.now()), Staleness: staleness}
-		if !fresh.MayStartBefore(p, r.mixed, need) {
-			return p.Left, false
+		p := fresh.PendingSwap{TimeToSwap: t.swapAt.Sub(t.now()), PreferNew: staleness}
+		if !fresh.MayStartBeforeSwap(p, r.mixed, need) {
+			return p.TimeToSwap, false
 		}
 	}
 	r.active, r.startVersion, r.startBoot = true, version, boot
@@ -300,7 +300,7 @@
 func (t *table) raise(trainer string, floor, engine uint64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	floor, rose := t.floors.Learn(trainer, floor)
+	floor, rose := t.floors.Raise(trainer, floor)
 	if !rose {
 		return false
 	}
@@ -312,7 +312,7 @@
 		if !r.active {
 			continue // judged again when it gets its slot
 		}
-		switch fresh.Raised(engine, r.version.Load(), floor, r.mixed) {
+		switch fresh.CheckRaisedFloor(engine, r.version.Load(), floor, r.mixed) {
 		case fresh.Cancel:
 			r.interrupt(errBelowFloor)
 		case fresh.Resume:
--- a/decide/fresh/fresh.go
+++ b/decide/fresh/fresh.go
@@ -20,32 +20,32 @@
 
 // Floors remembers the highest floor learnt for each trainer. The zero value
 // is ready. It is not safe for concurrent use.
-type Floors struct{ by map[string]uint64 }
+type Floors struct{ byTrainer map[string]uint64 }
 
-// Learn takes a floor heard for a trainer and returns the floor in force and
+// Raise takes a floor heard for a trainer and returns the floor in force and
 // whether it rose.
-func (f *Floors) Learn(trainer string, floor uint64) (uint64, bool) {
-	held := f.by[trainer]
-	if floor <= held {
-		return held, false
+func (f *Floors) Raise(trainer string, floor uint64) (uint64, bool) {
+	current := f.byTrainer[trainer]
+	if floor <= current {
+		return current, false
 	}
-	if f.by == nil {
-		f.by = make(map[string]uint64)
+	if f.byTrainer == nil {
+		f.byTrainer = make(map[string]uint64)
 	}
-	f.by[trainer] = floor
+	f.byTrainer[trainer] = floor
 	return floor, true
 }
 
-// Of returns the floor in force for a trainer.
-func (f *Floors) Of(trainer string) uint64 { return f.by[trainer] }
+// Get returns the floor in force for a trainer.
+func (f *Floors) Get(trainer string) uint64 { return f.byTrainer[trainer] }
 
 // Highest returns the highest floor in force for any trainer.
 func (f *Floors) Highest() uint64 {
-	high := uint64(0)
-	for _, floor := range f.by {
-		high = max(high, floor)
+	highest := uint64(0)
+	for _, floor := range f.byTrainer {
+		highest = max(highest, floor)
 	}
-	return high
+	return highest
 }
 
 // MayStart tells whether a stream may start on a verified version. Version 0
@@ -56,8 +56,8 @@
 type Verdict uint8
 
 const (
-	// GoOn: pass the chunk on.
-	GoOn Verdict = iota
+	// Continue: pass the chunk on.
+	Continue Verdict = iota
 	// Cancel: stop the stream at the engine and discard the sample.
 	Cancel
 	// Resume: drop the chunk, stop the stream at the engine and go on behind
@@ -69,7 +69,7 @@
 	return [...]string{"go on", "cancel", "resume on new weights"}[v]
 }
 
-// Chunk judges a chunk of version chunk in a stream whose newest token so far
+// CheckChunk judges a chunk of version chunk in a stream whose newest token so far
 // has version last (0: none yet).
 //
 //	chunk < floor, mixed      Resume
@@ -77,29 +77,29 @@
 //	another version, mixed    GoOn
 //	another, not mixed        Cancel
 //	else                      GoOn
-func Chunk(chunk, last, floor uint64, mixed bool) Verdict {
+func CheckChunk(chunk, last, floor uint64, mixed bool) Verdict {
 	if chunk < floor {
-		return below(mixed)
+		return verdictBelowFloor(mixed)
 	}
 	if last != 0 && chunk != last && !mixed {
 		return Cancel
 	}
-	return GoOn
+	return Continue
 }
 
-// Raised judges a running stream when its floor rises. engine is the version
+// CheckRaisedFloor judges a running stream when its floor rises. engine is the version
 // that the engine now makes tokens with, last the version of the newest token.
-func Raised(engine, last, floor uint64, mixed bool) Verdict {
+func CheckRaisedFloor(engine, last, floor uint64, mixed bool) Verdict {
 	if !mixed && last != 0 && last < floor {
 		return Cancel
 	}
 	if engine < floor {
-		return below(mixed)
+		return verdictBelowFloor(mixed)
 	}
-	return GoOn
+	return Continue
 }
 
-func below(mixed bool) Verdict {
+func verdictBelowFloor(mixed bool) Verdict {
 	if mixed {
 		return Resume
 	}
@@ -115,20 +115,20 @@
 	return mixed || last == 0 || last == version
 }
 
-// Pending describes a weight swap that is about to happen.
-type Pending struct {
-	Left      time.Duration // until the swap
-	Staleness bool          // operators weigh staleness more than idle time
+// PendingSwap describes a weight swap that is about to happen.
+type PendingSwap struct {
+	TimeToSwap time.Duration // until the swap
+	PreferNew  bool          // operators weigh staleness more than idle time
 }
 
-// MayStartBefore tells whether a stream may start with a swap pending. need is
+// MayStartBeforeSwap tells whether a stream may start with a swap pending. need is
 // the predicted time to its end, 0 where unknown. A mixed stream goes through
 // the swap and always starts. One that must not be mixed would be thrown away
 // at the swap, so where idle time weighs more it starts only if it should end
 // in time; where staleness weighs more it waits for the new weights.
-func MayStartBefore(p Pending, mixed bool, need time.Duration) bool {
+func MayStartBeforeSwap(p PendingSwap, mixed bool, remaining time.Duration) bool {
 	if mixed {
 		return true
 	}
-	return !p.Staleness && need > 0 && need <= p.Left
+	return !p.PreferNew && remaining > 0 && remaining <= p.TimeToSwap
 }
--- a/decide/label/label.go
+++ b/decide/label/label.go
@@ -13,11 +13,11 @@
 
 // Reasons why a label can't be proved.
 var (
-	ErrNoVersion  = errors.New("label: chunk names no version")
-	ErrBoot       = errors.New("label: engine restarted under the stream")
-	ErrBackwards  = errors.New("label: version went backwards")
-	ErrTokenCount = errors.New("label: token count does not fit")
-	ErrSpans      = errors.New("label: earlier spans do not fit together")
+	ErrNoVersion        = errors.New("label: chunk names no version")
+	ErrEngineRestarted  = errors.New("label: engine restarted under the stream")
+	ErrVersionDecreased = errors.New("label: version went backwards")
+	ErrTokenCount       = errors.New("label: token count does not fit")
+	ErrInvalidSpans     = errors.New("label: earlier spans do not fit together")
 )
 
 // RequestHash names what a sample was asked for: two samples whose hashes are
@@ -25,10 +25,10 @@
 // reposts a step with another seed or length would get answers to the old one.
 func RequestHash(prompt string, seed uint64, maxTokens uint32) string {
 	sum := sha256.New()
-	var head [12]byte // of fixed length, so that no prompt can imitate it
-	binary.BigEndian.PutUint64(head[:], seed)
-	binary.BigEndian.PutUint32(head[8:], maxTokens)
-	sum.Write(head[:])
+	var header [12]byte // of fixed length, so that no prompt can imitate it
+	binary.BigEndian.PutUint64(header[:], seed)
+	binary.BigEndian.PutUint32(header[8:], maxTokens)
+	sum.Write(header[:])
 	sum.Write([]byte(prompt))
 	return hex.EncodeToString(sum.Sum(nil))
 }
@@ -42,20 +42,20 @@
 // Builder collects the label of one stream. The zero value is not ready; use
 // New. It belongs to one goroutine.
 type Builder struct {
-	boot  string
-	max   uint32
-	spans []Span
-	err   error
+	boot      string
+	maxTokens uint32
+	spans     []Span
+	err       error
 }
 
 // New starts a label. boot is the engine start that the stream must stay on;
 // maxTokens bounds the whole sample, earlier spans included. earlier are the
 // proved spans of a resumed sample (nil for a new one).
 func New(boot string, maxTokens uint32, earlier []Span) *Builder {
-	b := &Builder{boot: boot, max: maxTokens}
+	b := &Builder{boot: boot, maxTokens: maxTokens}
 	for _, s := range earlier {
 		if s.From != b.Tokens() || s.To <= s.From || s.Version == 0 || s.Version < b.Version() {
-			b.err = ErrSpans
+			b.err = ErrInvalidSpans
 			return b
 		}
 		b.spans = append(b.spans, s)
@@ -66,14 +66,14 @@
 	return b
 }
 
-// Restart tells that the stream goes on in a new engine stream on boot. What
+// ContinueOnBoot tells that the stream goes on in a new engine stream on boot. What
 // was proved before stays.
-func (b *Builder) Restart(boot string) { b.boot = boot }
+func (b *Builder) ContinueOnBoot(boot string) { b.boot = boot }
 
 // Add takes one chunk. After an error every further call returns it again.
 func (b *Builder) Add(version uint64, boot string, tokens int, text string) error {
 	if b.err == nil {
-		b.err = b.check(version, boot, tokens, text)
+		b.err = b.checkChunk(version, boot, tokens, text)
 	}
 	if b.err != nil || tokens == 0 {
 		return b.err
@@ -88,9 +88,9 @@
 	return nil
 }
 
-func (b *Builder) check(version uint64, boot string, tokens int, text string) error {
+func (b *Builder) checkChunk(version uint64, boot string, tokens int, text string) error {
 	if boot != b.boot {
-		return fmt.Errorf("%w: %q, was %q", ErrBoot, boot, b.boot)
+		return fmt.Errorf("%w: %q, was %q", ErrEngineRestarted, boot, b.boot)
 	}
 	if tokens < 0 || (tokens == 0 && text != "") {
 		return fmt.Errorf("%w: %d tokens with %d bytes of text", ErrTokenCount, tokens, len(text))
@@ -102,10 +102,10 @@
 		return ErrNoVersion
 	}
 	if version < b.Version() {
-		return fmt.Errorf("%w: %d after %d", ErrBackwards, version, b.Version())
+		return fmt.Errorf("%w: %d after %d", ErrVersionDecreased, version, b.Version())
 	}
-	if uint64(b.Tokens())+uint64(tokens) > uint64(b.max) {
-		return fmt.Errorf("%w: more than %d", ErrTokenCount, b.max)
+	if uint64(b.Tokens())+uint64(tokens) > uint64(b.maxTokens) {
+		return fmt.Errorf("%w: more than %d", ErrTokenCount, b.maxTokens)
 	}
 	return nil
 }
--- a/decide/label/label_test.go
+++ b/decide/label/label_test.go
@@ -22,8 +22,8 @@
 		want    error
 	}{
 		{"no version", 0, "b", 1, "x", label.ErrNoVersion},
-		{"other engine start", 7, "c", 1, "x", label.ErrBoot},
-		{"version backwards", 6, "b", 1, "x", label.ErrBackwards},
+		{"other engine start", 7, "c", 1, "x", label.ErrEngineRestarted},
+		{"version backwards", 6, "b", 1, "x", label.ErrVersionDecreased},
 		{"negative count", 7, "b", -1, "x", label.ErrTokenCount},
 		{"text without tokens", 7, "b", 0, "x", label.ErrTokenCount},
 		{"more than asked for", 7, "b", 9, "x", label.ErrTokenCount},
@@ -60,7 +60,7 @@
 func TestSpansNameEachToken(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := label.New("b", 50, nil)
-		var truth []uint64
+		var want []uint64
 		for range rapid.IntRange(0, 20).Draw(t, "chunks") {
 			version := rapid.Uint64Range(0, 4).Draw(t, "version")
 			boot := rapid.SampledFrom([]string{"b", "b", "b", "b", "b", "c"}).Draw(t, "boot")
@@ -69,7 +69,7 @@
 				break
 			}
 			for range tokens {
-				truth = append(truth, version)
+				want = append(want, version)
 			}
 		}
 		var got []uint64
@@ -79,7 +79,7 @@
 				got = append(got, s.Version)
 			}
 		}
-		require.Equal(t, truth, got)
+		require.Equal(t, want, got)
 	})
 }
 
--- a/entry/steps/generate.go
+++ b/entry/steps/generate.go
@@ -137,7 +137,7 @@
 	if c.GetVersion() == 0 {
 		return errDiscard("a chunk has no weight version")
 	}
-	if fresh.Chunk(c.GetVersion(), r.version(), r.floor.Load(), r.mixed) != fresh.GoOn {
+	if fresh.CheckChunk(c.GetVersion(), r.version(), r.floor.Load(), r.mixed) != fresh.Continue {
 		return errStale
 	}
 	if r.add(c) == 1 {
