--- a/decide/waves/waves.go
+++ b/decide/waves/waves.go
@@ -1,19 +1,25 @@
-// Package waves decides how a new weight version spreads over a model's
-// engines: who fetches it from the weight store, who from which fellow agent,
-// and in which wave an engine swaps. It is pure: every agent computes the same
-// plan from the same list of servers, so nobody coordinates. Agents whose lists
-// differ for a moment (the VM list lags) lose time, not correctness: a parent
-// without the bytes is passed over for the next one and at last for the store.
+// Package waves plans how a new weight version spreads over a model's engines:
+// which agents fetch it from the weight store, which from another agent, and
+// in which wave each engine swaps. It does no I/O. Every agent computes the
+// same plan from the same list of servers, so no coordination is needed.
+// Agents whose lists differ for a moment (the VM list lags) lose time, not
+// correctness: if a parent does not have the bytes, the agent tries the next
+// parent and finally the store.
 //
-// The sums at fleet size, which TestFleetMakespan repeats: 1,500 servers in 24
-// failure domains, 200 MB a version, a store of 1 GB/s and 750 MB/s of a
-// 10 Gb/s link. All from the store: 1,500 * 0.2 = 300 s. One seed per failure
-// domain: 24 * 0.2 = 4.8 s. The other 62 of a domain hang below it in a tree of
-// fan-out 4: 3 hops, each 4 * 200 MB / 750 MB/s = 1.07 s, 3.2 s together. With
-// a swap of 1 s the last of three waves begins 2.5 s later and takes 1 s:
-// 4.8 + 3.2 + 2.5 + 1 = 11.5 s of the 15 s. A swap may take 2 s at most there.
-// The hops count whole, though agents relay a version's bytes as they come: one
-// that fetches late has them from a whole copy.
+// Figures at fleet size, which TestFleetMakespan checks: 1,500 servers in 24
+// failure domains, 200 MB per version, a store that delivers 1 GB/s, and
+// 750 MB/s of a 10 Gb/s link.
+//
+//   - If all servers fetched from the store: 1,500 * 0.2 s = 300 s.
+//   - One seed per failure domain: 24 * 0.2 s = 4.8 s.
+//   - The other 62 servers of a domain form a tree of fan-out 4 below the seed:
+//     3 hops, each 4 * 200 MB / 750 MB/s = 1.07 s, together 3.2 s.
+//   - With a swap of 1 s the last of three waves starts 2.5 s later and takes
+//     1 s: 4.8 + 3.2 + 2.5 + 1 = 11.5 s of the allowed 15 s.
+//
+// A swap may take at most 2 s at this size. Each hop counts in full, although
+// agents relay the bytes of a version as they arrive: an agent that fetches
+// late reads from a complete copy.
 package waves
 
 import (
@@ -26,18 +32,20 @@
 )
 
 const (
-	// MaxDirectFetchers is the largest fleet whose agents all fetch from the store. With
-	// 16, eight or nine engines each took an eighth of its rate and versions came
-	// later than relayed ones: 0.15 to 0.19 versions behind instead of 0.12 to
-	// 0.15 (bench, scenario weights).
+	// MaxDirectFetchers is the size of the largest fleet in which all agents
+	// fetch from the store. With a limit of 16, each of eight or nine engines
+	// got an eighth of the store's rate, and versions arrived later than
+	// relayed ones: 0.15 to 0.19 versions behind instead of 0.12 to 0.15.
 	MaxDirectFetchers = 4
-	// FanOut is how many children an agent relays to. 2 to 4 take about the
-	// same time (fan-out times depth); 4 has the fewest hops that can fail.
+	// FanOut is the number of children that an agent relays to. 2 to 4 take
+	// about the same time (fan-out times depth); 4 has the fewest hops that can
+	// fail.
 	FanOut = 4
-	// ServersPerSeed is how many servers of a failure domain one seed carries.
+	// ServersPerSeed is the maximum number of servers of a failure domain that
+	// one seed serves.
 	ServersPerSeed = 100
-	// MaxWaves is the number of swap waves of a fleet that is large enough:
-	// two thirds of the engines keep serving.
+	// MaxWaves is the number of swap waves of a fleet with enough servers: two
+	// thirds of the engines keep serving.
 	MaxWaves = 3
 )
 
@@ -46,31 +54,33 @@
 
 // Role is one server's part in a plan.
 type Role struct {
-	// Parents are the agents to fetch from, best first; the store comes after
-	// them. Empty: fetch from the store.
+	// Parents are the agents to fetch from, in order of preference; the store
+	// comes after them. If empty, the agent fetches from the store.
 	Parents []string
-	// Depth is the number of hops to the store's copy, 0 for a seed.
+	// Depth is the number of hops to the agent that fetches from the store, 0
+	// for a seed.
 	Depth int
-	// Children is how many agents fetch from this one first.
+	// Children is the number of agents whose first parent is this one.
 	Children int
 	// Wave is in [0, Waves).
 	Wave int
 }
 
-// Plan is how one version of one model spreads.
+// Plan describes how one version of one model spreads.
 type Plan struct {
 	// Waves is the number of swap waves; 1 only for a single server.
 	Waves int
-	// Servers is how many servers the plan has; StoreFetchers of them share the
-	// store's rate.
+	// Servers is the number of servers in the plan. StoreFetchers of them fetch
+	// from the store and share its rate.
 	Servers, StoreFetchers int
 	roles                  map[string]Role
 }
 
-// New makes the plan. The order of servers does not matter. Seeds and tree
-// positions rotate with the version so that no server always bears the load.
-// Waves do not: a server whose wave changed with each version could miss its
-// slot for ever where versions come faster than a round of slots.
+// New computes the plan; the order of servers does not matter. Seeds and tree
+// positions rotate with the version, so that no server always bears the load.
+// Waves do not rotate: if a server's wave changed with each version, it could
+// miss its slot for ever where versions are published faster than a round of
+// slots.
 func New(model string, version uint64, servers []Server) *Plan {
 	order := sortServers(model, 0, servers)
 	p := &Plan{Waves: min(MaxWaves, max(1, len(order))), Servers: len(order), roles: make(map[string]Role, len(order))}
@@ -91,9 +101,9 @@
 	return p
 }
 
-// sortServers removes doubles and orders by failure domain, then by a hash that
-// changes with the version. Waves are dealt out in such an order, so that each
-// wave takes an even share of each failure domain.
+// sortServers removes duplicates and sorts by failure domain, then by a hash
+// that changes with the version. Assigning waves in this order gives each wave
+// an even share of each failure domain.
 func sortServers(model string, version uint64, servers []Server) []Server {
 	rank := make(map[string]uint64, len(servers))
 	order := make([]Server, 0, len(servers))
@@ -111,8 +121,8 @@
 	return order
 }
 
-// buildTrees lays a failure domain's servers out as one buildTrees per seed and returns
-// the number of seeds.
+// buildTrees arranges the servers of a failure domain in one tree per seed and
+// returns the number of seeds.
 func (p *Plan) buildTrees(names []string) int {
 	seeds := (len(names) + ServersPerSeed - 1) / ServersPerSeed
 	for i, name := range names {
@@ -131,40 +141,43 @@
 	return seeds
 }
 
-// Role returns a server's part; a server that is not in the plan fetches from
-// the store and swaps in the first wave.
+// Role returns a server's part in the plan. A server that is not in the plan
+// fetches from the store and swaps in the first wave.
 func (p *Plan) Role(name string) Role { return p.roles[name] }
 
-// Timing is what the waves' begin depends on. It should be alike for all
-// servers, or their slots overlap.
+// Timing is what the start of the waves depends on. It should be about the
+// same on all servers, otherwise their slots overlap.
 type Timing struct {
 	Fetch time.Duration // until the last server should have its copy (FetchTime)
-	Grace time.Duration // what running streams get to finish
-	Hold  time.Duration // how long at most streams hold up a swap
-	Slot  time.Duration // from one wave to the next (SlotLength)
+	Grace time.Duration // how long running streams may take to finish
+	Hold  time.Duration // how long streams may delay a swap at most
+	Slot  time.Duration // from the start of one wave to the next (SlotLength)
 }
 
-// Schedule is the slots in which the waves swap. They come round by round for
-// ever: a server whose copy is late or whose streams take longer uses one of a
-// later round. If it swapped when it liked, it would do so together with
-// another wave. All agents learn the versions at about the same times, and so
-// come to the same grid whatever each one serves.
+// Schedule is the grid of time slots in which the waves swap. The slots of all
+// waves repeat round after round: a server whose copy is late, or whose
+// streams take longer, uses a slot of a later round. If it swapped at any
+// other time, its swap could overlap with that of another wave. All agents
+// learn of versions at about the same times and therefore compute the same
+// schedule, whatever version each of them serves.
 type Schedule struct {
-	origin      time.Time // of a slot of the first wave
-	from        time.Time // no swap begins earlier on this grid
-	activeUntil time.Time // a swap to a version learnt so far has ended by then
+	origin      time.Time // start of a slot of the first wave
+	from        time.Time // no swap starts earlier on this schedule
+	activeUntil time.Time // swaps to the versions learned so far have ended by then
 	slot        time.Duration
 }
 
-// SameSlots tells whether both have the same slots.
+// SameSlots reports whether both schedules have the same slots.
 func (s Schedule) SameSlots(o Schedule) bool { return s.origin.Equal(o.origin) && s.slot == o.slot }
 
-// Advance returns the grid for a version learnt now. The one in force stays
-// until all its waves have had a slot: a trainer that publishes more often
-// would move the later waves' slots away for ever. The first wave's slot falls
-// on the moment at which the last copy should be there and the grace is over;
-// who need not wait for these takes its slot of a round before. Slots of the
-// new grid begin after the running one of the old, in which a swap may run.
+// Advance returns the schedule after a version that was learned at now. The
+// current schedule stays until each wave has had a slot; otherwise a trainer
+// that publishes more often than that would postpone the slots of the later
+// waves for ever. In a new schedule the first wave's slot starts when the last
+// copy should have arrived and the grace period has ended; a server that need
+// not wait for these uses its slot of an earlier round. Slots of the new
+// schedule start after the running slot of the old one, in which a swap may be
+// in progress.
 func (s Schedule) Advance(now time.Time, t Timing) Schedule {
 	ready := now.Add(max(t.Fetch, t.Grace))
 	next := s
@@ -178,12 +191,13 @@
 	return next
 }
 
-// nextSlotStart returns the first begin of a slot from t on.
+// nextSlotStart returns the first start of a slot at or after t.
 func (s Schedule) nextSlotStart(t time.Time) time.Time {
 	return s.origin.Add(ceilDiv(t.Sub(s.origin), s.slot) * s.slot)
 }
 
-// SwapStart returns when a server of a wave that may swap from ready on begins.
+// SwapStart returns when a server of the given wave starts its swap if it may
+// swap from ready on.
 func (p *Plan) SwapStart(s Schedule, ready time.Time, wave int) time.Time {
 	round := s.slot * time.Duration(p.Waves)
 	if p.Waves <= 1 || round <= 0 {
@@ -196,7 +210,7 @@
 	return later(slot, ready)
 }
 
-// ceilDiv divides and rounds up, also below 0.
+// ceilDiv divides and rounds up, for negative a too.
 func ceilDiv(a, b time.Duration) time.Duration {
 	q := a / b
 	if a%b > 0 {
@@ -212,15 +226,16 @@
 	return b
 }
 
-// slotMargin: a slot is a quarter longer than a swap; a fifth of the slot.
+// slotMargin is the share of a slot, as a divisor, that is not needed for the
+// swap: a slot is a quarter longer than a swap, so a fifth of it is spare.
 const slotMargin = 5
 
-// slotRounding: agents that measured about the same swap time come to the same
-// slots.
+// slotRounding is the unit that slots are rounded up to, so that agents that
+// measured similar swap times use the same slots.
 const slotRounding = 125 * time.Millisecond
 
-// SlotLength returns the time between waves for a measured swap time; before
-// the first measurement it is base.
+// SlotLength returns the time from one wave to the next for a measured swap
+// time, or base before the first measurement.
 func SlotLength(base, swap time.Duration) time.Duration {
 	if swap <= 0 {
 		return base
@@ -228,15 +243,16 @@
 	return (swap + swap/4 + slotRounding - 1) / slotRounding * slotRounding
 }
 
-// Rates are what the spread of a version depends on. Rates of 0 are unknown
-// and count as no time.
+// Rates holds what the spread of a version depends on. A rate of 0 is unknown
+// and counts as no time.
 type Rates struct {
-	Bytes               int64   // of one version
-	StoreBytesPerSecond float64 // bytes a second, shared by all
-	LinkBytesPerSecond  float64 // bytes a second out of one agent
+	Bytes               int64   // size of one version
+	StoreBytesPerSecond float64 // of the store, shared by all servers
+	LinkBytesPerSecond  float64 // out of one agent
 }
 
-// FetchTime returns when the last server should have its copy.
+// FetchTime returns the time from the announcement until the last server
+// should have its copy.
 func (p *Plan) FetchTime(r Rates) time.Duration {
 	depth := 0
 	for _, role := range p.roles {
@@ -255,7 +271,7 @@
 }
 
 // Makespan returns the time from the announcement until the last engine has
-// swapped, without grace.
+// swapped, without the grace period.
 func (p *Plan) Makespan(r Rates, swap time.Duration) time.Duration {
 	return p.FetchTime(r) + SlotLength(0, swap)*time.Duration(p.Waves-1) + swap
 }
--- a/decide/waves/waves_test.go
+++ b/decide/waves/waves_test.go
@@ -24,8 +24,9 @@
 	return out
 }
 
-// The aim: new weights on 1,500 servers within 15 s. The sums of the package
-// comment, by the plan itself, and what all from the store would take.
+// The goal is new weights on 1,500 servers within 15 s. Checks the figures of
+// the package comment against the plan, and the time if all servers fetched
+// from the store.
 func TestFleetMakespan(t *testing.T) {
 	plan := waves.New("m", 7, fleet(fleetServers, fleetDomains))
 	rates := waves.Rates{Bytes: 200e6, StoreBytesPerSecond: 1e9, LinkBytesPerSecond: 750e6}
@@ -40,7 +41,7 @@
 	for wave := range plan.Waves {
 		last = plan.SwapStart(schedule, learnt.Add(fetch), wave).Add(time.Second)
 	}
-	require.Equal(t, got, last.Sub(learnt), "what the waves' start comes to")
+	require.Equal(t, got, last.Sub(learnt), "from the start of the last wave")
 	require.LessOrEqual(t, plan.Makespan(rates, 2*time.Second), 15*time.Second)
 	require.Equal(t, 300*time.Second, direct)
 }
@@ -51,9 +52,10 @@
 	}
 }
 
-// Any two agents with the same list in any order come to the same plan; every
+// Any two agents with the same list in any order compute the same plan; every
 // server reaches the store through parents of its own failure domain; no wave
-// takes all servers, and each takes an even share of every failure domain.
+// contains all servers, and each contains an even share of every failure
+// domain.
 func TestPlan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 300).Draw(t, "servers")
@@ -99,9 +101,10 @@
 	})
 }
 
-// However late a server's copy comes, and however long it waits for its own
-// streams, its swap overlaps no other wave's. Where it swapped at once, all of
-// a small fleet could be out together.
+// However late a server's copy arrives, and however long it waits for its own
+// streams, its swap does not overlap with another wave's. If late servers
+// swapped at once, all servers of a small fleet could be out of service
+// together.
 func TestWavesDoNotOverlap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		learnt := time.Unix(1000, 0)
@@ -126,11 +129,11 @@
 	})
 }
 
-// A trainer publishes at any pace, also faster than a round of slots. No
-// version puts a server's swap off by more than two rounds and the running
-// slot, and no two waves' swaps meet, not even where the slots are laid anew.
-// Were each version a new beginning, or did waves rotate with it, the last wave
-// would never swap.
+// A trainer may publish at any pace, also faster than a round of slots. No
+// version delays a server's swap by more than two rounds and the running slot,
+// and swaps of different waves do not overlap, not even when a new schedule
+// starts. If each version started a new schedule, or waves rotated with the
+// version, the last wave would never swap.
 func TestNewVersionsDoNotDelaySwaps(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		servers := fleet(rapid.IntRange(2, 9).Draw(t, "servers"), 2)
