--- a/decide/label/label_test.go
+++ b/decide/label/label_test.go
@@ -9,9 +9,9 @@
 	"dandelionsill.org/decide/label"
 )
 
-// The trainer must never get a sample whose label is a guess: each of these
-// chunks comes after two good tokens of version 7, and the label can't be
-// proved any more, whatever good chunks come after it.
+// A trainer must never get a sample with a guessed label. Each of these chunks
+// follows two valid tokens of version 7 and makes the label unprovable,
+// whatever valid chunks follow.
 func TestUnprovableChunk(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -22,8 +22,8 @@
 		want    error
 	}{
 		{"no version", 0, "b", 1, "x", label.ErrNoVersion},
-		{"other engine start", 7, "c", 1, "x", label.ErrEngineRestarted},
-		{"version backwards", 6, "b", 1, "x", label.ErrVersionDecreased},
+		{"engine restarted", 7, "c", 1, "x", label.ErrEngineRestarted},
+		{"version decreased", 6, "b", 1, "x", label.ErrVersionDecreased},
 		{"negative count", 7, "b", -1, "x", label.ErrTokenCount},
 		{"text without tokens", 7, "b", 0, "x", label.ErrTokenCount},
 		{"more than asked for", 7, "b", 9, "x", label.ErrTokenCount},
@@ -55,8 +55,8 @@
 	}
 }
 
-// Whatever chunks come: as long as no error is told, the spans name for each
-// token the version that its chunk named, without gap or overlap.
+// As long as no chunk is rejected, the spans give each token the version
+// reported with its chunk, without gaps or overlaps.
 func TestSpansNameEachToken(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := label.New("b", 50, nil)
@@ -83,8 +83,9 @@
 	})
 }
 
-// A trainer dies and posts its step again with another seed or length; the new
-// owner finds samples of the old request held. They must not look like its own.
+// A trainer fails and posts its step again with another seed or length, and
+// the new owner finds stored samples of the old request. Their hashes must
+// differ from those of the new one.
 func TestRequestHash(t *testing.T) {
 	hash := label.RequestHash("p", 1, 10)
 	require.Equal(t, hash, label.RequestHash("p", 1, 10))
