--- a/decide/straggle/driver_test.go
+++ b/decide/straggle/driver_test.go
@@ -13,12 +13,12 @@
 // driver exercises a plan with random events: it holds the runs that the plan
 // has started and ends them in any way.
 type driver struct {
-	plan     *straggle.Plan
-	now      time.Duration
-	runs     []*driverRun
-	finished map[int]bool
-	waits    []time.Duration // ends of backoffs
-	burst    int             // maximum number of tokens between two decisions, of all runs
+	plan                      *straggle.Plan
+	now                       time.Duration
+	runs                      []*driverRun
+	finished                  map[int]bool
+	backoffEnds               []time.Duration // ends of backoffs
+	maxTokensBetweenDecisions int             // maximum number of tokens between two decisions, of all runs
 }
 
 type driverRun struct {
@@ -31,11 +31,11 @@
 	return &driver{plan: p, finished: map[int]bool{}}
 }
 
-func (d *driver) drop(id straggle.RunID) {
+func (d *driver) removeRun(id straggle.RunID) {
 	d.runs = slices.DeleteFunc(d.runs, func(r *driverRun) bool { return r.Run == id })
 }
 
-func (d *driver) copies() map[int]int {
+func (d *driver) copiesBySample() map[int]int {
 	n := map[int]int{}
 	for _, r := range d.runs {
 		n[r.Sample]++
@@ -43,9 +43,9 @@
 	return n
 }
 
-func (d *driver) delayed() int {
+func (d *driver) countBackoffs() int {
 	n := 0
-	for _, at := range d.waits {
+	for _, at := range d.backoffEnds {
 		if at > d.now {
 			n++
 		}
@@ -56,12 +56,12 @@
 func (d *driver) cancel(t *rapid.T, acts []straggle.Action) {
 	for _, a := range acts {
 		require.Equal(t, straggle.Cancel, a.Kind)
-		d.drop(a.Run)
+		d.removeRun(a.Run)
 	}
 }
 
-// event lets streams generate tokens and then makes one random thing happen.
-func (d *driver) event(t *rapid.T, total int) {
+// randomEvent lets streams generate tokens and then makes one random thing happen.
+func (d *driver) randomEvent(t *rapid.T, total int) {
 	made := 0
 	for _, r := range d.runs {
 		if n := rapid.IntRange(0, 20).Draw(t, "tokens"); n > 0 && r.tokens+n < 400 {
@@ -70,7 +70,7 @@
 			d.plan.Observe(r.Run, r.tokens, r.chunks, 1, d.now)
 		}
 	}
-	d.burst = max(d.burst, 2*made+400)
+	d.maxTokensBetweenDecisions = max(d.maxTokensBetweenDecisions, 2*made+400)
 	if rapid.IntRange(0, 9).Draw(t, "found elsewhere") == 0 {
 		s := rapid.IntRange(0, total-1).Draw(t, "sample")
 		won, acts := d.plan.FinishedElsewhere(s, 50)
@@ -84,7 +84,7 @@
 	r := d.runs[rapid.IntRange(0, len(d.runs)-1).Draw(t, "run")]
 	switch rapid.IntRange(0, 3).Draw(t, "end") {
 	case 0:
-		d.drop(r.Run)
+		d.removeRun(r.Run)
 		won, acts := d.plan.Finished(r.Run, max(1, r.tokens), d.now)
 		require.True(t, won)
 		d.finished[r.Sample] = true
@@ -92,10 +92,10 @@
 		won, _ = d.plan.Finished(r.Run, max(1, r.tokens), d.now)
 		require.False(t, won, "a late second result")
 	case 1:
-		d.drop(r.Run)
+		d.removeRun(r.Run)
 		backoff := time.Duration(rapid.IntRange(0, 3).Draw(t, "backoff")) * 200 * time.Millisecond
 		d.plan.Lost(r.Run, rapid.IntRange(0, r.tokens).Draw(t, "keep"), backoff, d.now)
-		d.waits = append(d.waits, d.now+backoff)
+		d.backoffEnds = append(d.backoffEnds, d.now+backoff)
 	}
 }
 
@@ -115,7 +115,7 @@
 	for _, a := range d.plan.Next(d.now, pool) {
 		switch a.Kind {
 		case straggle.Cancel:
-			d.drop(a.Run)
+			d.removeRun(a.Run)
 		default:
 			d.plan.Started(a.Run, 0)
 			d.runs = append(d.runs, &driverRun{Action: a, last: d.now})
--- a/decide/straggle/group.go
+++ b/decide/straggle/group.go
@@ -68,14 +68,14 @@
 		}
 		return float64(-g.index)
 	}
-	key := p.predictLength(g)
+	priority := p.predictLength(g)
 	if len(g.requeued) > 0 {
-		return key + requeuedBonus
+		return priority + requeuedBonus
 	}
 	if !g.probeStarted && g.Hint == 0 {
-		return key + probeBonus
+		return priority + probeBonus
 	}
-	return key
+	return priority
 }
 
 // predictLength predicts the length in tokens of a sample that has not
--- a/decide/straggle/sim_test.go
+++ b/decide/straggle/sim_test.go
@@ -15,18 +15,18 @@
 // unless a sample of the same group ran there before, and of the resumed
 // tokens. Time advances in fixed steps.
 type sim struct {
-	plan           *straggle.Plan
-	servers        []simServer
-	lengths        []int
-	runs           map[straggle.RunID]*simRun
-	now            time.Duration
-	beforeNext     func(s *sim)
-	onAction       func(a straggle.Action)
-	made           float64
-	prefillBacklog map[string]float64 // outstanding prefill time by server, in s
-	warm           map[prefixOnServer]bool
-	perGroup       int
-	coldStarts     int // starts without a warm prefix
+	plan            *straggle.Plan
+	servers         []simServer
+	lengths         []int
+	runs            map[straggle.RunID]*simRun
+	now             time.Duration
+	beforeNext      func(s *sim)
+	onAction        func(a straggle.Action)
+	generatedTokens float64
+	prefillBacklog  map[string]float64 // outstanding prefill time by server, in s
+	warmPrefixes    map[prefixOnServer]bool
+	samplesPerGroup int
+	coldStarts      int // starts without a warm prefix
 }
 
 type prefixOnServer struct {
@@ -41,7 +41,7 @@
 }
 
 type simRun struct {
-	a              straggle.Action
+	action         straggle.Action
 	tokens         float64
 	chunks         int
 	reportedTokens int
@@ -49,13 +49,13 @@
 }
 
 const (
-	simStep             = 10 * time.Millisecond
-	simBase             = 0.012
-	simCrowding         = 0.00025
-	simChunk            = 8
-	simSingleStreamRate = 1 / (simBase + simCrowding)
-	simPrefill          = 30e-6 // s per token
-	simPrompt           = 250   // tokens
+	simStep                = 10 * time.Millisecond
+	simTokenTime           = 0.012
+	simTokenTimePerStream  = 0.00025
+	simChunkTokens         = 8
+	simSingleStreamRate    = 1 / (simTokenTime + simTokenTimePerStream)
+	simPrefillTimePerToken = 30e-6 // s per token
+	simPromptTokens        = 250   // tokens
 )
 
 // randomLength returns a lognormal length; half of its variance is shared by
@@ -66,7 +66,7 @@
 }
 
 func newSim(cfg straggle.Config, servers, slots, groups, samples, limit int, seed uint64) *sim {
-	s := &sim{runs: map[straggle.RunID]*simRun{}, prefillBacklog: map[string]float64{}, warm: map[prefixOnServer]bool{}, perGroup: samples}
+	s := &sim{runs: map[straggle.RunID]*simRun{}, prefillBacklog: map[string]float64{}, warmPrefixes: map[prefixOnServer]bool{}, samplesPerGroup: samples}
 	r := rand.New(rand.NewPCG(seed, 0))
 	var gs []straggle.Group
 	for i := range groups {
@@ -90,7 +90,7 @@
 		total, longest = total+l, max(longest, l)
 	}
 	for _, sv := range s.servers {
-		rate += sv.speed * float64(sv.slots) / (simBase + float64(sv.slots)*simCrowding)
+		rate += sv.speed * float64(sv.slots) / (simTokenTime + float64(sv.slots)*simTokenTimePerStream)
 	}
 	return max(float64(total)/rate, float64(longest)/simSingleStreamRate)
 }
@@ -98,7 +98,7 @@
 func (s *sim) serverView() []straggle.Server {
 	count := map[string]int{}
 	for _, r := range s.runs {
-		count[r.a.Server]++
+		count[r.action.Server]++
 	}
 	var out []straggle.Server
 	for _, sv := range s.servers {
@@ -131,7 +131,7 @@
 		delete(s.runs, a.Run)
 		return
 	}
-	r := &simRun{a: a, last: s.now}
+	r := &simRun{action: a, last: s.now}
 	r.tokens = float64(s.plan.ResumableTokens(a.Sample))
 	if from := s.runs[a.From]; from != nil {
 		r.tokens = float64(from.reportedTokens)
@@ -143,20 +143,20 @@
 }
 
 func (s *sim) prefill(a straggle.Action, base int) {
-	at := prefixOnServer{a.Server, a.Sample / s.perGroup}
-	if !s.warm[at] {
-		s.warm[at] = true
+	at := prefixOnServer{a.Server, a.Sample / s.samplesPerGroup}
+	if !s.warmPrefixes[at] {
+		s.warmPrefixes[at] = true
 		s.coldStarts++
-		base += simPrompt
+		base += simPromptTokens
 	}
-	s.prefillBacklog[a.Server] += float64(base) * simPrefill
+	s.prefillBacklog[a.Server] += float64(base) * simPrefillTimePerToken
 }
 
 func (s *sim) advance() {
 	count := map[string]int{}
 	speed := map[string]float64{}
 	for _, r := range s.runs {
-		count[r.a.Server]++
+		count[r.action.Server]++
 	}
 	for _, sv := range s.servers {
 		busy := min(s.prefillBacklog[sv.name], simStep.Seconds())
@@ -169,18 +169,18 @@
 		if r == nil || ended[id] {
 			continue
 		}
-		made := simStep.Seconds() * speed[r.a.Server] / (simBase + simCrowding*float64(count[r.a.Server]))
+		made := simStep.Seconds() * speed[r.action.Server] / (simTokenTime + simTokenTimePerStream*float64(count[r.action.Server]))
 		r.tokens += made
-		s.made += made
-		if int(r.tokens) >= s.lengths[r.a.Sample] {
-			_, cancels := s.plan.Finished(id, s.lengths[r.a.Sample], s.now)
+		s.generatedTokens += made
+		if int(r.tokens) >= s.lengths[r.action.Sample] {
+			_, cancels := s.plan.Finished(id, s.lengths[r.action.Sample], s.now)
 			delete(s.runs, id)
 			for _, c := range cancels {
 				s.apply(c)
 			}
 			continue
 		}
-		if int(r.tokens) >= r.reportedTokens+simChunk {
+		if int(r.tokens) >= r.reportedTokens+simChunkTokens {
 			r.reportedTokens, r.last, r.chunks = int(r.tokens), s.now, r.chunks+1
 			s.plan.Observe(id, r.reportedTokens, r.chunks, 1, s.now)
 		}
--- a/decide/straggle/straggle_test.go
+++ b/decide/straggle/straggle_test.go
@@ -221,19 +221,19 @@
 		d := newDriver(p)
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			d.now += time.Duration(rapid.IntRange(1, 400).Draw(t, "ms")) * time.Millisecond
-			d.event(t, total)
+			d.randomEvent(t, total)
 			free := d.decide(t)
 			st := p.Stats()
 			require.Equal(t, total, st.Queued+st.Running+st.Finished)
 			require.Equal(t, len(d.finished), st.Finished)
-			if st.Queued > d.delayed() {
+			if st.Queued > d.countBackoffs() {
 				require.LessOrEqual(t, free, 0, "a free slot while %d samples wait", st.Queued)
 			}
-			for s, n := range d.copies() {
+			for s, n := range d.copiesBySample() {
 				require.LessOrEqual(t, n, 2)
 				require.False(t, d.finished[s], "a finished sample runs")
 			}
-			require.LessOrEqual(t, st.HedgeWasted, p.HedgeBudget()+d.burst, "hedge budget")
+			require.LessOrEqual(t, st.HedgeWasted, p.HedgeBudget()+d.maxTokensBetweenDecisions, "hedge budget")
 		}
 	})
 }
--- a/decide/straggle/tail.go
+++ b/decide/straggle/tail.go
@@ -86,14 +86,14 @@
 	if !resumable {
 		tokens += float64(stream.tokens)
 	}
-	elsewhere := moveOverhead + seconds(tokens/p.rate(s, s.Running+1))
+	elsewhereTime := moveOverhead + seconds(tokens/p.rate(s, s.Running+1))
 	silent := now-max(stream.lastChunkAt, p.resumedAt) > time.Duration(hedgeSilenceRatio*float64(p.serverStallTimeout(s)))
-	gain := st.remaining - elsewhere
+	gain := st.remaining - elsewhereTime
 	moveSaves := gain > p.cfg.MinGain && float64(gain) > p.cfg.MinGainRatio*float64(st.remaining)
 	if moveSaves && resumable && !silent && !p.cfg.NoMove && p.samples[stream.sample].moves < maxMoves {
 		return p.addCopy(Move, stream, s, now, "ends earlier on a faster server"), true
 	}
-	hedgeSaves := gain > p.cfg.MinGain && float64(elsewhere) < maxHedgeTimeRatio*float64(st.remaining)
+	hedgeSaves := gain > p.cfg.MinGain && float64(elsewhereTime) < maxHedgeTimeRatio*float64(st.remaining)
 	if (silent || hedgeSaves) && !p.cfg.NoHedge && p.hedgeBudgetAllows(int(tokens)) {
 		a := p.addCopy(Hedge, stream, s, now, "second copy of a late stream")
 		p.runs[a.Run].reservedTokens = int(tokens)
