--- a/decide/straggle/driver_test.go
+++ b/decide/straggle/driver_test.go
@@ -17,8 +17,8 @@
 	now                       time.Duration
 	runs                      []*driverRun
 	finished                  map[int]bool
-	backoffEnds               []time.Duration // ends of backoffs
-	maxTokensBetweenDecisions int             // maximum number of tokens between two decisions, of all runs
+	backoffEnds               []time.Duration
+	maxTokensBetweenDecisions int // of all runs together
 }
 
 type driverRun struct {
@@ -60,7 +60,8 @@
 	}
 }
 
-// randomEvent lets streams generate tokens and then makes one random thing happen.
+// randomEvent lets streams generate tokens and then makes one random thing
+// happen: a result is found elsewhere, a run finishes or a run is lost.
 func (d *driver) randomEvent(t *rapid.T, total int) {
 	made := 0
 	for _, r := range d.runs {
--- a/decide/straggle/sim_test.go
+++ b/decide/straggle/sim_test.go
@@ -50,12 +50,12 @@
 
 const (
 	simStep                = 10 * time.Millisecond
-	simTokenTime           = 0.012
-	simTokenTimePerStream  = 0.00025
+	simTokenTime           = 0.012   // s
+	simTokenTimePerStream  = 0.00025 // s
 	simChunkTokens         = 8
 	simSingleStreamRate    = 1 / (simTokenTime + simTokenTimePerStream)
-	simPrefillTimePerToken = 30e-6 // s per token
-	simPromptTokens        = 250   // tokens
+	simPrefillTimePerToken = 30e-6 // s
+	simPromptTokens        = 250
 )
 
 // randomLength returns a lognormal length; half of its variance is shared by
--- a/decide/straggle/straggle.go
+++ b/decide/straggle/straggle.go
@@ -118,8 +118,8 @@
 	StreamRate float64
 	// Version is the weight version that the engine serves.
 	Version uint64
-	// Leaving is set if the server is to be left: its streams move to other
-	// servers, it gets no new ones, and Free is ignored.
+	// Leaving is set while the server is being taken out of service: its
+	// streams move to other servers, it gets no new ones, and Free is ignored.
 	Leaving bool
 	// Swapping is set during a weight swap, in which streams may pause.
 	Swapping bool
