--- a/decide/straggle/group.go
+++ b/decide/straggle/group.go
@@ -5,145 +5,154 @@
 	"slices"
 )
 
-// Priorities above any predicted length: samples that were lost once are
-// late already, and the first sample of a group is its probe, where the trainer
-// has no guess of its length.
+// Priority bonuses, larger than any predicted length. Samples that were lost
+// once are already late. The first sample of a group without a length hint is a
+// probe of the group's length.
 const (
-	probeBonus = 1 << 32
-	againBonus = 1 << 40
+	probeBonus    = 1 << 32
+	requeuedBonus = 1 << 40
 )
 
+// group is the state of one group of the step.
 type group struct {
 	Group
-	index   int
-	waiting []int // never started, by index
-	again   []int // lost and queued again
-	done    []int // lengths of finished samples
-	sum     int   // of done
-	live    int   // tokens that running samples have made
-	probed  bool
-	key     float64
-	pos     int // in the heap; -1: not in it
+	index           int
+	unstarted       []int // indexes of samples that were never started
+	requeued        []int // indexes of samples to start again after a lost run
+	finishedLengths []int // in tokens
+	finishedTokens  int   // sum of finishedLengths
+	liveTokens      int   // generated so far by running samples
+	probeStarted    bool
+	priority        float64
+	heapIndex       int // index in Plan.queue; -1: not queued
 }
 
-func (g *group) finish(tokens int) {
-	g.done = append(g.done, tokens)
-	g.sum += tokens
+func (g *group) addFinished(tokens int) {
+	g.finishedLengths = append(g.finishedLengths, tokens)
+	g.finishedTokens += tokens
 }
 
-func (g *group) drop(index int) {
+func (g *group) remove(index int) {
 	same := func(i int) bool { return i == index }
-	g.waiting = slices.DeleteFunc(g.waiting, same)
-	g.again = slices.DeleteFunc(g.again, same)
-}
-
-// pop takes the group's next sample: of the lost ones, which are late already,
-// the one that has made the least.
-func (p *Plan) pop(g *group) int {
-	g.probed = true
-	at := -1
-	for i, index := range g.again {
-		if at < 0 || p.samples[index].kept < p.samples[g.again[at]].kept {
-			at = i
+	g.unstarted = slices.DeleteFunc(g.unstarted, same)
+	g.requeued = slices.DeleteFunc(g.requeued, same)
+}
+
+// nextSample removes the group's next sample from the group's lists and
+// returns its index. Lost samples are already late and come first, beginning
+// with the one that has the fewest resumable tokens.
+func (p *Plan) nextSample(g *group) int {
+	g.probeStarted = true
+	best := -1
+	for i, index := range g.requeued {
+		if best < 0 || p.samples[index].resumableTokens < p.samples[g.requeued[best]].resumableTokens {
+			best = i
 		}
 	}
-	if at >= 0 {
-		index := g.again[at]
-		g.again = slices.Delete(g.again, at, at+1)
+	if best >= 0 {
+		index := g.requeued[best]
+		g.requeued = slices.Delete(g.requeued, best, best+1)
 		return index
 	}
-	index := g.waiting[0]
-	g.waiting = g.waiting[1:]
+	index := g.unstarted[0]
+	g.unstarted = g.unstarted[1:]
 	return index
 }
 
-// priority is the group's place in the queue: the predicted length of its
-// next sample, with probes and lost samples ahead.
-func (p *Plan) priority(g *group) float64 {
+// computePriority returns the group's priority in the queue: the predicted
+// length of its next sample, plus a bonus for probes and lost samples.
+func (p *Plan) computePriority(g *group) float64 {
 	if p.cfg.Baseline || p.cfg.NoLongestFirst {
-		if len(g.again) > 0 {
-			return againBonus
+		if len(g.requeued) > 0 {
+			return requeuedBonus
 		}
 		return float64(-g.index)
 	}
-	key := p.length(g)
-	if len(g.again) > 0 {
-		return key + againBonus
+	priority := p.predictLength(g)
+	if len(g.requeued) > 0 {
+		return priority + requeuedBonus
 	}
-	if !g.probed && g.Hint == 0 {
-		return key + probeBonus
+	if !g.probeStarted && g.Hint == 0 {
+		return priority + probeBonus
 	}
-	return key
+	return priority
 }
 
-// length predicts the length of a sample of the group that hasn't begun.
+// predictLength predicts the length in tokens of a sample that has not
+// started.
 //
-// The first siblings to finish are the short ones, so a mean over finished
-// samples alone would call every group short. The tokens of running siblings
-// count too, without their number: the estimate for censored lifetimes. The
-// trainer's hint, or else the step's mean, counts as one more sample.
-func (p *Plan) length(g *group) float64 {
+// The first samples of a group to finish are its short ones, so the mean of
+// the finished lengths would underestimate every group. The tokens of running
+// samples are therefore added to the sum but not to the count, as in the
+// estimate for censored lifetimes. The trainer's hint, or else the mean length
+// of the step's samples, counts as one more finished sample.
+func (p *Plan) predictLength(g *group) float64 {
 	prior := float64(g.Hint)
 	if prior == 0 {
-		prior = p.mean()
+		prior = p.meanLength()
 	}
 	if prior == 0 {
 		prior = float64(g.MaxTokens) / unknownLengthDivisor
 	}
-	guess := (prior + float64(g.sum+g.live)) / float64(1+len(g.done))
-	return min(guess, float64(g.MaxTokens))
+	estimate := (prior + float64(g.finishedTokens+g.liveTokens)) / float64(1+len(g.finishedLengths))
+	return min(estimate, float64(g.MaxTokens))
 }
 
-// mean estimates the mean length of the step's samples; 0: nothing is known.
-func (p *Plan) mean() float64 {
-	if p.lengths.n == 0 {
+// meanLength estimates the mean length of the step's samples in tokens. It
+// returns 0 if no sample has finished.
+func (p *Plan) meanLength() float64 {
+	if p.lengthHistogram.samples == 0 {
 		return 0
 	}
-	return float64(p.lengths.sum+p.live) / float64(p.lengths.n)
+	return float64(p.lengthHistogram.tokens+p.liveTokens) / float64(p.lengthHistogram.samples)
 }
 
-// recount takes up what running samples have made and puts the queue in order
-// by it.
-func (p *Plan) recount() {
-	p.live = 0
+// updateLiveTokens counts the tokens of running samples and reorders the queue
+// by the new predictions.
+func (p *Plan) updateLiveTokens() {
+	p.liveTokens = 0
 	for _, g := range p.groups {
-		g.live = 0
+		g.liveTokens = 0
 	}
 	for _, r := range p.runs {
-		p.live += r.tokens
-		p.groups[p.samples[r.sample].group].live += r.tokens
+		p.liveTokens += r.tokens
+		p.groups[p.samples[r.sample].group].liveTokens += r.tokens
 	}
-	for _, g := range p.order {
-		g.key = p.priority(g)
+	for _, g := range p.queue {
+		g.priority = p.computePriority(g)
 	}
-	heap.Init(&p.order)
+	heap.Init(&p.queue)
 }
 
-// remaining predicts how many tokens a stream that made `made` still makes. A
-// stream that outlived its siblings is predicted by those of the whole step
-// that were longer still; one that outlived all, by a half of its length (the
-// mean excess of a heavy tail).
-func (p *Plan) remaining(g *group, made int) float64 {
-	room := float64(max(1, g.MaxTokens-made))
-	if made == 0 {
-		return min(p.length(g), room)
+// predictRemaining predicts how many more tokens a stream generates that has
+// generated the given number. The prediction comes from the longer finished
+// samples of its group, or else from predictLength. A stream that is longer
+// than both is predicted from the longer finished samples of the whole step;
+// one that is longer than all of these, by half of its length (the mean excess
+// of a heavy tail).
+func (p *Plan) predictRemaining(g *group, generated int) float64 {
+	limit := float64(max(1, g.MaxTokens-generated))
+	if generated == 0 {
+		return min(p.predictLength(g), limit)
 	}
-	if mean, ok := meanAbove(g.done, made); ok {
-		return min(mean-float64(made), room)
+	if mean, ok := meanAbove(g.finishedLengths, generated); ok {
+		return min(mean-float64(generated), limit)
 	}
-	if guess := p.length(g); guess > float64(made) {
-		return min(guess-float64(made), room)
+	if estimate := p.predictLength(g); estimate > float64(generated) {
+		return min(estimate-float64(generated), limit)
 	}
-	if mean, ok := p.lengths.meanAbove(made); ok {
-		return min(mean-float64(made), room)
+	if mean, ok := p.lengthHistogram.meanAbove(generated); ok {
+		return min(mean-float64(generated), limit)
 	}
-	return min(max(1, float64(made)/2), room)
+	return min(max(1, float64(generated)/2), limit)
 }
 
-func meanAbove(lengths []int, floor int) (float64, bool) {
+// meanAbove returns the mean of the lengths greater than above, false if there
+// are none.
+func meanAbove(lengths []int, above int) (float64, bool) {
 	n, sum := 0, 0
 	for _, l := range lengths {
-		if l > floor {
+		if l > above {
 			n++
 			sum += l
 		}
@@ -156,15 +165,15 @@
 
 const lengthBuckets = 80
 
-// lengths is a histogram of the step's finished lengths, in buckets of a
-// quarter of a power of two.
-type lengths struct {
-	n, sum int
-	count  [lengthBuckets]int
-	total  [lengthBuckets]int
+// lengthHistogram is a histogram of the step's finished lengths, in buckets of
+// a quarter of a power of two.
+type lengthHistogram struct {
+	samples, tokens int
+	bucketSamples   [lengthBuckets]int
+	bucketTokens    [lengthBuckets]int
 }
 
-func bucketOf(tokens int) int {
+func lengthBucket(tokens int) int {
 	b := 0
 	for tokens >= 8 {
 		tokens >>= 1
@@ -173,20 +182,21 @@
 	return min(b+tokens, lengthBuckets-1)
 }
 
-func (l *lengths) add(tokens int) {
-	b := bucketOf(tokens)
-	l.n++
-	l.sum += tokens
-	l.count[b]++
-	l.total[b] += tokens
+func (l *lengthHistogram) add(tokens int) {
+	b := lengthBucket(tokens)
+	l.samples++
+	l.tokens += tokens
+	l.bucketSamples[b]++
+	l.bucketTokens[b] += tokens
 }
 
-// meanAbove averages the lengths in buckets above that of made.
-func (l *lengths) meanAbove(made int) (float64, bool) {
+// meanAbove returns the mean of the lengths in the buckets above that of
+// generated, false if there are none.
+func (l *lengthHistogram) meanAbove(generated int) (float64, bool) {
 	n, sum := 0, 0
-	for b := bucketOf(made) + 1; b < lengthBuckets; b++ {
-		n += l.count[b]
-		sum += l.total[b]
+	for b := lengthBucket(generated) + 1; b < lengthBuckets; b++ {
+		n += l.bucketSamples[b]
+		sum += l.bucketTokens[b]
 	}
 	if n == 0 {
 		return 0, false
@@ -194,23 +204,23 @@
 	return float64(sum) / float64(n), true
 }
 
-// groupHeap orders groups by key, the greatest first, then by index.
+// groupHeap orders groups by descending priority, then by index.
 type groupHeap []*group
 
 func (h groupHeap) Len() int { return len(h) }
 func (h groupHeap) Less(i, j int) bool {
-	if h[i].key != h[j].key {
-		return h[i].key > h[j].key
+	if h[i].priority != h[j].priority {
+		return h[i].priority > h[j].priority
 	}
 	return h[i].index < h[j].index
 }
 func (h groupHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].pos, h[j].pos = i, j
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
 func (h *groupHeap) Push(x any) {
 	g := x.(*group)
-	g.pos = len(*h)
+	g.heapIndex = len(*h)
 	*h = append(*h, g)
 }
 func (h *groupHeap) Pop() any {
@@ -218,6 +228,6 @@
 	g := old[len(old)-1]
 	old[len(old)-1] = nil
 	*h = old[:len(old)-1]
-	g.pos = -1
+	g.heapIndex = -1
 	return g
 }
--- a/decide/straggle/straggle_test.go
+++ b/decide/straggle/straggle_test.go
@@ -29,7 +29,7 @@
 	return samples
 }
 
-func TestOrder(t *testing.T) {
+func TestStartOrder(t *testing.T) {
 	limited := []straggle.Group{{Samples: 2, MaxTokens: 20}, {Samples: 2, MaxTokens: 400}, {Samples: 2, MaxTokens: 200}}
 	hinted := []straggle.Group{
 		{Samples: 2, MaxTokens: 1000, Hint: 10}, {Samples: 2, MaxTokens: 1000, Hint: 200}, {Samples: 2, MaxTokens: 1000, Hint: 100},
@@ -50,8 +50,8 @@
 	}
 }
 
-// Siblings go to one server while it has room below the load bound, and spill
-// to the others after it.
+// The samples of a group run on one server until it reaches the load bound,
+// and then spill to the others.
 func TestSiblingsShareAServerUntilTheBound(t *testing.T) {
 	p := straggle.New(straggle.Config{}, []straggle.Group{{Samples: 12, MaxTokens: 100, Prefix: 7}})
 	at := map[string]int{}
@@ -67,8 +67,8 @@
 	require.Less(t, most, 8)
 }
 
-// A fleet that weighs staleness more starts samples on the newest weights
-// while these have room, and no slot stays free for it.
+// A fleet that prefers low staleness starts samples on the newest weights
+// while servers with these have free slots, and leaves no slot idle for that.
 func TestNewestWeightsFirst(t *testing.T) {
 	p := straggle.New(straggle.Config{PreferNew: true}, []straggle.Group{{Samples: 12, MaxTokens: 100, Prefix: 7}})
 	pool := servers(4, 4, 4)
@@ -80,9 +80,9 @@
 	}
 }
 
-// begin starts one sample of a group at each of the servers and reports chunks
-// at a usual pace until now.
-func begin(t *testing.T, cfg straggle.Config, n int, pool []straggle.Server) (*straggle.Plan, []straggle.Action, time.Duration) {
+// startPlan starts a plan with one group of n samples on pool and reports
+// chunks at a regular pace until the returned time.
+func startPlan(t *testing.T, cfg straggle.Config, n int, pool []straggle.Server) (*straggle.Plan, []straggle.Action, time.Duration) {
 	p := straggle.New(cfg, []straggle.Group{{Samples: n, MaxTokens: 1000, Hint: 500}})
 	acts := p.Next(0, pool)
 	require.Len(t, acts, n)
@@ -97,31 +97,31 @@
 	return p, acts, now
 }
 
-// A stream stops making chunks although its server reports free slots, or its
-// agent fell silent and is not offered any more, so that one server is left. It
-// is given up and started elsewhere as soon in both cases, and the silent
-// server gets nothing new.
+// A stream stops sending chunks although its server reports free slots, or its
+// agent is unresponsive and no longer offered, so that one server is left. In
+// both cases the stream is cancelled and its sample started elsewhere equally
+// soon, and the silent server gets no new work.
 func TestSilentStreamIsRunElsewhere(t *testing.T) {
 	t.Run("offered", func(t *testing.T) {
-		silentRunsElsewhere(t, func(string) []straggle.Server { return servers(1, 1) })
+		requireRunElsewhere(t, func(string) []straggle.Server { return servers(1, 1) })
 	})
 	t.Run("not offered", func(t *testing.T) {
-		silentRunsElsewhere(t, func(silent string) []straggle.Server {
+		requireRunElsewhere(t, func(silent string) []straggle.Server {
 			return slices.DeleteFunc(servers(1, 1), func(s straggle.Server) bool { return s.Name == silent })
 		})
 	})
 }
 
-func silentRunsElsewhere(t *testing.T, offered func(silent string) []straggle.Server) {
-	p, acts, now := begin(t, straggle.Config{}, 2, servers(1, 1))
+func requireRunElsewhere(t *testing.T, offered func(silent string) []straggle.Server) {
+	p, acts, now := startPlan(t, straggle.Config{}, 2, servers(1, 1))
 	silent, other := acts[0], acts[1]
 	for i := 11; i <= 25; i++ {
 		now += 100 * time.Millisecond
 		p.Observe(other.Run, 5*i, i, 1, now)
 		for _, a := range p.Next(now, offered(silent.Server)) {
 			if a.Kind == straggle.Cancel && a.Run == silent.Run {
-				require.Equal(t, straggle.NoProgress, a.Why)
-				require.Equal(t, 50, p.Kept(silent.Sample))
+				require.Equal(t, straggle.ReasonNoProgress, a.Reason)
+				require.Equal(t, 50, p.ResumableTokens(silent.Sample))
 			}
 			if a.Kind == straggle.Start {
 				require.Equal(t, silent.Sample, a.Sample)
@@ -133,33 +133,34 @@
 	t.Fatal("the sample was not started elsewhere")
 }
 
-// A second copy that makes more than was set aside for it, with nothing left in
-// the budget, is stopped.
+// A second copy that generates more tokens than were reserved for it is
+// cancelled if the hedge budget is exhausted.
 func TestHedgeBeyondItsBudgetIsStopped(t *testing.T) {
 	p, acts, now := slowPlan(t, straggle.Config{HedgePercent: 100}, 2)
 	require.Equal(t, straggle.Hedge, acts[0].Kind)
-	p.Begin(acts[0].Run, 0)
+	p.Started(acts[0].Run, 0)
 	for i := 1; ; i++ {
 		now += 100 * time.Millisecond
 		p.Observe(acts[0].Run, 50*i, i, 2, now)
 		if got := p.Next(now, servers(0, 0)); len(got) > 0 {
 			require.Equal(t, straggle.Cancel, got[0].Kind)
 			require.Equal(t, acts[0].Run, got[0].Run)
-			require.InDelta(t, p.Budget(), 50*i, 50, "no earlier and no later")
+			require.InDelta(t, p.HedgeBudget(), 50*i, 50, "no earlier and no later")
 			return
 		}
 	}
 }
 
-// slowOne makes vm-b's stream ten times slower than vm-a's, ends vm-a's, and
-// returns what the plan does for the slow one.
-func slowOne(t *testing.T, cfg straggle.Config, version uint64) []straggle.Action {
+// slowStreamActions returns what slowPlan's plan does for the slow stream.
+func slowStreamActions(t *testing.T, cfg straggle.Config, version uint64) []straggle.Action {
 	_, acts, _ := slowPlan(t, cfg, version)
 	return acts
 }
 
+// slowPlan makes vm-b's stream ten times slower than vm-a's, finishes vm-a's,
+// and returns the plan, its next actions and the time.
 func slowPlan(t *testing.T, cfg straggle.Config, version uint64) (*straggle.Plan, []straggle.Action, time.Duration) {
-	p, acts, now := begin(t, cfg, 2, servers(1, 1))
+	p, acts, now := startPlan(t, cfg, 2, servers(1, 1))
 	fast, slow := acts[0], acts[1]
 	for i := 11; i <= 60; i++ {
 		now += 100 * time.Millisecond
@@ -194,7 +195,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var got []straggle.Kind
-			for _, a := range slowOne(t, c.cfg, c.version) {
+			for _, a := range slowStreamActions(t, c.cfg, c.version) {
 				got = append(got, a.Kind)
 			}
 			require.Equal(t, c.want, got)
@@ -202,10 +203,10 @@
 	}
 }
 
-// Whatever ends, refuses, stalls or is found elsewhere, in any order: each
-// sample is queued, running or finished; no usable slot is free while a sample
-// waits; a sample has at most two copies; and what hedges waste stays within
-// their budget, but for the tokens that come between two decisions.
+// Runs finish, fail, stall and are found finished elsewhere in any order. Each
+// sample is always queued, running or finished; no usable slot is free while a
+// sample waits; a sample has at most two copies; and tokens wasted by hedges
+// stay within their budget, except for those generated between two decisions.
 func TestPlanProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := straggle.Config{HedgePercent: rapid.Float64Range(0, 30).Draw(t, "hedge"), Mixed: rapid.Bool().Draw(t, "mixed"), PreferNew: rapid.Bool().Draw(t, "prefer new")}
@@ -217,49 +218,51 @@
 			groups = append(groups, g)
 		}
 		p := straggle.New(cfg, groups)
-		m := newMachine(p)
+		d := newDriver(p)
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
-			m.now += time.Duration(rapid.IntRange(1, 400).Draw(t, "ms")) * time.Millisecond
-			m.event(t, total)
-			free := m.decide(t)
+			d.now += time.Duration(rapid.IntRange(1, 400).Draw(t, "ms")) * time.Millisecond
+			d.randomEvent(t, total)
+			free := d.decide(t)
 			st := p.Stats()
 			require.Equal(t, total, st.Queued+st.Running+st.Finished)
-			require.Equal(t, len(m.finished), st.Finished)
-			if st.Queued > m.delayed() {
+			require.Equal(t, len(d.finished), st.Finished)
+			if st.Queued > d.countBackoffs() {
 				require.LessOrEqual(t, free, 0, "a free slot while %d samples wait", st.Queued)
 			}
-			for s, n := range m.copies() {
+			for s, n := range d.copiesBySample() {
 				require.LessOrEqual(t, n, 2)
-				require.False(t, m.finished[s], "a finished sample runs")
+				require.False(t, d.finished[s], "a finished sample runs")
 			}
-			require.LessOrEqual(t, st.HedgeWasted, p.Budget()+m.burst, "hedge budget")
+			require.LessOrEqual(t, st.HedgeWasted, p.HedgeBudget()+d.maxTokensBetweenDecisions, "hedge budget")
 		}
 	})
 }
 
-// BenchmarkStep is a whole step of 2,048 samples at 40 servers with 32 slots.
+// BenchmarkStep runs a whole step of 2,048 samples on 40 servers with 32
+// slots.
 func BenchmarkStep(b *testing.B) {
 	b.ReportAllocs()
 	calls := 0
 	for b.Loop() {
 		s := newSim(straggle.Config{HedgePercent: 5}, 40, 32, 256, 8, 1024, 1)
-		s.hook = func(*sim) { calls++ }
+		s.beforeNext = func(*sim) { calls++ }
 		s.run()
 	}
 	b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(calls), "µs/Next(with_sim)")
 }
 
-// BenchmarkNext is one decision with everything running, on a measuring tick.
+// BenchmarkNext makes one decision, including a measurement, with all slots in
+// use.
 func BenchmarkNext(b *testing.B) {
 	s := newSim(straggle.Config{HedgePercent: 5}, 40, 32, 256, 8, 1024, 1)
 	for s.now < 3*time.Second {
-		for _, a := range s.plan.Next(s.now, s.view()) {
-			s.act(a)
+		for _, a := range s.plan.Next(s.now, s.serverView()) {
+			s.apply(a)
 		}
 		s.now += simStep
 		s.advance()
 	}
-	view := s.view()
+	view := s.serverView()
 	b.ReportAllocs()
 	for b.Loop() {
 		s.now += 60 * time.Millisecond
@@ -267,17 +270,17 @@
 	}
 }
 
-// The mechanisms are worth their cost on steps of several waves. Without
-// longest first, samples that began late and turned out long make the step
-// late; without affinity the engines compute each prompt several times, and
-// all of their streams wait for that.
+// Each mechanism must be worth its cost on steps with several times as many
+// samples as slots. Without longest-first order, long samples that start late
+// delay the end of the step; without affinity, engines compute each prompt
+// several times while all of their streams wait.
 func TestMechanismsShortenSteps(t *testing.T) {
 	mean := func(p straggle.Policy) (ratio float64, cold int) {
 		const seeds = 6
 		for seed := range uint64(seeds) {
 			s := newSim(straggle.Config{Policy: p}, 4, 16, 112, 8, 1200, seed)
-			ratio += s.run().Seconds() / s.ideal() / seeds
-			cold += s.cold
+			ratio += s.run().Seconds() / s.idealMakespan() / seeds
+			cold += s.coldStarts
 		}
 		return ratio, cold
 	}
