--- a/decide/poison/name_test.go
+++ b/decide/poison/fingerprint_test.go
@@ -10,11 +10,11 @@
 	"dandelionsill.org/decide/poison"
 )
 
-func TestNameIsThatOfTheContent(t *testing.T) {
+func TestFingerprintDependsOnEveryField(t *testing.T) {
 	c := poison.Content{Caller: "o", Method: "POST", Host: "a", URI: "/b?c", Body: []byte("d")}
 	same := c
-	require.Equal(t, c.Name(), same.Name())
-	for what, change := range map[string]func(*poison.Content){
+	require.Equal(t, c.Fingerprint(), same.Fingerprint())
+	for field, change := range map[string]func(*poison.Content){
 		"caller": func(c *poison.Content) { c.Caller = "x" },
 		"method": func(c *poison.Content) { c.Method = "PUT" },
 		"host":   func(c *poison.Content) { c.Host = "x" },
@@ -23,25 +23,25 @@
 	} {
 		other := c
 		change(&other)
-		require.NotEqual(t, c.Name(), other.Name(), what)
+		require.NotEqual(t, c.Fingerprint(), other.Fingerprint(), field)
 	}
 }
 
 // Two callers ask for the same path with a token each: what crashes servers for one of
 // them may be harmless for the other. What differs from attempt to attempt tells nothing.
-func TestCallerOfARequest(t *testing.T) {
+func TestCallerFromHeader(t *testing.T) {
 	one := http.Header{"Authorization": {"one"}, "X-Attempt": {"1"}}
-	require.Equal(t, poison.CallerOf(one), poison.CallerOf(http.Header{"Authorization": {"one"}, "X-Attempt": {"2"}}))
-	require.NotEqual(t, poison.CallerOf(one), poison.CallerOf(http.Header{"Authorization": {"two"}, "X-Attempt": {"1"}}))
-	require.NotEqual(t, poison.CallerOf(one), poison.CallerOf(http.Header{"Cookie": {"one"}}))
+	require.Equal(t, poison.CallerFromHeader(one), poison.CallerFromHeader(http.Header{"Authorization": {"one"}, "X-Attempt": {"2"}}))
+	require.NotEqual(t, poison.CallerFromHeader(one), poison.CallerFromHeader(http.Header{"Authorization": {"two"}, "X-Attempt": {"1"}}))
+	require.NotEqual(t, poison.CallerFromHeader(one), poison.CallerFromHeader(http.Header{"Cookie": {"one"}}))
 }
 
-func TestNamesOfFieldsDoNotRunIntoEachOther(t *testing.T) {
+func TestFingerprintSeparatesFields(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.StringMatching(`[a-c]{0,4}`)
 		a := poison.Content{Method: text.Draw(t, "m"), Host: text.Draw(t, "h"), URI: text.Draw(t, "u"), Body: []byte(text.Draw(t, "b"))}
 		b := poison.Content{Method: text.Draw(t, "m2"), Host: text.Draw(t, "h2"), URI: text.Draw(t, "u2"), Body: []byte(text.Draw(t, "b2"))}
-		alike := a.Method == b.Method && a.Host == b.Host && a.URI == b.URI && string(a.Body) == string(b.Body)
-		require.Equal(t, alike, a.Name() == b.Name())
+		equal := a.Method == b.Method && a.Host == b.Host && a.URI == b.URI && string(a.Body) == string(b.Body)
+		require.Equal(t, equal, a.Fingerprint() == b.Fingerprint())
 	})
 }
--- a/decide/poison/poison.go
+++ b/decide/poison/poison.go
@@ -17,25 +17,25 @@
 
 // Bounds of a ledger.
 const (
-	// QuarantineAt is how many servers have to end under a request for it to be
+	// QuarantineThreshold is how many servers have to end under a request for it to be
 	// refused. Two may end under a bystander that is tried again where the request
 	// that ends them goes as well.
-	QuarantineAt = 3
-	// Memory is how long after the last server ended a request is refused. The
+	QuarantineThreshold = 3
+	// QuarantineTime is how long after the last server ended a request is refused. The
 	// servers' software may have been mended by then.
-	Memory = time.Hour
-	// relapse is how much longer it stays a suspect, which the next server that
+	QuarantineTime = time.Hour
+	// probationTime is how much longer it stays a suspect, which the next server that
 	// ends under it puts back into quarantine: one server in each Memory.
-	relapse = Memory
-	// RequestsMost bounds the requests of a ledger. Some hundred bytes each.
-	RequestsMost = 1024
-	// serversMost bounds the crashes that are kept of one request.
-	serversMost = 2 * QuarantineAt
+	probationTime = QuarantineTime
+	// MaxRequests bounds the requests of a ledger. Some hundred bytes each.
+	MaxRequests = 1024
+	// maxCrashesPerRequest bounds the crashes that are kept of one request.
+	maxCrashesPerRequest = 2 * QuarantineThreshold
 )
 
 // Crash is one server's end under a request.
 type Crash struct {
-	Request Name
+	Request Fingerprint
 	Server  string // one start of a server
 	At      time.Time
 }
@@ -59,137 +59,137 @@
 
 func (v Verdict) String() string { return verdictNames[v] }
 
-// Standing is what is known against one request.
-type Standing struct {
-	Ended int       // servers
-	Last  time.Time // when the last of them ended
+// Status is what is known against one request.
+type Status struct {
+	Crashes   int       // servers
+	LastCrash time.Time // when the last of them ended
 }
 
 // Verdict returns what may be done with the request now.
-func (s Standing) Verdict(now time.Time) Verdict {
-	age := now.Sub(s.Last)
+func (s Status) Verdict(now time.Time) Verdict {
+	age := now.Sub(s.LastCrash)
 	switch {
-	case s.Ended == 0 || age >= s.memory():
+	case s.Crashes == 0 || age >= s.retention():
 		return Clear
-	case s.Ended >= QuarantineAt && age < Memory:
+	case s.Crashes >= QuarantineThreshold && age < QuarantineTime:
 		return Quarantined
 	default:
 		return Suspect
 	}
 }
 
-// memory is how long after the last server ended the request is forgotten.
-func (s Standing) memory() time.Duration {
-	if s.Ended >= QuarantineAt {
-		return Memory + relapse
+// retention is how long after the last server ended the request is forgotten.
+func (s Status) retention() time.Duration {
+	if s.Crashes >= QuarantineThreshold {
+		return QuarantineTime + probationTime
 	}
-	return Memory
+	return QuarantineTime
 }
 
-// Release is when a quarantined request may be tried again.
-func (s Standing) Release() time.Time { return s.Last.Add(Memory) }
+// ReleaseTime is when a quarantined request may be tried again.
+func (s Status) ReleaseTime() time.Time { return s.LastCrash.Add(QuarantineTime) }
 
-// Ledger holds what is known against requests. It is not safe for concurrent use.
-type Ledger struct {
-	crashes map[Name][]Crash // the oldest first
+// Tracker holds what is known against requests. It is not safe for concurrent use.
+type Tracker struct {
+	crashes map[Fingerprint][]Crash // the oldest first
 }
 
-// NewLedger returns an empty ledger.
-func NewLedger() *Ledger { return &Ledger{crashes: map[Name][]Crash{}} }
+// NewTracker returns an empty ledger.
+func NewTracker() *Tracker { return &Tracker{crashes: map[Fingerprint][]Crash{}} }
 
 // Add notes a crash and tells whether it is news. Others' clocks may be ahead.
-func (l *Ledger) Add(c Crash, now time.Time) bool {
+func (t *Tracker) Add(c Crash, now time.Time) bool {
 	if c.At.After(now) {
 		c.At = now
 	}
-	if now.Sub(c.At) >= Memory+relapse || l.has(c) {
+	if now.Sub(c.At) >= QuarantineTime+probationTime || t.contains(c) {
 		return false
 	}
-	list := append(l.crashes[c.Request], c)
+	list := append(t.crashes[c.Request], c)
 	slices.SortStableFunc(list, func(a, b Crash) int { return a.At.Compare(b.At) })
-	l.crashes[c.Request] = list[max(0, len(list)-serversMost):]
-	l.shrink()
-	return l.has(c)
+	t.crashes[c.Request] = list[max(0, len(list)-maxCrashesPerRequest):]
+	t.evict()
+	return t.contains(c)
 }
 
-func (l *Ledger) has(c Crash) bool {
-	return slices.ContainsFunc(l.crashes[c.Request], func(known Crash) bool { return known.Server == c.Server })
+func (t *Tracker) contains(c Crash) bool {
+	return slices.ContainsFunc(t.crashes[c.Request], func(known Crash) bool { return known.Server == c.Server })
 }
 
-// shrink forgets the request that is least likely to end another server: the one
+// evict forgets the request that is least likely to end another server: the one
 // under which the fewest ended, and of these the oldest.
-func (l *Ledger) shrink() {
-	if len(l.crashes) <= RequestsMost {
+func (t *Tracker) evict() {
+	if len(t.crashes) <= MaxRequests {
 		return
 	}
-	var least Name
-	for name := range l.crashes {
-		if least == "" || l.compare(name, least) < 0 {
-			least = name
+	var evicted Fingerprint
+	for name := range t.crashes {
+		if evicted == "" || t.compareForEviction(name, evicted) < 0 {
+			evicted = name
 		}
 	}
-	delete(l.crashes, least)
+	delete(t.crashes, evicted)
 }
 
-func (l *Ledger) compare(a, b Name) int {
-	x, y := l.crashes[a], l.crashes[b]
-	return cmp.Or(cmp.Compare(len(x), len(y)), last(x).Compare(last(y)), cmp.Compare(a, b))
+func (t *Tracker) compareForEviction(a, b Fingerprint) int {
+	x, y := t.crashes[a], t.crashes[b]
+	return cmp.Or(cmp.Compare(len(x), len(y)), lastCrash(x).Compare(lastCrash(y)), cmp.Compare(a, b))
 }
 
-func last(list []Crash) time.Time { return list[len(list)-1].At }
+func lastCrash(list []Crash) time.Time { return list[len(list)-1].At }
 
 // Clear forgets a request, for a server has run it to its end, and returns what was
 // known against it.
-func (l *Ledger) Clear(request Name) []Crash {
-	cleared := l.crashes[request]
-	delete(l.crashes, request)
+func (t *Tracker) Clear(request Fingerprint) []Crash {
+	cleared := t.crashes[request]
+	delete(t.crashes, request)
 	return cleared
 }
 
 // Remove forgets one crash by its key and tells whether it was known.
-func (l *Ledger) Remove(request Name, key string) bool {
-	list := l.crashes[request]
+func (t *Tracker) Remove(request Fingerprint, key string) bool {
+	list := t.crashes[request]
 	left := slices.DeleteFunc(slices.Clone(list), func(known Crash) bool { return known.Key() == key })
 	if len(left) == 0 {
-		delete(l.crashes, request)
+		delete(t.crashes, request)
 	} else {
-		l.crashes[request] = left
+		t.crashes[request] = left
 	}
 	return len(left) < len(list)
 }
 
 // Expire forgets what is too old and returns it.
-func (l *Ledger) Expire(now time.Time) []Crash {
-	var gone []Crash
-	for name, list := range l.crashes {
-		if (Standing{Ended: len(list), Last: last(list)}).Verdict(now) == Clear {
-			gone = append(gone, list...)
-			delete(l.crashes, name)
+func (t *Tracker) Expire(now time.Time) []Crash {
+	var expired []Crash
+	for name, list := range t.crashes {
+		if (Status{Crashes: len(list), LastCrash: lastCrash(list)}).Verdict(now) == Clear {
+			expired = append(expired, list...)
+			delete(t.crashes, name)
 		}
 	}
-	return gone
+	return expired
 }
 
-// Servers is how many servers ended under a request, whatever they are attributed to.
-func (l *Ledger) Servers(request Name) int { return len(l.crashes[request]) }
+// CrashCount is how many servers ended under a request, whatever they are attributed to.
+func (t *Tracker) CrashCount(request Fingerprint) int { return len(t.crashes[request]) }
 
-// Standing returns what is known against a request.
-func (l *Ledger) Standing(request Name) Standing { return l.Standings()[request] }
+// Status returns what is known against a request.
+func (t *Tracker) Status(request Fingerprint) Status { return t.Statuses()[request] }
 
-// Standings returns what is known against all requests.
-func (l *Ledger) Standings() map[Name]Standing {
-	most := map[string]int{} // of the requests that a server ended under, the most ends of one
-	for _, list := range l.crashes {
+// Statuses returns what is known against all requests.
+func (t *Tracker) Statuses() map[Fingerprint]Status {
+	maxCrashes := map[string]int{} // of the requests that a server ended under, the most ends of one
+	for _, list := range t.crashes {
 		for _, c := range list {
-			most[c.Server] = max(most[c.Server], len(list))
+			maxCrashes[c.Server] = max(maxCrashes[c.Server], len(list))
 		}
 	}
-	all := make(map[Name]Standing, len(l.crashes))
-	for name, list := range l.crashes {
-		s := Standing{Last: last(list)}
+	all := make(map[Fingerprint]Status, len(t.crashes))
+	for name, list := range t.crashes {
+		s := Status{LastCrash: lastCrash(list)}
 		for _, c := range list {
-			if len(list) == most[c.Server] {
-				s.Ended++
+			if len(list) == maxCrashes[c.Server] {
+				s.Crashes++
 			}
 		}
 		all[name] = s
--- a/entry/calls/poison_test.go
+++ b/entry/calls/poison_test.go
@@ -51,14 +51,14 @@
 	s := start(t, cfg, agents...)
 	first := s.send(t, http.MethodGet, "/svc/orders/deadly").failure(t)
 	require.Equal(t, string(kinds.BackendFailed), first.Kind)
-	require.EqualValues(t, poison.QuarantineAt, ended.Load())
+	require.EqualValues(t, poison.QuarantineThreshold, ended.Load())
 	for range 3 {
 		again := s.send(t, http.MethodGet, "/svc/orders/deadly").failure(t)
 		require.Equal(t, string(kinds.Quarantined), again.Kind)
 		require.True(t, again.NotRun)
 		require.Positive(t, again.RetryAfterMS)
 	}
-	require.EqualValues(t, poison.QuarantineAt, ended.Load())
+	require.EqualValues(t, poison.QuarantineThreshold, ended.Load())
 	require.Equal(t, http.StatusOK, s.send(t, http.MethodGet, "/svc/orders/other").status)
 }
 
@@ -68,13 +68,13 @@
 	var ended atomic.Int64
 	cfg, agents := guarded(&ended)
 	s := start(t, cfg, agents...)
-	for range poison.QuarantineAt {
+	for range poison.QuarantineThreshold {
 		require.Equal(t, string(kinds.OutcomeUnknown), s.send(t, http.MethodPost, "/svc/orders/deadly").failure(t).Kind)
 	}
 	refused := s.send(t, http.MethodPost, "/svc/orders/deadly").failure(t)
 	require.Equal(t, string(kinds.Quarantined), refused.Kind)
 	require.True(t, refused.NotRun)
-	require.EqualValues(t, poison.QuarantineAt, ended.Load())
+	require.EqualValues(t, poison.QuarantineThreshold, ended.Load())
 }
 
 // A backend server ends while it has a request that another one then answers, over and
@@ -83,9 +83,9 @@
 	var ended atomic.Int64
 	cfg := Config{Quarantine: quarantine.New(zap.NewNop())}
 	s := start(t, cfg, mortal(&ended), answers)
-	for range 2 * poison.QuarantineAt {
+	for range 2 * poison.QuarantineThreshold {
 		require.Equal(t, http.StatusOK, s.send(t, http.MethodGet, "/svc/orders/deadly").status)
 	}
-	require.EqualValues(t, 2*poison.QuarantineAt, ended.Load())
+	require.EqualValues(t, 2*poison.QuarantineThreshold, ended.Load())
 	require.True(t, cfg.Quarantine.Empty())
 }
--- a/entry/server/crashes.go
+++ b/entry/server/crashes.go
@@ -71,7 +71,7 @@
 		if e.GetRequest() == "" || e.GetServer() == "" {
 			continue // of another release
 		}
-		crash := poison.Crash{Request: poison.Name(e.GetRequest()), Server: e.GetServer(), At: time.UnixMilli(e.GetAtMs())}
+		crash := poison.Crash{Request: poison.Fingerprint(e.GetRequest()), Server: e.GetServer(), At: time.UnixMilli(e.GetAtMs())}
 		changes = append(changes, quarantine.Change{Crash: crash, Gone: e.GetGone()})
 	}
 	s.quarantine.Apply("peer", changes)
--- a/entry/steps/poison_test.go
+++ b/entry/steps/poison_test.go
@@ -41,7 +41,7 @@
 		got, err := w.collect(w.client("a"), step(4, 4))
 		require.ErrorIs(t, err, context.DeadlineExceeded, "the trainer waits for what is held back")
 		require.Len(t, got, 3)
-		require.Equal(t, poison.QuarantineAt, ended)
+		require.Equal(t, poison.QuarantineThreshold, ended)
 	})
 }
 
@@ -66,6 +66,6 @@
 		got, err := w.collect(w.client("a"), step(4, 4))
 		require.ErrorIs(t, err, context.DeadlineExceeded, "the trainer waits for what is held back")
 		require.Len(t, got, 3)
-		require.Equal(t, poison.QuarantineAt, ended)
+		require.Equal(t, poison.QuarantineThreshold, ended)
 	})
 }
--- a/gateway/forward/poison_test.go
+++ b/gateway/forward/poison_test.go
@@ -80,7 +80,7 @@
 		require.Equal(t, string(kinds.Quarantined), err.Kind())
 		require.True(t, err.NotRun())
 		require.Equal(t, http.StatusServiceUnavailable, err.Answer().HTTP)
-		require.InDelta(t, poison.Memory.Seconds(), err.Answer().RetryAfter.Seconds(), gatewaytest.Wait.Seconds())
+		require.InDelta(t, poison.QuarantineTime.Seconds(), err.Answer().RetryAfter.Seconds(), gatewaytest.Wait.Seconds())
 		require.Len(t, arrivals(pf.Plain), before)
 	}
 }
@@ -91,7 +91,7 @@
 func TestBystanderOfACrashIsServed(t *testing.T) {
 	pf := gatewaytest.NewPlatform(t, 0, 4)
 	p := pf.NewProcess(t)
-	for range 3 * poison.QuarantineAt {
+	for range 3 * poison.QuarantineThreshold {
 		// Whichever server gets it first ends, and none after it.
 		once := new(atomic.Int64)
 		once.Store(1)
@@ -115,8 +115,8 @@
 	pf := gatewaytest.NewPlatform(t, 0, 2)
 	p := pf.NewProcess(t)
 	c := call(t, p, "bystander", "/score/bystander")
-	content := poison.Content{Caller: poison.CallerOf(c.Header), Method: c.Method, Host: c.Host, URI: c.URI, Body: c.Body}
-	bystander := content.Name()
+	content := poison.Content{Caller: poison.CallerFromHeader(c.Header), Method: c.Method, Host: c.Host, URI: c.URI, Body: c.Body}
+	bystander := content.Fingerprint()
 	q := p.Forward.Quarantine
 	for _, server := range []string{"s1", "s2", "s3"} {
 		q.Ended("culprit", server)
@@ -156,11 +156,11 @@
 	}
 	_, err := send("/chat/deadly")
 	require.False(t, err.NotRun(), "servers ran it")
-	require.Equal(t, poison.QuarantineAt, ended())
+	require.Equal(t, poison.QuarantineThreshold, ended())
 	_, err = send("/chat/deadly")
 	require.Equal(t, string(kinds.Quarantined), err.Kind())
 	require.True(t, err.NotRun())
-	require.Equal(t, poison.QuarantineAt, ended())
+	require.Equal(t, poison.QuarantineThreshold, ended())
 	status, err := send("/chat/other")
 	require.Nil(t, err)
 	require.Equal(t, 200, status)
--- a/gateway/forward/suspect.go
+++ b/gateway/forward/suspect.go
@@ -13,7 +13,7 @@
 // subject is the call as the quarantine sees it.
 func (f *Forwarder) subject(c *Call) *quarantine.Subject {
 	return f.Quarantine.Subject(func() poison.Content {
-		return poison.Content{Caller: c.Organisation + poison.CallerOf(c.Header), Method: c.Method, Host: c.Host, URI: c.URI, Body: c.Body}
+		return poison.Content{Caller: c.Organisation + poison.CallerFromHeader(c.Header), Method: c.Method, Host: c.Host, URI: c.URI, Body: c.Body}
 	})
 }
 
--- a/gateway/jobs/poison_test.go
+++ b/gateway/jobs/poison_test.go
@@ -34,14 +34,14 @@
 	e := newEntry(t, pf, "a")
 	e.submit(t, "j", 6, 1)
 	requireWhole(t, e.results(t, "j", 5), pf.Engines[0].Events)
-	require.Eventually(t, func() bool { return crashed(pf.Engines) == poison.QuarantineAt }, gatewaytest.Wait, time.Millisecond)
+	require.Eventually(t, func() bool { return crashed(pf.Engines) == poison.QuarantineThreshold }, gatewaytest.Wait, time.Millisecond)
 
 	// The trainer hands the same sample in again, in a later job and at another owner.
 	other := newEntry(t, pf, "b")
 	head, items := decode(t, "k", hostedtest.Job("j", "m", 2, 1))
 	require.Nil(t, other.service.Submit(t.Context(), head, items))
 	requireWhole(t, other.results(t, "k", 1), pf.Engines[0].Events)
-	require.Equal(t, poison.QuarantineAt, crashed(pf.Engines))
+	require.Equal(t, poison.QuarantineThreshold, crashed(pf.Engines))
 	for _, job := range []string{"j", "k"} {
 		_, results, err := other.service.Results(t.Context(), job, 0, 0)
 		require.Nil(t, err)
@@ -62,8 +62,8 @@
 	e := newEntry(t, pf, "a")
 	e.submit(t, "j", 6, 1)
 	requireWhole(t, e.results(t, "j", 5), pf.Engines[0].Events)
-	require.Eventually(t, func() bool { return crashed(pf.Plain) == poison.QuarantineAt }, gatewaytest.Wait, time.Millisecond)
+	require.Eventually(t, func() bool { return crashed(pf.Plain) == poison.QuarantineThreshold }, gatewaytest.Wait, time.Millisecond)
 	e.submit(t, "k", 4, 1)
 	requireWhole(t, e.results(t, "k", 4), pf.Engines[0].Events)
-	require.Equal(t, poison.QuarantineAt, crashed(pf.Plain))
+	require.Equal(t, poison.QuarantineThreshold, crashed(pf.Plain))
 }
--- a/quarantine/change.go
+++ b/quarantine/change.go
@@ -50,7 +50,7 @@
 	if in.Request == "" || in.Server == "" {
 		return errors.NotValidf("server's end without a request or a server")
 	}
-	*c = Change{Crash: poison.Crash{Request: poison.Name(in.Request), Server: in.Server, At: time.UnixMilli(in.AtMS)}, Gone: in.Gone}
+	*c = Change{Crash: poison.Crash{Request: poison.Fingerprint(in.Request), Server: in.Server, At: time.UnixMilli(in.AtMS)}, Gone: in.Gone}
 	return nil
 }
 
@@ -73,7 +73,7 @@
 		return Change{}, false
 	}
 	if len(r.Value) == 0 {
-		return Change{Crash: poison.Crash{Request: poison.Name(request)}, Gone: true, dropped: r.Key}, true
+		return Change{Crash: poison.Crash{Request: poison.Fingerprint(request)}, Gone: true, dropped: r.Key}, true
 	}
 	var c Change
 	if err := json.Unmarshal(r.Value, &c); err != nil || c.Key() != r.Key {
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -32,12 +32,12 @@
 	log *zap.Logger
 	now func() time.Time
 
-	standings atomic.Pointer[map[poison.Name]poison.Standing]
+	standings atomic.Pointer[map[poison.Fingerprint]poison.Status]
 
 	mu     sync.Mutex // guards what follows
-	ledger *poison.Ledger
+	ledger *poison.Tracker
 	// untold are crashes that only this process knows of.
-	untold  map[poison.Name][]poison.Crash
+	untold  map[poison.Fingerprint][]poison.Crash
 	toPeers queue
 	toStore queue
 
@@ -48,10 +48,10 @@
 // New returns a quarantine that knows nothing and shares nothing yet.
 func New(log *zap.Logger) *Quarantine {
 	q := &Quarantine{
-		log: log, now: time.Now, ledger: poison.NewLedger(), untold: map[poison.Name][]poison.Crash{},
+		log: log, now: time.Now, ledger: poison.NewTracker(), untold: map[poison.Fingerprint][]poison.Crash{},
 		toPeers: newQueue(), toStore: newQueue(),
 	}
-	q.standings.Store(&map[poison.Name]poison.Standing{})
+	q.standings.Store(&map[poison.Fingerprint]poison.Status{})
 	metrics.Gauge("quarantine_suspects", func() any { return len(*q.standings.Load()) })
 	return q
 }
@@ -60,20 +60,20 @@
 func (q *Quarantine) Empty() bool { return len(*q.standings.Load()) == 0 }
 
 // Verdict returns what may be done with a request.
-func (q *Quarantine) Verdict(request poison.Name) poison.Verdict {
+func (q *Quarantine) Verdict(request poison.Fingerprint) poison.Verdict {
 	return (*q.standings.Load())[request].Verdict(q.now())
 }
 
 // Refused returns how long a request that is refused stays in quarantine.
-func (q *Quarantine) Refused(request poison.Name) time.Duration {
+func (q *Quarantine) Refused(request poison.Fingerprint) time.Duration {
 	refused.Add(1)
-	return max(0, (*q.standings.Load())[request].Release().Sub(q.now()))
+	return max(0, (*q.standings.Load())[request].ReleaseTime().Sub(q.now()))
 }
 
 // Ended notes that a server ended under a request. Others are told from the second
 // server on: nearly all requests that a server ends under are bystanders, which the
 // next server answers.
-func (q *Quarantine) Ended(request poison.Name, server string) {
+func (q *Quarantine) Ended(request poison.Fingerprint, server string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	c := poison.Crash{Request: request, Server: server, At: q.now()}
@@ -82,7 +82,7 @@
 	}
 	crashesSeen.Add(1)
 	q.untold[request] = append(q.untold[request], c)
-	if q.ledger.Servers(request) > 1 {
+	if q.ledger.CrashCount(request) > 1 {
 		q.tell(request)
 	}
 	q.publish("here", c)
@@ -90,14 +90,14 @@
 
 // GaveUp notes that an attempt ended without any server's answer. Its caller asks
 // again at another process, which has to know.
-func (q *Quarantine) GaveUp(request poison.Name) {
+func (q *Quarantine) GaveUp(request poison.Fingerprint) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.tell(request)
 }
 
 // Survived notes that a server ran a request to its end.
-func (q *Quarantine) Survived(request poison.Name) {
+func (q *Quarantine) Survived(request poison.Fingerprint) {
 	if _, suspected := (*q.standings.Load())[request]; !suspected {
 		return
 	}
@@ -120,7 +120,7 @@
 }
 
 // tell queues what only this process knows of a request; q.mu is held.
-func (q *Quarantine) tell(request poison.Name) {
+func (q *Quarantine) tell(request poison.Fingerprint) {
 	for _, c := range q.untold[request] {
 		crashesTold.Add(1)
 		q.enqueue(Change{Crash: c})
@@ -153,19 +153,19 @@
 // publish lets Verdict see what is known now, and logs what servers' ends that are news
 // change; q.mu is held.
 func (q *Quarantine) publish(from string, news ...poison.Crash) {
-	before, after := *q.standings.Load(), q.ledger.Standings()
+	before, after := *q.standings.Load(), q.ledger.Statuses()
 	q.standings.Store(&after)
 	now := q.now()
 	for _, c := range news {
 		standing := after[c.Request]
 		q.log.Info("A server's end is attributed to a request.", zap.String("from", from), zap.String("request", string(c.Request)),
-			zap.String("server", c.Server), zap.Duration("age", now.Sub(c.At)), zap.Int("servers_ended", standing.Ended), zap.Stringer("verdict", standing.Verdict(now)))
+			zap.String("server", c.Server), zap.Duration("age", now.Sub(c.At)), zap.Int("servers_ended", standing.Crashes), zap.Stringer("verdict", standing.Verdict(now)))
 	}
 	for request, standing := range after {
 		if standing.Verdict(now) == poison.Quarantined && before[request].Verdict(now) != poison.Quarantined {
 			quarantines.Add(1)
 			q.log.Warn("A request is quarantined: each server that runs it ends.", zap.String("request", string(request)),
-				zap.Int("servers_ended", standing.Ended), zap.Time("until", standing.Release()))
+				zap.Int("servers_ended", standing.Crashes), zap.Time("until", standing.ReleaseTime()))
 		}
 	}
 }
@@ -181,7 +181,7 @@
 			q.toStore.add(Change{Crash: c, Gone: true})
 		}
 	}
-	maps.DeleteFunc(q.untold, func(request poison.Name, _ []poison.Crash) bool { return q.ledger.Servers(request) == 0 })
+	maps.DeleteFunc(q.untold, func(request poison.Fingerprint, _ []poison.Crash) bool { return q.ledger.CrashCount(request) == 0 })
 	if len(old) > 0 {
 		q.log.Info("Servers' ends are forgotten.", zap.Int("servers_ended", len(old)))
 		q.publish("here")
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -80,18 +80,18 @@
 }
 
 // end ends servers under a request.
-func (p *process) end(request poison.Name, servers int) {
+func (p *process) end(request poison.Fingerprint, servers int) {
 	for i := range servers {
 		p.Ended(request, fmt.Sprintf("server %d of %s", i, request))
 	}
 }
 
-func (p *process) requireVerdict(t *testing.T, request poison.Name, want poison.Verdict) {
+func (p *process) requireVerdict(t *testing.T, request poison.Fingerprint, want poison.Verdict) {
 	t.Helper()
 	requireVerdict(t, p.Quarantine, request, want)
 }
 
-func requireVerdict(t *testing.T, q *quarantine.Quarantine, request poison.Name, want poison.Verdict) {
+func requireVerdict(t *testing.T, q *quarantine.Quarantine, request poison.Fingerprint, want poison.Verdict) {
 	t.Helper()
 	require.Eventually(t, func() bool { return q.Verdict(request) == want }, generous, time.Millisecond, "want %v", want)
 }
@@ -117,11 +117,11 @@
 	f := newFleet(t)
 	one, two := f.start(t, true), f.start(t, true)
 	f.store.Fail(hostedtest.StoreFaults{Down: true})
-	one.end("r", poison.QuarantineAt)
+	one.end("r", poison.QuarantineThreshold)
 	two.requireVerdict(t, "r", poison.Quarantined)
 	require.Empty(t, f.store.Records(hostedtest.TopicCrashes))
 	f.store.Fail(hostedtest.StoreFaults{})
-	require.Eventually(t, func() bool { return len(f.store.Records(hostedtest.TopicCrashes)) >= poison.QuarantineAt }, generous, time.Millisecond)
+	require.Eventually(t, func() bool { return len(f.store.Records(hostedtest.TopicCrashes)) >= poison.QuarantineThreshold }, generous, time.Millisecond)
 }
 
 // A process can't be reached by the others but reaches the store. It hears of the
@@ -129,7 +129,7 @@
 func TestStoreTellsWhereNoPeerDoes(t *testing.T) {
 	f := newFleet(t)
 	one, apart := f.start(t, true), f.start(t, false)
-	one.end("r", poison.QuarantineAt)
+	one.end("r", poison.QuarantineThreshold)
 	apart.requireVerdict(t, "r", poison.Quarantined)
 }
 
@@ -138,8 +138,8 @@
 func TestQuarantineOutlastsAllProcesses(t *testing.T) {
 	f := newFleet(t)
 	one, two := f.start(t, true), f.start(t, true)
-	one.end("r", poison.QuarantineAt)
-	require.Eventually(t, func() bool { return len(f.store.Records(hostedtest.TopicCrashes)) >= poison.QuarantineAt }, generous, time.Millisecond)
+	one.end("r", poison.QuarantineThreshold)
+	require.Eventually(t, func() bool { return len(f.store.Records(hostedtest.TopicCrashes)) >= poison.QuarantineThreshold }, generous, time.Millisecond)
 	one.stop()
 	two.stop()
 	require.Equal(t, poison.Quarantined, f.start(t, true).Verdict("r"))
@@ -150,8 +150,8 @@
 func TestProcessServesWithoutTheQuarantinesPartOfTheStore(t *testing.T) {
 	f := newFleet(t)
 	one := f.start(t, true)
-	one.end("r", poison.QuarantineAt)
-	require.Eventually(t, func() bool { return len(f.store.Records(hostedtest.TopicCrashes)) >= poison.QuarantineAt }, generous, time.Millisecond)
+	one.end("r", poison.QuarantineThreshold)
+	require.Eventually(t, func() bool { return len(f.store.Records(hostedtest.TopicCrashes)) >= poison.QuarantineThreshold }, generous, time.Millisecond)
 	one.stop()
 	f.store.Fail(hostedtest.StoreFaults{Away: []string{hostedtest.TopicCrashes}})
 	two := f.start(t, false)
@@ -197,10 +197,10 @@
 func TestFloodOfSuspectsIsBounded(t *testing.T) {
 	f := newFleet(t)
 	one, two := f.start(t, true), f.start(t, true)
-	one.end("r", poison.QuarantineAt)
+	one.end("r", poison.QuarantineThreshold)
 	two.requireVerdict(t, "r", poison.Quarantined)
-	for i := range 3 * poison.RequestsMost {
-		name := poison.Name(fmt.Sprintf("flood %d", i))
+	for i := range 3 * poison.MaxRequests {
+		name := poison.Fingerprint(fmt.Sprintf("flood %d", i))
 		one.Ended(name, "rack")
 		one.GaveUp(name)
 	}
@@ -211,7 +211,7 @@
 // The verdict is asked before each try of each request.
 func BenchmarkVerdict(b *testing.B) {
 	q := quarantine.New(zap.NewNop())
-	for i := range poison.QuarantineAt {
+	for i := range poison.QuarantineThreshold {
 		q.Ended("r", fmt.Sprint(i))
 	}
 	b.RunParallel(func(pb *testing.PB) {
--- a/quarantine/subject.go
+++ b/quarantine/subject.go
@@ -13,21 +13,21 @@
 // for concurrent use.
 type Subject struct {
 	q     *Quarantine
-	name  func() poison.Name
+	name  func() poison.Fingerprint
 	ended atomic.Bool // a server ended under it here
 }
 
 // Subject returns a request by its content, which is what makes it the same one when its
 // caller asks again.
 func (q *Quarantine) Subject(content func() poison.Content) *Subject {
-	return &Subject{q: q, name: sync.OnceValue(func() poison.Name {
+	return &Subject{q: q, name: sync.OnceValue(func() poison.Fingerprint {
 		c := content()
-		return c.Name()
+		return c.Fingerprint()
 	})}
 }
 
 // Name returns the request's name.
-func (s *Subject) Name() poison.Name { return s.name() }
+func (s *Subject) Name() poison.Fingerprint { return s.name() }
 
 // Verdict returns what may be done with the request now; one that nobody guards (nil) is
 // clear. It is asked before each try: what another process saw may have become known
