--- a/decide/table/organisations.go
+++ b/decide/table/organisations.go
@@ -14,11 +14,11 @@
 // HashKey returns the digest of a key.
 func HashKey(key string) KeyHash { return sha256.Sum256([]byte(key)) }
 
-// shortHash is how many bytes of a digest name a key in logs.
-const shortHash = 4
+// shortHashBytes is how many bytes of a digest name a key in logs.
+const shortHashBytes = 4
 
 // String names the key in logs, where the key must not stand.
-func (h KeyHash) String() string { return hex.EncodeToString(h[:shortHash]) }
+func (h KeyHash) String() string { return hex.EncodeToString(h[:shortHashBytes]) }
 
 // Organisation is a set of callers that share keys.
 type Organisation struct {
@@ -36,23 +36,23 @@
 // NewDirectory builds a directory, and tells what is left out of it and why: a name
 // that can't stand in a header, and a key that two organisations share, for whichever
 // it was taken for could be the wrong one. Their callers are refused.
-func NewDirectory(list []Organisation) (*Directory, []string) {
+func NewDirectory(organisations []Organisation) (*Directory, []string) {
 	d := &Directory{byKey: map[KeyHash]*Organisation{}}
-	var left []string
+	var ignored []string
 	shared := map[KeyHash]bool{}
-	for i := range list {
-		o := &list[i]
-		if !isName(o.Name) {
-			left = append(left, fmt.Sprintf("organisation %q: the name can't be told to a server", o.Name))
+	for i := range organisations {
+		o := &organisations[i]
+		if !isHeaderSafe(o.Name) {
+			ignored = append(ignored, fmt.Sprintf("organisation %q: the name can't be told to a server", o.Name))
 			continue
 		}
 		for _, key := range o.Keys {
 			switch other := d.byKey[key]; {
-			case key == emptyKey:
-				left = append(left, fmt.Sprintf("organisation %s: a key is empty", o.Name))
+			case key == emptyKeyHash:
+				ignored = append(ignored, fmt.Sprintf("organisation %s: a key is empty", o.Name))
 			case other != nil && other != o && !shared[key]:
 				shared[key] = true
-				left = append(left, fmt.Sprintf("organisations %s and %s share key %v", other.Name, o.Name, key))
+				ignored = append(ignored, fmt.Sprintf("organisations %s and %s share key %v", other.Name, o.Name, key))
 			default:
 				d.byKey[key] = o
 			}
@@ -61,13 +61,13 @@
 	for key := range shared {
 		delete(d.byKey, key)
 	}
-	return d, left
+	return d, ignored
 }
 
-var emptyKey = HashKey("")
+var emptyKeyHash = HashKey("")
 
-// isName tells whether a name can be sent in a header as it is.
-func isName(name string) bool {
+// isHeaderSafe tells whether a name can be sent in a header as it is.
+func isHeaderSafe(name string) bool {
 	return name != "" && strings.TrimSpace(name) == name && !strings.ContainsFunc(name, func(r rune) bool { return unicode.IsControl(r) || r > unicode.MaxASCII })
 }
 
--- a/decide/table/organisations_test.go
+++ b/decide/table/organisations_test.go
@@ -15,31 +15,31 @@
 	return hashes
 }
 
-func find(d *Directory, key string) string {
+func findName(d *Directory, key string) string {
 	if o := d.Find(HashKey(key)); o != nil {
 		return o.Name
 	}
 	return ""
 }
 
-func TestEachKeyNamesItsOrganisation(t *testing.T) {
+func TestFindReturnsTheOrganisationOfAKey(t *testing.T) {
 	d, left := NewDirectory([]Organisation{{Name: "a", Keys: keys("a1", "a2", "a2")}, {Name: "b", Keys: keys("b1")}, {Name: "none"}})
 	require.Empty(t, left)
 	for key, name := range map[string]string{"a1": "a", "a2": "a", "b1": "b", "": "", "c": "", "none": ""} {
-		require.Equal(t, name, find(d, key), key)
+		require.Equal(t, name, findName(d, key), key)
 	}
 }
 
 // Guards against a caller who is taken for another organisation's by an ambiguous
 // configuration, and against the loss of whatever else it holds.
-func TestPartsThatCantBeUsedAreLeftOutAlone(t *testing.T) {
+func TestInvalidNamesAndKeysAreIgnored(t *testing.T) {
 	d, left := NewDirectory([]Organisation{
 		{Name: "a", Keys: keys("a1", "shared", "")}, {Name: "b", Keys: keys("shared", "b1")}, {Name: "c", Keys: keys("shared")},
 		{Name: "line\r\nbreak", Keys: keys("l1")}, {Name: "", Keys: keys("n1")},
 	})
 	require.Len(t, left, 4)
 	for key, name := range map[string]string{"a1": "a", "b1": "b", "shared": "", "": "", "l1": "", "n1": ""} {
-		require.Equal(t, name, find(d, key), key)
+		require.Equal(t, name, findName(d, key), key)
 	}
 	for _, why := range left {
 		require.NotContains(t, why, "\n")
--- a/decide/table/table.go
+++ b/decide/table/table.go
@@ -43,16 +43,16 @@
 	Kind    Kind
 	Targets []Target
 
-	MaxAttempts int           // servers that one attempt of a caller may reach
-	Timeout     time.Duration // longest time that a caller is kept waiting
-	Objective   time.Duration // latency within which an answer is worth most
-	Priority    int           // 0 is the most urgent
-	Public      bool          // callers need no key
+	MaxAttempts      int           // servers that one attempt of a caller may reach
+	Timeout          time.Duration // longest time that a caller is kept waiting
+	LatencyObjective time.Duration // latency within which an answer is worth most
+	Priority         int           // 0 is the most urgent
+	Public           bool          // callers need no key
 
 	Resumable     bool          // a broken stream may go on at another server
 	SingleVersion bool          // a sample is made by one weight version only
-	Due           time.Duration // batch jobs: results are due so long after submission
-	GiveUp        time.Duration // batch jobs: items may be given up so long after submission
+	DueAfter      time.Duration // batch jobs: results are due so long after submission
+	AbandonAfter  time.Duration // batch jobs: items may be given up so long after submission
 }
 
 // Repeatable tells whether an attempt may reach a second server after the
@@ -63,7 +63,7 @@
 
 // Pick returns the service for a request; spread is any evenly distributed
 // number of it.
-func (r *Route) Pick(spread uint64) string {
+func (r *Route) Pick(hash uint64) string {
 	total := 0
 	for _, t := range r.Targets {
 		total += t.Weight
@@ -71,12 +71,12 @@
 	if total == 0 {
 		return ""
 	}
-	at := int(spread % uint64(total))
+	offset := int(hash % uint64(total))
 	for _, t := range r.Targets {
-		if at < t.Weight {
+		if offset < t.Weight {
 			return t.Service
 		}
-		at -= t.Weight
+		offset -= t.Weight
 	}
 	return ""
 }
@@ -92,10 +92,10 @@
 
 // Limits bound what a caller may send.
 type Limits struct {
-	HeaderBytes int
-	BodyBytes   int64
-	HeaderTime  time.Duration
-	IdleTime    time.Duration
+	HeaderBytes   int
+	BodyBytes     int64
+	HeaderTimeout time.Duration
+	IdleTimeout   time.Duration
 }
 
 // Table is one version of the operator's configuration.
@@ -106,8 +106,8 @@
 	Limits   Limits
 	// Organisations tells whose callers' keys are; nil: callers need none.
 	Organisations *Directory
-	// LeftOut tells which parts of the configuration can't be used, and why.
-	LeftOut []string
+	// Ignored tells which parts of the configuration can't be used, and why.
+	Ignored []string
 
 	byHost map[string][]*Route // longest prefix first
 }
@@ -125,20 +125,20 @@
 		t.Services[s.Name] = s
 	}
 	for _, r := range routes {
-		if err := t.check(r); err != nil {
+		if err := t.validate(r); err != nil {
 			return nil, errors.Annotatef(err, "route %q", r.Name)
 		}
 		t.byHost[r.Host] = append(t.byHost[r.Host], r)
 	}
-	for _, of := range t.byHost {
-		slices.SortStableFunc(of, func(a, b *Route) int {
+	for _, hostRoutes := range t.byHost {
+		slices.SortStableFunc(hostRoutes, func(a, b *Route) int {
 			return cmp.Compare(len(b.Prefix), len(a.Prefix))
 		})
 	}
 	return t, nil
 }
 
-func (t *Table) check(r *Route) error {
+func (t *Table) validate(r *Route) error {
 	if !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/") {
 		return errors.Errorf("prefix %q does not begin and end with a slash", r.Prefix)
 	}
--- a/decide/table/table_test.go
+++ b/decide/table/table_test.go
@@ -12,13 +12,13 @@
 	return tb
 }
 
-func to(service string) []Target { return []Target{{Service: service, Weight: 1}} }
+func targets(service string) []Target { return []Target{{Service: service, Weight: 1}} }
 
-func TestMatchTakesTheLongestPrefixOfTheHost(t *testing.T) {
+func TestMatchReturnsLongestPrefix(t *testing.T) {
 	tb := build(t,
-		&Route{Name: "short", Host: "h", Prefix: "/a/", Targets: to("s")},
-		&Route{Name: "long", Host: "h", Prefix: "/a/b/", Targets: to("s")},
-		&Route{Name: "other", Host: "g", Prefix: "/a/b/c/", Targets: to("s")},
+		&Route{Name: "short", Host: "h", Prefix: "/a/", Targets: targets("s")},
+		&Route{Name: "long", Host: "h", Prefix: "/a/b/", Targets: targets("s")},
+		&Route{Name: "other", Host: "g", Prefix: "/a/b/c/", Targets: targets("s")},
 	)
 	tests := []struct{ host, path, want string }{
 		{"h", "/a/x", "short"},
@@ -49,11 +49,11 @@
 	require.Empty(t, (&Route{}).Pick(7))
 }
 
-func TestNewRefusesRoutesThatCantBeServed(t *testing.T) {
+func TestNewRejectsInvalidRoutes(t *testing.T) {
 	for name, r := range map[string]*Route{
-		"prefix without slash": {Host: "h", Prefix: "/a", Targets: to("s")},
+		"prefix without slash": {Host: "h", Prefix: "/a", Targets: targets("s")},
 		"no service":           {Host: "h", Prefix: "/a/"},
-		"unknown service":      {Host: "h", Prefix: "/a/", Targets: to("nobody")},
+		"unknown service":      {Host: "h", Prefix: "/a/", Targets: targets("nobody")},
 	} {
 		_, err := New(1, []*Route{r}, []Service{{Name: "s"}}, Limits{})
 		require.Error(t, err, name)
--- a/gateway/forward/forward.go
+++ b/gateway/forward/forward.go
@@ -195,10 +195,10 @@
 }
 
 func (s *sending) hedgeAfter() time.Duration {
-	if s.call.Route.Objective <= 0 {
+	if s.call.Route.LatencyObjective <= 0 {
 		return hedgeDefault
 	}
-	return time.Duration(hedgeShare * float64(s.call.Route.Objective))
+	return time.Duration(hedgeShare * float64(s.call.Route.LatencyObjective))
 }
 
 // mayRepeat tells whether one more server may be asked while others may have
--- a/gateway/forward/stream.go
+++ b/gateway/forward/stream.go
@@ -109,7 +109,7 @@
 func (s *streaming) from(caller context.Context, c choice) (end streamEnd, err error) {
 	ctx, cancel := context.WithCancel(caller)
 	defer cancel()
-	watch := time.AfterFunc(max(streamGap, firstGapShare*s.call.Route.Objective), cancel)
+	watch := time.AfterFunc(max(streamGap, firstGapShare*s.call.Route.LatencyObjective), cancel)
 	defer watch.Stop()
 	if !s.call.Route.Resumable {
 		watch.Stop()
--- a/gateway/view/view.go
+++ b/gateway/view/view.go
@@ -333,10 +333,10 @@
 
 // tellLeftOut logs which parts of a configuration can't be used.
 func (v *View) tellLeftOut(t *table.Table) {
-	for _, why := range t.LeftOut[:min(len(t.LeftOut), leftOutMost)] {
+	for _, why := range t.Ignored[:min(len(t.Ignored), leftOutMost)] {
 		v.log.Warn("A part of the configuration is left out.", zap.Uint64("version", t.Version), zap.String("why", why))
 	}
-	if more := len(t.LeftOut) - leftOutMost; more > 0 {
+	if more := len(t.Ignored) - leftOutMost; more > 0 {
 		v.log.Warn("More parts of the configuration are left out.", zap.Uint64("version", t.Version), zap.Int("more", more))
 	}
 }
