--- a/decide/lease/lease.go
+++ b/decide/lease/lease.go
@@ -25,31 +25,31 @@
 	Token uint64 `json:"t"`
 	// Seq tells apart what one holder wrote.
 	Seq uint64 `json:"b"`
-	// Prior is the VM of the holder before.
-	Prior string `json:"p,omitempty"`
+	// PreviousVM is the VM of the holder before.
+	PreviousVM string `json:"p,omitempty"`
 	// Released: the holder acts no more.
 	Released bool `json:"r,omitempty"`
-	// Done is how far the duty has come, in the duty's own count.
-	Done uint64 `json:"d,omitempty"`
+	// Progress is how far the duty has come, in the duty's own count.
+	Progress uint64 `json:"d,omitempty"`
 }
 
 // Timing holds the times of a lease.
 type Timing struct {
-	// Valid is how long a holder may act after it sent a renewal.
-	Valid time.Duration
-	// TakeOver is how long a record must have stood for others to take over. A holder
+	// ValidFor is how long a holder may act after it sent a renewal.
+	ValidFor time.Duration
+	// TakeOverAfter is how long a record must have stood for others to take over. A holder
 	// that comes back lets as much time pass as well: two that take turns faster than
 	// the platform's bound would look to it like two holders at once.
-	TakeOver time.Duration
+	TakeOverAfter time.Duration
 }
 
-// unfitWaits is how many times TakeOver a process that gave the lease up lets others go
+// resignedWaitFactor is how many times TakeOver a process that gave the lease up lets others go
 // first.
-const unfitWaits = 3
+const resignedWaitFactor = 3
 
-// writesKept bounds the own writes whose time is kept: one that gets no answer may
+// maxTrackedWrites bounds the own writes whose time is kept: one that gets no answer may
 // stand seconds later.
-const writesKept = 16
+const maxTrackedWrites = 16
 
 // State is what one process knows of a lease. Times are those of a steady clock that
 // goes on while the VM is suspended. It is not safe for concurrent use.
@@ -57,46 +57,46 @@
 	self   Holder
 	timing Timing
 
-	read   bool
-	exists bool
-	record Record
-	// since is when the record was first read, or reads succeeded again.
-	since time.Duration
-	// renewed is when our newest write that stands was sent.
-	renewed time.Duration
-	writes  map[uint64]time.Duration // when own writes were sent, by seq
-	seq     uint64
+	observed bool
+	exists   bool
+	record   Record
+	// unchangedSince is when the record was first read, or reads succeeded again.
+	unchangedSince time.Duration
+	// renewedAt is when our newest write that stands was sent.
+	renewedAt time.Duration
+	sentAt    map[uint64]time.Duration // when own writes were sent, by seq
+	lastSeq   uint64
 	// resigned: this process gave the lease up, though the record may not tell so yet.
 	resigned bool
 }
 
 // New returns the state of a process that has read nothing.
 func New(self Holder, timing Timing) *State {
-	return &State{self: self, timing: timing, writes: map[uint64]time.Duration{}}
+	return &State{self: self, timing: timing, sentAt: map[uint64]time.Duration{}}
 }
 
 // Observe takes the record that a read showed, or that a write of our own has become; nil:
 // there is none.
 func (s *State) Observe(r *Record, now time.Duration) {
-	changed := !s.read || s.exists != (r != nil) || r != nil && *r != s.record
-	s.read = true
+	changed := !s.observed || s.exists != (r != nil) || r != nil && *r != s.record
+	s.observed = true
 	if !changed {
 		return
 	}
-	s.since = now
+	s.unchangedSince = now
 	s.exists = r != nil
 	if r == nil {
 		return
 	}
 	s.record = *r
-	if sent, ours := s.writes[r.Seq]; ours && r.Holder == s.self {
-		s.renewed = sent
+	if sent, own := s.sentAt[r.Seq]; own && r.Holder == s.self {
+		s.renewedAt = sent
 	}
 }
 
-// Gap notes that reads have failed until now: the holder may have had no way to renew
+// ReadsResumed notes that reads have failed until now: the holder may have had no way to renew
 // the lease either.
-func (s *State) Gap(now time.Duration) { s.since = now }
+func (s *State) ReadsResumed(now time.Duration) { s.unchangedSince = now }
 
 // Record returns the record as last seen; false: none was.
 func (s *State) Record() (Record, bool) { return s.record, s.exists }
@@ -107,28 +107,28 @@
 }
 
 // MayAct tells whether this process may act for a time to come.
-func (s *State) MayAct(now, need time.Duration) bool {
-	return s.Holds() && now+need <= s.renewed+s.timing.Valid
+func (s *State) MayAct(now, duration time.Duration) bool {
+	return s.Holds() && now+duration <= s.renewedAt+s.timing.ValidFor
 }
 
 // MayClaim tells whether this process may take the lease. turn is how long it lets
 // others go first.
-func (s *State) MayClaim(now, turn time.Duration) bool {
-	if !s.read || s.Holds() {
+func (s *State) MayClaim(now, delay time.Duration) bool {
+	if !s.observed || s.Holds() {
 		return false
 	}
-	return now-s.since >= s.wait()+turn
+	return now-s.unchangedSince >= s.requiredWait()+delay
 }
 
-// wait is how long the record has to stand.
-func (s *State) wait() time.Duration {
+// requiredWait is how long the record has to stand.
+func (s *State) requiredWait() time.Duration {
 	switch {
 	case !s.exists:
 		return 0
-	case !s.record.Released, s.record.Prior == s.self.Node:
-		return s.timing.TakeOver
+	case !s.record.Released, s.record.PreviousVM == s.self.Node:
+		return s.timing.TakeOverAfter
 	case s.record.Node == s.self.Node:
-		return unfitWaits * s.timing.TakeOver
+		return resignedWaitFactor * s.timing.TakeOverAfter
 	default:
 		return 0
 	}
@@ -140,32 +140,32 @@
 	s.resigned = false
 	r := Record{Holder: s.self, Token: offset + 1}
 	if s.exists {
-		r.Prior, r.Done = s.record.Node, s.record.Done
+		r.PreviousVM, r.Progress = s.record.Node, s.record.Progress
 		r.Token = max(r.Token, s.record.Token+1)
 	}
-	return s.writing(r, now)
+	return s.trackWrite(r, now)
 }
 
 // Renew returns the record that renews the lease.
-func (s *State) Renew(done uint64, now time.Duration) Record {
+func (s *State) Renew(progress uint64, now time.Duration) Record {
 	r := s.record
-	r.Done = max(r.Done, done)
-	return s.writing(r, now)
+	r.Progress = max(r.Progress, progress)
+	return s.trackWrite(r, now)
 }
 
 // Release returns the record that gives the lease up. From then on this process may not
 // act, whatever becomes of the write.
-func (s *State) Release(done uint64, now time.Duration) Record {
-	r := s.Renew(done, now)
+func (s *State) Release(progress uint64, now time.Duration) Record {
+	r := s.Renew(progress, now)
 	r.Released = true
 	s.resigned = true
 	return r
 }
 
-func (s *State) writing(r Record, now time.Duration) Record {
-	s.seq++
-	r.Seq = s.seq
-	s.writes[r.Seq] = now
-	delete(s.writes, s.seq-writesKept)
+func (s *State) trackWrite(r Record, now time.Duration) Record {
+	s.lastSeq++
+	r.Seq = s.lastSeq
+	s.sentAt[r.Seq] = now
+	delete(s.sentAt, s.lastSeq-maxTrackedWrites)
 	return r
 }
--- a/gateway/duties/keeper.go
+++ b/gateway/duties/keeper.go
@@ -84,7 +84,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	r, _ := k.state.Record()
-	return Term{Token: r.Token, Done: r.Done}, k.state.Holds() && k.quit == ""
+	return Term{Token: r.Token, Done: r.Progress}, k.state.Holds() && k.quit == ""
 }
 
 // MayAct tells whether this process may act in a term for a time to come.
@@ -173,7 +173,7 @@
 		k.quit = ""
 		r := k.state.Claim(k.next, now)
 		if _, exists := k.state.Record(); !exists {
-			r.Done = k.cfg.First
+			r.Progress = k.cfg.First
 		}
 		return r, true
 	default:
@@ -240,7 +240,7 @@
 	if k.failing {
 		k.failing = false
 		k.since = now
-		k.state.Gap(now)
+		k.state.ReadsResumed(now)
 		k.log.Info("The leases can be read again.")
 	}
 	found := false
@@ -286,7 +286,7 @@
 	k.held = holds
 	if holds {
 		dutiesTaken.Add(1)
-		k.log.Info("This process has a duty.", zap.Uint64("token", r.Token), zap.String("before", r.Prior), zap.Uint64("done", r.Done))
+		k.log.Info("This process has a duty.", zap.Uint64("token", r.Token), zap.String("before", r.PreviousVM), zap.Uint64("done", r.Progress))
 		return
 	}
 	dutiesLost.Add(1)
--- a/gateway/server/duties.go
+++ b/gateway/server/duties.go
@@ -60,7 +60,7 @@
 	log = logs.Part(log, "usage")
 	keeper := duties.New(duties.Config{
 		Duty: usage.Duty, First: usage.First(clock.Now(), set.Duties.UsageWindow), Self: self, Store: store, Now: boottime.Now, Logger: logs.Part(log, "duties"),
-		Timing: lease.Timing{Valid: share(set.Duties.Lease, validShare), TakeOver: share(set.Duties.Lease, takeOverShare)},
+		Timing: lease.Timing{ValidFor: share(set.Duties.Lease, validShare), TakeOverAfter: share(set.Duties.Lease, takeOverShare)},
 		Renew:  share(set.Duties.Lease, renewShare),
 		Look:   func() time.Duration { return max(lookLeast, time.Duration(processes())*time.Second/looksPerS) },
 		Turn:   turn(self, set.VM.CPUShare),
--- a/gateway/usage/usage_test.go
+++ b/gateway/usage/usage_test.go
@@ -59,7 +59,7 @@
 	p := &process{counter: usage.NewCounter(store, self.Node+"/"+self.Life, window, time.Now, two, zap.NewNop())}
 	p.keeper = duties.New(duties.Config{
 		Duty: usage.Duty, First: usage.First(time.Now(), window), Self: self, Store: store, Now: boottime.Now, Logger: zap.NewNop(), Renew: 100 * time.Millisecond,
-		Timing: lease.Timing{Valid: 1200 * time.Millisecond, TakeOver: 1500 * time.Millisecond},
+		Timing: lease.Timing{ValidFor: 1200 * time.Millisecond, TakeOverAfter: 1500 * time.Millisecond},
 		Look:   func() time.Duration { return 50 * time.Millisecond },
 	})
 	reporter := &usage.Reporter{
