--- a/decide/usage/usage.go
+++ b/decide/usage/usage.go
@@ -10,8 +10,8 @@
 // Window is a span of the time of day, by its number since 1970.
 type Window uint64
 
-// At returns the window of a time of day; length is that of all windows.
-func At(t time.Time, length time.Duration) Window { return Window(t.UnixNano() / int64(length)) }
+// WindowAt returns the window of a time of day; length is that of all windows.
+func WindowAt(t time.Time, length time.Duration) Window { return Window(t.UnixNano() / int64(length)) }
 
 // End returns when a window ends.
 func (w Window) End(length time.Duration) time.Time {
@@ -27,50 +27,50 @@
 	Process string `json:"p"`
 	// Complete is the newest window of which it has counted all requests.
 	Complete Window `json:"c"`
-	// Left: it has ended, and counts no more.
-	Left    bool              `json:"x,omitempty"`
+	// Ended: it has ended, and counts no more.
+	Ended   bool              `json:"x,omitempty"`
 	Windows map[Window]Counts `json:"w,omitempty"`
 }
 
-// Patience says how long a window waits for the tallies of processes, after its end.
-type Patience struct {
-	// Least is waited for processes that nobody knows of yet.
-	Least time.Duration
-	// Most is waited for processes that have gone silent: a report that waits longer is
+// WaitLimits says how long a window waits for the tallies of processes, after its end.
+type WaitLimits struct {
+	// Min is waited for processes that nobody knows of yet.
+	Min time.Duration
+	// Max is waited for processes that have gone silent: a report that waits longer is
 	// late.
-	Most time.Duration
-	// Return is how long after an outage of the store it takes all processes to publish
+	Max time.Duration
+	// AfterOutage is how long after an outage of the store it takes all processes to publish
 	// what they counted meanwhile.
-	Return time.Duration
+	AfterOutage time.Duration
 }
 
 // Age is how long ago things were.
 type Age struct {
-	Ended    time.Duration // the window's end
-	Followed time.Duration // the last outage of the store
+	SinceEnd    time.Duration // the window's end
+	SinceOutage time.Duration // the last outage of the store
 }
 
 // Ready tells whether the counts of a window can be summed up. done is the window that
 // was summed up last.
-func Ready(w, done Window, tallies []Tally, age Age, p Patience) bool {
-	if age.Ended < p.Least {
+func Ready(w, lastSummed Window, tallies []Tally, age Age, limits WaitLimits) bool {
+	if age.SinceEnd < limits.Min {
 		return false
 	}
-	told, awaited := false, false
+	reported, pending := false, false
 	for i := range tallies {
-		told = told || tallies[i].Complete >= w
-		awaited = awaited || tallies[i].awaited(w, done)
+		reported = reported || tallies[i].Complete >= w
+		pending = pending || tallies[i].isAwaited(w, lastSummed)
 	}
-	if awaited {
-		return age.Ended >= p.Most && age.Followed >= p.Return
+	if pending {
+		return age.SinceEnd >= limits.Max && age.SinceOutage >= limits.AfterOutage
 	}
-	return told || age.Followed >= p.Return
+	return reported || age.SinceOutage >= limits.AfterOutage
 }
 
-// awaited tells whether a process has more to publish of a window: one that was heard of by
+// isAwaited tells whether a process has more to publish of a window: one that was heard of by
 // the time that the last one was summed up.
-func (tally *Tally) awaited(w, done Window) bool {
-	return !tally.Left && tally.Complete < w && tally.Complete+1 >= done
+func (tally *Tally) isAwaited(w, lastSummed Window) bool {
+	return !tally.Ended && tally.Complete < w && tally.Complete+1 >= lastSummed
 }
 
 // Merge brings the tallies of each process together. Counts only grow, so that of two
@@ -85,19 +85,19 @@
 			byProcess[tally.Process] = merged
 		}
 		merged.Complete = max(merged.Complete, tally.Complete)
-		merged.Left = merged.Left || tally.Left
+		merged.Ended = merged.Ended || tally.Ended
 		for w, counts := range tally.Windows {
-			merged.take(w, counts)
+			merged.mergeCounts(w, counts)
 		}
 	}
-	out := make([]Tally, 0, len(byProcess))
+	merged := make([]Tally, 0, len(byProcess))
 	for _, tally := range byProcess {
-		out = append(out, *tally)
+		merged = append(merged, *tally)
 	}
-	return out
+	return merged
 }
 
-func (tally *Tally) take(w Window, counts Counts) {
+func (tally *Tally) mergeCounts(w Window, counts Counts) {
 	if tally.Windows[w] == nil {
 		tally.Windows[w] = Counts{}
 	}
@@ -120,8 +120,8 @@
 // Stale tells whether a process has published nothing of the windows from w on, so that
 // its tally is of no more use.
 func (tally *Tally) Stale(w Window) bool {
-	for counted := range tally.Windows {
-		if counted >= w {
+	for window := range tally.Windows {
+		if window >= w {
 			return false
 		}
 	}
--- a/decide/usage/usage_test.go
+++ b/decide/usage/usage_test.go
@@ -11,44 +11,44 @@
 
 const length = 5 * time.Second
 
-var patience = Patience{Least: time.Second, Most: 6 * time.Second, Return: time.Second}
+var limits = WaitLimits{Min: time.Second, Max: 6 * time.Second, AfterOutage: time.Second}
 
 func TestWindowsFollowTheTimeOfDay(t *testing.T) {
 	at := time.Unix(1_000_000_003, 0)
-	w := At(at, length)
+	w := WindowAt(at, length)
 	require.Equal(t, Window(200_000_000), w)
 	require.Equal(t, time.Unix(1_000_000_005, 0), w.End(length))
-	require.Equal(t, w+1, At(w.End(length), length), "its end is the next one's start")
+	require.Equal(t, w+1, WindowAt(w.End(length), length), "its end is the next one's start")
 }
 
 // Guards against a report before all that count have told, and against one that is late
 // for a process that will tell no more.
-func TestAWindowWaitsForThoseThatCountLately(t *testing.T) {
+func TestWindowWaitsForPendingProcesses(t *testing.T) {
 	complete, behind := Tally{Complete: 10}, Tally{Complete: 8}
-	gone, left := Tally{Complete: 7}, Tally{Complete: 9, Left: true}
-	at := func(ended time.Duration) Age { return Age{Ended: ended, Followed: time.Hour} }
-	require.True(t, Ready(10, 9, []Tally{complete, gone, left}, at(2*time.Second), patience))
-	require.False(t, Ready(10, 9, []Tally{complete}, at(patience.Least/2), patience))
-	require.False(t, Ready(10, 9, []Tally{complete, behind}, at(2*time.Second), patience))
-	require.True(t, Ready(10, 9, []Tally{complete, behind}, at(patience.Most), patience))
+	lost, ended := Tally{Complete: 7}, Tally{Complete: 9, Ended: true}
+	at := func(ended time.Duration) Age { return Age{SinceEnd: ended, SinceOutage: time.Hour} }
+	require.True(t, Ready(10, 9, []Tally{complete, lost, ended}, at(2*time.Second), limits))
+	require.False(t, Ready(10, 9, []Tally{complete}, at(limits.Min/2), limits))
+	require.False(t, Ready(10, 9, []Tally{complete, behind}, at(2*time.Second), limits))
+	require.True(t, Ready(10, 9, []Tally{complete, behind}, at(limits.Max), limits))
 }
 
 // Guards against a window that is summed up as the store comes back from an outage of
 // some windows, before anybody could tell what it had counted.
-func TestAWindowWaitsForAllBehindAnOutage(t *testing.T) {
+func TestWindowWaitsAfterAnOutage(t *testing.T) {
 	tallies := []Tally{{Complete: 6}, {Complete: 7}}
-	returned := Age{Ended: time.Hour, Followed: patience.Return / 2}
-	require.False(t, Ready(10, 7, tallies, returned, patience))
-	require.True(t, Ready(10, 7, []Tally{{Complete: 10}, {Complete: 12}}, returned, patience))
-	require.False(t, Ready(10, 7, nil, returned, patience), "nobody could publish yet")
-	returned.Followed = patience.Return
-	require.True(t, Ready(10, 7, tallies, returned, patience))
+	recovered := Age{SinceEnd: time.Hour, SinceOutage: limits.AfterOutage / 2}
+	require.False(t, Ready(10, 7, tallies, recovered, limits))
+	require.True(t, Ready(10, 7, []Tally{{Complete: 10}, {Complete: 12}}, recovered, limits))
+	require.False(t, Ready(10, 7, nil, recovered, limits), "nobody could publish yet")
+	recovered.SinceOutage = limits.AfterOutage
+	require.True(t, Ready(10, 7, tallies, recovered, limits))
 }
 
 func TestSumOfAllTallies(t *testing.T) {
 	tallies := []Tally{
 		{Windows: map[Window]Counts{10: {"a": 2, "b": 1}, 11: {"a": 5}}},
-		{Left: true, Windows: map[Window]Counts{10: {"a": 1}}},
+		{Ended: true, Windows: map[Window]Counts{10: {"a": 1}}},
 		{},
 	}
 	require.Equal(t, Counts{"a": 3, "b": 1}, Sum(10, tallies))
@@ -67,14 +67,14 @@
 		merged := Merge(tallies)
 		require.Len(t, merged, 2)
 		require.Equal(t, Counts{"shop": 7, "town": 1}, Sum(10, merged))
-		require.True(t, Ready(10, 9, merged, Age{Ended: 2 * time.Second}, patience))
+		require.True(t, Ready(10, 9, merged, Age{SinceEnd: 2 * time.Second}, limits))
 	}
 }
 
-func TestTalliesSurviveTheStore(t *testing.T) {
+func TestTallyRoundTripsThroughJSON(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tally := Tally{
-			Complete: Window(rapid.Uint64().Draw(t, "complete")), Left: rapid.Bool().Draw(t, "left"),
+			Complete: Window(rapid.Uint64().Draw(t, "complete")), Ended: rapid.Bool().Draw(t, "left"),
 			Windows: map[Window]Counts{Window(rapid.Uint64().Draw(t, "window")): {rapid.String().Draw(t, "organisation"): rapid.Uint64().Draw(t, "n")}},
 		}
 		data, err := json.Marshal(tally)
--- a/gateway/usage/counter.go
+++ b/gateway/usage/counter.go
@@ -72,7 +72,7 @@
 func NewCounter(store platform.Keyed, process string, length time.Duration, now func() time.Time, processes func() int, log *zap.Logger) *Counter {
 	return &Counter{
 		store: store, process: process, length: length, now: now, processes: processes, log: log,
-		windows: map[usage.Window]usage.Counts{}, running: map[usage.Window]int{}, published: usage.At(now(), length),
+		windows: map[usage.Window]usage.Counts{}, running: map[usage.Window]int{}, published: usage.WindowAt(now(), length),
 	}
 }
 
@@ -90,7 +90,7 @@
 	if c == nil || organisation == "" {
 		return nil
 	}
-	w := usage.At(c.now(), c.length)
+	w := usage.WindowAt(c.now(), c.length)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.running[w]++
@@ -106,7 +106,7 @@
 	r.counted = true
 	countedRequests.Add(1)
 	c := r.c
-	w := usage.At(c.now().Add(-ago), c.length)
+	w := usage.WindowAt(c.now().Add(-ago), c.length)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	counts := c.windows[w]
@@ -208,9 +208,9 @@
 		return usage.Tally{}, false
 	}
 	c.dirty, c.published = false, max(c.published, complete)
-	tally := usage.Tally{Process: c.process, Complete: c.published, Left: c.left, Windows: make(map[usage.Window]usage.Counts, len(c.windows))}
+	tally := usage.Tally{Process: c.process, Complete: c.published, Ended: c.left, Windows: make(map[usage.Window]usage.Counts, len(c.windows))}
 	for w, counts := range c.windows {
-		if w+windowsKept < usage.At(now, c.length) {
+		if w+windowsKept < usage.WindowAt(now, c.length) {
 			delete(c.windows, w)
 			continue
 		}
@@ -221,7 +221,7 @@
 
 // complete is the newest window whose requests are all counted; mu is held.
 func (c *Counter) complete(now time.Time) usage.Window {
-	last := usage.At(now.Add(-settle), c.length) - 1
+	last := usage.WindowAt(now.Add(-settle), c.length) - 1
 	for w := range c.running {
 		if w <= last && now.Sub(w.End(c.length)) < settleMost {
 			last = w - 1
--- a/gateway/usage/reporter.go
+++ b/gateway/usage/reporter.go
@@ -43,7 +43,7 @@
 // First is how far the duty has come for the first process that ever has it, and that
 // started at a time: windows from that one on are reported.
 func First(started time.Time, length time.Duration) uint64 {
-	return uint64(usage.At(started, length) - 1)
+	return uint64(usage.WindowAt(started, length) - 1)
 }
 
 // Reporter reports the usage of all processes while this one has the duty. What is
@@ -54,8 +54,8 @@
 	Store    platform.Register
 	Platform platform.UsageReports
 	Node     string
-	Length   time.Duration  // of a window
-	Patience usage.Patience // but for Return
+	Length   time.Duration    // of a window
+	Patience usage.WaitLimits // but for Return
 	// Return is how long after an outage of the store all processes need to publish what
 	// they have counted.
 	Return func() time.Duration
@@ -102,7 +102,7 @@
 // begin goes on where earlier holders have come to.
 func (r *Reporter) begin(term duties.Term) {
 	done := usage.Window(term.Done)
-	if oldest := usage.At(r.Now(), r.Length) - windowsKept; done < oldest {
+	if oldest := usage.WindowAt(r.Now(), r.Length) - windowsKept; done < oldest {
 		reportsMissed.Add(int64(oldest - done))
 		r.Log.Error("Windows can't be reported any more.", zap.Uint64("from", uint64(done)+1), zap.Uint64("to", uint64(oldest)))
 		done = oldest
@@ -131,7 +131,7 @@
 
 // step reports the windows that are due.
 func (r *Reporter) step(ctx context.Context) {
-	for w := r.done + 1; w < usage.At(r.Now(), r.Length); w++ {
+	for w := r.done + 1; w < usage.WindowAt(r.Now(), r.Length); w++ {
 		counts, ok := r.reports[w]
 		if !ok {
 			counts, ok = r.record(ctx, w)
@@ -147,7 +147,7 @@
 // record sums a window up and puts its report down; false: that is not possible yet.
 func (r *Reporter) record(ctx context.Context, w usage.Window) (usage.Counts, bool) {
 	ended := r.Now().Sub(w.End(r.Length))
-	if ended < r.Patience.Least {
+	if ended < r.Patience.Min {
 		return nil, false
 	}
 	tallies, err := r.tallies(ctx, w)
@@ -155,9 +155,9 @@
 		r.Log.Warn("Counts can't be read.", zap.Uint64("window", uint64(w)), zap.Error(err))
 		return nil, false
 	}
-	age := usage.Age{Ended: ended, Followed: r.Keeper.Followed()}
+	age := usage.Age{SinceEnd: ended, SinceOutage: r.Keeper.Followed()}
 	patience := r.Patience
-	patience.Return = r.Return()
+	patience.AfterOutage = r.Return()
 	if !usage.Ready(w, r.done, tallies, age, patience) {
 		return nil, false
 	}
--- a/gateway/usage/usage_test.go
+++ b/gateway/usage/usage_test.go
@@ -64,7 +64,7 @@
 	})
 	reporter := &usage.Reporter{
 		Keeper: p.keeper, Store: store, Platform: hosted.NewDutyClient(s.api.Addr()), Node: node, Length: window,
-		Patience: decide.Patience{Least: 100 * time.Millisecond, Most: 4 * time.Second}, Now: time.Now, Return: p.counter.Return, Log: zap.NewNop(),
+		Patience: decide.WaitLimits{Min: 100 * time.Millisecond, Max: 4 * time.Second}, Now: time.Now, Return: p.counter.Return, Log: zap.NewNop(),
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var loops sync.WaitGroup
