--- a/decide/members/members.go
+++ b/decide/members/members.go
@@ -18,7 +18,7 @@
 	// Name is what the server calls itself, and the key of its entry. It may
 	// outlive a start.
 	Name          string
-	Born          time.Time // when it started; zero: not told
+	StartedAt     time.Time // when it started; zero: not told
 	Service       string
 	Addr          string // IP:port
 	FailureDomain string
@@ -29,10 +29,10 @@
 	Versions map[string]uint64
 }
 
-// DefaultReturn is how long after an outage of the store a server whose entry
+// DefaultGracePeriod is how long after an outage of the store a server whose entry
 // lapsed meanwhile may still write it again: about two seconds by the users'
 // letter, and a heartbeat's jitter.
-const DefaultReturn = 2200 * time.Millisecond
+const DefaultGracePeriod = 2200 * time.Millisecond
 
 // Set is the servers known to one process, by name: a new start takes the place
 // of the one before. It is not safe for concurrent use.
@@ -42,21 +42,21 @@
 	// time until which they still count.
 	lapsed map[string]time.Time
 	// graceUntil ends the time in which entries that vanish count as lapsed.
-	graceUntil time.Time
-	wait       time.Duration
+	graceUntil  time.Time
+	gracePeriod time.Duration
 }
 
 // New returns an empty set; wait is how long servers have to come back after
 // an outage of the store.
-func New(wait time.Duration) *Set {
-	return &Set{servers: map[string]Server{}, lapsed: map[string]time.Time{}, wait: wait}
+func New(gracePeriod time.Duration) *Set {
+	return &Set{servers: map[string]Server{}, lapsed: map[string]time.Time{}, gracePeriod: gracePeriod}
 }
 
-// StoreReturned tells that the store answers again after it had been away.
+// StoreRecovered tells that the store answers again after it had been away.
 // Entries that lapsed in the outage go back to their servers within wait, so
 // that a server is not taken for gone before then: without it an outage longer
 // than three heartbeats would leave no server at all right after it.
-func (s *Set) StoreReturned(now time.Time) { s.graceUntil = now.Add(s.wait) }
+func (s *Set) StoreRecovered(now time.Time) { s.graceUntil = now.Add(s.gracePeriod) }
 
 // Put adds or replaces an entry. A server that lapsed and whose address another
 // one now uses is gone for good: it would refuse all that is sent to it.
@@ -85,9 +85,9 @@
 }
 
 // Replace brings the set to a full list of entries.
-func (s *Set) Replace(list []Server, now time.Time) {
-	listed := make(map[string]bool, len(list))
-	for _, server := range list {
+func (s *Set) Replace(servers []Server, now time.Time) {
+	listed := make(map[string]bool, len(servers))
+	for _, server := range servers {
 		listed[server.Name] = true
 		s.Put(server)
 	}
@@ -101,24 +101,24 @@
 // Expire drops the servers that did not come back in time and tells whether
 // there were any.
 func (s *Set) Expire(now time.Time) bool {
-	any := false
+	expired := false
 	for name, until := range s.lapsed {
 		if now.Before(until) {
 			continue
 		}
 		delete(s.lapsed, name)
 		delete(s.servers, name)
-		any = true
+		expired = true
 	}
-	return any
+	return expired
 }
 
 // ByService returns the servers of each service, sorted by name.
 func (s *Set) ByService() map[string][]Server {
-	by := map[string][]Server{}
+	byService := map[string][]Server{}
 	for _, name := range slices.Sorted(maps.Keys(s.servers)) {
 		server := s.servers[name]
-		by[server.Service] = append(by[server.Service], server)
+		byService[server.Service] = append(byService[server.Service], server)
 	}
-	return by
+	return byService
 }
--- a/decide/members/members_test.go
+++ b/decide/members/members_test.go
@@ -22,11 +22,11 @@
 // The store is away for longer than three heartbeats and drops all entries. The
 // servers live and write them again within two seconds of its return: taken
 // for gone at once, they would leave callers without any server.
-func TestEntriesThatLapsedInAnOutageCountForAWhile(t *testing.T) {
+func TestLapsedEntriesCountDuringTheGracePeriod(t *testing.T) {
 	s := New(2 * time.Second)
 	s.Put(Server{ID: "a", Name: "a", Service: "x", Addr: "1.1.1.1:1"})
 	s.Put(Server{ID: "b", Name: "b", Service: "x", Addr: "2.2.2.2:2"})
-	s.StoreReturned(at(0))
+	s.StoreRecovered(at(0))
 	s.Replace(nil, at(100*time.Millisecond))
 	require.Equal(t, 2, count(s))
 	s.Put(Server{ID: "a", Name: "a", Service: "x", Addr: "1.1.1.1:1"})
@@ -39,20 +39,20 @@
 
 // Without an outage an entry that is taken away means that its server is
 // leaving: it gets no new work from that moment.
-func TestEntryThatGoesInCalmTimesIsGoneAtOnce(t *testing.T) {
+func TestRemovedEntryIsGoneAtOnceWithoutAnOutage(t *testing.T) {
 	s := New(2 * time.Second)
 	s.Put(Server{ID: "a", Name: "a", Service: "x"})
-	s.StoreReturned(at(0))
+	s.StoreRecovered(at(0))
 	s.Remove("a", at(3*time.Second))
 	require.Zero(t, count(s))
 }
 
 // A server restarted in the outage and uses its address under another id. The
 // one before would be kept for two seconds, and refuse all that is sent there.
-func TestLapsedServerWhoseAddressIsUsedAgainIsGone(t *testing.T) {
+func TestLapsedServerIsDroppedWhenItsAddressIsReused(t *testing.T) {
 	s := New(2 * time.Second)
 	s.Put(Server{ID: "before", Name: "before", Service: "x", Addr: "1.2.3.4:5"})
-	s.StoreReturned(at(0))
+	s.StoreRecovered(at(0))
 	s.Replace([]Server{{ID: "after", Name: "after", Service: "x", Addr: "1.2.3.4:5"}}, at(0))
 	s.Put(Server{ID: "after", Name: "after", Service: "x", Addr: "1.2.3.4:5"})
 	require.Equal(t, 1, count(s))
@@ -73,7 +73,7 @@
 // A server starts again under its name. What is remembered of it goes by its ID,
 // so that the new start takes the place of the one before and is known by nothing;
 // its entry going away ends it under the name.
-func TestNewStartTakesThePlaceOfTheOneBefore(t *testing.T) {
+func TestNewIncarnationReplacesThePreviousOne(t *testing.T) {
 	s := New(time.Second)
 	s.Put(Server{ID: "a@1", Name: "a", Service: "x"})
 	s.Put(Server{ID: "a@2", Name: "a", Service: "x"})
--- a/gateway/orders/orders.go
+++ b/gateway/orders/orders.go
@@ -130,7 +130,7 @@
 		return lookBusy
 	}
 	a.reportBack()
-	if report.Busy || !sameStart(self.Born, report.Born) {
+	if report.Busy || !sameStart(self.StartedAt, report.Born) {
 		return lookBusy // of the engine's last start the list does not tell yet
 	}
 	want := a.choose(snap, self, peers, report)
--- a/gateway/view/view.go
+++ b/gateway/view/view.go
@@ -99,7 +99,7 @@
 
 // New returns a view that knows nothing yet.
 func New(feeds platform.Feeds, log *zap.Logger) *View {
-	v := &View{feeds: feeds, log: log, now: time.Now, started: time.Now(), set: members.New(members.DefaultReturn)}
+	v := &View{feeds: feeds, log: log, now: time.Now, started: time.Now(), set: members.New(members.DefaultGracePeriod)}
 	v.current.Store(&Snapshot{Servers: map[string][]members.Server{}, Versions: map[string]uint64{}})
 	return v
 }
@@ -231,7 +231,7 @@
 	if f.away || !f.failing.IsZero() && now.Sub(f.failing) >= outageAfter {
 		f.v.log.Info("The store is back.", zap.Stringer("feed", f.feed), zap.Duration("away", now.Sub(f.failing)))
 		f.v.mu.Lock()
-		f.v.set.StoreReturned(now)
+		f.v.set.StoreRecovered(now)
 		f.v.mu.Unlock()
 	}
 	f.failing, f.away = time.Time{}, false
@@ -300,7 +300,7 @@
 		return
 	}
 	v.log.Info("Backend server.", zap.String("server", server.ID), zap.String("service", server.Service),
-		zap.String("addr", server.Addr), zap.Time("born", server.Born), zap.Bool("leaving", server.Leaving))
+		zap.String("addr", server.Addr), zap.Time("born", server.StartedAt), zap.Bool("leaving", server.Leaving))
 }
 
 // applyOperator takes one record of the operator. What is older than what is
