--- a/decide/poison/fingerprint.go
+++ b/decide/poison/fingerprint.go
@@ -8,18 +8,19 @@
 	"net/http"
 )
 
-// Fingerprint names what a request asks for. Each attempt of a caller has an id of its
-// own, so that ids can't tell that a request comes again; its content can. The
-// empty name names nothing.
+// Fingerprint identifies a request by its content, as a digest in hexadecimal. A request
+// ID can't do this: it differs for each attempt of a caller. The empty fingerprint
+// identifies no request.
 type Fingerprint string
 
-// digestBytes of a digest are kept. It is a cryptographic one: with any other a caller
-// could make a request that gets another one's name.
+// digestBytes is how many bytes of a digest are kept. The hash is a cryptographic one:
+// with any other a caller could construct a request with the fingerprint of another one.
 const digestBytes = 8
 
-// Content is what makes two requests the same one to a server.
+// Content holds what a request's fingerprint depends on: two requests with the same
+// content are the same one to a server.
 type Content struct {
-	// Caller is whose request it is, where that is known.
+	// Caller identifies the request's caller, if it is known.
 	Caller string
 	Method string
 	Host   string
@@ -27,13 +28,13 @@
 	Body   []byte
 }
 
-// CallerFromHeader returns what the headers of an HTTP request tell of its caller. All others
-// name nothing: many of them differ from attempt to attempt.
+// CallerFromHeader returns the headers of an HTTP request that identify its caller. The
+// other headers are left out because many of them differ between attempts.
 func CallerFromHeader(h http.Header) string {
 	return h.Get("Authorization") + "\n" + h.Get("Cookie")
 }
 
-// Fingerprint returns the content's name.
+// Fingerprint returns the fingerprint of the content.
 func (c *Content) Fingerprint() Fingerprint {
 	h := sha256.New()
 	for _, field := range []string{c.Caller, c.Method, c.Host, c.URI} {
@@ -43,13 +44,14 @@
 	return Fingerprint(hex.EncodeToString(h.Sum(nil)[:digestBytes]))
 }
 
-// digest names what may be longer than a key of the store.
+// digest returns a short digest of a text that may be too long for a key of the store.
 func digest(text string) string {
 	sum := sha256.Sum256([]byte(text))
 	return hex.EncodeToString(sum[:digestBytes])
 }
 
-// writeField adds a field behind its length, so that no two contents run into one.
+// writeField writes the length of a field and then the field, so that different contents
+// never hash the same bytes.
 func writeField(h hash.Hash, field []byte) {
 	var size [8]byte
 	binary.BigEndian.PutUint64(size[:], uint64(len(field)))
--- a/decide/poison/fingerprint_test.go
+++ b/decide/poison/fingerprint_test.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// Two callers ask for the same path with a token each: what crashes servers for one of
-// them may be harmless for the other. What differs from attempt to attempt tells nothing.
+// Requests of two callers for the same path must stay distinct: one may crash servers while
+// the other is harmless. Headers that differ between attempts must not matter.
 func TestCallerFromHeader(t *testing.T) {
 	one := http.Header{"Authorization": {"one"}, "X-Attempt": {"1"}}
 	require.Equal(t, poison.CallerFromHeader(one), poison.CallerFromHeader(http.Header{"Authorization": {"one"}, "X-Attempt": {"2"}}))
--- a/decide/poison/poison.go
+++ b/decide/poison/poison.go
@@ -1,12 +1,12 @@
-// Package poison finds the requests that crash each server that runs them (also
-// called queries of death), so that they are refused before they have taken a whole
-// service down. It is a pure state: the caller tells it what it saw, and when.
+// Package poison detects poison requests (queries of death): requests that crash each
+// server that runs them. They are refused before they take a whole service down. The
+// package does no I/O and reads no clock: its user passes in crashes and their times.
 //
-// Of the requests that a server has when it ends, all but one are bystanders. Two
-// things tell them apart: a bystander is answered by the next server, and one answer
-// clears it; and where several were at the same servers, an end is attributed to the
-// request under which most servers ended. Only what has ended QuarantineAt servers
-// without one answer is refused.
+// Of the requests that run at a server when it crashes, all but one are bystanders. Two
+// rules distinguish them. First, a bystander is answered by the next server, and a single
+// answer clears it. Second, where several requests ran at the same crashed server, the
+// crash is attributed to the one with the most crashes. A request is refused only after
+// QuarantineThreshold crashes without an answer.
 package poison
 
 import (
@@ -15,43 +15,46 @@
 	"time"
 )
 
-// Bounds of a ledger.
+// Limits of a Tracker.
 const (
-	// QuarantineThreshold is how many servers have to end under a request for it to be
-	// refused. Two may end under a bystander that is tried again where the request
-	// that ends them goes as well.
+	// QuarantineThreshold is how many servers must crash while they run a request before
+	// it is refused. A bystander may see two crashes if it is retried at the same server
+	// as the poison request.
 	QuarantineThreshold = 3
-	// QuarantineTime is how long after the last server ended a request is refused. The
-	// servers' software may have been mended by then.
+	// QuarantineTime is how long a request is refused after its last crash. The software
+	// of the servers may have been fixed by then.
 	QuarantineTime = time.Hour
-	// probationTime is how much longer it stays a suspect, which the next server that
-	// ends under it puts back into quarantine: one server in each Memory.
+	// probationTime is how long a request stays a suspect after its quarantine. One crash
+	// in this time puts it back into quarantine, so that a request that still crashes
+	// servers costs one server per QuarantineTime.
 	probationTime = QuarantineTime
-	// MaxRequests bounds the requests of a ledger. Some hundred bytes each.
+	// MaxRequests is the maximum number of requests in a Tracker. Each takes some hundred
+	// bytes.
 	MaxRequests = 1024
-	// maxCrashesPerRequest bounds the crashes that are kept of one request.
+	// maxCrashesPerRequest is the maximum number of crashes kept for one request.
 	maxCrashesPerRequest = 2 * QuarantineThreshold
 )
 
-// Crash is one server's end under a request.
+// Crash is the crash of one server while it ran a request.
 type Crash struct {
 	Request Fingerprint
-	Server  string // one start of a server
+	Server  string // ID of one incarnation of a server
 	At      time.Time
 }
 
-// Key names the crash among all.
+// Key returns the crash's key in the store, which is unique to its request and server.
 func (c Crash) Key() string { return string(c.Request) + "/" + digest(c.Server) }
 
-// Verdict is what may be done with a request.
+// Verdict says whether a request may be sent to servers.
 type Verdict uint8
 
 const (
-	// Clear: nothing is known against it.
+	// Clear: no crash is attributed to the request.
 	Clear Verdict = iota
-	// Suspect: a server ended under it. It goes to one server at a time.
+	// Suspect: a server crashed while it ran the request. It may be sent to one server at
+	// a time.
 	Suspect
-	// Quarantined: it goes to no server.
+	// Quarantined: the request is sent to no server.
 	Quarantined
 )
 
@@ -59,13 +62,13 @@
 
 func (v Verdict) String() string { return verdictNames[v] }
 
-// Status is what is known against one request.
+// Status sums up the crashes of one request.
 type Status struct {
 	Crashes   int       // servers
 	LastCrash time.Time // when the last of them ended
 }
 
-// Verdict returns what may be done with the request now.
+// Verdict returns the verdict on the request at the time now.
 func (s Status) Verdict(now time.Time) Verdict {
 	age := now.Sub(s.LastCrash)
 	switch {
@@ -78,7 +81,7 @@
 	}
 }
 
-// retention is how long after the last server ended the request is forgotten.
+// retention returns how long the request is kept after its last crash.
 func (s Status) retention() time.Duration {
 	if s.Crashes >= QuarantineThreshold {
 		return QuarantineTime + probationTime
@@ -86,18 +89,19 @@
 	return QuarantineTime
 }
 
-// ReleaseTime is when a quarantined request may be tried again.
+// ReleaseTime returns when a quarantined request may be sent to a server again.
 func (s Status) ReleaseTime() time.Time { return s.LastCrash.Add(QuarantineTime) }
 
-// Tracker holds what is known against requests. It is not safe for concurrent use.
+// Tracker records the crashes of each request. It is not safe for concurrent use.
 type Tracker struct {
-	crashes map[Fingerprint][]Crash // the oldest first
+	crashes map[Fingerprint][]Crash // oldest first
 }
 
-// NewTracker returns an empty ledger.
+// NewTracker returns an empty tracker.
 func NewTracker() *Tracker { return &Tracker{crashes: map[Fingerprint][]Crash{}} }
 
-// Add notes a crash and tells whether it is news. Others' clocks may be ahead.
+// Add records a crash and reports whether it was new and was kept. A time after now, which
+// comes from a process whose clock is ahead, is recorded as now.
 func (t *Tracker) Add(c Crash, now time.Time) bool {
 	if c.At.After(now) {
 		c.At = now
@@ -116,8 +120,9 @@
 	return slices.ContainsFunc(t.crashes[c.Request], func(known Crash) bool { return known.Server == c.Server })
 }
 
-// evict forgets the request that is least likely to end another server: the one
-// under which the fewest ended, and of these the oldest.
+// evict removes one request if there are more than MaxRequests: the one that is least
+// likely to crash another server, which is the one with the fewest crashes and among these
+// the one whose last crash is the oldest.
 func (t *Tracker) evict() {
 	if len(t.crashes) <= MaxRequests {
 		return
@@ -138,15 +143,14 @@
 
 func lastCrash(list []Crash) time.Time { return list[len(list)-1].At }
 
-// Clear forgets a request, for a server has run it to its end, and returns what was
-// known against it.
+// Clear removes a request that a server has run to its end, and returns its crashes.
 func (t *Tracker) Clear(request Fingerprint) []Crash {
 	cleared := t.crashes[request]
 	delete(t.crashes, request)
 	return cleared
 }
 
-// Remove forgets one crash by its key and tells whether it was known.
+// Remove removes the crash with a key and reports whether it was recorded.
 func (t *Tracker) Remove(request Fingerprint, key string) bool {
 	list := t.crashes[request]
 	left := slices.DeleteFunc(slices.Clone(list), func(known Crash) bool { return known.Key() == key })
@@ -158,7 +162,7 @@
 	return len(left) < len(list)
 }
 
-// Expire forgets what is too old and returns it.
+// Expire removes the requests whose retention has passed and returns their crashes.
 func (t *Tracker) Expire(now time.Time) []Crash {
 	var expired []Crash
 	for name, list := range t.crashes {
@@ -170,15 +174,17 @@
 	return expired
 }
 
-// CrashCount is how many servers ended under a request, whatever they are attributed to.
+// CrashCount returns how many servers crashed while they ran a request, including crashes
+// that are attributed to other requests.
 func (t *Tracker) CrashCount(request Fingerprint) int { return len(t.crashes[request]) }
 
-// Status returns what is known against a request.
+// Status returns the status of a request; the zero Status if it has no crashes.
 func (t *Tracker) Status(request Fingerprint) Status { return t.Statuses()[request] }
 
-// Statuses returns what is known against all requests.
+// Statuses returns the status of each request that has crashes. A crash counts only for
+// those with the most crashes among the requests that ran at the crashed server.
 func (t *Tracker) Statuses() map[Fingerprint]Status {
-	maxCrashes := map[string]int{} // of the requests that a server ended under, the most ends of one
+	maxCrashes := map[string]int{} // by server: the highest crash count of the requests that it ran
 	for _, list := range t.crashes {
 		for _, c := range list {
 			maxCrashes[c.Server] = max(maxCrashes[c.Server], len(list))
--- a/decide/poison/poison_test.go
+++ b/decide/poison/poison_test.go
@@ -29,7 +29,7 @@
 		require.True(t, tracker.Add(crash("r", server, start), start))
 		require.Equal(t, poison.Suspect, verdict(tracker, "r", start))
 	}
-	require.False(t, tracker.Add(crash("r", 0, start), start), "a server ends once, however many tell of it")
+	require.False(t, tracker.Add(crash("r", 0, start), start), "a server crashes once, however many processes report it")
 	require.Equal(t, poison.Suspect, verdict(tracker, "r", start))
 	tracker.Add(crash("r", 7, start), start)
 	require.Equal(t, poison.Quarantined, verdict(tracker, "r", start))
@@ -37,8 +37,8 @@
 	require.Equal(t, poison.Clear, verdict(tracker, "other", start))
 }
 
-// A request is on its way to a server that another one ends, and is answered by the
-// next. It is no suspect any more, however often that happens to it.
+// A bystander runs at a server that another request crashes, and is answered by the next
+// server. The answer must clear it, however often this happens.
 func TestBystanderIsClearedByAnAnswer(t *testing.T) {
 	tracker := poison.NewTracker()
 	for server := range 3 * poison.QuarantineThreshold {
@@ -49,9 +49,9 @@
 	}
 }
 
-// All servers of a small service end one after the other, and a bystander's retries
-// meet the request that ends them each time. Its ends are attributed to the other as soon
-// as one server ended without it; the other's stay its own.
+// All servers of a small service crash in turn, and each retry of a bystander runs beside
+// the poison request. Its crashes must be attributed to the poison request as soon as one
+// server crashed without the bystander.
 func TestBystanderAtEveryCrashIsClear(t *testing.T) {
 	tracker := poison.NewTracker()
 	for server := range poison.QuarantineThreshold + 1 {
@@ -62,12 +62,12 @@
 	}
 	require.Equal(t, poison.Quarantined, verdict(tracker, "poison", start))
 	require.Equal(t, poison.Clear, verdict(tracker, "bystander", start))
-	require.Len(t, tracker.Statuses(), 2, "nothing is forgotten by it")
+	require.Len(t, tracker.Statuses(), 2, "attribution removes no request")
 	require.Empty(t, tracker.Expire(start))
 }
 
-// After the quarantine one server is enough for the next: a request that still ends
-// servers costs one in each, not three.
+// A single crash during probation must start the next quarantine, so that a request that
+// still crashes servers costs one server per quarantine and not three.
 func TestProbationAfterQuarantine(t *testing.T) {
 	tracker := poison.NewTracker()
 	for server := range poison.QuarantineThreshold {
@@ -82,8 +82,8 @@
 	require.Empty(t, tracker.Statuses())
 }
 
-// A clock that is ahead must not make a quarantine longer, and what is long over is
-// not taken from a store that still has it.
+// The clock of another process may be ahead, which must not make a quarantine longer. A
+// crash that has expired must not be recorded again from a store that still holds it.
 func TestCrashTimesAreBounded(t *testing.T) {
 	tracker := poison.NewTracker()
 	for server := range poison.QuarantineThreshold {
@@ -93,8 +93,8 @@
 	require.False(t, tracker.Add(crash("old", 1, start.Add(-3*poison.QuarantineTime)), start))
 }
 
-// A flood of suspects pushes out those under which the fewest servers ended, so that
-// one which is in quarantine stays there; the ledger does not grow with them.
+// A flood of suspects must not grow the tracker without bound. The requests with the fewest
+// crashes are evicted, so that a quarantined request stays quarantined.
 func TestTrackerIsBounded(t *testing.T) {
 	tracker := poison.NewTracker()
 	for server := range poison.QuarantineThreshold {
@@ -112,15 +112,15 @@
 	require.Less(t, tracker.Status("r").Crashes, 100)
 }
 
-// Whatever is told in whatever order and however often: two ledgers that heard the
-// same crashes hold the same; fewer than QuarantineAt servers make no quarantine, and
-// so many do for the request under which most ended; and what was removed one by one is
-// as if it had never come.
+// Two trackers that receive the same crashes, in any order and any number of times, must
+// agree. Fewer than QuarantineThreshold crashes never quarantine a request; so many crashes
+// quarantine the request that has the most of all. A tracker is empty once all crashes
+// have been removed one by one.
 func TestTrackersWithSameCrashesAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		crashes := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) poison.Crash {
 			return crash(rapid.SampledFrom([]string{"a", "b"}).Draw(t, "request"), rapid.IntRange(0, 4).Draw(t, "server"), start)
-		}), 0, 20).Draw(t, "told")
+		}), 0, 20).Draw(t, "crashes")
 		one, two := poison.NewTracker(), poison.NewTracker()
 		servers := map[poison.Fingerprint]map[string]bool{"a": {}, "b": {}}
 		for _, c := range crashes {
@@ -146,10 +146,9 @@
 	})
 }
 
-// Servers end one after the other under one request, each with any others on their way
-// to it; some of these are answered in between. It is in quarantine from the third server
-// on, whoever was beside it. An answered one is clear, and so is each under which fewer
-// servers ended.
+// Servers crash in turn under one request, each with any bystanders, some of which are
+// answered in between. The culprit must be quarantined from the third crash on, whichever
+// bystanders ran beside it. Answered bystanders and those with fewer crashes must be clear.
 func TestCulpritIsFoundAmongBystanders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tracker := poison.NewTracker()
@@ -175,7 +174,8 @@
 	})
 }
 
-// A name is made of each request while anything is suspected: 600 B are the usual body.
+// BenchmarkFingerprint measures the cost for each request while any request is suspected,
+// with a body of the usual 600 B.
 func BenchmarkFingerprint(b *testing.B) {
 	c := poison.Content{Method: "POST", Host: "app.example", URI: "/orders/81723", Body: make([]byte, 600)}
 	for b.Loop() {
@@ -183,7 +183,8 @@
 	}
 }
 
-// What is known is made anew with each server's end, here of a full ledger.
+// BenchmarkStatuses measures the cost of one crash: all statuses are computed again, here
+// for a full tracker.
 func BenchmarkStatuses(b *testing.B) {
 	tracker := poison.NewTracker()
 	for i := range poison.MaxRequests {
