--- a/decide/table/organisations.go
+++ b/decide/table/organisations.go
@@ -8,34 +8,36 @@
 	"unicode"
 )
 
-// KeyHash is the digest of a caller's key. Keys themselves are kept nowhere.
+// KeyHash is the digest of a caller's key. The keys themselves are not stored.
 type KeyHash [sha256.Size]byte
 
 // HashKey returns the digest of a key.
 func HashKey(key string) KeyHash { return sha256.Sum256([]byte(key)) }
 
-// shortHashBytes is how many bytes of a digest name a key in logs.
+// shortHashBytes is how many bytes of a digest identify a key in logs.
 const shortHashBytes = 4
 
-// String names the key in logs, where the key must not stand.
+// String returns a prefix of the digest in hexadecimal. It identifies the key in logs,
+// which must not contain the key.
 func (h KeyHash) String() string { return hex.EncodeToString(h[:shortHashBytes]) }
 
-// Organisation is a set of callers that share keys.
+// Organisation is a group of callers that share keys.
 type Organisation struct {
 	Name string
-	// Priority goes before that of a route; nil: the organisation has none.
+	// Priority overrides the priority of the route; nil: the organisation has none.
 	Priority *int
 	Keys     []KeyHash
 }
 
-// Directory tells which organisation holds a key. It never changes once built.
+// Directory maps keys to organisations. It is immutable once built.
 type Directory struct {
 	byKey map[KeyHash]*Organisation
 }
 
-// NewDirectory builds a directory, and tells what is left out of it and why: a name
-// that can't stand in a header, and a key that two organisations share, for whichever
-// it was taken for could be the wrong one. Their callers are refused.
+// NewDirectory builds a directory and returns a description of each part of the
+// configuration that it ignores: an organisation whose name can't be sent in a header, an
+// empty key, and a key that two organisations share, because either of them could be the
+// wrong one. Callers with such keys are refused.
 func NewDirectory(organisations []Organisation) (*Directory, []string) {
 	d := &Directory{byKey: map[KeyHash]*Organisation{}}
 	var ignored []string
@@ -66,10 +68,10 @@
 
 var emptyKeyHash = HashKey("")
 
-// isHeaderSafe tells whether a name can be sent in a header as it is.
+// isHeaderSafe reports whether a name can be sent in a header without encoding.
 func isHeaderSafe(name string) bool {
 	return name != "" && strings.TrimSpace(name) == name && !strings.ContainsFunc(name, func(r rune) bool { return unicode.IsControl(r) || r > unicode.MaxASCII })
 }
 
-// Find returns the organisation that holds a key; nil: none does.
+// Find returns the organisation that a key belongs to; nil: the key is unknown.
 func (d *Directory) Find(key KeyHash) *Organisation { return d.byKey[key] }
--- a/decide/table/organisations_test.go
+++ b/decide/table/organisations_test.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// Guards against a caller who is taken for another organisation's by an ambiguous
-// configuration, and against the loss of whatever else it holds.
+// Guards against a caller that an ambiguous configuration attributes to another
+// organisation, and against the loss of the valid parts of such a configuration.
 func TestInvalidNamesAndKeysAreIgnored(t *testing.T) {
 	d, left := NewDirectory([]Organisation{
 		{Name: "a", Keys: keys("a1", "shared", "")}, {Name: "b", Keys: keys("shared", "b1")}, {Name: "c", Keys: keys("shared")},
@@ -47,7 +47,7 @@
 	}
 }
 
-// ns and allocations for the organisation of a request's key.
+// BenchmarkFind measures time and allocations of the lookup by a request's key.
 func BenchmarkFind(b *testing.B) {
 	for _, organisations := range []int{87, 10_000} {
 		const each = 4
--- a/decide/table/table.go
+++ b/decide/table/table.go
@@ -1,7 +1,6 @@
-// Package table holds the routing table that the operator declares: which
-// requests go to which service, how long they may take and what may be
-// repeated. A Table never changes once built, so that the path of a request
-// reads it without a lock.
+// Package table implements the routing table that the operator configures: which
+// requests go to which service, how long they may take and which of them may be
+// repeated. A Table is immutable once built, so that requests read it without a lock.
 package table
 
 import (
@@ -14,7 +13,7 @@
 	"github.com/juju/errors"
 )
 
-// Kind says what may be repeated of a route's requests.
+// Kind is the kind of a route's requests; it determines which of them may be repeated.
 type Kind uint8
 
 const (
@@ -22,47 +21,47 @@
 	Safe Kind = iota
 	// Unsafe requests run at most once for each attempt of a caller.
 	Unsafe
-	// Stream requests are answered by a series of events. They count as
+	// Stream requests are answered by a series of events. They are treated as
 	// Unsafe unless the route is Resumable.
 	Stream
 	// Batch requests submit a batch job whose items run later.
 	Batch
 )
 
-// Target is a service with its share of a route's requests.
+// Target is a service that receives a share of a route's requests.
 type Target struct {
 	Service string
 	Weight  int // relative to the route's other targets
 }
 
-// Route sends the requests of a host and a path prefix to services.
+// Route maps requests with a host and a path prefix to services.
 type Route struct {
 	Name    string
 	Host    string
-	Prefix  string // begins and ends with a slash
+	Prefix  string // starts and ends with a slash
 	Kind    Kind
 	Targets []Target
 
-	MaxAttempts      int           // servers that one attempt of a caller may reach
-	Timeout          time.Duration // longest time that a caller is kept waiting
-	LatencyObjective time.Duration // latency within which an answer is worth most
+	MaxAttempts      int           // maximum number of servers that one attempt of a caller may be sent to
+	Timeout          time.Duration // maximum time until a caller is answered
+	LatencyObjective time.Duration // an answer that takes longer is worth less to the caller
 	Priority         int           // 0 is the most urgent
 	Public           bool          // callers need no key
 
-	Resumable     bool          // a broken stream may go on at another server
-	SingleVersion bool          // a sample is made by one weight version only
-	DueAfter      time.Duration // batch jobs: results are due so long after submission
-	AbandonAfter  time.Duration // batch jobs: items may be given up so long after submission
+	Resumable     bool          // a broken stream may be resumed at another server
+	SingleVersion bool          // all of a sample is made with the same weight version
+	DueAfter      time.Duration // batch jobs: time from submission until results are due
+	AbandonAfter  time.Duration // batch jobs: time from submission after which items may be abandoned
 }
 
-// Repeatable tells whether an attempt may reach a second server after the
-// first may have run it.
+// Repeatable reports whether an attempt may be sent to a second server after the
+// first one may have run it.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Safe || r.Kind == Stream && r.Resumable
 }
 
-// Pick returns the service for a request; spread is any evenly distributed
-// number of it.
+// Pick returns the service for a request, by the weights of the targets; "" if there is
+// none. hash is a number derived from the request, evenly distributed over all requests.
 func (r *Route) Pick(hash uint64) string {
 	total := 0
 	for _, t := range r.Targets {
@@ -81,16 +80,17 @@
 	return ""
 }
 
-// Service is a set of alike backend servers.
+// Service is a set of interchangeable backend servers.
 type Service struct {
 	Name string
-	// MaxConns bounds the connections of all callers to one server; 0: unknown.
+	// MaxConns is the maximum number of connections of all callers to one server;
+	// 0: unknown.
 	MaxConns int
-	// Slots is how many streams an engine batches; 0 for plain services.
+	// Slots is how many streams an engine batches; 0 for services that are not engines.
 	Slots int
 }
 
-// Limits bound what a caller may send.
+// Limits are the limits on the requests and connections of callers.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -104,15 +104,17 @@
 	Routes   []*Route
 	Services map[string]Service
 	Limits   Limits
-	// Organisations tells whose callers' keys are; nil: callers need none.
+	// Organisations maps the keys of callers to organisations; nil: callers need no key.
 	Organisations *Directory
-	// Ignored tells which parts of the configuration can't be used, and why.
+	// Ignored describes each part of the configuration that is ignored because it is
+	// invalid.
 	Ignored []string
 
 	byHost map[string][]*Route // longest prefix first
 }
 
-// New builds a table and checks that its routes can be served.
+// New builds a table. It returns an error if a route has an invalid prefix, no target, or a
+// target that is not among the services.
 func New(version uint64, routes []*Route, services []Service, limits Limits) (*Table, error) {
 	t := &Table{
 		Version:  version,
@@ -140,7 +142,7 @@
 
 func (t *Table) validate(r *Route) error {
 	if !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/") {
-		return errors.Errorf("prefix %q does not begin and end with a slash", r.Prefix)
+		return errors.Errorf("prefix %q does not start and end with a slash", r.Prefix)
 	}
 	if len(r.Targets) == 0 {
 		return errors.New("no service")
@@ -153,8 +155,8 @@
 	return nil
 }
 
-// Match returns the route of a request: the longest prefix of path among the
-// routes of host, which may carry a port. nil: no route.
+// Match returns the route of a request: of the routes of host, the one with the longest
+// prefix of path; nil: there is none. host may include a port.
 func (t *Table) Match(host, path string) *Route {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
--- a/decide/table/table_test.go
+++ b/decide/table/table_test.go
@@ -53,7 +53,7 @@
 	for name, r := range map[string]*Route{
 		"prefix without slash": {Host: "h", Prefix: "/a", Targets: targets("s")},
 		"no service":           {Host: "h", Prefix: "/a/"},
-		"unknown service":      {Host: "h", Prefix: "/a/", Targets: targets("nobody")},
+		"unknown service":      {Host: "h", Prefix: "/a/", Targets: targets("missing")},
 	} {
 		_, err := New(1, []*Route{r}, []Service{{Name: "s"}}, Limits{})
 		require.Error(t, err, name)
