--- a/decide/lease/lease.go
+++ b/decide/lease/lease.go
@@ -1,58 +1,61 @@
-// Package lease decides who has a duty that one process may have at a time, and when
-// the holder may act. It is pure: the caller reads and writes the lease's record in a
-// store that takes a write only if nothing was written since the writer's last read.
+// Package lease decides which process holds the lease of a duty, which exactly one process
+// may have at a time, and when the holder may act. The package does no I/O and reads no
+// clock: its user reads and writes the lease's record in a store that accepts a write only
+// if nothing was written since the writer's last read.
 //
-// A holder renews its record and acts for Valid after it has sent its last renewal that
-// stands. Others take the lease over once a record has stood for TakeOver since they
-// first read it, which is later than it was sent. With Valid below TakeOver no two
-// holders act at a time, whatever their clocks show, as long as these run alike.
+// A holder renews the record and may act for ValidFor after it sent the last renewal that
+// was stored. Another process may take the lease over once it has seen the record unchanged
+// for TakeOverAfter since it first read it, which is later than the record was sent. With
+// ValidFor below TakeOverAfter no two holders act at the same time, whatever their clocks
+// show, as long as the clocks run at the same rate.
 package lease
 
 import (
 	"time"
 )
 
-// Holder is one start of a process.
+// Holder identifies one incarnation of a process.
 type Holder struct {
 	Node string `json:"n"`
-	Life string `json:"l"` // changes at each start of the process
+	Life string `json:"l"` // differs for each incarnation of the process
 }
 
-// Record is a lease as it stands in the store.
+// Record is the stored record of a lease.
 type Record struct {
 	Holder
-	// Token is the fencing token: it grows with each holder.
+	// Token is the fencing token; it increases with each holder.
 	Token uint64 `json:"t"`
-	// Seq tells apart what one holder wrote.
+	// Seq distinguishes the writes of one holder.
 	Seq uint64 `json:"b"`
-	// PreviousVM is the VM of the holder before.
+	// PreviousVM is the VM of the previous holder.
 	PreviousVM string `json:"p,omitempty"`
-	// Released: the holder acts no more.
+	// Released is set once the holder has stopped acting.
 	Released bool `json:"r,omitempty"`
-	// Progress is how far the duty has come, in the duty's own count.
+	// Progress is how far the duty has got, in a unit that the duty defines.
 	Progress uint64 `json:"d,omitempty"`
 }
 
-// Timing holds the times of a lease.
+// Timing holds the durations that govern a lease.
 type Timing struct {
 	// ValidFor is how long a holder may act after it sent a renewal.
 	ValidFor time.Duration
-	// TakeOverAfter is how long a record must have stood for others to take over. A holder
-	// that comes back lets as much time pass as well: two that take turns faster than
-	// the platform's bound would look to it like two holders at once.
+	// TakeOverAfter is how long a record must be unchanged before another process may take
+	// the lease over. A VM also waits this long before it takes back a lease from the next
+	// holder: if two processes alternate faster than the platform's bound, the platform
+	// sees two holders at once.
 	TakeOverAfter time.Duration
 }
 
-// resignedWaitFactor is how many times TakeOver a process that gave the lease up lets others go
-// first.
+// resignedWaitFactor is the multiple of TakeOverAfter that a VM waits before it claims a
+// lease that it has released, so that other processes can claim it first.
 const resignedWaitFactor = 3
 
-// maxTrackedWrites bounds the own writes whose time is kept: one that gets no answer may
-// stand seconds later.
+// maxTrackedWrites is the maximum number of own writes whose send time is kept. A write that
+// gets no answer may still be stored seconds later.
 const maxTrackedWrites = 16
 
-// State is what one process knows of a lease. Times are those of a steady clock that
-// goes on while the VM is suspended. It is not safe for concurrent use.
+// State is what one process knows about a lease. All times are readings of a monotonic
+// clock that continues while the VM is suspended. It is not safe for concurrent use.
 type State struct {
 	self   Holder
 	timing Timing
@@ -60,13 +63,14 @@
 	observed bool
 	exists   bool
 	record   Record
-	// unchangedSince is when the record was first read, or reads succeeded again.
+	// unchangedSince is when the record was first read, or when reads succeeded again.
 	unchangedSince time.Duration
-	// renewedAt is when our newest write that stands was sent.
+	// renewedAt is when this process sent its newest write that was stored.
 	renewedAt time.Duration
-	sentAt    map[uint64]time.Duration // when own writes were sent, by seq
+	sentAt    map[uint64]time.Duration // when own writes were sent, by Record.Seq
 	lastSeq   uint64
-	// resigned: this process gave the lease up, though the record may not tell so yet.
+	// resigned: this process has released the lease, though the stored record may not
+	// show it yet.
 	resigned bool
 }
 
@@ -75,8 +79,8 @@
 	return &State{self: self, timing: timing, sentAt: map[uint64]time.Duration{}}
 }
 
-// Observe takes the record that a read showed, or that a write of our own has become; nil:
-// there is none.
+// Observe records the lease's record as returned by a read or as stored by a write of this
+// process; nil: there is none.
 func (s *State) Observe(r *Record, now time.Duration) {
 	changed := !s.observed || s.exists != (r != nil) || r != nil && *r != s.record
 	s.observed = true
@@ -94,25 +98,25 @@
 	}
 }
 
-// ReadsResumed notes that reads have failed until now: the holder may have had no way to renew
-// the lease either.
+// ReadsResumed records that reads failed until now. The record counts as unchanged only from
+// now on, because the holder may have been unable to renew the lease as well.
 func (s *State) ReadsResumed(now time.Duration) { s.unchangedSince = now }
 
-// Record returns the record as last seen; false: none was.
+// Record returns the record as last observed; false: there was none.
 func (s *State) Record() (Record, bool) { return s.record, s.exists }
 
-// Holds tells whether this process has the lease, as far as it knows.
+// Holds reports whether this process has the lease, as far as it knows.
 func (s *State) Holds() bool {
 	return s.exists && s.record.Holder == s.self && !s.record.Released && !s.resigned
 }
 
-// MayAct tells whether this process may act for a time to come.
+// MayAct reports whether this process may act for a duration from now on.
 func (s *State) MayAct(now, duration time.Duration) bool {
 	return s.Holds() && now+duration <= s.renewedAt+s.timing.ValidFor
 }
 
-// MayClaim tells whether this process may take the lease. turn is how long it lets
-// others go first.
+// MayClaim reports whether this process may claim the lease. delay is how long it waits, in
+// addition to the required time, so that other processes can claim the lease first.
 func (s *State) MayClaim(now, delay time.Duration) bool {
 	if !s.observed || s.Holds() {
 		return false
@@ -120,7 +124,8 @@
 	return now-s.unchangedSince >= s.requiredWait()+delay
 }
 
-// requiredWait is how long the record has to stand.
+// requiredWait returns how long the record must be unchanged before this process may claim
+// the lease.
 func (s *State) requiredWait() time.Duration {
 	switch {
 	case !s.exists:
@@ -134,8 +139,9 @@
 	}
 }
 
-// Claim returns the record that takes the lease, to be written at an offset of the store.
-// Offsets only grow, and no two records have one.
+// Claim returns the record that claims the lease, to be written at an offset of the store.
+// Offsets only increase and no two records have the same one, so that the fencing token is
+// derived from the offset.
 func (s *State) Claim(offset uint64, now time.Duration) Record {
 	s.resigned = false
 	r := Record{Holder: s.self, Token: offset + 1}
@@ -153,8 +159,8 @@
 	return s.trackWrite(r, now)
 }
 
-// Release returns the record that gives the lease up. From then on this process may not
-// act, whatever becomes of the write.
+// Release returns the record that releases the lease. From then on this process may not act,
+// whether or not the write succeeds.
 func (s *State) Release(progress uint64, now time.Duration) Record {
 	r := s.Renew(progress, now)
 	r.Released = true
@@ -162,6 +168,7 @@
 	return r
 }
 
+// trackWrite gives a record the next sequence number and keeps its send time.
 func (s *State) trackWrite(r Record, now time.Duration) Record {
 	s.lastSeq++
 	r.Seq = s.lastSeq
--- a/decide/lease/lease_test.go
+++ b/decide/lease/lease_test.go
@@ -21,23 +21,23 @@
 
 func TestUnrenewedLeaseIsTakenOver(t *testing.T) {
 	a, b := New(Holder{"a", "1"}, validTiming), New(Holder{"b", "1"}, validTiming)
-	require.False(t, a.MayClaim(0, 0), "nothing was read")
+	require.False(t, a.MayClaim(0, 0), "no read has succeeded yet")
 	a.Observe(nil, 0)
 	b.Observe(nil, 0)
 	require.False(t, a.MayClaim(tick, 2*tick), "others go first")
 	require.True(t, a.MayClaim(2*tick, 2*tick))
 	claim := a.Claim(7, 2*tick)
 	require.EqualValues(t, 8, claim.Token)
-	require.False(t, a.MayAct(2*tick, 0), "the claim does not stand yet")
+	require.False(t, a.MayAct(2*tick, 0), "the claim is not stored yet")
 	a.Observe(&claim, 3*tick)
 	b.Observe(&claim, 3*tick)
 	require.True(t, a.MayAct(3*tick, tick))
-	require.True(t, a.MayAct(2*tick+validTiming.ValidFor, 0), "counted from when the claim was sent")
+	require.True(t, a.MayAct(2*tick+validTiming.ValidFor, 0), "validity starts when the claim is sent")
 	require.False(t, a.MayAct(2*tick+validTiming.ValidFor, tick))
 	require.False(t, b.MayClaim(2*tick+validTiming.TakeOverAfter, 0))
 	require.True(t, b.MayClaim(3*tick+validTiming.TakeOverAfter, 0))
 	b.ReadsResumed(20 * tick)
-	require.False(t, b.MayClaim(20*tick+tick, 0), "the holder could not renew either")
+	require.False(t, b.MayClaim(20*tick+tick, 0), "the holder may have been unable to renew either")
 	renewed := a.Renew(5, 21*tick)
 	a.Observe(&renewed, 21*tick)
 	require.True(t, a.MayAct(22*tick, 0))
@@ -54,23 +54,23 @@
 	claim := a.Claim(0, 0)
 	a.Observe(&claim, 0)
 	released := a.Release(3, tick)
-	require.False(t, a.MayAct(tick, 0), "whatever becomes of the write")
+	require.False(t, a.MayAct(tick, 0), "whether or not the write succeeds")
 	for _, s := range []*State{a, b, c} {
 		s.Observe(&released, 2*tick)
 	}
 	require.True(t, b.MayClaim(2*tick, 0))
-	require.False(t, a.MayClaim(2*tick+validTiming.TakeOverAfter, 0), "it could not do the duty")
+	require.False(t, a.MayClaim(2*tick+validTiming.TakeOverAfter, 0), "the VM that released the lease waits for others to claim it")
 	require.False(t, c.MayClaim(2*tick, 0))
 	second := b.Claim(5, 3*tick)
 	b.Observe(&second, 3*tick)
 	released = b.Release(3, 4*tick)
 	a.Observe(&released, 4*tick)
-	require.False(t, a.MayClaim(4*tick+tick, 0), "two that take turns at once look like two holders")
+	require.False(t, a.MayClaim(4*tick+tick, 0), "processes that alternate too fast look like two holders at once")
 	require.True(t, a.MayClaim(4*tick+validTiming.TakeOverAfter, 0))
 }
 
-// simulation is a store that takes a write where the stream ends, a platform that notes calls,
-// and processes whose reads, writes and pauses rapid draws.
+// simulation simulates a store that accepts a write only at the end of the stream, a platform
+// that records calls, and processes whose reads, writes and suspensions are drawn by rapid.
 type simulation struct {
 	timing     Timing
 	now        time.Duration
@@ -84,7 +84,7 @@
 	node           string
 	incarnation    int
 	state          *State
-	nextOffset     int // where the stream ends, as read
+	nextOffset     int // end of the stream as of the last read
 	suspendedUntil time.Duration
 }
 
@@ -133,7 +133,8 @@
 	p.state.Observe(&newest, w.now)
 }
 
-// write is how a due write goes: taken, taken without an answer, carried out late, or lost.
+// write makes the write that is due. It is stored, stored without an answer, stored late, or
+// lost.
 func (w *simulation) write(t *rapid.T, p *process) {
 	var r Record
 	switch {
@@ -159,7 +160,7 @@
 	}
 }
 
-// call makes a call that arrives within the time for which the process asked.
+// call makes a call that arrives within the duration that the process passed to MayAct.
 func (w *simulation) call(t *rapid.T, p *process) {
 	const need = 2 * tick
 	if !p.state.MayAct(w.now, need) {
@@ -180,11 +181,11 @@
 		if w.now < p.suspendedUntil {
 			continue
 		}
-		switch rapid.IntRange(0, 11).Draw(t, "what") {
+		switch rapid.IntRange(0, 11).Draw(t, "action") {
 		case 0:
-			p.suspendedUntil = w.now + time.Duration(rapid.IntRange(1, 40).Draw(t, "frozen"))*tick
+			p.suspendedUntil = w.now + time.Duration(rapid.IntRange(1, 40).Draw(t, "suspended"))*tick
 		case 1:
-			if rapid.IntRange(0, 3).Draw(t, "dies") == 0 {
+			if rapid.IntRange(0, 3).Draw(t, "restart") == 0 {
 				w.restart(p)
 			}
 		case 2, 3, 4, 5:
@@ -197,7 +198,8 @@
 	}
 }
 
-// findViolation tells what the platform would call a second holder; empty: nothing.
+// findViolation describes the first calls that the platform would take for those of two
+// holders at once; empty: there are none.
 func (w *simulation) findViolation() string {
 	owner := map[uint64]string{}
 	for i, c := range w.calls {
@@ -207,10 +209,10 @@
 		owner[c.token] = c.node
 		for j, before := range w.calls[:i] {
 			if before.token > c.token && before.at < c.at {
-				return fmt.Sprintf("token %d behind %d", c.token, before.token)
+				return fmt.Sprintf("token %d is used after token %d", c.token, before.token)
 			}
 			if before.node == c.node && c.at-before.at < minTurnInterval && w.hasOtherCallsBetween(j, i) {
-				return fmt.Sprintf("%s takes turns within %v", c.node, c.at-before.at)
+				return fmt.Sprintf("%s acts again within %v, after another process acted", c.node, c.at-before.at)
 			}
 		}
 	}
@@ -234,8 +236,8 @@
 	return w
 }
 
-// Guards against two holders at a time, whatever is frozen, lost, carried out late or
-// started again.
+// Guards against two holders that act at the same time, whichever processes are suspended or
+// restarted and whichever writes are lost or stored late.
 func TestNoTwoHoldersActAtOnce(t *testing.T) {
 	callsMade := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -246,7 +248,8 @@
 	require.Positive(t, callsMade)
 }
 
-// The check above finds a lease whose holder may act for longer than others wait.
+// The simulation must detect a lease whose holder may act for longer than other processes
+// wait; otherwise TestNoTwoHoldersActAtOnce would prove nothing.
 func TestSimulationDetectsOverlappingHolders(t *testing.T) {
 	violations := rapid.Custom(func(t *rapid.T) string { return simulate(t, overlappingTiming).findViolation() })
 	for seed := range 2000 {
@@ -254,10 +257,11 @@
 			return
 		}
 	}
-	t.Fatal("no fault was found")
+	t.Fatal("no violation was found")
 }
 
-// Guards against a duty that nobody has: once all run and the store answers, one holds it.
+// Guards against a duty that no process has: once all processes run and the store answers,
+// exactly one must hold the lease.
 func TestLostLeaseIsClaimedAgain(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := simulate(t, validTiming)
