--- a/decide/usage/usage.go
+++ b/decide/usage/usage.go
@@ -1,57 +1,58 @@
-// Package usage decides what is reported of the requests of organisations: which window
-// of time a request counts in, when a window's counts are whole, and their sum. It is
-// pure.
+// Package usage decides how the requests of organisations are reported: which window of time
+// a request counts in, when the counts of a window are complete, and their sum. It does no
+// I/O and reads no clock.
 package usage
 
 import (
 	"time"
 )
 
-// Window is a span of the time of day, by its number since 1970.
+// Window identifies a window of time by its number since the Unix epoch. All windows have
+// the same length.
 type Window uint64
 
-// WindowAt returns the window of a time of day; length is that of all windows.
+// WindowAt returns the window that contains t; length is the length of all windows.
 func WindowAt(t time.Time, length time.Duration) Window { return Window(t.UnixNano() / int64(length)) }
 
-// End returns when a window ends.
+// End returns the end of a window, which is also the start of the next one.
 func (w Window) End(length time.Duration) time.Time {
 	return time.Unix(0, (int64(w)+1)*int64(length))
 }
 
-// Counts are requests by organisation.
+// Counts are the numbers of requests by organisation.
 type Counts map[string]uint64
 
-// Tally is what one process has counted in all of its life.
+// Tally holds what one process has counted since it started.
 type Tally struct {
-	// Process names one start of a process.
+	// Process identifies one incarnation of a process.
 	Process string `json:"p"`
-	// Complete is the newest window of which it has counted all requests.
+	// Complete is the newest window for which the process has counted all requests.
 	Complete Window `json:"c"`
-	// Ended: it has ended, and counts no more.
+	// Ended is set once the process has stopped counting.
 	Ended   bool              `json:"x,omitempty"`
 	Windows map[Window]Counts `json:"w,omitempty"`
 }
 
-// WaitLimits says how long a window waits for the tallies of processes, after its end.
+// WaitLimits holds how long after its end a window waits for the tallies of processes.
 type WaitLimits struct {
-	// Min is waited for processes that nobody knows of yet.
+	// Min is the wait for processes that have not published any tally yet.
 	Min time.Duration
-	// Max is waited for processes that have gone silent: a report that waits longer is
+	// Max is the wait for processes that no longer publish: a report that waits longer is
 	// late.
 	Max time.Duration
-	// AfterOutage is how long after an outage of the store it takes all processes to publish
-	// what they counted meanwhile.
+	// AfterOutage is the time after an outage of the store within which all processes
+	// publish what they counted during the outage.
 	AfterOutage time.Duration
 }
 
-// Age is how long ago things were.
+// Age holds the times that have passed since the events that Ready depends on.
 type Age struct {
 	SinceEnd    time.Duration // the window's end
 	SinceOutage time.Duration // the last outage of the store
 }
 
-// Ready tells whether the counts of a window can be summed up. done is the window that
-// was summed up last.
+// Ready reports whether the counts of a window can be summed up. lastSummed is the window
+// that was summed up last.
 func Ready(w, lastSummed Window, tallies []Tally, age Age, limits WaitLimits) bool {
 	if age.SinceEnd < limits.Min {
 		return false
@@ -67,14 +68,14 @@
 	return reported || age.SinceOutage >= limits.AfterOutage
 }
 
-// isAwaited tells whether a process has more to publish of a window: one that was heard of by
-// the time that the last one was summed up.
+// isAwaited reports whether a process is expected to publish more counts of a window. One
+// that is more than one window behind lastSummed is taken to have stopped publishing.
 func (tally *Tally) isAwaited(w, lastSummed Window) bool {
 	return !tally.Ended && tally.Complete < w && tally.Complete+1 >= lastSummed
 }
 
-// Merge brings the tallies of each process together. Counts only grow, so that of two
-// tallies the larger numbers are the newer ones, in whichever order the tallies came.
+// Merge merges the tallies of each process into one. Counts only increase, so that of two
+// tallies the larger numbers are the newer ones, in whichever order the tallies were read.
 func Merge(tallies []Tally) []Tally {
 	byProcess := map[string]*Tally{}
 	for i := range tallies {
@@ -97,6 +98,7 @@
 	return merged
 }
 
+// mergeCounts merges counts of a window into the tally.
 func (tally *Tally) mergeCounts(w Window, counts Counts) {
 	if tally.Windows[w] == nil {
 		tally.Windows[w] = Counts{}
@@ -117,8 +119,8 @@
 	return total
 }
 
-// Stale tells whether a process has published nothing of the windows from w on, so that
-// its tally is of no more use.
+// Stale reports whether a tally contains nothing about window w and later windows, so that
+// it is no longer needed.
 func (tally *Tally) Stale(w Window) bool {
 	for window := range tally.Windows {
 		if window >= w {
--- a/decide/usage/usage_test.go
+++ b/decide/usage/usage_test.go
@@ -18,11 +18,11 @@
 	w := WindowAt(at, length)
 	require.Equal(t, Window(200_000_000), w)
 	require.Equal(t, time.Unix(1_000_000_005, 0), w.End(length))
-	require.Equal(t, w+1, WindowAt(w.End(length), length), "its end is the next one's start")
+	require.Equal(t, w+1, WindowAt(w.End(length), length), "the end of a window is the start of the next one")
 }
 
-// Guards against a report before all that count have told, and against one that is late
-// for a process that will tell no more.
+// Guards against a report that is made before all active processes have published their
+// counts, and against one that is late because of a process that no longer publishes.
 func TestWindowWaitsForPendingProcesses(t *testing.T) {
 	complete, behind := Tally{Complete: 10}, Tally{Complete: 8}
 	lost, ended := Tally{Complete: 7}, Tally{Complete: 9, Ended: true}
@@ -33,14 +33,14 @@
 	require.True(t, Ready(10, 9, []Tally{complete, behind}, at(limits.Max), limits))
 }
 
-// Guards against a window that is summed up as the store comes back from an outage of
-// some windows, before anybody could tell what it had counted.
+// Guards against a window that is summed up right after the store is available again, before
+// the processes could publish what they counted during the outage.
 func TestWindowWaitsAfterAnOutage(t *testing.T) {
 	tallies := []Tally{{Complete: 6}, {Complete: 7}}
 	recovered := Age{SinceEnd: time.Hour, SinceOutage: limits.AfterOutage / 2}
 	require.False(t, Ready(10, 7, tallies, recovered, limits))
 	require.True(t, Ready(10, 7, []Tally{{Complete: 10}, {Complete: 12}}, recovered, limits))
-	require.False(t, Ready(10, 7, nil, recovered, limits), "nobody could publish yet")
+	require.False(t, Ready(10, 7, nil, recovered, limits), "no process could publish yet")
 	recovered.SinceOutage = limits.AfterOutage
 	require.True(t, Ready(10, 7, tallies, recovered, limits))
 }
@@ -52,13 +52,13 @@
 		{},
 	}
 	require.Equal(t, Counts{"a": 3, "b": 1}, Sum(10, tallies))
-	require.Equal(t, Counts{}, Sum(12, tallies), "a window without requests is reported, too")
+	require.Equal(t, Counts{}, Sum(12, tallies), "a window without requests is reported too")
 	require.False(t, tallies[0].Stale(11))
 	require.True(t, tallies[1].Stale(11))
 }
 
-// Guards against counts that are lost to an older tally of the same process, which the
-// store carried out late.
+// Guards against counts that are overwritten by an older tally of the same process, which the
+// store accepted late.
 func TestTalliesOfAProcessAreMerged(t *testing.T) {
 	older := Tally{Process: "a", Complete: 9, Windows: map[Window]Counts{10: {"shop": 1}}}
 	newer := Tally{Process: "a", Complete: 10, Windows: map[Window]Counts{10: {"shop": 2, "town": 1}}}
