--- a/decide/members/members.go
+++ b/decide/members/members.go
@@ -1,6 +1,6 @@
 // Package members decides which backend servers take new work, from the
-// entries that servers keep in the platform's store. It is a pure state: the
-// caller passes in what was read, and when.
+// entries that servers keep in the platform's store. It does no I/O and reads
+// no clock: its user passes in what was read, and when.
 package members
 
 import (
@@ -9,57 +9,57 @@
 	"time"
 )
 
-// Server is what a backend server says of itself.
+// Server is the entry of a backend server in the platform's store.
 type Server struct {
-	// ID names one start of a server. What is remembered of a server (load, pace,
-	// weights, orders, failures) is kept by ID, so that a server that starts again
-	// under its name is a new one that nothing is known of.
+	// ID identifies one incarnation of a server. What is known about a server (load,
+	// pace, weights, orders, failures) is kept by ID, so that a server that restarts
+	// under the same name is treated as a new one.
 	ID string
-	// Name is what the server calls itself, and the key of its entry. It may
-	// outlive a start.
+	// Name is the name that the server gives itself, and the key of its entry. It may
+	// stay the same across restarts.
 	Name          string
-	StartedAt     time.Time // when it started; zero: not told
+	StartedAt     time.Time // zero: unknown
 	Service       string
 	Addr          string // IP:port
 	FailureDomain string
 	Slots         int
 	Leaving       bool
 	// Versions is the weight version of each model that the server has
-	// loaded, as of its last entry; empty for plain services.
+	// loaded, as of its last entry; empty for services that are not engines.
 	Versions map[string]uint64
 }
 
-// DefaultGracePeriod is how long after an outage of the store a server whose entry
-// lapsed meanwhile may still write it again: about two seconds by the users'
-// letter, and a heartbeat's jitter.
+// DefaultGracePeriod is how long after an outage of the store a server
+// whose entry lapsed in the outage may take to write it again: about two seconds,
+// as the requirements state, and the jitter of a heartbeat.
 const DefaultGracePeriod = 2200 * time.Millisecond
 
-// Set is the servers known to one process, by name: a new start takes the place
-// of the one before. It is not safe for concurrent use.
+// Set holds the servers known to one process, by name: a new incarnation of a
+// server replaces the previous one. It is not safe for concurrent use.
 type Set struct {
 	servers map[string]Server
-	// lapsed are servers whose entries went away around an outage, with the
-	// time until which they still count.
+	// lapsed maps the names of servers whose entries disappeared around an outage
+	// to the time until which they still count.
 	lapsed map[string]time.Time
-	// graceUntil ends the time in which entries that vanish count as lapsed.
+	// graceUntil is the time until which entries that disappear count as lapsed.
 	graceUntil  time.Time
 	gracePeriod time.Duration
 }
 
-// New returns an empty set; wait is how long servers have to come back after
-// an outage of the store.
+// New returns an empty set. gracePeriod is how long servers may take to write
+// their entries again after an outage of the store.
 func New(gracePeriod time.Duration) *Set {
 	return &Set{servers: map[string]Server{}, lapsed: map[string]time.Time{}, gracePeriod: gracePeriod}
 }
 
-// StoreRecovered tells that the store answers again after it had been away.
-// Entries that lapsed in the outage go back to their servers within wait, so
-// that a server is not taken for gone before then: without it an outage longer
-// than three heartbeats would leave no server at all right after it.
+// StoreRecovered records that the store is available again after an outage.
+// Servers write entries that lapsed in the outage again within the grace period,
+// so no server is removed before it has passed. Otherwise, right after an outage
+// longer than three heartbeats there would be no servers at all.
 func (s *Set) StoreRecovered(now time.Time) { s.graceUntil = now.Add(s.gracePeriod) }
 
-// Put adds or replaces an entry. A server that lapsed and whose address another
-// one now uses is gone for good: it would refuse all that is sent to it.
+// Put adds or replaces an entry. A lapsed server whose address another server
+// now uses is removed: everything sent to it would be refused.
 func (s *Set) Put(server Server) {
 	delete(s.lapsed, server.Name)
 	s.servers[server.Name] = server
@@ -71,7 +71,8 @@
 	}
 }
 
-// Remove takes the entry of a server away.
+// Remove records that the entry of a server has disappeared. The server is
+// removed at once, or after the grace period if there was an outage.
 func (s *Set) Remove(name string, now time.Time) {
 	if _, ok := s.servers[name]; !ok {
 		return
@@ -84,7 +85,8 @@
 	delete(s.lapsed, name)
 }
 
-// Replace brings the set to a full list of entries.
+// Replace updates the set to a full list of entries: it puts all that are listed
+// and removes all others.
 func (s *Set) Replace(servers []Server, now time.Time) {
 	listed := make(map[string]bool, len(servers))
 	for _, server := range servers {
@@ -98,8 +100,8 @@
 	}
 }
 
-// Expire drops the servers that did not come back in time and tells whether
-// there were any.
+// Expire removes the lapsed servers that did not write their entries again in
+// time, and reports whether there were any.
 func (s *Set) Expire(now time.Time) bool {
 	expired := false
 	for name, until := range s.lapsed {
--- a/decide/members/members_test.go
+++ b/decide/members/members_test.go
@@ -19,9 +19,9 @@
 	return n
 }
 
-// The store is away for longer than three heartbeats and drops all entries. The
-// servers live and write them again within two seconds of its return: taken
-// for gone at once, they would leave callers without any server.
+// The store is unavailable for longer than three heartbeats and drops all
+// entries. The servers still run and write them again within two seconds of its
+// recovery. If they were removed at once, callers would be left without a server.
 func TestLapsedEntriesCountDuringTheGracePeriod(t *testing.T) {
 	s := New(2 * time.Second)
 	s.Put(Server{ID: "a", Name: "a", Service: "x", Addr: "1.1.1.1:1"})
@@ -32,13 +32,13 @@
 	s.Put(Server{ID: "a", Name: "a", Service: "x", Addr: "1.1.1.1:1"})
 	require.False(t, s.Expire(at(1900*time.Millisecond)))
 	require.True(t, s.Expire(at(2*time.Second)))
-	require.Equal(t, 1, count(s), "b did not come back")
+	require.Equal(t, 1, count(s), "b did not write its entry again")
 	s.Expire(at(5 * time.Second))
-	require.Equal(t, 1, count(s), "a did")
+	require.Equal(t, 1, count(s), "a wrote its entry again")
 }
 
-// Without an outage an entry that is taken away means that its server is
-// leaving: it gets no new work from that moment.
+// Without an outage, an entry that disappears means that its server is leaving,
+// which must get no new work from then on.
 func TestRemovedEntryIsGoneAtOnceWithoutAnOutage(t *testing.T) {
 	s := New(2 * time.Second)
 	s.Put(Server{ID: "a", Name: "a", Service: "x"})
@@ -47,8 +47,9 @@
 	require.Zero(t, count(s))
 }
 
-// A server restarted in the outage and uses its address under another id. The
-// one before would be kept for two seconds, and refuse all that is sent there.
+// A server restarted in the outage and uses the same address under another ID.
+// The entry of the previous incarnation must not be kept for the grace period:
+// everything sent to it would be refused.
 func TestLapsedServerIsDroppedWhenItsAddressIsReused(t *testing.T) {
 	s := New(2 * time.Second)
 	s.Put(Server{ID: "before", Name: "before", Service: "x", Addr: "1.2.3.4:5"})
@@ -70,9 +71,9 @@
 	require.Equal(t, "c", got[2].ID)
 }
 
-// A server starts again under its name. What is remembered of it goes by its ID,
-// so that the new start takes the place of the one before and is known by nothing;
-// its entry going away ends it under the name.
+// A server restarts under the same name. The entry of the new incarnation, with
+// another ID, must replace the previous one, and the removal of the entry under
+// the name must remove the server.
 func TestNewIncarnationReplacesThePreviousOne(t *testing.T) {
 	s := New(time.Second)
 	s.Put(Server{ID: "a@1", Name: "a", Service: "x"})
