--- a/entry/front/tries.go
+++ b/entry/front/tries.go
@@ -22,7 +22,7 @@
 	unreached  bool // the last try reached no server
 	tried      map[string]bool
 	domains    map[string]bool
-	subject    *quarantine.Subject // set by Guard
+	subject    *quarantine.Request // set by Guard
 }
 
 // NewTries returns the tries of a request, none made yet.
@@ -71,7 +71,7 @@
 	t.tried[server] = true
 	e, ok := kinds.As(err)
 	if ok && e.Ended() != "" {
-		t.subject.Ended(e.Ended())
+		t.subject.RecordCrash(e.Ended())
 	}
 	if !ok || ctx.Err() != nil {
 		return false
--- a/entry/server/build.go
+++ b/entry/server/build.go
@@ -118,7 +118,7 @@
 	e.keeper, e.viewer = keeper, keeper
 	e.quarantine = quarantine.New(logs.Part(e.logger, "quarantine"))
 	e.entryPeers = newEntryPeers(name, e.vms)
-	e.quarantine.Share(quarantine.OverLog(e.platformLog), e.entryPeers, logReadsPerS)
+	e.quarantine.EnableSharing(quarantine.NewLogStore(e.platformLog), e.entryPeers, logReadsPerS)
 	e.agents = e.newAgents()
 	metrics.Gauge("entry_agents_watched", func() any { return e.agents.Watched() })
 	metrics.Gauge("entry_agents_ejected", func() any { return e.agents.Ejected() })
@@ -247,7 +247,7 @@
 // awaitQuarantine waits until the log was asked for what other entries saw.
 func (e *entry) awaitQuarantine(ctx context.Context) {
 	const look = 10 * time.Millisecond
-	for !e.quarantine.Known() && sleep.For(ctx, look) {
+	for !e.quarantine.Initialized() && sleep.For(ctx, look) {
 	}
 }
 
--- a/entry/server/crashes.go
+++ b/entry/server/crashes.go
@@ -44,8 +44,8 @@
 	return addrs
 }
 
-// Tell implements quarantine.Peers.
-func (p *entryPeers) Tell(ctx context.Context, addr string, changes []quarantine.Change) error {
+// Send implements quarantine.Peers.
+func (p *entryPeers) Send(ctx context.Context, addr string, changes []quarantine.Change) error {
 	conn, err := p.conns.Get(addr)
 	if err != nil {
 		return errors.Trace(err)
--- a/entry/server/crashes_test.go
+++ b/entry/server/crashes_test.go
@@ -50,9 +50,9 @@
 	for _, name := range []string{"s1", "s2", "s3"} {
 		changes = append(changes, quarantine.Change{Crash: poison.Crash{Request: "r", Server: name, At: time.Now()}})
 	}
-	require.NoError(t, peers.Tell(ctx, peers.Addrs()[0], changes))
+	require.NoError(t, peers.Send(ctx, peers.Addrs()[0], changes))
 	require.Equal(t, poison.Quarantined, other.Verdict("r"))
 	changes[0].Gone = true
-	require.NoError(t, peers.Tell(ctx, peers.Addrs()[0], changes[:1]))
+	require.NoError(t, peers.Send(ctx, peers.Addrs()[0], changes[:1]))
 	require.Equal(t, poison.Suspect, other.Verdict("r"))
 }
--- a/entry/steps/generate.go
+++ b/entry/steps/generate.go
@@ -200,7 +200,7 @@
 	sm := st.samples[r.sample]
 	subject := s.subject(st, sm)
 	if err == nil {
-		subject.Survived()
+		subject.RecordCompletion()
 		s.finished(st, r, done)
 		return
 	}
--- a/entry/steps/score.go
+++ b/entry/steps/score.go
@@ -49,13 +49,13 @@
 	if err != nil {
 		panic(err) // strings and numbers always encode
 	}
-	subject := s.cfg.Quarantine.Subject(func() poison.Content {
+	subject := s.cfg.Quarantine.Track(func() poison.Content {
 		return poison.Content{Caller: st.key.Trainer, Method: http.MethodPost, Host: st.trainer.Scorer, URI: st.trainer.ScorerPath, Body: body}
 	})
 	for wait := scoreBackoff; ; wait = min(2*wait, maxScoreBackoff) {
 		score, err := s.score(st, subject, body)
 		if err == nil {
-			subject.Survived()
+			subject.RecordCompletion()
 			s.scored(st, sm, score)
 			return
 		}
@@ -78,7 +78,7 @@
 }
 
 // score makes one call to the scorer, at its least loaded server.
-func (s *Steps) score(st *step, subject *quarantine.Subject, body []byte) (float64, error) {
+func (s *Steps) score(st *step, subject *quarantine.Request, body []byte) (float64, error) {
 	if subject.Verdict() == poison.Quarantined {
 		return 0, kinds.Hold().Refuse(kinds.Quarantined, "each server of scorer %s that ran it crashed", st.trainer.Scorer)
 	}
--- a/entry/steps/step.go
+++ b/entry/steps/step.go
@@ -26,7 +26,7 @@
 	done    *pb.GenerateDone // finished
 	score   *float64
 	tries   int                 // losses so far
-	subject *quarantine.Subject // nil: not needed yet
+	subject *quarantine.Request // nil: not needed yet
 	held    bool                // it was logged that the sample is in quarantine
 }
 
--- a/entry/steps/suspect.go
+++ b/entry/steps/suspect.go
@@ -17,9 +17,9 @@
 const heldFor = 5 * time.Second
 
 // subject is a sample as the quarantine sees it, in whatever step. Steps.mu is held.
-func (s *Steps) subject(st *step, sm *sample) *quarantine.Subject {
+func (s *Steps) subject(st *step, sm *sample) *quarantine.Request {
 	if sm.subject == nil {
-		sm.subject = s.cfg.Quarantine.Subject(func() poison.Content {
+		sm.subject = s.cfg.Quarantine.Track(func() poison.Content {
 			return poison.Content{
 				Caller: st.key.Trainer, Method: http.MethodPost, Host: st.trainer.Model,
 				URI: fmt.Sprintf("sample/%d/%d", sm.seed(), sm.group.spec.MaxTokens), Body: []byte(sm.group.spec.Prompt),
@@ -41,7 +41,7 @@
 		if !sm.held {
 			sm.held = true
 			s.cfg.Logger.Warn("A sample is held back: each engine that ran it crashed.", zap.String("sample", st.name(sm)),
-				zap.String("request", string(subject.Name())))
+				zap.String("request", string(subject.Fingerprint())))
 		}
 		return true
 	case poison.Suspect:
@@ -53,11 +53,11 @@
 
 // noteEnd takes in that a server ended under a sample or the call for its score, where
 // err says so.
-func (s *Steps) noteEnd(subject *quarantine.Subject, what string, err error) {
+func (s *Steps) noteEnd(subject *quarantine.Request, what string, err error) {
 	e, ok := kinds.As(err)
 	if !ok || e.Ended() == "" {
 		return
 	}
-	s.cfg.Logger.Warn("A server ended under a sample.", zap.String("sample", what), zap.String("request", string(subject.Name())), zap.String("server", e.Ended()))
-	subject.Ended(e.Ended())
+	s.cfg.Logger.Warn("A server ended under a sample.", zap.String("sample", what), zap.String("request", string(subject.Fingerprint())), zap.String("server", e.Ended()))
+	subject.RecordCrash(e.Ended())
 }
--- a/gateway/forward/poison_test.go
+++ b/gateway/forward/poison_test.go
@@ -119,15 +119,15 @@
 	bystander := content.Fingerprint()
 	q := p.Forward.Quarantine
 	for _, server := range []string{"s1", "s2", "s3"} {
-		q.Ended("culprit", server)
+		q.RecordCrash("culprit", server)
 	}
-	q.Ended(bystander, "s1")
-	q.Ended(bystander, "s2")
+	q.RecordCrash(bystander, "s1")
+	q.RecordCrash(bystander, "s2")
 	require.Equal(t, poison.Clear, q.Verdict(bystander))
 	_, err := p.Forward.Send(t.Context(), c)
 	require.Nil(t, err)
-	q.Ended(bystander, "s8")
-	q.Ended(bystander, "s9")
+	q.RecordCrash(bystander, "s8")
+	q.RecordCrash(bystander, "s9")
 	require.Equal(t, poison.Suspect, q.Verdict(bystander))
 }
 
--- a/gateway/forward/stream.go
+++ b/gateway/forward/stream.go
@@ -59,7 +59,7 @@
 		switch {
 		case end == streamDone:
 			if s.status < http.StatusInternalServerError {
-				s.subject.Survived()
+				s.subject.RecordCompletion()
 			}
 			return s.status, nil
 		case end == streamRefused:
--- a/gateway/forward/suspect.go
+++ b/gateway/forward/suspect.go
@@ -11,8 +11,8 @@
 )
 
 // subject is the call as the quarantine sees it.
-func (f *Forwarder) subject(c *Call) *quarantine.Subject {
-	return f.Quarantine.Subject(func() poison.Content {
+func (f *Forwarder) subject(c *Call) *quarantine.Request {
+	return f.Quarantine.Track(func() poison.Content {
 		return poison.Content{Caller: c.Organisation + poison.CallerFromHeader(c.Header), Method: c.Method, Host: c.Host, URI: c.URI, Body: c.Body}
 	})
 }
@@ -26,9 +26,9 @@
 
 // serverEnded notes that a server ended under the call.
 func (s *sending) serverEnded(c *choice) {
-	s.f.log.Warn("A server ended under a request.", zap.String("id", s.call.ID), zap.String("request", string(s.subject.Name())),
+	s.f.log.Warn("A server ended under a request.", zap.String("id", s.call.ID), zap.String("request", string(s.subject.Fingerprint())),
 		zap.String("service", s.service), zap.String("server", c.server.ID), zap.Int("others", c.load))
-	s.subject.Ended(c.server.ID)
+	s.subject.RecordCrash(c.server.ID)
 }
 
 // judge tells the quarantine how the call ended. A failure that a server answered says
@@ -36,9 +36,9 @@
 func (s *sending) judge(reply *Reply) {
 	switch {
 	case reply != nil && reply.Status < http.StatusInternalServerError:
-		s.subject.Survived()
+		s.subject.RecordCompletion()
 	case reply == nil:
-		s.subject.GaveUp()
+		s.subject.RecordNoAnswer()
 	}
 }
 
@@ -47,5 +47,5 @@
 	if !s.quarantined() {
 		return s.refuse(kinds.NoServer, "no server of the service takes work")
 	}
-	return s.refuse(kinds.Quarantined, "each server that ran request "+string(s.subject.Name())+" crashed").WithRetryAfter(s.subject.Refused())
+	return s.refuse(kinds.Quarantined, "each server that ran request "+string(s.subject.Fingerprint())+" crashed").WithRetryAfter(s.subject.Refuse())
 }
--- a/gateway/gatewaytest/gatewaytest.go
+++ b/gateway/gatewaytest/gatewaytest.go
@@ -131,7 +131,7 @@
 	p.addPeer(self)
 	peers := quarantine.NewHTTPPeers(func() []string { return p.others(self) })
 	t.Cleanup(peers.Close)
-	proc.Forward.Quarantine.Share(proc.Store, peers, 0)
+	proc.Forward.Quarantine.EnableSharing(proc.Store, peers, 0)
 	proc.Go(proc.Forward.Quarantine.Run)
 }
 
--- a/gateway/jobs/stream.go
+++ b/gateway/jobs/stream.go
@@ -68,10 +68,10 @@
 		switch {
 		case end == broken && r.forward.EndedUnder(ctx, service, server):
 			r.zlog.Warn("A server ended under a sample.", zap.String("id", w.item.ID), zap.String("job", w.job.ID),
-				zap.String("request", string(s.subject.Name())), zap.String("server", server.ID))
-			s.subject.Ended(server.ID)
+				zap.String("request", string(s.subject.Fingerprint())), zap.String("server", server.ID))
+			s.subject.RecordCrash(server.ID)
 		case end == complete:
-			s.subject.Survived()
+			s.subject.RecordCompletion()
 		}
 		r.streamEnded(parent, s, end, status, err)
 	})
@@ -87,7 +87,7 @@
 	addr    string
 	behind  int // events that were known before
 	only    uint64
-	subject *quarantine.Subject
+	subject *quarantine.Request
 }
 
 // message is the item as the engine gets it.
--- a/gateway/jobs/work.go
+++ b/gateway/jobs/work.go
@@ -66,16 +66,16 @@
 	setbacks   int
 	avoid      map[string]time.Time
 
-	subject *quarantine.Subject // nil: not needed yet
+	subject *quarantine.Request // nil: not needed yet
 	held    bool                // it was logged that the item is in quarantine
 }
 
 // subject is an item as the quarantine sees it; r.mu is held. A trainer hands in again
 // the groups that it did not wait for, and they are the same requests in the later job.
-func (r *Runner) subject(w *work) *quarantine.Subject {
+func (r *Runner) subject(w *work) *quarantine.Request {
 	if w.subject == nil {
 		item := &w.item
-		w.subject = r.quarantine.Subject(func() poison.Content {
+		w.subject = r.quarantine.Track(func() poison.Content {
 			return poison.Content{Caller: w.job.Organisation, Method: http.MethodPost, Host: item.Host, URI: item.Path, Body: item.Body}
 		})
 	}
--- a/gateway/server/gateway.go
+++ b/gateway/server/gateway.go
@@ -72,7 +72,7 @@
 	v.Pace = func() time.Duration { return feedPace(peers, set.Store.ReadsPerS) }
 	pool := backend.NewPool(hosted.AttemptID)
 	forwarder := forward.New(v, pool, set.Process.FailureDomain, logs.Part(log, "forward"))
-	forwarder.Quarantine.Share(store, quarantine.NewHTTPPeers(peers.Addrs), set.Store.ReadsPerS)
+	forwarder.Quarantine.EnableSharing(store, quarantine.NewHTTPPeers(peers.Addrs), set.Store.ReadsPerS)
 	book := gatewayjobs.NewBook(store, logs.Part(log, "jobs"))
 	runner := gatewayjobs.NewRunner(book, store, forwarder, writer, set.Store.Parts, capacity, logs.Part(log, "runner"))
 	handler := &front.Front{
@@ -202,7 +202,7 @@
 }
 
 func (r *readiness) serve(w http.ResponseWriter, _ *http.Request) {
-	if !r.up.Load() || r.view.Now().Table == nil || !r.book.CaughtUp() || !r.quarantine.Known() {
+	if !r.up.Load() || r.view.Now().Table == nil || !r.book.CaughtUp() || !r.quarantine.Initialized() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
--- a/quarantine/change.go
+++ b/quarantine/change.go
@@ -16,14 +16,14 @@
 type Change struct {
 	Crash poison.Crash
 	Gone  bool
-	// dropped is the key of a record of which the store has nothing else.
-	dropped string
+	// droppedKey is the key of a record of which the store has nothing else.
+	droppedKey string
 }
 
 // Key names the crash among all.
 func (c *Change) Key() string {
-	if c.dropped != "" {
-		return c.dropped
+	if c.droppedKey != "" {
+		return c.droppedKey
 	}
 	return c.Crash.Key()
 }
@@ -54,9 +54,9 @@
 	return nil
 }
 
-// record is the change as the store keeps it. Each server's end has a key of its own,
+// encode is the change as the store keeps it. Each server's end has a key of its own,
 // so that no writer undoes what another one wrote.
-func (c *Change) record() (platform.KeyedRecord, error) {
+func (c *Change) encode() (platform.KeyedRecord, error) {
 	r := platform.KeyedRecord{Key: c.Key()}
 	if c.Gone {
 		return r, nil
@@ -66,14 +66,14 @@
 	return r, errors.Trace(err)
 }
 
-// fromRecord reads a change of the store; false: it is none.
-func fromRecord(r platform.KeyedRecord) (Change, bool) {
+// decodeChange reads a change of the store; false: it is none.
+func decodeChange(r platform.KeyedRecord) (Change, bool) {
 	request, _, found := strings.Cut(r.Key, "/")
 	if !found {
 		return Change{}, false
 	}
 	if len(r.Value) == 0 {
-		return Change{Crash: poison.Crash{Request: poison.Fingerprint(request)}, Gone: true, dropped: r.Key}, true
+		return Change{Crash: poison.Crash{Request: poison.Fingerprint(request)}, Gone: true, droppedKey: r.Key}, true
 	}
 	var c Change
 	if err := json.Unmarshal(r.Value, &c); err != nil || c.Key() != r.Key {
@@ -82,8 +82,8 @@
 	return c, true
 }
 
-// queueMost bounds a queue. What a flood pushes out is known to this process only.
-const queueMost = 1024
+// maxQueue bounds a queue. What a flood pushes out is known to this process only.
+const maxQueue = 1024
 
 // queue holds changes until they are told. Its owner's lock guards it.
 type queue struct {
@@ -95,9 +95,9 @@
 
 func (q *queue) add(changes ...Change) {
 	q.changes = append(q.changes, changes...)
-	if over := len(q.changes) - queueMost; over > 0 {
-		changesLost.Add(int64(over))
-		q.changes = q.changes[over:]
+	if excess := len(q.changes) - maxQueue; excess > 0 {
+		changesDropped.Add(int64(excess))
+		q.changes = q.changes[excess:]
 	}
 	select {
 	case q.wake <- struct{}{}:
@@ -106,8 +106,8 @@
 }
 
 // take removes the first changes, at most so many.
-func (q *queue) take(most int) []Change {
-	n := min(most, len(q.changes))
+func (q *queue) take(maxChanges int) []Change {
+	n := min(maxChanges, len(q.changes))
 	taken := q.changes[:n:n]
 	q.changes = q.changes[n:]
 	return taken
--- a/quarantine/http.go
+++ b/quarantine/http.go
@@ -15,8 +15,8 @@
 // PathPeers is where a process takes what its peers saw.
 const PathPeers = "/quarantine"
 
-// batchBytes is more than the changes of one call take.
-const batchBytes = 64 << 10
+// maxBatchBytes is more than the changes of one call take.
+const maxBatchBytes = 64 << 10
 
 // HTTPPeers tells peers by HTTP. It implements Peers.
 type HTTPPeers struct {
@@ -35,8 +35,8 @@
 // Close closes idle connections.
 func (p *HTTPPeers) Close() { p.http.CloseIdleConnections() }
 
-// Tell implements Peers.
-func (p *HTTPPeers) Tell(ctx context.Context, addr string, changes []Change) error {
+// Send implements Peers.
+func (p *HTTPPeers) Send(ctx context.Context, addr string, changes []Change) error {
 	body, err := json.Marshal(changes)
 	if err != nil {
 		return errors.Trace(err)
@@ -50,7 +50,7 @@
 		return errors.Trace(err)
 	}
 	defer resp.Body.Close()
-	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, batchBytes)) // so that the connection is kept
+	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxBatchBytes)) // so that the connection is kept
 	if resp.StatusCode != http.StatusNoContent {
 		return errors.Errorf("status %d", resp.StatusCode)
 	}
@@ -60,7 +60,7 @@
 // ServeHTTP takes what a peer saw.
 func (q *Quarantine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var changes []Change
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, batchBytes)).Decode(&changes); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBatchBytes)).Decode(&changes); err != nil {
 		q.log.Warn("A peer's word can't be read.", zap.String("peer", r.RemoteAddr), zap.Error(err))
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
--- a/quarantine/overlog.go
+++ b/quarantine/logstore.go
@@ -10,23 +10,23 @@
 	"dandelionsill.org/platform"
 )
 
-// overLog keeps keyed records in a log that knows no keys. They last as long as the
+// logStore keeps keyed records in a log that knows no keys. They last as long as the
 // log keeps its records.
-type overLog struct{ log platform.Log }
+type logStore struct{ log platform.Log }
 
-// OverLog returns a store of keyed records over a plain log.
-func OverLog(log platform.Log) platform.Keyed { return &overLog{log} }
+// NewLogStore returns a store of keyed records over a plain log.
+func NewLogStore(log platform.Log) platform.Keyed { return &logStore{log} }
 
 // logRecord is what one append holds.
 type logRecord struct {
 	Records []platform.KeyedRecord `json:"records"`
 }
 
-// readMost bounds the records of one read.
-const readMost = 1000
+// maxReadRecords bounds the records of one read.
+const maxReadRecords = 1000
 
 // PutAll implements platform.Keyed.
-func (o *overLog) PutAll(ctx context.Context, stream string, records []platform.KeyedRecord) error {
+func (o *logStore) PutAll(ctx context.Context, stream string, records []platform.KeyedRecord) error {
 	data, err := json.Marshal(logRecord{records})
 	if err != nil {
 		return errors.Trace(err)
@@ -36,11 +36,11 @@
 }
 
 // Newest implements platform.Keyed.
-func (o *overLog) Newest(ctx context.Context, stream string) ([]platform.KeyedRecord, uint64, error) {
+func (o *logStore) Newest(ctx context.Context, stream string) ([]platform.KeyedRecord, uint64, error) {
 	newest := map[string]platform.KeyedRecord{}
 	from := uint64(0)
 	for {
-		page, err := o.log.Read(ctx, stream, from, readMost, 0)
+		page, err := o.log.Read(ctx, stream, from, maxReadRecords, 0)
 		if errors.Is(err, platform.ErrTruncated) && page.First > from {
 			from = page.First
 			continue
@@ -66,8 +66,8 @@
 }
 
 // ReadKeyed implements platform.Keyed.
-func (o *overLog) ReadKeyed(ctx context.Context, stream string, from uint64, wait time.Duration) ([]platform.KeyedRecord, uint64, error) {
-	page, err := o.log.Read(ctx, stream, from, readMost, wait)
+func (o *logStore) ReadKeyed(ctx context.Context, stream string, from uint64, wait time.Duration) ([]platform.KeyedRecord, uint64, error) {
+	page, err := o.log.Read(ctx, stream, from, maxReadRecords, wait)
 	if err != nil {
 		return nil, page.Next, errors.Trace(err)
 	}
--- a/quarantine/overlog_test.go
+++ b/quarantine/logstore_test.go
@@ -17,37 +17,37 @@
 	"dandelionsill.org/standin/logsvc"
 )
 
-// nobody is a process without peers.
-type nobody struct{}
+// noPeers is a process without peers.
+type noPeers struct{}
 
-func (nobody) Addrs() []string                                         { return nil }
-func (nobody) Tell(context.Context, string, []quarantine.Change) error { return nil }
+func (noPeers) Addrs() []string                                         { return nil }
+func (noPeers) Send(context.Context, string, []quarantine.Change) error { return nil }
 
 // Where the platform has a plain log only, processes that reach none of their peers
 // still hear of each other, and one that starts later knows what they saw.
-func TestQuarantineOverAPlainLog(t *testing.T) {
+func TestQuarantineWithLogStore(t *testing.T) {
 	service := httptest.NewServer(logsvc.New(logsvc.Config{}))
 	defer service.Close()
 	start := func() *quarantine.Quarantine {
 		log := httplog.New(service.URL, "p")
 		q := quarantine.New(zap.NewNop())
-		q.Share(quarantine.OverLog(log), nobody{}, 0)
+		q.EnableSharing(quarantine.NewLogStore(log), noPeers{}, 0)
 		ctx, cancel := context.WithCancel(context.Background())
 		var loops sync.WaitGroup
 		loops.Go(func() { q.Run(ctx) })
 		t.Cleanup(func() { cancel(); loops.Wait(); log.Close() })
-		require.Eventually(t, q.Known, generous, time.Millisecond)
+		require.Eventually(t, q.Initialized, testTimeout, time.Millisecond)
 		return q
 	}
 	one, two := start(), start()
 	for _, server := range []string{"s1", "s2", "s3"} {
-		one.Ended("r", server)
+		one.RecordCrash("r", server)
 	}
-	one.Ended("suspect", "s9")
-	one.GaveUp("suspect")
+	one.RecordCrash("suspect", "s9")
+	one.RecordNoAnswer("suspect")
 	requireVerdict(t, two, "r", poison.Quarantined)
 	requireVerdict(t, two, "suspect", poison.Suspect)
-	one.Survived("suspect")
+	one.RecordCompletion("suspect")
 	requireVerdict(t, two, "suspect", poison.Clear)
 	three := start()
 	require.Equal(t, poison.Quarantined, three.Verdict("r"))
@@ -55,12 +55,12 @@
 }
 
 // Records of the same key stand for the last of them, and one that was dropped is gone.
-func TestNewestOfAPlainLog(t *testing.T) {
+func TestLogStoreNewest(t *testing.T) {
 	service := httptest.NewServer(logsvc.New(logsvc.Config{}))
 	defer service.Close()
 	log := httplog.New(service.URL, "p")
 	defer log.Close()
-	store := quarantine.OverLog(log)
+	store := quarantine.NewLogStore(log)
 	ctx := t.Context()
 	put := func(key, value string) {
 		require.NoError(t, store.PutAll(ctx, "x", []platform.KeyedRecord{{Key: key, Value: []byte(value)}}))
@@ -75,7 +75,7 @@
 	require.NoError(t, err)
 	require.Equal(t, []platform.KeyedRecord{{Key: "a", Value: []byte("2")}}, records)
 	put("c", "1")
-	records, _, err = store.ReadKeyed(ctx, "x", next, generous)
+	records, _, err = store.ReadKeyed(ctx, "x", next, testTimeout)
 	require.NoError(t, err)
 	require.Equal(t, []platform.KeyedRecord{{Key: "c", Value: []byte("1")}}, records)
 }
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -21,8 +21,8 @@
 	"dandelionsill.org/quarantine"
 )
 
-// generous is how long tests wait for what has to come at some time.
-const generous = 30 * time.Second
+// testTimeout is how long tests wait for what has to come at some time.
+const testTimeout = 30 * time.Second
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
@@ -47,23 +47,23 @@
 }
 
 // start starts a process. Its peers reach it where it is told to them.
-func (f *fleet) start(t *testing.T, told bool) *process {
+func (f *fleet) start(t *testing.T, listed bool) *process {
 	q := quarantine.New(zap.NewNop())
 	calls := httptest.NewServer(q)
 	self := calls.Listener.Addr().String()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if told {
+	if listed {
 		f.peers = append(f.peers, self)
 	}
 	peers := quarantine.NewHTTPPeers(func() []string { return f.others(self) })
-	q.Share(hosted.NewStore(f.store.Addr()), peers, 0)
+	q.EnableSharing(hosted.NewStore(f.store.Addr()), peers, 0)
 	ctx, cancel := context.WithCancel(context.Background())
 	var loops sync.WaitGroup
 	loops.Go(func() { q.Run(ctx) })
 	p := &process{q, sync.OnceFunc(func() { cancel(); loops.Wait(); peers.Close(); calls.Close() })}
 	t.Cleanup(p.stop)
-	require.Eventually(t, q.Known, generous, time.Millisecond)
+	require.Eventually(t, q.Initialized, testTimeout, time.Millisecond)
 	return p
 }
 
@@ -79,10 +79,10 @@
 	return others
 }
 
-// end ends servers under a request.
-func (p *process) end(request poison.Fingerprint, servers int) {
+// crash ends servers under a request.
+func (p *process) crash(request poison.Fingerprint, servers int) {
 	for i := range servers {
-		p.Ended(request, fmt.Sprintf("server %d of %s", i, request))
+		p.RecordCrash(request, fmt.Sprintf("server %d of %s", i, request))
 	}
 }
 
@@ -93,18 +93,18 @@
 
 func requireVerdict(t *testing.T, q *quarantine.Quarantine, request poison.Fingerprint, want poison.Verdict) {
 	t.Helper()
-	require.Eventually(t, func() bool { return q.Verdict(request) == want }, generous, time.Millisecond, "want %v", want)
+	require.Eventually(t, func() bool { return q.Verdict(request) == want }, testTimeout, time.Millisecond, "want %v", want)
 }
 
 // Servers end under a request at two processes, one of them too few for either to
 // refuse it. Together they are enough, and a third that saw nothing refuses it too.
-func TestProcessesAddUpWhatTheySaw(t *testing.T) {
+func TestProcessesCombineTheirCrashes(t *testing.T) {
 	f := newFleet(t)
 	one, two, three := f.start(t, true), f.start(t, true), f.start(t, true)
-	one.Ended("r", "s1")
-	one.Ended("r", "s2")
+	one.RecordCrash("r", "s1")
+	one.RecordCrash("r", "s2")
 	two.requireVerdict(t, "r", poison.Suspect)
-	two.Ended("r", "s3")
+	two.RecordCrash("r", "s3")
 	for _, p := range []*process{one, two, three} {
 		p.requireVerdict(t, "r", poison.Quarantined)
 		p.requireVerdict(t, "other", poison.Clear)
@@ -113,33 +113,33 @@
 
 // The store is away, and a request ends servers at one process. The others hear of it
 // from that process, and the store once it is back.
-func TestPeersTellWhileTheStoreIsAway(t *testing.T) {
+func TestPeersReceiveCrashesWhileTheStoreIsUnavailable(t *testing.T) {
 	f := newFleet(t)
 	one, two := f.start(t, true), f.start(t, true)
 	f.store.Fail(hostedtest.StoreFaults{Down: true})
-	one.end("r", poison.QuarantineThreshold)
+	one.crash("r", poison.QuarantineThreshold)
 	two.requireVerdict(t, "r", poison.Quarantined)
 	require.Empty(t, f.store.Records(hostedtest.TopicCrashes))
 	f.store.Fail(hostedtest.StoreFaults{})
-	require.Eventually(t, func() bool { return len(f.store.Records(hostedtest.TopicCrashes)) >= poison.QuarantineThreshold }, generous, time.Millisecond)
+	require.Eventually(t, func() bool { return len(f.store.Records(hostedtest.TopicCrashes)) >= poison.QuarantineThreshold }, testTimeout, time.Millisecond)
 }
 
 // A process can't be reached by the others but reaches the store. It hears of the
 // request there.
-func TestStoreTellsWhereNoPeerDoes(t *testing.T) {
+func TestUnreachableProcessReadsCrashesFromTheStore(t *testing.T) {
 	f := newFleet(t)
-	one, apart := f.start(t, true), f.start(t, false)
-	one.end("r", poison.QuarantineThreshold)
-	apart.requireVerdict(t, "r", poison.Quarantined)
+	one, unlisted := f.start(t, true), f.start(t, false)
+	one.crash("r", poison.QuarantineThreshold)
+	unlisted.requireVerdict(t, "r", poison.Quarantined)
 }
 
 // All processes end at one moment. The request comes again at the first that is back,
 // and would end three more servers if nobody remembered.
-func TestQuarantineOutlastsAllProcesses(t *testing.T) {
+func TestQuarantineSurvivesARestartOfAllProcesses(t *testing.T) {
 	f := newFleet(t)
 	one, two := f.start(t, true), f.start(t, true)
-	one.end("r", poison.QuarantineThreshold)
-	require.Eventually(t, func() bool { return len(f.store.Records(hostedtest.TopicCrashes)) >= poison.QuarantineThreshold }, generous, time.Millisecond)
+	one.crash("r", poison.QuarantineThreshold)
+	require.Eventually(t, func() bool { return len(f.store.Records(hostedtest.TopicCrashes)) >= poison.QuarantineThreshold }, testTimeout, time.Millisecond)
 	one.stop()
 	two.stop()
 	require.Equal(t, poison.Quarantined, f.start(t, true).Verdict("r"))
@@ -147,11 +147,11 @@
 
 // A process starts while the part of the store that holds the quarantine is away. It
 // serves callers all the same, and hears of the quarantine when that part is back.
-func TestProcessServesWithoutTheQuarantinesPartOfTheStore(t *testing.T) {
+func TestProcessStartsWithoutTheCrashStream(t *testing.T) {
 	f := newFleet(t)
 	one := f.start(t, true)
-	one.end("r", poison.QuarantineThreshold)
-	require.Eventually(t, func() bool { return len(f.store.Records(hostedtest.TopicCrashes)) >= poison.QuarantineThreshold }, generous, time.Millisecond)
+	one.crash("r", poison.QuarantineThreshold)
+	require.Eventually(t, func() bool { return len(f.store.Records(hostedtest.TopicCrashes)) >= poison.QuarantineThreshold }, testTimeout, time.Millisecond)
 	one.stop()
 	f.store.Fail(hostedtest.StoreFaults{Away: []string{hostedtest.TopicCrashes}})
 	two := f.start(t, false)
@@ -163,21 +163,21 @@
 // An attempt ended without an answer after one server had ended under it. Its caller
 // asks again at another process, which has to know; then a server answers it, and no
 // process suspects it any more.
-func TestAnswerClearsARequestEverywhere(t *testing.T) {
+func TestCompletionClearsARequestInAllProcesses(t *testing.T) {
 	f := newFleet(t)
 	one, two := f.start(t, true), f.start(t, true)
-	one.Ended("r", "s1")
+	one.RecordCrash("r", "s1")
 	require.True(t, two.Empty(), "nearly all such requests are bystanders")
-	one.GaveUp("r")
+	one.RecordNoAnswer("r")
 	two.requireVerdict(t, "r", poison.Suspect)
-	two.Survived("r")
+	two.RecordCompletion("r")
 	one.requireVerdict(t, "r", poison.Clear)
 	two.requireVerdict(t, "r", poison.Clear)
 	require.Equal(t, poison.Clear, f.start(t, true).Verdict("r"), "the store has forgotten it too")
 }
 
 // Other writers' records, and words that can't be read, change nothing.
-func TestWhatCannotBeReadIsLeftOut(t *testing.T) {
+func TestInvalidRecordsAndRequestsAreIgnored(t *testing.T) {
 	f := newFleet(t)
 	f.store.Put(hostedtest.TopicCrashes, "no request", "x")
 	f.store.Put(hostedtest.TopicCrashes, "r/x", 7)
@@ -197,12 +197,12 @@
 func TestFloodOfSuspectsIsBounded(t *testing.T) {
 	f := newFleet(t)
 	one, two := f.start(t, true), f.start(t, true)
-	one.end("r", poison.QuarantineThreshold)
+	one.crash("r", poison.QuarantineThreshold)
 	two.requireVerdict(t, "r", poison.Quarantined)
 	for i := range 3 * poison.MaxRequests {
 		name := poison.Fingerprint(fmt.Sprintf("flood %d", i))
-		one.Ended(name, "rack")
-		one.GaveUp(name)
+		one.RecordCrash(name, "rack")
+		one.RecordNoAnswer(name)
 	}
 	require.Equal(t, poison.Quarantined, one.Verdict("r"))
 	two.requireVerdict(t, "r", poison.Quarantined)
@@ -212,7 +212,7 @@
 func BenchmarkVerdict(b *testing.B) {
 	q := quarantine.New(zap.NewNop())
 	for i := range poison.QuarantineThreshold {
-		q.Ended("r", fmt.Sprint(i))
+		q.RecordCrash("r", fmt.Sprint(i))
 	}
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
@@ -222,13 +222,13 @@
 }
 
 // Telling one peer of one end, the peer's part included.
-func BenchmarkTellPeer(b *testing.B) {
+func BenchmarkSend(b *testing.B) {
 	peer := httptest.NewServer(quarantine.New(zap.NewNop()))
 	defer peer.Close()
 	peers := quarantine.NewHTTPPeers(nil)
 	defer peers.Close()
 	changes := []quarantine.Change{{Crash: poison.Crash{Request: "0011223344556677", Server: "i-0011223344@1767338000000", At: time.Now()}}}
 	for b.Loop() {
-		require.NoError(b, peers.Tell(b.Context(), peer.Listener.Addr().String(), changes))
+		require.NoError(b, peers.Send(b.Context(), peer.Listener.Addr().String(), changes))
 	}
 }
