--- a/decide/lease/lease_test.go
+++ b/decide/lease/lease_test.go
@@ -81,7 +81,7 @@
 }
 
 type process struct {
-	node           string
+	vm             string
 	incarnation    int
 	state          *State
 	nextOffset     int // end of the stream as of the last read
@@ -95,133 +95,133 @@
 }
 
 type call struct {
-	node  string
+	vm    string
 	token uint64
 	at    time.Duration
 }
 
 func newSimulation(processes int, timing Timing) *simulation {
-	w := &simulation{timing: timing}
+	sim := &simulation{timing: timing}
 	for i := range processes {
-		p := &process{node: fmt.Sprint("n", i)}
-		w.processes = append(w.processes, p)
-		w.restart(p)
+		p := &process{vm: fmt.Sprint("n", i)}
+		sim.processes = append(sim.processes, p)
+		sim.restart(p)
 	}
-	return w
+	return sim
 }
 
-func (w *simulation) restart(p *process) {
+func (sim *simulation) restart(p *process) {
 	p.incarnation++
-	p.state, p.nextOffset = New(Holder{p.node, fmt.Sprint(p.incarnation)}, w.timing), 0
+	p.state, p.nextOffset = New(Holder{p.vm, fmt.Sprint(p.incarnation)}, sim.timing), 0
 }
 
-func (w *simulation) appendAt(r Record, offset int) bool {
-	if offset != len(w.records) {
+func (sim *simulation) appendAt(r Record, offset int) bool {
+	if offset != len(sim.records) {
 		return false
 	}
-	w.records = append(w.records, r)
+	sim.records = append(sim.records, r)
 	return true
 }
 
-func (w *simulation) read(p *process) {
-	p.nextOffset = len(w.records)
+func (sim *simulation) read(p *process) {
+	p.nextOffset = len(sim.records)
 	if p.nextOffset == 0 {
-		p.state.Observe(nil, w.now)
+		p.state.Observe(nil, sim.now)
 		return
 	}
-	newest := w.records[p.nextOffset-1]
-	p.state.Observe(&newest, w.now)
+	newest := sim.records[p.nextOffset-1]
+	p.state.Observe(&newest, sim.now)
 }
 
 // write makes the write that is due. It is stored, stored without an answer, stored late, or
 // lost.
-func (w *simulation) write(t *rapid.T, p *process) {
+func (sim *simulation) write(t *rapid.T, p *process) {
 	var r Record
 	switch {
 	case p.state.Holds() && rapid.IntRange(0, 9).Draw(t, "release") == 0:
-		r = p.state.Release(0, w.now)
+		r = p.state.Release(0, sim.now)
 	case p.state.Holds():
-		r = p.state.Renew(0, w.now)
-	case p.state.MayClaim(w.now, 0):
-		r = p.state.Claim(uint64(p.nextOffset), w.now)
+		r = p.state.Renew(0, sim.now)
+	case p.state.MayClaim(sim.now, 0):
+		r = p.state.Claim(uint64(p.nextOffset), sim.now)
 	default:
 		return
 	}
 	switch rapid.SampledFrom([]string{"answered", "answered", "unanswered", "late", "lost"}).Draw(t, "outcome") {
 	case "answered":
-		if w.appendAt(r, p.nextOffset) {
+		if sim.appendAt(r, p.nextOffset) {
 			p.nextOffset++
-			p.state.Observe(&r, w.now)
+			p.state.Observe(&r, sim.now)
 		}
 	case "unanswered":
-		w.appendAt(r, p.nextOffset)
+		sim.appendAt(r, p.nextOffset)
 	case "late":
-		w.lateWrites = append(w.lateWrites, write{r, p.nextOffset, w.now + time.Duration(rapid.IntRange(1, 30).Draw(t, "late"))*tick})
+		sim.lateWrites = append(sim.lateWrites, write{r, p.nextOffset, sim.now + time.Duration(rapid.IntRange(1, 30).Draw(t, "late"))*tick})
 	}
 }
 
-// call makes a call that arrives within the duration that the process passed to MayAct.
-func (w *simulation) call(t *rapid.T, p *process) {
+// makeCall makes a makeCall that arrives within the duration that the process passed to MayAct.
+func (sim *simulation) makeCall(t *rapid.T, p *process) {
 	const need = 2 * tick
-	if !p.state.MayAct(w.now, need) {
+	if !p.state.MayAct(sim.now, need) {
 		return
 	}
 	r, _ := p.state.Record()
-	w.calls = append(w.calls, call{p.node, r.Token, w.now + time.Duration(rapid.IntRange(0, 2).Draw(t, "way"))*tick})
+	sim.calls = append(sim.calls, call{p.vm, r.Token, sim.now + time.Duration(rapid.IntRange(0, 2).Draw(t, "way"))*tick})
 }
 
-func (w *simulation) step(t *rapid.T) {
-	w.now += tick
-	for _, late := range w.lateWrites {
-		if late.dueAt == w.now {
-			w.appendAt(late.record, late.offset)
+func (sim *simulation) step(t *rapid.T) {
+	sim.now += tick
+	for _, late := range sim.lateWrites {
+		if late.dueAt == sim.now {
+			sim.appendAt(late.record, late.offset)
 		}
 	}
-	for _, p := range w.processes {
-		if w.now < p.suspendedUntil {
+	for _, p := range sim.processes {
+		if sim.now < p.suspendedUntil {
 			continue
 		}
 		switch rapid.IntRange(0, 11).Draw(t, "action") {
 		case 0:
-			p.suspendedUntil = w.now + time.Duration(rapid.IntRange(1, 40).Draw(t, "suspended"))*tick
+			p.suspendedUntil = sim.now + time.Duration(rapid.IntRange(1, 40).Draw(t, "suspended"))*tick
 		case 1:
 			if rapid.IntRange(0, 3).Draw(t, "restart") == 0 {
-				w.restart(p)
+				sim.restart(p)
 			}
 		case 2, 3, 4, 5:
-			w.read(p)
+			sim.read(p)
 		case 6, 7, 8:
-			w.write(t, p)
+			sim.write(t, p)
 		default:
-			w.call(t, p)
+			sim.makeCall(t, p)
 		}
 	}
 }
 
 // findViolation describes the first calls that the platform would take for those of two
 // holders at once; empty: there are none.
-func (w *simulation) findViolation() string {
+func (sim *simulation) findViolation() string {
 	owner := map[uint64]string{}
-	for i, c := range w.calls {
-		if other, known := owner[c.token]; known && other != c.node {
-			return fmt.Sprintf("token %d of %s and %s", c.token, other, c.node)
+	for i, c := range sim.calls {
+		if other, known := owner[c.token]; known && other != c.vm {
+			return fmt.Sprintf("token %d of %s and %s", c.token, other, c.vm)
 		}
-		owner[c.token] = c.node
-		for j, before := range w.calls[:i] {
+		owner[c.token] = c.vm
+		for j, before := range sim.calls[:i] {
 			if before.token > c.token && before.at < c.at {
 				return fmt.Sprintf("token %d is used after token %d", c.token, before.token)
 			}
-			if before.node == c.node && c.at-before.at < minTurnInterval && w.hasOtherCallsBetween(j, i) {
-				return fmt.Sprintf("%s acts again within %v, after another process acted", c.node, c.at-before.at)
+			if before.vm == c.vm && c.at-before.at < minTurnInterval && sim.hasOtherCallsBetween(j, i) {
+				return fmt.Sprintf("%s acts again within %v, after another process acted", c.vm, c.at-before.at)
 			}
 		}
 	}
 	return ""
 }
 
-func (w *simulation) hasOtherCallsBetween(first, last int) bool {
-	for _, c := range w.calls[first+1 : last] {
-		if c.node != w.calls[first].node && c.at > w.calls[first].at && c.at < w.calls[last].at {
+func (sim *simulation) hasOtherCallsBetween(first, last int) bool {
+	for _, c := range sim.calls[first+1 : last] {
+		if c.vm != sim.calls[first].vm && c.at > sim.calls[first].at && c.at < sim.calls[last].at {
 			return true
 		}
 	}
@@ -229,11 +229,11 @@
 }
 
 func simulate(t *rapid.T, timing Timing) *simulation {
-	w := newSimulation(3, timing)
+	sim := newSimulation(3, timing)
 	for range rapid.IntRange(20, 200).Draw(t, "steps") {
-		w.step(t)
+		sim.step(t)
 	}
-	return w
+	return sim
 }
 
 // Guards against two holders that act at the same time, whichever processes are suspended or
@@ -241,9 +241,9 @@
 func TestNoTwoHoldersActAtOnce(t *testing.T) {
 	callsMade := 0
 	rapid.Check(t, func(t *rapid.T) {
-		w := simulate(t, validTiming)
-		require.Empty(t, w.findViolation())
-		callsMade += len(w.calls)
+		sim := simulate(t, validTiming)
+		require.Empty(t, sim.findViolation())
+		callsMade += len(sim.calls)
 	})
 	require.Positive(t, callsMade)
 }
@@ -264,28 +264,28 @@
 // exactly one must hold the lease.
 func TestLostLeaseIsClaimedAgain(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := simulate(t, validTiming)
-		w.lateWrites = nil
+		sim := simulate(t, validTiming)
+		sim.lateWrites = nil
 		for range 6 * int(validTiming.TakeOverAfter/tick) {
-			w.now += tick
-			for _, p := range w.processes {
+			sim.now += tick
+			for _, p := range sim.processes {
 				p.suspendedUntil = 0
-				w.read(p)
+				sim.read(p)
 				if p.state.Holds() {
-					r := p.state.Renew(0, w.now)
-					require.True(t, w.appendAt(r, p.nextOffset))
-					p.state.Observe(&r, w.now)
-				} else if p.state.MayClaim(w.now, 0) {
-					r := p.state.Claim(uint64(p.nextOffset), w.now)
-					require.True(t, w.appendAt(r, p.nextOffset))
-					p.state.Observe(&r, w.now)
+					r := p.state.Renew(0, sim.now)
+					require.True(t, sim.appendAt(r, p.nextOffset))
+					p.state.Observe(&r, sim.now)
+				} else if p.state.MayClaim(sim.now, 0) {
+					r := p.state.Claim(uint64(p.nextOffset), sim.now)
+					require.True(t, sim.appendAt(r, p.nextOffset))
+					p.state.Observe(&r, sim.now)
 				}
 			}
 		}
 		holders := 0
-		for _, p := range w.processes {
-			w.read(p)
-			if p.state.MayAct(w.now, 0) {
+		for _, p := range sim.processes {
+			sim.read(p)
+			if p.state.MayAct(sim.now, 0) {
 				holders++
 			}
 		}
--- a/decide/members/members.go
+++ b/decide/members/members.go
@@ -103,16 +103,16 @@
 // Expire removes the lapsed servers that did not write their entries again in
 // time, and reports whether there were any.
 func (s *Set) Expire(now time.Time) bool {
-	expired := false
+	any := false
 	for name, until := range s.lapsed {
 		if now.Before(until) {
 			continue
 		}
 		delete(s.lapsed, name)
 		delete(s.servers, name)
-		expired = true
+		any = true
 	}
-	return expired
+	return any
 }
 
 // ByService returns the servers of each service, sorted by name.
--- a/decide/table/organisations_test.go
+++ b/decide/table/organisations_test.go
@@ -23,8 +23,8 @@
 }
 
 func TestFindReturnsTheOrganisationOfAKey(t *testing.T) {
-	d, left := NewDirectory([]Organisation{{Name: "a", Keys: keys("a1", "a2", "a2")}, {Name: "b", Keys: keys("b1")}, {Name: "none"}})
-	require.Empty(t, left)
+	d, ignored := NewDirectory([]Organisation{{Name: "a", Keys: keys("a1", "a2", "a2")}, {Name: "b", Keys: keys("b1")}, {Name: "none"}})
+	require.Empty(t, ignored)
 	for key, name := range map[string]string{"a1": "a", "a2": "a", "b1": "b", "": "", "c": "", "none": ""} {
 		require.Equal(t, name, findName(d, key), key)
 	}
@@ -33,15 +33,15 @@
 // Guards against a caller that an ambiguous configuration attributes to another
 // organisation, and against the loss of the valid parts of such a configuration.
 func TestInvalidNamesAndKeysAreIgnored(t *testing.T) {
-	d, left := NewDirectory([]Organisation{
+	d, ignored := NewDirectory([]Organisation{
 		{Name: "a", Keys: keys("a1", "shared", "")}, {Name: "b", Keys: keys("shared", "b1")}, {Name: "c", Keys: keys("shared")},
 		{Name: "line\r\nbreak", Keys: keys("l1")}, {Name: "", Keys: keys("n1")},
 	})
-	require.Len(t, left, 4)
+	require.Len(t, ignored, 4)
 	for key, name := range map[string]string{"a1": "a", "b1": "b", "shared": "", "": "", "l1": "", "n1": ""} {
 		require.Equal(t, name, findName(d, key), key)
 	}
-	for _, why := range left {
+	for _, why := range ignored {
 		require.NotContains(t, why, "\n")
 		require.NotContains(t, why, "key shared")
 	}
--- a/decide/table/table.go
+++ b/decide/table/table.go
@@ -50,7 +50,7 @@
 
 	Resumable     bool          // a broken stream may be resumed at another server
 	SingleVersion bool          // all of a sample is made with the same weight version
-	DueAfter      time.Duration // batch jobs: time from submission until results are due
+	Due           time.Duration // batch jobs: time from submission until results are due
 	AbandonAfter  time.Duration // batch jobs: time from submission after which items may be abandoned
 }
 
--- a/decide/usage/usage.go
+++ b/decide/usage/usage.go
@@ -91,11 +91,11 @@
 			merged.mergeCounts(w, counts)
 		}
 	}
-	merged := make([]Tally, 0, len(byProcess))
+	result := make([]Tally, 0, len(byProcess))
 	for _, tally := range byProcess {
-		merged = append(merged, *tally)
+		result = append(result, *tally)
 	}
-	return merged
+	return result
 }
 
 // mergeCounts merges counts of a window into the tally.
--- a/decide/usage/usage_test.go
+++ b/decide/usage/usage_test.go
@@ -25,9 +25,9 @@
 // counts, and against one that is late because of a process that no longer publishes.
 func TestWindowWaitsForPendingProcesses(t *testing.T) {
 	complete, behind := Tally{Complete: 10}, Tally{Complete: 8}
-	lost, ended := Tally{Complete: 7}, Tally{Complete: 9, Ended: true}
+	lost, terminated := Tally{Complete: 7}, Tally{Complete: 9, Ended: true}
 	at := func(ended time.Duration) Age { return Age{SinceEnd: ended, SinceOutage: time.Hour} }
-	require.True(t, Ready(10, 9, []Tally{complete, lost, ended}, at(2*time.Second), limits))
+	require.True(t, Ready(10, 9, []Tally{complete, lost, terminated}, at(2*time.Second), limits))
 	require.False(t, Ready(10, 9, []Tally{complete}, at(limits.Min/2), limits))
 	require.False(t, Ready(10, 9, []Tally{complete, behind}, at(2*time.Second), limits))
 	require.True(t, Ready(10, 9, []Tally{complete, behind}, at(limits.Max), limits))
--- a/entry/front/suspect.go
+++ b/entry/front/suspect.go
@@ -18,7 +18,7 @@
 	if t.subject.Verdict() != poison.Quarantined {
 		return nil
 	}
-	left := t.subject.Refuse()
+	left := t.subject.RecordRefusal()
 	why := "each server that ran request " + string(t.subject.Fingerprint()) + " crashed"
 	if t.Held.Sent() {
 		return kinds.New(kinds.BackendFailed, "%s", why).WithRetryAfter(left)
--- a/entry/front/tries.go
+++ b/entry/front/tries.go
@@ -22,7 +22,7 @@
 	unreached  bool // the last try reached no server
 	tried      map[string]bool
 	domains    map[string]bool
-	subject    *quarantine.Request // set by Guard
+	subject    *quarantine.TrackedRequest // set by Guard
 }
 
 // NewTries returns the tries of a request, none made yet.
--- a/entry/steps/score.go
+++ b/entry/steps/score.go
@@ -78,7 +78,7 @@
 }
 
 // score makes one call to the scorer, at its least loaded server.
-func (s *Steps) score(st *step, subject *quarantine.Request, body []byte) (float64, error) {
+func (s *Steps) score(st *step, subject *quarantine.TrackedRequest, body []byte) (float64, error) {
 	if subject.Verdict() == poison.Quarantined {
 		return 0, kinds.Hold().Refuse(kinds.Quarantined, "each server of scorer %s that ran it crashed", st.trainer.Scorer)
 	}
--- a/entry/steps/step.go
+++ b/entry/steps/step.go
@@ -25,9 +25,9 @@
 	partial *partial         // what a lost run had made
 	done    *pb.GenerateDone // finished
 	score   *float64
-	tries   int                 // losses so far
-	subject *quarantine.Request // nil: not needed yet
-	held    bool                // it was logged that the sample is in quarantine
+	tries   int                        // losses so far
+	subject *quarantine.TrackedRequest // nil: not needed yet
+	held    bool                       // it was logged that the sample is in quarantine
 }
 
 type group struct {
--- a/entry/steps/suspect.go
+++ b/entry/steps/suspect.go
@@ -17,7 +17,7 @@
 const heldFor = 5 * time.Second
 
 // subject is a sample as the quarantine sees it, in whatever step. Steps.mu is held.
-func (s *Steps) subject(st *step, sm *sample) *quarantine.Request {
+func (s *Steps) subject(st *step, sm *sample) *quarantine.TrackedRequest {
 	if sm.subject == nil {
 		sm.subject = s.cfg.Quarantine.Track(func() poison.Content {
 			return poison.Content{
@@ -53,7 +53,7 @@
 
 // noteEnd takes in that a server ended under a sample or the call for its score, where
 // err says so.
-func (s *Steps) noteEnd(subject *quarantine.Request, what string, err error) {
+func (s *Steps) noteEnd(subject *quarantine.TrackedRequest, what string, err error) {
 	e, ok := kinds.As(err)
 	if !ok || e.Ended() == "" {
 		return
--- a/gateway/duties/keeper.go
+++ b/gateway/duties/keeper.go
@@ -47,8 +47,8 @@
 
 // Term is the time of one holder.
 type Term struct {
-	Token uint64
-	Done  uint64 // how far the duty had come when it began
+	Token    uint64
+	Progress uint64 // how far the duty had come when it began
 }
 
 // Keeper keeps one lease. It is safe for concurrent use.
@@ -84,7 +84,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	r, _ := k.state.Record()
-	return Term{Token: r.Token, Done: r.Progress}, k.state.Holds() && k.quit == ""
+	return Term{Token: r.Token, Progress: r.Progress}, k.state.Holds() && k.quit == ""
 }
 
 // MayAct tells whether this process may act in a term for a time to come.
@@ -95,8 +95,8 @@
 	return k.quit == "" && r.Token == term.Token && k.state.MayAct(k.cfg.Now(), need)
 }
 
-// Followed is how long the store has answered since the last time it did not.
-func (k *Keeper) Followed() time.Duration {
+// SinceOutage is how long the store has answered since the last time it did not.
+func (k *Keeper) SinceOutage() time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.cfg.Now() - k.since
--- a/gateway/forward/forward.go
+++ b/gateway/forward/forward.go
@@ -161,7 +161,7 @@
 	refusals int
 	failures int      // internal errors that servers answered
 	last     *outcome // the newest failure that a server answered itself
-	subject  *quarantine.Request
+	subject  *quarantine.TrackedRequest
 	usage    *usage.Request
 }
 
--- a/gateway/forward/suspect.go
+++ b/gateway/forward/suspect.go
@@ -11,7 +11,7 @@
 )
 
 // subject is the call as the quarantine sees it.
-func (f *Forwarder) subject(c *Call) *quarantine.Request {
+func (f *Forwarder) subject(c *Call) *quarantine.TrackedRequest {
 	return f.Quarantine.Track(func() poison.Content {
 		return poison.Content{Caller: c.Organisation + poison.CallerFromHeader(c.Header), Method: c.Method, Host: c.Host, URI: c.URI, Body: c.Body}
 	})
@@ -47,5 +47,5 @@
 	if !s.quarantined() {
 		return s.refuse(kinds.NoServer, "no server of the service takes work")
 	}
-	return s.refuse(kinds.Quarantined, "each server that ran request "+string(s.subject.Fingerprint())+" crashed").WithRetryAfter(s.subject.Refuse())
+	return s.refuse(kinds.Quarantined, "each server that ran request "+string(s.subject.Fingerprint())+" crashed").WithRetryAfter(s.subject.RecordRefusal())
 }
--- a/gateway/front/front.go
+++ b/gateway/front/front.go
@@ -194,7 +194,7 @@
 	if err != nil {
 		return 0, kinds.Hold().Refuse(kinds.BadRequest, "%v", err)
 	}
-	head.DueMS, head.Organisation = route.DueAfter.Milliseconds(), organisation
+	head.DueMS, head.Organisation = route.Due.Milliseconds(), organisation
 	left := callerWaits(r)
 	ctx, cancel := context.WithDeadline(r.Context(), begin.Add(time.Duration(submitShare*float64(left))))
 	defer cancel()
--- a/gateway/jobs/order.go
+++ b/gateway/jobs/order.go
@@ -85,8 +85,8 @@
 
 func (r *Runner) step(j *jobs.Job, now time.Time) place.Step {
 	due := noDue
-	if route := r.routeOf(j); route != nil && route.DueAfter > 0 {
-		due = route.DueAfter
+	if route := r.routeOf(j); route != nil && route.Due > 0 {
+		due = route.Due
 	}
 	r.book.mu.Lock()
 	defer r.book.mu.Unlock()
--- a/gateway/jobs/placing.go
+++ b/gateway/jobs/placing.go
@@ -86,7 +86,7 @@
 		w.held = true
 		samplesHeld.Add(1)
 		r.zlog.Warn("Sample is held back: each engine that ran it crashed.", zap.String("id", w.item.ID), zap.String("job", w.job.ID),
-			zap.String("request", string(subject.Fingerprint())), zap.Duration("for", subject.Refuse()), zap.Int("events", len(w.events)))
+			zap.String("request", string(subject.Fingerprint())), zap.Duration("for", subject.RecordRefusal()), zap.Int("events", len(w.events)))
 	}
 	return true
 }
--- a/gateway/jobs/stream.go
+++ b/gateway/jobs/stream.go
@@ -87,7 +87,7 @@
 	addr    string
 	behind  int // events that were known before
 	only    uint64
-	subject *quarantine.Request
+	subject *quarantine.TrackedRequest
 }
 
 // message is the item as the engine gets it.
--- a/gateway/jobs/work.go
+++ b/gateway/jobs/work.go
@@ -66,13 +66,13 @@
 	setbacks   int
 	avoid      map[string]time.Time
 
-	subject *quarantine.Request // nil: not needed yet
-	held    bool                // it was logged that the item is in quarantine
+	subject *quarantine.TrackedRequest // nil: not needed yet
+	held    bool                       // it was logged that the item is in quarantine
 }
 
 // subject is an item as the quarantine sees it; r.mu is held. A trainer hands in again
 // the groups that it did not wait for, and they are the same requests in the later job.
-func (r *Runner) subject(w *work) *quarantine.Request {
+func (r *Runner) subject(w *work) *quarantine.TrackedRequest {
 	if w.subject == nil {
 		item := &w.item
 		w.subject = r.quarantine.Track(func() poison.Content {
--- a/gateway/orders/orders.go
+++ b/gateway/orders/orders.go
@@ -130,7 +130,7 @@
 		return lookBusy
 	}
 	a.reportBack()
-	if report.Busy || !sameStart(self.StartedAt, report.Born) {
+	if report.Busy || !sameStart(self.StartedAt, report.StartedAt) {
 		return lookBusy // of the engine's last start the list does not tell yet
 	}
 	want := a.choose(snap, self, peers, report)
@@ -300,8 +300,8 @@
 		sleep.For(ctx, unknownWait)
 	}
 	after := a.await(ctx)
-	if !sameStart(after.Born, report.Born) {
-		a.log.Info("The engine started again during an order.", zap.String("server", self.ID), zap.Time("born", after.Born))
+	if !sameStart(after.StartedAt, report.StartedAt) {
+		a.log.Info("The engine started again during an order.", zap.String("server", self.ID), zap.Time("born", after.StartedAt))
 		return lookBusy
 	}
 	if after.Versions[o.Model] >= o.Version && outcome == hosted.OrderTaken {
--- a/gateway/server/duties.go
+++ b/gateway/server/duties.go
@@ -71,8 +71,8 @@
 		keeper:  keeper,
 		reporter: &usage.Reporter{
 			Keeper: keeper, Store: store, Platform: hosted.NewDutyClient(set.Duties.Platform), Node: self.Node, Length: set.Duties.UsageWindow,
-			Patience: decide.WaitLimits{Min: share(set.Duties.UsageLate, patienceLeastShare), Max: share(set.Duties.UsageLate, patienceMostShare)},
-			Return:   counter.Return, Now: clock.Now, Log: log.With(zap.String("duty", usage.Duty)),
+			WaitLimits:  decide.WaitLimits{Min: share(set.Duties.UsageLate, patienceLeastShare), Max: share(set.Duties.UsageLate, patienceMostShare)},
+			AfterOutage: counter.AfterOutage, Now: clock.Now, Log: log.With(zap.String("duty", usage.Duty)),
 		},
 	}
 }
--- a/gateway/usage/counter.go
+++ b/gateway/usage/counter.go
@@ -147,9 +147,9 @@
 	return max(lookEvery, time.Duration(c.processes())*time.Second/talliesPerS)
 }
 
-// Return is how long after an outage of the store all processes need to publish what
+// AfterOutage is how long after an outage of the store all processes need to publish what
 // they have counted.
-func (c *Counter) Return() time.Duration { return returnLeast + 2*c.pace() }
+func (c *Counter) AfterOutage() time.Duration { return returnLeast + 2*c.pace() }
 
 // Leave publishes the last of it; it is called once no request is on its way.
 func (c *Counter) Leave(ctx context.Context) {
--- a/gateway/usage/reporter.go
+++ b/gateway/usage/reporter.go
@@ -50,17 +50,17 @@
 // reported of a window is first recorded in the store, where the first record counts, so
 // that whoever sends it, and how often, sends the same.
 type Reporter struct {
-	Keeper   *duties.Keeper
-	Store    platform.Register
-	Platform platform.UsageReports
-	Node     string
-	Length   time.Duration    // of a window
-	Patience usage.WaitLimits // but for Return
-	// Return is how long after an outage of the store all processes need to publish what
+	Keeper     *duties.Keeper
+	Store      platform.Register
+	Platform   platform.UsageReports
+	Node       string
+	Length     time.Duration    // of a window
+	WaitLimits usage.WaitLimits // but for Return
+	// AfterOutage is how long after an outage of the store all processes need to publish what
 	// they have counted.
-	Return func() time.Duration
-	Now    func() time.Time
-	Log    *zap.Logger
+	AfterOutage func() time.Duration
+	Now         func() time.Time
+	Log         *zap.Logger
 
 	term    duties.Term
 	loaded  bool
@@ -101,7 +101,7 @@
 
 // begin goes on where earlier holders have come to.
 func (r *Reporter) begin(term duties.Term) {
-	done := usage.Window(term.Done)
+	done := usage.Window(term.Progress)
 	if oldest := usage.WindowAt(r.Now(), r.Length) - windowsKept; done < oldest {
 		reportsMissed.Add(int64(oldest - done))
 		r.Log.Error("Windows can't be reported any more.", zap.Uint64("from", uint64(done)+1), zap.Uint64("to", uint64(oldest)))
@@ -147,7 +147,7 @@
 // record sums a window up and puts its report down; false: that is not possible yet.
 func (r *Reporter) record(ctx context.Context, w usage.Window) (usage.Counts, bool) {
 	ended := r.Now().Sub(w.End(r.Length))
-	if ended < r.Patience.Min {
+	if ended < r.WaitLimits.Min {
 		return nil, false
 	}
 	tallies, err := r.tallies(ctx, w)
@@ -155,9 +155,9 @@
 		r.Log.Warn("Counts can't be read.", zap.Uint64("window", uint64(w)), zap.Error(err))
 		return nil, false
 	}
-	age := usage.Age{SinceEnd: ended, SinceOutage: r.Keeper.Followed()}
-	patience := r.Patience
-	patience.AfterOutage = r.Return()
+	age := usage.Age{SinceEnd: ended, SinceOutage: r.Keeper.SinceOutage()}
+	patience := r.WaitLimits
+	patience.AfterOutage = r.AfterOutage()
 	if !usage.Ready(w, r.done, tallies, age, patience) {
 		return nil, false
 	}
--- a/gateway/usage/usage_test.go
+++ b/gateway/usage/usage_test.go
@@ -64,7 +64,7 @@
 	})
 	reporter := &usage.Reporter{
 		Keeper: p.keeper, Store: store, Platform: hosted.NewDutyClient(s.api.Addr()), Node: node, Length: window,
-		Patience: decide.WaitLimits{Min: 100 * time.Millisecond, Max: 4 * time.Second}, Now: time.Now, Return: p.counter.Return, Log: zap.NewNop(),
+		WaitLimits: decide.WaitLimits{Min: 100 * time.Millisecond, Max: 4 * time.Second}, Now: time.Now, AfterOutage: p.counter.AfterOutage, Log: zap.NewNop(),
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var loops sync.WaitGroup
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -64,8 +64,8 @@
 	return (*q.statuses.Load())[request].Verdict(q.now())
 }
 
-// Refuse returns how long a request that is refused stays in quarantine.
-func (q *Quarantine) Refuse(request poison.Fingerprint) time.Duration {
+// RecordRefusal returns how long a request that is refused stays in quarantine.
+func (q *Quarantine) RecordRefusal(request poison.Fingerprint) time.Duration {
 	refusals.Add(1)
 	return max(0, (*q.statuses.Load())[request].ReleaseTime().Sub(q.now()))
 }
--- a/quarantine/share.go
+++ b/quarantine/share.go
@@ -155,7 +155,7 @@
 		if len(changes) == 0 {
 			return
 		}
-		err := q.sharing.store.PutAll(ctx, platform.StreamCrashes, q.encodeAll(changes))
+		err := q.sharing.store.PutAll(ctx, platform.StreamCrashes, q.records(changes))
 		if err == nil {
 			delay = minRetryDelay
 			sleep.For(ctx, q.callInterval(writeShare))
@@ -177,7 +177,7 @@
 	q.toStore.add(append(changes, newer...)...)
 }
 
-func (q *Quarantine) encodeAll(changes []Change) []platform.KeyedRecord {
+func (q *Quarantine) records(changes []Change) []platform.KeyedRecord {
 	records := make([]platform.KeyedRecord, 0, len(changes))
 	for i := range changes {
 		r, err := changes[i].encode()
