--- a/quarantine/change.go
+++ b/quarantine/change.go
@@ -11,16 +11,16 @@
 	"dandelionsill.org/platform"
 )
 
-// Change is one server's end under a request, or the word that it is no longer
-// attributed to it.
+// Change is a crash of a server under a request, or the removal of such a crash, which is
+// then no longer attributed to the request.
 type Change struct {
 	Crash poison.Crash
 	Gone  bool
-	// droppedKey is the key of a record of which the store has nothing else.
+	// droppedKey is the key of a removed crash of which the store has only the key.
 	droppedKey string
 }
 
-// Key names the crash among all.
+// Key returns the key of the crash in the store.
 func (c *Change) Key() string {
 	if c.droppedKey != "" {
 		return c.droppedKey
@@ -28,7 +28,7 @@
 	return c.Crash.Key()
 }
 
-// changeJSON is a change as peers tell it.
+// changeJSON is the encoding of a change in calls to peers and in the store.
 type changeJSON struct {
 	Request string `json:"request"`
 	Server  string `json:"server"`
@@ -54,8 +54,8 @@
 	return nil
 }
 
-// encode is the change as the store keeps it. Each server's end has a key of its own,
-// so that no writer undoes what another one wrote.
+// encode returns the change's record for the store. Each crash has its own key, so that no
+// process overwrites what another one wrote.
 func (c *Change) encode() (platform.KeyedRecord, error) {
 	r := platform.KeyedRecord{Key: c.Key()}
 	if c.Gone {
@@ -66,7 +66,8 @@
 	return r, errors.Trace(err)
 }
 
-// decodeChange reads a change of the store; false: it is none.
+// decodeChange decodes a change from a record of the store; false: the record is not a
+// valid change.
 func decodeChange(r platform.KeyedRecord) (Change, bool) {
 	request, _, found := strings.Cut(r.Key, "/")
 	if !found {
@@ -82,10 +83,11 @@
 	return c, true
 }
 
-// maxQueue bounds a queue. What a flood pushes out is known to this process only.
+// maxQueue is the maximum number of changes in a queue. Changes that a flood pushes out are
+// known to this process only.
 const maxQueue = 1024
 
-// queue holds changes until they are told. Its owner's lock guards it.
+// queue holds changes until they are sent. It is guarded by the lock of its owner.
 type queue struct {
 	changes []Change
 	wake    chan struct{}
@@ -101,11 +103,11 @@
 	}
 	select {
 	case q.wake <- struct{}{}:
-	default: // whoever takes from it is awake
+	default: // the reader has been notified already
 	}
 }
 
-// take removes the first changes, at most so many.
+// take removes and returns the first changes, at most maxChanges.
 func (q *queue) take(maxChanges int) []Change {
 	n := min(maxChanges, len(q.changes))
 	taken := q.changes[:n:n]
--- a/quarantine/http.go
+++ b/quarantine/http.go
@@ -12,13 +12,14 @@
 	"go.uber.org/zap"
 )
 
-// PathPeers is where a process takes what its peers saw.
+// PathPeers is the HTTP path at which a process receives changes from its peers.
 const PathPeers = "/quarantine"
 
-// maxBatchBytes is more than the changes of one call take.
+// maxBatchBytes is the maximum size of a body. A call with the maximum number of changes is
+// smaller.
 const maxBatchBytes = 64 << 10
 
-// HTTPPeers tells peers by HTTP. It implements Peers.
+// HTTPPeers sends changes to peers by HTTP. It implements Peers.
 type HTTPPeers struct {
 	addrs func() []string
 	http  *http.Client
@@ -50,18 +51,18 @@
 		return errors.Trace(err)
 	}
 	defer resp.Body.Close()
-	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxBatchBytes)) // so that the connection is kept
+	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxBatchBytes)) // so that the connection is reused
 	if resp.StatusCode != http.StatusNoContent {
-		return errors.Errorf("status %d", resp.StatusCode)
+		return errors.Errorf("peer answered with status %d", resp.StatusCode)
 	}
 	return nil
 }
 
-// ServeHTTP takes what a peer saw.
+// ServeHTTP applies the changes that a peer sent.
 func (q *Quarantine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var changes []Change
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBatchBytes)).Decode(&changes); err != nil {
-		q.log.Warn("A peer's word can't be read.", zap.String("peer", r.RemoteAddr), zap.Error(err))
+		q.log.Warn("Cannot decode the changes that a peer sent.", zap.String("peer", r.RemoteAddr), zap.Error(err))
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
--- a/quarantine/logstore.go
+++ b/quarantine/logstore.go
@@ -10,19 +10,19 @@
 	"dandelionsill.org/platform"
 )
 
-// logStore keeps keyed records in a log that knows no keys. They last as long as the
-// log keeps its records.
+// logStore stores keyed records in a log without keys. It keeps a record only as long as
+// the log does.
 type logStore struct{ log platform.Log }
 
-// NewLogStore returns a store of keyed records over a plain log.
+// NewLogStore returns a store of keyed records that is backed by a log without keys.
 func NewLogStore(log platform.Log) platform.Keyed { return &logStore{log} }
 
-// logRecord is what one append holds.
+// logRecord is the encoding of the records of one append.
 type logRecord struct {
 	Records []platform.KeyedRecord `json:"records"`
 }
 
-// maxReadRecords bounds the records of one read.
+// maxReadRecords is the maximum number of records of one read.
 const maxReadRecords = 1000
 
 // PutAll implements platform.Keyed.
@@ -74,7 +74,8 @@
 	return decodeRecords(page.Records), page.Next, nil
 }
 
-// decodeRecords leaves out what other releases may have written.
+// decodeRecords returns the keyed records in records of the log. It skips those that it
+// can't decode, which other releases may have written.
 func decodeRecords(records []platform.Record) []platform.KeyedRecord {
 	var all []platform.KeyedRecord
 	for _, r := range records {
--- a/quarantine/logstore_test.go
+++ b/quarantine/logstore_test.go
@@ -17,14 +17,14 @@
 	"dandelionsill.org/standin/logsvc"
 )
 
-// noPeers is a process without peers.
+// noPeers implements quarantine.Peers for a process without peers.
 type noPeers struct{}
 
 func (noPeers) Addrs() []string                                         { return nil }
 func (noPeers) Send(context.Context, string, []quarantine.Change) error { return nil }
 
-// Where the platform has a plain log only, processes that reach none of their peers
-// still hear of each other, and one that starts later knows what they saw.
+// With a platform that has only a log without keys, processes that reach none of their peers
+// must still receive each other's crashes, and so must a process that starts later.
 func TestQuarantineWithLogStore(t *testing.T) {
 	service := httptest.NewServer(logsvc.New(logsvc.Config{}))
 	defer service.Close()
@@ -54,7 +54,8 @@
 	require.Equal(t, poison.Clear, three.Verdict("suspect"))
 }
 
-// Records of the same key stand for the last of them, and one that was dropped is gone.
+// Of the records with the same key only the newest is returned, and none if the key was
+// dropped. Records that can't be decoded are skipped.
 func TestLogStoreNewest(t *testing.T) {
 	service := httptest.NewServer(logsvc.New(logsvc.Config{}))
 	defer service.Close()
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -1,7 +1,7 @@
-// Package quarantine keeps requests that crash each server that runs them from
-// reaching any, in all processes that send requests. What one of them saw it tells its
-// peers at once, and the store, which still has it when all of them start anew.
-// decide/poison decides which requests these are.
+// Package quarantine keeps poison requests, which crash each server that runs them, from
+// all servers, in all processes that send requests. A process reports the crashes that it
+// saw to its peers at once, and writes them to the store, from which processes read them
+// when they start. Package poison decides which requests are poison requests.
 package quarantine
 
 import (
@@ -26,17 +26,17 @@
 	failedSends         = metrics.Counter("quarantine_peers_not_told_total")
 )
 
-// Quarantine is what a process knows of such requests. It is safe for concurrent use;
-// Verdict takes no lock.
+// Quarantine holds what a process knows about poison requests. It is safe for concurrent
+// use; Verdict takes no lock.
 type Quarantine struct {
 	log *zap.Logger
 	now func() time.Time
 
 	statuses atomic.Pointer[map[poison.Fingerprint]poison.Status]
 
-	mu      sync.Mutex // guards what follows
+	mu      sync.Mutex // guards the following fields
 	tracker *poison.Tracker
-	// unsent are crashes that only this process knows of.
+	// unsent are crashes that have not been queued for other processes yet.
 	unsent  map[poison.Fingerprint][]poison.Crash
 	toPeers queue
 	toStore queue
@@ -45,7 +45,7 @@
 	initialized atomic.Bool
 }
 
-// New returns a quarantine that knows nothing and shares nothing yet.
+// New returns an empty quarantine that exchanges nothing with other processes yet.
 func New(log *zap.Logger) *Quarantine {
 	q := &Quarantine{
 		log: log, now: time.Now, tracker: poison.NewTracker(), unsent: map[poison.Fingerprint][]poison.Crash{},
@@ -56,23 +56,23 @@
 	return q
 }
 
-// Empty tells that nothing is known against any request, so that none need be named.
+// Empty reports whether no request is suspected, so that no fingerprint is needed.
 func (q *Quarantine) Empty() bool { return len(*q.statuses.Load()) == 0 }
 
-// Verdict returns what may be done with a request.
+// Verdict returns the current verdict on a request.
 func (q *Quarantine) Verdict(request poison.Fingerprint) poison.Verdict {
 	return (*q.statuses.Load())[request].Verdict(q.now())
 }
 
-// RecordRefusal returns how long a request that is refused stays in quarantine.
+// RecordRefusal counts the refusal of a request and returns how long it stays in quarantine.
 func (q *Quarantine) RecordRefusal(request poison.Fingerprint) time.Duration {
 	refusals.Add(1)
 	return max(0, (*q.statuses.Load())[request].ReleaseTime().Sub(q.now()))
 }
 
-// RecordCrash notes that a server ended under a request. Others are told from the second
-// server on: nearly all requests that a server ends under are bystanders, which the
-// next server answers.
+// RecordCrash records that a server crashed while it ran a request. The crashes of a request
+// are sent to other processes from the second one on: nearly all requests at a crashed
+// server are bystanders, which the next server answers.
 func (q *Quarantine) RecordCrash(request poison.Fingerprint, server string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -88,15 +88,15 @@
 	q.publish("here", c)
 }
 
-// RecordNoAnswer notes that an attempt ended without any server's answer. Its caller asks
-// again at another process, which has to know.
+// RecordNoAnswer records that an attempt ended without an answer from a server. Its crashes
+// are sent to other processes because the caller may retry at any of them.
 func (q *Quarantine) RecordNoAnswer(request poison.Fingerprint) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.enqueueUnsent(request)
 }
 
-// RecordCompletion notes that a server ran a request to its end.
+// RecordCompletion records that a server ran a request to its end, which clears it.
 func (q *Quarantine) RecordCompletion(request poison.Fingerprint) {
 	if _, suspected := (*q.statuses.Load())[request]; !suspected {
 		return
@@ -119,7 +119,7 @@
 	q.publish("here")
 }
 
-// enqueueUnsent queues what only this process knows of a request; q.mu is held.
+// enqueueUnsent queues the unsent crashes of a request; q.mu must be held.
 func (q *Quarantine) enqueueUnsent(request poison.Fingerprint) {
 	for _, c := range q.unsent[request] {
 		crashesSent.Add(1)
@@ -133,7 +133,7 @@
 	q.toStore.add(c)
 }
 
-// Apply takes what another process told; from says by which way it came.
+// Apply applies changes from another process. from is their source, for the log.
 func (q *Quarantine) Apply(from string, changes []Change) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -150,8 +150,8 @@
 	q.publish(from, added...)
 }
 
-// publish lets Verdict see what is known now, and logs what servers' ends that are news
-// change; q.mu is held.
+// publish updates the statuses that Verdict reads, and logs the crashes that were added and
+// the requests that are quarantined by them; q.mu must be held.
 func (q *Quarantine) publish(from string, added ...poison.Crash) {
 	before, after := *q.statuses.Load(), q.tracker.Statuses()
 	q.statuses.Store(&after)
@@ -164,14 +164,13 @@
 	for request, status := range after {
 		if status.Verdict(now) == poison.Quarantined && before[request].Verdict(now) != poison.Quarantined {
 			requestsQuarantined.Add(1)
-			q.log.Warn("A request is quarantined: each server that runs it ends.", zap.String("request", string(request)),
+			q.log.Warn("A request is quarantined: each server that ran it crashed.", zap.String("request", string(request)),
 				zap.Int("servers_ended", status.Crashes), zap.Time("until", status.ReleaseTime()))
 		}
 	}
 }
 
-// expire forgets what is too old, and has the store forget it where it is this
-// process's turn.
+// expire removes crashes that are too old, with inStore also from the store.
 func (q *Quarantine) expire(inStore bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -183,7 +182,7 @@
 	}
 	maps.DeleteFunc(q.unsent, func(request poison.Fingerprint, _ []poison.Crash) bool { return q.tracker.CrashCount(request) == 0 })
 	if len(expired) > 0 {
-		q.log.Info("Servers' ends are forgotten.", zap.Int("servers_ended", len(expired)))
+		q.log.Info("Expired crashes are removed.", zap.Int("servers_ended", len(expired)))
 		q.publish("here")
 	}
 }
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -21,12 +21,12 @@
 	"dandelionsill.org/quarantine"
 )
 
-// testTimeout is how long tests wait for what has to come at some time.
+// testTimeout is how long tests wait for an event.
 const testTimeout = 30 * time.Second
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// fleet is processes with a store.
+// fleet is a set of processes that share a store.
 type fleet struct {
 	store *hostedtest.Store
 
@@ -40,13 +40,13 @@
 	return f
 }
 
-// process is one process's quarantine; stop ends it.
+// process is the quarantine of one process; stop terminates the process.
 type process struct {
 	*quarantine.Quarantine
 	stop func()
 }
 
-// start starts a process. Its peers reach it where it is told to them.
+// start starts a process. With listed, other processes can reach it as a peer.
 func (f *fleet) start(t *testing.T, listed bool) *process {
 	q := quarantine.New(zap.NewNop())
 	calls := httptest.NewServer(q)
@@ -79,7 +79,7 @@
 	return others
 }
 
-// crash ends servers under a request.
+// crash records crashes of several servers under a request.
 func (p *process) crash(request poison.Fingerprint, servers int) {
 	for i := range servers {
 		p.RecordCrash(request, fmt.Sprintf("server %d of %s", i, request))
@@ -96,8 +96,9 @@
 	require.Eventually(t, func() bool { return q.Verdict(request) == want }, testTimeout, time.Millisecond, "want %v", want)
 }
 
-// Servers end under a request at two processes, one of them too few for either to
-// refuse it. Together they are enough, and a third that saw nothing refuses it too.
+// Servers crash under a request at two processes, fewer at each than the threshold. Together
+// they reach it, so that all processes must refuse the request, also a third that saw no
+// crash.
 func TestProcessesCombineTheirCrashes(t *testing.T) {
 	f := newFleet(t)
 	one, two, three := f.start(t, true), f.start(t, true), f.start(t, true)
@@ -111,8 +112,8 @@
 	}
 }
 
-// The store is away, and a request ends servers at one process. The others hear of it
-// from that process, and the store once it is back.
+// A request crashes servers at one process while the store is unavailable. The process must
+// send the crashes to its peers at once, and to the store once it is available again.
 func TestPeersReceiveCrashesWhileTheStoreIsUnavailable(t *testing.T) {
 	f := newFleet(t)
 	one, two := f.start(t, true), f.start(t, true)
@@ -124,8 +125,7 @@
 	require.Eventually(t, func() bool { return len(f.store.Records(hostedtest.TopicCrashes)) >= poison.QuarantineThreshold }, testTimeout, time.Millisecond)
 }
 
-// A process can't be reached by the others but reaches the store. It hears of the
-// request there.
+// A process that the others can't reach must read the crashes from the store.
 func TestUnreachableProcessReadsCrashesFromTheStore(t *testing.T) {
 	f := newFleet(t)
 	one, unlisted := f.start(t, true), f.start(t, false)
@@ -133,8 +133,8 @@
 	unlisted.requireVerdict(t, "r", poison.Quarantined)
 }
 
-// All processes end at one moment. The request comes again at the first that is back,
-// and would end three more servers if nobody remembered.
+// All processes terminate at the same time, and the request is retried at the first one that
+// runs again. It would crash three more servers if the store did not keep the crashes.
 func TestQuarantineSurvivesARestartOfAllProcesses(t *testing.T) {
 	f := newFleet(t)
 	one, two := f.start(t, true), f.start(t, true)
@@ -145,8 +145,8 @@
 	require.Equal(t, poison.Quarantined, f.start(t, true).Verdict("r"))
 }
 
-// A process starts while the part of the store that holds the quarantine is away. It
-// serves callers all the same, and hears of the quarantine when that part is back.
+// A process starts while the part of the store with the crashes is unavailable. It must serve
+// callers all the same, and read the crashes when that part is available again.
 func TestProcessStartsWithoutTheCrashStream(t *testing.T) {
 	f := newFleet(t)
 	one := f.start(t, true)
@@ -160,23 +160,23 @@
 	two.requireVerdict(t, "r", poison.Quarantined)
 }
 
-// An attempt ended without an answer after one server had ended under it. Its caller
-// asks again at another process, which has to know; then a server answers it, and no
-// process suspects it any more.
+// An attempt ends without an answer after one server crashed. The caller retries at another
+// process, which must suspect the request. Once a server answers it, no process may suspect
+// it any more.
 func TestCompletionClearsARequestInAllProcesses(t *testing.T) {
 	f := newFleet(t)
 	one, two := f.start(t, true), f.start(t, true)
 	one.RecordCrash("r", "s1")
-	require.True(t, two.Empty(), "nearly all such requests are bystanders")
+	require.True(t, two.Empty(), "a single crash is not sent: nearly all such requests are bystanders")
 	one.RecordNoAnswer("r")
 	two.requireVerdict(t, "r", poison.Suspect)
 	two.RecordCompletion("r")
 	one.requireVerdict(t, "r", poison.Clear)
 	two.requireVerdict(t, "r", poison.Clear)
-	require.Equal(t, poison.Clear, f.start(t, true).Verdict("r"), "the store has forgotten it too")
+	require.Equal(t, poison.Clear, f.start(t, true).Verdict("r"), "its crashes are removed from the store too")
 }
 
-// Other writers' records, and words that can't be read, change nothing.
+// Foreign records in the store and invalid calls of peers must change nothing.
 func TestInvalidRecordsAndRequestsAreIgnored(t *testing.T) {
 	f := newFleet(t)
 	f.store.Put(hostedtest.TopicCrashes, "no request", "x")
@@ -192,8 +192,8 @@
 	require.True(t, p.Empty())
 }
 
-// A rack fails under load: thousands of attempts end without an answer. What is kept of
-// them is bounded, and a request in quarantine stays there.
+// A rack fails under load, and thousands of attempts end without an answer. What is kept about
+// them must be bounded, and a quarantined request must stay quarantined.
 func TestFloodOfSuspectsIsBounded(t *testing.T) {
 	f := newFleet(t)
 	one, two := f.start(t, true), f.start(t, true)
@@ -208,7 +208,8 @@
 	two.requireVerdict(t, "r", poison.Quarantined)
 }
 
-// The verdict is asked before each try of each request.
+// BenchmarkVerdict measures the cost of the verdict, which is needed before each attempt of
+// each request.
 func BenchmarkVerdict(b *testing.B) {
 	q := quarantine.New(zap.NewNop())
 	for i := range poison.QuarantineThreshold {
@@ -221,7 +222,7 @@
 	})
 }
 
-// Telling one peer of one end, the peer's part included.
+// BenchmarkSend measures a call with one crash to one peer, including the peer's work.
 func BenchmarkSend(b *testing.B) {
 	peer := httptest.NewServer(quarantine.New(zap.NewNop()))
 	defer peer.Close()
--- a/quarantine/request.go
+++ b/quarantine/request.go
@@ -8,17 +8,17 @@
 	"dandelionsill.org/decide/poison"
 )
 
-// TrackedRequest is one request on its way, as a quarantine sees it. Its name is made once it
-// is needed: nothing is hashed while nothing is known against any request. It is safe
-// for concurrent use.
+// TrackedRequest is a request that is being sent to servers. Its fingerprint is computed when it is
+// first needed: nothing is hashed while no request is suspected. It is safe for concurrent
+// use.
 type TrackedRequest struct {
 	q           *Quarantine
 	fingerprint func() poison.Fingerprint
-	crashed     atomic.Bool // a server ended under it here
+	crashed     atomic.Bool // a server crashed while it ran the request for this process
 }
 
-// Track returns a request by its content, which is what makes it the same one when its
-// caller asks again.
+// Track returns a request with a content, by which it is recognised when its caller retries.
+// content is called at most once.
 func (q *Quarantine) Track(content func() poison.Content) *TrackedRequest {
 	return &TrackedRequest{q: q, fingerprint: sync.OnceValue(func() poison.Fingerprint {
 		c := content()
@@ -26,12 +26,12 @@
 	})}
 }
 
-// Fingerprint returns the request's name.
+// Fingerprint returns the request's fingerprint.
 func (s *TrackedRequest) Fingerprint() poison.Fingerprint { return s.fingerprint() }
 
-// Verdict returns what may be done with the request now; one that nobody guards (nil) is
-// clear. It is asked before each try: what another process saw may have become known
-// since the last.
+// Verdict returns the current verdict on the request. A nil TrackedRequest is clear. It is to be
+// called before each attempt, because other processes may have reported crashes since the
+// last one.
 func (s *TrackedRequest) Verdict() poison.Verdict {
 	if s == nil || s.q.Empty() {
 		return poison.Clear
@@ -39,24 +39,24 @@
 	return s.q.Verdict(s.fingerprint())
 }
 
-// RecordRefusal returns how long the request, which is refused, stays in quarantine.
+// RecordRefusal counts the refusal of the request and returns how long it stays in quarantine.
 func (s *TrackedRequest) RecordRefusal() time.Duration { return s.q.RecordRefusal(s.fingerprint()) }
 
-// RecordCrash notes that a server ended under the request.
+// RecordCrash records that a server crashed while it ran the request.
 func (s *TrackedRequest) RecordCrash(server string) {
 	s.crashed.Store(true)
 	s.q.RecordCrash(s.fingerprint(), server)
 }
 
-// RecordNoAnswer notes that an attempt ended without any server's answer.
+// RecordNoAnswer records that an attempt ended without an answer from a server.
 func (s *TrackedRequest) RecordNoAnswer() {
 	if s.crashed.Load() {
 		s.q.RecordNoAnswer(s.fingerprint())
 	}
 }
 
-// RecordCompletion notes that a server ran the request to its end. That counts also for one
-// whose servers' ends are attributed to another: more may end under it later.
+// RecordCompletion records that a server ran the request to its end. It also clears a request
+// whose crashes are attributed to another one, because it may see more crashes later.
 func (s *TrackedRequest) RecordCompletion() {
 	if !s.q.Empty() {
 		s.q.RecordCompletion(s.fingerprint())
--- a/quarantine/share.go
+++ b/quarantine/share.go
@@ -13,54 +13,58 @@
 	"dandelionsill.org/platform"
 )
 
-// Times and sizes of telling peers.
+// Limits and times of calls to peers.
 const (
-	// maxBatch is how many changes one call tells.
+	// maxBatch is the maximum number of changes of one call or write.
 	maxBatch = 256
-	// peerTimeout bounds a call to a peer, a few milliseconds away.
+	// peerTimeout is the timeout of a call to a peer, which is a few milliseconds away.
 	peerTimeout = 400 * time.Millisecond
-	// peerAttempts is how often a peer is told. With their pauses they cover some
-	// seconds in which a peer is frozen or cut off, and a connection that went
-	// silent is replaced by the second.
+	// peerAttempts is the maximum number of attempts to call a peer. With the delays
+	// between them they last for some seconds in which a peer may be suspended or
+	// unreachable. The second attempt replaces an unresponsive connection.
 	peerAttempts   = 5
 	peerRetryDelay = 250 * time.Millisecond
-	// maxConcurrentCalls bounds the calls that are open at a time.
+	// maxConcurrentCalls is the maximum number of open calls to peers.
 	maxConcurrentCalls = 64
-	// sendInterval and tellPerPeer lie between two rounds: where a rack fails under load,
-	// what all its requests lost is told in a few rounds.
+	// sendInterval, plus sendIntervalPerPeer for each peer, is the pause between two rounds
+	// of calls, so that the many crashes of a rack that fails under load are sent in a few
+	// rounds.
 	sendInterval        = 10 * time.Millisecond
 	sendIntervalPerPeer = time.Millisecond
 )
 
-// Times of the store.
+// Limits and times of calls to the store.
 const (
-	// readWait is how long a read waits at the store for a change, and so how long
-	// one on a connection that went silent hears nothing. Peers tell sooner.
+	// readWait is how long a read waits at the store for a change. An unresponsive
+	// connection delays changes from the store by as much; peers send them sooner.
 	readWait      = 5 * time.Second
 	minRetryDelay = 100 * time.Millisecond
-	// maxRetryDelay lets a process know within 2 s of an outage's end.
+	// maxRetryDelay is short enough for a process to read the store within 2 s after an
+	// outage.
 	maxRetryDelay = time.Second
-	// readShare and writeShare of the reads that the store takes a second are what all
-	// processes together read and write here. It takes fewer writes than reads.
+	// readShare and writeShare are the shares of the store's reads per second that the
+	// reads and the writes of all processes together may take here. The store accepts
+	// fewer writes than reads.
 	readShare  = 0.1
 	writeShare = 0.02
-	// expiringProcesses is how many processes have the store forget what is too old, in the mean.
+	// expiringProcesses is how many processes, on average, remove expired crashes from the
+	// store.
 	expiringProcesses = 3
 )
 
-// placeholderKey is a record that says nothing, and keeps reads waiting in a stream without
-// any other.
+// placeholderKey is the key of a record without content. A read waits for changes only in a
+// stream that has a record, and this one is written if there is no other.
 const placeholderKey = "made"
 
-// Peers are the other processes that keep a quarantine.
+// Peers sends changes to the other processes that have a quarantine.
 type Peers interface {
-	// Addrs returns where they take calls.
+	// Addrs returns the addresses of the peers.
 	Addrs() []string
-	// Send tells one of them what this process saw.
+	// Send sends changes to the peer at addr.
 	Send(ctx context.Context, addr string, changes []Change) error
 }
 
-// sharing is how a process tells others and hears of them.
+// sharing holds what a process needs to exchange changes with other processes.
 type sharing struct {
 	store          platform.Keyed
 	peers          Peers
@@ -69,18 +73,19 @@
 	callSlots      chan struct{}
 }
 
-// EnableSharing sets whom this process tells; it is called before Run. The store takes so many
-// reads a second of all processes together; 0: not told.
+// EnableSharing sets the store and the peers to exchange changes with. It must be called
+// before Run. readsPerSecond is how many reads the store accepts per second from all
+// processes together; 0: unknown.
 func (q *Quarantine) EnableSharing(store platform.Keyed, peers Peers, readsPerSecond float64) {
 	q.sharing.store, q.sharing.peers, q.sharing.readsPerSecond = store, peers, readsPerSecond
 	q.sharing.callSlots = make(chan struct{}, maxConcurrentCalls)
 }
 
-// Initialized tells whether the store was asked once for what others saw. A process that takes
-// requests before it knows would have each of the quarantined ones end servers again.
+// Initialized reports whether the store has been read once, successfully or not. If a process
+// accepted requests before that, each quarantined request could crash servers again.
 func (q *Quarantine) Initialized() bool { return q.initialized.Load() }
 
-// Run tells others and hears of them until ctx ends.
+// Run exchanges changes with the peers and the store until ctx is cancelled.
 func (q *Quarantine) Run(ctx context.Context) {
 	var loops sync.WaitGroup
 	loops.Go(func() { q.sendToPeers(ctx) })
@@ -90,7 +95,7 @@
 	q.sharing.sends.Wait()
 }
 
-// nextBatch waits for changes of a queue and takes them; nil: ctx has ended.
+// nextBatch waits for changes in a queue and takes them; nil: ctx was cancelled.
 func (q *Quarantine) nextBatch(ctx context.Context, from *queue) []Change {
 	for {
 		q.mu.Lock()
@@ -107,7 +112,7 @@
 	}
 }
 
-// sendToPeers tells all peers what is new here.
+// sendToPeers sends queued changes to all peers until ctx is cancelled.
 func (q *Quarantine) sendToPeers(ctx context.Context) {
 	for ctx.Err() == nil {
 		changes := q.nextBatch(ctx, &q.toPeers)
@@ -122,7 +127,7 @@
 	}
 }
 
-// sendToPeer tells one peer, again where it does not answer.
+// sendToPeer sends changes to one peer and retries failed calls.
 func (q *Quarantine) sendToPeer(ctx context.Context, addr string, changes []Change) {
 	pause := peerRetryDelay
 	var err error
@@ -136,9 +141,10 @@
 		pause *= 2
 	}
 	failedSends.Add(1)
-	q.log.Info("A peer was not told of servers' ends.", zap.String("addr", addr), zap.Error(err))
+	q.log.Info("Failed to send crashes to a peer.", zap.String("addr", addr), zap.Error(err))
 }
 
+// callPeer makes one call to a peer, once a call slot is free.
 func (q *Quarantine) callPeer(ctx context.Context, addr string, changes []Change) error {
 	q.sharing.callSlots <- struct{}{}
 	defer func() { <-q.sharing.callSlots }()
@@ -147,7 +153,7 @@
 	return q.sharing.peers.Send(ctx, addr, changes)
 }
 
-// writeToStore writes what is new here.
+// writeToStore writes queued changes to the store until ctx is cancelled.
 func (q *Quarantine) writeToStore(ctx context.Context) {
 	delay := minRetryDelay
 	for ctx.Err() == nil {
@@ -161,7 +167,7 @@
 			sleep.For(ctx, q.callInterval(writeShare))
 			continue
 		}
-		q.log.Warn("Servers' ends are not in the store yet.", zap.Int("changes", len(changes)), zap.Error(err))
+		q.log.Warn("Failed to write crashes to the store.", zap.Int("changes", len(changes)), zap.Error(err))
 		if !errors.Is(err, platform.ErrLogRefused) {
 			q.requeue(changes)
 		}
@@ -170,6 +176,7 @@
 	}
 }
 
+// requeue puts changes back at the head of the queue for the store.
 func (q *Quarantine) requeue(changes []Change) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -177,12 +184,13 @@
 	q.toStore.add(append(changes, newer...)...)
 }
 
+// records returns the records of changes.
 func (q *Quarantine) records(changes []Change) []platform.KeyedRecord {
 	records := make([]platform.KeyedRecord, 0, len(changes))
 	for i := range changes {
 		r, err := changes[i].encode()
 		if err != nil {
-			q.log.Error("A server's end can't be encoded.", zap.Error(err))
+			q.log.Error("Failed to encode a crash.", zap.Error(err))
 			continue
 		}
 		records = append(records, r)
@@ -190,8 +198,8 @@
 	return records
 }
 
-// callInterval is the least time between two calls to the store, of whose reads a second all
-// processes together take a share at most.
+// callInterval returns the minimum time between two calls of this process to the store, so
+// that all processes together use at most a share of the store's reads per second.
 func (q *Quarantine) callInterval(share float64) time.Duration {
 	if q.sharing.readsPerSecond <= 0 {
 		return minRetryDelay
@@ -200,7 +208,8 @@
 	return time.Duration(processes / (share * q.sharing.readsPerSecond) * float64(time.Second))
 }
 
-// followStore hears what others wrote.
+// followStore applies the changes that other processes write to the store until ctx is
+// cancelled.
 func (q *Quarantine) followStore(ctx context.Context) {
 	delay, disconnected := minRetryDelay, false
 	for ctx.Err() == nil {
@@ -208,24 +217,24 @@
 		if err == nil {
 			q.applyRecords(records)
 		}
-		q.initialized.Store(true) // a store that can't be asked must not keep a process from serving
+		q.initialized.Store(true) // an unavailable store must not keep a process from serving
 		if err == nil {
 			if disconnected {
-				q.log.Info("Others' word in the store is read again.", zap.Int("records", len(records)))
+				q.log.Info("Crashes can be read from the store again.", zap.Int("records", len(records)))
 			}
 			delay, disconnected = minRetryDelay, false
 			err = q.readChanges(ctx, next)
 		}
 		if ctx.Err() == nil && !disconnected {
 			disconnected = true
-			q.log.Warn("Lost others' word in the store; peers still tell.", zap.Error(err))
+			q.log.Warn("Failed to read crashes from the store; peers still send them.", zap.Error(err))
 		}
 		sleep.For(ctx, sleep.Jitter(delay))
 		delay = min(maxRetryDelay, 2*delay)
 	}
 }
 
-// readChanges reads what is written from an offset on until a read fails.
+// readChanges applies the changes in the store from an offset on until a read fails.
 func (q *Quarantine) readChanges(ctx context.Context, next uint64) error {
 	streamMissing := false
 	for ctx.Err() == nil {
@@ -239,7 +248,7 @@
 		q.expire(rand.N(len(q.sharing.peers.Addrs())+1) < expiringProcesses)
 		pause := q.callInterval(readShare)
 		if early := time.Since(startedAt) < readWait/2; early && len(records) == 0 {
-			// There is no such stream, and nothing to wait for in it.
+			// The stream does not exist yet, so that the read did not wait.
 			if streamMissing {
 				q.createStream(ctx)
 			}
@@ -250,19 +259,21 @@
 	return ctx.Err()
 }
 
+// createStream creates the stream of crashes by writing a placeholder record.
 func (q *Quarantine) createStream(ctx context.Context) {
 	if err := q.sharing.store.PutAll(ctx, platform.StreamCrashes, []platform.KeyedRecord{{Key: placeholderKey, Value: []byte("1")}}); err != nil {
-		q.log.Info("The stream of servers' ends is not made yet.", zap.Error(err))
+		q.log.Info("Failed to create the stream of crashes.", zap.Error(err))
 	}
 }
 
+// applyRecords applies records from the store and skips those that can't be decoded.
 func (q *Quarantine) applyRecords(records []platform.KeyedRecord) {
 	changes := make([]Change, 0, len(records))
 	for _, r := range records {
 		if c, ok := decodeChange(r); ok {
 			changes = append(changes, c)
 		} else if r.Key != placeholderKey {
-			q.log.Warn("A record of servers' ends can't be read.", zap.String("key", r.Key))
+			q.log.Warn("Cannot decode a record of a crash from the store.", zap.String("key", r.Key))
 		}
 	}
 	if len(changes) > 0 {
