--- a/decide/lease/lease_test.go
+++ b/decide/lease/lease_test.go
@@ -160,7 +160,7 @@
 	}
 }
 
-// makeCall makes a makeCall that arrives within the duration that the process passed to MayAct.
+// makeCall makes a call that arrives within the duration that the process passed to MayAct.
 func (sim *simulation) makeCall(t *rapid.T, p *process) {
 	const need = 2 * tick
 	if !p.state.MayAct(sim.now, need) {
--- a/decide/usage/usage.go
+++ b/decide/usage/usage.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Window identifies a window of time by its number since the Unix epoch. All windows have
+// Window identifies a window of time by its number since the Unix epoch (1970). All windows have
 // the same length.
 type Window uint64
 
