--- a/decide/poison/poison.go
+++ b/decide/poison/poison.go
@@ -128,9 +128,9 @@
 		return
 	}
 	var evicted Fingerprint
-	for name := range t.crashes {
-		if evicted == "" || t.compareForEviction(name, evicted) < 0 {
-			evicted = name
+	for request := range t.crashes {
+		if evicted == "" || t.compareForEviction(request, evicted) < 0 {
+			evicted = request
 		}
 	}
 	delete(t.crashes, evicted)
@@ -165,10 +165,10 @@
 // Expire removes the requests whose retention has passed and returns their crashes.
 func (t *Tracker) Expire(now time.Time) []Crash {
 	var expired []Crash
-	for name, list := range t.crashes {
+	for request, list := range t.crashes {
 		if (Status{Crashes: len(list), LastCrash: lastCrash(list)}).Verdict(now) == Clear {
 			expired = append(expired, list...)
-			delete(t.crashes, name)
+			delete(t.crashes, request)
 		}
 	}
 	return expired
@@ -191,14 +191,14 @@
 		}
 	}
 	all := make(map[Fingerprint]Status, len(t.crashes))
-	for name, list := range t.crashes {
+	for request, list := range t.crashes {
 		s := Status{LastCrash: lastCrash(list)}
 		for _, c := range list {
 			if len(list) == maxCrashes[c.Server] {
 				s.Crashes++
 			}
 		}
-		all[name] = s
+		all[request] = s
 	}
 	return all
 }
--- a/quarantine/request.go
+++ b/quarantine/request.go
@@ -27,38 +27,38 @@
 }
 
 // Fingerprint returns the request's fingerprint.
-func (s *TrackedRequest) Fingerprint() poison.Fingerprint { return s.fingerprint() }
+func (r *TrackedRequest) Fingerprint() poison.Fingerprint { return r.fingerprint() }
 
 // Verdict returns the current verdict on the request. A nil TrackedRequest is clear. It is to be
 // called before each attempt, because other processes may have reported crashes since the
 // last one.
-func (s *TrackedRequest) Verdict() poison.Verdict {
-	if s == nil || s.q.Empty() {
+func (r *TrackedRequest) Verdict() poison.Verdict {
+	if r == nil || r.q.Empty() {
 		return poison.Clear
 	}
-	return s.q.Verdict(s.fingerprint())
+	return r.q.Verdict(r.fingerprint())
 }
 
 // RecordRefusal counts the refusal of the request and returns how long it stays in quarantine.
-func (s *TrackedRequest) RecordRefusal() time.Duration { return s.q.RecordRefusal(s.fingerprint()) }
+func (r *TrackedRequest) RecordRefusal() time.Duration { return r.q.RecordRefusal(r.fingerprint()) }
 
 // RecordCrash records that a server crashed while it ran the request.
-func (s *TrackedRequest) RecordCrash(server string) {
-	s.crashed.Store(true)
-	s.q.RecordCrash(s.fingerprint(), server)
+func (r *TrackedRequest) RecordCrash(server string) {
+	r.crashed.Store(true)
+	r.q.RecordCrash(r.fingerprint(), server)
 }
 
 // RecordNoAnswer records that an attempt ended without an answer from a server.
-func (s *TrackedRequest) RecordNoAnswer() {
-	if s.crashed.Load() {
-		s.q.RecordNoAnswer(s.fingerprint())
+func (r *TrackedRequest) RecordNoAnswer() {
+	if r.crashed.Load() {
+		r.q.RecordNoAnswer(r.fingerprint())
 	}
 }
 
 // RecordCompletion records that a server ran the request to its end. It also clears a request
 // whose crashes are attributed to another one, because it may see more crashes later.
-func (s *TrackedRequest) RecordCompletion() {
-	if !s.q.Empty() {
-		s.q.RecordCompletion(s.fingerprint())
+func (r *TrackedRequest) RecordCompletion() {
+	if !r.q.Empty() {
+		r.q.RecordCompletion(r.fingerprint())
 	}
 }
