--- a/decide/lease/lease.go
+++ b/decide/lease/lease.go
@@ -1,7 +1,7 @@
-// Package lease decides which process holds the lease of a duty, which exactly one process
-// may have at a time, and when the holder may act. The package does no I/O and reads no
-// clock: its user reads and writes the lease's record in a store that accepts a write only
-// if nothing was written since the writer's last read.
+// Package lease decides which process holds the lease of a duty, a task that one process
+// has at a time, and when the holder may act. The package does no I/O and reads no clock:
+// its user reads and writes the lease's record in a store that accepts a write only if
+// nothing was written since the writer's last read.
 //
 // A holder renews the record and may act for ValidFor after it sent the last renewal that
 // was stored. Another process may take the lease over once it has seen the record unchanged
--- a/decide/poison/poison.go
+++ b/decide/poison/poison.go
@@ -49,7 +49,7 @@
 type Verdict uint8
 
 const (
-	// Clear: no crash is attributed to the request.
+	// Clear: no crash is attributed to the request, or its retention has passed.
 	Clear Verdict = iota
 	// Suspect: a server crashed while it ran the request. It may be sent to one server at
 	// a time.
@@ -64,8 +64,8 @@
 
 // Status sums up the crashes of one request.
 type Status struct {
-	Crashes   int       // servers
-	LastCrash time.Time // when the last of them ended
+	Crashes   int       // number of crashes that are attributed to the request
+	LastCrash time.Time // including crashes that are attributed to other requests
 }
 
 // Verdict returns the verdict on the request at the time now.
@@ -136,6 +136,7 @@
 	delete(t.crashes, evicted)
 }
 
+// compareForEviction orders requests by the order in which they are evicted.
 func (t *Tracker) compareForEviction(a, b Fingerprint) int {
 	x, y := t.crashes[a], t.crashes[b]
 	return cmp.Or(cmp.Compare(len(x), len(y)), lastCrash(x).Compare(lastCrash(y)), cmp.Compare(a, b))
--- a/decide/usage/usage.go
+++ b/decide/usage/usage.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Window identifies a window of time by its number since the Unix epoch (1970). All windows have
-// the same length.
+// Window identifies a window of time by its number since the Unix epoch (1970). All windows
+// have the same length.
 type Window uint64
 
 // WindowAt returns the window that contains t; length is the length of all windows.
--- a/quarantine/request.go
+++ b/quarantine/request.go
@@ -8,9 +8,9 @@
 	"dandelionsill.org/decide/poison"
 )
 
-// TrackedRequest is a request that is being sent to servers. Its fingerprint is computed when it is
-// first needed: nothing is hashed while no request is suspected. It is safe for concurrent
-// use.
+// TrackedRequest is a request that is being sent to servers. Its fingerprint is computed when
+// it is first needed: nothing is hashed while no request is suspected. It is safe for
+// concurrent use.
 type TrackedRequest struct {
 	q           *Quarantine
 	fingerprint func() poison.Fingerprint
@@ -29,9 +29,8 @@
 // Fingerprint returns the request's fingerprint.
 func (r *TrackedRequest) Fingerprint() poison.Fingerprint { return r.fingerprint() }
 
-// Verdict returns the current verdict on the request. A nil TrackedRequest is clear. It is to be
-// called before each attempt, because other processes may have reported crashes since the
-// last one.
+// Verdict returns the current verdict on the request; a nil TrackedRequest is clear. Call it
+// before each attempt, because other processes may have reported crashes since the last one.
 func (r *TrackedRequest) Verdict() poison.Verdict {
 	if r == nil || r.q.Empty() {
 		return poison.Clear
--- a/quarantine/share.go
+++ b/quarantine/share.go
@@ -52,7 +52,7 @@
 	expiringProcesses = 3
 )
 
-// placeholderKey is the key of a record without content. A read waits for changes only in a
+// placeholderKey is the key of a record that holds no crash. A read waits for changes only in a
 // stream that has a record, and this one is written if there is no other.
 const placeholderKey = "made"
 
