--- a/gateway/server/duties.go
+++ b/gateway/server/duties.go
@@ -60,7 +60,7 @@
 	log = logs.Part(log, "usage")
 	keeper := duties.New(duties.Config{
 		Duty: usage.Duty, First: usage.First(clock.Now(), set.Duties.UsageWindow), Self: self, Store: store, Now: boottime.Now, Logger: logs.Part(log, "duties"),
-		Timing: lease.Timing{Valid: share(set.Duties.Lease, validShare), TakeOver: share(set.Duties.Lease, takeOverShare)},
+		Timing: lease.Timing{ValidFor: share(set.Duties.Lease, validShare), TakeOverAfter: share(set.Duties.Lease, takeOverShare)},
 		Renew:  share(set.Duties.Lease, renewShare),
 		Look:   func() time.Duration { return max(lookLeast, time.Duration(processes())*time.Second/looksPerS) },
 		Turn:   turn(self, set.VM.CPUShare),
@@ -71,8 +71,8 @@
 		keeper:  keeper,
 		reporter: &usage.Reporter{
 			Keeper: keeper, Store: store, Platform: hosted.NewDutyClient(set.Duties.Platform), Node: self.Node, Length: set.Duties.UsageWindow,
-			Patience: decide.Patience{Least: share(set.Duties.UsageLate, patienceLeastShare), Most: share(set.Duties.UsageLate, patienceMostShare)},
-			Return:   counter.Return, Now: clock.Now, Log: log.With(zap.String("duty", usage.Duty)),
+			WaitLimits:  decide.WaitLimits{Min: share(set.Duties.UsageLate, patienceLeastShare), Max: share(set.Duties.UsageLate, patienceMostShare)},
+			AfterOutage: counter.AfterOutage, Now: clock.Now, Log: log.With(zap.String("duty", usage.Duty)),
 		},
 	}
 }
--- a/quarantine/change.go
+++ b/quarantine/change.go
@@ -11,24 +11,24 @@
 	"dandelionsill.org/platform"
 )
 
-// Change is one server's end under a request, or the word that it is no longer
-// attributed to it.
+// Change is a crash of a server under a request, or the removal of such a crash, which is
+// then no longer attributed to the request.
 type Change struct {
 	Crash poison.Crash
 	Gone  bool
-	// dropped is the key of a record of which the store has nothing else.
-	dropped string
+	// droppedKey is the key of a removed crash of which the store has only the key.
+	droppedKey string
 }
 
-// Key names the crash among all.
+// Key returns the key of the crash in the store.
 func (c *Change) Key() string {
-	if c.dropped != "" {
-		return c.dropped
+	if c.droppedKey != "" {
+		return c.droppedKey
 	}
 	return c.Crash.Key()
 }
 
-// changeJSON is a change as peers tell it.
+// changeJSON is the encoding of a change in calls to peers and in the store.
 type changeJSON struct {
 	Request string `json:"request"`
 	Server  string `json:"server"`
@@ -50,13 +50,13 @@
 	if in.Request == "" || in.Server == "" {
 		return errors.NotValidf("server's end without a request or a server")
 	}
-	*c = Change{Crash: poison.Crash{Request: poison.Name(in.Request), Server: in.Server, At: time.UnixMilli(in.AtMS)}, Gone: in.Gone}
+	*c = Change{Crash: poison.Crash{Request: poison.Fingerprint(in.Request), Server: in.Server, At: time.UnixMilli(in.AtMS)}, Gone: in.Gone}
 	return nil
 }
 
-// record is the change as the store keeps it. Each server's end has a key of its own,
-// so that no writer undoes what another one wrote.
-func (c *Change) record() (platform.KeyedRecord, error) {
+// encode returns the change's record for the store. Each crash has its own key, so that no
+// process overwrites what another one wrote.
+func (c *Change) encode() (platform.KeyedRecord, error) {
 	r := platform.KeyedRecord{Key: c.Key()}
 	if c.Gone {
 		return r, nil
@@ -66,14 +66,15 @@
 	return r, errors.Trace(err)
 }
 
-// fromRecord reads a change of the store; false: it is none.
-func fromRecord(r platform.KeyedRecord) (Change, bool) {
+// decodeChange decodes a change from a record of the store; false: the record is not a
+// valid change.
+func decodeChange(r platform.KeyedRecord) (Change, bool) {
 	request, _, found := strings.Cut(r.Key, "/")
 	if !found {
 		return Change{}, false
 	}
 	if len(r.Value) == 0 {
-		return Change{Crash: poison.Crash{Request: poison.Name(request)}, Gone: true, dropped: r.Key}, true
+		return Change{Crash: poison.Crash{Request: poison.Fingerprint(request)}, Gone: true, droppedKey: r.Key}, true
 	}
 	var c Change
 	if err := json.Unmarshal(r.Value, &c); err != nil || c.Key() != r.Key {
@@ -82,10 +83,11 @@
 	return c, true
 }
 
-// queueMost bounds a queue. What a flood pushes out is known to this process only.
-const queueMost = 1024
+// maxQueue is the maximum number of changes in a queue. Changes that a flood pushes out are
+// known to this process only.
+const maxQueue = 1024
 
-// queue holds changes until they are told. Its owner's lock guards it.
+// queue holds changes until they are sent. It is guarded by the lock of its owner.
 type queue struct {
 	changes []Change
 	wake    chan struct{}
@@ -95,19 +97,19 @@
 
 func (q *queue) add(changes ...Change) {
 	q.changes = append(q.changes, changes...)
-	if over := len(q.changes) - queueMost; over > 0 {
-		changesLost.Add(int64(over))
-		q.changes = q.changes[over:]
+	if excess := len(q.changes) - maxQueue; excess > 0 {
+		changesDropped.Add(int64(excess))
+		q.changes = q.changes[excess:]
 	}
 	select {
 	case q.wake <- struct{}{}:
-	default: // whoever takes from it is awake
+	default: // the reader has been notified already
 	}
 }
 
-// take removes the first changes, at most so many.
-func (q *queue) take(most int) []Change {
-	n := min(most, len(q.changes))
+// take removes and returns the first changes, at most maxChanges.
+func (q *queue) take(maxChanges int) []Change {
+	n := min(maxChanges, len(q.changes))
 	taken := q.changes[:n:n]
 	q.changes = q.changes[n:]
 	return taken
