--- a/gateway/front/caller.go
+++ b/gateway/front/caller.go
@@ -56,11 +56,11 @@
 // not exist.
 func (f *Front) permit(ctx context.Context, snap *view.Snapshot, r *http.Request, job string) *kinds.Error {
 	organisation, refused := f.identify(snap, r, false)
-	if refused != nil && !f.Jobs.Public(job) {
+	if refused != nil && !f.Jobs.IsPublic(job) {
 		return refused
 	}
 	if snap.Table.Organisations == nil {
 		return nil
 	}
-	return f.Jobs.Permit(ctx, job, organisation)
+	return f.Jobs.CheckAccess(ctx, job, organisation)
 }
--- a/gateway/front/front_test.go
+++ b/gateway/front/front_test.go
@@ -27,7 +27,7 @@
 // newFront serves the platform's callers on loopback.
 func newFront(t *testing.T, pf *gatewaytest.Platform) (*front.Front, string) {
 	p := pf.NewProcess(t)
-	book := jobs.NewBook(p.Store, zap.NewNop())
+	book := jobs.NewIndex(p.Store, zap.NewNop())
 	writer := fold.Writer{Node: "a", Life: "1"}
 	runner := jobs.NewRunner(book, p.Store, p.Forward, writer, 3, 600, zap.NewNop())
 	p.Go(book.Run)
--- a/gateway/jobs/api.go
+++ b/gateway/jobs/api.go
@@ -19,139 +19,139 @@
 
 // Times of calls.
 const (
-	// syncMost is how long a call about an unknown job waits for this process
+	// maxSyncWait is how long a call about an unknown job waits for this process
 	// to be sure; a process that can't be sure says so.
-	syncMost = 900 * time.Millisecond
-	// proofMost is how long a refusal waits for the proof that nothing of the job
+	maxSyncWait = 900 * time.Millisecond
+	// maxProofWait is how long a refusal waits for the proof that nothing of the job
 	// runs: a read of the log takes some milliseconds where it answers at all.
-	proofMost = 200 * time.Millisecond
-	// callerRetry lies between two appends for a caller that waits. Trainers give
+	maxProofWait = 200 * time.Millisecond
+	// callerRetryPause lies between two appends for a caller that waits. Trainers give
 	// a step up after some seconds: a longer pause loses steps whose time ends just
 	// after a store that was away is back.
-	callerRetry = 50 * time.Millisecond
-	// comeBack is when a caller is told to try again: a store that refuses
+	callerRetryPause = 50 * time.Millisecond
+	// retryAfter is when a caller is told to try again: a store that refuses
 	// calls does so for seconds, and another entry may reach it.
-	comeBack = 400 * time.Millisecond
-	// ownerHeard is how lately an owner must have shown that it lives to be
+	retryAfter = 400 * time.Millisecond
+	// maxOwnerSilence is how lately an owner must have shown that it lives to be
 	// given another job: three of its signs of life. As an outage of the log ends, its
 	// last one is up to two of them and a read that waits older than the outage; with
 	// two, the entry took the step itself, and steps went to several owners.
-	ownerHeard = 1200 * time.Millisecond
-	// ownerItems is how many items an owner takes on that has not told its
+	maxOwnerSilence = 1200 * time.Millisecond
+	// defaultOwnerCapacity is how many items an owner takes on that has not told its
 	// capacity.
-	ownerItems = 250
-	// ableItems is the capacity from which on a process can run a whole step.
-	ableItems = 250
-	// ableHeard is how lately such a process must have shown that it lives.
-	ableHeard = idleBeat + time.Second
+	defaultOwnerCapacity = 250
+	// fullStepItems is the capacity from which on a process can run a whole step.
+	fullStepItems = 250
+	// maxCandidateSilence is how lately such a process must have shown that it lives.
+	maxCandidateSilence = idleHeartbeatInterval + time.Second
 	// refsPerRecord is how many items the part of a submission names: some 50 B
 	// each, and the platform takes 256 KB a record.
 	refsPerRecord = 1000
-	// itemOverhead is what an item's names and headers take, in bytes.
-	itemOverhead = 1000
+	// itemOverheadBytes is what an item's names and headers take, in bytes.
+	itemOverheadBytes = 1000
 )
 
 // Service answers the calls about batch jobs.
 type Service struct {
-	book   *Book
-	log    Log
-	zlog   *zap.Logger
-	writer jobs.Writer
-	parts  int // partitions of the texts' stream
+	index      *Index
+	log        Log
+	zlog       *zap.Logger
+	writer     jobs.Writer
+	partitions int // partitions of the texts' stream
 	// capacity is how many items this process can run.
-	capacity int
-	count    atomic.Uint64 // submissions of this process
+	capacity    int
+	submissions atomic.Uint64 // submissions of this process
 }
 
 // NewService returns the calls' side of a book; parts is the number of
 // partitions of the texts' stream, the same in all processes, capacity the
 // number of items that this process can run.
-func NewService(book *Book, log Log, writer jobs.Writer, parts, capacity int, zlog *zap.Logger) *Service {
-	return &Service{book: book, log: log, writer: writer, parts: max(1, parts), capacity: capacity, zlog: zlog}
+func NewService(index *Index, log Log, writer jobs.Writer, partitions, capacity int, zlog *zap.Logger) *Service {
+	return &Service{index: index, log: log, writer: writer, partitions: max(1, partitions), capacity: capacity, zlog: zlog}
 }
 
 // Submit accepts a job durably: nil means that the log has it. It tries until
 // ctx ends, and says "not run" only if the job does not stand in the log.
 func (s *Service) Submit(ctx context.Context, head jobs.Head, items []jobs.Item) *kinds.Error {
-	if s.has(head.ID) {
-		return s.sameJob(&head)
+	if s.hasJob(head.ID) {
+		return s.checkSameJob(&head)
 	}
-	if s.book.Missed() {
+	if s.index.HasMissedRecords() {
 		// It may stand already: accepted a second time here, this process would
 		// number its results otherwise than all others do.
-		return mayStand("records of batch jobs were missed").WithRetryAfter(comeBack)
+		return outcomeUnknown("records of batch jobs were missed").WithRetryAfter(retryAfter)
 	}
-	failed := s.submit(ctx, head, items)
-	if failed == nil && s.has(head.ID) {
-		return s.sameJob(&head)
+	failed := s.appendJob(ctx, head, items)
+	if failed == nil && s.hasJob(head.ID) {
+		return s.checkSameJob(&head)
 	}
-	if failed == nil || !failed.NotRun() || s.absent(ctx, head.ID) {
+	if failed == nil || !failed.NotRun() || s.isProvenAbsent(ctx, head.ID) {
 		return failed
 	}
-	return mayStand("another entry may have accepted the batch job")
+	return outcomeUnknown("another entry may have accepted the batch job")
 }
 
-// sameJob tells whether a job that stands is the one that is handed in; one of another
+// checkSameJob tells whether a job that stands is the one that is handed in; one of another
 // organisation only has its id.
-func (s *Service) sameJob(head *jobs.Head) *kinds.Error {
-	if s.owned(head.ID, head.Organisation) {
+func (s *Service) checkSameJob(head *jobs.Head) *kinds.Error {
+	if s.isVisibleTo(head.ID, head.Organisation) {
 		return nil
 	}
 	return kinds.Hold().Refuse(kinds.KeyReused, "the id of batch job %q is taken", head.ID)
 }
 
-// owned tells whether a job stands that belongs to an organisation, or to nobody.
-func (s *Service) owned(job, organisation string) bool {
-	s.book.mu.Lock()
-	defer s.book.mu.Unlock()
-	j := s.book.state.Jobs[job]
+// isVisibleTo tells whether a job stands that belongs to an organisation, or to nobody.
+func (s *Service) isVisibleTo(job, organisation string) bool {
+	s.index.mu.Lock()
+	defer s.index.mu.Unlock()
+	j := s.index.state.Jobs[job]
 	return j != nil && (j.Organisation == "" || j.Organisation == organisation)
 }
 
-// Public tells whether a job is known that belongs to nobody.
-func (s *Service) Public(job string) bool { return s.owned(job, "") }
+// IsPublic tells whether a job is known that belongs to nobody.
+func (s *Service) IsPublic(job string) bool { return s.isVisibleTo(job, "") }
 
-// Permit tells whether callers of an organisation may know of a job; it waits until this
+// CheckAccess tells whether callers of an organisation may know of a job; it waits until this
 // process is sure. kinds.NotFound: for them there is none.
-func (s *Service) Permit(ctx context.Context, job, organisation string) *kinds.Error {
-	if err := s.known(ctx, job); err != nil {
+func (s *Service) CheckAccess(ctx context.Context, job, organisation string) *kinds.Error {
+	if err := s.checkExists(ctx, job); err != nil {
 		return err
 	}
-	if s.owned(job, organisation) {
+	if s.isVisibleTo(job, organisation) {
 		return nil
 	}
-	return noJob(job)
+	return jobNotFound(job)
 }
 
-func noJob(job string) *kinds.Error {
+func jobNotFound(job string) *kinds.Error {
 	return kinds.Hold().Refuse(kinds.NotFound, "no batch job %q", job)
 }
 
-// mayStand is the answer to a submission of a job that may have been accepted
+// outcomeUnknown is the answer to a submission of a job that may have been accepted
 // before: it does not say "not run".
-func mayStand(why string) *kinds.Error {
+func outcomeUnknown(why string) *kinds.Error {
 	held := kinds.Hold()
 	held.Send()
 	return held.Refuse(kinds.LogUnavailable, "%s", why)
 }
 
-// absent proves that a job does not stand. An earlier submission of it may have
+// isProvenAbsent proves that a job does not stand. An earlier submission of it may have
 // been accepted elsewhere since this process last read the log; "not run" would
 // then be untrue of a job that runs.
-func (s *Service) absent(ctx context.Context, job string) bool {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), proofMost)
+func (s *Service) isProvenAbsent(ctx context.Context, job string) bool {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), maxProofWait)
 	defer cancel()
-	return s.book.Synced(ctx) && !s.has(job)
+	return s.index.Sync(ctx) && !s.hasJob(job)
 }
 
-func (s *Service) submit(ctx context.Context, head jobs.Head, items []jobs.Item) *kinds.Error {
+func (s *Service) appendJob(ctx context.Context, head jobs.Head, items []jobs.Item) *kinds.Error {
 	head.SubmittedMS = time.Now().UnixMilli()
-	done := func() bool { return s.has(head.ID) }
-	at, failed := s.appendItems(ctx, head.ID, items, done)
+	done := func() bool { return s.hasJob(head.ID) }
+	itemsAt, failed := s.appendItems(ctx, head.ID, items, done)
 	if failed != nil || done() {
 		return failed
 	}
-	records, err := s.submission(head, items, at)
+	records, err := s.encodeSubmission(head, items, itemsAt)
 	if err != nil {
 		return kinds.Hold().Refuse(kinds.BadRequest, "%v", err)
 	}
@@ -164,12 +164,12 @@
 // for the next one: the log may be away in parts, and the job names where its items
 // stand.
 func (s *Service) appendItems(ctx context.Context, job string, items []jobs.Item, done func() bool) (jobs.TextRef, *kinds.Error) {
-	records, err := itemRecords(s.writer, job, items)
+	records, err := encodeItems(s.writer, job, items)
 	if err != nil {
 		return jobs.TextRef{}, kinds.Hold().Refuse(kinds.BadRequest, "%v", err)
 	}
-	for part := partOf(job, s.parts); ; part = (part + 1) % s.parts {
-		offset, err := s.appendAllTo(ctx, textStream(part), records)
+	for part := partitionOf(job, s.partitions); ; part = (part + 1) % s.partitions {
+		offset, err := s.appendBatches(ctx, textStream(part), records)
 		if err == nil || done() {
 			return jobs.TextRef{Part: part, Offset: offset}, nil
 		}
@@ -178,18 +178,18 @@
 			return jobs.TextRef{}, kinds.Hold().Refuse(kinds.TooLarge, "the log does not take a batch job of this size")
 		}
 		s.zlog.Warn("Items were not appended.", zap.String("job", job), zap.Int("part", part), zap.Error(err))
-		if !sleep.For(ctx, sleep.Jitter(callerRetry)) {
-			return jobs.TextRef{}, kinds.Hold().Refuse(kinds.LogUnavailable, "the log takes no records").WithRetryAfter(comeBack)
+		if !sleep.For(ctx, sleep.Jitter(callerRetryPause)) {
+			return jobs.TextRef{}, kinds.Hold().Refuse(kinds.LogUnavailable, "the log takes no records").WithRetryAfter(retryAfter)
 		}
 	}
 }
 
-// appendAllTo appends records to a stream, as many at a time as the log takes, and
+// appendBatches appends records to a stream, as many at a time as the log takes, and
 // returns the offset of the first.
-func (s *Service) appendAllTo(ctx context.Context, stream string, records [][]byte) (uint64, error) {
+func (s *Service) appendBatches(ctx context.Context, stream string, records [][]byte) (uint64, error) {
 	first := uint64(0)
-	for i, call := range calls(records) {
-		offset, err := s.log.AppendAll(ctx, stream, call)
+	for i, batch := range batchRecords(records) {
+		offset, err := s.log.AppendAll(ctx, stream, batch)
 		if err != nil {
 			appendFailures.Add(1)
 			return 0, errors.Trace(err)
@@ -201,24 +201,24 @@
 	return first, nil
 }
 
-func (s *Service) has(job string) bool {
-	s.book.mu.Lock()
-	defer s.book.mu.Unlock()
-	return s.book.state.Jobs[job] != nil
+func (s *Service) hasJob(job string) bool {
+	s.index.mu.Lock()
+	defer s.index.mu.Unlock()
+	return s.index.state.Jobs[job] != nil
 }
 
-// submission splits a job into records that the log takes.
-func (s *Service) submission(head jobs.Head, items []jobs.Item, at jobs.TextRef) ([][]byte, error) {
+// encodeSubmission splits a job into records that the log takes.
+func (s *Service) encodeSubmission(head jobs.Head, items []jobs.Item, itemsAt jobs.TextRef) ([][]byte, error) {
 	refs := make([]jobs.ItemRef, 0, len(items))
 	for _, item := range items {
 		refs = append(refs, jobs.ItemRef{ID: item.ID, Group: item.Group})
 	}
 	parts := slices.Collect(slices.Chunk(refs, refsPerRecord))
-	owner := s.owner(len(items))
-	name := s.writer.Node + "/" + s.writer.Life + "/" + strconv.FormatUint(s.count.Add(1), 10)
+	owner := s.chooseOwner(len(items))
+	name := s.writer.Node + "/" + s.writer.Life + "/" + strconv.FormatUint(s.submissions.Add(1), 10)
 	records := make([][]byte, 0, len(parts))
 	for i, part := range parts {
-		r := jobs.Record{Writer: s.writer, Accept: &jobs.Accept{Head: head, Owner: owner, At: at, Submission: name, Part: i, Parts: len(parts), Items: part}}
+		r := jobs.Record{Writer: s.writer, Accept: &jobs.Accept{Head: head, Owner: owner, At: itemsAt, Submission: name, Part: i, Parts: len(parts), Items: part}}
 		data, err := r.Encode()
 		if err != nil {
 			return nil, errors.Trace(err)
@@ -228,36 +228,36 @@
 	return records, nil
 }
 
-// owner chooses who runs a job of some items: an owner of earlier jobs that
+// chooseOwner chooses who runs a job of some items: an chooseOwner of earlier jobs that
 // shows that it lives and has room. It has connections to the engines, knows
-// their pace and what else runs there; with a new owner for each step, seven of
+// their pace and what else runs there; with a new chooseOwner for each step, seven of
 // ten connections were opened for that alone. Else it is this process, or one
 // that can run the job where this one is too small. nil: this process.
-func (s *Service) owner(items int) *jobs.Writer {
-	s.book.mu.Lock()
-	defer s.book.mu.Unlock()
-	var able *jobs.Writer
-	for _, o := range s.book.state.Owners() {
-		silent := s.book.silent(o.Owner, time.Now())
+func (s *Service) chooseOwner(items int) *jobs.Writer {
+	s.index.mu.Lock()
+	defer s.index.mu.Unlock()
+	var candidate *jobs.Writer
+	for _, o := range s.index.state.Owners() {
+		silence := s.index.silenceOf(o.Owner, time.Now())
 		switch {
-		case o.Items+items > capacityOr(o.Capacity):
-		case o.Items > 0 && silent <= ownerHeard, silent <= ownerHeard && o.Capacity >= ableItems:
+		case o.Items+items > capacityOrDefault(o.Capacity):
+		case o.Items > 0 && silence <= maxOwnerSilence, silence <= maxOwnerSilence && o.Capacity >= fullStepItems:
 			return &o.Owner
-		case able == nil && silent <= ableHeard && o.Capacity >= ableItems:
-			able = &o.Owner
+		case candidate == nil && silence <= maxCandidateSilence && o.Capacity >= fullStepItems:
+			candidate = &o.Owner
 		}
 	}
 	if s.capacity >= items {
 		return nil
 	}
-	return able
+	return candidate
 }
 
-func capacityOr(told int) int {
-	if told == 0 {
-		return ownerItems
+func capacityOrDefault(reported int) int {
+	if reported == 0 {
+		return defaultOwnerCapacity
 	}
-	return told
+	return reported
 }
 
 // Capacity is how many items a VM can have in its hands: a stream makes 27 events of
@@ -270,9 +270,9 @@
 	const (
 		itemsPerCore = 2000
 		itemsPerMbps = 2
-		most         = 1600
+		maxItems     = 1600
 	)
-	return int(min(most, itemsPerCore*cpuShare, itemsPerMbps*linkMbps))
+	return int(min(maxItems, itemsPerCore*cpuShare, itemsPerMbps*linkMbps))
 }
 
 // appendUntil appends until the log takes the records, done says that they are
@@ -293,8 +293,8 @@
 			return 0, held.Refuse(kinds.TooLarge, "the log does not take a batch job of this size")
 		}
 		s.zlog.Warn("Append failed.", zap.Bool("may_stand", held.Sent()), zap.Error(err))
-		if !sleep.For(ctx, sleep.Jitter(callerRetry)) {
-			return 0, held.Refuse(kinds.LogUnavailable, "the log takes no records").WithRetryAfter(comeBack)
+		if !sleep.For(ctx, sleep.Jitter(callerRetryPause)) {
+			return 0, held.Refuse(kinds.LogUnavailable, "the log takes no records").WithRetryAfter(retryAfter)
 		}
 		if done() {
 			return 0, nil
@@ -304,13 +304,13 @@
 
 // End ends a job durably. kinds.NotFound: there is no such job.
 func (s *Service) End(ctx context.Context, job string) *kinds.Error {
-	if err := s.known(ctx, job); err != nil {
+	if err := s.checkExists(ctx, job); err != nil {
 		return err
 	}
 	ended := func() bool {
-		s.book.mu.Lock()
-		defer s.book.mu.Unlock()
-		j := s.book.state.Jobs[job]
+		s.index.mu.Lock()
+		defer s.index.mu.Unlock()
+		j := s.index.state.Jobs[job]
 		return j == nil || j.Ended
 	}
 	if ended() {
@@ -325,45 +325,45 @@
 	return failed
 }
 
-// known tells whether a job exists; it waits until this process is sure.
-func (s *Service) known(ctx context.Context, job string) *kinds.Error {
-	if s.has(job) && s.book.CaughtUp() {
+// checkExists tells whether a job exists; it waits until this process is sure.
+func (s *Service) checkExists(ctx context.Context, job string) *kinds.Error {
+	if s.hasJob(job) && s.index.CaughtUp() {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, syncMost)
+	ctx, cancel := context.WithTimeout(ctx, maxSyncWait)
 	defer cancel()
-	if !s.book.Synced(ctx) {
+	if !s.index.Sync(ctx) {
 		return notFollowing()
 	}
-	if s.has(job) {
+	if s.hasJob(job) {
 		return nil
 	}
-	if s.book.Missed() {
+	if s.index.HasMissedRecords() {
 		return notFollowing()
 	}
-	return noJob(job)
+	return jobNotFound(job)
 }
 
 // Results returns a job's number of items and its results from a position on.
 // Where there is none yet it waits for one, at most wait, and as long as
 // gather.Hold says for more.
 func (s *Service) Results(ctx context.Context, job string, after int, wait time.Duration) (int, []jobs.Result, *kinds.Error) {
-	if err := s.known(ctx, job); err != nil {
+	if err := s.checkExists(ctx, job); err != nil {
 		return 0, nil, err
 	}
-	began := time.Now()
+	start := time.Now()
 	timeout := time.NewTimer(wait)
 	defer timeout.Stop()
 	for {
-		changed := s.book.Changed.Next()
-		total, results, over, read := s.results(job, after)
-		read.Waited, read.MaxWait, read.Empty = time.Since(began), wait, len(results) == 0
+		changed := s.index.Changed.Next()
+		total, results, closed, read := s.results(job, after)
+		read.Waited, read.MaxWait, read.Empty = time.Since(start), wait, len(results) == 0
 		hold := gather.Hold(read)
-		if over && read.Empty {
+		if closed && read.Empty {
 			hold = 0
 		}
 		if hold <= 0 {
-			return s.answer(ctx, job, after, total, results)
+			return s.answerWithTexts(ctx, job, after, total, results)
 		}
 		timeout.Reset(hold)
 		select {
@@ -375,36 +375,36 @@
 	}
 }
 
-// answer returns results with their texts.
-func (s *Service) answer(ctx context.Context, job string, after, total int, results []jobs.Result) (int, []jobs.Result, *kinds.Error) {
+// answerWithTexts returns results with their texts.
+func (s *Service) answerWithTexts(ctx context.Context, job string, after, total int, results []jobs.Result) (int, []jobs.Result, *kinds.Error) {
 	if len(results) == 0 {
-		return total, nil, s.unsure()
+		return total, nil, s.checkUpToDate()
 	}
-	filled, err := s.book.Texts.fill(ctx, results)
+	filled, err := s.index.Texts.fill(ctx, results)
 	if err != nil {
 		s.zlog.Warn("A text can't be read.", zap.String("job", job), zap.Int("after", after), zap.Error(err))
-		return 0, nil, kinds.Hold().Refuse(kinds.LogUnavailable, "the texts can't be read now").WithRetryAfter(comeBack)
+		return 0, nil, kinds.Hold().Refuse(kinds.LogUnavailable, "the texts can't be read now").WithRetryAfter(retryAfter)
 	}
 	return total, filled, nil
 }
 
-// unsure is the answer in place of "no result yet" from a process that does not
+// checkUpToDate is the answer in place of "no result yet" from a process that does not
 // follow the log now: others may have given results that it has not read.
-func (s *Service) unsure() *kinds.Error {
-	if s.book.UpToDate() {
+func (s *Service) checkUpToDate() *kinds.Error {
+	if s.index.UpToDate() {
 		return nil
 	}
 	return notFollowing()
 }
 
 func notFollowing() *kinds.Error {
-	return kinds.Hold().Refuse(kinds.LogUnavailable, "this entry does not follow the log now").WithRetryAfter(comeBack)
+	return kinds.Hold().Refuse(kinds.LogUnavailable, "this entry does not follow the log now").WithRetryAfter(retryAfter)
 }
 
-func (s *Service) results(job string, after int) (total int, results []jobs.Result, over bool, read gather.Read) {
-	s.book.mu.Lock()
-	defer s.book.mu.Unlock()
-	j := s.book.state.Jobs[job]
+func (s *Service) results(job string, after int) (total int, results []jobs.Result, closed bool, read gather.Read) {
+	s.index.mu.Lock()
+	defer s.index.mu.Unlock()
+	j := s.index.state.Jobs[job]
 	if j == nil {
 		return 0, nil, true, read
 	}
@@ -413,32 +413,32 @@
 	}
 	read.Enough = j.Ended || j.Enough()
 	read.Due = time.Until(time.UnixMilli(j.SubmittedMS + j.DueMS))
-	read.Expected = s.book.expected(j, time.Now())
+	read.Expected = s.index.expectedWait(j, time.Now())
 	return j.Total, results, !j.Open(), read
 }
 
 // Body returns the body of an item of a job that was not ended.
 func (s *Service) Body(ctx context.Context, job, item string) ([]byte, *kinds.Error) {
-	if err := s.known(ctx, job); err != nil {
+	if err := s.checkExists(ctx, job); err != nil {
 		return nil, err
 	}
-	at, ok := s.standsAt(job, item)
+	ref, ok := s.itemsRef(job, item)
 	if !ok {
 		return nil, kinds.Hold().Refuse(kinds.NotFound, "no item %q in batch job %q", item, job)
 	}
-	found, err := readItem(ctx, s.book.log, job, item, at)
+	found, err := readItem(ctx, s.index.log, job, item, ref)
 	if err != nil {
 		s.zlog.Warn("A body can't be read.", zap.String("job", job), zap.String("id", item), zap.Error(err))
-		return nil, kinds.Hold().Refuse(kinds.LogUnavailable, "the bodies can't be read now").WithRetryAfter(comeBack)
+		return nil, kinds.Hold().Refuse(kinds.LogUnavailable, "the bodies can't be read now").WithRetryAfter(retryAfter)
 	}
 	return found.Body, nil
 }
 
-// standsAt tells where the items of a job stand that was not ended and has one.
-func (s *Service) standsAt(job, item string) (jobs.TextRef, bool) {
-	s.book.mu.Lock()
-	defer s.book.mu.Unlock()
-	j := s.book.state.Jobs[job]
+// itemsRef tells where the items of a job stand that was not ended and has one.
+func (s *Service) itemsRef(job, item string) (jobs.TextRef, bool) {
+	s.index.mu.Lock()
+	defer s.index.mu.Unlock()
+	j := s.index.state.Jobs[job]
 	if j == nil || j.Ended || j.Items[item] == nil {
 		return jobs.TextRef{}, false
 	}
--- a/gateway/jobs/history_test.go
+++ b/gateway/jobs/history_test.go
@@ -22,15 +22,15 @@
 
 const (
 	submit op = "submit"
-	look   op = "look"
+	lookup op = "look"
 )
 
-type got string
+type outcome string
 
 const (
-	yes    got = "yes"
-	no     got = "no"
-	unsure got = "unsure"
+	yes    outcome = "yes"
+	no     outcome = "no"
+	unsure outcome = "unsure"
 )
 
 // existence is the model of a job: it does not exist, then it does for good. A
@@ -38,7 +38,7 @@
 var existence = porcupine.Model{
 	Init: func() any { return false },
 	Step: func(state, input, output any) (bool, any) {
-		exists, answer := state.(bool), output.(got)
+		exists, answer := state.(bool), output.(outcome)
 		switch {
 		case input.(op) == submit && answer == yes:
 			return true, true
@@ -66,7 +66,7 @@
 	t     *testing.T
 }
 
-func (h *history) do(client int, job string, what op, ask func() got) {
+func (h *history) record(client int, job string, what op, ask func() outcome) {
 	call := time.Since(h.start).Nanoseconds()
 	answer := ask()
 	end := time.Since(h.start).Nanoseconds()
@@ -78,8 +78,8 @@
 	h.ops[job] = append(h.ops[job], porcupine.Operation{ClientId: client, Input: what, Call: call, Output: answer, Return: end})
 }
 
-// read notes results; those that anybody has read before must be the same.
-func (h *history) read(job string, results []fold.Result) {
+// checkResults notes results; those that anybody has checkResults before must be the same.
+func (h *history) checkResults(job string, results []fold.Result) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	known := h.seen[job]
@@ -91,7 +91,7 @@
 	}
 }
 
-func answerOf(err *kinds.Error) got {
+func answerOf(err *kinds.Error) outcome {
 	switch {
 	case err == nil:
 		return yes
@@ -122,7 +122,7 @@
 		clients.Go(func() {
 			rng := rand.New(rand.NewPCG(7, uint64(client)))
 			for n := range 20 {
-				askOnce(t, h, entries[rng.IntN(3)], client, fmt.Sprintf("j%d", (n+client)/4), rng)
+				callOnce(t, h, entries[rng.IntN(3)], client, fmt.Sprintf("j%d", (n+client)/4), rng)
 				if client == 0 && n == 10 {
 					entries[2].Stop()
 				}
@@ -138,8 +138,8 @@
 		for _, o := range ops {
 			if o.Input == submit && o.Output == yes {
 				accepted++
-				h.read(job, entries[0].results(t, job, 2))
-				h.read(job, entries[1].results(t, job, 2))
+				h.checkResults(job, entries[0].results(t, job, 2))
+				h.checkResults(job, entries[1].results(t, job, 2))
 				break
 			}
 		}
@@ -163,20 +163,20 @@
 	}
 }
 
-// askOnce hands a job in, or looks it up and reads its results.
-func askOnce(t *testing.T, h *history, e *entry, client int, job string, rng *rand.Rand) {
+// callOnce hands a job in, or looks it up and reads its results.
+func callOnce(t *testing.T, h *history, e *entry, client int, job string, rng *rand.Rand) {
 	ctx, cancel := context.WithTimeout(t.Context(), 150*time.Millisecond+time.Duration(rng.IntN(300))*time.Millisecond)
 	defer cancel()
 	if rng.IntN(3) == 0 {
 		head, items := decode(t, job, hostedtest.Job(job, "m", 2, 1))
-		h.do(client, job, submit, func() got { return answerOf(e.service.Submit(ctx, head, items)) })
+		h.record(client, job, submit, func() outcome { return answerOf(e.service.Submit(ctx, head, items)) })
 		return
 	}
-	h.do(client, job, look, func() got {
+	h.record(client, job, lookup, func() outcome {
 		_, results, err := e.service.Results(ctx, job, 0, 0)
 		switch {
 		case err == nil:
-			h.read(job, results)
+			h.checkResults(job, results)
 			return yes
 		case err.Kind() == string(kinds.NotFound):
 			return no
--- a/gateway/jobs/jobs_test.go
+++ b/gateway/jobs/jobs_test.go
@@ -26,32 +26,32 @@
 // entry is one process that accepts and runs batch jobs.
 type entry struct {
 	*gatewaytest.Process
-	book    *jobs.Book
+	index   *jobs.Index
 	service *jobs.Service
 	runner  *jobs.Runner
 }
 
 func newEntry(t testing.TB, pf *gatewaytest.Platform, node string) *entry {
 	e := startEntry(t, pf, node, "1")
-	require.Eventually(t, e.book.CaughtUp, gatewaytest.Wait, time.Millisecond)
+	require.Eventually(t, e.index.CaughtUp, gatewaytest.Wait, time.Millisecond)
 	return e
 }
 
 // startEntry starts a process that need not have read the log yet.
-func startEntry(t testing.TB, pf *gatewaytest.Platform, node, life string) *entry {
+func startEntry(t testing.TB, pf *gatewaytest.Platform, node, incarnation string) *entry {
 	p := pf.NewProcess(t)
-	writer := fold.Writer{Node: node, Life: life}
-	e := &entry{Process: p, book: jobs.NewBook(p.Store, zap.NewNop())}
-	e.service = jobs.NewService(e.book, p.Store, writer, 3, 600, zap.NewNop())
-	e.runner = jobs.NewRunner(e.book, p.Store, p.Forward, writer, 3, 600, zap.NewNop())
-	p.Go(e.book.Run)
+	writer := fold.Writer{Node: node, Life: incarnation}
+	e := &entry{Process: p, index: jobs.NewIndex(p.Store, zap.NewNop())}
+	e.service = jobs.NewService(e.index, p.Store, writer, 3, 600, zap.NewNop())
+	e.runner = jobs.NewRunner(e.index, p.Store, p.Forward, writer, 3, 600, zap.NewNop())
+	p.Go(e.index.Run)
 	p.Go(e.runner.Run)
 	return e
 }
 
-// knows tells whether the process has heard that an engine has a version of the
+// knowsVersion tells whether the process has heard that an engine has a version of the
 // model m.
-func (e *entry) knows(server string, version uint64) bool {
+func (e *entry) knowsVersion(server string, version uint64) bool {
 	return slices.ContainsFunc(e.View.Now().Servers["engines"], func(s members.Server) bool {
 		return s.Name == server && s.Versions["m"] == version
 	})
@@ -88,7 +88,7 @@
 	return got
 }
 
-func requireWhole(t testing.TB, results []fold.Result, events int) {
+func requireComplete(t testing.TB, results []fold.Result, events int) {
 	seen := map[string]bool{}
 	for _, r := range results {
 		require.False(t, seen[r.Item], "%s stands twice", r.Item)
@@ -115,14 +115,14 @@
 
 // A trainer hands a step in at one entry and reads it at another: each sample
 // is there once, whole, with its score and versions, in one order for both.
-func TestStepIsReadAlikeAtEveryEntry(t *testing.T) {
+func TestAllEntriesReturnSameResults(t *testing.T) {
 	t.Parallel()
 	pf := gatewaytest.NewPlatform(t, 2, 1)
 	a, b := newEntry(t, pf, "a"), newEntry(t, pf, "b")
 	a.submit(t, "j", 12, 1)
-	here, there := a.results(t, "j", 12), b.results(t, "j", 12)
-	requireWhole(t, here, 5)
-	require.Equal(t, here, there)
+	fromA, fromB := a.results(t, "j", 12), b.results(t, "j", 12)
+	requireComplete(t, fromA, 5)
+	require.Equal(t, fromA, fromB)
 	a.submit(t, "j", 12, 1)
 	require.Len(t, b.results(t, "j", 12), 12, "handed in again")
 }
@@ -130,20 +130,20 @@
 // The owner of a job loses power with samples half made. Another entry sees it
 // silent, claims the job and goes on behind the events in the log; begun anew,
 // the samples would miss their step.
-func TestSuccessorGoesOnBehindTheLog(t *testing.T) {
+func TestSuccessorResumesFromLog(t *testing.T) {
 	t.Parallel()
 	pf := gatewaytest.NewPlatform(t, 1, 1)
 	pf.Engines[0].Pace, pf.Engines[0].Events = 30*time.Millisecond, 60
 	a, b := newEntry(t, pf, "a"), newEntry(t, pf, "b")
 	a.submit(t, "j", 4, 1)
-	require.Eventually(t, func() bool { return noted(pf, "j") >= 12 }, gatewaytest.Wait, time.Millisecond)
+	require.Eventually(t, func() bool { return reportedEvents(pf, "j") >= 12 }, gatewaytest.Wait, time.Millisecond)
 	a.Stop()
-	requireWhole(t, b.results(t, "j", 4), 60)
+	requireComplete(t, b.results(t, "j", 4), 60)
 	require.Positive(t, resumed(pf.Engines))
 }
 
-// noted counts the events of a job's samples in the log.
-func noted(pf *gatewaytest.Platform, job string) int {
+// reportedEvents counts the events of a job's samples in the log.
+func reportedEvents(pf *gatewaytest.Platform, job string) int {
 	n := 0
 	for part := range 3 {
 		name := "texts"
@@ -165,35 +165,35 @@
 
 // An entry is told to stop. It gives its jobs up with their text, so that
 // another goes on at once instead of after the silence.
-func TestLeavingOwnerHandsItsJobsOver(t *testing.T) {
+func TestDrainingOwnerHandsOverJobs(t *testing.T) {
 	t.Parallel()
 	pf := gatewaytest.NewPlatform(t, 1, 1)
 	pf.Engines[0].Pace, pf.Engines[0].Events = 10*time.Millisecond, 60
 	a, b := newEntry(t, pf, "a"), newEntry(t, pf, "b")
 	a.submit(t, "j", 4, 1)
-	require.Eventually(t, func() bool { return noted(pf, "j") >= 6 }, gatewaytest.Wait, time.Millisecond)
-	a.runner.Leave()
-	require.True(t, a.runner.Left(t.Context()))
-	requireWhole(t, b.results(t, "j", 4), 60)
+	require.Eventually(t, func() bool { return reportedEvents(pf, "j") >= 6 }, gatewaytest.Wait, time.Millisecond)
+	a.runner.Drain()
+	require.True(t, a.runner.WaitDrained(t.Context()))
+	requireComplete(t, b.results(t, "j", 4), 60)
 	require.Positive(t, resumed(pf.Engines))
 }
 
 // One engine breaks streams off, another falls silent in the middle. Samples
 // go on elsewhere behind the events that came; their texts stay whole.
-func TestSamplesLeaveFailingEngines(t *testing.T) {
+func TestSamplesMigrateFromFailingEngines(t *testing.T) {
 	t.Parallel()
 	pf := gatewaytest.NewPlatform(t, 3, 1)
 	pf.Engines[0].Fail(hostedtest.ServerFaults{BreakAfter: 2})
 	pf.Engines[1].Fail(hostedtest.ServerFaults{Mute: 2})
 	e := newEntry(t, pf, "a")
 	e.submit(t, "j", 12, 1)
-	requireWhole(t, e.results(t, "j", 12), 5)
+	requireComplete(t, e.results(t, "j", 12), 5)
 	require.Positive(t, resumed(pf.Engines))
 }
 
 // An engine fails a sample each time, or says that it can never be done. It is
 // given up after the route's attempts, and reaches no engine after that.
-func TestSamplesThatFailAreGivenUp(t *testing.T) {
+func TestFailingSamplesAreAbandoned(t *testing.T) {
 	t.Parallel()
 	for status, runs := range map[int]int{http.StatusInternalServerError: 3, http.StatusUnprocessableEntity: 1} {
 		t.Run(fmt.Sprint(status), func(t *testing.T) {
@@ -211,7 +211,7 @@
 
 // A sample's score fails for good: the sample is given up, never listed as
 // complete without a score.
-func TestSampleWithoutScoreIsGivenUp(t *testing.T) {
+func TestSampleWithoutScoreIsAbandoned(t *testing.T) {
 	t.Parallel()
 	pf := gatewaytest.NewPlatform(t, 1, 1)
 	pf.Plain[0].Fail(hostedtest.ServerFaults{Status: 500})
@@ -226,7 +226,7 @@
 // The call for a score fails at every server. Each answer counts as one of the
 // route's attempts: a step's last group would else wait for as many calls as
 // their square, some seconds, while the servers work in vain.
-func TestFailingScoreIsAskedForOnceAnAttempt(t *testing.T) {
+func TestFailingScoreIsRequestedOncePerAttempt(t *testing.T) {
 	t.Parallel()
 	pf := gatewaytest.NewPlatform(t, 1, 3)
 	for _, s := range pf.Plain {
@@ -245,7 +245,7 @@
 // A trainer's read waits, and the results of its last group are listed one after
 // the other. Were it answered with the first, the trainer would pause before it
 // reads the other: it gets both at once, and before its read has waited long.
-func TestWaitingReadGathersTheLastResults(t *testing.T) {
+func TestWaitingReadReturnsLastResultsTogether(t *testing.T) {
 	t.Parallel()
 	pf := gatewaytest.NewPlatform(t, 1, 1)
 	pf.Engines[0].Fail(hostedtest.ServerFaults{Mute: 1})
@@ -308,8 +308,8 @@
 	return pf
 }
 
-// loadSecond orders an engine to load version 2 of m while its streams go on.
-func loadSecond(t testing.TB, engine *hostedtest.Server) {
+// loadVersion2 orders an engine to load version 2 of m while its streams go on.
+func loadVersion2(t testing.TB, engine *hostedtest.Server) {
 	client := hosted.NewEngineClient(engine.Addr())
 	outcome, err := client.Order(t.Context(), hosted.LoadOrder{Server: engine.ID, Model: "m", Version: 2, Mode: hosted.LoadRetain, Holder: "test", Fence: 1})
 	require.NoError(t, err)
@@ -325,11 +325,11 @@
 	a := newEntry(t, pf, "a")
 	require.Eventually(t, func() bool { return a.View.Now().Table.Version == 2 }, gatewaytest.Wait, time.Millisecond)
 	a.submit(t, "j", 8, 1)
-	require.Eventually(t, func() bool { return noted(pf, "j") >= 12 }, gatewaytest.Wait, time.Millisecond)
+	require.Eventually(t, func() bool { return reportedEvents(pf, "j") >= 12 }, gatewaytest.Wait, time.Millisecond)
 	pf.Engines[1].Fail(hostedtest.ServerFaults{BreakAfter: 1})
-	loadSecond(t, pf.Engines[0])
+	loadVersion2(t, pf.Engines[0])
 	results := a.results(t, "j", 8)
-	requireWhole(t, results, 200)
+	requireComplete(t, results, 200)
 	for _, r := range results {
 		require.Len(t, r.Versions, 1)
 	}
@@ -339,7 +339,7 @@
 // the only engine with version 1, which breaks off each stream after an event; then
 // another engine comes free with version 2. Version 1 is still served, so nothing
 // dropped the texts, and each crept on by an event in 0.4 s.
-func TestSampleIsNotKeptByAnEngineThatBreaks(t *testing.T) {
+func TestSampleLeavesEngineThatBreaksStreams(t *testing.T) {
 	t.Parallel()
 	pf := singleVersionPlatform(t)
 	pf.Engines[0].Fail(hostedtest.ServerFaults{Refuse: true})
@@ -347,15 +347,15 @@
 	a := newEntry(t, pf, "a")
 	require.Eventually(t, func() bool { return a.View.Now().Table.Version == 2 }, gatewaytest.Wait, time.Millisecond)
 	a.submit(t, "j", 4, 1)
-	require.Eventually(t, func() bool { return noted(pf, "j") >= 4 }, gatewaytest.Wait, time.Millisecond)
-	loadSecond(t, pf.Engines[0])
+	require.Eventually(t, func() bool { return reportedEvents(pf, "j") >= 4 }, gatewaytest.Wait, time.Millisecond)
+	loadVersion2(t, pf.Engines[0])
 	require.Eventually(t, func() bool {
 		pf.Register(pf.Engines[0], "ready")
-		return a.knows("e0", 2)
+		return a.knowsVersion("e0", 2)
 	}, gatewaytest.Wait, time.Millisecond)
 	pf.Engines[0].Fail(hostedtest.ServerFaults{})
 	results := a.results(t, "j", 4)
-	requireWhole(t, results, 200)
+	requireComplete(t, results, 200)
 	for _, r := range results {
 		require.Equal(t, []uint64{2}, r.Versions)
 	}
@@ -380,25 +380,25 @@
 
 // A group that its trainer did not wait for comes again in the next step. The
 // text of its samples goes on where it stopped, if its weights are new enough.
-func TestCarriedGroupGoesOn(t *testing.T) {
+func TestResubmittedGroupResumes(t *testing.T) {
 	t.Parallel()
 	pf := gatewaytest.NewPlatform(t, 1, 1)
 	pf.Engines[0].Pace, pf.Engines[0].Events = 10*time.Millisecond, 80
 	e := newEntry(t, pf, "a")
 	head, items := decode(t, "j1", hostedtest.Job("x", "m", 2, 1))
 	require.Nil(t, e.service.Submit(t.Context(), head, items))
-	require.Eventually(t, func() bool { return noted(pf, "j1") >= 12 }, gatewaytest.Wait, time.Millisecond)
+	require.Eventually(t, func() bool { return reportedEvents(pf, "j1") >= 12 }, gatewaytest.Wait, time.Millisecond)
 	require.Nil(t, e.service.End(t.Context(), "j1"))
 	require.Eventually(t, func() bool { return pf.Engines[0].Open() == 0 }, gatewaytest.Wait, time.Millisecond)
 	head.ID = "j2"
 	require.Nil(t, e.service.Submit(t.Context(), head, items))
-	requireWhole(t, e.results(t, "j2", 2), 80)
+	requireComplete(t, e.results(t, "j2", 2), 80)
 	require.Positive(t, resumed(pf.Engines))
 }
 
 // An entry restarts and has read a part of the log: it knows the job and some
 // of its results. Answering "no more yet" it would take back what others gave.
-func TestEntryThatHasNotCaughtUpAnswersNothing(t *testing.T) {
+func TestEntryNotCaughtUpReturnsNoResults(t *testing.T) {
 	t.Parallel()
 	pf := gatewaytest.NewPlatform(t, 1, 1)
 	a := newEntry(t, pf, "a")
@@ -406,9 +406,9 @@
 	a.results(t, "j", 4)
 	pf.Store.Fail(hostedtest.StoreFaults{Down: true})
 	p := hosted.NewStore(pf.Store.Addr())
-	book := jobs.NewBook(p, zap.NewNop())
-	service := jobs.NewService(book, p, fold.Writer{Node: "b", Life: "1"}, 3, 600, zap.NewNop())
-	require.False(t, book.CaughtUp())
+	index := jobs.NewIndex(p, zap.NewNop())
+	service := jobs.NewService(index, p, fold.Writer{Node: "b", Life: "1"}, 3, 600, zap.NewNop())
+	require.False(t, index.CaughtUp())
 	_, _, err := service.Results(t.Context(), "j", 0, 0)
 	require.Equal(t, string(kinds.LogUnavailable), err.Kind())
 }
@@ -430,12 +430,12 @@
 		records += len(pf.Store.Records(stream))
 	}
 	require.Greater(t, records, 2)
-	requireWhole(t, e.results(t, "j", 300), 1)
+	requireComplete(t, e.results(t, "j", 300), 1)
 }
 
 // The log loses its old records while an entry is away from it. It goes on
 // with what is kept.
-func TestForgottenRecordsArePassedOver(t *testing.T) {
+func TestTruncatedRecordsAreSkipped(t *testing.T) {
 	t.Parallel()
 	pf := gatewaytest.NewPlatform(t, 1, 1)
 	a := newEntry(t, pf, "a")
@@ -444,14 +444,14 @@
 	pf.Store.Forget(jobs.Stream)
 	b := newEntry(t, pf, "b")
 	b.submit(t, "new", 2, 1)
-	requireWhole(t, a.results(t, "new", 2), 5)
+	requireComplete(t, a.results(t, "new", 2), 5)
 	require.Equal(t, a.results(t, "new", 2), b.results(t, "new", 2))
 }
 
 // An engine starts again under its name with older weights than it had. A job
 // that these are too old for goes to the other engine; what answers and records
 // told of the start before sent it samples that it could only make in vain.
-func TestEngineThatStartsAgainIsTakenByItsOwnWord(t *testing.T) {
+func TestRestartedEngineUsesReportedVersion(t *testing.T) {
 	pf := gatewaytest.NewPlatform(t, 2, 1)
 	for _, engine := range pf.Engines {
 		engine.Restart(1000, 3)
@@ -459,16 +459,16 @@
 	}
 	e := newEntry(t, pf, "a")
 	e.submit(t, "before", 8, 3)
-	requireWhole(t, e.results(t, "before", 8), 5)
-	again := pf.Engines[0]
-	again.Restart(2000, 1)
-	pf.Register(again, "ready")
+	requireComplete(t, e.results(t, "before", 8), 5)
+	restarted := pf.Engines[0]
+	restarted.Restart(2000, 1)
+	pf.Register(restarted, "ready")
 	require.Eventually(t, func() bool {
-		s, known := e.View.Now().Server("engines", again.ID+"@2000")
+		s, known := e.View.Now().Server("engines", restarted.ID+"@2000")
 		return known && s.Versions["m"] == 1
 	}, gatewaytest.Wait, time.Millisecond)
-	had := len(again.Arrivals())
+	arrivalsBefore := len(restarted.Arrivals())
 	e.submit(t, "after", 8, 3)
-	requireWhole(t, e.results(t, "after", 8), 5)
-	require.Len(t, again.Arrivals(), had)
+	requireComplete(t, e.results(t, "after", 8), 5)
+	require.Len(t, restarted.Arrivals(), arrivalsBefore)
 }
--- a/gateway/jobs/known_test.go
+++ b/gateway/jobs/known_test.go
@@ -12,30 +12,30 @@
 	"dandelionsill.org/platform"
 )
 
-// endlessLog tells its end when asked without waiting; its tail never gets
+// growingLog tells its end when asked without waiting; its tail never gets
 // there, for others append faster than this process reads.
-type endlessLog struct {
+type growingLog struct {
 	Log
 	end uint64
 }
 
-func (l endlessLog) Read(context.Context, string, uint64, int, time.Duration) (platform.Page, error) {
+func (l growingLog) Read(context.Context, string, uint64, int, time.Duration) (platform.Page, error) {
 	return platform.Page{End: l.end}, nil
 }
 
 // A slow entry has restarted and reads the log while others write to it. It has
 // read the job, and more than was there when the trainer asked for its end;
 // that it has not reached the log's end ever since makes nothing "not found".
-func TestJobThatWasReadIsKnownBeforeTheEndIsReached(t *testing.T) {
-	book := NewBook(endlessLog{end: 1}, zap.NewNop())
+func TestReadJobIsKnownBeforeLogEnd(t *testing.T) {
+	index := NewIndex(growingLog{end: 1}, zap.NewNop())
 	record := jobs.Record{Writer: jobs.Writer{Node: "a", Life: "1"}, Accept: &jobs.Accept{
 		Head: jobs.Head{ID: "j"}, Parts: 1, Items: []jobs.ItemRef{{ID: "i"}},
 	}}
 	data, err := record.Encode()
 	require.NoError(t, err)
-	book.fold(platform.Page{Records: []platform.Record{{Data: data}}, Next: 1, End: 9}, time.Now())
-	require.False(t, book.CaughtUp())
-	service := NewService(book, endlessLog{end: 1}, jobs.Writer{Node: "b"}, 1, 600, zap.NewNop())
-	require.Nil(t, service.known(t.Context(), "j"))
-	require.Equal(t, "not_found", service.known(t.Context(), "other").Kind())
+	index.foldPage(platform.Page{Records: []platform.Record{{Data: data}}, Next: 1, End: 9}, time.Now())
+	require.False(t, index.CaughtUp())
+	service := NewService(index, growingLog{end: 1}, jobs.Writer{Node: "b"}, 1, 600, zap.NewNop())
+	require.Nil(t, service.checkExists(t.Context(), "j"))
+	require.Equal(t, "not_found", service.checkExists(t.Context(), "other").Kind())
 }
--- a/gateway/jobs/outage_test.go
+++ b/gateway/jobs/outage_test.go
@@ -19,36 +19,36 @@
 // An entry is told to stop in an outage of the store. Nobody can take its jobs
 // over then: cut off at once, its samples would lose all text since the outage
 // began. They go on until the store is back and has taken the release.
-func TestLeavingOwnerGoesOnInAnOutage(t *testing.T) {
+func TestDrainingOwnerContinuesInOutage(t *testing.T) {
 	t.Parallel()
 	pf := gatewaytest.NewPlatform(t, 1, 1)
 	pf.Engines[0].Pace, pf.Engines[0].Events = 10*time.Millisecond, 300
 	a, b := newEntry(t, pf, "a"), newEntry(t, pf, "b")
 	a.submit(t, "j", 4, 1)
-	require.Eventually(t, func() bool { return noted(pf, "j") >= 6 }, gatewaytest.Wait, time.Millisecond)
+	require.Eventually(t, func() bool { return reportedEvents(pf, "j") >= 6 }, gatewaytest.Wait, time.Millisecond)
 	pf.Store.Fail(hostedtest.StoreFaults{Down: true})
-	a.runner.Leave()
+	a.runner.Drain()
 	ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 	defer cancel()
-	require.False(t, a.runner.Left(ctx))
+	require.False(t, a.runner.WaitDrained(ctx))
 	require.Equal(t, 4, pf.Engines[0].Open())
 	pf.Store.Fail(hostedtest.StoreFaults{})
-	require.True(t, a.runner.Left(t.Context()))
-	requireWhole(t, b.results(t, "j", 4), 300)
+	require.True(t, a.runner.WaitDrained(t.Context()))
+	requireComplete(t, b.results(t, "j", 4), 300)
 	require.Positive(t, resumed(pf.Engines))
 }
 
 // The store is slow with appends. An owner's signs of life take longer than usual,
 // for each stands behind an append of texts; the others see their own appends
 // take as long and leave it its jobs. Claimed without need, every sample reads its prompt again.
-func TestSlowStoreCostsNoOwner(t *testing.T) {
+func TestSlowStoreCausesNoClaims(t *testing.T) {
 	t.Parallel()
 	pf := gatewaytest.NewPlatform(t, 1, 1)
 	pf.Engines[0].Pace, pf.Engines[0].Events = 50*time.Millisecond, 100
 	a, b := newEntry(t, pf, "a"), newEntry(t, pf, "b")
 	a.submit(t, "j", 4, 1)
 	pf.Store.Fail(hostedtest.StoreFaults{SlowAppends: 700 * time.Millisecond})
-	requireWhole(t, b.results(t, "j", 4), 100)
+	requireComplete(t, b.results(t, "j", 4), 100)
 	requireNoClaims(t, pf)
 }
 
@@ -63,7 +63,7 @@
 
 // The store carries the append out and its answer is lost, for as long as the
 // trainer waits. The entry may not say "not run": the job does run.
-func TestLostAppendIsNeverCalledNotRun(t *testing.T) {
+func TestLostAppendIsNotReportedAsNotRun(t *testing.T) {
 	t.Parallel()
 	pf := gatewaytest.NewPlatform(t, 1, 1)
 	e := newEntry(t, pf, "a")
@@ -75,11 +75,11 @@
 	require.NotNil(t, err)
 	require.False(t, err.NotRun())
 	pf.Store.Fail(hostedtest.StoreFaults{})
-	requireWhole(t, e.results(t, "j", 2), 5)
+	requireComplete(t, e.results(t, "j", 2), 5)
 }
 
 // The answer is lost once, but the job shows in the log: it is accepted.
-func TestJobSeenInTheLogIsAccepted(t *testing.T) {
+func TestJobFoundInLogIsAccepted(t *testing.T) {
 	t.Parallel()
 	pf := gatewaytest.NewPlatform(t, 1, 1)
 	e := newEntry(t, pf, "a")
@@ -90,7 +90,7 @@
 
 // The store refuses appends: the trainer is told at once after its share of
 // time that nothing ran, and when to come back.
-func TestRefusingStoreIsToldAsNotRun(t *testing.T) {
+func TestRefusingStoreIsReportedAsNotRun(t *testing.T) {
 	t.Parallel()
 	pf := gatewaytest.NewPlatform(t, 1, 1)
 	e := newEntry(t, pf, "a")
@@ -109,7 +109,7 @@
 // One entry accepts a job, and its trainer hands it in again at another, which
 // has read nothing since: it was cut off from the store, as it is now. A job
 // that runs may not be called "not run" there.
-func TestEntryThatCantReadNeverSaysNotRun(t *testing.T) {
+func TestEntryThatCannotReadNeverReportsNotRun(t *testing.T) {
 	t.Parallel()
 	pf := gatewaytest.NewPlatform(t, 1, 1)
 	a, b := newEntry(t, pf, "a"), newEntry(t, pf, "b")
@@ -126,27 +126,27 @@
 // A step is whole, and the store goes away before its trainer has read the last
 // results. They are listed, and the process that wrote them still has the texts:
 // whichever entry is asked, the trainer need not wait for the outage's end.
-func TestListedResultsAreReadInAnOutage(t *testing.T) {
+func TestListedResultsAreReadableInOutage(t *testing.T) {
 	t.Parallel()
 	pf := gatewaytest.NewPlatform(t, 1, 1)
 	a, b := newEntry(t, pf, "a"), newEntry(t, pf, "b")
-	peer := httptest.NewServer(a.book.Texts)
+	peer := httptest.NewServer(a.index.Texts)
 	t.Cleanup(peer.Close)
-	b.book.Texts.SetPeers(func(node string) string {
+	b.index.Texts.SetPeers(func(node string) string {
 		return map[string]string{"a": strings.TrimPrefix(peer.URL, "http://")}[node]
 	})
 	a.submit(t, "j", 4, 1)
-	here := a.results(t, "j", 4)
-	require.True(t, b.book.Synced(t.Context()))
+	fromA := a.results(t, "j", 4)
+	require.True(t, b.index.Sync(t.Context()))
 	pf.Store.Fail(hostedtest.StoreFaults{Down: true})
-	_, there, err := b.service.Results(t.Context(), "j", 0, 0)
+	_, fromB, err := b.service.Results(t.Context(), "j", 0, 0)
 	require.Nil(t, err)
-	require.Equal(t, here, there)
+	require.Equal(t, fromA, fromB)
 }
 
 // A job that this entry has not read of may exist. Without the log it can't be
 // sure, and says so in place of "not found".
-func TestUnknownJobIsMissingOnlyForSure(t *testing.T) {
+func TestUnknownJobIsNotFoundOnlyWithLog(t *testing.T) {
 	t.Parallel()
 	pf := gatewaytest.NewPlatform(t, 0, 0)
 	e := newEntry(t, pf, "a")
--- a/gateway/jobs/outbox_test.go
+++ b/gateway/jobs/outbox_test.go
@@ -21,8 +21,8 @@
 }
 
 const (
-	platformRecord = 262144
-	platformCall   = 2097152
+	platformRecordBytes = 262144
+	platformAppendBytes = 2097152
 )
 
 func (l *strictLog) AppendAll(_ context.Context, _ string, records [][]byte) (uint64, error) {
@@ -33,11 +33,11 @@
 	size := 0
 	for _, r := range records {
 		size += len(r) + 4
-		if len(r) > platformRecord {
+		if len(r) > platformRecordBytes {
 			return 0, platform.ErrLogRefused
 		}
 	}
-	if size > platformCall {
+	if size > platformAppendBytes {
 		return 0, platform.ErrLogRefused
 	}
 	l.records = append(l.records, records...)
@@ -50,8 +50,8 @@
 
 // flushAll appends all that an outbox holds.
 func flushAll(t *testing.T, o *outbox) bool {
-	for _, l := range o.lanes {
-		require.True(t, o.flushLane(t.Context(), l))
+	for _, l := range o.appenders {
+		require.True(t, o.flushAppender(t.Context(), l))
 	}
 	return o.flush(t.Context(), false)
 }
@@ -59,17 +59,17 @@
 // A job of more items than one record may name is split; its parts are appended
 // together, and name each item once.
 func TestManyItemsAreSplit(t *testing.T) {
-	s := NewService(NewBook(&strictLog{}, zap.NewNop()), &strictLog{}, jobs.Writer{Node: "a", Life: "1"}, 4, 600, zap.NewNop())
+	s := NewService(NewIndex(&strictLog{}, zap.NewNop()), &strictLog{}, jobs.Writer{Node: "a", Life: "1"}, 4, 600, zap.NewNop())
 	items := make([]jobs.Item, 2500)
 	for i := range items {
 		items[i] = jobs.Item{Request: jobs.Request{ID: fmt.Sprintf("%064d", i)}, Group: fmt.Sprintf("%032d", i/8)}
 	}
-	records, err := s.submission(jobs.Head{ID: "j", Total: len(items)}, items, jobs.TextRef{})
+	records, err := s.encodeSubmission(jobs.Head{ID: "j", Total: len(items)}, items, jobs.TextRef{})
 	require.NoError(t, err)
 	require.Len(t, records, 3)
 	state := jobs.New()
 	for i, data := range records {
-		require.Less(t, len(data), platformRecord)
+		require.Less(t, len(data), platformRecordBytes)
 		record, err := jobs.Decode(data)
 		require.NoError(t, err)
 		state.Apply(uint64(i), record)
@@ -80,7 +80,7 @@
 // The log is away for seconds while 250 samples run. What has piled up is more
 // than one append may hold; sent whole it was refused for ever, and with it
 // every result after it.
-func TestPiledUpNewsIsSplit(t *testing.T) {
+func TestBacklogIsSplit(t *testing.T) {
 	l := &strictLog{}
 	o := newStrictOutbox(l)
 	o.add(false, func(r *jobs.Record) {
@@ -90,7 +90,7 @@
 		r.Releases = []string{"j"}
 	})
 	for i := range 500 {
-		o.result(&jobs.Job{Head: jobs.Head{ID: "j"}}, 7, jobs.Result{Job: "j", Item: fmt.Sprint(i), Text: strings.Repeat("x", 20_000)})
+		o.addResult(&jobs.Job{Head: jobs.Head{ID: "j"}}, 7, jobs.Result{Job: "j", Item: fmt.Sprint(i), Text: strings.Repeat("x", 20_000)})
 	}
 	require.True(t, flushAll(t, o))
 	starts, results, texts, last := 0, 0, 0, -1
@@ -118,7 +118,7 @@
 
 // Records that the log refuses for what they are would hold up all that comes
 // after them; they are dropped, and the next go through.
-func TestRefusedRecordsHoldNothingUp(t *testing.T) {
+func TestRefusedRecordsDoNotBlockLaterOnes(t *testing.T) {
 	l := &strictLog{refuse: 1}
 	o := newStrictOutbox(l)
 	o.add(false, func(r *jobs.Record) { r.Ends = []string{"bad"} })
@@ -129,7 +129,7 @@
 	require.Contains(t, string(l.records[0]), "good")
 }
 
-func TestNothingToSayIsNotAppended(t *testing.T) {
+func TestEmptyOutboxAppendsNothing(t *testing.T) {
 	l := &strictLog{}
 	o := newStrictOutbox(l)
 	require.False(t, o.flush(t.Context(), false))
@@ -138,14 +138,14 @@
 }
 
 // A partition of the log is away for a while, with what is appended meanwhile.
-type awayLog struct {
+type unavailableLog struct {
 	strictLog
-	away    string
-	streams []string
+	unavailable string
+	streams     []string
 }
 
-func (l *awayLog) AppendAll(ctx context.Context, stream string, records [][]byte) (uint64, error) {
-	if stream == l.away {
+func (l *unavailableLog) AppendAll(ctx context.Context, stream string, records [][]byte) (uint64, error) {
+	if stream == l.unavailable {
 		return 0, platform.ErrLogUnavailable
 	}
 	for range records {
@@ -157,27 +157,27 @@
 // A job's partition is away while its samples make events. Whole texts go elsewhere at
 // once; the texts so far wait, keep their order, and nothing of them is lost or
 // appended twice. The job is given up only behind them.
-func TestTextsSoFarWaitForTheirPartition(t *testing.T) {
-	l := &awayLog{away: textStream(2)}
+func TestPartialTextsWaitForTheirPartition(t *testing.T) {
+	l := &unavailableLog{unavailable: textStream(2)}
 	o := newOutbox(l, jobs.Writer{Node: "a", Life: "1"}, 4, func() bool { return true }, func(textKey, string) {}, zap.NewNop())
 	j := &jobs.Job{Head: jobs.Head{ID: "j"}, At: jobs.TextRef{Part: 2}}
 	event := func(i int) jobs.Progress {
 		return jobs.Progress{Item: "slow", From: i, Events: []jobs.Event{{Data: fmt.Sprint(i), Version: 1}}}
 	}
 	for i := range 5 {
-		o.progress(j, 7, event(i))
-		o.result(j, 7, jobs.Result{Job: "j", Item: fmt.Sprint("whole", i), Text: "text"})
-		require.False(t, o.flushLane(t.Context(), o.lanes[2]))
+		o.addProgress(j, 7, event(i))
+		o.addResult(j, 7, jobs.Result{Job: "j", Item: fmt.Sprint("whole", i), Text: "text"})
+		require.False(t, o.flushAppender(t.Context(), o.appenders[2]))
 	}
-	o.release(j)
-	require.False(t, o.flushLane(t.Context(), o.lanes[2]))
+	o.addRelease(j)
+	require.False(t, o.flushAppender(t.Context(), o.appenders[2]))
 	require.Len(t, o.pending.Results, 5)
 	require.Empty(t, o.pending.Releases)
 	for _, r := range o.pending.Results {
 		require.NotEqual(t, 2, r.Ref.Part)
 	}
-	l.away = ""
-	require.True(t, o.flushLane(t.Context(), o.lanes[2]))
+	l.unavailable = ""
+	require.True(t, o.flushAppender(t.Context(), o.appenders[2]))
 	require.Equal(t, []string{"j"}, o.pending.Releases)
 	texts := jobs.NewTexts("j")
 	for i, data := range l.records {
@@ -194,8 +194,8 @@
 // A job's partition is away. Its owner loses the job and has it again, and goes on from
 // the one event that the log had, with another run. The events that it had made before
 // stand under its earlier claim: under the new one they would be taken for that run's.
-func TestEventsOfTwoClaimsAreKeptApart(t *testing.T) {
-	l := &awayLog{away: textStream(2)}
+func TestEventsOfTwoClaimsAreSeparate(t *testing.T) {
+	l := &unavailableLog{unavailable: textStream(2)}
 	o := newOutbox(l, jobs.Writer{Node: "a", Life: "1"}, 4, func() bool { return true }, func(textKey, string) {}, zap.NewNop())
 	j := &jobs.Job{Head: jobs.Head{ID: "j"}, At: jobs.TextRef{Part: 2}}
 	events := func(run string, from, to int) jobs.Progress {
@@ -205,11 +205,11 @@
 		}
 		return p
 	}
-	o.progress(j, 7, events("first", 0, 4))
-	require.False(t, o.flushLane(t.Context(), o.lanes[2]))
-	o.progress(j, 9, events("second", 0, 6))
-	l.away = ""
-	require.True(t, o.flushLane(t.Context(), o.lanes[2]))
+	o.addProgress(j, 7, events("first", 0, 4))
+	require.False(t, o.flushAppender(t.Context(), o.appenders[2]))
+	o.addProgress(j, 9, events("second", 0, 6))
+	l.unavailable = ""
+	require.True(t, o.flushAppender(t.Context(), o.appenders[2]))
 	texts := jobs.NewTexts("j")
 	for _, data := range l.records {
 		record, err := jobs.DecodeText(data)
--- a/gateway/jobs/partaway_test.go
+++ b/gateway/jobs/partition_outage_test.go
@@ -11,17 +11,17 @@
 	"dandelionsill.org/platform/hosted/hostedtest"
 )
 
-// parts are the partitions of the texts.
-var parts = []string{"texts/0", "texts/1", "texts/2"}
+// partitions are the partitions of the texts.
+var partitions = []string{"texts/0", "texts/1", "texts/2"}
 
 // The store is away in the part that holds a step's texts, while two steps run. Their
 // owner still follows the jobs' stream and lives. Were its signs of life to wait for
 // the texts, both steps would be claimed by processes that wait alike, and nothing
 // would be listed until the store is back. Whole texts go to another part.
-func TestOwnerWhosePartOfTheTextsIsAwayKeepsItsJobs(t *testing.T) {
+func TestOwnerKeepsJobsWhenTextPartitionIsUnavailable(t *testing.T) {
 	t.Parallel()
-	for _, away := range parts {
-		t.Run(away, func(t *testing.T) {
+	for _, unavailable := range partitions {
+		t.Run(unavailable, func(t *testing.T) {
 			t.Parallel()
 			pf := gatewaytest.NewPlatform(t, 1, 1)
 			pf.Engines[0].Pace, pf.Engines[0].Events = 50*time.Millisecond, 100
@@ -29,10 +29,12 @@
 			for i := range 3 {
 				a.submit(t, fmt.Sprint("j", i), 2, 1)
 			}
-			require.Eventually(t, func() bool { return noted(pf, "j0") > 0 && noted(pf, "j1") > 0 && noted(pf, "j2") > 0 }, gatewaytest.Wait, time.Millisecond)
-			pf.Store.Fail(hostedtest.StoreFaults{Away: []string{away}})
+			require.Eventually(t, func() bool {
+				return reportedEvents(pf, "j0") > 0 && reportedEvents(pf, "j1") > 0 && reportedEvents(pf, "j2") > 0
+			}, gatewaytest.Wait, time.Millisecond)
+			pf.Store.Fail(hostedtest.StoreFaults{Away: []string{unavailable}})
 			for i := range 3 {
-				requireWhole(t, b.results(t, fmt.Sprint("j", i), 2), 100)
+				requireComplete(t, b.results(t, fmt.Sprint("j", i), 2), 100)
 			}
 			requireNoClaims(t, pf)
 		})
@@ -41,22 +43,22 @@
 
 // The store is away in parts. A step is taken in all the same: its items go to a part
 // that is there. Refused, its trainer would wait until the store is back.
-func TestStepIsAcceptedWhilePartsOfTheStoreAreAway(t *testing.T) {
+func TestStepIsAcceptedWhilePartitionsAreUnavailable(t *testing.T) {
 	t.Parallel()
 	pf := gatewaytest.NewPlatform(t, 1, 1)
 	a, b := newEntry(t, pf, "a"), newEntry(t, pf, "b")
-	for i, there := range parts {
-		var away []string
-		for _, part := range parts {
-			if part != there {
-				away = append(away, part)
+	for i, available := range partitions {
+		var unavailable []string
+		for _, part := range partitions {
+			if part != available {
+				unavailable = append(unavailable, part)
 			}
 		}
-		pf.Store.Fail(hostedtest.StoreFaults{Away: away})
+		pf.Store.Fail(hostedtest.StoreFaults{Away: unavailable})
 		for k := range 3 {
 			id := fmt.Sprintf("j%d%d", i, k)
 			require.True(t, a.accepts(t, id))
-			requireWhole(t, b.results(t, id, 2), 5)
+			requireComplete(t, b.results(t, id, 2), 5)
 		}
 	}
 }
--- a/gateway/jobs/plan_bench_test.go
+++ b/gateway/jobs/plan_bench_test.go
@@ -18,9 +18,9 @@
 	const steps, items, engines = 6, 150, 73
 	pf := gatewaytest.NewPlatform(b, engines, 0)
 	p := pf.NewProcess(b)
-	book := NewBook(p.Store, zap.NewNop())
+	index := NewIndex(p.Store, zap.NewNop())
 	writer := jobs.Writer{Node: "a", Life: "1"}
-	r := NewRunner(book, p.Store, p.Forward, writer, 3, 1200, zap.NewNop())
+	r := NewRunner(index, p.Store, p.Forward, writer, 3, 1200, zap.NewNop())
 	servers := p.View.Now().Servers["engines"]
 	now := time.Now()
 	for k := range steps {
@@ -29,22 +29,22 @@
 		for i := range items {
 			a.Items = append(a.Items, jobs.ItemRef{ID: fmt.Sprintf("%s-%03d", job, i), Group: fmt.Sprint("g", i/8)})
 		}
-		book.state.Apply(uint64(k), &jobs.Record{Writer: writer, Accept: a})
-		j := book.state.Jobs[job]
-		works := map[string]*work{}
+		index.state.Apply(uint64(k), &jobs.Record{Writer: writer, Accept: a})
+		j := index.state.Jobs[job]
+		active := map[string]*activeItem{}
 		for i, id := range j.Order {
-			w := newWork(j, jobs.Item{Request: jobs.Request{ID: id, Host: "app.example", Path: "/chat/" + id}, Group: a.Items[i].Group}, jobs.Made{})
-			w.lastEvent, w.streamed = now.Add(time.Hour), 1 // not silent
+			w := newActiveItem(j, jobs.Item{Request: jobs.Request{ID: id, Host: "app.example", Path: "/chat/" + id}, Group: a.Items[i].Group}, jobs.Made{})
+			w.lastEventAt, w.streamEvents = now.Add(time.Hour), 1 // not silent
 			w.size.Model, w.size.Expected = "m", 100+i
 			w.phase, w.server = running, servers[i%engines].ID
-			works[id] = w
+			active[id] = w
 		}
-		r.works[job] = works
+		r.active[job] = active
 	}
 	for i := range 30 {
-		w := r.works["j0"]["j0-000"]
+		w := r.active["j0"]["j0-000"]
 		w.size.Expected, w.events = 50+i, make([]jobs.Event, 10+i)
-		r.learnLength(w)
+		r.observeLength(w)
 		w.events = nil
 	}
 	for _, s := range servers {
--- a/gateway/jobs/poison_test.go
+++ b/gateway/jobs/poison_test.go
@@ -11,7 +11,7 @@
 	"dandelionsill.org/platform/hosted/hostedtest"
 )
 
-func crashed(servers []*hostedtest.Server) int {
+func countCrashed(servers []*hostedtest.Server) int {
 	n := 0
 	for _, s := range servers {
 		if s.Crashed() {
@@ -25,7 +25,7 @@
 // failure of the sample's own, so that its owner moved it on from engine to engine until
 // none was left, and the whole step with it. Now the fourth engine never gets it: the
 // step's other samples are whole, also those that were at the engines that ended.
-func TestSampleThatCrashesEnginesIsHeldBack(t *testing.T) {
+func TestSampleThatCrashesEnginesIsQuarantined(t *testing.T) {
 	t.Parallel()
 	pf := gatewaytest.NewPlatform(t, 6, 1)
 	for _, s := range pf.Engines {
@@ -33,15 +33,15 @@
 	}
 	e := newEntry(t, pf, "a")
 	e.submit(t, "j", 6, 1)
-	requireWhole(t, e.results(t, "j", 5), pf.Engines[0].Events)
-	require.Eventually(t, func() bool { return crashed(pf.Engines) == poison.QuarantineAt }, gatewaytest.Wait, time.Millisecond)
+	requireComplete(t, e.results(t, "j", 5), pf.Engines[0].Events)
+	require.Eventually(t, func() bool { return countCrashed(pf.Engines) == poison.QuarantineAt }, gatewaytest.Wait, time.Millisecond)
 
 	// The trainer hands the same sample in again, in a later job and at another owner.
 	other := newEntry(t, pf, "b")
 	head, items := decode(t, "k", hostedtest.Job("j", "m", 2, 1))
 	require.Nil(t, other.service.Submit(t.Context(), head, items))
-	requireWhole(t, other.results(t, "k", 1), pf.Engines[0].Events)
-	require.Equal(t, poison.QuarantineAt, crashed(pf.Engines))
+	requireComplete(t, other.results(t, "k", 1), pf.Engines[0].Events)
+	require.Equal(t, poison.QuarantineAt, countCrashed(pf.Engines))
 	for _, job := range []string{"j", "k"} {
 		_, results, err := other.service.Results(t.Context(), job, 0, 0)
 		require.Nil(t, err)
@@ -53,7 +53,7 @@
 
 // The call for one sample's score crashes each server that runs it, and is made again
 // for as long as the sample's job is open. The servers that are left score the others.
-func TestScoreThatCrashesServersIsStopped(t *testing.T) {
+func TestScoreThatCrashesServersIsQuarantined(t *testing.T) {
 	t.Parallel()
 	pf := gatewaytest.NewPlatform(t, 2, 5)
 	for _, s := range pf.Plain {
@@ -61,9 +61,9 @@
 	}
 	e := newEntry(t, pf, "a")
 	e.submit(t, "j", 6, 1)
-	requireWhole(t, e.results(t, "j", 5), pf.Engines[0].Events)
-	require.Eventually(t, func() bool { return crashed(pf.Plain) == poison.QuarantineAt }, gatewaytest.Wait, time.Millisecond)
+	requireComplete(t, e.results(t, "j", 5), pf.Engines[0].Events)
+	require.Eventually(t, func() bool { return countCrashed(pf.Plain) == poison.QuarantineAt }, gatewaytest.Wait, time.Millisecond)
 	e.submit(t, "k", 4, 1)
-	requireWhole(t, e.results(t, "k", 4), pf.Engines[0].Events)
-	require.Equal(t, poison.QuarantineAt, crashed(pf.Plain))
+	requireComplete(t, e.results(t, "k", 4), pf.Engines[0].Events)
+	require.Equal(t, poison.QuarantineAt, countCrashed(pf.Plain))
 }
--- /dev/null
+++ b/gateway/jobs/ranking.go
@@ -0,0 +1,102 @@
+package jobs
+
+import (
+	"time"
+
+	"dandelionsill.org/decide/place"
+	"dandelionsill.org/fold/jobs"
+)
+
+// defaultDue is how long until results are due where the job's route does not tell: any
+// time is good.
+const defaultDue = time.Hour
+
+// observeLength notes the length of a whole text; r.mu is held.
+func (r *Runner) observeLength(a *activeItem) {
+	lengths := r.lengths[a.model()]
+	if lengths == nil {
+		lengths = &place.LengthEstimator{}
+		r.lengths[a.model()] = lengths
+	}
+	lengths.Observe(float64(a.size.Expected), float64(len(a.events)))
+}
+
+// estimateEvents returns the likely events of an item's text; false: too few of its model
+// are known, and the hint, in tokens, only tells the longer of two.
+func (r *Runner) estimateEvents(a *activeItem) (float64, bool) {
+	hint := float64(a.size.Expected)
+	if lengths := r.lengths[a.model()]; lengths != nil {
+		if events, known := lengths.Estimate(hint); known {
+			return events, true
+		}
+	}
+	return hint, false
+}
+
+// remainingEvents guesses the events of an item that are still to be made. One that is scored,
+// or whose result is on its way, still belongs to a group that is not whole.
+func (r *Runner) remainingEvents(a *activeItem) float64 {
+	if a.complete || a.phase == ended {
+		return 0
+	}
+	estimate, _ := r.estimateEvents(a)
+	return place.Remaining(estimate, float64(len(a.events)))
+}
+
+// rankSamples ranks the samples of a service by what can be made in time, where it is
+// known what that is. Until then older jobs go first.
+func (r *Runner) rankSamples(active []*activeItem, samples []place.Sample, engines []place.Engine, now time.Time) {
+	own := ownLoad(active)
+	capacity := place.CapacityOf(engines, own)
+	if capacity.FreeSlots == 0 || capacity.Rate == 0 {
+		return
+	}
+	var steps []place.Step
+	stepOf := map[string]int{}
+	for i, a := range active {
+		if _, known := r.estimateEvents(a); !known {
+			return
+		}
+		step, known := stepOf[a.job.ID]
+		if !known {
+			step = len(steps)
+			stepOf[a.job.ID] = step
+			s := r.describeStep(a.job, now)
+			s.Model = a.model()
+			s.Rate = capacity.RateFor(engines, own, s.Model, a.job.MinVersion)
+			steps = append(steps, s)
+		}
+		samples[i].Step, samples[i].Due = step, steps[step].Due
+		samples[i].Group, samples[i].Required = groupOf(a)
+	}
+	place.Order(steps, samples, capacity)
+}
+
+// ownLoad counts the items that run at each engine.
+func ownLoad(active []*activeItem) map[string]int {
+	load := map[string]int{}
+	for _, a := range active {
+		if a.phase == running {
+			load[a.server]++
+		}
+	}
+	return load
+}
+
+func (r *Runner) describeStep(j *jobs.Job, now time.Time) place.Step {
+	due := defaultDue
+	if route := r.routeOf(j); route != nil && route.Due > 0 {
+		due = route.Due
+	}
+	r.index.mu.Lock()
+	defer r.index.mu.Unlock()
+	return place.Step{AgeRank: ageRank(j), Due: (due - r.index.age(j, now)).Seconds(), Need: j.Need()}
+}
+
+// groupOf names the group with which an item counts; one without counts by itself.
+func groupOf(a *activeItem) (name string, required bool) {
+	if a.item.Group == "" || a.job.Groups == 0 {
+		return a.item.ID, false
+	}
+	return a.item.Group, a.job.Again(a.item.Group)
+}
--- a/gateway/jobs/pace_test.go
+++ b/gateway/jobs/read_interval_test.go
@@ -12,36 +12,36 @@
 	"dandelionsill.org/platform"
 )
 
-func TestPace(t *testing.T) {
-	require.Zero(t, Pace(360, 0), "rate not told")
-	require.Equal(t, 9*time.Millisecond, Pace(9, 2000))
-	require.Equal(t, 120*time.Millisecond, Pace(360, 6000))
+func TestReadInterval(t *testing.T) {
+	require.Zero(t, ReadInterval(360, 0), "rate not told")
+	require.Equal(t, 9*time.Millisecond, ReadInterval(9, 2000))
+	require.Equal(t, 120*time.Millisecond, ReadInterval(360, 6000))
 }
 
 // busyLog has a new record for each read, up to some.
 type busyLog struct {
 	Log
-	reads atomic.Int64
-	past  uint64
+	reads   atomic.Int64
+	backlog uint64
 }
 
 func (l *busyLog) Read(_ context.Context, _ string, from uint64, _ int, _ time.Duration) (platform.Page, error) {
 	l.reads.Add(1)
 	next := from + 1
-	return platform.Page{Records: []platform.Record{{Offset: from, Data: []byte("{}")}}, Next: next, End: max(next, l.past)}, nil
+	return platform.Page{Records: []platform.Record{{Offset: from, Data: []byte("{}")}}, Next: next, End: max(next, l.backlog)}, nil
 }
 
 // Other processes append all the time, and each append ends a read that waits.
 // Read at once each time, the log would be asked as often as all append, by
 // every process. The past is read without pauses, what is new at the pace set.
-func TestLogIsFollowedAtItsPace(t *testing.T) {
-	log := &busyLog{past: 20}
-	book := NewBook(log, zap.NewNop())
-	book.SetPace(func() time.Duration { return time.Hour })
+func TestIndexKeepsReadInterval(t *testing.T) {
+	log := &busyLog{backlog: 20}
+	index := NewIndex(log, zap.NewNop())
+	index.SetReadInterval(func() time.Duration { return time.Hour })
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
-	go func() { book.Run(ctx); close(done) }()
-	require.Eventually(t, book.CaughtUp, 10*time.Second, time.Millisecond)
+	go func() { index.Run(ctx); close(done) }()
+	require.Eventually(t, index.CaughtUp, 10*time.Second, time.Millisecond)
 	cancel()
 	<-done
 	require.EqualValues(t, 20, log.reads.Load())
--- a/gateway/jobs/reads.go
+++ b/gateway/jobs/reads.go
@@ -12,14 +12,14 @@
 	"dandelionsill.org/platform"
 )
 
-// endKB is what a read asks for that only looks for the log's end. With as much as
+// endReadKB is what a read asks for that only looks for the log's end. With as much as
 // the log gives, each question about a job that a process did not know yet cost a
 // megabyte, while hundreds of processes read the past.
-const endKB = 1
+const endReadKB = 1
 
 var (
-	bytesRead   = metrics.Counter("jobs_log_read_bytes_total")
-	readsCutOff = metrics.Counter("jobs_log_reads_cut_off_total")
+	bytesRead     = metrics.Counter("jobs_log_read_bytes_total")
+	readsTimedOut = metrics.Counter("jobs_log_reads_cut_off_total")
 )
 
 // reader reads the log in pieces of a size that the log can bear beside the reads of
@@ -33,7 +33,7 @@
 
 func newReader(log platform.Log) *reader { return &reader{log: log} }
 
-func (r *reader) kb() int {
+func (r *reader) windowKB() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.window.KB()
@@ -42,15 +42,15 @@
 // read returns records of a stream from an offset on, as many as the log is asked for
 // at a time, waiting up to wait for the first.
 func (r *reader) read(ctx context.Context, stream string, from uint64, wait time.Duration) (platform.Page, error) {
-	return r.readMost(ctx, stream, from, r.kb(), wait)
+	return r.readUpTo(ctx, stream, from, r.windowKB(), wait)
 }
 
-// readMost reads no more than some KB, but one record at least.
-func (r *reader) readMost(ctx context.Context, stream string, from uint64, most int, wait time.Duration) (platform.Page, error) {
-	for kb := min(most, r.kb()); ; {
+// readUpTo reads no more than some KB, but one record at least.
+func (r *reader) readUpTo(ctx context.Context, stream string, from uint64, maxKB int, wait time.Duration) (platform.Page, error) {
+	for kb := min(maxKB, r.windowKB()); ; {
 		sent := time.Now()
 		page, err := r.log.Read(ctx, stream, from, kb, wait)
-		r.note(kb, page, err, time.Since(sent))
+		r.observe(kb, page, err, time.Since(sent))
 		if err != nil || len(page.Records) > 0 || page.End <= from {
 			return page, err
 		}
@@ -62,12 +62,12 @@
 	}
 }
 
-// note tells the window how a read of some KB went.
-func (r *reader) note(kb int, page platform.Page, err error, took time.Duration) {
+// observe tells the window how a read of some KB went.
+func (r *reader) observe(kb int, page platform.Page, err error, took time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if errors.Is(err, context.DeadlineExceeded) {
-		readsCutOff.Add(1)
+		readsTimedOut.Add(1)
 		r.window.RecordTimeout(kb)
 		return
 	}
@@ -79,10 +79,10 @@
 	r.window.RecordAnswer(kb, got, took)
 }
 
-// end returns the offset behind the last record of a stream; from is one that is
+// endOffset returns the offset behind the last record of a stream; from is one that is
 // known to stand there, or zero.
-func (r *reader) end(ctx context.Context, stream string, from uint64) (uint64, error) {
-	page, err := r.log.Read(ctx, stream, from, endKB, 0)
+func (r *reader) endOffset(ctx context.Context, stream string, from uint64) (uint64, error) {
+	page, err := r.log.Read(ctx, stream, from, endReadKB, 0)
 	if errors.Is(err, platform.ErrTruncated) {
 		return page.First, nil
 	}
--- a/gateway/jobs/recovery_test.go
+++ b/gateway/jobs/recovery_test.go
@@ -22,9 +22,9 @@
 	rate    float64 // bytes a second
 	records []platform.Record
 
-	mu   sync.Mutex
-	free time.Time // when the answers that were asked for so far have left
-	sent int       // bytes
+	mu     sync.Mutex
+	freeAt time.Time // when the answers that were asked for so far have left
+	sent   int       // bytes
 }
 
 // newSharedLog holds a past of records of some size, which hold nothing that a fold
@@ -52,12 +52,12 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if now := time.Now(); l.free.Before(now) {
-		l.free = now
+	if now := time.Now(); l.freeAt.Before(now) {
+		l.freeAt = now
 	}
-	l.free = l.free.Add(time.Duration(float64(size) / l.rate * float64(time.Second)))
+	l.freeAt = l.freeAt.Add(time.Duration(float64(size) / l.rate * float64(time.Second)))
 	l.sent += size
-	return page, l.free, size
+	return page, l.freeAt, size
 }
 
 // linkedLog is a sharedLog as seen over one VM's link.
@@ -66,15 +66,15 @@
 	link float64 // bytes a second
 }
 
-// readLimit is how long a read is waited for, beyond the time that it may wait for a
+// readTimeout is how long a read is waited for, beyond the time that it may wait for a
 // record.
-const readLimit = 900 * time.Millisecond
+const readTimeout = 900 * time.Millisecond
 
 func (l linkedLog) Read(ctx context.Context, _ string, from uint64, kb int, wait time.Duration) (platform.Page, error) {
-	ctx, cancel := context.WithTimeout(ctx, wait+readLimit)
+	ctx, cancel := context.WithTimeout(ctx, wait+readTimeout)
 	defer cancel()
-	page, left, size := l.page(from, kb)
-	until := left.Add(time.Duration(float64(size) / l.link * float64(time.Second)))
+	page, sentAt, size := l.page(from, kb)
+	until := sentAt.Add(time.Duration(float64(size) / l.link * float64(time.Second)))
 	if len(page.Records) == 0 {
 		until = time.Now().Add(wait)
 	}
@@ -94,23 +94,23 @@
 
 const mbit = 1e6 / 8 // bytes a second
 
-// follow starts as many readers of a log, every second one on a slow link.
-func follow(ctx context.Context, l *sharedLog, readers int) []*Book {
-	books := make([]*Book, readers)
-	for i := range books {
+// startReaders starts as many readers of a log, every second one on a slow link.
+func startReaders(ctx context.Context, l *sharedLog, readers int) []*Index {
+	indexes := make([]*Index, readers)
+	for i := range indexes {
 		link := 600 * mbit
 		if i%2 == 1 {
 			link = 60 * mbit
 		}
-		books[i] = NewBook(linkedLog{l, link}, zap.NewNop())
-		go books[i].Run(ctx)
+		indexes[i] = NewIndex(linkedLog{l, link}, zap.NewNop())
+		go indexes[i].Run(ctx)
 	}
-	return books
+	return indexes
 }
 
-func caughtUp(books []*Book) int {
+func countCaughtUp(indexes []*Index) int {
 	n := 0
-	for _, b := range books {
+	for _, b := range indexes {
 		if b.CaughtUp() {
 			n++
 		}
@@ -123,24 +123,24 @@
 // large for that are given up after the log has worked for them, and are made anew: most
 // entries never get to the log's end, and accepted jobs can't be read for the rest
 // of the day.
-func TestAFleetReadsThePastAfterALossOfPower(t *testing.T) {
+func TestFleetReadsLogAfterPowerLoss(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const readers = 200
 		log := newSharedLog(80e6, 3000, 1000)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		books := follow(ctx, log, readers)
-		work := readers * 3000 * 1000
-		time.Sleep(time.Duration(1.1*float64(work)/log.rate*float64(time.Second)) + 500*time.Millisecond)
-		require.Equal(t, readers, caughtUp(books))
-		require.Less(t, float64(log.sent), 1.1*float64(work), "bytes that the log gave, by those that were of use")
+		indexes := startReaders(ctx, log, readers)
+		usefulBytes := readers * 3000 * 1000
+		time.Sleep(time.Duration(1.1*float64(usefulBytes)/log.rate*float64(time.Second)) + 500*time.Millisecond)
+		require.Equal(t, readers, countCaughtUp(indexes))
+		require.Less(t, float64(log.sent), 1.1*float64(usefulBytes), "bytes that the log gave, by those that were of use")
 	})
 }
 
 // The same at any size, and again while the fleet still catches up. Once the log has
 // answered what was asked for before the second loss of power, it is of use for nine
 // tenths of its rate within two seconds.
-func TestAFleetCatchesUpWhateverItsSize(t *testing.T) {
+func TestFleetCatchesUpAtAnySize(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		readers := rapid.IntRange(1, 300).Draw(rt, "readers")
 		records := rapid.IntRange(0, 4000).Draw(rt, "records")
@@ -153,18 +153,18 @@
 		late := 0
 		synctest.Test(t, func(t *testing.T) {
 			log := newSharedLog(rate, records, size)
-			whole := seconds(readers*records*size, rate)
-			first, cut := context.WithCancel(t.Context())
-			follow(first, log, readers)
-			time.Sleep(time.Duration(again * float64(whole)))
-			cut()
+			fleetTime := seconds(readers*records*size, rate)
+			first, stopFirst := context.WithCancel(t.Context())
+			startReaders(first, log, readers)
+			time.Sleep(time.Duration(again * float64(fleetTime)))
+			stopFirst()
 			second, cancel := context.WithCancel(t.Context())
 			defer cancel()
-			answeringNobody := max(0, time.Until(log.free))
-			books := follow(second, log, readers)
-			alone := seconds(records*size, 60*mbit) // what the slow link takes by itself
-			time.Sleep(answeringNobody + time.Duration(float64(whole)/0.9) + alone + 2*time.Second)
-			late = readers - caughtUp(books)
+			backlog := max(0, time.Until(log.freeAt))
+			indexes := startReaders(second, log, readers)
+			slowLinkTime := seconds(records*size, 60*mbit) // what the slow link takes by itself
+			time.Sleep(backlog + time.Duration(float64(fleetTime)/0.9) + slowLinkTime + 2*time.Second)
+			late = readers - countCaughtUp(indexes)
 		})
 		require.Zero(rt, late, "readers that are not at the log's end")
 	})
--- a/gateway/jobs/slowstore_test.go
+++ b/gateway/jobs/slowstore_test.go
@@ -24,20 +24,20 @@
 	readsPerS int
 	slow      time.Duration // of each read
 	jobs      int
-	// away are the streams that can't be read at all for a part of the spell.
-	away []string
+	// unavailable are the streams that can't be read at all for a part of the spell.
+	unavailable []string
 	// restarts is how many entries start anew meanwhile.
 	restarts int
 }
 
 var overloads = rapid.Custom(func(t *rapid.T) overload {
 	return overload{
-		entries:   rapid.IntRange(3, 6).Draw(t, "entries"),
-		readsPerS: rapid.IntRange(5, 40).Draw(t, "reads a second"),
-		slow:      time.Duration(rapid.IntRange(0, 80).Draw(t, "ms a read")) * time.Millisecond,
-		jobs:      rapid.IntRange(2, 5).Draw(t, "jobs"),
-		away:      rapid.SampledFrom([][]string{nil, {jobs.Stream}, {"texts"}}).Draw(t, "away"),
-		restarts:  rapid.IntRange(0, 2).Draw(t, "restarts"),
+		entries:     rapid.IntRange(3, 6).Draw(t, "entries"),
+		readsPerS:   rapid.IntRange(5, 40).Draw(t, "reads a second"),
+		slow:        time.Duration(rapid.IntRange(0, 80).Draw(t, "ms a read")) * time.Millisecond,
+		jobs:        rapid.IntRange(2, 5).Draw(t, "jobs"),
+		unavailable: rapid.SampledFrom([][]string{nil, {jobs.Stream}, {"texts"}}).Draw(t, "away"),
+		restarts:    rapid.IntRange(0, 2).Draw(t, "restarts"),
 	}
 })
 
@@ -46,17 +46,17 @@
 // whole past through the same store. While it lasts an entry may say that it does
 // not know; it never says of an accepted job that there is none. Afterwards every
 // entry gives every accepted job whole, the results at the same positions.
-func TestFollowersOfAnOverloadedStoreLoseNothing(t *testing.T) {
+func TestFollowersOfOverloadedStoreLoseNothing(t *testing.T) {
 	t.Parallel()
 	for seed := range 6 {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			overloads.Example(seed).play(t)
+			overloads.Example(seed).run(t)
 		})
 	}
 }
 
-func (o overload) play(t *testing.T) {
+func (o overload) run(t *testing.T) {
 	t.Logf("%+v", o)
 	pf := gatewaytest.NewPlatform(t, 2, 1)
 	for _, e := range pf.Engines {
@@ -78,20 +78,20 @@
 		entries[i].Stop()
 		entries[i] = startEntry(t, pf, fmt.Sprintf("n%d", i), "2")
 	}
-	if o.away != nil {
-		pf.Store.Fail(hostedtest.StoreFaults{ReadsPerS: o.readsPerS, SlowReads: o.slow, Away: o.away})
+	if o.unavailable != nil {
+		pf.Store.Fail(hostedtest.StoreFaults{ReadsPerS: o.readsPerS, SlowReads: o.slow, Away: o.unavailable})
 	}
 	for _, e := range entries {
 		for _, id := range accepted {
-			requireHonest(t, e, id)
+			requireNeverNotFound(t, e, id)
 		}
 	}
 	pf.Store.Fail(hostedtest.StoreFaults{})
 	for _, id := range accepted {
 		first := entries[0].results(t, id, 2)
-		requireWhole(t, first, 40)
+		requireComplete(t, first, 40)
 		for _, e := range entries[1:] {
-			require.Equal(t, order(first), order(e.results(t, id, 2)), "%s at another entry", id)
+			require.Equal(t, itemOrder(first), itemOrder(e.results(t, id, 2)), "%s at another entry", id)
 		}
 	}
 }
@@ -105,8 +105,8 @@
 	return e.service.Submit(ctx, head, items) == nil
 }
 
-// requireHonest asks once for an accepted job.
-func requireHonest(t *testing.T, e *entry, id string) {
+// requireNeverNotFound asks once for an accepted job.
+func requireNeverNotFound(t *testing.T, e *entry, id string) {
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
 	_, _, err := e.service.Results(ctx, id, 0, 0)
@@ -115,8 +115,8 @@
 	}
 }
 
-// order lists the items by their position.
-func order(results []fold.Result) []string {
+// itemOrder lists the items by their position.
+func itemOrder(results []fold.Result) []string {
 	var ids []string
 	for _, r := range results {
 		ids = append(ids, r.Item)
--- a/gateway/jobs/library.go
+++ b/gateway/jobs/text_cache.go
@@ -16,10 +16,10 @@
 
 // Limits of texts in memory and of answers with them.
 const (
-	// cacheBytes bounds the texts that a process keeps to answer reads with.
-	cacheBytes = 8 << 20
-	// resultsBytes bounds the texts of one answer, in bytes.
-	resultsBytes = 900 << 10
+	// maxCacheBytes bounds the texts that a process keeps to answer reads with.
+	maxCacheBytes = 8 << 20
+	// maxAnswerBytes bounds the texts of one answer, in bytes.
+	maxAnswerBytes = 900 << 10
 )
 
 var (
@@ -29,15 +29,15 @@
 	textCallsFailed = metrics.Counter("jobs_text_calls_failed_total")
 )
 
-// Library gives the texts of results: from memory, from the process that wrote
+// TextCache gives the texts of results: from memory, from the process that wrote
 // them, or from the log. A step that was whole just before an outage of the store
 // can be read in it; what the writer has no more stands in the log.
-type Library struct {
+type TextCache struct {
 	log  *reader
 	http *http.Client
 	zlog *zap.Logger
-	// peer returns where a VM's process hands out texts, IP:port; empty: unknown.
-	peer func(node string) string
+	// peerAddr returns where a VM's process hands out texts, IP:port; empty: unknown.
+	peerAddr func(node string) string
 
 	mu    sync.Mutex
 	texts map[textKey]string
@@ -54,38 +54,38 @@
 
 func keyOf(r *jobs.Result) textKey { return textKey{r.Ref.Part, r.Ref.Offset, r.Item} }
 
-func newLibrary(log *reader, zlog *zap.Logger) *Library {
-	return &Library{
-		log: log, zlog: logs.Limited(zlog, retriesEvery), texts: map[textKey]string{}, peer: func(string) string { return "" },
-		http: &http.Client{Timeout: peerTimeout, Transport: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: callsAtOnce}},
+func newTextCache(log *reader, zlog *zap.Logger) *TextCache {
+	return &TextCache{
+		log: log, zlog: logs.Limited(zlog, retryLogInterval), texts: map[textKey]string{}, peerAddr: func(string) string { return "" },
+		http: &http.Client{Timeout: peerTimeout, Transport: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: maxConcurrentCalls}},
 	}
 }
 
 // SetPeers tells where the processes of other VMs hand out texts; it is called
 // before the first use.
-func (l *Library) SetPeers(peer func(node string) string) { l.peer = peer }
+func (c *TextCache) SetPeers(addr func(node string) string) { c.peerAddr = addr }
 
 // put keeps a text; the oldest leave first.
-func (l *Library) put(key textKey, text string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if _, known := l.texts[key]; known {
+func (c *TextCache) put(key textKey, text string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if _, known := c.texts[key]; known {
 		return
 	}
-	l.texts[key] = text
-	l.order = append(l.order, key)
-	l.bytes += len(text)
-	for l.bytes > cacheBytes && len(l.order) > 1 {
-		l.bytes -= len(l.texts[l.order[0]])
-		delete(l.texts, l.order[0])
-		l.order = l.order[1:]
+	c.texts[key] = text
+	c.order = append(c.order, key)
+	c.bytes += len(text)
+	for c.bytes > maxCacheBytes && len(c.order) > 1 {
+		c.bytes -= len(c.texts[c.order[0]])
+		delete(c.texts, c.order[0])
+		c.order = c.order[1:]
 	}
 }
 
-func (l *Library) get(key textKey) (string, bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	text, ok := l.texts[key]
+func (c *TextCache) get(key textKey) (string, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	text, ok := c.texts[key]
 	return text, ok
 }
 
@@ -95,45 +95,45 @@
 // The writer is asked first, for it has the texts in memory: a log that is asked
 // beside it sends each text twice, a large fleet's more than its bandwidth, and nobody
 // follows it any more. A writer that is slow is asked again only where the log does not answer.
-func (l *Library) fill(ctx context.Context, results []jobs.Result) ([]jobs.Result, error) {
-	f := &filling{library: l, results: slices.Clone(results[:fitting(results)])}
-	f.fromMemory()
-	f.fromWriters(ctx, askLogAfter)
-	f.fromLog(ctx)
+func (c *TextCache) fill(ctx context.Context, results []jobs.Result) ([]jobs.Result, error) {
+	f := &textFill{cache: c, results: slices.Clone(results[:countFitting(results)])}
+	f.fillFromMemory()
+	f.fillFromWriters(ctx, maxWriterWait)
+	f.fillFromLog(ctx)
 	if f.err != nil {
-		f.fromWriters(ctx, peerTimeout)
+		f.fillFromWriters(ctx, peerTimeout)
 	}
-	whole := f.whole()
-	if whole == 0 && len(f.results) > 0 {
+	available := f.completePrefix()
+	if available == 0 && len(f.results) > 0 {
 		return nil, f.err
 	}
-	return f.results[:whole], nil
+	return f.results[:available], nil
 }
 
-// fitting is how many results, with their texts, an answer holds.
-func fitting(results []jobs.Result) int {
+// countFitting is how many results, with their texts, an answer holds.
+func countFitting(results []jobs.Result) int {
 	size := 0
 	for i, r := range results {
 		if r.Ref == nil {
 			continue
 		}
-		if size += r.Ref.Bytes; size > resultsBytes && i > 0 {
+		if size += r.Ref.Bytes; size > maxAnswerBytes && i > 0 {
 			return i
 		}
 	}
 	return len(results)
 }
 
-// filling is one answer on its way.
-type filling struct {
-	library *Library
+// textFill is one answer on its way.
+type textFill struct {
+	cache   *TextCache
 	results []jobs.Result
 	// err is why the log did not give the texts that are missing.
 	err error
 }
 
 // missing returns the results whose text is still to be had.
-func (f *filling) missing() []*jobs.Result {
+func (f *textFill) missing() []*jobs.Result {
 	var out []*jobs.Result
 	for i := range f.results {
 		if r := &f.results[i]; r.Ref != nil && r.Text == "" && r.Ref.Bytes > 0 {
@@ -143,8 +143,8 @@
 	return out
 }
 
-// whole is how many results have their texts before the first that has not.
-func (f *filling) whole() int {
+// completePrefix is how many results have their texts before the first that has not.
+func (f *textFill) completePrefix() int {
 	missing := f.missing()
 	if len(missing) == 0 {
 		return len(f.results)
@@ -152,43 +152,43 @@
 	return slices.IndexFunc(f.results, func(r jobs.Result) bool { return r.Ref != nil && r.Item == missing[0].Item })
 }
 
-func (f *filling) fromMemory() {
+func (f *textFill) fillFromMemory() {
 	for _, r := range f.missing() {
-		r.Text, _ = f.library.get(keyOf(r))
+		r.Text, _ = f.cache.get(keyOf(r))
 	}
 }
 
-// fromWriters asks the processes that wrote the missing texts, each for at most a
+// fillFromWriters asks the processes that wrote the missing texts, each for at most a
 // while.
-func (f *filling) fromWriters(ctx context.Context, most time.Duration) {
-	ctx, cancel := context.WithTimeout(ctx, most)
+func (f *textFill) fillFromWriters(ctx context.Context, maxWait time.Duration) {
+	ctx, cancel := context.WithTimeout(ctx, maxWait)
 	defer cancel()
-	slots := make(chan struct{}, callsAtOnce)
+	slots := make(chan struct{}, maxConcurrentCalls)
 	var calls sync.WaitGroup
-	for _, call := range textCalls(f.missing(), f.library.peer) {
+	for _, call := range groupTextCalls(f.missing(), f.cache.peerAddr) {
 		slots <- struct{}{}
 		calls.Go(func() {
-			f.library.ask(ctx, call)
+			f.cache.fetchFromPeer(ctx, call)
 			<-slots
 		})
 	}
 	calls.Wait()
-	f.fromMemory()
+	f.fillFromMemory()
 }
 
-// fromLog reads the missing texts from the log, those of one partition one after the
+// fillFromLog reads the missing texts from the log, those of one partition one after the
 // other: the results of a job stand side by side. Read by themselves, with what stood
 // behind each, the texts of one answer cost eight times their bytes.
-func (f *filling) fromLog(ctx context.Context) {
+func (f *textFill) fillFromLog(ctx context.Context) {
 	missing := f.missing()
 	slices.SortStableFunc(missing, func(a, b *jobs.Result) int { return compareRefs(a.Ref, b.Ref) })
 	for len(missing) > 0 {
-		next, err := f.library.read(ctx, missing)
+		next, err := f.cache.readFromLog(ctx, missing)
 		if err != nil {
 			f.err = err
 			break
 		}
 		missing = next
 	}
-	f.fromMemory()
+	f.fillFromMemory()
 }
--- a/gateway/jobs/library_test.go
+++ b/gateway/jobs/text_cache_test.go
@@ -21,12 +21,12 @@
 	platform.Log
 	records [][]byte
 	reads   int
-	asked   int // KB
+	askedKB int // KB
 }
 
 func (l *textLog) Read(_ context.Context, _ string, from uint64, kb int, _ time.Duration) (platform.Page, error) {
 	l.reads++
-	l.asked += kb
+	l.askedKB += kb
 	page := platform.Page{Next: from, End: uint64(len(l.records))}
 	for size := 0; page.Next < page.End; page.Next++ {
 		data := l.records[page.Next]
@@ -38,8 +38,8 @@
 	return page, nil
 }
 
-// written writes the texts of a job's results, each in a record of its own.
-func (l *textLog) written(t *testing.T, results, size int) []jobs.Result {
+// write writes the texts of a job's results, each in a record of its own.
+func (l *textLog) write(t *testing.T, results, size int) []jobs.Result {
 	var out []jobs.Result
 	for i := range results {
 		item := fmt.Sprint("i", i)
@@ -63,35 +63,35 @@
 // After a loss of power no process has the texts of the steps before, and trainers read
 // them again at every entry. A read for each text brings what stands behind it as
 // well, eight times what is of use, from a log whose bandwidth all entries share.
-func TestTextsOfAnAnswerAreReadFromTheLogOnce(t *testing.T) {
+func TestTextsAreReadFromLogOnce(t *testing.T) {
 	log := &textLog{}
-	results := log.written(t, 100, 5000)
-	filled, err := newLibrary(newReader(log), zap.NewNop()).fill(t.Context(), results)
+	results := log.write(t, 100, 5000)
+	filled, err := newTextCache(newReader(log), zap.NewNop()).fill(t.Context(), results)
 	require.NoError(t, err)
 	requireTexts(t, filled, 100, 5000)
 	require.LessOrEqual(t, log.reads, 8)
-	require.LessOrEqual(t, log.asked, 2*100*5000>>10)
+	require.LessOrEqual(t, log.askedKB, 2*100*5000>>10)
 }
 
 // The writer has the texts in memory: the log is not read at all.
-func TestTextsComeFromTheirWriter(t *testing.T) {
+func TestTextsComeFromWriter(t *testing.T) {
 	log := &textLog{}
-	results := log.written(t, 60, 5000)
-	writer := newLibrary(newReader(log), zap.NewNop())
+	results := log.write(t, 60, 5000)
+	writer := newTextCache(newReader(log), zap.NewNop())
 	for _, r := range results {
 		writer.put(keyOf(&r), strings.Repeat(r.Item[len(r.Item)-1:], 5000))
 	}
 	server := httptest.NewServer(writer)
 	defer server.Close()
-	l := newLibrary(newReader(log), zap.NewNop())
-	l.SetPeers(func(string) string { return strings.TrimPrefix(server.URL, "http://") })
+	reader := newTextCache(newReader(log), zap.NewNop())
+	reader.SetPeers(func(string) string { return strings.TrimPrefix(server.URL, "http://") })
 	// The writer has all the time that it needs here: on a busy machine it may take
 	// longer than askLogAfter, and the log is then asked as well.
-	asking := &filling{library: l, results: slices.Clone(results)}
-	asking.fromWriters(t.Context(), time.Minute)
-	require.Empty(t, asking.missing())
-	requireTexts(t, asking.results, 60, 5000)
-	filled, err := l.fill(t.Context(), results)
+	fill := &textFill{cache: reader, results: slices.Clone(results)}
+	fill.fillFromWriters(t.Context(), time.Minute)
+	require.Empty(t, fill.missing())
+	requireTexts(t, fill.results, 60, 5000)
+	filled, err := reader.fill(t.Context(), results)
 	require.NoError(t, err)
 	requireTexts(t, filled, 60, 5000)
 	require.Zero(t, log.reads)
@@ -99,17 +99,17 @@
 
 // A record larger than what the window asks for is read all the same.
 func TestLargeRecordIsRead(t *testing.T) {
-	log := &exactLog{}
-	results := log.written(t, 3, 300<<10)
-	filled, err := newLibrary(newReader(log), zap.NewNop()).fill(t.Context(), results)
+	log := &strictSizeLog{}
+	results := log.write(t, 3, 300<<10)
+	filled, err := newTextCache(newReader(log), zap.NewNop()).fill(t.Context(), results)
 	require.NoError(t, err)
 	requireTexts(t, filled, 3, 300<<10)
 }
 
-// exactLog never gives more than was asked for, not even one record.
-type exactLog struct{ textLog }
+// strictSizeLog never gives more than was asked for, not even one record.
+type strictSizeLog struct{ textLog }
 
-func (l *exactLog) Read(ctx context.Context, stream string, from uint64, kb int, wait time.Duration) (platform.Page, error) {
+func (l *strictSizeLog) Read(ctx context.Context, stream string, from uint64, kb int, wait time.Duration) (platform.Page, error) {
 	page, err := l.textLog.Read(ctx, stream, from, kb, wait)
 	if len(page.Records) == 1 && len(page.Records[0].Data) > kb<<10 {
 		page.Records, page.Next = nil, from
--- a/gateway/jobs/textcalls.go
+++ b/gateway/jobs/textcalls.go
@@ -18,90 +18,90 @@
 
 // Limits of calls for texts.
 const (
-	// askLogAfter is how long the writers of texts may take before the log is asked:
+	// maxWriterWait is how long the writers of texts may take before the log is asked:
 	// some ten times the answer of one that is well, with 64 KB over the slowest
 	// link.
-	askLogAfter = 150 * time.Millisecond
+	maxWriterWait = 150 * time.Millisecond
 	// peerTimeout bounds a call to a peer, a few milliseconds away, where the log does
 	// not answer.
 	peerTimeout = 300 * time.Millisecond
-	// callsAtOnce is how many calls for texts run side by side.
-	callsAtOnce = 4
-	// callBytes is the size of the texts of one call: 10 ms over a link of 60 Mbit/s.
-	callBytes = 64 << 10
-	// callTexts is how many texts one call asks for, so that short ones do not make a
+	// maxConcurrentCalls is how many calls for texts run side by side.
+	maxConcurrentCalls = 4
+	// maxCallBytes is the size of the texts of one call: 10 ms over a link of 60 Mbit/s.
+	maxCallBytes = 64 << 10
+	// maxCallTexts is how many texts one call asks for, so that short ones do not make a
 	// question that is larger than its answer.
-	callTexts = 256
-	// textReadsKB is the least that a read of texts asks for: the texts of one moment
+	maxCallTexts = 256
+	// minTextReadKB is the least that a read of texts asks for: the texts of one moment
 	// stand in one record of up to 96 KB.
-	textReadsKB = 128
-	// besideTexts is how many bytes stand among a job's texts for each of theirs: the
+	minTextReadKB = 128
+	// textReadFactor is how many bytes stand among a job's texts for each of theirs: the
 	// same events as they came, and other jobs of the partition.
-	besideTexts = 3
+	textReadFactor = 3
 )
 
 // PathTexts is where a process hands texts to its peers.
 const PathTexts = "/texts"
 
-// textAsked names a text in a call to the process that wrote it.
-type textAsked struct {
+// requestedText names a text in a call to the process that wrote it.
+type requestedText struct {
 	Part   int    `json:"part"`
 	Offset uint64 `json:"offset"`
 	Item   string `json:"item"`
 }
 
-// textGiven is a text in the answer; those that the process no longer has are left out.
-type textGiven struct {
-	textAsked
+// returnedText is a text in the answer; those that the process no longer has are left out.
+type returnedText struct {
+	requestedText
 	Text string `json:"text"`
 }
 
 // textCall is one call to a peer.
 type textCall struct {
 	addr  string
-	asked []textAsked
+	texts []requestedText
 }
 
-// textCalls divides texts among calls to their writers; those whose writer has no
+// groupTextCalls divides texts among calls to their writers; those whose writer has no
 // address are left out.
-func textCalls(missing []*jobs.Result, peer func(node string) string) []textCall {
+func groupTextCalls(missing []*jobs.Result, peerAddr func(node string) string) []textCall {
 	var calls []textCall
-	open := map[string]int{} // by writer: its call that is not full
+	openCall := map[string]int{} // by writer: its call that is not full
 	size := map[string]int{}
 	for _, r := range missing {
-		addr := peer(r.Writer)
+		addr := peerAddr(r.Writer)
 		if addr == "" {
 			continue
 		}
-		at, ok := open[addr]
-		if !ok || size[addr]+r.Ref.Bytes > callBytes || len(calls[at].asked) == callTexts {
+		at, ok := openCall[addr]
+		if !ok || size[addr]+r.Ref.Bytes > maxCallBytes || len(calls[at].texts) == maxCallTexts {
 			at = len(calls)
 			calls = append(calls, textCall{addr: addr})
-			open[addr], size[addr] = at, 0
+			openCall[addr], size[addr] = at, 0
 		}
 		size[addr] += r.Ref.Bytes
-		calls[at].asked = append(calls[at].asked, textAsked{r.Ref.Part, r.Ref.Offset, r.Item})
+		calls[at].texts = append(calls[at].texts, requestedText{r.Ref.Part, r.Ref.Offset, r.Item})
 	}
 	return calls
 }
 
-// ask asks a peer for texts and keeps those that it has. One that fails is made up
+// fetchFromPeer asks a peer for texts and keeps those that it has. One that fails is made up
 // for by the log.
-func (l *Library) ask(ctx context.Context, call textCall) {
-	given, err := l.exchange(ctx, call)
+func (c *TextCache) fetchFromPeer(ctx context.Context, call textCall) {
+	returned, err := c.callPeer(ctx, call)
 	if err != nil {
 		textCallsFailed.Add(1)
-		l.zlog.Info("A writer did not give its texts.", zap.String("addr", call.addr), zap.Int("texts", len(call.asked)), zap.Error(err))
+		c.zlog.Info("A writer did not give its texts.", zap.String("addr", call.addr), zap.Int("texts", len(call.texts)), zap.Error(err))
 		return
 	}
-	for _, text := range given {
+	for _, text := range returned {
 		textsFromPeer.Add(1)
-		l.put(textKey{text.Part, text.Offset, text.Item}, text.Text)
+		c.put(textKey{text.Part, text.Offset, text.Item}, text.Text)
 	}
 }
 
-func (l *Library) exchange(ctx context.Context, call textCall) ([]textGiven, error) {
-	body, err := json.Marshal(call.asked)
+func (c *TextCache) callPeer(ctx context.Context, call textCall) ([]returnedText, error) {
+	body, err := json.Marshal(call.texts)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
@@ -109,7 +109,7 @@
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	resp, err := l.http.Do(req)
+	resp, err := c.http.Do(req)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
@@ -118,24 +118,24 @@
 		return nil, errors.Errorf("peer %s: status %d", call.addr, resp.StatusCode)
 	}
 	// An answer that was cut off ends with an error: it states its length.
-	var given []textGiven
-	return given, errors.Trace(json.NewDecoder(resp.Body).Decode(&given))
+	var returned []returnedText
+	return returned, errors.Trace(json.NewDecoder(resp.Body).Decode(&returned))
 }
 
 // ServeHTTP hands texts that this process has in memory to a peer.
-func (l *Library) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	var asked []textAsked
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, callBytes)).Decode(&asked); err != nil {
+func (c *TextCache) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	var requested []requestedText
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxCallBytes)).Decode(&requested); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	given := make([]textGiven, 0, len(asked))
-	for _, a := range asked {
-		if text, ok := l.get(textKey{a.Part, a.Offset, a.Item}); ok {
-			given = append(given, textGiven{a, text})
+	returned := make([]returnedText, 0, len(requested))
+	for _, a := range requested {
+		if text, ok := c.get(textKey{a.Part, a.Offset, a.Item}); ok {
+			returned = append(returned, returnedText{a, text})
 		}
 	}
-	data, err := json.Marshal(given)
+	data, err := json.Marshal(returned)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
@@ -148,12 +148,12 @@
 	return cmp.Or(cmp.Compare(a.Part, b.Part), cmp.Compare(a.Offset, b.Offset))
 }
 
-// read reads the first of some texts, which are in the order of the log, and those
+// readFromLog reads the first of some texts, which are in the order of the log, and those
 // beside it. It returns those that are still missing.
-func (l *Library) read(ctx context.Context, missing []*jobs.Result) ([]*jobs.Result, error) {
+func (c *TextCache) readFromLog(ctx context.Context, missing []*jobs.Result) ([]*jobs.Result, error) {
 	first := missing[0].Ref
 	textReads.Add(1)
-	page, err := l.log.readMost(ctx, textStream(first.Part), first.Offset, readFor(missing), 0)
+	page, err := c.log.readUpTo(ctx, textStream(first.Part), first.Offset, textReadKB(missing), 0)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
@@ -164,30 +164,30 @@
 			continue // another record's fault; ours shows as missing below
 		}
 		for _, text := range record.Texts {
-			l.put(textKey{first.Part, rec.Offset, text.Item}, text.Text)
+			c.put(textKey{first.Part, rec.Offset, text.Item}, text.Text)
 		}
 	}
-	left := slices.DeleteFunc(slices.Clone(missing), func(r *jobs.Result) bool {
-		return r.Ref.Part == first.Part && r.Ref.Offset < page.Next && l.has(keyOf(r))
+	remaining := slices.DeleteFunc(slices.Clone(missing), func(r *jobs.Result) bool {
+		return r.Ref.Part == first.Part && r.Ref.Offset < page.Next && c.contains(keyOf(r))
 	})
-	if len(left) > 0 && left[0].Ref.Part == first.Part && left[0].Ref.Offset < page.Next {
-		return nil, errors.NotFoundf("text of item %s at offset %d", left[0].Item, left[0].Ref.Offset)
+	if len(remaining) > 0 && remaining[0].Ref.Part == first.Part && remaining[0].Ref.Offset < page.Next {
+		return nil, errors.NotFoundf("text of item %s at offset %d", remaining[0].Item, remaining[0].Ref.Offset)
 	}
-	return left, nil
+	return remaining, nil
 }
 
-func (l *Library) has(key textKey) bool {
-	_, ok := l.get(key)
+func (c *TextCache) contains(key textKey) bool {
+	_, ok := c.get(key)
 	return ok
 }
 
-// readFor returns how many KB are likely to hold the texts of the first's partition.
-func readFor(missing []*jobs.Result) int {
+// textReadKB returns how many KB are likely to hold the texts of the first's partition.
+func textReadKB(missing []*jobs.Result) int {
 	size := 0
 	for _, r := range missing {
 		if r.Ref.Part == missing[0].Ref.Part {
-			size += besideTexts * r.Ref.Bytes
+			size += textReadFactor * r.Ref.Bytes
 		}
 	}
-	return max(textReadsKB, size>>10)
+	return max(minTextReadKB, size>>10)
 }
--- a/gateway/jobs/textgroups.go
+++ b/gateway/jobs/textgroups.go
@@ -9,22 +9,22 @@
 	results []jobs.Result
 }
 
-// splitTexts makes records of a size that the log takes. One holds texts so far or whole
+// groupTexts makes records of a size that the log takes. One holds texts so far or whole
 // texts, for these may stand elsewhere.
-func splitTexts(w jobs.Writer, of claimed, t *jobTexts) []textGroup {
-	s := &textSplitter{writer: w, of: of}
+func groupTexts(w jobs.Writer, key jobClaim, t *pendingTexts) []textGroup {
+	s := &textSplitter{writer: w, key: key}
 	s.close()
 	for _, p := range t.progress {
-		bytes := startBytes
+		bytes := entryOverheadBytes
 		for _, e := range p.Events {
-			bytes += len(e.Data) + eventBytes
+			bytes += len(e.Data) + eventOverheadBytes
 		}
 		g := s.next(bytes)
 		g.record.Progress = append(g.record.Progress, p)
 	}
 	s.close()
 	for _, r := range t.results {
-		g := s.next(len(r.Text) + startBytes)
+		g := s.next(len(r.Text) + entryOverheadBytes)
 		g.record.Texts = append(g.record.Texts, jobs.ItemText{Item: r.Item, Text: r.Text})
 		g.results = append(g.results, r)
 	}
@@ -34,26 +34,26 @@
 // textSplitter gathers texts and begins a new record in time.
 type textSplitter struct {
 	writer jobs.Writer
-	of     claimed
+	key    jobClaim
 	groups []textGroup
 	size   int // of the last record, in bytes
 }
 
 // close makes the next text begin a new record.
-func (s *textSplitter) close() { s.size = recordMost }
+func (s *textSplitter) close() { s.size = maxRecordBytes }
 
 // next returns the record for a text of some bytes.
 func (s *textSplitter) next(bytes int) *textGroup {
-	if s.size+bytes > recordMost {
-		s.groups = append(s.groups, textGroup{record: jobs.TextRecord{Writer: s.writer, Job: s.of.job, Claim: s.of.claim}})
+	if s.size+bytes > maxRecordBytes {
+		s.groups = append(s.groups, textGroup{record: jobs.TextRecord{Writer: s.writer, Job: s.key.job, Claim: s.key.claim}})
 		s.size = 0
 	}
 	s.size += bytes
 	return &s.groups[len(s.groups)-1]
 }
 
-// divide tells records of texts so far from those of whole texts.
-func divide(groups []textGroup) (progress, results []textGroup) {
+// separateResults tells records of texts so far from those of whole texts.
+func separateResults(groups []textGroup) (progress, results []textGroup) {
 	for _, g := range groups {
 		if len(g.results) > 0 {
 			results = append(results, g)
@@ -64,12 +64,12 @@
 	return progress, results
 }
 
-// nextCall returns the records of the next append.
-func nextCall(groups []textGroup) [][]byte {
+// nextBatch returns the records of the next append.
+func nextBatch(groups []textGroup) [][]byte {
 	var records [][]byte
 	size := 0
 	for _, g := range groups {
-		if size += len(g.data); size > callMost && len(records) > 0 {
+		if size += len(g.data); size > maxAppendBytes && len(records) > 0 {
 			break
 		}
 		records = append(records, g.data)
--- a/gateway/jobs/texts.go
+++ b/gateway/jobs/texts.go
@@ -12,24 +12,24 @@
 	"dandelionsill.org/platform"
 )
 
-// textsWait bounds one try to read a job's items and earlier texts; its owner
+// maxTextsWait bounds one try to read a job's items and earlier texts; its owner
 // tries again.
-const textsWait = 3 * time.Second
+const maxTextsWait = 3 * time.Second
 
 // textStream is the stream with the texts of a partition.
 func textStream(part int) string { return fmt.Sprintf("texts/%d", part) }
 
-// partOf is the partition of a job's texts.
-func partOf(job string, parts int) int { return int(route.Hash(job) % uint64(parts)) }
+// partitionOf is the partition of a job's texts.
+func partitionOf(job string, partitions int) int { return int(route.Hash(job) % uint64(partitions)) }
 
-// errNoItems: the items of a job are not to be had now.
-var errNoItems = errors.New("the job's items can't be read")
+// errItemsUnreadable: the items of a job are not to be had now.
+var errItemsUnreadable = errors.New("the job's items can't be read")
 
 // readTexts folds the items of a job and, where earlier owners may have made
 // texts, all that stands behind them to the end of the stream.
-func readTexts(ctx context.Context, log *reader, j *jobs.Head, from jobs.TextRef, all bool) (*jobs.Texts, error) {
+func readTexts(ctx context.Context, log *reader, j *jobs.Head, from jobs.TextRef, toEnd bool) (*jobs.Texts, error) {
 	return foldTexts(ctx, log, j.ID, from, func(texts *jobs.Texts, atEnd bool) bool {
-		return texts.Known() >= j.Total && (!all || atEnd)
+		return texts.Known() >= j.Total && (!toEnd || atEnd)
 	})
 }
 
@@ -47,7 +47,7 @@
 // foldTexts folds the texts of a job from where its items stand until enough, which is
 // told whether the stream's end is reached.
 func foldTexts(ctx context.Context, log *reader, job string, from jobs.TextRef, enough func(texts *jobs.Texts, atEnd bool) bool) (*jobs.Texts, error) {
-	ctx, cancel := context.WithTimeout(ctx, textsWait)
+	ctx, cancel := context.WithTimeout(ctx, maxTextsWait)
 	defer cancel()
 	texts := jobs.NewTexts(job)
 	for next := from.Offset; ; {
@@ -71,17 +71,17 @@
 		case enough(texts, next >= page.End):
 			return texts, nil
 		case len(page.Records) == 0:
-			return nil, errNoItems
+			return nil, errItemsUnreadable
 		}
 	}
 }
 
-// itemRecords makes the records of a job's items.
-func itemRecords(w jobs.Writer, job string, items []jobs.Item) ([][]byte, error) {
+// encodeItems makes the records of a job's items.
+func encodeItems(w jobs.Writer, job string, items []jobs.Item) ([][]byte, error) {
 	var out [][]byte
 	r := jobs.TextRecord{Writer: w, Job: job}
 	size := 0
-	closeRecord := func() error {
+	appendRecord := func() error {
 		data, err := r.Encode()
 		out = append(out, data)
 		r.Items, size = nil, 0
@@ -89,14 +89,14 @@
 	}
 	for _, item := range items {
 		r.Items = append(r.Items, item)
-		if size += itemSize(&item); size > recordMost {
-			if err := closeRecord(); err != nil {
+		if size += itemSize(&item); size > maxRecordBytes {
+			if err := appendRecord(); err != nil {
 				return nil, err
 			}
 		}
 	}
 	if len(r.Items) > 0 {
-		if err := closeRecord(); err != nil {
+		if err := appendRecord(); err != nil {
 			return nil, err
 		}
 	}
@@ -105,7 +105,7 @@
 
 // itemSize is about what an item takes in a record, in bytes.
 func itemSize(item *jobs.Item) int {
-	size := itemOverhead + len(item.Body)
+	size := itemOverheadBytes + len(item.Body)
 	if item.Score != nil {
 		size += len(item.Score.Body)
 	}
--- a/gateway/server/gateway.go
+++ b/gateway/server/gateway.go
@@ -73,7 +73,7 @@
 	pool := backend.NewPool(hosted.AttemptID)
 	forwarder := forward.New(v, pool, set.Process.FailureDomain, logs.Part(log, "forward"))
 	forwarder.Quarantine.Share(store, quarantine.NewHTTPPeers(peers.Addrs), set.Store.ReadsPerS)
-	book := gatewayjobs.NewBook(store, logs.Part(log, "jobs"))
+	book := gatewayjobs.NewIndex(store, logs.Part(log, "jobs"))
 	runner := gatewayjobs.NewRunner(book, store, forwarder, writer, set.Store.Parts, capacity, logs.Part(log, "runner"))
 	handler := &front.Front{
 		View: v, Forward: forwarder, Log: logs.Part(log, "front"), Latency: metrics.NewHistogram("front_latency"),
@@ -81,7 +81,7 @@
 	}
 	ready := &readiness{view: v, book: book, quarantine: forwarder.Quarantine}
 	book.Texts.SetPeers(peers.Addr)
-	book.SetPace(func() time.Duration { return gatewayjobs.Pace(processes(), set.Store.ReadsPerS) })
+	book.SetReadInterval(func() time.Duration { return gatewayjobs.ReadInterval(processes(), set.Store.ReadsPerS) })
 	usage := newReporting(&set, lease.Holder(writer), store, processes, log)
 	if usage != nil {
 		forwarder.Usage = usage.counter
@@ -115,7 +115,7 @@
 
 // feedPace is the least time between two reads of a feed.
 func feedPace(gateways *hosted.Peers, readsPerS float64) time.Duration {
-	return gatewayjobs.Pace(processesPerGateway*(len(gateways.Addrs())+1), readsPerS)
+	return gatewayjobs.ReadInterval(processesPerGateway*(len(gateways.Addrs())+1), readsPerS)
 }
 
 // flushMost bounds the sending of the last spans at a stop.
@@ -136,13 +136,13 @@
 	}
 	usage.leave()
 	handler.Leave()
-	runner.Leave()
+	runner.Drain()
 }
 
 // drain waits until no caller's request is in flight and others may go on with
 // this process's jobs.
 func drain(ctx context.Context, handler *front.Front, runner *gatewayjobs.Runner, usage *reporting, log *zap.Logger) error {
-	if !runner.Left(ctx) {
+	if !runner.WaitDrained(ctx) {
 		log.Warn("Batch jobs could not be given up.")
 	}
 	defer usage.left(context.WithoutCancel(ctx))
@@ -196,7 +196,7 @@
 // readiness answers the platform's question whether callers may be sent here.
 type readiness struct {
 	view       *view.View
-	book       *gatewayjobs.Book
+	book       *gatewayjobs.Index
 	quarantine *quarantine.Quarantine
 	up         atomic.Bool
 }
