--- a/gateway/jobs/active_item.go
+++ b/gateway/jobs/active_item.go
@@ -13,29 +13,29 @@
 	"dandelionsill.org/quarantine"
 )
 
-// phase is what the owner is doing with an item.
+// phase is the state of an item at its owner.
 type phase uint8
 
 const (
 	waiting phase = iota
-	running       // a stream of it is open at an engine
-	scoring       // its text is whole, its score is being asked for
-	ended         // its result is on its way to the log
+	running       // a stream of the item is open at an engine
+	scoring       // the text is complete and its score is requested
+	ended         // the result is being appended to the log
 )
 
-// activeItem is an item in the hands of its job's owner. The runner's mutex guards it.
+// activeItem is an item of a job that this process owns. The runner's mutex guards it.
 type activeItem struct {
 	job  *jobs.Job
 	item jobs.Item
 	size hosted.ItemSize
-	// claim is the one under which this process took the item on. The job's own
-	// changes as soon as another process has claimed it: read then, it put this
-	// owner's last text under the claim of the next.
+	// claim is the claim under which this process took the item. job.Claim changes as soon as
+	// another process has claimed the job: if it were used, this owner's last events would be
+	// stored under the claim of the next owner.
 	claim uint64
 
-	// singleVersion: one weight version makes the whole text.
+	// singleVersion is true if one weight version has to make the complete text.
 	singleVersion bool
-	// service runs the item by the table routedBy.
+	// service is the service that runs the item according to the table routedBy.
 	service  string
 	routedBy *table.Table
 
@@ -45,33 +45,33 @@
 	complete       bool // no further event follows
 	failures       int
 	reportedEvents int    // events that went to the outbox
-	reportedServer string // where the log was told that it runs
+	reportedServer string // server that was last reported to the log
 
 	server          string
-	pace            float64   // seconds an event there, as known when the stream began
+	pace            float64   // seconds per event at the server when the stream started
 	stop            func()    // ends the stream; nil unless running
 	streamNumber    uint64    // counts the streams of this item
-	takenAt         time.Time // when this process took the item on
-	waitingSince    time.Time // when it left its last engine, or was taken on
+	takenAt         time.Time // when this process took the item
+	waitingSince    time.Time // when it left its last engine or was taken
 	firstStreamAt   time.Time // when its first stream here was opened
-	textCompleteAt  time.Time // when its text was whole
+	textCompleteAt  time.Time // when its text was complete
 	streamStartedAt time.Time
 	lastEventAt     time.Time
 	streamEvents    int // events of this stream
-	// textSince, beforeText and setbacks tell how the present text came on: when
-	// this process began to make it, the events it had then, and how many of its
-	// streams ended early since.
+	// textSince, eventsBefore and brokenStreams describe the progress of the current text:
+	// when this process started to make it, how many events it had then, and how many of its
+	// streams have ended early since.
 	textSince     time.Time
 	eventsBefore  int
 	brokenStreams int
 	avoidUntil    map[string]time.Time
 
-	subject          *quarantine.Subject // nil: not needed yet
-	quarantineLogged bool                // it was logged that the item is in quarantine
+	subject          *quarantine.Subject // nil until it is needed
+	quarantineLogged bool                // whether the quarantine was logged
 }
 
-// subject is an item as the quarantine sees it; r.mu is held. A trainer hands in again
-// the groups that it did not wait for, and they are the same requests in the later job.
+// subject returns the item's subject in the quarantine; r.mu is held. Groups that a trainer
+// submits again, because it did not wait for them, are the same requests in the later job.
 func (r *Runner) subject(a *activeItem) *quarantine.Subject {
 	if a.subject == nil {
 		item := &a.item
@@ -82,8 +82,8 @@
 	return a.subject
 }
 
-// newActiveItem takes an item on with what was made of it before; that is appended
-// anew under this owner's claim.
+// newActiveItem takes an item with what was made of it before, which is appended again under
+// this owner's claim.
 func newActiveItem(j *jobs.Job, item jobs.Item, earlier jobs.Made) *activeItem {
 	now := time.Now()
 	return &activeItem{
@@ -92,7 +92,7 @@
 	}
 }
 
-// requiredVersion is the one version that may go on with the item; 0: any.
+// requiredVersion returns the only version that may continue the item; 0: any.
 func (a *activeItem) requiredVersion() uint64 {
 	if !a.singleVersion || len(a.events) == 0 {
 		return 0
@@ -100,7 +100,7 @@
 	return a.events[0].Version
 }
 
-// model is the model that has to make the item's text.
+// model returns the model that has to make the item's text.
 func (a *activeItem) model() string {
 	if a.size.Model != "" {
 		return a.size.Model
@@ -115,7 +115,7 @@
 	a.textSince, a.eventsBefore, a.brokenStreams = time.Time{}, 0, 0
 }
 
-// progress is how the item's present text has come on.
+// progress describes how the item's current text advances.
 func (a *activeItem) progress(now time.Time) place.Progress {
 	p := place.Progress{Made: float64(len(a.events)), MadeByOwner: float64(len(a.events) - a.eventsBefore), BrokenStreams: a.brokenStreams}
 	if !a.textSince.IsZero() {
@@ -124,20 +124,20 @@
 	return p
 }
 
-// ageRankBucket is how much older a job has to be for its samples to go before
-// longer ones of another. Where places are scarce the older step is the one
-// that can still be saved; within a bucket the longest go first.
+// ageRankBucket is how much older a job has to be if its samples are to go before longer ones of
+// another. If slots are scarce, the older step is the one that can still be finished in time;
+// within a bucket the longest samples go first.
 const ageRankBucket = 2 * time.Second
 
 // ageRankEpoch keeps ranks small.
 var ageRankEpoch = time.Unix(1_700_000_000, 0)
 
-// ageRank is the job's place among others by its age.
+// ageRank returns the job's rank by age: lower for older jobs.
 func ageRank(j *jobs.Job) int {
 	return int(time.UnixMilli(j.SubmittedMS).Sub(ageRankEpoch) / ageRankBucket)
 }
 
-// sample describes the item for its placing; left is guessed by r.left.
+// sample describes the item for placement; remaining is the estimate of remainingEvents.
 func (a *activeItem) sample(remaining float64, now time.Time) place.Sample {
 	s := place.Sample{ID: a.item.ID, Model: a.model(), Floor: a.job.MinVersion, Remaining: remaining, Prompt: a.size.Shared, Rank: ageRank(a.job)}
 	s.OnlyVersion = a.requiredVersion()
@@ -157,7 +157,7 @@
 	return s
 }
 
-// result makes the item's result out of its whole text.
+// result returns the item's result with its complete text.
 func (a *activeItem) result(score string) jobs.Result {
 	r := jobs.Result{Job: a.job.ID, Item: a.item.ID, Score: score}
 	size := 0
@@ -180,8 +180,8 @@
 	return r
 }
 
-// pickService returns the service that runs the item: that of the route of its own path;
-// empty: none.
+// pickService returns the service that runs the item, according to the route of the item's own
+// path; empty: none.
 func (a *activeItem) pickService(t *table.Table) string {
 	if t == a.routedBy {
 		return a.service
--- a/gateway/jobs/api.go
+++ b/gateway/jobs/api.go
@@ -17,68 +17,68 @@
 	"dandelionsill.org/platform"
 )
 
-// Times of calls.
+// Time limits and sizes of calls.
 const (
 	// maxSyncWait is how long a call about an unknown job waits for this process
-	// to be sure; a process that can't be sure says so.
+	// to reach the log's end. After that the answer is "unavailable".
 	maxSyncWait = 900 * time.Millisecond
-	// maxProofWait is how long a refusal waits for the proof that nothing of the job
-	// runs: a read of the log takes some milliseconds where it answers at all.
+	// maxProofWait bounds the proof that a job was not accepted, which precedes the
+	// answer "not run": a read of the log takes some milliseconds if it succeeds.
 	maxProofWait = 200 * time.Millisecond
-	// callerRetryPause lies between two appends for a caller that waits. Trainers give
-	// a step up after some seconds: a longer pause loses steps whose time ends just
-	// after a store that was away is back.
+	// callerRetryPause is the pause between two appends while a caller waits. Trainers
+	// abandon a step after some seconds: with a longer pause, steps were lost whose
+	// deadline passed just after the store was available again.
 	callerRetryPause = 50 * time.Millisecond
-	// retryAfter is when a caller is told to try again: a store that refuses
-	// calls does so for seconds, and another entry may reach it.
+	// retryAfter is the delay after which a caller is asked to retry: a store that
+	// refuses calls does so for seconds, and another entry may reach it.
 	retryAfter = 400 * time.Millisecond
-	// maxOwnerSilence is how lately an owner must have shown that it lives to be
-	// given another job: three of its signs of life. As an outage of the log ends, its
-	// last one is up to two of them and a read that waits older than the outage; with
-	// two, the entry took the step itself, and steps went to several owners.
+	// maxOwnerSilence is how old an owner's last record may be if it is to get another
+	// job: three heartbeats. When an outage of the log ends, that record is older than
+	// the outage by up to two heartbeats and one waiting read; with a limit of two
+	// heartbeats the entry took the step itself, and steps went to several owners.
 	maxOwnerSilence = 1200 * time.Millisecond
-	// defaultOwnerCapacity is how many items an owner takes on that has not told its
-	// capacity.
+	// defaultOwnerCapacity is the assumed capacity, in items, of an owner that has not
+	// reported one.
 	defaultOwnerCapacity = 250
-	// fullStepItems is the capacity from which on a process can run a whole step.
+	// fullStepItems is the capacity from which on a process can run a complete step.
 	fullStepItems = 250
-	// maxCandidateSilence is how lately such a process must have shown that it lives.
+	// maxCandidateSilence is maxOwnerSilence for an idle process with that capacity.
 	maxCandidateSilence = idleHeartbeatInterval + time.Second
-	// refsPerRecord is how many items the part of a submission names: some 50 B
-	// each, and the platform takes 256 KB a record.
+	// refsPerRecord is how many items one part of a submission names: each takes about
+	// 50 B, and the platform accepts 256 KB a record.
 	refsPerRecord = 1000
-	// itemOverheadBytes is what an item's names and headers take, in bytes.
+	// itemOverheadBytes is the size of an item's names and headers in a record.
 	itemOverheadBytes = 1000
 )
 
-// Service answers the calls about batch jobs.
+// Service handles the calls about batch jobs.
 type Service struct {
 	index      *Index
 	log        Log
 	zlog       *zap.Logger
 	writer     jobs.Writer
-	partitions int // partitions of the texts' stream
+	partitions int // of the texts' stream
 	// capacity is how many items this process can run.
 	capacity    int
-	submissions atomic.Uint64 // submissions of this process
+	submissions atomic.Uint64 // by this process
 }
 
-// NewService returns the calls' side of a book; parts is the number of
-// partitions of the texts' stream, the same in all processes, capacity the
+// NewService returns the service that answers from index. partitions is the number of
+// partitions of the texts' stream, which is the same in all processes; capacity is the
 // number of items that this process can run.
 func NewService(index *Index, log Log, writer jobs.Writer, partitions, capacity int, zlog *zap.Logger) *Service {
 	return &Service{index: index, log: log, writer: writer, partitions: max(1, partitions), capacity: capacity, zlog: zlog}
 }
 
-// Submit accepts a job durably: nil means that the log has it. It tries until
-// ctx ends, and says "not run" only if the job does not stand in the log.
+// Submit accepts a job durably: nil means that the log has stored it. It retries until
+// ctx ends, and reports "not run" only if the job is not in the log.
 func (s *Service) Submit(ctx context.Context, head jobs.Head, items []jobs.Item) *kinds.Error {
 	if s.hasJob(head.ID) {
 		return s.checkSameJob(&head)
 	}
 	if s.index.HasMissedRecords() {
-		// It may stand already: accepted a second time here, this process would
-		// number its results otherwise than all others do.
+		// The job may be stored already. If it were accepted a second time, this process
+		// would number its results differently from all others.
 		return outcomeUnknown("records of batch jobs were missed").WithRetryAfter(retryAfter)
 	}
 	failed := s.appendJob(ctx, head, items)
@@ -91,8 +91,8 @@
 	return outcomeUnknown("another entry may have accepted the batch job")
 }
 
-// checkSameJob tells whether a job that stands is the one that is handed in; one of another
-// organisation only has its id.
+// checkSameJob checks a submission whose job id is stored already. It returns
+// kinds.KeyReused if the stored job belongs to another organisation.
 func (s *Service) checkSameJob(head *jobs.Head) *kinds.Error {
 	if s.isVisibleTo(head.ID, head.Organisation) {
 		return nil
@@ -100,7 +100,7 @@
 	return kinds.Hold().Refuse(kinds.KeyReused, "the id of batch job %q is taken", head.ID)
 }
 
-// isVisibleTo tells whether a job stands that belongs to an organisation, or to nobody.
+// isVisibleTo reports whether the job is stored and belongs to the organisation or to none.
 func (s *Service) isVisibleTo(job, organisation string) bool {
 	s.index.mu.Lock()
 	defer s.index.mu.Unlock()
@@ -108,11 +108,12 @@
 	return j != nil && (j.Organisation == "" || j.Organisation == organisation)
 }
 
-// IsPublic tells whether a job is known that belongs to nobody.
+// IsPublic reports whether the job is known and belongs to no organisation.
 func (s *Service) IsPublic(job string) bool { return s.isVisibleTo(job, "") }
 
-// CheckAccess tells whether callers of an organisation may know of a job; it waits until this
-// process is sure. kinds.NotFound: for them there is none.
+// CheckAccess checks that callers of the organisation may access the job. It waits until
+// this process is sure that the job exists, and returns kinds.NotFound if it does not
+// exist or belongs to another organisation.
 func (s *Service) CheckAccess(ctx context.Context, job, organisation string) *kinds.Error {
 	if err := s.checkExists(ctx, job); err != nil {
 		return err
@@ -127,17 +128,17 @@
 	return kinds.Hold().Refuse(kinds.NotFound, "no batch job %q", job)
 }
 
-// outcomeUnknown is the answer to a submission of a job that may have been accepted
-// before: it does not say "not run".
+// outcomeUnknown returns the error for a submission whose job may have been accepted
+// before. It does not report "not run".
 func outcomeUnknown(why string) *kinds.Error {
 	held := kinds.Hold()
 	held.Send()
 	return held.Refuse(kinds.LogUnavailable, "%s", why)
 }
 
-// isProvenAbsent proves that a job does not stand. An earlier submission of it may have
-// been accepted elsewhere since this process last read the log; "not run" would
-// then be untrue of a job that runs.
+// isProvenAbsent reports whether the job is certainly not in the log. Another entry may
+// have accepted an earlier submission of it since this process last read the log; then
+// "not run" would be wrong.
 func (s *Service) isProvenAbsent(ctx context.Context, job string) bool {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), maxProofWait)
 	defer cancel()
@@ -159,10 +160,10 @@
 	return failed
 }
 
-// appendItems appends a job's items with their bodies. By themselves they run
-// nothing, whatever becomes of the append. A partition that does not take them is left
-// for the next one: the log may be away in parts, and the job names where its items
-// stand.
+// appendItems appends a job's items with their bodies and returns where they are stored.
+// Items alone start nothing, so a failed or unknown append does no harm. If a partition
+// does not accept them, the next one is tried: single partitions of the log can be
+// unavailable, and the job record names where its items are.
 func (s *Service) appendItems(ctx context.Context, job string, items []jobs.Item, done func() bool) (jobs.TextRef, *kinds.Error) {
 	records, err := encodeItems(s.writer, job, items)
 	if err != nil {
@@ -174,18 +175,18 @@
 			return jobs.TextRef{Part: part, Offset: offset}, nil
 		}
 		if errors.Is(err, platform.ErrLogRefused) {
-			s.zlog.Error("The log refuses records.", zap.Int("records", len(records)), zap.Error(err))
+			s.zlog.Error("The log refused the records of a batch job.", zap.Int("records", len(records)), zap.Error(err))
 			return jobs.TextRef{}, kinds.Hold().Refuse(kinds.TooLarge, "the log does not take a batch job of this size")
 		}
-		s.zlog.Warn("Items were not appended.", zap.String("job", job), zap.Int("part", part), zap.Error(err))
+		s.zlog.Warn("Appending the items of a batch job failed.", zap.String("job", job), zap.Int("part", part), zap.Error(err))
 		if !sleep.For(ctx, sleep.Jitter(callerRetryPause)) {
 			return jobs.TextRef{}, kinds.Hold().Refuse(kinds.LogUnavailable, "the log takes no records").WithRetryAfter(retryAfter)
 		}
 	}
 }
 
-// appendBatches appends records to a stream, as many at a time as the log takes, and
-// returns the offset of the first.
+// appendBatches appends records to a stream in as few appends as the log's limits allow,
+// and returns the offset of the first record.
 func (s *Service) appendBatches(ctx context.Context, stream string, records [][]byte) (uint64, error) {
 	first := uint64(0)
 	for i, batch := range batchRecords(records) {
@@ -207,7 +208,7 @@
 	return s.index.state.Jobs[job] != nil
 }
 
-// encodeSubmission splits a job into records that the log takes.
+// encodeSubmission splits a job into records of a size that the log accepts.
 func (s *Service) encodeSubmission(head jobs.Head, items []jobs.Item, itemsAt jobs.TextRef) ([][]byte, error) {
 	refs := make([]jobs.ItemRef, 0, len(items))
 	for _, item := range items {
@@ -228,11 +229,12 @@
 	return records, nil
 }
 
-// chooseOwner chooses who runs a job of some items: an chooseOwner of earlier jobs that
-// shows that it lives and has room. It has connections to the engines, knows
-// their pace and what else runs there; with a new chooseOwner for each step, seven of
-// ten connections were opened for that alone. Else it is this process, or one
-// that can run the job where this one is too small. nil: this process.
+// chooseOwner chooses the process that runs a job with that many items; nil: this process.
+// It prefers an owner of earlier jobs with a recent heartbeat and enough capacity: such an
+// owner has connections to the engines, and knows their pace and what else runs there.
+// With a new owner for each step, seven of ten connections were opened for that alone.
+// Otherwise the owner is this process, or another process with enough capacity if this one
+// is too small.
 func (s *Service) chooseOwner(items int) *jobs.Writer {
 	s.index.mu.Lock()
 	defer s.index.mu.Unlock()
@@ -260,12 +262,11 @@
 	return reported
 }
 
-// Capacity is how many items a VM can have in its hands: a stream makes 27 events of
-// 350 B a second, which go on to the log, and takes about 0.1% of a core. Past the
-// engines' places items only wait, for 3 KB of memory each, and an owner that has
-// all steps of a service chooses among all of them, where two owners take places
-// from each other, so that fewer groups are whole in time. A share of processor and
-// link is left for callers.
+// Capacity returns how many items a VM can own at a time. A stream has 27 events of 350 B a
+// second, which are appended to the log, and takes about 0.1% of a core. Items beyond the
+// engines' slots only wait, for 3 KB of memory each. One owner with all steps of a service
+// can choose among all of their items, while two owners compete for slots, so that fewer
+// groups are complete in time. A share of processor and link is left for callers.
 func Capacity(cpuShare, linkMbps float64) int {
 	const (
 		itemsPerCore = 2000
@@ -275,8 +276,8 @@
 	return int(min(maxItems, itemsPerCore*cpuShare, itemsPerMbps*linkMbps))
 }
 
-// appendUntil appends until the log takes the records, done says that they are
-// not needed any more, or ctx ends.
+// appendUntil appends records until the log accepts them, done reports that they are no
+// longer needed, or ctx ends. It returns the offset of the first record.
 func (s *Service) appendUntil(ctx context.Context, stream string, records [][]byte, done func() bool) (uint64, *kinds.Error) {
 	held := kinds.Hold()
 	for {
@@ -289,7 +290,7 @@
 		case errors.Is(err, platform.ErrAppendUnknown):
 			held.Send()
 		case errors.Is(err, platform.ErrLogRefused):
-			s.zlog.Error("The log refuses records.", zap.Int("records", len(records)), zap.Error(err))
+			s.zlog.Error("The log refused the records of a batch job.", zap.Int("records", len(records)), zap.Error(err))
 			return 0, held.Refuse(kinds.TooLarge, "the log does not take a batch job of this size")
 		}
 		s.zlog.Warn("Append failed.", zap.Bool("may_stand", held.Sent()), zap.Error(err))
@@ -302,7 +303,7 @@
 	}
 }
 
-// End ends a job durably. kinds.NotFound: there is no such job.
+// End ends a job durably. It returns kinds.NotFound if the job does not exist.
 func (s *Service) End(ctx context.Context, job string) *kinds.Error {
 	if err := s.checkExists(ctx, job); err != nil {
 		return err
@@ -325,7 +326,9 @@
 	return failed
 }
 
-// checkExists tells whether a job exists; it waits until this process is sure.
+// checkExists returns nil if the job exists. It waits until this process is sure, for at
+// most maxSyncWait: kinds.NotFound means that the job does not exist, and
+// kinds.LogUnavailable that this process can't tell.
 func (s *Service) checkExists(ctx context.Context, job string) *kinds.Error {
 	if s.hasJob(job) && s.index.CaughtUp() {
 		return nil
@@ -344,9 +347,9 @@
 	return jobNotFound(job)
 }
 
-// Results returns a job's number of items and its results from a position on.
-// Where there is none yet it waits for one, at most wait, and as long as
-// gather.Hold says for more.
+// Results returns a job's number of items and its results from position after on. If there
+// are none yet it waits for one, for at most wait, and then for further ones as long as
+// gather.Hold returns.
 func (s *Service) Results(ctx context.Context, job string, after int, wait time.Duration) (int, []jobs.Result, *kinds.Error) {
 	if err := s.checkExists(ctx, job); err != nil {
 		return 0, nil, err
@@ -382,14 +385,14 @@
 	}
 	filled, err := s.index.Texts.fill(ctx, results)
 	if err != nil {
-		s.zlog.Warn("A text can't be read.", zap.String("job", job), zap.Int("after", after), zap.Error(err))
+		s.zlog.Warn("Reading the texts of results failed.", zap.String("job", job), zap.Int("after", after), zap.Error(err))
 		return 0, nil, kinds.Hold().Refuse(kinds.LogUnavailable, "the texts can't be read now").WithRetryAfter(retryAfter)
 	}
 	return total, filled, nil
 }
 
-// checkUpToDate is the answer in place of "no result yet" from a process that does not
-// follow the log now: others may have given results that it has not read.
+// checkUpToDate returns nil if this process follows the log now. Otherwise "no result yet"
+// would be wrong: other entries may have returned results that it has not read.
 func (s *Service) checkUpToDate() *kinds.Error {
 	if s.index.UpToDate() {
 		return nil
@@ -417,7 +420,7 @@
 	return j.Total, results, !j.Open(), read
 }
 
-// Body returns the body of an item of a job that was not ended.
+// Body returns the body of an item. The job must not have been ended.
 func (s *Service) Body(ctx context.Context, job, item string) ([]byte, *kinds.Error) {
 	if err := s.checkExists(ctx, job); err != nil {
 		return nil, err
@@ -428,13 +431,14 @@
 	}
 	found, err := readItem(ctx, s.index.log, job, item, ref)
 	if err != nil {
-		s.zlog.Warn("A body can't be read.", zap.String("job", job), zap.String("id", item), zap.Error(err))
+		s.zlog.Warn("Reading the body of an item failed.", zap.String("job", job), zap.String("id", item), zap.Error(err))
 		return nil, kinds.Hold().Refuse(kinds.LogUnavailable, "the bodies can't be read now").WithRetryAfter(retryAfter)
 	}
 	return found.Body, nil
 }
 
-// itemsRef tells where the items of a job stand that was not ended and has one.
+// itemsRef returns where the job's items are stored; false: the job does not exist, was
+// ended, or does not have the item.
 func (s *Service) itemsRef(job, item string) (jobs.TextRef, bool) {
 	s.index.mu.Lock()
 	defer s.index.mu.Unlock()
--- a/gateway/jobs/index.go
+++ b/gateway/jobs/index.go
@@ -1,6 +1,6 @@
-// Package jobs accepts batch jobs, runs the items of those that this process
-// owns, and tells everybody the same results. What must last stands in the
-// log; a Book is its fold, and owners only save work.
+// Package jobs accepts batch jobs, runs the items of the jobs that this process owns, and
+// returns the same results in every process. All durable state is in the log; an Index
+// holds the state folded from it. Ownership only avoids duplicate work.
 package jobs
 
 import (
@@ -20,20 +20,20 @@
 	"dandelionsill.org/platform"
 )
 
-// Stream is the stream of the log with the records of batch jobs.
+// Stream is the log's stream of batch job records.
 const Stream = "jobs"
 
-// Times of reading the log.
+// Time limits of reading the log.
 const (
-	// tailWait is how long a read waits for a record. An empty answer shows as
-	// well that this process is up to date.
+	// tailWait is how long a read waits for a record. An empty page, too, shows that
+	// this process is up to date.
 	tailWait       = 500 * time.Millisecond
 	tailRetryPause = 60 * time.Millisecond
-	// maxReadAge is how long after an answer of the log this process still
-	// counts as up to date.
+	// maxReadAge is how long after a successful read this process still counts as up to
+	// date.
 	maxReadAge = tailWait + 700*time.Millisecond
-	// finishedRetention is how long a job that is over can still be read: the
-	// platform's callers may read it for two minutes.
+	// finishedRetention is how long a finished job can be read: the platform lets callers
+	// read it for two minutes.
 	finishedRetention = 130 * time.Second
 	forgetInterval    = 10 * time.Second
 )
@@ -44,20 +44,20 @@
 	tailFailures  = metrics.Counter("jobs_tail_failures_total")
 )
 
-// Log is what the package needs of the platform's log.
+// Log is the part of the platform's log that this package uses.
 type Log interface {
 	platform.Log
-	// AppendAll adds records that stand together, all or none.
+	// AppendAll appends consecutive records, all or none, and returns the first offset.
 	AppendAll(ctx context.Context, stream string, records [][]byte) (uint64, error)
 }
 
-// Index is the fold of the jobs' stream in this process.
+// Index holds the state of all batch jobs as folded from the jobs' stream by this process.
 type Index struct {
 	Changed signal.Signal
-	// Texts has the texts of results.
+	// Texts returns the texts of results.
 	Texts *TextCache
 
-	// readInterval is the least time between two reads of the log.
+	// readInterval returns the minimum time between two reads of the log.
 	readInterval func() time.Duration
 
 	log  *reader
@@ -65,31 +65,31 @@
 
 	mu    sync.Mutex
 	state *jobs.State
-	// lastRecordAt is when each writer's newest record was read here.
+	// lastRecordAt is when this process read the newest record of each writer.
 	lastRecordAt map[jobs.Writer]time.Time
-	// engineReportedAt is when the last word about an engine was read here.
+	// engineReportedAt is when this process read the newest report about an engine.
 	engineReportedAt map[jobs.EngineKey]time.Time
-	// acceptedAt is when jobs were accepted, by this process's own clock; those that
-	// were accepted before it followed the log are not in it.
+	// acceptedAt is when this process read that a job was accepted, by its own clock. It
+	// lacks the jobs that were accepted before this process followed the log.
 	acceptedAt map[string]time.Time
-	// stepTimes tells how long the stepTimes of each model take, and enough which jobs were seen
-	// to have all that their trainers wait for.
+	// stepTimes estimates how long steps of each model take; satisfied contains the jobs
+	// that were seen to have all results that their trainers wait for.
 	stepTimes  map[string]*gather.StepTimes
 	satisfied  map[string]bool
 	nextOffset uint64
-	// asOf is when the read that last reached the log's end was sent: all that
-	// was acknowledged before it is folded.
+	// asOf is when the read that last reached the log's end was sent. All records that
+	// were acknowledged before it are folded.
 	asOf time.Time
-	// readableSince is when reads began to succeed after the last failure, and unreadableSince when they
-	// had begun to fail then.
+	// readableSince is the start of the current period of successful reads, zero while
+	// reads fail. unreadableSince is the start of the last period of failing reads.
 	readableSince, unreadableSince time.Time
-	// gaps counts how often records were missed, and gapOver is when all jobs that
-	// the last gap may concern are over.
+	// gaps counts how often records were missed; gapEndsAt is when all jobs that the
+	// last gap may affect have ended.
 	gaps      int
 	gapEndsAt time.Time
 }
 
-// NewIndex returns a book that has read nothing.
+// NewIndex returns an index that has read no records.
 func NewIndex(log Log, zlog *zap.Logger) *Index {
 	reader := newReader(log)
 	return &Index{
@@ -99,14 +99,14 @@
 	}
 }
 
-// maxReadShare is the part of the store's reads that following the log may take in
-// all processes together. Each append wakes every process: unbounded, 360 of
-// them would make 21,000 calls a second, and the store turns all away beyond its
-// rate.
+// maxReadShare is the share of the store's reads that all processes together may spend on
+// following the log. Each append ends the waiting read of every process: without a limit,
+// 360 processes would make 21,000 calls a second, and beyond its rate the store refuses
+// all calls.
 const maxReadShare = 0.5
 
-// ReadInterval returns the least time between two reads of the log of one of some
-// processes, of a store that takes readsPerS calls a second; 0: not told.
+// ReadInterval returns the minimum time between two reads of the log by one of several
+// processes; the store accepts readsPerS calls a second. 0: the rate is not known.
 func ReadInterval(processes int, readsPerS float64) time.Duration {
 	if readsPerS <= 0 {
 		return 0
@@ -114,8 +114,8 @@
 	return time.Duration(float64(processes) / (maxReadShare * readsPerS) * float64(time.Second))
 }
 
-// SetReadInterval tells how far apart reads of the log have to be; it is called before
-// Run.
+// SetReadInterval sets the function that returns the minimum time between two reads of the
+// log. It must be called before Run.
 func (x *Index) SetReadInterval(interval func() time.Duration) { x.readInterval = interval }
 
 // Run follows the log until ctx ends.
@@ -155,16 +155,16 @@
 	}
 }
 
-// skipTo goes on at the first record that is kept. A reader that was too slow, or
-// suspended for longer than the log keeps records, has missed some: jobs that it
-// does not know may stand, and positions of results that it knows would be wrong,
-// for a position is the number of results before. So it begins anew, as after a
-// start, and until all jobs of before are over it counts as not caught up: it says
-// of no job that there is none, and accepts none.
+// skipTo continues at the first record that the log still keeps. A reader that was too slow,
+// or was suspended for longer than the log keeps records, has missed some. Then there may be
+// jobs that it does not know, and the positions of results that it knows would be wrong,
+// because a position is the number of earlier results. So it starts from an empty state, and
+// does not count as caught up until all jobs from before the gap have ended: meanwhile it
+// reports no job as missing and accepts none.
 func (x *Index) skipTo(first uint64, now time.Time) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.zlog.Warn("Records are no longer kept.", zap.Uint64("offset", x.nextOffset), zap.Uint64("first", first), zap.Int("jobs", len(x.state.Jobs)))
+	x.zlog.Warn("Skipping records that the log no longer keeps.", zap.Uint64("offset", x.nextOffset), zap.Uint64("first", first), zap.Int("jobs", len(x.state.Jobs)))
 	if x.nextOffset > 0 && first > x.nextOffset {
 		x.state = jobs.New()
 		clear(x.acceptedAt)
@@ -175,7 +175,7 @@
 	x.nextOffset = max(x.nextOffset, first)
 }
 
-// missedRecords tells whether records were missedRecords that may concern jobs of now; mu is
+// missedRecords reports whether records were missed that may affect current jobs; mu is
 // held.
 func (x *Index) missedRecords(now time.Time) bool { return now.Before(x.gapEndsAt) }
 
@@ -196,7 +196,7 @@
 	maps.DeleteFunc(x.satisfied, func(id string, _ bool) bool { return x.state.Jobs[id] == nil })
 }
 
-// observeSteps learns how long the jobs took that have got results; mu is held.
+// observeSteps records how long the steps took that got their last required result; mu is held.
 func (x *Index) observeSteps(results []jobs.Result, now time.Time) {
 	for i := range results {
 		j := x.state.Jobs[results[i].Job]
@@ -215,8 +215,8 @@
 	}
 }
 
-// expectedWait is how long from now a job's trainer will likely have all that it waits for;
-// 0: that is not known. mu is held.
+// expectedWait returns in how long a job's trainer will likely have all results that it waits
+// for; 0: unknown. mu is held.
 func (x *Index) expectedWait(j *jobs.Job, now time.Time) time.Duration {
 	median := x.stepTimes[j.Model].Median()
 	if median == 0 {
@@ -225,9 +225,9 @@
 	return median - x.age(j, now)
 }
 
-// age is how long ago a job was handed in. The time of day of the process that took
-// it may have jumped since, so that it is asked only where this process did not see
-// the job come; mu is held.
+// age returns how long ago a job was submitted; mu is held. The wall clock of the process that
+// accepted the job may have jumped since, so its timestamp is used only if this process did
+// not see the job being accepted.
 func (x *Index) age(j *jobs.Job, now time.Time) time.Duration {
 	if at, seen := x.acceptedAt[j.ID]; seen {
 		return now.Sub(at)
@@ -235,7 +235,7 @@
 	return max(0, now.Sub(time.UnixMilli(j.SubmittedMS)))
 }
 
-// foldPage applies a page that was asked for at a time.
+// foldPage applies a page whose read was sent at the given time.
 func (x *Index) foldPage(page platform.Page, sent time.Time) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -262,7 +262,7 @@
 	r, err := jobs.Decode(rec.Data)
 	if err != nil {
 		recordsBad.Add(1)
-		x.zlog.Warn("A record can't be read and is left out.", zap.Uint64("offset", rec.Offset), zap.Error(err))
+		x.zlog.Warn("Skipping a record that can't be decoded.", zap.Uint64("offset", rec.Offset), zap.Error(err))
 		return
 	}
 	recordsFolded.Add(1)
@@ -272,7 +272,7 @@
 	}
 	change := x.state.Apply(rec.Offset, r)
 	if x.asOf.IsZero() {
-		return // the past was told when it happened
+		return // past changes were logged when they happened
 	}
 	for _, id := range change.Accepted {
 		x.acceptedAt[id] = now
@@ -300,8 +300,8 @@
 	}
 }
 
-// silenceOf is how long nothing was read of a writer, the time not counted in which the log
-// could not be read; mu is held.
+// silenceOf returns how long no record of a writer was read, without the time in which the
+// log could not be read; mu is held.
 func (x *Index) silenceOf(w jobs.Writer, now time.Time) time.Duration {
 	last := x.lastRecordAt[w]
 	switch {
@@ -314,23 +314,23 @@
 	}
 }
 
-// isOwnedBy tells whether a writer owns a job and has not given it up.
+// isOwnedBy reports whether a writer owns a job and has not released it.
 func (x *Index) isOwnedBy(job string, w jobs.Writer) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.state.Owned(job, w) != nil
 }
 
-// Sync waits until all that was acknowledged before the call is folded here;
-// false: ctx ended first. It asks the log for its end, for the tail's own read
-// may wait there for long.
+// Sync waits until all records that were acknowledged before the call are folded; it returns
+// false if ctx ended first. It asks the log for its end, because the read in progress may
+// wait long for a record.
 func (x *Index) Sync(ctx context.Context) bool {
 	end, ok := x.endOffset(ctx)
 	return ok && x.waitUntil(ctx, func() bool { return x.nextOffset >= end })
 }
 
-// waitUntil waits until a condition on the fold holds, which is asked with mu held; false:
-// ctx ended first.
+// waitUntil waits until holds returns true, and returns false if ctx ended first. holds is
+// called with mu held.
 func (x *Index) waitUntil(ctx context.Context, holds func() bool) bool {
 	for {
 		changed := x.Changed.Next()
@@ -348,7 +348,7 @@
 	}
 }
 
-// endOffset returns the offset behind the log's last record; false: ctx ended first.
+// endOffset returns the offset after the log's last record; false: ctx ended first.
 func (x *Index) endOffset(ctx context.Context) (uint64, bool) {
 	for {
 		x.mu.Lock()
@@ -364,23 +364,23 @@
 	}
 }
 
-// CaughtUp tells whether this process has read to the log's end since its start,
-// and missed nothing. Before that it has folded a part of the past: it would give
-// fewer results of a job than others have given.
+// CaughtUp reports whether this process has read to the log's end since its start and missed
+// no records. Before that its state is a prefix of the log: it would return fewer results of
+// a job than other processes have returned.
 func (x *Index) CaughtUp() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return !x.asOf.IsZero() && !x.missedRecords(time.Now())
 }
 
-// HasMissedRecords tells whether jobs may stand that this process will not hear of.
+// HasMissedRecords reports whether there may be jobs that this process will never read about.
 func (x *Index) HasMissedRecords() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.missedRecords(time.Now())
 }
 
-// UpToDate tells whether this process follows the log without a gap now.
+// UpToDate reports whether this process follows the log without a delay now.
 func (x *Index) UpToDate() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/gateway/jobs/outbox.go
+++ b/gateway/jobs/outbox.go
@@ -17,33 +17,33 @@
 	"dandelionsill.org/platform"
 )
 
-// Times and sizes of appends.
+// Time limits and sizes of appends.
 const (
-	// flushInterval is how old news of a stream gets before it is appended. Text
-	// younger than this is made again when its owner dies.
+	// flushInterval is how often the events of streams are appended. Events that are not
+	// appended yet are generated again if their owner dies.
 	flushInterval = 250 * time.Millisecond
-	// flushPause lies between two appends of urgent news, so that results of
-	// one moment share an append.
+	// flushPause is the minimum time between two appends of urgent records, so that
+	// results of the same moment share an append.
 	flushPause = 15 * time.Millisecond
-	// heartbeatInterval is how often an owner shows that it lives.
+	// heartbeatInterval is how often an owner appends a record at least.
 	heartbeatInterval = 350 * time.Millisecond
-	// idleHeartbeatInterval is how often at least a process that can run a whole step shows that it
-	// lives while it owns nothing, so that a step is given to it rather than to
-	// a small one. It does so up to a third sooner, by chance: processes that started
-	// together would go on appending together, and the log takes one append after the
-	// other, so that results would wait behind them.
+	// idleHeartbeatInterval is the maximum time between two heartbeats of an idle process that
+	// can run a complete step; because of them a step is given to it rather than to a
+	// small process. A random part of up to a third is subtracted: processes that started
+	// together would keep appending together, and because the log handles one append after
+	// the other, results would wait behind them.
 	idleHeartbeatInterval = 3 * time.Second
 	minRetryDelay         = 40 * time.Millisecond
 	maxRetryDelay         = 300 * time.Millisecond
-	// retryLogInterval is how often a line tells that appends, or calls for texts, fail.
+	// retryLogInterval is how often failing appends, or calls for texts, are logged.
 	retryLogInterval = time.Second
-	// maxRecordBytes is the size at which a record is closed, in bytes of text; the
-	// platform takes 256 KB a record.
+	// maxRecordBytes is the size of text at which a record is closed; the platform accepts
+	// 256 KB a record.
 	maxRecordBytes = 96 << 10
-	// maxAppendBytes is the size of one append, in bytes; the platform takes 2 MB.
+	// maxAppendBytes is the maximum size of one append; the platform accepts 2 MB.
 	maxAppendBytes = 1 << 20
-	// entryOverheadBytes and eventBytes are what an entry and an event take beside
-	// their text.
+	// entryOverheadBytes and eventOverheadBytes are the sizes of an entry and an event
+	// without their text.
 	entryOverheadBytes = 150
 	eventOverheadBytes = 24
 )
@@ -53,35 +53,34 @@
 	appendFailures = metrics.Counter("jobs_append_failures_total")
 )
 
-// outbox gathers what this process has to say and appends it. Texts go to the
-// partitions of their jobs, each in a lane of its own, and what the jobs' stream is to
-// tell of them follows when they stand. Records of jobs, with the signs of life, wait
-// for no lane: an owner that was held up by one partition that was away fell silent, and
-// lost all its jobs to others, which were held up alike.
+// outbox collects the records of this process and appends them. Texts go to the partitions of
+// their jobs, each through its own partitionAppender; the results in the jobs' stream follow
+// after their texts are stored. Records of jobs, which serve as heartbeats, do not wait for
+// any partition: an owner that waited for one unavailable partition fell silent and lost all
+// its jobs to other processes, which then waited as well.
 type outbox struct {
 	log  Log
 	zlog *zap.Logger
-	// retryLog logs failures of which each retry makes one more.
+	// retryLog logs failures that repeat with each retry, at a limited rate.
 	retryLog   *zap.Logger
 	writer     jobs.Writer
-	partitions int // partitions of the texts' stream
-	// capacity is how many items this process can run; it is told with each
-	// record.
+	partitions int // of the texts' stream
+	// capacity is how many items this process can run; each record reports it.
 	capacity int
-	// needsHeartbeat tells whether this process has to show that it lives.
+	// needsHeartbeat reports whether this process has to append heartbeats.
 	needsHeartbeat func() bool
-	// onTextAppended is told each text that the log has taken.
+	// onTextAppended is called with each text that the log has stored.
 	onTextAppended func(textKey, string)
 
-	// lastAppendNanos is how long the last append that the log lastAppendNanos was on its way, in
-	// nanoseconds.
+	// lastAppendNanos is the duration of the last successful append, in nanoseconds.
 	lastAppendNanos atomic.Int64
 
 	mu        sync.Mutex
 	pending   jobs.Record
 	appenders map[int]*partitionAppender // by partition
 	urgent    chan struct{}
-	// startRun is told of lanes that have something to append.
+	// startRun starts a goroutine for a partitionAppender with something to append; nil
+	// while the outbox does not run.
 	startRun func(*partitionAppender)
 }
 
@@ -92,7 +91,7 @@
 	}
 }
 
-// add changes the pending record; urgent news is appended at once.
+// add changes the pending record; if urgent, it is appended at once.
 func (o *outbox) add(urgent bool, change func(*jobs.Record)) {
 	o.mu.Lock()
 	change(&o.pending)
@@ -105,11 +104,11 @@
 func (o *outbox) requestFlush() {
 	select {
 	case o.urgent <- struct{}{}:
-	default: // one wake-up is enough
+	default: // one pending request is enough
 	}
 }
 
-// addProgress adds to an item's text.
+// addProgress appends events to an item's text.
 func (o *outbox) addProgress(job *jobs.Job, claim uint64, p jobs.Progress) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -117,7 +116,7 @@
 	t.progress = append(t.progress, p)
 }
 
-// addResult ends an item; it is appended at once.
+// addResult adds the final result of an item; it is appended at once.
 func (o *outbox) addResult(job *jobs.Job, claim uint64, r jobs.Result) {
 	if r.GivenUp {
 		o.add(true, func(rec *jobs.Record) { rec.Results = append(rec.Results, r) })
@@ -131,7 +130,7 @@
 	o.startIfIdle(a)
 }
 
-// addRelease gives a job up behind its text so far.
+// addRelease releases a job after its partial texts are appended.
 func (o *outbox) addRelease(job *jobs.Job) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -145,10 +144,10 @@
 	var runs sync.WaitGroup
 	o.setStartRun(func(a *partitionAppender) { runs.Go(func() { o.runAppender(ctx, a) }) })
 	defer func() {
-		o.setStartRun(nil) // none may begin beside the wait
+		o.setStartRun(nil) // none may start during the wait
 		runs.Wait()
 	}()
-	last := time.Time{} // tells its capacity at once
+	last := time.Time{} // zero, so that the capacity is reported at once
 	idle := idleHeartbeatInterval
 	tick := time.NewTicker(flushInterval)
 	defer tick.Stop()
@@ -175,8 +174,8 @@
 	o.startRun = startRun
 }
 
-// flush appends what is pending for the jobs' stream, or an empty record as a sign of
-// life; it tries until it is taken or ctx ends, and tells whether it appended.
+// flush appends what is pending for the jobs' stream, or an empty record as a heartbeat. It
+// retries until the log accepts it or ctx ends, and reports whether it appended.
 func (o *outbox) flush(ctx context.Context, heartbeat bool) bool {
 	o.mu.Lock()
 	r := o.pending
@@ -187,7 +186,7 @@
 	}
 	records, err := o.encodeRecords(&r)
 	if err != nil {
-		o.zlog.Error("Records can't be encoded and are lost.", zap.Error(err))
+		o.zlog.Error("Encoding records failed; they are lost.", zap.Error(err))
 		return false
 	}
 	for _, batch := range batchRecords(records) {
@@ -198,8 +197,8 @@
 	return true
 }
 
-// append appends records until the log takes them, refuses them for what they
-// are, or ctx ends.
+// append appends records until the log accepts them, refuses them as invalid, or ctx ends;
+// then it returns false.
 func (o *outbox) append(ctx context.Context, stream string, records [][]byte) (uint64, bool) {
 	delay := minRetryDelay
 	for {
@@ -210,7 +209,7 @@
 			return offset, true
 		}
 		if errors.Is(err, platform.ErrLogRefused) {
-			return 0, true // a repeat would fail alike, and hold up all that comes after it
+			return 0, true // a retry would fail as well and delay all later records
 		}
 		if !sleep.For(ctx, sleep.Jitter(delay)) {
 			return 0, false
@@ -219,8 +218,8 @@
 	}
 }
 
-// appendOnce appends records once. Where that fails, whether they were taken or not, the same
-// records may follow: the fold passes over what it has seen.
+// appendOnce appends records once. After a failure, whether they were stored or not, the same
+// records may be appended again: the fold skips what it has seen.
 func (o *outbox) appendOnce(ctx context.Context, stream string, records [][]byte) (uint64, error) {
 	offset, err := o.log.AppendAll(ctx, stream, records)
 	switch {
@@ -228,7 +227,7 @@
 		appends.Add(1)
 	case errors.Is(err, platform.ErrLogRefused):
 		appendFailures.Add(1)
-		o.zlog.Error("The log refuses records; they are lost.", zap.String("stream", stream), zap.Int("records", len(records)), zap.Error(err))
+		o.zlog.Error("The log refused records; they are lost.", zap.String("stream", stream), zap.Int("records", len(records)), zap.Error(err))
 	default:
 		appendFailures.Add(1)
 		o.retryLog.Warn("Append failed.", zap.String("stream", stream), zap.Error(err))
@@ -236,7 +235,7 @@
 	return offset, err
 }
 
-// encodeRecords splits r into records of a size that the log takes.
+// encodeRecords splits r into records of a size that the log accepts.
 func (o *outbox) encodeRecords(r *jobs.Record) ([][]byte, error) {
 	s := &recordSplitter{writer: o.writer}
 	s.part = jobs.Record{Writer: o.writer, Capacity: o.capacity, Claims: r.Claims, Leaving: r.Leaving, Engines: r.Engines, Ends: r.Ends}
@@ -248,7 +247,7 @@
 		s.part.Results = append(s.part.Results, res)
 		s.grow(entryOverheadBytes)
 	}
-	// Jobs are given up behind the text that goes with them.
+	// Jobs are released after the results that belong to them.
 	s.part.Releases = r.Releases
 	if !s.part.Empty() || len(s.records) == 0 {
 		s.close()
@@ -256,7 +255,7 @@
 	return s.records, errors.Trace(s.err)
 }
 
-// recordSplitter gathers parts of a record and closes them in time.
+// recordSplitter collects parts of a record and closes it before it is too large.
 type recordSplitter struct {
 	writer  jobs.Writer
 	part    jobs.Record
@@ -265,7 +264,7 @@
 	err     error
 }
 
-// grow notes what was added, in bytes.
+// grow adds to the size of the current record, in bytes, and closes it beyond maxRecordBytes.
 func (s *recordSplitter) grow(size int) {
 	s.size += size
 	if s.size > maxRecordBytes {
@@ -282,7 +281,7 @@
 	s.part, s.size = jobs.Record{Writer: s.writer}, 0
 }
 
-// batchRecords groups records into appends of a size that the log takes.
+// batchRecords groups records into appends of a size that the log accepts.
 func batchRecords(records [][]byte) [][][]byte {
 	var out [][][]byte
 	size := 0
--- a/gateway/jobs/ownership.go
+++ b/gateway/jobs/ownership.go
@@ -12,8 +12,8 @@
 	"dandelionsill.org/fold/jobs"
 )
 
-// reconcileJobs takes the jobs that the fold says are ours, drops the others, and
-// claims those whose owner is gone.
+// reconcileJobs takes the jobs that this process owns according to the log, drops all others,
+// and claims jobs whose owner is gone.
 func (r *Runner) reconcileJobs(ctx context.Context, now time.Time) {
 	r.index.mu.Lock()
 	defer r.index.mu.Unlock()
@@ -39,9 +39,9 @@
 	})
 }
 
-// shouldClaim tells whether a job's owner has gone: it said so, it was an
-// earlier life of this process, or it has been silent while this process
-// heard the log.
+// shouldClaim reports whether a job's owner is gone: it released the job, it was an earlier
+// incarnation of this process, or no record of it was read for too long while the log could
+// be read.
 func (r *Runner) shouldClaim(j *jobs.Job, now time.Time) bool {
 	if !r.index.upToDate(now) || now.Sub(r.claimedAt[j.ID]) < takeOverAfter {
 		return false
@@ -53,18 +53,18 @@
 	if r.out.capacity < fullStepItems {
 		silence -= smallProcessDelay
 	}
-	if j.Released { // half of the spread: nobody has to be sure that it is gone
+	if j.Released { // half the spread: the job is free, even if its owner still runs
 		return silence > r.takeOverDelay(j.Owner)/2
 	}
-	// Where appends take long, so do an owner's signs of life.
+	// If appends are slow, so are an owner's heartbeats.
 	appendDelay := appendTimeFactor * time.Duration(r.out.lastAppendNanos.Load())
 	return silence > takeOverAfter+appendDelay+r.takeOverDelay(j.Owner)
 }
 
-// takeOverDelay is how long this process lets others claim an owner's jobs first. It is
-// the same for all of them, so that they go on in one process, which knows all that it
-// runs: with a turn drawn for each job six steps went to five processes, which took
-// places from each other and learnt each engine's pace anew.
+// takeOverDelay returns how long this process lets others claim an owner's jobs first. It is
+// the same for all jobs of that owner, so that they continue in one process, which knows
+// everything that it runs. With a delay drawn for each job, six steps went to five processes,
+// which competed for slots and each had to learn the pace of every engine again.
 func (r *Runner) takeOverDelay(owner jobs.Writer) time.Duration {
 	const resolution = 1 << 16
 	return time.Duration(route.Hash(owner.Node+owner.Life+r.writer.Node)%resolution) * takeOverSpread / resolution
@@ -80,8 +80,8 @@
 	})
 }
 
-// ensureTaken makes the work of a job's items that have no result yet, or lets go of
-// those that have one now.
+// ensureTaken starts to load a job that this process does not run yet, or stops the items that
+// have a result now.
 func (r *Runner) ensureTaken(ctx context.Context, j *jobs.Job) {
 	if active := r.active[j.ID]; active != nil {
 		r.stopDone(j, active)
@@ -90,15 +90,15 @@
 	if r.loading[j.ID] {
 		return
 	}
-	// Items, and what earlier owners have made, are read beside the plan.
+	// Reading items and what earlier owners made must not delay the plan.
 	r.loading[j.ID] = true
 	head, at, takenOver := j.Head, j.At, j.Claim != j.Accepted
 	r.tasks.Go(func() { r.loadAndStart(ctx, &head, at, takenOver) })
 }
 
-// releaseAfterGap gives up the jobs in hand after records were missed: this process no
-// longer knows who owns them. Dropped in silence, they would wait for an owner that
-// the others hear and that does nothing.
+// releaseAfterGap releases all owned jobs after records were missed, because this process no
+// longer knows who owns them. If they were only dropped, they would wait for an owner that
+// still sends heartbeats but does nothing.
 func (r *Runner) releaseAfterGap() {
 	var released []string
 	for id := range r.active {
@@ -108,11 +108,11 @@
 	if len(released) == 0 {
 		return
 	}
-	r.zlog.Warn("Giving batch jobs up, for records were missed.", zap.Strings("jobs", released))
+	r.zlog.Warn("Releasing batch jobs because records were missed.", zap.Strings("jobs", released))
 	r.out.add(true, func(rec *jobs.Record) { rec.Releases = append(rec.Releases, released...) })
 }
 
-// stopDone ends the work of items that have a result.
+// stopDone stops the items that have a result.
 func (r *Runner) stopDone(j *jobs.Job, active map[string]*activeItem) {
 	for id, a := range active {
 		if j.Items[id].Done() {
@@ -122,11 +122,11 @@
 	}
 }
 
-// loadAndStart reads what a job's owner needs and begins its work.
+// loadAndStart reads the items and earlier texts of a job and starts to run it.
 func (r *Runner) loadAndStart(ctx context.Context, head *jobs.Head, at jobs.TextRef, takenOver bool) {
 	texts, err := readTexts(ctx, r.index.log, head, at, takenOver)
 	if err != nil {
-		r.zlog.Warn("A job's texts can't be read yet.", zap.String("job", head.ID), zap.Uint64("offset", at.Offset), zap.Error(err))
+		r.zlog.Warn("Reading the texts of a batch job failed; retrying.", zap.String("job", head.ID), zap.Uint64("offset", at.Offset), zap.Error(err))
 	}
 	for err != nil && sleep.For(ctx, sleep.Jitter(tailRetryPause)) && r.index.isOwnedBy(head.ID, r.writer) {
 		texts, err = readTexts(ctx, r.index.log, head, at, takenOver)
@@ -142,7 +142,7 @@
 	r.requestPlan()
 }
 
-// startItems takes a job's items on behind their earlier texts.
+// startItems adds a job's unfinished items, with the texts made so far, to the active ones.
 func (r *Runner) startItems(j *jobs.Job, texts *jobs.Texts) {
 	active := make(map[string]*activeItem, len(j.Items))
 	r.active[j.ID] = active
@@ -163,7 +163,7 @@
 	r.zlog.Info("Owning a batch job.", zap.String("job", j.ID), zap.Int("items", len(active)), zap.Uint64("claim", j.Claim))
 }
 
-// routeOf returns the route to which a job was handed in; nil: it is gone.
+// routeOf returns the route to which a job was submitted; nil: it was removed.
 func (r *Runner) routeOf(j *jobs.Job) *table.Route {
 	t := r.view.Now().Table
 	if t == nil {
@@ -172,16 +172,15 @@
 	return t.Match(j.Host, j.Path)
 }
 
-// reusableText is the text of an item whose job was ended before it was whole.
+// reusableText is the text so far of an item whose job was dropped or ended.
 type reusableText struct {
 	model    string
 	events   []jobs.Event
 	complete bool
 }
 
-// reuseText goes on with what this process made of an item in an earlier job,
-// where its versions are not too old for this one: a trainer hands in again the
-// groups that it did not wait for.
+// reuseText continues what this process made of an item in an earlier job, if its versions are
+// not too old for this job: a trainer submits again the groups that it did not wait for.
 func (r *Runner) reuseText(j *jobs.Job, item string, earlier jobs.Made) jobs.Made {
 	text, known := r.reusable[item]
 	if !known || text.model != j.Model || jobs.Stale(text.events, j.MinVersion) {
@@ -205,7 +204,7 @@
 	r.reusable[a.item.ID] = reusableText{model: a.job.Model, events: a.events, complete: a.complete}
 }
 
-// dropJob lets go of a job.
+// dropJob stops the items of a job and keeps their texts for a later one.
 func (r *Runner) dropJob(id string) {
 	for _, a := range r.active[id] {
 		r.keepText(a)
@@ -214,7 +213,7 @@
 	delete(r.active, id)
 }
 
-// stopItem ends what runs of an item.
+// stopItem ends an item and its stream.
 func (r *Runner) stopItem(a *activeItem) {
 	a.phase = ended
 	if a.stop != nil {
@@ -223,21 +222,21 @@
 	}
 }
 
-// Drain gives all jobs up, those too that are still given to this process, and
-// takes no others. It is the first step of a stop. Samples go on here until the
-// log has taken their release: in an outage of the store nobody else could go on,
-// and all text made since it began would be lost with their streams.
+// Drain releases all jobs, also those that this process is given later. It is the first step
+// of a shutdown. Samples keep running until the log has stored the release of their job: during
+// an outage of the store no other process could take over, and all text made since its start
+// would be lost with the streams.
 func (r *Runner) Drain() {
 	r.mu.Lock()
 	r.draining = true
 	owned := len(r.active)
 	r.mu.Unlock()
 	r.out.add(true, func(rec *jobs.Record) { rec.Leaving = true })
-	r.zlog.Info("Giving batch jobs up.", zap.Int("jobs", owned))
+	r.zlog.Info("Releasing all batch jobs.", zap.Int("jobs", owned))
 	r.requestPlan()
 }
 
-// releaseJob gives one job up behind the text so far.
+// releaseJob releases one job after its partial texts are appended.
 func (r *Runner) releaseJob(j *jobs.Job) {
 	active := r.active[j.ID]
 	r.stopDone(j, active)
@@ -253,7 +252,7 @@
 	r.out.addRelease(j)
 }
 
-// WaitDrained waits until all jobs are given up, or ctx ends.
+// WaitDrained waits until all jobs are released; it returns false if ctx ended first.
 func (r *Runner) WaitDrained(ctx context.Context) bool {
 	for {
 		changed := r.index.Changed.Next()
--- a/gateway/jobs/partition_appender.go
+++ b/gateway/jobs/partition_appender.go
@@ -12,35 +12,35 @@
 	"dandelionsill.org/platform"
 )
 
-// partitionAppender holds what is to be appended to one partition of the texts. The log may be away
-// in parts: what the others take does not wait for this one. The outbox's mutex guards
-// it.
+// partitionAppender holds what is to be appended to one partition of the texts. Single
+// partitions of the log can be unavailable; appends to the others do not wait for this one.
+// The outbox's mutex guards it.
 type partitionAppender struct {
 	part  int
 	texts map[jobClaim]*pendingTexts
-	// releases are jobs to be given up behind their texts.
+	// releases are jobs to be released after their texts are appended.
 	releases []string
-	// appending: it is being appended.
+	// appending is true while a goroutine appends what this partitionAppender holds.
 	appending bool
-	// unavailable: the partition took nothing the last time. Only whoever appends reads it.
+	// unavailable is true if the last append failed. Only the appending goroutine uses it.
 	unavailable bool
 }
 
-// jobClaim is a job under a claim. A process that lost a job and has it again goes on from
-// what the log had: what it made before, and has not appended yet, is of other runs.
-// Put under the new claim, events of two runs would stand in one text.
+// jobClaim is a job under one claim. A process that lost a job and owns it again resumes from
+// what is in the log. Text that it made under the earlier claim and has not appended yet comes
+// from other runs: under the new claim, events of two runs would be mixed in one text.
 type jobClaim struct {
 	job   string
 	claim uint64
 }
 
-// pendingTexts is what is to be appended of one job's texts.
+// pendingTexts is the part of one job's texts that is to be appended.
 type pendingTexts struct {
 	progress []jobs.Progress
 	results  []jobs.Result // with their texts
 }
 
-// partitionAppender returns the partitionAppender of a partition; o.mu is held.
+// partitionAppender returns the appender of a partition, and creates it if needed; o.mu is held.
 func (o *outbox) partitionAppender(part int) *partitionAppender {
 	a := o.appenders[part]
 	if a == nil {
@@ -50,7 +50,7 @@
 	return a
 }
 
-// textsOf returns the pending texts textsOf a job; o.mu is held.
+// textsOf returns the pending texts of a job, and creates them if needed; o.mu is held.
 func (a *partitionAppender) textsOf(c jobClaim) *pendingTexts {
 	t := a.texts[c]
 	if t == nil {
@@ -62,7 +62,7 @@
 
 func (a *partitionAppender) isEmpty() bool { return len(a.texts) == 0 && len(a.releases) == 0 }
 
-// startIfIdle begins to append what a lane holds, unless that is being done; o.mu is held.
+// startIfIdle starts to append what a holds, unless that is running already; o.mu is held.
 func (o *outbox) startIfIdle(a *partitionAppender) {
 	if a.appending || a.isEmpty() || o.startRun == nil {
 		return
@@ -79,11 +79,11 @@
 	}
 }
 
-// runAppender appends until the lane is empty or ctx ends.
+// runAppender appends until a is empty or ctx ends.
 func (o *outbox) runAppender(ctx context.Context, a *partitionAppender) {
 	delay := minRetryDelay
 	for o.hasMore(a) {
-		wait := flushPause // results of one moment share an append
+		wait := flushPause // results of the same moment share an append
 		if o.flushAppender(ctx, a) {
 			delay = minRetryDelay
 		} else {
@@ -95,7 +95,7 @@
 	}
 }
 
-// hasMore tells whether the lane holds anything; it is no longer busy where not.
+// hasMore reports whether a holds anything; if not, it ends the run.
 func (o *outbox) hasMore(a *partitionAppender) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -103,11 +103,11 @@
 	return a.appending
 }
 
-// flushAppender appends once what a lane holds, and has the jobs' stream tell of it. Where
-// the partition does not take it, results go to another one, for each names where its
-// text stands; the text so far has to stand behind its job's items and waits. A
-// partition that is silent takes a second to be found so: the next results do not wait
-// for that.
+// flushAppender appends once what a holds, and adds the results to the jobs' stream. It
+// reports whether the partition accepted everything. Results that the partition does not
+// accept go to another one, because each result names where its text is. Partial texts have to
+// follow their job's items in the same partition, so they wait. A failed append to an
+// unresponsive partition takes a second: later results are sent elsewhere first.
 func (o *outbox) flushAppender(ctx context.Context, a *partitionAppender) bool {
 	o.mu.Lock()
 	texts, releases := a.texts, a.releases
@@ -128,7 +128,7 @@
 	return false
 }
 
-// otherPartition is any partition but one, where there is another.
+// otherPartition returns a random partition other than part, or part if there is only one.
 func (o *outbox) otherPartition(part int) int {
 	if o.partitions == 1 {
 		return part
@@ -136,14 +136,14 @@
 	return (part + 1 + rand.IntN(o.partitions-1)) % o.partitions
 }
 
-// encodeTexts makes records of texts: those of texts so far, and those of whole texts.
+// encodeTexts encodes texts as records: those with partial texts, and those with results.
 func (o *outbox) encodeTexts(texts map[jobClaim]*pendingTexts) (progress, results []textGroup) {
 	var groups []textGroup
 	for c, t := range texts {
 		for _, g := range groupTexts(o.writer, c, t) {
 			data, err := g.record.Encode()
 			if err != nil {
-				o.zlog.Error("Texts can't be encoded and are lost.", zap.String("job", c.job), zap.Error(err))
+				o.zlog.Error("Encoding texts failed; they are lost.", zap.String("job", c.job), zap.Error(err))
 				continue
 			}
 			g.data = data
@@ -153,8 +153,8 @@
 	return separateResults(groups)
 }
 
-// appendGroups appends records to a partition, as many at a time as the log takes, and
-// returns those that it did not take. What it refuses for what it is is lost.
+// appendGroups appends records to a partition, in batches of a size that the log accepts, and
+// returns those that were not appended. Records that the log refuses as invalid are lost.
 func (o *outbox) appendGroups(ctx context.Context, part int, groups []textGroup) []textGroup {
 	for len(groups) > 0 {
 		call := nextBatch(groups)
@@ -170,7 +170,7 @@
 	return nil
 }
 
-// listAppended has the jobs' stream tell of results whose texts listAppended from an offset on.
+// listAppended adds results to the jobs' stream whose texts are stored from an offset on.
 func (o *outbox) listAppended(part int, offset uint64, groups []textGroup) {
 	var results []jobs.Result
 	for i, g := range groups {
@@ -184,7 +184,7 @@
 	o.addListing(results, nil)
 }
 
-// addListing has the jobs' stream tell of results, and of jobs that are given up.
+// addListing adds results and releases of jobs to the next record of the jobs' stream.
 func (o *outbox) addListing(results []jobs.Result, releases []string) {
 	if len(results) == 0 && len(releases) == 0 {
 		return
@@ -195,7 +195,7 @@
 	})
 }
 
-// putBack puts what was not appended before what has come meanwhile.
+// putBack puts what was not appended in front of what was added meanwhile.
 func (o *outbox) putBack(a *partitionAppender, groups []textGroup, releases []string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/gateway/jobs/placing.go
+++ b/gateway/jobs/placing.go
@@ -15,7 +15,7 @@
 	"dandelionsill.org/fold/jobs"
 )
 
-// requeueSilent ends the streams that have been silent for too long.
+// requeueSilent ends the streams that have been silent for too long and requeues their items.
 func (r *Runner) requeueSilent(now time.Time) {
 	for _, active := range r.active {
 		for _, a := range active {
@@ -29,7 +29,7 @@
 			}
 			streamsSilent.Add(1)
 			r.streamTimeouts.ObserveTimeout(silence, beforeFirst)
-			r.paces.Observe(a.server, silence, now) // at least that long for an event
+			r.paces.Observe(a.server, silence, now) // an event takes at least that long
 			if beforeFirst {
 				r.exclude(a.server, r.probation.RecordFailure(a.server), now)
 			}
@@ -40,7 +40,7 @@
 	}
 }
 
-// requeue takes a running item back to those that wait.
+// requeue makes a running item wait again, away from its engine for the given time.
 func (r *Runner) requeue(a *activeItem, avoid time.Duration, now time.Time) {
 	a.avoidUntil[a.server] = now.Add(avoid)
 	a.phase, a.waitingSince = waiting, now
@@ -52,7 +52,8 @@
 	r.report(a, true)
 }
 
-// placeAll binds waiting items to engines and moves one from a slow engine.
+// placeAll assigns waiting items to engines, and migrates at most one item of each service
+// from a slow engine.
 func (r *Runner) placeAll(ctx context.Context, now time.Time) {
 	byService := map[string][]*activeItem{}
 	snap := r.view.Now()
@@ -74,9 +75,9 @@
 	}
 }
 
-// isQuarantined tells whether each engine that ran the item crashed. It then waits until
-// the quarantine or its job ends: it has not failed in a way that its trainer may be
-// told of, and the next engine would crash as well, with all others' samples there.
+// isQuarantined reports whether the item is in quarantine because each engine that ran it
+// crashed. It then waits until the quarantine or its job ends: this is not a failure that may
+// be reported to its trainer, and the next engine would crash too, with all samples there.
 func (r *Runner) isQuarantined(a *activeItem) bool {
 	subject := r.subject(a)
 	if subject.Verdict() != poison.Quarantined {
@@ -85,7 +86,7 @@
 	if !a.quarantineLogged {
 		a.quarantineLogged = true
 		samplesQuarantined.Add(1)
-		r.zlog.Warn("Sample is held back: each engine that ran it crashed.", zap.String("id", a.item.ID), zap.String("job", a.job.ID),
+		r.zlog.Warn("Sample is quarantined: each engine that ran it crashed.", zap.String("id", a.item.ID), zap.String("job", a.job.ID),
 			zap.String("request", string(subject.Name())), zap.Duration("for", subject.Refused()), zap.Int("events", len(a.events)))
 	}
 	return true
@@ -117,7 +118,7 @@
 	r.migrateOne(active, samples, engines, now)
 }
 
-// samples describes the items of a service.
+// samples describes the items of a service for placement, and restarts those that should be.
 func (r *Runner) samples(active []*activeItem, engines []place.Engine, now time.Time) []place.Sample {
 	samples := make([]place.Sample, len(active))
 	for i, a := range active {
@@ -131,9 +132,9 @@
 	return samples
 }
 
-// shouldRestart tells whether the text of a sample that only one version may go on
-// with is dropped: no engine has that version, and engines only move forward, or
-// those that have it hold the sample up.
+// shouldRestart reports whether the text of a sample that requires one version is dropped: no
+// engine has that version, and engines never go back to an older one, or the engines that have
+// it delay the sample too much.
 func (r *Runner) shouldRestart(a *activeItem, s *place.Sample, engines []place.Engine, now time.Time) bool {
 	if s.OnlyVersion == 0 {
 		return false
@@ -145,13 +146,13 @@
 	if !place.ShouldRestart(engines, s, progress) {
 		return false
 	}
-	r.zlog.Info("Sample begins again.", zap.String("id", a.item.ID), zap.String("job", a.job.ID), zap.Uint64("version", s.OnlyVersion),
+	r.zlog.Info("Sample restarts.", zap.String("id", a.item.ID), zap.String("job", a.job.ID), zap.Uint64("version", s.OnlyVersion),
 		zap.Int("events", len(a.events)), zap.Float64("left", s.Remaining), zap.Int("setbacks", progress.BrokenStreams), zap.Float64("took_s", progress.OwnerSeconds))
 	return true
 }
 
-// migrateOne takes one sample from an engine that is slower than others with room, or so
-// slow that the sample does better to wait for one of those.
+// migrateOne takes one sample from an engine that is slower than others with free slots, or so
+// slow that the sample finishes earlier if it waits for one of those.
 func (r *Runner) migrateOne(active []*activeItem, samples []place.Sample, engines []place.Engine, now time.Time) {
 	var runningSamples []place.Running
 	var runningItems []*activeItem
@@ -173,8 +174,8 @@
 	r.requestPlan()
 }
 
-// usableEngines describes the usableEngines of a service that may be used, with the load that
-// this process and the other owners put on them.
+// usableEngines describes the engines of a service that may be used, with the load of this
+// process and of the other owners, and returns their entries by id.
 func (r *Runner) usableEngines(servers []members.Server, now time.Time) ([]place.Engine, map[string]members.Server) {
 	own := map[string]int{}
 	for _, active := range r.active {
@@ -200,8 +201,8 @@
 	return out, usable
 }
 
-// othersLoad counts the samples of other owners at each engine, by their word
-// in the log. book.mu is held.
+// othersLoad counts the samples of other owners at each engine, as reported in the log;
+// index.mu is held.
 func (r *Runner) othersLoad() map[string]int {
 	load := map[string]int{}
 	r.index.state.Each(func(j *jobs.Job) {
@@ -217,9 +218,9 @@
 	return load
 }
 
-// versions returns the weight versions that a server can be used with now: the
-// newest that it, its agent or its answers told of; and apart those that are being
-// loaded. book.mu is held.
+// versions returns the weight versions with which a server can be used now, by model: the
+// newest that its entry, its agent or its answers reported. Versions that are being loaded are
+// returned separately. index.mu is held.
 func (r *Runner) versions(s members.Server, now time.Time) (versions, loading map[string]uint64) {
 	versions, loading = maps.Clone(s.Versions), map[string]uint64{}
 	if versions == nil {
--- a/gateway/jobs/ranking.go
+++ b/gateway/jobs/ranking.go
@@ -7,11 +7,11 @@
 	"dandelionsill.org/fold/jobs"
 )
 
-// defaultDue is how long until results are due where the job's route does not tell: any
-// time is good.
+// defaultDue is how long until results are due if the job's route does not set it: long enough
+// to put no pressure on the job.
 const defaultDue = time.Hour
 
-// observeLength notes the length of a whole text; r.mu is held.
+// observeLength records the length of a complete text; r.mu is held.
 func (r *Runner) observeLength(a *activeItem) {
 	lengths := r.lengths[a.model()]
 	if lengths == nil {
@@ -21,8 +21,9 @@
 	lengths.Observe(float64(a.size.Expected), float64(len(a.events)))
 }
 
-// estimateEvents returns the likely events of an item's text; false: too few of its model
-// are known, and the hint, in tokens, only tells the longer of two.
+// estimateEvents returns the estimated number of events of an item's text. It returns false if
+// too few texts of its model are known: the number is then the hint, in tokens, which can only
+// be compared with other hints.
 func (r *Runner) estimateEvents(a *activeItem) (float64, bool) {
 	hint := float64(a.size.Expected)
 	if lengths := r.lengths[a.model()]; lengths != nil {
@@ -33,8 +34,9 @@
 	return hint, false
 }
 
-// remainingEvents guesses the events of an item that are still to be made. One that is scored,
-// or whose result is on its way, still belongs to a group that is not whole.
+// remainingEvents estimates how many events of an item are still to be made; 0 for a complete
+// text. An item that is being scored, or whose result is being appended, still belongs to an
+// incomplete group.
 func (r *Runner) remainingEvents(a *activeItem) float64 {
 	if a.complete || a.phase == ended {
 		return 0
@@ -43,8 +45,8 @@
 	return place.Remaining(estimate, float64(len(a.events)))
 }
 
-// rankSamples ranks the samples of a service by what can be made in time, where it is
-// known what that is. Until then older jobs go first.
+// rankSamples ranks the samples of a service by what can be made in time. Until lengths,
+// slots and rates are known, older jobs go first.
 func (r *Runner) rankSamples(active []*activeItem, samples []place.Sample, engines []place.Engine, now time.Time) {
 	own := ownLoad(active)
 	capacity := place.CapacityOf(engines, own)
@@ -72,7 +74,7 @@
 	place.Order(steps, samples, capacity)
 }
 
-// ownLoad counts the items that run at each engine.
+// ownLoad counts the running items at each engine.
 func ownLoad(active []*activeItem) map[string]int {
 	load := map[string]int{}
 	for _, a := range active {
@@ -93,7 +95,8 @@
 	return place.Step{AgeRank: ageRank(j), Due: (due - r.index.age(j, now)).Seconds(), Need: j.Need()}
 }
 
-// groupOf names the group with which an item counts; one without counts by itself.
+// groupOf returns the group to which an item counts, and whether the job's trainer requires
+// that group because it submitted it again. An item without a group counts by itself.
 func groupOf(a *activeItem) (name string, required bool) {
 	if a.item.Group == "" || a.job.Groups == 0 {
 		return a.item.ID, false
--- a/gateway/jobs/reads.go
+++ b/gateway/jobs/reads.go
@@ -12,9 +12,9 @@
 	"dandelionsill.org/platform"
 )
 
-// endReadKB is what a read asks for that only looks for the log's end. With as much as
-// the log gives, each question about a job that a process did not know yet cost a
-// megabyte, while hundreds of processes read the past.
+// endReadKB is the size of a read that only looks for the log's end. With reads of the usual
+// size, each question about an unknown job cost a megabyte while hundreds of processes were
+// reading the past.
 const endReadKB = 1
 
 var (
@@ -22,8 +22,8 @@
 	readsTimedOut = metrics.Counter("jobs_log_reads_cut_off_total")
 )
 
-// reader reads the log in pieces of a size that the log can bear beside the reads of
-// all other processes. It is safe for concurrent use.
+// reader reads the log in pages whose size adapts to the load that the reads of all other
+// processes put on the log. It is safe for concurrent use.
 type reader struct {
 	log platform.Log
 
@@ -39,13 +39,13 @@
 	return r.window.KB()
 }
 
-// read returns records of a stream from an offset on, as many as the log is asked for
-// at a time, waiting up to wait for the first.
+// read returns records of a stream from an offset on, in a page of the current window's size,
+// and waits for at most wait for the first.
 func (r *reader) read(ctx context.Context, stream string, from uint64, wait time.Duration) (platform.Page, error) {
 	return r.readUpTo(ctx, stream, from, r.windowKB(), wait)
 }
 
-// readUpTo reads no more than some KB, but one record at least.
+// readUpTo is read with a limit of maxKB, but returns at least one record if there is one.
 func (r *reader) readUpTo(ctx context.Context, stream string, from uint64, maxKB int, wait time.Duration) (platform.Page, error) {
 	for kb := min(maxKB, r.windowKB()); ; {
 		sent := time.Now()
@@ -54,15 +54,15 @@
 		if err != nil || len(page.Records) > 0 || page.End <= from {
 			return page, err
 		}
-		// A log that gives no record larger than what was asked for would be asked
-		// for the same one for ever.
+		// The log may return no record that is larger than the requested size: without a
+		// larger request the same read would be repeated for ever.
 		if kb = fetch.LargerKB(kb); kb == 0 {
-			return page, errors.Errorf("record %d of %s is larger than the log gives", from, stream)
+			return page, errors.Errorf("record %d of stream %s is larger than the largest read", from, stream)
 		}
 	}
 }
 
-// observe tells the window how a read of some KB went.
+// observe reports the outcome of a read of kb KB to the window.
 func (r *reader) observe(kb int, page platform.Page, err error, took time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -79,8 +79,8 @@
 	r.window.RecordAnswer(kb, got, took)
 }
 
-// endOffset returns the offset behind the last record of a stream; from is one that is
-// known to stand there, or zero.
+// endOffset returns the offset after the last record of a stream. from is an offset that is
+// known to exist there, or zero.
 func (r *reader) endOffset(ctx context.Context, stream string, from uint64) (uint64, error) {
 	page, err := r.log.Read(ctx, stream, from, endReadKB, 0)
 	if errors.Is(err, platform.ErrTruncated) {
--- a/gateway/jobs/runner.go
+++ b/gateway/jobs/runner.go
@@ -17,40 +17,41 @@
 	"dandelionsill.org/quarantine"
 )
 
-// Times of the owner.
+// Time limits of an owner.
 const (
 	planInterval = 40 * time.Millisecond
-	// planPause lies between two plans: what happens in it is planned for at once. Each
-	// record of the log, each change of a server's entry and each end of a stream asks
-	// for a plan; with one for each, an owner of many samples begins its steps late and
-	// reads its streams in bursts.
+	// planPause is the pause after a plan; the next plan covers all that happens in it. Each
+	// record of the log, each change of a server's entry and each end of a stream requests a
+	// plan. With a plan for each, an owner of many samples started its steps late and read its
+	// streams in bursts.
 	planPause = 20 * time.Millisecond
-	// avoidSilent, avoidFull and avoidFailed are how long an item stays away
-	// from an engine that was silent, had no room, or failed it.
+	// avoidSilent, avoidFull and avoidFailed are how long an item avoids an engine that was
+	// silent, had no free slot, or failed it.
 	avoidSilent = 1500 * time.Millisecond
 	avoidFull   = 80 * time.Millisecond
 	avoidFailed = 400 * time.Millisecond
-	// fullCooldown and shunGone are how long all samples stay away from an engine that
-	// refused one, or has another server at its address. Each sample would else find
-	// out by itself, with a refused request.
+	// fullCooldown and replacedCooldown are how long all samples avoid an engine that refused
+	// one, or whose address belongs to another server now. Otherwise each sample would find
+	// out by a refused request of its own.
 	fullCooldown         = 60 * time.Millisecond
 	maxCooldownDoublings = 4
 	replacedCooldown     = 3 * time.Second
-	// takeOverAfter is how long an owner may be silent before others claim its
-	// jobs: several of its signs of life.
+	// takeOverAfter is how long an owner may be silent before others claim its jobs: several
+	// heartbeats.
 	takeOverAfter = 1500 * time.Millisecond
-	// takeOverSpread keeps all processes from claiming at one moment.
+	// takeOverSpread spreads the claims of all processes over time.
 	takeOverSpread = 500 * time.Millisecond
-	// appendTimeFactor is how many of this process's own appends an owner may be silent for
-	// beyond that: it has two to make, texts and records, each read behind others'.
+	// appendTimeFactor is by how many durations of this process's last append an owner may be
+	// silent beyond that: an owner makes two appends, of texts and of records, and each waits
+	// behind those of others.
 	appendTimeFactor = 3
-	// smallProcessDelay is how much longer a process that can't run a whole step waits
-	// before it claims one, so that an able one is faster.
+	// smallProcessDelay is how much longer a process that can't run a complete step waits
+	// before it claims one, so that a larger process claims it first.
 	smallProcessDelay = 600 * time.Millisecond
-	// heartbeatLinger is how long an owner without jobs goes on showing that it
-	// lives; trainers ask for the next step within seconds.
+	// heartbeatLinger is how long an owner without jobs keeps sending heartbeats; trainers
+	// submit the next step within seconds.
 	heartbeatLinger = 6 * time.Second
-	// maxLoadingAge is how long a word about a loading engine is believed.
+	// maxLoadingAge is how long a report that an engine is loading weights stays valid.
 	maxLoadingAge = 4 * time.Second
 )
 
@@ -76,7 +77,7 @@
 	view    *view.View
 	forward *forward.Forwarder
 	pool    *backend.Pool
-	// quarantine keeps items that crash engines from reaching any.
+	// quarantine keeps items that crash engines away from all of them.
 	quarantine    *quarantine.Quarantine
 	zlog          *zap.Logger
 	writer        jobs.Writer
@@ -87,28 +88,28 @@
 	active         map[string]map[string]*activeItem // by job and item
 	loading        map[string]bool                   // jobs whose items and earlier texts are being read
 	reusable       map[string]reusableText           // texts of items whose job was ended, by item
-	paces          place.PaceEstimator               // seconds an event, by engine
+	paces          place.PaceEstimator               // seconds per event, by engine
 	lengths        map[string]*place.LengthEstimator // events of a text, by model
 	streamTimeouts place.StreamTimeouts
-	// probation keeps samples from engines that give no sign of life.
+	// probation limits the samples of engines that did not respond.
 	probation        place.Probation
-	observedVersions map[jobs.EngineKey]uint64 // versions as answers told them
-	// deniedAt is when an answer showed older weights than an engine was thought to
-	// have: a word of before is no longer believed.
+	observedVersions map[jobs.EngineKey]uint64 // as returned in answers
+	// deniedAt is when an answer contained older weights than expected of an engine: earlier
+	// reports about it are no longer valid.
 	deniedAt       map[jobs.EngineKey]time.Time
-	excludedUntil  map[string]time.Time // engines that get no samples until then
-	refusals       map[string]int       // in a row, by engine
+	excludedUntil  map[string]time.Time // when an engine may get samples again
+	refusals       map[string]int       // in succession, by engine
 	claimedAt      map[string]time.Time // when this process last claimed a job
-	releasedClaims map[string]uint64    // claims that this process has given up, by job
-	gaps           int                  // gaps of the book that were answered
+	releasedClaims map[string]uint64    // claims that this process has released, by job
+	gaps           int                  // gaps of the index that were handled
 	lastOwned      time.Time            // when this process last owned a job
 	draining       bool
 	tasks          sync.WaitGroup
 }
 
-// NewRunner returns a runner that owns nothing yet; parts is the number of
-// partitions of the texts' stream, the same in all processes, capacity the
-// number of items that this process can run.
+// NewRunner returns a runner that owns nothing yet. partitions is the number of partitions of
+// the texts' stream, which is the same in all processes; capacity is the number of items that
+// this process can run.
 func NewRunner(index *Index, log Log, f *forward.Forwarder, writer jobs.Writer, partitions, capacity int, zlog *zap.Logger) *Runner {
 	r := &Runner{
 		index: index, view: f.View, forward: f, pool: f.Pool, quarantine: f.Quarantine, zlog: zlog, writer: writer,
@@ -121,8 +122,8 @@
 	return r
 }
 
-// needsHeartbeat tells whether this process shows that it lives: while it owns jobs,
-// and a while longer, so that the next step may be given to it as well.
+// needsHeartbeat reports whether this process has to send heartbeats: while it owns jobs, and
+// for heartbeatLinger after that, so that it can be given the next step.
 func (r *Runner) needsHeartbeat() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -132,7 +133,7 @@
 	return !r.draining && time.Since(r.lastOwned) < heartbeatLinger
 }
 
-// Run owns jobs until ctx ends.
+// Run runs the jobs that this process owns until ctx ends.
 func (r *Runner) Run(ctx context.Context) {
 	var loops sync.WaitGroup
 	loops.Go(func() { r.out.run(ctx) })
@@ -163,11 +164,11 @@
 func (r *Runner) requestPlan() {
 	select {
 	case r.planRequested <- struct{}{}:
-	default: // a plan is due anyway
+	default: // a plan is pending already
 	}
 }
 
-// plan brings what runs in step with what this process owns.
+// plan updates what runs to what this process owns, and places waiting items.
 func (r *Runner) plan(ctx context.Context) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -180,7 +181,7 @@
 	r.placeAll(ctx, now)
 }
 
-// report puts an item's news into the outbox: where it runs and its new events.
+// report adds the new events of an item, and the server at which it runs, to the outbox.
 func (r *Runner) report(a *activeItem, urgent bool) {
 	server := ""
 	if a.phase == running {
--- a/gateway/jobs/score.go
+++ b/gateway/jobs/score.go
@@ -13,19 +13,19 @@
 	"dandelionsill.org/platform/hosted"
 )
 
-// Times of calls for a score.
+// Time limits of calls for a score.
 const (
-	// defaultScoreTimeout is how long one call may take where the route does not say.
+	// defaultScoreTimeout bounds one call if the route does not set a timeout.
 	defaultScoreTimeout = 2 * time.Second
-	// scoreRetryPause lies between two calls for one score.
+	// scoreRetryPause is the pause between two calls for one score.
 	scoreRetryPause = 60 * time.Millisecond
-	// maxQuarantinePause is the longest pause after a call that is in quarantine, and so how
-	// long after the end of the quarantine a score may still be missing.
+	// maxQuarantinePause bounds the pause after a call that is in quarantine, and so how long
+	// a score may be missing after the quarantine has ended.
 	maxQuarantinePause = 5 * time.Second
 )
 
-// fetchScore asks for the fetchScore of a whole text until it has it, the calls have
-// failed as often as the route allows, or the job is no longer ours.
+// fetchScore requests the score of a complete text until it gets one, the calls have failed as
+// often as the route allows, or this process no longer owns the job.
 func (r *Runner) fetchScore(ctx context.Context, a *activeItem) {
 	failures := 0
 	for {
@@ -35,8 +35,8 @@
 			r.finishScored(a, hosted.Seal(reply.Header))
 			return
 		case err == nil && reply.Status == http.StatusInternalServerError:
-			// Each server that was asked counts, or a call that always fails is made
-			// as often as the square of the route's attempts, and its step waits.
+			// The attempts at each server count: otherwise a call that always fails would be
+			// made as often as the square of the route's attempts, and delay its step.
 			failures += reply.Failures
 		}
 		scoreFailures.Add(1)
@@ -51,7 +51,7 @@
 	}
 }
 
-// pauseAfter is how long after a call that gave no score the next one is made.
+// pauseAfter returns the pause after a call that returned no score.
 func pauseAfter(err *kinds.Error) time.Duration {
 	if err == nil || err.Kind() != string(kinds.Quarantined) {
 		return scoreRetryPause
@@ -70,7 +70,7 @@
 	r.zlog.Info("No score yet.", fields...)
 }
 
-// requestScore makes one call and returns how often it may fail.
+// requestScore makes one call; it also returns how many failures are allowed.
 func (r *Runner) requestScore(ctx context.Context, a *activeItem) (*forward.Reply, int, *kinds.Error) {
 	request := a.item.Score
 	table := r.view.Now().Table
--- a/gateway/jobs/stream.go
+++ b/gateway/jobs/stream.go
@@ -25,13 +25,13 @@
 const (
 	complete     endReason = iota
 	broken                 // the connection ended before the stream did
-	refused                // the engine did not take the sample
-	unreachable            // no connection to the engine could be made
-	misdirected            // another server has the address
-	failed                 // the engine answered that it failed
-	impossible             // the engine answered that it can never be done
+	refused                // the engine did not accept the sample
+	unreachable            // no connection to the engine could be opened
+	misdirected            // the address belongs to another server now
+	failed                 // the engine returned an error
+	impossible             // the engine reported that it can never run the item
 	tooOld                 // the engine's weights are older than the job allows
-	wrongVersion           // the weights are not those that began the text
+	wrongVersion           // the weights are not those that started the text
 	superseded             // this process has ended the stream
 )
 
@@ -63,11 +63,11 @@
 		defer stop()
 		end, status, err := s.run(ctx)
 		if ctx.Err() != nil {
-			return // the item was taken back before
+			return // the item was requeued or stopped before
 		}
 		switch {
 		case end == broken && r.forward.EndedUnder(ctx, service, server):
-			r.zlog.Warn("A server ended under a sample.", zap.String("id", a.item.ID), zap.String("job", a.job.ID),
+			r.zlog.Warn("A server ended while it ran a sample.", zap.String("id", a.item.ID), zap.String("job", a.job.ID),
 				zap.String("request", string(s.subject.Name())), zap.String("server", server.ID))
 			s.subject.Ended(server.ID)
 		case end == complete:
@@ -82,15 +82,15 @@
 	runner          *Runner
 	active          *activeItem
 	number          uint64
-	server          string // its start, as engines are told apart
-	serverName      string // as the server calls itself
+	server          string // id of the server's incarnation
+	serverName      string // name that the server uses for itself
 	addr            string
-	resumedAfter    int // events that were known before
+	resumedAfter    int // number of events from earlier streams
 	requiredVersion uint64
 	subject         *quarantine.Subject
 }
 
-// request is the item as the engine gets it.
+// request returns the request for the engine.
 func (s *stream) request() *backend.Request {
 	item := &s.active.item
 	header := make(http.Header, len(item.Header)+3)
@@ -118,7 +118,7 @@
 		return broken, 0, err
 	}
 	if answer.Status >= http.StatusMultipleChoices {
-		answer.Discard() // a whole small answer keeps the connection
+		answer.Discard() // reading a small answer to its end keeps the connection
 		return endReasonOf(answer), answer.Status, nil
 	}
 	defer answer.Close()
@@ -135,7 +135,7 @@
 	return end, answer.Status, err
 }
 
-// endReasonOf is what an answer without a stream means.
+// endReasonOf returns the reason for an answer without a stream.
 func endReasonOf(answer *backend.Answer) endReason {
 	switch {
 	case answer.Status == http.StatusMisdirectedRequest:
@@ -149,7 +149,7 @@
 	}
 }
 
-// readEvents reads the stream's readEvents. They have to follow on what is known.
+// readEvents reads the stream's events, which have to continue the known ones.
 func (s *stream) readEvents(answer *backend.Answer, version uint64) (endReason, error) {
 	reader := hosted.NewEventReader(answer.Body)
 	next := s.resumedAfter + 1
@@ -163,7 +163,7 @@
 			return broken, errors.Trace(err)
 		}
 		if event.ID != next {
-			return broken, errors.Errorf("event %d where %d is due", event.ID, next)
+			return broken, errors.Errorf("event %d instead of event %d", event.ID, next)
 		}
 		next++
 		if event.Version > 0 {
@@ -184,8 +184,8 @@
 	}
 }
 
-// recordVersion notes that an engine's answer told of other weights than those for which
-// it was chosen.
+// recordVersion records that an engine's answer had other weights than expected when it was
+// chosen.
 func (r *Runner) recordVersion(s *stream, version uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -193,7 +193,8 @@
 	r.observedVersions[key], r.deniedAt[key] = version, time.Now()
 }
 
-// addEvent adds an addEvent to the item; false: the stream is no longer the item's.
+// addEvent adds an event to the item. It returns false if the stream is not the item's current
+// one.
 func (r *Runner) addEvent(s *stream, e jobs.Event) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -220,10 +221,10 @@
 	return true
 }
 
-// eventsPerReport is how many events are gathered before they go to the outbox.
+// eventsPerReport is how many events are collected before they go to the outbox.
 const eventsPerReport = 6
 
-// handleStreamEnd decides what becomes of an item whose stream has ended.
+// handleStreamEnd decides how to continue with an item whose stream has ended.
 func (r *Runner) handleStreamEnd(ctx context.Context, s *stream, end endReason, status int, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -241,7 +242,7 @@
 	case complete:
 		r.completeText(ctx, a)
 	case refused:
-		// A server that goes on refusing is left alone for longer each time.
+		// The cooldown doubles with each successive refusal.
 		r.refusals[s.server] = min(r.refusals[s.server]+1, maxCooldownDoublings)
 		r.exclude(s.server, fullCooldown<<(r.refusals[s.server]-1), now)
 		r.requeue(a, avoidFull, now)
@@ -282,7 +283,7 @@
 	}
 }
 
-// maxAttempts is how often an item may fail at engines.
+// maxAttempts returns how often an item may fail at engines.
 func (r *Runner) maxAttempts(a *activeItem) int {
 	if route := r.routeOf(a.job); route != nil {
 		return route.MaxAttempts
@@ -297,7 +298,7 @@
 	r.deliver(a, jobs.Result{Job: a.job.ID, Item: a.item.ID, GivenUp: true})
 }
 
-// deliver sends an item's result to the log; r.mu is held.
+// deliver appends an item's result to the log; r.mu is held.
 func (r *Runner) deliver(a *activeItem, result jobs.Result) {
 	a.phase = ended
 	a.stop = nil
@@ -310,7 +311,8 @@
 	r.out.addResult(a.job, a.claim, result)
 }
 
-// completeText asks for the score of a whole text; r.mu is held.
+// completeText requests the score of a complete text, or delivers it if the item needs none;
+// r.mu is held.
 func (r *Runner) completeText(ctx context.Context, a *activeItem) {
 	samplesFinished.Add(1)
 	a.stop, a.complete, a.textCompleteAt = nil, true, time.Now()
--- a/gateway/jobs/text_cache.go
+++ b/gateway/jobs/text_cache.go
@@ -14,38 +14,39 @@
 	"dandelionsill.org/fold/jobs"
 )
 
-// Limits of texts in memory and of answers with them.
+// Size limits of the cache and of answers.
 const (
-	// maxCacheBytes bounds the texts that a process keeps to answer reads with.
+	// maxCacheBytes bounds the texts that a process keeps to answer reads.
 	maxCacheBytes = 8 << 20
-	// maxAnswerBytes bounds the texts of one answer, in bytes.
+	// maxAnswerBytes bounds the texts of one answer.
 	maxAnswerBytes = 900 << 10
 )
 
 var (
 	textReads     = metrics.Counter("jobs_text_reads_total")
 	textsFromPeer = metrics.Counter("jobs_texts_from_peers_total")
-	// textCallsFailed counts calls to writers that brought nothing.
+	// textCallsFailed counts failed calls to writers.
 	textCallsFailed = metrics.Counter("jobs_text_calls_failed_total")
 )
 
-// TextCache gives the texts of results: from memory, from the process that wrote
-// them, or from the log. A step that was whole just before an outage of the store
-// can be read in it; what the writer has no more stands in the log.
+// TextCache returns the texts of results: from memory, from the process that wrote them, or
+// from the log. So a step that was complete just before an outage of the store can be read
+// during it; texts that the writer has dropped are read from the log.
 type TextCache struct {
 	log  *reader
 	http *http.Client
 	zlog *zap.Logger
-	// peerAddr returns where a VM's process hands out texts, IP:port; empty: unknown.
+	// peerAddr returns the address, IP:port, at which a VM's process serves texts; empty:
+	// unknown.
 	peerAddr func(node string) string
 
 	mu    sync.Mutex
 	texts map[textKey]string
-	order []textKey // the oldest first
+	order []textKey // oldest first
 	bytes int
 }
 
-// textKey tells where a text stands.
+// textKey identifies a text by where it is stored.
 type textKey struct {
 	part   int
 	offset uint64
@@ -61,11 +62,11 @@
 	}
 }
 
-// SetPeers tells where the processes of other VMs hand out texts; it is called
-// before the first use.
+// SetPeers sets the function that returns the address at which the process of another VM
+// serves texts. It must be called before the first use.
 func (c *TextCache) SetPeers(addr func(node string) string) { c.peerAddr = addr }
 
-// put keeps a text; the oldest leave first.
+// put stores a text and removes the oldest ones beyond maxCacheBytes.
 func (c *TextCache) put(key textKey, text string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -89,12 +90,13 @@
 	return text, ok
 }
 
-// fill puts the texts into results, as many as an answer holds; at least the
-// first one, unless it is not to be had.
+// fill returns results with their texts, as many as fit into an answer. It returns at least
+// the first one, or the reason why its text can't be read.
 //
-// The writer is asked first, for it has the texts in memory: a log that is asked
-// beside it sends each text twice, a large fleet's more than its bandwidth, and nobody
-// follows it any more. A writer that is slow is asked again only where the log does not answer.
+// The writer is asked first, because it has the texts in memory. If the log were asked at the
+// same time, each text would be sent twice: for a large fleet that is more than the log's
+// bandwidth, and no process could follow the log any more. A slow writer is asked again only
+// if the log does not answer.
 func (c *TextCache) fill(ctx context.Context, results []jobs.Result) ([]jobs.Result, error) {
 	f := &textFill{cache: c, results: slices.Clone(results[:countFitting(results)])}
 	f.fillFromMemory()
@@ -110,7 +112,7 @@
 	return f.results[:available], nil
 }
 
-// countFitting is how many results, with their texts, an answer holds.
+// countFitting returns how many results fit into one answer with their texts.
 func countFitting(results []jobs.Result) int {
 	size := 0
 	for i, r := range results {
@@ -124,15 +126,15 @@
 	return len(results)
 }
 
-// textFill is one answer on its way.
+// textFill is one answer that is being filled with texts.
 type textFill struct {
 	cache   *TextCache
 	results []jobs.Result
-	// err is why the log did not give the texts that are missing.
+	// err is why the missing texts could not be read from the log.
 	err error
 }
 
-// missing returns the results whose text is still to be had.
+// missing returns the results whose texts are still missing.
 func (f *textFill) missing() []*jobs.Result {
 	var out []*jobs.Result
 	for i := range f.results {
@@ -143,7 +145,7 @@
 	return out
 }
 
-// completePrefix is how many results have their texts before the first that has not.
+// completePrefix returns how many results have their texts before the first one that lacks it.
 func (f *textFill) completePrefix() int {
 	missing := f.missing()
 	if len(missing) == 0 {
@@ -158,8 +160,7 @@
 	}
 }
 
-// fillFromWriters asks the processes that wrote the missing texts, each for at most a
-// while.
+// fillFromWriters asks the processes that wrote the missing texts, for at most maxWait.
 func (f *textFill) fillFromWriters(ctx context.Context, maxWait time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, maxWait)
 	defer cancel()
@@ -176,9 +177,9 @@
 	f.fillFromMemory()
 }
 
-// fillFromLog reads the missing texts from the log, those of one partition one after the
-// other: the results of a job stand side by side. Read by themselves, with what stood
-// behind each, the texts of one answer cost eight times their bytes.
+// fillFromLog reads the missing texts from the log, partition by partition in the order of
+// their offsets: the results of a job are close to each other. With a read for each text,
+// which also returns what follows it, one answer cost eight times its bytes.
 func (f *textFill) fillFromLog(ctx context.Context) {
 	missing := f.missing()
 	slices.SortStableFunc(missing, func(a, b *jobs.Result) int { return compareRefs(a.Ref, b.Ref) })
--- a/gateway/jobs/textcalls.go
+++ b/gateway/jobs/textcalls.go
@@ -18,39 +18,38 @@
 
 // Limits of calls for texts.
 const (
-	// maxWriterWait is how long the writers of texts may take before the log is asked:
-	// some ten times the answer of one that is well, with 64 KB over the slowest
-	// link.
+	// maxWriterWait is how long the writers of texts may take before the log is asked: about
+	// ten times the usual duration of an answer, with 64 KB over the slowest link.
 	maxWriterWait = 150 * time.Millisecond
-	// peerTimeout bounds a call to a peer, a few milliseconds away, where the log does
-	// not answer.
+	// peerTimeout bounds a call to a peer, a few milliseconds away, if the log does not
+	// answer.
 	peerTimeout = 300 * time.Millisecond
-	// maxConcurrentCalls is how many calls for texts run side by side.
+	// maxConcurrentCalls bounds the concurrent calls for texts.
 	maxConcurrentCalls = 4
-	// maxCallBytes is the size of the texts of one call: 10 ms over a link of 60 Mbit/s.
+	// maxCallBytes bounds the texts of one call: 10 ms over a link of 60 Mbit/s.
 	maxCallBytes = 64 << 10
-	// maxCallTexts is how many texts one call asks for, so that short ones do not make a
-	// question that is larger than its answer.
+	// maxCallTexts bounds the number of texts of one call, so that the request for many
+	// short texts is not larger than its answer.
 	maxCallTexts = 256
-	// minTextReadKB is the least that a read of texts asks for: the texts of one moment
-	// stand in one record of up to 96 KB.
+	// minTextReadKB is the minimum size of a read of texts: texts that were appended together
+	// are in one record of up to 96 KB.
 	minTextReadKB = 128
-	// textReadFactor is how many bytes stand among a job's texts for each of theirs: the
-	// same events as they came, and other jobs of the partition.
+	// textReadFactor is the number of stored bytes to read for each byte of a job's texts: the
+	// stream also contains the same events as they arrived, and other jobs of the partition.
 	textReadFactor = 3
 )
 
-// PathTexts is where a process hands texts to its peers.
+// PathTexts is the path at which a process serves texts to its peers.
 const PathTexts = "/texts"
 
-// requestedText names a text in a call to the process that wrote it.
+// requestedText identifies a text in a call to the process that wrote it.
 type requestedText struct {
 	Part   int    `json:"part"`
 	Offset uint64 `json:"offset"`
 	Item   string `json:"item"`
 }
 
-// returnedText is a text in the answer; those that the process no longer has are left out.
+// returnedText is a text in the answer, which omits those that the process no longer has.
 type returnedText struct {
 	requestedText
 	Text string `json:"text"`
@@ -62,11 +61,11 @@
 	texts []requestedText
 }
 
-// groupTextCalls divides texts among calls to their writers; those whose writer has no
+// groupTextCalls distributes texts to calls to their writers; texts whose writer has no known
 // address are left out.
 func groupTextCalls(missing []*jobs.Result, peerAddr func(node string) string) []textCall {
 	var calls []textCall
-	openCall := map[string]int{} // by writer: its call that is not full
+	openCall := map[string]int{} // index of the call that is not full, by address
 	size := map[string]int{}
 	for _, r := range missing {
 		addr := peerAddr(r.Writer)
@@ -85,13 +84,13 @@
 	return calls
 }
 
-// fetchFromPeer asks a peer for texts and keeps those that it has. One that fails is made up
-// for by the log.
+// fetchFromPeer requests texts from a peer and stores those that it returns. After a failure
+// the texts are read from the log.
 func (c *TextCache) fetchFromPeer(ctx context.Context, call textCall) {
 	returned, err := c.callPeer(ctx, call)
 	if err != nil {
 		textCallsFailed.Add(1)
-		c.zlog.Info("A writer did not give its texts.", zap.String("addr", call.addr), zap.Int("texts", len(call.texts)), zap.Error(err))
+		c.zlog.Info("Fetching texts from their writer failed.", zap.String("addr", call.addr), zap.Int("texts", len(call.texts)), zap.Error(err))
 		return
 	}
 	for _, text := range returned {
@@ -117,12 +116,12 @@
 	if resp.StatusCode != http.StatusOK {
 		return nil, errors.Errorf("peer %s: status %d", call.addr, resp.StatusCode)
 	}
-	// An answer that was cut off ends with an error: it states its length.
+	// A truncated answer is an error, because the answer states its length.
 	var returned []returnedText
 	return returned, errors.Trace(json.NewDecoder(resp.Body).Decode(&returned))
 }
 
-// ServeHTTP hands texts that this process has in memory to a peer.
+// ServeHTTP returns the texts that this process has in memory to a peer.
 func (c *TextCache) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var requested []requestedText
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxCallBytes)).Decode(&requested); err != nil {
@@ -141,15 +140,15 @@
 		return
 	}
 	w.Header().Set("Content-Length", strconv.Itoa(len(data)))
-	_, _ = w.Write(data) // the peer sees an answer that is cut off by its length
+	_, _ = w.Write(data) // the peer detects a truncated answer by its length
 }
 
 func compareRefs(a, b *jobs.TextRef) int {
 	return cmp.Or(cmp.Compare(a.Part, b.Part), cmp.Compare(a.Offset, b.Offset))
 }
 
-// readFromLog reads the first of some texts, which are in the order of the log, and those
-// beside it. It returns those that are still missing.
+// readFromLog reads the first of the missing texts, which are sorted by their place in the log,
+// and those that are stored near it. It returns those that are still missing.
 func (c *TextCache) readFromLog(ctx context.Context, missing []*jobs.Result) ([]*jobs.Result, error) {
 	first := missing[0].Ref
 	textReads.Add(1)
@@ -161,7 +160,7 @@
 		record, err := jobs.DecodeText(rec.Data)
 		if err != nil {
 			recordsBad.Add(1)
-			continue // another record's fault; ours shows as missing below
+			continue // another record's error; a missing text is reported below
 		}
 		for _, text := range record.Texts {
 			c.put(textKey{first.Part, rec.Offset, text.Item}, text.Text)
@@ -181,7 +180,7 @@
 	return ok
 }
 
-// textReadKB returns how many KB are likely to hold the texts of the first's partition.
+// textReadKB returns how many KB likely hold the missing texts of the first one's partition.
 func textReadKB(missing []*jobs.Result) int {
 	size := 0
 	for _, r := range missing {
--- a/gateway/jobs/textgroups.go
+++ b/gateway/jobs/textgroups.go
@@ -2,15 +2,15 @@
 
 import "dandelionsill.org/fold/jobs"
 
-// textGroup is a record of texts with the results whose texts it holds.
+// textGroup is a record of texts with the results whose texts it contains.
 type textGroup struct {
 	record  jobs.TextRecord
-	data    []byte // of the record
+	data    []byte // encoded record
 	results []jobs.Result
 }
 
-// groupTexts makes records of a size that the log takes. One holds texts so far or whole
-// texts, for these may stand elsewhere.
+// groupTexts splits texts into records of a size that the log accepts. A record contains either
+// partial texts or results, because results may be stored in another partition.
 func groupTexts(w jobs.Writer, key jobClaim, t *pendingTexts) []textGroup {
 	s := &textSplitter{writer: w, key: key}
 	s.close()
@@ -31,7 +31,7 @@
 	return s.groups
 }
 
-// textSplitter gathers texts and begins a new record in time.
+// textSplitter collects texts and starts a new record before one is too large.
 type textSplitter struct {
 	writer jobs.Writer
 	key    jobClaim
@@ -39,10 +39,10 @@
 	size   int // of the last record, in bytes
 }
 
-// close makes the next text begin a new record.
+// close makes the next text start a new record.
 func (s *textSplitter) close() { s.size = maxRecordBytes }
 
-// next returns the record for a text of some bytes.
+// next returns the record for a text of the given size.
 func (s *textSplitter) next(bytes int) *textGroup {
 	if s.size+bytes > maxRecordBytes {
 		s.groups = append(s.groups, textGroup{record: jobs.TextRecord{Writer: s.writer, Job: s.key.job, Claim: s.key.claim}})
@@ -52,7 +52,7 @@
 	return &s.groups[len(s.groups)-1]
 }
 
-// separateResults tells records of texts so far from those of whole texts.
+// separateResults separates the records of partial texts from those of results.
 func separateResults(groups []textGroup) (progress, results []textGroup) {
 	for _, g := range groups {
 		if len(g.results) > 0 {
--- a/gateway/jobs/texts.go
+++ b/gateway/jobs/texts.go
@@ -12,28 +12,27 @@
 	"dandelionsill.org/platform"
 )
 
-// maxTextsWait bounds one try to read a job's items and earlier texts; its owner
-// tries again.
+// maxTextsWait bounds one attempt to read a job's items and earlier texts; the owner retries.
 const maxTextsWait = 3 * time.Second
 
-// textStream is the stream with the texts of a partition.
+// textStream returns the name of the stream with the texts of a partition.
 func textStream(part int) string { return fmt.Sprintf("texts/%d", part) }
 
-// partitionOf is the partition of a job's texts.
+// partitionOf returns the partition of a job's texts.
 func partitionOf(job string, partitions int) int { return int(route.Hash(job) % uint64(partitions)) }
 
-// errItemsUnreadable: the items of a job are not to be had now.
-var errItemsUnreadable = errors.New("the job's items can't be read")
+// errItemsUnreadable means that the stream ends before all needed items of the job.
+var errItemsUnreadable = errors.New("the text stream ends before the job's items")
 
-// readTexts folds the items of a job and, where earlier owners may have made
-// texts, all that stands behind them to the end of the stream.
+// readTexts folds the items of a job. If toEnd is set, because earlier owners may have made
+// texts, it also folds everything after them to the end of the stream.
 func readTexts(ctx context.Context, log *reader, j *jobs.Head, from jobs.TextRef, toEnd bool) (*jobs.Texts, error) {
 	return foldTexts(ctx, log, j.ID, from, func(texts *jobs.Texts, atEnd bool) bool {
 		return texts.Known() >= j.Total && (!toEnd || atEnd)
 	})
 }
 
-// readItem reads an item of a job.
+// readItem reads one item of a job.
 func readItem(ctx context.Context, log *reader, job, item string, from jobs.TextRef) (jobs.Item, error) {
 	known := func(texts *jobs.Texts) bool { _, ok := texts.Item(item); return ok }
 	texts, err := foldTexts(ctx, log, job, from, func(texts *jobs.Texts, _ bool) bool { return known(texts) })
@@ -44,8 +43,8 @@
 	return found, nil
 }
 
-// foldTexts folds the texts of a job from where its items stand until enough, which is
-// told whether the stream's end is reached.
+// foldTexts folds the texts of a job from the offset of its items on until enough returns true.
+// enough is told whether the stream's end was reached.
 func foldTexts(ctx context.Context, log *reader, job string, from jobs.TextRef, enough func(texts *jobs.Texts, atEnd bool) bool) (*jobs.Texts, error) {
 	ctx, cancel := context.WithTimeout(ctx, maxTextsWait)
 	defer cancel()
@@ -76,7 +75,7 @@
 	}
 }
 
-// encodeItems makes the records of a job's items.
+// encodeItems encodes the records of a job's items.
 func encodeItems(w jobs.Writer, job string, items []jobs.Item) ([][]byte, error) {
 	var out [][]byte
 	r := jobs.TextRecord{Writer: w, Job: job}
@@ -103,7 +102,7 @@
 	return out, nil
 }
 
-// itemSize is about what an item takes in a record, in bytes.
+// itemSize returns the approximate size of an item in a record, in bytes.
 func itemSize(item *jobs.Item) int {
 	size := itemOverheadBytes + len(item.Body)
 	if item.Score != nil {
