--- a/gateway/jobs/gap_test.go
+++ b/gateway/jobs/gap_test.go
@@ -18,7 +18,7 @@
 	"dandelionsill.org/platform"
 )
 
-// truncatedLog keeps only its records from an offset on.
+// truncatedLog keeps only the records from an offset on.
 type truncatedLog struct {
 	Log
 
@@ -69,7 +69,7 @@
 	return jobs.Record{Writer: jobs.Writer{Node: "a", Life: "1"}, Results: []jobs.Result{{Job: job, Item: item, Text: item}}}
 }
 
-// followToEnd follows the log to its present end, as Run does.
+// followToEnd reads to the log's current end, as Run does.
 func followToEnd(t *testing.T, index *Index, l *truncatedLog) {
 	t.Helper()
 	page, err := l.Read(t.Context(), Stream, index.nextOffset, 0, 0)
@@ -82,11 +82,11 @@
 	index.foldPage(page, time.Now())
 }
 
-// An entry is suspended for longer than the log keeps records. Meanwhile another
-// job was accepted, and the first result of one that it knows was listed. When it
-// wakes it would tell a trainer "not found" of the one, and list the second result
-// of the other at the first's position. It is sure of neither: both get 503, and it
-// is not ready, until all jobs of before are over.
+// An entry is suspended for longer than the log keeps records. Meanwhile another job was
+// accepted, and the first result of a job that it knows was listed. After it resumes, it must
+// neither report "not found" for the one, nor list the second result of the other at the first
+// one's position. Until all jobs from before the gap have ended, both are answered with 503,
+// and the entry is not ready.
 func TestNoNotFoundAfterMissedRecords(t *testing.T) {
 	log := &truncatedLog{}
 	log.add(t, acceptRecord("known", "i0", "i1"))
@@ -102,14 +102,14 @@
 	log.add(t, acceptRecord("later", "l0"))
 	followToEnd(t, index, log)
 
-	require.False(t, index.CaughtUp(), "it counts as ready")
+	require.False(t, index.CaughtUp(), "the index counts as caught up after a gap")
 	for _, job := range []string{"known", "missed"} {
 		_, _, err := service.Results(t.Context(), job, 0, 0)
 		require.NotNil(t, err, job)
 		require.Equal(t, string(kinds.LogUnavailable), err.Kind(), job)
 		err = service.Submit(t.Context(), jobs.Head{ID: job}, nil)
 		require.NotNil(t, err, job)
-		require.False(t, err.NotRun(), "%s runs elsewhere", job)
+		require.False(t, err.NotRun(), "job %s may run elsewhere", job)
 	}
 	require.Nil(t, service.checkExists(t.Context(), "later"))
 
@@ -118,9 +118,9 @@
 	require.Equal(t, string(kinds.NotFound), service.checkExists(t.Context(), "missed").Kind())
 }
 
-// The owner of a job follows the log too slowly and misses records of it. It goes on
-// to show that it lives, so that nobody claims the job, while it no longer knows that
-// the job is its own: the step would stand still. It gives the job up.
+// The owner of a job follows the log too slowly and misses records. It still sends heartbeats,
+// so no other process claims the job, but it no longer knows that it owns the job: without a
+// release the step would make no progress.
 func TestOwnerReleasesJobsAfterMissedRecords(t *testing.T) {
 	log := &truncatedLog{}
 	log.add(t, acceptRecord("j", "i0"))
--- a/gateway/jobs/history_test.go
+++ b/gateway/jobs/history_test.go
@@ -17,7 +17,7 @@
 	"dandelionsill.org/platform/hosted/hostedtest"
 )
 
-// op is what a caller asks of a job, got what it heard.
+// op is the kind of a caller's request, outcome what the answer says about the job.
 type op string
 
 const (
@@ -33,8 +33,8 @@
 	unsure outcome = "unsure"
 )
 
-// existence is the model of a job: it does not exist, then it does for good. A
-// submission without a sure answer may have been carried out or not.
+// existence is the model of a job: it does not exist, then it exists permanently. A
+// submission without a definite answer may have been carried out or not.
 var existence = porcupine.Model{
 	Init: func() any { return false },
 	Step: func(state, input, output any) (bool, any) {
@@ -57,12 +57,12 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// history records what callers asked and heard, by job.
+// history records the requests of callers and their outcomes, by job.
 type history struct {
 	mu    sync.Mutex
 	start time.Time
 	ops   map[string][]porcupine.Operation
-	seen  map[string][]fold.Result // the longest list of results read
+	seen  map[string][]fold.Result // the longest list of results that was read
 	t     *testing.T
 }
 
@@ -78,7 +78,7 @@
 	h.ops[job] = append(h.ops[job], porcupine.Operation{ClientId: client, Input: what, Call: call, Output: answer, Return: end})
 }
 
-// checkResults notes results; those that anybody has checkResults before must be the same.
+// checkResults checks that results which were read before have not changed.
 func (h *history) checkResults(job string, results []fold.Result) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -104,11 +104,11 @@
 	}
 }
 
-// Callers hand jobs in at three entries and look them up there, while the store
-// refuses, loses answers and carries appends out late, and an entry is killed.
-// The history has to be that of jobs which exist once and for good: after a 202
-// nobody is told "not found", after a "not run" the job is not there, and no
-// result that was read changes its position or content.
+// Callers submit jobs at three entries and look them up there, while the store refuses calls,
+// loses answers and carries out appends late, and one entry is killed. The history has to be
+// that of jobs which exist once and permanently: after a 202 no caller gets "not found", after
+// a "not run" the job does not exist, and no result that was read changes its position or
+// content.
 func TestHistoryOfAcceptance(t *testing.T) {
 	t.Parallel()
 	pf := gatewaytest.NewPlatform(t, 3, 1)
@@ -151,7 +151,7 @@
 	}
 }
 
-// breakStore brings about one fault after the other.
+// breakStore causes one fault after the other.
 func breakStore(ctx context.Context, s *hostedtest.Store) {
 	faults := []hostedtest.StoreFaults{{}, {LoseAppends: true}, {}, {Down: true}, {}, {LateAppends: 150 * time.Millisecond}}
 	for i := 0; ctx.Err() == nil; i++ {
@@ -163,7 +163,7 @@
 	}
 }
 
-// callOnce hands a job in, or looks it up and reads its results.
+// callOnce submits a job, or looks it up and reads its results.
 func callOnce(t *testing.T, h *history, e *entry, client int, job string, rng *rand.Rand) {
 	ctx, cancel := context.WithTimeout(t.Context(), 150*time.Millisecond+time.Duration(rng.IntN(300))*time.Millisecond)
 	defer cancel()
--- a/gateway/jobs/jobs_test.go
+++ b/gateway/jobs/jobs_test.go
@@ -37,7 +37,7 @@
 	return e
 }
 
-// startEntry starts a process that need not have read the log yet.
+// startEntry starts a process and does not wait until it has read the log.
 func startEntry(t testing.TB, pf *gatewaytest.Platform, node, incarnation string) *entry {
 	p := pf.NewProcess(t)
 	writer := fold.Writer{Node: node, Life: incarnation}
@@ -49,7 +49,7 @@
 	return e
 }
 
-// knowsVersion tells whether the process has heard that an engine has a version of the
+// knowsVersion reports whether the process has read that an engine has a version of the
 // model m.
 func (e *entry) knowsVersion(server string, version uint64) bool {
 	return slices.ContainsFunc(e.View.Now().Servers["engines"], func(s members.Server) bool {
@@ -57,7 +57,7 @@
 	})
 }
 
-// decode turns a stand-in's job into the project's.
+// decode decodes a job of the stand-in's format.
 func decode(t testing.TB, id string, body map[string]any) (fold.Head, []fold.Item) {
 	data, err := json.Marshal(body)
 	require.NoError(t, err)
@@ -91,7 +91,7 @@
 func requireComplete(t testing.TB, results []fold.Result, events int) {
 	seen := map[string]bool{}
 	for _, r := range results {
-		require.False(t, seen[r.Item], "%s stands twice", r.Item)
+		require.False(t, seen[r.Item], "%s is listed twice", r.Item)
 		seen[r.Item] = true
 		require.False(t, r.GivenUp)
 		require.Equal(t, hostedtest.Text(r.Item, events), r.Text)
@@ -100,7 +100,7 @@
 	}
 }
 
-// resumed counts the runs that went on behind events made elsewhere.
+// resumed counts the streams that continued after events from earlier streams.
 func resumed(engines []*hostedtest.Server) int {
 	n := 0
 	for _, e := range engines {
@@ -113,8 +113,8 @@
 	return n
 }
 
-// A trainer hands a step in at one entry and reads it at another: each sample
-// is there once, whole, with its score and versions, in one order for both.
+// A trainer submits a step at one entry and reads it at another: both return each sample once,
+// complete, with its score and versions, and in the same order.
 func TestAllEntriesReturnSameResults(t *testing.T) {
 	t.Parallel()
 	pf := gatewaytest.NewPlatform(t, 2, 1)
@@ -124,12 +124,12 @@
 	requireComplete(t, fromA, 5)
 	require.Equal(t, fromA, fromB)
 	a.submit(t, "j", 12, 1)
-	require.Len(t, b.results(t, "j", 12), 12, "handed in again")
+	require.Len(t, b.results(t, "j", 12), 12, "the same job submitted again")
 }
 
-// The owner of a job loses power with samples half made. Another entry sees it
-// silent, claims the job and goes on behind the events in the log; begun anew,
-// the samples would miss their step.
+// The owner of a job loses power while its samples run. Another entry notices its silence,
+// claims the job and continues after the events in the log. If the samples restarted, they
+// would miss their step.
 func TestSuccessorResumesFromLog(t *testing.T) {
 	t.Parallel()
 	pf := gatewaytest.NewPlatform(t, 1, 1)
@@ -163,8 +163,8 @@
 	return n
 }
 
-// An entry is told to stop. It gives its jobs up with their text, so that
-// another goes on at once instead of after the silence.
+// An entry is told to stop. It releases its jobs with their partial texts, so that another
+// entry continues at once and need not wait for the takeover timeout.
 func TestDrainingOwnerHandsOverJobs(t *testing.T) {
 	t.Parallel()
 	pf := gatewaytest.NewPlatform(t, 1, 1)
@@ -178,8 +178,8 @@
 	require.Positive(t, resumed(pf.Engines))
 }
 
-// One engine breaks streams off, another falls silent in the middle. Samples
-// go on elsewhere behind the events that came; their texts stay whole.
+// One engine breaks its streams, another falls silent in the middle. Samples continue at other
+// engines after the events received so far, and their texts are complete.
 func TestSamplesMigrateFromFailingEngines(t *testing.T) {
 	t.Parallel()
 	pf := gatewaytest.NewPlatform(t, 3, 1)
@@ -191,8 +191,8 @@
 	require.Positive(t, resumed(pf.Engines))
 }
 
-// An engine fails a sample each time, or says that it can never be done. It is
-// given up after the route's attempts, and reaches no engine after that.
+// An engine fails a sample each time, or reports that it can never run it. The sample is
+// abandoned after the route's attempts and not sent to any engine again.
 func TestFailingSamplesAreAbandoned(t *testing.T) {
 	t.Parallel()
 	for status, runs := range map[int]int{http.StatusInternalServerError: 3, http.StatusUnprocessableEntity: 1} {
@@ -209,8 +209,8 @@
 	}
 }
 
-// A sample's score fails for good: the sample is given up, never listed as
-// complete without a score.
+// A sample's score fails permanently: the sample is abandoned, and never listed as complete
+// without a score.
 func TestSampleWithoutScoreIsAbandoned(t *testing.T) {
 	t.Parallel()
 	pf := gatewaytest.NewPlatform(t, 1, 1)
@@ -223,9 +223,9 @@
 	}
 }
 
-// The call for a score fails at every server. Each answer counts as one of the
-// route's attempts: a step's last group would else wait for as many calls as
-// their square, some seconds, while the servers work in vain.
+// The call for a score fails at every server. Each answer counts as one of the route's
+// attempts. Otherwise a step's last group would wait some seconds for as many calls as the
+// square of the attempts, while the servers work in vain.
 func TestFailingScoreIsRequestedOncePerAttempt(t *testing.T) {
 	t.Parallel()
 	pf := gatewaytest.NewPlatform(t, 1, 3)
@@ -242,9 +242,9 @@
 	require.Equal(t, 2*2, asked) // two samples, two attempts each
 }
 
-// A trainer's read waits, and the results of its last group are listed one after
-// the other. Were it answered with the first, the trainer would pause before it
-// reads the other: it gets both at once, and before its read has waited long.
+// A trainer's read waits, and the results of its last group are listed one after the other. If
+// the read returned with the first, the trainer would pause before it reads the second. It has
+// to return both, well before its maximum wait.
 func TestWaitingReadReturnsLastResultsTogether(t *testing.T) {
 	t.Parallel()
 	pf := gatewaytest.NewPlatform(t, 1, 1)
@@ -272,8 +272,8 @@
 	require.Len(t, <-read, 2)
 }
 
-// No engine has weights as new as the step wants. Its samples wait, and run
-// once one has: older weights never make one of them.
+// No engine has weights as new as the step requires. Its samples wait until one has: older
+// weights never make one of them.
 func TestSamplesWaitForFreshWeights(t *testing.T) {
 	t.Parallel()
 	pf := gatewaytest.NewPlatform(t, 2, 1)
@@ -284,8 +284,8 @@
 	entry := fresh.Entry("ready")
 	entry["models"] = []map[string]any{{"name": "m", "version": 2}}
 	pf.Store.Put(hostedtest.TopicServers, "fresh", entry)
-	// The entry runs ahead of the engine, which still makes version 1: what it
-	// begins is dropped as soon as its answer tells.
+	// The entry announces version 2 while the engine still makes version 1: what it starts
+	// is dropped as soon as its answer states the version.
 	require.Eventually(t, func() bool { return len(fresh.Arrivals()) > 0 }, gatewaytest.Wait, time.Millisecond)
 	_, results, err := e.service.Results(t.Context(), "j", 0, 0)
 	require.Nil(t, err)
@@ -295,8 +295,8 @@
 	}
 }
 
-// singleVersionPlatform has two engines and a route, in force with configuration 2,
-// that wants each sample made by one weight version.
+// singleVersionPlatform has two engines and, from configuration 2 on, a route that requires
+// each sample to be made by one weight version.
 func singleVersionPlatform(t testing.TB) *gatewaytest.Platform {
 	pf := gatewaytest.NewPlatform(t, 2, 1)
 	config := hostedtest.Config(2)
@@ -308,7 +308,7 @@
 	return pf
 }
 
-// loadVersion2 orders an engine to load version 2 of m while its streams go on.
+// loadVersion2 orders an engine to load version 2 of m while its streams continue.
 func loadVersion2(t testing.TB, engine *hostedtest.Server) {
 	client := hosted.NewEngineClient(engine.Addr())
 	outcome, err := client.Order(t.Context(), hosted.LoadOrder{Server: engine.ID, Model: "m", Version: 2, Mode: hosted.LoadRetain, Holder: "test", Fence: 1})
@@ -316,9 +316,9 @@
 	require.Equal(t, hosted.OrderTaken, outcome)
 }
 
-// A route wants each sample made by one weight version. Its engine loads the
-// next version in the middle, and another engine breaks streams off: a sample
-// goes on only with the version that began it, or begins anew.
+// A route requires each sample to be made by one weight version. Its engine loads the next
+// version in the middle, and another engine breaks its streams: a sample continues only with
+// the version that started it, or restarts.
 func TestSingleVersionSamplesAreNeverMixed(t *testing.T) {
 	t.Parallel()
 	pf := singleVersionPlatform(t)
@@ -335,10 +335,10 @@
 	}
 }
 
-// A trainer of a route of single versions waits for its step. Its samples begin at
-// the only engine with version 1, which breaks off each stream after an event; then
-// another engine comes free with version 2. Version 1 is still served, so nothing
-// dropped the texts, and each crept on by an event in 0.4 s.
+// A trainer of a single-version route waits for its step. Its samples start at the only engine
+// with version 1, which breaks each stream after one event; then another engine becomes
+// available with version 2. Because version 1 was still served, the texts were not dropped, and
+// each grew by only one event in 0.4 s.
 func TestSampleLeavesEngineThatBreaksStreams(t *testing.T) {
 	t.Parallel()
 	pf := singleVersionPlatform(t)
@@ -361,7 +361,7 @@
 	}
 }
 
-// A trainer ends its job: the samples that run are stopped at their engines.
+// A trainer ends its job: its running samples are stopped at their engines.
 func TestEndedJobStops(t *testing.T) {
 	t.Parallel()
 	pf := gatewaytest.NewPlatform(t, 1, 1)
@@ -371,15 +371,15 @@
 	require.Eventually(t, func() bool { return pf.Engines[0].Open() == 4 }, gatewaytest.Wait, time.Millisecond)
 	require.Nil(t, b.service.End(t.Context(), "j"))
 	require.Eventually(t, func() bool { return pf.Engines[0].Open() == 0 }, gatewaytest.Wait, time.Millisecond)
-	require.Nil(t, b.service.End(t.Context(), "j"), "once more")
+	require.Nil(t, b.service.End(t.Context(), "j"), "ending the job a second time")
 	require.Eventually(t, func() bool {
 		_, err := a.service.Body(t.Context(), "j", "j-i0")
 		return err != nil && err.Kind() == string(kinds.NotFound)
 	}, gatewaytest.Wait, time.Millisecond)
 }
 
-// A group that its trainer did not wait for comes again in the next step. The
-// text of its samples goes on where it stopped, if its weights are new enough.
+// A group that its trainer did not wait for is submitted again with the next step. The texts
+// of its samples continue where they stopped, if their weights are new enough.
 func TestResubmittedGroupResumes(t *testing.T) {
 	t.Parallel()
 	pf := gatewaytest.NewPlatform(t, 1, 1)
@@ -396,8 +396,8 @@
 	require.Positive(t, resumed(pf.Engines))
 }
 
-// An entry restarts and has read a part of the log: it knows the job and some
-// of its results. Answering "no more yet" it would take back what others gave.
+// An entry restarts and has read a part of the log, with the job and some of its results. The
+// answer "no further result" would contradict what other entries have returned.
 func TestEntryNotCaughtUpReturnsNoResults(t *testing.T) {
 	t.Parallel()
 	pf := gatewaytest.NewPlatform(t, 1, 1)
@@ -413,7 +413,7 @@
 	require.Equal(t, string(kinds.LogUnavailable), err.Kind())
 }
 
-// A job whose items are larger than a record is split, and comes whole.
+// A job whose items are larger than a record is split, and is complete when read.
 func TestLargeJob(t *testing.T) {
 	t.Parallel()
 	pf := gatewaytest.NewPlatform(t, 2, 1)
@@ -433,8 +433,8 @@
 	requireComplete(t, e.results(t, "j", 300), 1)
 }
 
-// The log loses its old records while an entry is away from it. It goes on
-// with what is kept.
+// The log drops old records that an entry has not read. The entry continues with the first
+// record that is kept.
 func TestTruncatedRecordsAreSkipped(t *testing.T) {
 	t.Parallel()
 	pf := gatewaytest.NewPlatform(t, 1, 1)
@@ -448,9 +448,9 @@
 	require.Equal(t, a.results(t, "new", 2), b.results(t, "new", 2))
 }
 
-// An engine starts again under its name with older weights than it had. A job
-// that these are too old for goes to the other engine; what answers and records
-// told of the start before sent it samples that it could only make in vain.
+// An engine restarts under its name with older weights than before. A job that requires newer
+// ones goes to the other engine. Versions that answers and records reported for the earlier
+// incarnation must not count, or the engine would get samples that it makes in vain.
 func TestRestartedEngineUsesReportedVersion(t *testing.T) {
 	pf := gatewaytest.NewPlatform(t, 2, 1)
 	for _, engine := range pf.Engines {
--- a/gateway/jobs/known_test.go
+++ b/gateway/jobs/known_test.go
@@ -12,8 +12,8 @@
 	"dandelionsill.org/platform"
 )
 
-// growingLog tells its end when asked without waiting; its tail never gets
-// there, for others append faster than this process reads.
+// growingLog returns its end without records: other processes append faster than this one
+// reads, so it never reaches the end.
 type growingLog struct {
 	Log
 	end uint64
@@ -23,9 +23,9 @@
 	return platform.Page{End: l.end}, nil
 }
 
-// A slow entry has restarted and reads the log while others write to it. It has
-// read the job, and more than was there when the trainer asked for its end;
-// that it has not reached the log's end ever since makes nothing "not found".
+// A slow entry has restarted and reads the log while others append to it. It has read the job
+// and past the log's end at the time of the trainer's question. That it has not reached the
+// current end must not turn the answer into "not found".
 func TestReadJobIsKnownBeforeLogEnd(t *testing.T) {
 	index := NewIndex(growingLog{end: 1}, zap.NewNop())
 	record := jobs.Record{Writer: jobs.Writer{Node: "a", Life: "1"}, Accept: &jobs.Accept{
--- a/gateway/jobs/outage_test.go
+++ b/gateway/jobs/outage_test.go
@@ -16,9 +16,9 @@
 	"dandelionsill.org/platform/hosted/hostedtest"
 )
 
-// An entry is told to stop in an outage of the store. Nobody can take its jobs
-// over then: cut off at once, its samples would lose all text since the outage
-// began. They go on until the store is back and has taken the release.
+// An entry is told to stop during an outage of the store. No other process can take over its
+// jobs then, so stopping its samples would lose all text since the start of the outage. They
+// continue until the store is available again and has stored the release.
 func TestDrainingOwnerContinuesInOutage(t *testing.T) {
 	t.Parallel()
 	pf := gatewaytest.NewPlatform(t, 1, 1)
@@ -38,9 +38,9 @@
 	require.Positive(t, resumed(pf.Engines))
 }
 
-// The store is slow with appends. An owner's signs of life take longer than usual,
-// for each stands behind an append of texts; the others see their own appends
-// take as long and leave it its jobs. Claimed without need, every sample reads its prompt again.
+// The store is slow with appends. An owner's heartbeats take longer than usual, because each
+// waits behind an append of texts. The other processes see that their own appends take as long
+// and do not claim its jobs: after a needless claim every sample reads its prompt again.
 func TestSlowStoreCausesNoClaims(t *testing.T) {
 	t.Parallel()
 	pf := gatewaytest.NewPlatform(t, 1, 1)
@@ -52,7 +52,7 @@
 	requireNoClaims(t, pf)
 }
 
-// requireNoClaims makes sure that no job was taken from its owner.
+// requireNoClaims checks that no process claimed a job.
 func requireNoClaims(t *testing.T, pf *gatewaytest.Platform) {
 	for _, data := range pf.Store.Records(jobs.Stream) {
 		r, err := fold.Decode(data)
@@ -61,8 +61,8 @@
 	}
 }
 
-// The store carries the append out and its answer is lost, for as long as the
-// trainer waits. The entry may not say "not run": the job does run.
+// The store carries out the append, but its answer is lost for as long as the trainer waits.
+// The entry must not report "not run", because the job does run.
 func TestLostAppendIsNotReportedAsNotRun(t *testing.T) {
 	t.Parallel()
 	pf := gatewaytest.NewPlatform(t, 1, 1)
@@ -78,7 +78,7 @@
 	requireComplete(t, e.results(t, "j", 2), 5)
 }
 
-// The answer is lost once, but the job shows in the log: it is accepted.
+// The answer is lost once, but the job is found in the log: it is accepted.
 func TestJobFoundInLogIsAccepted(t *testing.T) {
 	t.Parallel()
 	pf := gatewaytest.NewPlatform(t, 1, 1)
@@ -88,8 +88,8 @@
 	require.Nil(t, e.service.Submit(t.Context(), head, items))
 }
 
-// The store refuses appends: the trainer is told at once after its share of
-// time that nothing ran, and when to come back.
+// The store refuses appends: when the trainer's time is up, the answer says that nothing ran
+// and when to retry.
 func TestRefusingStoreIsReportedAsNotRun(t *testing.T) {
 	t.Parallel()
 	pf := gatewaytest.NewPlatform(t, 1, 1)
@@ -106,9 +106,9 @@
 	require.Equal(t, string(kinds.NotFound), missing.Kind())
 }
 
-// One entry accepts a job, and its trainer hands it in again at another, which
-// has read nothing since: it was cut off from the store, as it is now. A job
-// that runs may not be called "not run" there.
+// One entry accepts a job, and its trainer submits it again at another entry, which has read
+// nothing since: it was partitioned from the store, and still is. It must not report "not run"
+// for a job that runs.
 func TestEntryThatCannotReadNeverReportsNotRun(t *testing.T) {
 	t.Parallel()
 	pf := gatewaytest.NewPlatform(t, 1, 1)
@@ -123,9 +123,9 @@
 	require.Equal(t, string(kinds.OutcomeUnknown), err.Kind())
 }
 
-// A step is whole, and the store goes away before its trainer has read the last
-// results. They are listed, and the process that wrote them still has the texts:
-// whichever entry is asked, the trainer need not wait for the outage's end.
+// A step is complete, and the store becomes unavailable before its trainer has read the last
+// results. They are listed, and the process that wrote them still has the texts: every entry
+// can return them during the outage.
 func TestListedResultsAreReadableInOutage(t *testing.T) {
 	t.Parallel()
 	pf := gatewaytest.NewPlatform(t, 1, 1)
@@ -144,8 +144,8 @@
 	require.Equal(t, fromA, fromB)
 }
 
-// A job that this entry has not read of may exist. Without the log it can't be
-// sure, and says so in place of "not found".
+// A job that this entry has not read about may exist. Without the log the entry can't be sure,
+// so it must not answer "not found".
 func TestUnknownJobIsNotFoundOnlyWithLog(t *testing.T) {
 	t.Parallel()
 	pf := gatewaytest.NewPlatform(t, 0, 0)
--- a/gateway/jobs/outbox_test.go
+++ b/gateway/jobs/outbox_test.go
@@ -13,11 +13,11 @@
 	"dandelionsill.org/platform"
 )
 
-// strictLog refuses records and appends of a size that the platform refuses.
+// strictLog refuses records and appends of sizes that the platform refuses.
 type strictLog struct {
 	platform.Log
 	records [][]byte
-	refuse  int // appends refused for what they are
+	refuse  int // number of appends to refuse as invalid
 }
 
 const (
@@ -48,7 +48,7 @@
 	return newOutbox(l, jobs.Writer{Node: "a", Life: "1"}, 4, func() bool { return true }, func(textKey, string) {}, zap.NewNop())
 }
 
-// flushAll appends all that an outbox holds.
+// flushAll appends everything that an outbox holds.
 func flushAll(t *testing.T, o *outbox) bool {
 	for _, l := range o.appenders {
 		require.True(t, o.flushAppender(t.Context(), l))
@@ -56,8 +56,8 @@
 	return o.flush(t.Context(), false)
 }
 
-// A job of more items than one record may name is split; its parts are appended
-// together, and name each item once.
+// A job with more items than one record may name is split; its parts are appended together,
+// and name each item once.
 func TestManyItemsAreSplit(t *testing.T) {
 	s := NewService(NewIndex(&strictLog{}, zap.NewNop()), &strictLog{}, jobs.Writer{Node: "a", Life: "1"}, 4, 600, zap.NewNop())
 	items := make([]jobs.Item, 2500)
@@ -77,9 +77,8 @@
 	require.Equal(t, len(items), state.Jobs["j"].Total)
 }
 
-// The log is away for seconds while 250 samples run. What has piled up is more
-// than one append may hold; sent whole it was refused for ever, and with it
-// every result after it.
+// The log is unavailable for seconds while 250 samples run. The backlog is larger than one
+// append may be: sent in one piece it was refused for ever, and blocked every later result.
 func TestBacklogIsSplit(t *testing.T) {
 	l := &strictLog{}
 	o := newStrictOutbox(l)
@@ -113,11 +112,11 @@
 	require.Equal(t, 20_000, starts)
 	require.Equal(t, 500, results)
 	require.Equal(t, 500, texts)
-	require.Equal(t, len(l.records)-1, last, "a job is given up behind its text")
+	require.Equal(t, len(l.records)-1, last, "a job is released after its texts")
 }
 
-// Records that the log refuses for what they are would hold up all that comes
-// after them; they are dropped, and the next go through.
+// Records that the log refuses as invalid would block all later ones; they are dropped, and
+// the next ones are appended.
 func TestRefusedRecordsDoNotBlockLaterOnes(t *testing.T) {
 	l := &strictLog{refuse: 1}
 	o := newStrictOutbox(l)
@@ -133,11 +132,11 @@
 	l := &strictLog{}
 	o := newStrictOutbox(l)
 	require.False(t, o.flush(t.Context(), false))
-	require.True(t, o.flush(t.Context(), true), "a sign of life")
+	require.True(t, o.flush(t.Context(), true), "heartbeat without other content")
 	require.Len(t, l.records, 1)
 }
 
-// A partition of the log is away for a while, with what is appended meanwhile.
+// unavailableLog refuses the appends to one partition.
 type unavailableLog struct {
 	strictLog
 	unavailable string
@@ -154,9 +153,9 @@
 	return l.strictLog.AppendAll(ctx, stream, records)
 }
 
-// A job's partition is away while its samples make events. Whole texts go elsewhere at
-// once; the texts so far wait, keep their order, and nothing of them is lost or
-// appended twice. The job is given up only behind them.
+// A job's partition is unavailable while its samples make events. Complete texts go to another
+// partition at once. Partial texts wait and keep their order, and none of them is lost or
+// appended twice. The job is released only after them.
 func TestPartialTextsWaitForTheirPartition(t *testing.T) {
 	l := &unavailableLog{unavailable: textStream(2)}
 	o := newOutbox(l, jobs.Writer{Node: "a", Life: "1"}, 4, func() bool { return true }, func(textKey, string) {}, zap.NewNop())
@@ -191,9 +190,9 @@
 	require.Len(t, texts.Best("slow", 1).Events, 5)
 }
 
-// A job's partition is away. Its owner loses the job and has it again, and goes on from
-// the one event that the log had, with another run. The events that it had made before
-// stand under its earlier claim: under the new one they would be taken for that run's.
+// A job's partition is unavailable. Its owner loses the job, owns it again, and resumes from
+// the one event that the log had, in another run. The events that it had made before belong to
+// its earlier claim: under the new one they would count as events of the new run.
 func TestEventsOfTwoClaimsAreSeparate(t *testing.T) {
 	l := &unavailableLog{unavailable: textStream(2)}
 	o := newOutbox(l, jobs.Writer{Node: "a", Life: "1"}, 4, func() bool { return true }, func(textKey, string) {}, zap.NewNop())
--- a/gateway/jobs/partition_outage_test.go
+++ b/gateway/jobs/partition_outage_test.go
@@ -11,13 +11,13 @@
 	"dandelionsill.org/platform/hosted/hostedtest"
 )
 
-// partitions are the partitions of the texts.
+// partitions are the streams with the partitions of the texts.
 var partitions = []string{"texts/0", "texts/1", "texts/2"}
 
-// The store is away in the part that holds a step's texts, while two steps run. Their
-// owner still follows the jobs' stream and lives. Were its signs of life to wait for
-// the texts, both steps would be claimed by processes that wait alike, and nothing
-// would be listed until the store is back. Whole texts go to another part.
+// The partition with a step's texts is unavailable while several steps run. Their owner still
+// follows the jobs' stream. If its heartbeats waited for the texts, the steps would be claimed
+// by processes that have to wait as well, and no result would be listed until the store is
+// available again. Complete texts go to another partition.
 func TestOwnerKeepsJobsWhenTextPartitionIsUnavailable(t *testing.T) {
 	t.Parallel()
 	for _, unavailable := range partitions {
@@ -41,8 +41,8 @@
 	}
 }
 
-// The store is away in parts. A step is taken in all the same: its items go to a part
-// that is there. Refused, its trainer would wait until the store is back.
+// All but one partition is unavailable. A step is still accepted, because its items go to the
+// available one. If it were refused, its trainer would wait until the store is available again.
 func TestStepIsAcceptedWhilePartitionsAreUnavailable(t *testing.T) {
 	t.Parallel()
 	pf := gatewaytest.NewPlatform(t, 1, 1)
--- a/gateway/jobs/plan_bench_test.go
+++ b/gateway/jobs/plan_bench_test.go
@@ -12,8 +12,8 @@
 	"dandelionsill.org/gateway/gatewaytest"
 )
 
-// One plan of an owner that runs six steps of 150 samples on 73 engines: it plans up to
-// 50 times a second.
+// BenchmarkPlan measures one plan of an owner that runs six steps of 150 samples on 73 engines;
+// an owner plans up to 50 times a second.
 func BenchmarkPlan(b *testing.B) {
 	const steps, items, engines = 6, 150, 73
 	pf := gatewaytest.NewPlatform(b, engines, 0)
--- a/gateway/jobs/poison_test.go
+++ b/gateway/jobs/poison_test.go
@@ -21,10 +21,10 @@
 	return n
 }
 
-// One sample of a step crashes each engine that begins it. An engine that ends is no
-// failure of the sample's own, so that its owner moved it on from engine to engine until
-// none was left, and the whole step with it. Now the fourth engine never gets it: the
-// step's other samples are whole, also those that were at the engines that ended.
+// One sample of a step crashes each engine that starts it. A crash of the engine is not counted
+// as a failure of the sample, so its owner moved it from engine to engine until none was left
+// for the whole step. With the quarantine the fourth engine never gets it: the step's other
+// samples are complete, also those that ran at the crashed engines.
 func TestSampleThatCrashesEnginesIsQuarantined(t *testing.T) {
 	t.Parallel()
 	pf := gatewaytest.NewPlatform(t, 6, 1)
@@ -36,7 +36,7 @@
 	requireComplete(t, e.results(t, "j", 5), pf.Engines[0].Events)
 	require.Eventually(t, func() bool { return countCrashed(pf.Engines) == poison.QuarantineAt }, gatewaytest.Wait, time.Millisecond)
 
-	// The trainer hands the same sample in again, in a later job and at another owner.
+	// The trainer submits the same sample again, in a later job and at another owner.
 	other := newEntry(t, pf, "b")
 	head, items := decode(t, "k", hostedtest.Job("j", "m", 2, 1))
 	require.Nil(t, other.service.Submit(t.Context(), head, items))
@@ -46,13 +46,13 @@
 		_, results, err := other.service.Results(t.Context(), job, 0, 0)
 		require.Nil(t, err)
 		for _, r := range results {
-			require.NotEqual(t, "j-i0", r.Item, "it has not failed in a way that its trainer may be told of")
+			require.NotEqual(t, "j-i0", r.Item, "a quarantined sample must not be reported as a result")
 		}
 	}
 }
 
-// The call for one sample's score crashes each server that runs it, and is made again
-// for as long as the sample's job is open. The servers that are left score the others.
+// The call for one sample's score crashes each server that runs it, and is repeated as long as
+// the sample's job is open. The remaining servers score the other samples.
 func TestScoreThatCrashesServersIsQuarantined(t *testing.T) {
 	t.Parallel()
 	pf := gatewaytest.NewPlatform(t, 2, 5)
--- a/gateway/jobs/read_interval_test.go
+++ b/gateway/jobs/read_interval_test.go
@@ -13,12 +13,12 @@
 )
 
 func TestReadInterval(t *testing.T) {
-	require.Zero(t, ReadInterval(360, 0), "rate not told")
+	require.Zero(t, ReadInterval(360, 0), "unknown rate")
 	require.Equal(t, 9*time.Millisecond, ReadInterval(9, 2000))
 	require.Equal(t, 120*time.Millisecond, ReadInterval(360, 6000))
 }
 
-// busyLog has a new record for each read, up to some.
+// busyLog returns one new record for each read; its end stays ahead up to backlog.
 type busyLog struct {
 	Log
 	reads   atomic.Int64
@@ -31,9 +31,9 @@
 	return platform.Page{Records: []platform.Record{{Offset: from, Data: []byte("{}")}}, Next: next, End: max(next, l.backlog)}, nil
 }
 
-// Other processes append all the time, and each append ends a read that waits.
-// Read at once each time, the log would be asked as often as all append, by
-// every process. The past is read without pauses, what is new at the pace set.
+// Other processes append all the time, and each append ends a waiting read. Without a pause
+// every process would read the log as often as all others append. Old records are read without
+// pauses, new ones at the interval that is set.
 func TestIndexKeepsReadInterval(t *testing.T) {
 	log := &busyLog{backlog: 20}
 	index := NewIndex(log, zap.NewNop())
--- a/gateway/jobs/recovery_test.go
+++ b/gateway/jobs/recovery_test.go
@@ -16,19 +16,18 @@
 	"dandelionsill.org/platform"
 )
 
-// sharedLog is a log whose bandwidth all its readers share: answers leave it one after
-// the other, also those whose reader has hung up meanwhile.
+// sharedLog is a log whose readers share its bandwidth: answers are sent one after the other,
+// including those whose reader has already given up.
 type sharedLog struct {
-	rate    float64 // bytes a second
+	rate    float64 // bytes per second
 	records []platform.Record
 
 	mu     sync.Mutex
-	freeAt time.Time // when the answers that were asked for so far have left
+	freeAt time.Time // when all answers requested so far have been sent
 	sent   int       // bytes
 }
 
-// newSharedLog holds a past of records of some size, which hold nothing that a fold
-// has work with.
+// newSharedLog returns a log with records of the given size that have no effect on the fold.
 func newSharedLog(rate float64, records, size int) *sharedLog {
 	l := &sharedLog{rate: rate}
 	data := bytes.Repeat([]byte("x"), size)
@@ -38,7 +37,7 @@
 	return l
 }
 
-// page cuts an answer of some KB and returns when it will have left the log.
+// page returns an answer of some KB, when the log will have sent it, and its size in bytes.
 func (l *sharedLog) page(from uint64, kb int) (platform.Page, time.Time, int) {
 	page := platform.Page{Next: from, End: uint64(len(l.records))}
 	size := 0
@@ -60,14 +59,13 @@
 	return page, l.freeAt, size
 }
 
-// linkedLog is a sharedLog as seen over one VM's link.
+// linkedLog is a sharedLog behind the link of one VM.
 type linkedLog struct {
 	*sharedLog
-	link float64 // bytes a second
+	link float64 // bytes per second
 }
 
-// readTimeout is how long a read is waited for, beyond the time that it may wait for a
-// record.
+// readTimeout is how long a read may take beyond the time that it may wait for a record.
 const readTimeout = 900 * time.Millisecond
 
 func (l linkedLog) Read(ctx context.Context, _ string, from uint64, kb int, wait time.Duration) (platform.Page, error) {
@@ -92,9 +90,9 @@
 	panic("not appended to")
 }
 
-const mbit = 1e6 / 8 // bytes a second
+const mbit = 1e6 / 8 // bytes per second
 
-// startReaders starts as many readers of a log, every second one on a slow link.
+// startReaders starts readers of a log, every second one on a slow link.
 func startReaders(ctx context.Context, l *sharedLog, readers int) []*Index {
 	indexes := make([]*Index, readers)
 	for i := range indexes {
@@ -118,11 +116,10 @@
 	return n
 }
 
-// All processes of a fleet lose power and start again at one moment. Each reads the
-// same past, a hundred times more than the log gives a second. Reads that are too
-// large for that are given up after the log has worked for them, and are made anew: most
-// entries never get to the log's end, and accepted jobs can't be read for the rest
-// of the day.
+// All processes of a fleet lose power and restart at the same time. Each reads the same records,
+// together a hundred times what the log sends in a second. If reads are too large for that, they
+// time out after the log has worked for them, and are repeated: then most entries never reach
+// the log's end, and accepted jobs can't be read for the rest of the day.
 func TestFleetReadsLogAfterPowerLoss(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const readers = 200
@@ -133,13 +130,13 @@
 		usefulBytes := readers * 3000 * 1000
 		time.Sleep(time.Duration(1.1*float64(usefulBytes)/log.rate*float64(time.Second)) + 500*time.Millisecond)
 		require.Equal(t, readers, countCaughtUp(indexes))
-		require.Less(t, float64(log.sent), 1.1*float64(usefulBytes), "bytes that the log gave, by those that were of use")
+		require.Less(t, float64(log.sent), 1.1*float64(usefulBytes), "bytes that the log sent, compared with the useful ones")
 	})
 }
 
-// The same at any size, and again while the fleet still catches up. Once the log has
-// answered what was asked for before the second loss of power, it is of use for nine
-// tenths of its rate within two seconds.
+// The same at any size, and with a second power loss while the fleet still catches up. Once the
+// log has sent the answers requested before that, at least nine tenths of its rate are useful,
+// from two seconds on.
 func TestFleetCatchesUpAtAnySize(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		readers := rapid.IntRange(1, 300).Draw(rt, "readers")
@@ -162,7 +159,7 @@
 			defer cancel()
 			backlog := max(0, time.Until(log.freeAt))
 			indexes := startReaders(second, log, readers)
-			slowLinkTime := seconds(records*size, 60*mbit) // what the slow link takes by itself
+			slowLinkTime := seconds(records*size, 60*mbit) // duration on the slow link alone
 			time.Sleep(backlog + time.Duration(float64(fleetTime)/0.9) + slowLinkTime + 2*time.Second)
 			late = readers - countCaughtUp(indexes)
 		})
--- a/gateway/jobs/silence_test.go
+++ b/gateway/jobs/silence_test.go
@@ -10,10 +10,9 @@
 	"dandelionsill.org/fold/jobs"
 )
 
-// The log is away for seconds. Of two owners one was heard until it went, the other had
-// been silent before. Afterwards the first one is given time to show itself, and steps
-// handed in meanwhile; the other counts as gone as soon as it would have without the
-// outage.
+// The log is unavailable for seconds. One of two owners was active until then, the other had been
+// silent before. Afterwards the first one gets time to send a heartbeat, and counts as alive for
+// new steps; the other counts as gone as soon as it would have without the outage.
 func TestSilenceExcludesLogOutage(t *testing.T) {
 	index := NewIndex(nil, zap.NewNop())
 	start := time.Now()
--- a/gateway/jobs/slowstore_test.go
+++ b/gateway/jobs/slowstore_test.go
@@ -16,17 +16,16 @@
 	"dandelionsill.org/platform/hosted/hostedtest"
 )
 
-// overload is a spell in which the store's reads are scarcer than its followers
-// ask for.
+// overload is a period in which the store accepts fewer reads than its followers make.
 type overload struct {
 	entries int
-	// readsPerS is the store's rate of reads, all entries together.
+	// readsPerS is the store's rate of reads for all entries together.
 	readsPerS int
 	slow      time.Duration // of each read
 	jobs      int
-	// unavailable are the streams that can't be read at all for a part of the spell.
+	// unavailable are the streams that can't be read for a part of the period.
 	unavailable []string
-	// restarts is how many entries start anew meanwhile.
+	// restarts is how many entries restart meanwhile.
 	restarts int
 }
 
@@ -41,11 +40,11 @@
 	}
 })
 
-// A fleet has grown until its followers ask more of the store than it answers:
-// most reads are refused, followers fall behind, some start again and read the
-// whole past through the same store. While it lasts an entry may say that it does
-// not know; it never says of an accepted job that there is none. Afterwards every
-// entry gives every accepted job whole, the results at the same positions.
+// A fleet has grown until its followers need more reads than the store accepts: most reads are
+// refused, followers fall behind, and some restart and read all records through the same store.
+// Meanwhile an entry may answer that it does not know, but never that an accepted job does not
+// exist. Afterwards every entry returns every accepted job complete, with the results at the
+// same positions.
 func TestFollowersOfOverloadedStoreLoseNothing(t *testing.T) {
 	t.Parallel()
 	for seed := range 6 {
@@ -96,8 +95,8 @@
 	}
 }
 
-// accepts submits a job and tells whether it is accepted. One that is not has to be
-// handed in again by its trainer, elsewhere; that is not played here.
+// accepts submits a job and reports whether it is accepted. A trainer would submit a refused job
+// again at another entry; the test does not.
 func (e *entry) accepts(t *testing.T, id string) bool {
 	head, items := decode(t, id, hostedtest.Job(id, "m", 2, 1))
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
@@ -105,7 +104,7 @@
 	return e.service.Submit(ctx, head, items) == nil
 }
 
-// requireNeverNotFound asks once for an accepted job.
+// requireNeverNotFound reads an accepted job once.
 func requireNeverNotFound(t *testing.T, e *entry, id string) {
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
@@ -115,7 +114,7 @@
 	}
 }
 
-// itemOrder lists the items by their position.
+// itemOrder returns the items in the order of their positions.
 func itemOrder(results []fold.Result) []string {
 	var ids []string
 	for _, r := range results {
--- a/gateway/jobs/stream_timeout_test.go
+++ b/gateway/jobs/stream_timeout_test.go
@@ -10,10 +10,10 @@
 	"dandelionsill.org/fold/jobs"
 )
 
-// An engine takes longer for an event than a stream may be silent for. Its streams are
-// cut one after the other and show no gap between two events, so that it was thought to
-// be as fast as the others, and each place that a cut made free got the next sample. A
-// cut counts as a gap; one before the first event puts the engine on probation.
+// An engine takes longer for an event than the timeout of a stream. Its streams time out one
+// after the other without a gap between two events, so the engine was taken to be as fast as the
+// others, and each freed slot got the next sample. A timeout has to count as a gap; one before
+// the first event puts the engine on probation.
 func TestTimeoutUpdatesEnginePace(t *testing.T) {
 	now := time.Now()
 	silentAt := func(server string, events int) *activeItem {
--- a/gateway/jobs/submit_bench_test.go
+++ b/gateway/jobs/submit_bench_test.go
@@ -12,7 +12,7 @@
 	"dandelionsill.org/platform/hosted/hostedtest"
 )
 
-// ns for what an entry does to a step of 120 samples before it is accepted.
+// BenchmarkSubmission measures what an entry does with a step of 120 samples before accepting it.
 func BenchmarkSubmission(b *testing.B) {
 	const items = 120
 	job := hostedtest.Job("j", "m", items, 1)
--- a/gateway/jobs/text_cache_test.go
+++ b/gateway/jobs/text_cache_test.go
@@ -16,12 +16,12 @@
 	"dandelionsill.org/platform"
 )
 
-// textLog holds a stream of texts and counts what is asked of it.
+// textLog is a stream of texts that counts its reads.
 type textLog struct {
 	platform.Log
 	records [][]byte
 	reads   int
-	askedKB int // KB
+	askedKB int // sum over all reads
 }
 
 func (l *textLog) Read(_ context.Context, _ string, from uint64, kb int, _ time.Duration) (platform.Page, error) {
@@ -38,7 +38,7 @@
 	return page, nil
 }
 
-// write writes the texts of a job's results, each in a record of its own.
+// write appends the texts of a job's results, each in a record of its own.
 func (l *textLog) write(t *testing.T, results, size int) []jobs.Result {
 	var out []jobs.Result
 	for i := range results {
@@ -60,9 +60,9 @@
 	}
 }
 
-// After a loss of power no process has the texts of the steps before, and trainers read
-// them again at every entry. A read for each text brings what stands behind it as
-// well, eight times what is of use, from a log whose bandwidth all entries share.
+// After a power loss no process has the texts of earlier steps in memory, and trainers read them
+// again at every entry. A read for each text also returns what follows it, eight times the useful
+// bytes, from a log whose bandwidth all entries share.
 func TestTextsAreReadFromLogOnce(t *testing.T) {
 	log := &textLog{}
 	results := log.write(t, 100, 5000)
@@ -85,8 +85,8 @@
 	defer server.Close()
 	reader := newTextCache(newReader(log), zap.NewNop())
 	reader.SetPeers(func(string) string { return strings.TrimPrefix(server.URL, "http://") })
-	// The writer has all the time that it needs here: on a busy machine it may take
-	// longer than askLogAfter, and the log is then asked as well.
+	// The writer gets more time than in production: on a busy machine it may take longer
+	// than maxWriterWait, and the log is then read as well.
 	fill := &textFill{cache: reader, results: slices.Clone(results)}
 	fill.fillFromWriters(t.Context(), time.Minute)
 	require.Empty(t, fill.missing())
@@ -97,7 +97,7 @@
 	require.Zero(t, log.reads)
 }
 
-// A record larger than what the window asks for is read all the same.
+// A record larger than the requested size is read with a larger request.
 func TestLargeRecordIsRead(t *testing.T) {
 	log := &strictSizeLog{}
 	results := log.write(t, 3, 300<<10)
@@ -106,7 +106,7 @@
 	requireTexts(t, filled, 3, 300<<10)
 }
 
-// strictSizeLog never gives more than was asked for, not even one record.
+// strictSizeLog never returns more than was requested, not even one record.
 type strictSizeLog struct{ textLog }
 
 func (l *strictSizeLog) Read(ctx context.Context, stream string, from uint64, kb int, wait time.Duration) (platform.Page, error) {
