--- a/gateway/jobs/plan_bench_test.go
+++ b/gateway/jobs/plan_bench_test.go
@@ -33,19 +33,19 @@
 		j := index.state.Jobs[job]
 		active := map[string]*activeItem{}
 		for i, id := range j.Order {
-			w := newActiveItem(j, jobs.Item{Request: jobs.Request{ID: id, Host: "app.example", Path: "/chat/" + id}, Group: a.Items[i].Group}, jobs.Made{})
-			w.lastEventAt, w.streamEvents = now.Add(time.Hour), 1 // not silent
-			w.size.Model, w.size.Expected = "m", 100+i
-			w.phase, w.server = running, servers[i%engines].ID
-			active[id] = w
+			item := newActiveItem(j, jobs.Item{Request: jobs.Request{ID: id, Host: "app.example", Path: "/chat/" + id}, Group: a.Items[i].Group}, jobs.Made{})
+			item.lastEventAt, item.streamEvents = now.Add(time.Hour), 1 // not silent
+			item.size.Model, item.size.Expected = "m", 100+i
+			item.phase, item.server = running, servers[i%engines].ID
+			active[id] = item
 		}
 		r.active[job] = active
 	}
 	for i := range 30 {
-		w := r.active["j0"]["j0-000"]
-		w.size.Expected, w.events = 50+i, make([]jobs.Event, 10+i)
-		r.observeLength(w)
-		w.events = nil
+		item := r.active["j0"]["j0-000"]
+		item.size.Expected, item.events = 50+i, make([]jobs.Event, 10+i)
+		r.observeLength(item)
+		item.events = nil
 	}
 	for _, s := range servers {
 		r.paces.Observe(s.ID, 75*time.Millisecond, now)
