--- a/gateway/jobs/api.go
+++ b/gateway/jobs/api.go
@@ -20,7 +20,7 @@
 // Time limits and sizes of calls.
 const (
 	// maxSyncWait is how long a call about an unknown job waits for this process
-	// to reach the log's end. After that the answer is "unavailable".
+	// to reach the log's end. After that the answer is kinds.LogUnavailable.
 	maxSyncWait = 900 * time.Millisecond
 	// maxProofWait bounds the proof that a job was not accepted, which precedes the
 	// answer "not run": a read of the log takes some milliseconds if it succeeds.
--- a/gateway/jobs/ownership.go
+++ b/gateway/jobs/ownership.go
@@ -39,9 +39,9 @@
 	})
 }
 
-// shouldClaim reports whether a job's owner is gone: it released the job, it was an earlier
-// incarnation of this process, or no record of it was read for too long while the log could
-// be read.
+// shouldClaim reports whether this process should claim a job: its owner has released it, was an
+// earlier incarnation of this process, or has been silent for too long while the log could be
+// read.
 func (r *Runner) shouldClaim(j *jobs.Job, now time.Time) bool {
 	if !r.index.upToDate(now) || now.Sub(r.claimedAt[j.ID]) < takeOverAfter {
 		return false
--- a/gateway/jobs/partition_appender.go
+++ b/gateway/jobs/partition_appender.go
@@ -107,7 +107,8 @@
 // reports whether the partition accepted everything. Results that the partition does not
 // accept go to another one, because each result names where its text is. Partial texts have to
 // follow their job's items in the same partition, so they wait. A failed append to an
-// unresponsive partition takes a second: later results are sent elsewhere first.
+// unresponsive partition takes a second: until the partition accepts records again, results
+// are sent to another one first.
 func (o *outbox) flushAppender(ctx context.Context, a *partitionAppender) bool {
 	o.mu.Lock()
 	texts, releases := a.texts, a.releases
