--- a/agent/once/commit.go
+++ b/agent/once/commit.go
@@ -63,7 +63,7 @@
 		return terms.MinInterval
 	}
 	t.mu.Lock()
-	active := max(1, t.fold.Active(activeFor))
+	active := max(1, t.fold.ActiveOwners(activeFor))
 	t.mu.Unlock()
 	share := time.Duration(float64(active) / terms.AppendsPerS * float64(time.Second))
 	return max(terms.MinInterval, share)
--- a/agent/once/once.go
+++ b/agent/once/once.go
@@ -82,7 +82,7 @@
 	cfg    Config
 	stream string
 	log    *zap.Logger
-	self   fold.Holder
+	self   fold.OwnerDigest
 	wake   chan struct{} // tells the writer that claims wait
 	hurry  chan struct{} // tells the tail that an own append is on its way or stands
 
@@ -147,7 +147,7 @@
 		cfg:    cfg,
 		stream: platform.StreamOncePrefix + cfg.Service,
 		log:    logs.Limited(cfg.Logger, logInterval),
-		self:   cfg.Owner.Holder(),
+		self:   cfg.Owner.OwnerDigest(),
 		wake:   make(chan struct{}, 1),
 		hurry:  make(chan struct{}, 1),
 		fold:   fold.New(foldTerms(cfg.Terms())),
@@ -156,7 +156,7 @@
 	}
 }
 
-func foldTerms(t Terms) fold.Terms { return fold.Terms{Window: t.Window, Skew: t.Skew} }
+func foldTerms(t Terms) fold.Limits { return fold.Limits{Window: t.Window, Skew: t.Skew} }
 
 // Run tails the stream and writes claims until ctx ends.
 func (t *Table) Run(ctx context.Context) {
--- a/agent/once/tail.go
+++ b/agent/once/tail.go
@@ -131,7 +131,7 @@
 func (t *Table) reset(first uint64) {
 	resets.Add(1)
 	t.log.Error("The log lost records that were read from it.", zap.Uint64("next", t.fold.Next()), zap.Uint64("first", first))
-	t.fold.Reset(first)
+	t.fold.HandleLogReset(first)
 	t.readTo = 0
 	t.settled = false
 	if t.endPoll != nil {
@@ -152,7 +152,7 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.fold.SetTerms(foldTerms(t.cfg.Terms()))
+	t.fold.SetLimits(foldTerms(t.cfg.Terms()))
 	if page.End < from {
 		if t.fold.Next() >= from { // else the other reader has seen it already
 			t.reset(page.First)
@@ -160,7 +160,7 @@
 		return false, nil
 	}
 	if truncated {
-		t.fold.Gap(page.First)
+		t.fold.HandleTruncation(page.First)
 		return false, nil
 	}
 	for _, rec := range page.Records {
@@ -168,7 +168,7 @@
 	}
 	atEnd = page.Next >= page.End
 	if atEnd {
-		t.fold.Empty(time.Now())
+		t.fold.HandleEmptyStream(time.Now())
 		t.caughtUp, t.settled = true, true
 	}
 	if now := time.Now(); now.After(t.sweepAt) {
@@ -248,7 +248,7 @@
 	if found {
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		t.fold.Gap(start)
+		t.fold.HandleTruncation(start)
 	}
 	return nil
 }
--- a/agent/weights/claim.go
+++ b/agent/weights/claim.go
@@ -128,7 +128,7 @@
 		for _, rec := range page.Records {
 			c.state.Apply(rec)
 		}
-		c.state.Skip(page.Next)
+		c.state.SkipTo(page.Next)
 		if len(page.Records) == 0 || page.Next >= page.End {
 			return c.settle()
 		}
@@ -147,7 +147,7 @@
 	if first <= c.state.Next() {
 		return platform.ErrTruncated // the log contradicts itself; ask again later
 	}
-	c.state.Skip(first)
+	c.state.SkipTo(first)
 	return nil
 }
 
@@ -155,7 +155,7 @@
 func (c *claim) settle() error {
 	newest, _ := c.state.Newest(c.cfg.Server)
 	if newest.ID == c.id {
-		c.predecessor.Store(!c.whole || c.state.Earlier(newest))
+		c.predecessor.Store(!c.whole || c.state.HasEarlier(newest))
 		c.token.Store(newest.Token())
 		return nil
 	}
--- a/capacity/log_test.go
+++ b/capacity/log_test.go
@@ -124,7 +124,7 @@
 			for _, r := range records {
 				encoded += len(r.Data)
 			}
-			state := fold.New(fold.Terms{Window: 15 * time.Minute, Skew: 500 * time.Millisecond})
+			state := fold.New(fold.Limits{Window: 15 * time.Minute, Skew: 500 * time.Millisecond})
 			before := LiveBytes()
 			b.ResetTimer()
 			for _, r := range records {
--- a/confsync/keepalive.go
+++ b/confsync/keepalive.go
@@ -62,7 +62,7 @@
 // keepAlive reappends the revision, with the versions that the log gave, when
 // this process is the first whose time has come.
 func (k *Keeper) keepAlive(ctx context.Context) {
-	var seen control.Copy
+	var seen control.NewestCopy
 	var due time.Time // zero: nothing to keep alive
 	for {
 		if copied, retention, ok := k.newestCopy(); !ok {
@@ -91,7 +91,7 @@
 // dueAt counts from the copy's time by the log's clock, or from now where no
 // copy was read here. A copy can't be from the future; a clock that says so is
 // wrong.
-func dueAt(copied control.Copy, now time.Time, after time.Duration) time.Time {
+func dueAt(copied control.NewestCopy, now time.Time, after time.Duration) time.Time {
 	since := copied.Time
 	if since.IsZero() || since.After(now) {
 		since = now
@@ -132,13 +132,13 @@
 
 // newestCopy returns the newest copy of the revision in the log. ok is false
 // where this process has nothing that it may reappend.
-func (k *Keeper) newestCopy() (copied control.Copy, retention time.Duration, ok bool) {
+func (k *Keeper) newestCopy() (copied control.NewestCopy, retention time.Duration, ok bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if !k.state.Settled() || k.state.Head() == nil {
-		return control.Copy{}, 0, false
+		return control.NewestCopy{}, 0, false
 	}
-	return k.state.Copy(), k.retentionLocked(), true
+	return k.state.NewestCopy(), k.retentionLocked(), true
 }
 
 func (k *Keeper) retention() time.Duration {
@@ -155,10 +155,10 @@
 }
 
 // reappend writes the revision again unless somebody else just has.
-func (k *Keeper) reappend(ctx context.Context, seen control.Copy) {
+func (k *Keeper) reappend(ctx context.Context, seen control.NewestCopy) {
 	k.mu.Lock()
 	data, ok := k.state.EncodeReappend(newID("reappend", k.cfg.Name))
-	renewed := k.state.Copy() != seen
+	renewed := k.state.NewestCopy() != seen
 	k.mu.Unlock()
 	if !ok || renewed {
 		return
--- a/confsync/keepalive_test.go
+++ b/confsync/keepalive_test.go
@@ -86,7 +86,7 @@
 		require.Less(t, after, r/2)
 		now := time.Unix(1_800_000_000, 0)
 		age := time.Duration(rapid.Int64Range(-int64(r), int64(r)).Draw(t, "age"))
-		due := dueAt(control.Copy{Time: now.Add(-age)}, now, after)
+		due := dueAt(control.NewestCopy{Time: now.Add(-age)}, now, after)
 		require.False(t, due.After(now.Add(after)), "a clock that is ahead can't put it off")
 	})
 }
--- a/confsync/keeper.go
+++ b/confsync/keeper.go
@@ -156,14 +156,14 @@
 func (k *Keeper) apply(records []platform.Record) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	before := k.state.Copy()
+	before := k.state.NewestCopy()
 	for _, rec := range records {
 		for _, event := range k.state.Apply(rec) {
 			k.note(event)
 		}
 	}
 	k.settlePending()
-	if k.state.Copy() != before {
+	if k.state.NewestCopy() != before {
 		notify(k.copied)
 	}
 	k.publish(spreadAfterLog)
--- a/confsync/tail.go
+++ b/confsync/tail.go
@@ -143,7 +143,7 @@
 	k.limited.Error(what, zap.Uint64("from", from), zap.Uint64("first", page.First), zap.Uint64("end", page.End))
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.state.Gap()
+	k.state.HandleTruncation()
 }
 
 func (k *Keeper) reached(next, end uint64) {
--- a/ctl/read.go
+++ b/ctl/read.go
@@ -37,7 +37,7 @@
 		if page.First <= r.from {
 			return nil, errors.Annotatef(err, "the log refuses offset %d but keeps records from %d on", r.from, page.First)
 		}
-		r.state.Gap()
+		r.state.HandleTruncation()
 		r.from, r.end = page.First, page.End
 		return nil, nil
 	}
--- a/fold/agents/agents.go
+++ b/fold/agents/agents.go
@@ -74,8 +74,8 @@
 // Next returns the offset to read from next.
 func (s *State) Next() uint64 { return s.next }
 
-// Skip tells that records before offset are no longer kept.
-func (s *State) Skip(offset uint64) {
+// SkipTo tells that records before offset are no longer kept.
+func (s *State) SkipTo(offset uint64) {
 	s.next = max(s.next, offset)
 }
 
@@ -85,8 +85,8 @@
 	return c, ok
 }
 
-// Earlier tells whether another claim of the same server stands before c.
-func (s *State) Earlier(c Claim) bool {
+// HasEarlier tells whether another claim of the same server stands before c.
+func (s *State) HasEarlier(c Claim) bool {
 	for _, other := range s.seen {
 		if other.Server == c.Server && other.Offset < c.Offset {
 			return true
--- a/fold/agents/agents_test.go
+++ b/fold/agents/agents_test.go
@@ -27,9 +27,9 @@
 	require.True(t, ok)
 	require.Equal(t, "b", newest.ID)
 	require.EqualValues(t, 6, newest.Token())
-	require.True(t, s.Earlier(newest))
+	require.True(t, s.HasEarlier(newest))
 	first, _ := s.Find("vm", "a")
-	require.False(t, s.Earlier(first))
+	require.False(t, s.HasEarlier(first))
 }
 
 // Any two readers at the same offset agree, however their reads were cut and
--- a/fold/control/control_test.go
+++ b/fold/control/control_test.go
@@ -59,7 +59,7 @@
 
 // Two operators read revision 1 and commit over it. The record that comes
 // first wins; the other operator is told by which revision it was overtaken.
-func TestFirstCommitOverAParentWins(t *testing.T) {
+func TestFirstCommitForParentWins(t *testing.T) {
 	var l stream
 	l.add(EncodeCommit("a", signed(1, 0, "a")))
 	l.add(EncodeCommit("b", signed(2, 1, "b")))
@@ -93,7 +93,7 @@
 
 // The platform repeats an append whose answer it lost. The record's writer is
 // told its outcome once, and nothing is accepted twice.
-func TestRepeatedRecord(t *testing.T) {
+func TestRepeatedRecordHasNoOutcome(t *testing.T) {
 	var l stream
 	l.add(EncodeCommit("a", signed(1, 0, "a")))
 	l.add(EncodeCommit("b", signed(1, 0, "b")))
@@ -105,14 +105,14 @@
 	s := New(testKeys)
 	require.Len(t, l.fold(s, 0, 3), 3)
 	require.Empty(t, l.fold(s, 3, 6))
-	require.Equal(t, Copy{3, l[3].Time}, s.Copy())
+	require.Equal(t, NewestCopy{3, l[3].Time}, s.NewestCopy())
 	require.Equal(t, map[string]uint64{"m": 7}, s.Versions())
 }
 
 // A reader starts while the winner of a race is truncated already and its
 // loser is not. Without more it must not take the loser; the reappend that
 // some process wrote settles it, and the commit that follows is judged.
-func TestLoserOfARaceBehindTruncation(t *testing.T) {
+func TestRaceLoserAfterTruncation(t *testing.T) {
 	var l stream
 	l.add(EncodeCommit("a", signed(1, 0, "winner")))
 	l.add(EncodeCommit("b", signed(1, 0, "loser")))
@@ -195,7 +195,7 @@
 	require.Len(t, s.ids.seen, 1)
 
 	big := make([]byte, 1<<20)
-	s.Gap()
+	s.HandleTruncation()
 	for i := range uint64(20) {
 		rev := manifest.Sign(priv, "k", i+1, i, big)
 		s.Apply(platform.Record{Offset: 3*maxIDs + i, Time: epoch, Data: EncodeCommit(fmt.Sprint(i), rev)})
@@ -267,7 +267,7 @@
 		resume := rapid.IntRange(stop, len(l)).Draw(t, "resume")
 		l.fold(s, 0, rapid.IntRange(0, stop).Draw(t, "first"))
 		if resume > stop {
-			s.Gap()
+			s.HandleTruncation()
 		}
 		exactVersions := true
 		for _, rec := range l[min(resume, len(l)):] {
--- a/fold/control/gap.go
+++ b/fold/control/gap.go
@@ -32,7 +32,7 @@
 	}
 	s.copyAt(rec.Offset, rec.Time)
 	// The writer can't have folded records behind its own.
-	return append(events, s.settle(min(r.At, rec.Offset))...)
+	return append(events, s.settle(min(r.NextOffset, rec.Offset))...)
 }
 
 // Offer takes a revision from a peer that accepted it, with the offset that
--- a/fold/control/record.go
+++ b/fold/control/record.go
@@ -19,14 +19,14 @@
 // none may change what a commit's acceptance hangs on: an older reader ignores
 // fields that it does not know and would accept or reject something else.
 type record struct {
-	ID       string            `json:"id"`
-	Type     string            `json:"type"`
-	Revision *revisionJSON     `json:"revision,omitempty"`
-	Accepted uint64            `json:"accepted,omitempty"` // reappend: offset that accepted the revision
-	At       uint64            `json:"at,omitempty"`       // reappend: all records before this offset were folded
-	Versions map[string]uint64 `json:"versions,omitempty"` // reappend
-	Model    string            `json:"model,omitempty"`    // version
-	Version  uint64            `json:"version,omitempty"`  // version
+	ID         string            `json:"id"`
+	Type       string            `json:"type"`
+	Revision   *revisionJSON     `json:"revision,omitempty"`
+	Accepted   uint64            `json:"accepted,omitempty"` // reappend: offset that accepted the revision
+	NextOffset uint64            `json:"at,omitempty"`       // reappend: all records before this offset were folded
+	Versions   map[string]uint64 `json:"versions,omitempty"` // reappend
+	Model      string            `json:"model,omitempty"`    // version
+	Version    uint64            `json:"version,omitempty"`  // version
 }
 
 type revisionJSON struct {
@@ -59,7 +59,7 @@
 	}
 	return encode(record{
 		ID: id, Type: typeReappend, Revision: revisionToJSON(s.head.Signed),
-		Accepted: s.head.Offset, At: s.next, Versions: s.versions,
+		Accepted: s.head.Offset, NextOffset: s.next, Versions: s.versions,
 	}), true
 }
 
@@ -67,7 +67,7 @@
 // carries. Operators need it only where every record of a revision was
 // truncated while no process ran that could have reappended it.
 func EncodeRestart(id string, rev *pb.SignedRevision, at uint64) []byte {
-	return encode(record{ID: id, Type: typeReappend, Revision: revisionToJSON(rev), Accepted: at, At: at})
+	return encode(record{ID: id, Type: typeReappend, Revision: revisionToJSON(rev), Accepted: at, NextOffset: at})
 }
 
 func encode(r record) []byte {
--- a/fold/control/state.go
+++ b/fold/control/state.go
@@ -40,7 +40,7 @@
 	placed   bool      // next is known; false right after Gap
 	head     *Revision // the newest revision by the log; a lower bound after a gap
 	readable *Revision // the newest by the log that this program can read
-	copied   Copy
+	copied   NewestCopy
 	versions map[string]uint64
 	ids      idWindow
 
@@ -55,8 +55,8 @@
 	skipped uint64
 }
 
-// Copy is the newest copy of the newest revision in the log.
-type Copy struct {
+// NewestCopy is the newest copy of the newest revision in the log.
+type NewestCopy struct {
 	Offset uint64
 	Time   time.Time // the log service's clock
 }
@@ -73,12 +73,12 @@
 	return &State{keys: keys, placed: true, versions: map[string]uint64{}}
 }
 
-// Gap tells that records were truncated before they were read; the next record
+// HandleTruncation tells that records were truncated before they were read; the next record
 // may have any offset. Apply notices a jump in the offsets itself.
-func (s *State) Gap() {
+func (s *State) HandleTruncation() {
 	s.gap = true
 	s.placed = false
-	s.copied = Copy{}
+	s.copied = NewestCopy{}
 	s.held, s.heldBytes = nil, 0
 }
 
@@ -98,10 +98,10 @@
 // program can read; nil: none yet.
 func (s *State) Revision() *Revision { return higher(s.readable, s.offeredReadable) }
 
-// Copy returns the newest copy of the newest revision in the log; whoever
+// NewestCopy returns the newest copy of the newest revision in the log; whoever
 // keeps the revision alive reappends when it grows old. It is zero where no
 // copy was read (after a gap).
-func (s *State) Copy() Copy { return s.copied }
+func (s *State) NewestCopy() NewestCopy { return s.copied }
 
 // Versions returns the newest announced weight version of each model.
 func (s *State) Versions() map[string]uint64 { return maps.Clone(s.versions) }
@@ -120,7 +120,7 @@
 		return nil
 	}
 	if !s.placed || rec.Offset > s.next {
-		s.Gap()
+		s.HandleTruncation()
 		s.gapEnd = rec.Offset
 	}
 	s.next, s.placed = rec.Offset+1, true
@@ -210,7 +210,7 @@
 
 // advance makes rev the newest revision by the log.
 func (s *State) advance(rev *Revision) []Event {
-	s.head, s.copied = rev, Copy{}
+	s.head, s.copied = rev, NewestCopy{}
 	if s.offered != nil && s.offered.Number <= rev.Number {
 		s.offered = nil
 	}
@@ -228,7 +228,7 @@
 // light out of order.
 func (s *State) copyAt(offset uint64, at time.Time) {
 	if s.copied.Time.IsZero() || offset > s.copied.Offset {
-		s.copied = Copy{offset, at}
+		s.copied = NewestCopy{offset, at}
 	}
 }
 
--- a/fold/jobs/bench_test.go
+++ b/fold/jobs/bench_test.go
@@ -15,14 +15,14 @@
 // randomResult returns a result with the names and seals of a real one's lengths.
 func randomResult(rng *rand.Rand, job string) Result {
 	return Result{
-		Job: job, Item: randomID(rng), Ref: &TextRef{Part: 3, Offset: rng.Uint64N(1e5), Bytes: rng.IntN(20000)},
+		Job: job, Item: randomID(rng), Ref: &TextRef{Partition: 3, Offset: rng.Uint64N(1e5), Bytes: rng.IntN(20000)},
 		Versions: []uint64{6, 7}, Score: fmt.Sprintf("%04x.07.5a2.600.0.%08x", rng.Uint32N(1<<16), rng.Uint32()),
 	}
 }
 
 // Samples that start and get their results, four in a record: the bytes that each process
 // reads of one are 71, where they are not packed 210. Unpacking the record takes 11 µs.
-func BenchmarkSampleInARecord(b *testing.B) {
+func BenchmarkSampleRecord(b *testing.B) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	r := Record{Writer: ann}
 	const each = 4
@@ -68,11 +68,11 @@
 // A job of 100 items without their bodies, read and folded by one process.
 func BenchmarkFoldJob(b *testing.B) {
 	rng := rand.New(rand.NewPCG(1, 1))
-	a := &Accept{Head: Head{ID: "j"}, Parts: 1}
+	a := &Acceptance{Spec: Spec{ID: "j"}, Parts: 1}
 	for i := range 100 {
 		a.Items = append(a.Items, ItemRef{ID: randomID(rng), Group: fmt.Sprintf("g%x", 4096+i/8)})
 	}
-	data, err := (&Record{Writer: ann, Accept: a}).Encode()
+	data, err := (&Record{Writer: ann, Acceptance: a}).Encode()
 	require.NoError(b, err)
 	for b.Loop() {
 		record, err := Decode(data)
--- a/fold/jobs/jobs.go
+++ b/fold/jobs/jobs.go
@@ -25,7 +25,7 @@
 
 // Job is an accepted batch job.
 type Job struct {
-	Head
+	Spec
 	Items   map[string]*ItemState
 	Order   []string // item ids in the order of submission
 	Results []Result
@@ -39,13 +39,13 @@
 	awaited int
 
 	Owner Writer
-	// Accepted is the offset of the record that made the job.
-	Accepted uint64
+	// AcceptedOffset is the offset of the record that made the job.
+	AcceptedOffset uint64
 	// Claim is the offset of the record that made Owner the owner.
 	Claim    uint64
 	Released bool // the owner has given the job up
-	// At is where the items stand, and their texts behind.
-	At TextRef
+	// ItemsRef is where the items stand, and their texts behind.
+	ItemsRef TextRef
 }
 
 // group is the items of a job that share their prompt.
@@ -69,19 +69,19 @@
 	return max(0, j.Groups-j.complete)
 }
 
-// Again tells whether the trainer has handed a group in a second time. It then
+// IsResubmitted tells whether the trainer has handed a group in a second time. It then
 // waits for this group whatever others are whole.
-func (j *Job) Again(name string) bool {
+func (j *Job) IsResubmitted(name string) bool {
 	g := j.groups[name]
 	return g != nil && g.again
 }
 
-// Open tells whether there is still work for an owner.
-func (j *Job) Open() bool { return !j.Ended && len(j.Results) < j.Total }
+// IsOpen tells whether there is still work for an owner.
+func (j *Job) IsOpen() bool { return !j.Ended && len(j.Results) < j.Total }
 
 // submission gathers the parts of an accepted job.
 type submission struct {
-	parts map[int]*Accept
+	parts map[int]*Acceptance
 }
 
 // Change tells what a record changed.
@@ -136,7 +136,7 @@
 	if r.Capacity > 0 {
 		s.capacity[r.Writer] = r.Capacity
 	}
-	if r.Accept != nil {
+	if r.Acceptance != nil {
 		s.accept(offset, r, &c)
 	}
 	for _, claim := range r.Claims {
@@ -163,14 +163,14 @@
 }
 
 func (s *State) accept(offset uint64, r *Record, c *Change) {
-	a := r.Accept
+	a := r.Acceptance
 	if s.Jobs[a.ID] != nil || a.Parts < 1 || a.Part < 0 || a.Part >= a.Parts {
 		return
 	}
 	key := a.ID + "/" + a.Submission
 	sub := s.pending[key]
 	if sub == nil {
-		sub = &submission{parts: map[int]*Accept{}}
+		sub = &submission{parts: map[int]*Acceptance{}}
 		s.pending[key] = sub
 	}
 	sub.parts[a.Part] = a
@@ -186,8 +186,8 @@
 }
 
 // add makes the job of a whole submission and forgets what others handed in of it.
-func (s *State) add(offset uint64, owner Writer, sub *submission, last *Accept) {
-	j := &Job{Head: last.Head, Items: map[string]*ItemState{}, Owner: owner, Accepted: offset, Claim: offset, At: last.At, groups: map[string]*group{}}
+func (s *State) add(offset uint64, owner Writer, sub *submission, last *Acceptance) {
+	j := &Job{Spec: last.Spec, Items: map[string]*ItemState{}, Owner: owner, AcceptedOffset: offset, Claim: offset, ItemsRef: last.ItemsRef, groups: map[string]*group{}}
 	for part := range last.Parts {
 		for _, item := range sub.parts[part].Items {
 			if j.Items[item.ID] != nil {
@@ -248,7 +248,7 @@
 
 func (s *State) claim(offset uint64, w Writer, claim Claim, c *Change) {
 	j := s.Jobs[claim.Job]
-	if j == nil || j.Claim != claim.Prior || !j.Open() {
+	if j == nil || j.Claim != claim.PriorOffset || !j.IsOpen() {
 		return
 	}
 	j.Owner, j.Claim, j.Released = w, offset, false
@@ -288,7 +288,7 @@
 
 func (s *State) start(w Writer, start Start) {
 	j := s.Owned(start.Job, w)
-	if j == nil || !j.Open() {
+	if j == nil || !j.IsOpen() {
 		return
 	}
 	if item := j.Items[start.Item]; item != nil && !item.Done() {
@@ -326,10 +326,10 @@
 	c.Ended = append(c.Ended, id)
 }
 
-// Owners returns the processes that may be given jobs: owners first, that of the
+// EligibleOwners returns the processes that may be given jobs: owners first, that of the
 // newest job at the front, then the others in no order. Those that have said
 // that they leave are left out.
-func (s *State) Owners() []OwnerLoad {
+func (s *State) EligibleOwners() []OwnerLoad {
 	var owners []OwnerLoad
 	at := map[Writer]int{}
 	for _, id := range slices.Backward(s.order) {
@@ -343,7 +343,7 @@
 			at[j.Owner] = i
 			owners = append(owners, OwnerLoad{Owner: j.Owner, Capacity: s.capacity[j.Owner]})
 		}
-		if j.Open() {
+		if j.IsOpen() {
 			owners[i].Items += j.Total - len(j.Results)
 		}
 	}
@@ -369,11 +369,11 @@
 	}
 }
 
-// Open is the number of jobs with work for an owner.
-func (s *State) Open() int {
+// CountOpen is the number of jobs with work for an owner.
+func (s *State) CountOpen() int {
 	open := 0
 	s.Each(func(j *Job) {
-		if j.Open() {
+		if j.IsOpen() {
 			open++
 		}
 	})
@@ -385,7 +385,7 @@
 func (s *State) Forget(beforeMS int64) {
 	s.order = slices.DeleteFunc(s.order, func(id string) bool {
 		j := s.Jobs[id]
-		if j.Open() || j.SubmittedMS >= beforeMS {
+		if j.IsOpen() || j.SubmittedMS >= beforeMS {
 			return false
 		}
 		delete(s.Jobs, id)
--- a/fold/jobs/jobs_test.go
+++ b/fold/jobs/jobs_test.go
@@ -15,8 +15,8 @@
 
 // accepted returns a record that hands in a job of two items.
 func accepted(w Writer, id string) *Record {
-	return &Record{Writer: w, Accept: &Accept{
-		Head: Head{ID: id, Model: "m", Total: 2}, Submission: w.Node, Parts: 1,
+	return &Record{Writer: w, Acceptance: &Acceptance{
+		Spec: Spec{ID: id, Model: "m", Total: 2}, Submission: w.Node, Parts: 1,
 		Items: []ItemRef{{ID: "a"}, {ID: "b"}},
 	}}
 }
@@ -33,10 +33,10 @@
 
 // A large job stands in several records. Until the last is read nobody may see
 // it, or its items would be counted wrong.
-func TestJobShowsWithItsLastPart(t *testing.T) {
+func TestJobIsVisibleAfterItsLastPart(t *testing.T) {
 	s := New()
 	part := func(n int, item string) *Record {
-		return &Record{Writer: ann, Accept: &Accept{Head: Head{ID: "j"}, Submission: "x", Part: n, Parts: 2, Items: []ItemRef{{ID: item}}}}
+		return &Record{Writer: ann, Acceptance: &Acceptance{Spec: Spec{ID: "j"}, Submission: "x", Part: n, Parts: 2, Items: []ItemRef{{ID: item}}}}
 	}
 	require.Empty(t, s.Apply(0, part(1, "b")).Accepted)
 	require.Nil(t, s.Jobs["j"])
@@ -46,13 +46,13 @@
 
 // A trainer waits for one of two groups, and for a group that it hands in again
 // whatever else is complete. It has enough once all of these are listed.
-func TestEnoughForTheTrainer(t *testing.T) {
+func TestEnough(t *testing.T) {
 	step := func(id string, groups ...string) *Record {
-		a := &Accept{Head: Head{ID: id, Model: "m", Groups: 1}, Parts: 1}
+		a := &Acceptance{Spec: Spec{ID: id, Model: "m", Groups: 1}, Parts: 1}
 		for _, g := range groups {
 			a.Items = append(a.Items, ItemRef{ID: g + "1", Group: g}, ItemRef{ID: g + "2", Group: g})
 		}
-		return &Record{Writer: ann, Accept: a}
+		return &Record{Writer: ann, Acceptance: a}
 	}
 	list := func(job, item string) *Record {
 		return &Record{Writer: ann, Results: []Result{{Job: job, Item: item}}}
@@ -77,7 +77,7 @@
 
 // Two owners finish an item, or the store carries an append out twice. The
 // trainer has read the first result: its position and text must not change.
-func TestFirstResultStands(t *testing.T) {
+func TestFirstResultWins(t *testing.T) {
 	s := New()
 	s.Apply(0, accepted(ann, "j"))
 	s.Apply(1, &Record{Writer: ann, Results: []Result{{Job: "j", Item: "b", Score: "first"}}})
@@ -86,7 +86,7 @@
 	require.Equal(t, "first", j.Results[0].Score)
 	require.Equal(t, "a", j.Results[1].Item)
 	require.Len(t, j.Results, 2)
-	require.False(t, j.Open())
+	require.False(t, j.IsOpen())
 }
 
 // Two entries see the owner silent and claim its job at the same moment. Both
@@ -96,18 +96,18 @@
 	s := New()
 	s.Apply(0, accepted(ann, "j"))
 	cyd := Writer{Node: "cyd", Life: "1"}
-	s.Apply(1, &Record{Writer: bob, Claims: []Claim{{Job: "j", Prior: 0}}})
-	s.Apply(2, &Record{Writer: cyd, Claims: []Claim{{Job: "j", Prior: 0}}})
+	s.Apply(1, &Record{Writer: bob, Claims: []Claim{{Job: "j", PriorOffset: 0}}})
+	s.Apply(2, &Record{Writer: cyd, Claims: []Claim{{Job: "j", PriorOffset: 0}}})
 	require.Equal(t, bob, s.Jobs["j"].Owner)
 	s.Apply(3, &Record{Writer: ann, Starts: []Start{{Job: "j", Item: "a", Server: "e1"}}})
 	require.Zero(t, s.Running("e1"))
-	s.Apply(4, &Record{Writer: cyd, Claims: []Claim{{Job: "j", Prior: 1}}})
+	s.Apply(4, &Record{Writer: cyd, Claims: []Claim{{Job: "j", PriorOffset: 1}}})
 	require.Equal(t, cyd, s.Jobs["j"].Owner)
 }
 
 // A leaving entry gives its jobs up. Nobody counts its samples at the engines
 // any more, or their places would stay taken.
-func TestReleaseFreesPlaces(t *testing.T) {
+func TestReleaseClearsRunningItems(t *testing.T) {
 	s := New()
 	s.Apply(0, accepted(ann, "j"))
 	s.Apply(1, &Record{Writer: ann, Starts: []Start{{Job: "j", Item: "a", Server: "e1"}, {Job: "j", Item: "b", Server: "e1"}}})
@@ -115,19 +115,19 @@
 	s.Apply(2, &Record{Writer: ann, Releases: []string{"j"}, Leaving: true})
 	require.Zero(t, s.Running("e1"))
 	require.True(t, s.Jobs["j"].Released)
-	require.Empty(t, s.Owners())
+	require.Empty(t, s.EligibleOwners())
 }
 
 // The owner of the newest job comes first, so that a trainer's next step goes
 // to who has its connections; processes that only told their capacity follow.
-func TestOwnersComeBeforeOthers(t *testing.T) {
+func TestEligibleOwnersOrder(t *testing.T) {
 	s := New()
 	s.Apply(0, &Record{Writer: Writer{Node: "cyd", Life: "1"}, Capacity: 600})
 	s.Apply(1, &Record{Writer: ann, Capacity: 100})
 	s.Apply(2, accepted(ann, "j"))
 	s.Apply(3, accepted(bob, "k"))
 	s.Apply(4, &Record{Writer: bob, Results: []Result{{Job: "k", Item: "a"}}})
-	require.Equal(t, []OwnerLoad{{bob, 1, 0}, {ann, 2, 100}, {Writer{Node: "cyd", Life: "1"}, 0, 600}}, s.Owners())
+	require.Equal(t, []OwnerLoad{{bob, 1, 0}, {ann, 2, 100}, {Writer{Node: "cyd", Life: "1"}, 0, 600}}, s.EligibleOwners())
 }
 
 // Jobs that are over and old are dropped; an open one never is.
@@ -149,7 +149,7 @@
 	case 0:
 		return accepted(writer, job)
 	case 1:
-		return &Record{Writer: writer, Claims: []Claim{{Job: job, Prior: rapid.Uint64Range(0, 40).Draw(t, "prior")}}}
+		return &Record{Writer: writer, Claims: []Claim{{Job: job, PriorOffset: rapid.Uint64Range(0, 40).Draw(t, "prior")}}}
 	case 2:
 		return &Record{Writer: writer, Leaving: true}
 	case 3:
@@ -166,7 +166,7 @@
 // Whatever the log holds: results never move or change, an item stands at one
 // position, the places at the engines add up, and two readers that take the
 // same records in other pages end alike.
-func TestFoldHoldsForAnyLog(t *testing.T) {
+func TestFoldInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		one, other := New(), New()
 		listed := map[string][]Result{}
@@ -211,7 +211,7 @@
 
 // A record that the log brings twice (its answer was lost and it was appended
 // again) changes nothing the second time, apart from where a stream runs.
-func TestRepeatedRecordsChangeNoResult(t *testing.T) {
+func TestRepeatedRecordsDoNotChangeResults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		once, twice := New(), New()
 		offset := uint64(0)
--- a/fold/jobs/pack_test.go
+++ b/fold/jobs/pack_test.go
@@ -11,7 +11,7 @@
 
 // Whatever a record holds, its reader gets it back, and a writer of before, which did
 // not pack, is understood.
-func TestPackedRecordsComeBack(t *testing.T) {
+func TestCompressedRecordsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := Record{Writer: Writer{Node: "n", Life: rapid.String().Draw(t, "life")}, Ends: rapid.SliceOf(rapid.String()).Draw(t, "ends")}
 		plain, err := json.Marshal(&r)
@@ -29,7 +29,7 @@
 
 // A record that was cut or spoiled is an error, not a part of what was written, and
 // leaves the next one readable.
-func TestSpoiledPackedRecordIsAnError(t *testing.T) {
+func TestCorruptCompressedRecordIsAnError(t *testing.T) {
 	r := Record{Writer: ann, Ends: []string{strings.Repeat("ab", 500)}}
 	data, err := r.Encode()
 	require.NoError(t, err)
@@ -44,7 +44,7 @@
 }
 
 // Bytes that unpack to more than any record holds are not unpacked to their end.
-func TestUnpackingIsBounded(t *testing.T) {
+func TestDecompressionIsBounded(t *testing.T) {
 	data, err := pack([]byte(strings.Repeat(" ", unpackedMost+1000)))
 	require.NoError(t, err)
 	out, err := unpack(data)
--- a/fold/jobs/record.go
+++ b/fold/jobs/record.go
@@ -36,8 +36,8 @@
 	Group string `json:"g,omitempty"`
 }
 
-// Head is a batch job without its items.
-type Head struct {
+// Spec is a batch job without its items.
+type Spec struct {
 	ID         string `json:"id"`
 	Host       string `json:"h"`
 	Path       string `json:"p"`
@@ -54,15 +54,15 @@
 	Organisation string `json:"og,omitempty"`
 }
 
-// Accept is a batch job, or the part of one that fits into a record. The parts
+// Acceptance is a batch job, or the part of one that fits into a record. The parts
 // are appended together, all or none of them.
-type Accept struct {
-	Head
+type Acceptance struct {
+	Spec
 	// Owner is who is to run the job; nil: the writer.
 	Owner *Writer `json:"o,omitempty"`
-	// At is where the items stand; all that is kept of their texts stands
+	// ItemsRef is where the items stand; all that is kept of their texts stands
 	// behind it.
-	At TextRef `json:"bd"`
+	ItemsRef TextRef `json:"bd"`
 	// Submission tells apart what two processes accepted of the same job.
 	Submission string    `json:"sub"`
 	Part       int       `json:"pt"`
@@ -73,8 +73,8 @@
 // Claim takes over the ownership of a job from the owner whose claim stands at
 // offset Prior; it is void where somebody else was faster.
 type Claim struct {
-	Job   string `json:"j"`
-	Prior uint64 `json:"pr"`
+	Job         string `json:"j"`
+	PriorOffset uint64 `json:"pr"`
 }
 
 // Start tells where an item runs now; an empty Server: nowhere.
@@ -87,9 +87,9 @@
 // TextRef tells where a text stands: the partition of the texts' stream and the
 // offset of the record that holds it.
 type TextRef struct {
-	Part   int    `json:"p"`
-	Offset uint64 `json:"o"`
-	Bytes  int    `json:"b"`
+	Partition int    `json:"p"`
+	Offset    uint64 `json:"o"`
+	Bytes     int    `json:"b"`
 }
 
 // Result ends an item. Its text stands apart, for most processes never need it.
@@ -118,20 +118,20 @@
 // Record is one record of the stream: what one process has to say at once.
 type Record struct {
 	Writer
-	Accept   *Accept  `json:"a,omitempty"`
-	Claims   []Claim  `json:"c,omitempty"`
-	Releases []string `json:"r,omitempty"`  // jobs that their owner gives up
-	Leaving  bool     `json:"lv,omitempty"` // the writer takes no more jobs
-	Capacity int      `json:"cp,omitempty"` // items that the writer can run; 0: not told
-	Starts   []Start  `json:"st,omitempty"`
-	Results  []Result `json:"rs,omitempty"`
-	Ends     []string `json:"e,omitempty"` // jobs that their trainer ended
-	Engines  []Engine `json:"en,omitempty"`
+	Acceptance *Acceptance `json:"a,omitempty"`
+	Claims     []Claim     `json:"c,omitempty"`
+	Releases   []string    `json:"r,omitempty"`  // jobs that their owner gives up
+	Leaving    bool        `json:"lv,omitempty"` // the writer takes no more jobs
+	Capacity   int         `json:"cp,omitempty"` // items that the writer can run; 0: not told
+	Starts     []Start     `json:"st,omitempty"`
+	Results    []Result    `json:"rs,omitempty"`
+	Ends       []string    `json:"e,omitempty"` // jobs that their trainer ended
+	Engines    []Engine    `json:"en,omitempty"`
 }
 
-// Empty tells whether the record says nothing but that its writer lives.
-func (r *Record) Empty() bool {
-	return r.Accept == nil && !r.Leaving && len(r.Claims)+len(r.Releases)+len(r.Starts)+len(r.Results)+len(r.Ends)+len(r.Engines) == 0
+// IsEmpty tells whether the record says nothing but that its writer lives.
+func (r *Record) IsEmpty() bool {
+	return r.Acceptance == nil && !r.Leaving && len(r.Claims)+len(r.Releases)+len(r.Starts)+len(r.Results)+len(r.Ends)+len(r.Engines) == 0
 }
 
 // Encode returns the record's bytes.
--- a/fold/jobs/texts.go
+++ b/fold/jobs/texts.go
@@ -21,8 +21,8 @@
 	Events []Event `json:"e,omitempty"`
 	// Failures counts the answers of servers that failed the item.
 	Failures int `json:"x,omitempty"`
-	// Whole tells that no further event follows.
-	Whole bool `json:"w,omitempty"`
+	// Complete tells that no further event follows.
+	Complete bool `json:"w,omitempty"`
 }
 
 // ItemText is the whole text of an item.
@@ -65,11 +65,11 @@
 	return &r, nil
 }
 
-// Made is what was made of an item.
-type Made struct {
+// Output is what was made of an item.
+type Output struct {
 	Run      int
 	Events   []Event
-	Whole    bool
+	Complete bool
 	Failures int
 }
 
@@ -77,13 +77,13 @@
 type Texts struct {
 	job string
 	// made is by item and by the claim of its owner.
-	made  map[string]map[uint64]*Made
+	made  map[string]map[uint64]*Output
 	items map[string]Item
 }
 
 // NewTexts returns the state of a job before its first record.
 func NewTexts(job string) *Texts {
-	return &Texts{job: job, made: map[string]map[uint64]*Made{}, items: map[string]Item{}}
+	return &Texts{job: job, made: map[string]map[uint64]*Output{}, items: map[string]Item{}}
 }
 
 // Apply folds a record; those of other jobs change nothing.
@@ -105,8 +105,8 @@
 	return item, ok
 }
 
-// Known is the number of items that are known.
-func (t *Texts) Known() int { return len(t.items) }
+// ItemCount is the number of items that are known.
+func (t *Texts) ItemCount() int { return len(t.items) }
 
 // progress adds events that follow on what is known of the same run and claim.
 // A record that the store carried out late would else put events of two runs
@@ -114,19 +114,19 @@
 func (t *Texts) progress(claim uint64, p Progress) {
 	byClaim := t.made[p.Item]
 	if byClaim == nil {
-		byClaim = map[uint64]*Made{}
+		byClaim = map[uint64]*Output{}
 		t.made[p.Item] = byClaim
 	}
 	m := byClaim[claim]
 	if m == nil {
-		m = &Made{}
+		m = &Output{}
 		byClaim[claim] = m
 	}
 	if p.Run < m.Run {
 		return
 	}
 	if p.Run > m.Run {
-		m.Run, m.Events, m.Whole = p.Run, nil, false
+		m.Run, m.Events, m.Complete = p.Run, nil, false
 	}
 	m.Failures = max(m.Failures, p.Failures)
 	known := len(m.Events) - p.From
@@ -134,17 +134,17 @@
 		return
 	}
 	m.Events = append(m.Events, p.Events[known:]...)
-	m.Whole = m.Whole || p.Whole
+	m.Complete = m.Complete || p.Complete
 }
 
-// Best returns the longest text of an item that weights of the floor or newer
+// LongestOutput returns the longest text of an item that weights of the floor or newer
 // made; each claim's text is whole up to its last event.
-func (t *Texts) Best(item string, floor uint64) Made {
-	var best Made
+func (t *Texts) LongestOutput(item string, floor uint64) Output {
+	var best Output
 	failures := 0
 	for _, m := range t.made[item] {
 		failures = max(failures, m.Failures)
-		if len(m.Events) > len(best.Events) && !Stale(m.Events, floor) {
+		if len(m.Events) > len(best.Events) && !HasStaleEvent(m.Events, floor) {
 			best = *m
 		}
 	}
@@ -152,8 +152,8 @@
 	return best
 }
 
-// Stale tells whether an event was made by weights older than a floor.
-func Stale(events []Event, floor uint64) bool {
+// HasStaleEvent tells whether an event was made by weights older than a floor.
+func HasStaleEvent(events []Event, floor uint64) bool {
 	for _, e := range events {
 		if e.Version < floor {
 			return true
--- a/fold/jobs/texts_test.go
+++ b/fold/jobs/texts_test.go
@@ -27,9 +27,9 @@
 // An owner dies with a sample half made; its successor goes on behind the
 // events in the log. A record that comes twice, or one that skips events, must
 // leave the text whole, or pieces would be missing or doubled.
-func TestProgressFollowsOn(t *testing.T) {
+func TestProgressAppendsWithoutGaps(t *testing.T) {
 	s := NewTexts("j")
-	best := func() []string { return dataOf(s.Best("a", 1).Events) }
+	best := func() []string { return dataOf(s.LongestOutput("a", 1).Events) }
 	s.Apply(progress(0, 0, 0, "1", "2"))
 	s.Apply(progress(0, 0, 3, "4"))
 	require.Equal(t, []string{"1", "2"}, best(), "a gap")
@@ -47,30 +47,30 @@
 
 // An owner was frozen, lost its job and goes on writing as it wakes. Its text
 // and its successor's stay apart; the longer one counts.
-func TestTextsOfTwoOwnersStayApart(t *testing.T) {
+func TestTextsOfTwoOwnersAreNotMixed(t *testing.T) {
 	s := NewTexts("j")
 	s.Apply(progress(0, 0, 0, "1", "2"))
 	s.Apply(progress(7, 0, 0, "1", "2", "b3"))
 	s.Apply(progress(0, 0, 2, "a3", "a4", "a5"))
-	require.Equal(t, []string{"1", "2", "a3", "a4", "a5"}, dataOf(s.Best("a", 1).Events))
+	require.Equal(t, []string{"1", "2", "a3", "a4", "a5"}, dataOf(s.LongestOutput("a", 1).Events))
 	s.Apply(progress(7, 0, 3, "b4", "b5", "b6"))
-	require.Equal(t, []string{"1", "2", "b3", "b4", "b5", "b6"}, dataOf(s.Best("a", 1).Events))
+	require.Equal(t, []string{"1", "2", "b3", "b4", "b5", "b6"}, dataOf(s.LongestOutput("a", 1).Events))
 }
 
 // Text that older weights made than the step allows is of no use.
-func TestStaleTextIsLeftOut(t *testing.T) {
+func TestStaleTextIsExcluded(t *testing.T) {
 	s := NewTexts("j")
 	r := progress(0, 0, 0, "1", "2")
 	r.Progress[0].Failures = 2
 	s.Apply(r)
-	require.Empty(t, s.Best("a", 2).Events)
-	require.Equal(t, 2, s.Best("a", 2).Failures, "failures count all the same")
-	require.Empty(t, s.Best("b", 1).Events)
+	require.Empty(t, s.LongestOutput("a", 2).Events)
+	require.Equal(t, 2, s.LongestOutput("a", 2).Failures, "failures count all the same")
+	require.Empty(t, s.LongestOutput("b", 1).Events)
 }
 
 // Whatever records come, in whatever order: each claim's text is a prefix of
 // one run's events.
-func TestTextsAreAlwaysOneRun(t *testing.T) {
+func TestTextHasEventsOfOneRun(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewTexts("j")
 		for range rapid.IntRange(0, 30).Draw(t, "records") {
@@ -82,7 +82,7 @@
 			}
 			s.Apply(progress(claim, run, from, data...))
 		}
-		events := s.Best("a", 1).Events
+		events := s.LongestOutput("a", 1).Events
 		for i, e := range events {
 			var claim, run, n int
 			_, err := fmt.Sscanf(e.Data, "%d.%d.%d", &claim, &run, &n)
--- a/fold/once/fuzz_test.go
+++ b/fold/once/fuzz_test.go
@@ -22,7 +22,7 @@
 	f.Add([]byte{2, 0, 0, 0, 0, 0, 0, 0, 0, 1, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 1}, []byte(nil))
 	issued := key.Issued()
 	f.Fuzz(func(t *testing.T, first, second []byte) {
-		terms := Terms{Window: time.Hour, Skew: time.Second}
+		terms := Limits{Window: time.Hour, Skew: time.Second}
 		once, twice := New(terms), New(terms)
 		unreadable := false
 		for i, data := range [][]byte{first, second} {
--- a/fold/once/once.go
+++ b/fold/once/once.go
@@ -35,8 +35,8 @@
 // agent, one between agent and log.
 const skewsPerKey = 2
 
-// Terms are the manifest's bounds of idempotency keys.
-type Terms struct {
+// Limits are the manifest's bounds of idempotency keys.
+type Limits struct {
 	Window time.Duration // how old a key may be; 0: not known yet, nothing is forgotten
 	Skew   time.Duration // bound between any two clocks
 }
@@ -56,11 +56,11 @@
 	Lost
 )
 
-// Finding is the state of one key.
-type Finding struct {
+// KeyState is the state of one key.
+type KeyState struct {
 	Status Status
-	Owner  Holder    // Claimed only
-	Hash   ShortHash // Claimed only
+	Owner  OwnerDigest // Claimed only
+	Hash   ShortHash   // Claimed only
 }
 
 // Applied tells what a record was.
@@ -75,7 +75,7 @@
 
 // State is the fold. It is not safe for concurrent use.
 type State struct {
-	terms Terms
+	terms Limits
 	next  uint64
 	clock int64 // latest record time, ms
 
@@ -86,7 +86,7 @@
 	segments map[int64]map[Digest]claim
 	size     int
 	owners   holders
-	active   map[Holder]int64 // owner -> time of its last batch, ms
+	active   map[OwnerDigest]int64 // owner -> time of its last batch, ms
 }
 
 // claim is what is kept of a key besides its digest.
@@ -96,17 +96,17 @@
 }
 
 // New returns the state before the stream's first record.
-func New(terms Terms) *State {
+func New(terms Limits) *State {
 	return &State{
 		terms:    terms,
 		segments: make(map[int64]map[Digest]claim),
-		active:   make(map[Holder]int64),
+		active:   make(map[OwnerDigest]int64),
 	}
 }
 
-// SetTerms changes the bounds. A longer window does not bring back what was
+// SetLimits changes the bounds. A longer window does not bring back what was
 // forgotten: the floors never sink.
-func (s *State) SetTerms(terms Terms) { s.terms = terms }
+func (s *State) SetLimits(terms Limits) { s.terms = terms }
 
 // Next is the offset to read from.
 func (s *State) Next() uint64 { return s.next }
@@ -136,9 +136,9 @@
 	return Applied{Record: record}
 }
 
-// Gap notes that the records before first were truncated unread. Until the
+// HandleTruncation notes that the records before first were truncated unread. Until the
 // next record shows the lost records' time, every unknown key counts as lost.
-func (s *State) Gap(first uint64) {
+func (s *State) HandleTruncation(first uint64) {
 	if first <= s.next {
 		return
 	}
@@ -146,19 +146,19 @@
 	s.gap = true
 }
 
-// Reset notes that the log lost what was read from it: the stream now begins
+// HandleLogReset notes that the log lost what was read from it: the stream now begins
 // at first, which may be an offset that was applied before. What was read stays
 // known; of the lost records that were not, every unknown key counts as lost,
 // as after Gap.
-func (s *State) Reset(first uint64) {
+func (s *State) HandleLogReset(first uint64) {
 	s.next = first
 	s.gap = true
 }
 
-// Empty notes that after a gap the stream holds no record yet. now is the
+// HandleEmptyStream notes that after a gap the stream holds no record yet. now is the
 // reader's own clock at a time when the read had not begun or later; it stands
 // in for the record time.
-func (s *State) Empty(now time.Time) {
+func (s *State) HandleEmptyStream(now time.Time) {
 	if s.gap {
 		s.closeGap(now.Add(s.terms.Skew).UnixMilli())
 	}
@@ -201,7 +201,7 @@
 // claim lets the first claim win. A claim below a floor never wins: the one
 // that won may already be forgotten, or was never read, and its request may
 // have run.
-func (s *State) claim(owner Holder, c RecordClaim) {
+func (s *State) claim(owner OwnerDigest, c RecordClaim) {
 	issued := issuedMS(c.Key[:])
 	if issued < s.windowFloor || issued < s.gapFloor {
 		return
@@ -221,24 +221,24 @@
 
 // Find tells a key's state. The window comes first, before any claim that is
 // still held: users forget what they know of a key once it is too old.
-func (s *State) Find(key Key) Finding {
+func (s *State) Find(key Key) KeyState {
 	digest := key.Digest()
 	issued := issuedMS(digest[:])
 	if issued < s.windowFloor {
-		return Finding{Status: TooOld}
+		return KeyState{Status: TooOld}
 	}
 	if c, ok := s.segments[issued/segmentMS][digest]; ok {
-		return Finding{Status: Claimed, Owner: s.owners.list[c.owner], Hash: c.hash}
+		return KeyState{Status: Claimed, Owner: s.owners.list[c.owner], Hash: c.hash}
 	}
 	if s.gap || issued < s.gapFloor {
-		return Finding{Status: Lost}
+		return KeyState{Status: Lost}
 	}
-	return Finding{}
+	return KeyState{}
 }
 
-// Active counts the owners whose last claim is younger than the given time, by
+// ActiveOwners counts the owners whose last claim is younger than the given time, by
 // the log's clock.
-func (s *State) Active(within time.Duration) int {
+func (s *State) ActiveOwners(within time.Duration) int {
 	n := 0
 	for _, last := range s.active {
 		if s.clock-last <= within.Milliseconds() {
@@ -250,16 +250,16 @@
 
 // holders numbers the few owners that many keys share.
 type holders struct {
-	list    []Holder
-	numbers map[Holder]uint32
+	list    []OwnerDigest
+	numbers map[OwnerDigest]uint32
 }
 
-func (h *holders) number(owner Holder) uint32 {
+func (h *holders) number(owner OwnerDigest) uint32 {
 	if n, ok := h.numbers[owner]; ok {
 		return n
 	}
 	if h.numbers == nil {
-		h.numbers = make(map[Holder]uint32)
+		h.numbers = make(map[OwnerDigest]uint32)
 	}
 	n := uint32(len(h.list))
 	h.list = append(h.list, owner)
--- a/fold/once/once_test.go
+++ b/fold/once/once_test.go
@@ -15,7 +15,7 @@
 
 var (
 	epoch = time.UnixMilli(1_700_000_000_000)
-	terms = Terms{Window: 10 * time.Minute, Skew: time.Second}
+	terms = Limits{Window: 10 * time.Minute, Skew: time.Second}
 )
 
 // keyAt makes the nth key issued at a time.
@@ -89,26 +89,26 @@
 // (another window), were cut off, lost the log's records, or are of a release
 // that can't read some records. Whatever they have forgotten, no two of
 // them may ever name two owners of one key: both would run the order.
-func TestOneOwnerPerKeyForEver(t *testing.T) {
+func TestKeyNeverHasTwoOwners(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		records, keys := drawStream(t)
-		owner := make(map[Key]Holder)
+		owner := make(map[Key]OwnerDigest)
 		for reader := range 4 {
 			s := New(terms)
 			for i := 0; i < len(records); i++ {
 				if rapid.IntRange(0, 5).Draw(t, "window") == 0 {
-					s.SetTerms(Terms{Window: time.Duration(rapid.IntRange(1, 30).Draw(t, "minutes")) * time.Minute, Skew: terms.Skew})
+					s.SetLimits(Limits{Window: time.Duration(rapid.IntRange(1, 30).Draw(t, "minutes")) * time.Minute, Skew: terms.Skew})
 				}
 				if reader > 0 && rapid.IntRange(0, 5).Draw(t, "cut") == 0 {
 					i = rapid.IntRange(i, len(records)-1).Draw(t, "first")
-					s.Gap(uint64(i))
+					s.HandleTruncation(uint64(i))
 				}
 				rec := records[i]
 				if reader > 0 && rapid.IntRange(0, 5).Draw(t, "other release") == 0 {
 					rec.Data = []byte{versionBinary + 1}
 				}
 				if reader > 0 && rapid.IntRange(0, 9).Draw(t, "reset") == 0 {
-					s.Reset(uint64(i))
+					s.HandleLogReset(uint64(i))
 				}
 				s.Apply(rec)
 				for _, k := range keys {
@@ -131,7 +131,7 @@
 // skew allows, so the key was issued in the very millisecond to which the gap
 // reaches. Taken for free, it would be given to a second agent, which runs the
 // order again.
-func TestKeyAtTheBoundOfSkewIsLostWithItsRecord(t *testing.T) {
+func TestKeyAtSkewBoundIsLost(t *testing.T) {
 	lastIssue := epoch.Add(skewsPerKey * terms.Skew)
 	k := keyAt("shop", lastIssue, 1)
 	claim := func(incarnation string) []byte {
@@ -139,11 +139,11 @@
 	}
 	whole, missed := New(terms), New(terms)
 	whole.Apply(platform.Record{Offset: 0, Time: epoch, Data: claim("1")})
-	missed.Gap(1)
+	missed.HandleTruncation(1)
 	second := platform.Record{Offset: 1, Time: epoch, Data: claim("2")}
 	whole.Apply(second)
 	missed.Apply(second)
-	require.Equal(t, Owner{Name: "a", Incarnation: "1"}.Holder(), whole.Find(k).Owner)
+	require.Equal(t, Owner{Name: "a", Incarnation: "1"}.OwnerDigest(), whole.Find(k).Owner)
 	require.Equal(t, Lost, missed.Find(k).Status)
 	require.Equal(t, Free, missed.Find(keyAt("shop", lastIssue.Add(time.Millisecond), 2)).Status)
 }
@@ -151,7 +151,7 @@
 // An order ran; its key fell out of the window and was forgotten. A frozen
 // agent's claim of the same key lands now. If it won, the order would run
 // twice; so would it if a new manifest revision widened the window again.
-func TestForgottenKeyIsNeverWonAgain(t *testing.T) {
+func TestForgottenKeyCannotBeClaimed(t *testing.T) {
 	s := New(terms)
 	k := keyAt("shop", epoch, 1)
 	batch := func(name string) []byte {
@@ -161,7 +161,7 @@
 	require.Equal(t, "a", s.Find(k).Owner.Name)
 	s.Apply(platform.Record{Offset: 1, Time: epoch.Add(12 * time.Minute), Data: Encode(Batch{})})
 	require.Zero(t, s.Len())
-	s.SetTerms(Terms{Window: time.Hour, Skew: time.Second})
+	s.SetLimits(Limits{Window: time.Hour, Skew: time.Second})
 	s.Apply(platform.Record{Offset: 2, Time: epoch.Add(12 * time.Minute), Data: batch("b")})
 	require.Equal(t, TooOld, s.Find(k).Status)
 }
@@ -173,7 +173,7 @@
 // what was read stays known.
 func TestTruncatedRecordsMakeOldKeysUnknown(t *testing.T) {
 	s := New(terms)
-	s.Gap(40)
+	s.HandleTruncation(40)
 	old, young := keyAt("shop", epoch, 1), keyAt("shop", epoch.Add(5*time.Second), 2)
 	require.Equal(t, Lost, s.Find(young).Status, "nothing is known before the first record")
 	s.Apply(platform.Record{Offset: 40, Time: epoch, Data: Encode(Batch{Claims: []Claim{{Key: old}}})})
@@ -188,7 +188,7 @@
 	require.Equal(t, Free, s.Find(young).Status)
 	s.Apply(platform.Record{Offset: 42, Time: at, Data: Encode(Batch{Claims: []Claim{{Key: young}}})})
 
-	s.Reset(0)
+	s.HandleLogReset(0)
 	require.Equal(t, Claimed, s.Find(young).Status)
 	require.Equal(t, Lost, s.Find(keyAt("shop", at.Add(6*time.Second), 5)).Status)
 	at = at.Add(10 * time.Second)
@@ -198,8 +198,8 @@
 	require.Equal(t, Free, s.Find(keyAt("shop", at.Add(5*time.Second), 7)).Status)
 
 	empty := New(terms)
-	empty.Gap(40)
-	empty.Empty(epoch)
+	empty.HandleTruncation(40)
+	empty.HandleEmptyStream(epoch)
 	require.Equal(t, Lost, empty.Find(old).Status)
 	require.Equal(t, Free, empty.Find(young).Status)
 }
@@ -212,16 +212,16 @@
 	require.Equal(t, epoch, got.Issued())
 	for _, bad := range []string{"", "7", uuid.NewString(), uuid.Nil.String()} {
 		_, err := ParseKey("shop", bad)
-		require.ErrorIs(t, err, ErrKey, bad)
+		require.ErrorIs(t, err, ErrInvalidKey, bad)
 	}
 }
 
 // Both forms of a record, as bytes that stand in streams of the past, are read
 // for ever, and nothing cut short or of an unknown version passes for a batch.
-func TestRecordForms(t *testing.T) {
+func TestRecordEncodings(t *testing.T) {
 	key, hash := keyAt("shop", epoch, 7), Hash{1, 2, 3, 4, 5, 6, 7, 8, 9}
 	batch := Batch{Owner: Owner{Name: "a", Incarnation: "i"}, Seq: 300, Claims: []Claim{{Key: key, Hash: hash}}}
-	want := Record{Owner: batch.Owner.Holder(), Seq: 300, Claims: []RecordClaim{{Key: key.Digest(), Hash: hash.Short()}}}
+	want := Record{Owner: batch.Owner.OwnerDigest(), Seq: 300, Claims: []RecordClaim{{Key: key.Digest(), Hash: hash.Short()}}}
 	const binary = "02de7d1b721a1e0632ac020161018bcfe568009249103665045e7f5ecb0102030405060708"
 	forms := map[string][]byte{
 		"binary": Encode(batch),
@@ -238,7 +238,7 @@
 		}
 	}
 	_, err := Decode([]byte{versionBinary + 1})
-	require.ErrorIs(t, err, ErrRecord)
+	require.ErrorIs(t, err, ErrInvalidRecord)
 	require.NotEqual(t, key.Digest(), Key{Caller: "clinic", ID: key.ID}.Digest(), "callers can't reach each other's keys")
 }
 
--- a/fold/once/record.go
+++ b/fold/once/record.go
@@ -18,16 +18,16 @@
 	Incarnation string
 }
 
-// Holder is an owner as the stream names it.
-type Holder struct {
+// OwnerDigest is an owner as the stream names it.
+type OwnerDigest struct {
 	Name        string
 	Incarnation [8]byte // the first bytes of SHA-256 over Owner.Incarnation
 }
 
-// Holder returns the owner's form in the stream.
-func (o Owner) Holder() Holder {
+// OwnerDigest returns the owner's form in the stream.
+func (o Owner) OwnerDigest() OwnerDigest {
 	sum := sha256.Sum256([]byte(o.Incarnation))
-	return Holder{Name: o.Name, Incarnation: [8]byte(sum[:])}
+	return OwnerDigest{Name: o.Name, Incarnation: [8]byte(sum[:])}
 }
 
 // Key is an idempotency key of a caller. Callers can't reach each other's keys.
@@ -69,11 +69,11 @@
 	return ms
 }
 
-// ErrKey is the answer to a key that is not a UUIDv7.
-var ErrKey = errors.New("the idempotency key must be a UUIDv7")
+// ErrInvalidKey is the answer to a key that is not a UUIDv7.
+var ErrInvalidKey = errors.New("the idempotency key must be a UUIDv7")
 
-// ErrRecord: the record is no batch of claims that this release can read.
-var ErrRecord = errors.New("the record is no batch of claims of a known version")
+// ErrInvalidRecord: the record is no batch of claims that this release can read.
+var ErrInvalidRecord = errors.New("the record is no batch of claims of a known version")
 
 // uuidV7 is the version whose first 48 bits are the time of issue in ms.
 const uuidV7 = 7
@@ -82,7 +82,7 @@
 func ParseKey(caller, text string) (Key, error) {
 	id, err := uuid.Parse(text)
 	if err != nil || id.Version() != uuidV7 || id.Variant() != uuid.RFC4122 {
-		return Key{}, ErrKey
+		return Key{}, ErrInvalidKey
 	}
 	return Key{Caller: caller, ID: id}, nil
 }
@@ -114,7 +114,7 @@
 
 // Record is a batch as the stream gives it back.
 type Record struct {
-	Owner  Holder
+	Owner  OwnerDigest
 	Seq    uint64
 	Claims []RecordClaim
 }
@@ -140,7 +140,7 @@
 
 // Encode returns the record data of a batch.
 func Encode(b Batch) []byte {
-	owner := b.Owner.Holder()
+	owner := b.Owner.OwnerDigest()
 	const header = 1 + len(owner.Incarnation) + 2*binary.MaxVarintLen64
 	data := make([]byte, 0, header+len(owner.Name)+len(b.Claims)*claimBytes)
 	data = append(data, versionBinary)
@@ -159,7 +159,7 @@
 // Decode parses record data. An unknown version is ErrRecord.
 func Decode(data []byte) (Record, error) {
 	if len(data) == 0 {
-		return Record{}, ErrRecord
+		return Record{}, ErrInvalidRecord
 	}
 	switch data[0] {
 	case versionBinary:
@@ -167,29 +167,29 @@
 	case versionJSON:
 		return decodeJSON(data)
 	}
-	return Record{}, ErrRecord
+	return Record{}, ErrInvalidRecord
 }
 
 func decodeBinary(data []byte) (Record, error) {
 	var r Record
 	if len(data) < len(r.Owner.Incarnation) {
-		return Record{}, ErrRecord
+		return Record{}, ErrInvalidRecord
 	}
 	data = data[copy(r.Owner.Incarnation[:], data):]
 	seq, n := binary.Uvarint(data)
 	if n <= 0 {
-		return Record{}, ErrRecord
+		return Record{}, ErrInvalidRecord
 	}
 	data = data[n:]
 	length, n := binary.Uvarint(data)
 	if n <= 0 || length > uint64(len(data)-n) {
-		return Record{}, ErrRecord
+		return Record{}, ErrInvalidRecord
 	}
 	data = data[n:]
 	r.Seq, r.Owner.Name = seq, string(data[:length])
 	data = data[length:]
 	if len(data)%claimBytes != 0 {
-		return Record{}, ErrRecord
+		return Record{}, ErrInvalidRecord
 	}
 	r.Claims = make([]RecordClaim, 0, len(data)/claimBytes)
 	for ; len(data) > 0; data = data[claimBytes:] {
@@ -217,13 +217,13 @@
 func decodeJSON(data []byte) (Record, error) {
 	var b jsonBatch
 	if err := json.Unmarshal(data, &b); err != nil {
-		return Record{}, ErrRecord
+		return Record{}, ErrInvalidRecord
 	}
 	owner := Owner{Name: b.Name, Incarnation: b.Incarnation}
-	r := Record{Owner: owner.Holder(), Seq: b.Seq, Claims: make([]RecordClaim, len(b.Claims))}
+	r := Record{Owner: owner.OwnerDigest(), Seq: b.Seq, Claims: make([]RecordClaim, len(b.Claims))}
 	for i, c := range b.Claims {
 		if len(c.ID) != len(uuid.UUID{}) || len(c.Hash) != len(Hash{}) {
-			return Record{}, ErrRecord
+			return Record{}, ErrInvalidRecord
 		}
 		r.Claims[i] = RecordClaim{
 			Key:  Key{Caller: c.Caller, ID: uuid.UUID(c.ID)}.Digest(),
--- a/fold/steps/steps.go
+++ b/fold/steps/steps.go
@@ -70,9 +70,9 @@
 	return data
 }
 
-// ClaimAt returns the Epoch.Claim of a record at an offset. It is the offset
+// ClaimNumber returns the Epoch.Claim of a record at an offset. It is the offset
 // plus one, since zero means "no claim" and the first record has offset zero.
-func ClaimAt(offset uint64) uint64 { return offset + 1 }
+func ClaimNumber(offset uint64) uint64 { return offset + 1 }
 
 // Change tells that a claim was folded.
 type Change struct {
@@ -132,7 +132,7 @@
 	}
 	t.newest = max(t.newest, c.Step)
 	if c.Attempt > t.steps[c.Step].Epoch.Attempt {
-		t.steps[c.Step] = Owner{Entry: c.Entry, Epoch: Epoch{Attempt: c.Attempt, Claim: ClaimAt(rec.Offset)}}
+		t.steps[c.Step] = Owner{Entry: c.Entry, Epoch: Epoch{Attempt: c.Attempt, Claim: ClaimNumber(rec.Offset)}}
 	}
 	t.prune()
 	return Change{Key: Key{c.Trainer, c.Step}, Claim: c, Owner: t.steps[c.Step]}, true
--- a/fold/steps/steps_test.go
+++ b/fold/steps/steps_test.go
@@ -52,7 +52,7 @@
 	require.Equal(t, uint64(1), owner(t, s).Epoch.Claim)
 }
 
-func TestForeignRecordsAreSkipped(t *testing.T) {
+func TestUnknownRecordsAreSkipped(t *testing.T) {
 	s := fold([]byte("{"), []byte(`{"type":"other","id":"x"}`), claim("a", 1, "entry-a"))
 	require.Equal(t, uint64(3), owner(t, s).Epoch.Claim)
 	require.Equal(t, uint64(3), s.Next())
@@ -60,7 +60,7 @@
 
 // Any two readers agree at the same offset, whether they read some pages
 // twice or not, and an owner is only ever replaced by a newer epoch.
-func TestFoldProperties(t *testing.T) {
+func TestReadersAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var recs []platform.Record
 		for i := range rapid.IntRange(0, 200).Draw(t, "n") {
--- a/gateway/jobs/active_item.go
+++ b/gateway/jobs/active_item.go
@@ -84,10 +84,10 @@
 
 // newActiveItem takes an item with what was made of it before, which is appended again under
 // this owner's claim.
-func newActiveItem(j *jobs.Job, item jobs.Item, earlier jobs.Made) *activeItem {
+func newActiveItem(j *jobs.Job, item jobs.Item, earlier jobs.Output) *activeItem {
 	now := time.Now()
 	return &activeItem{
-		job: j, claim: j.Claim, item: item, size: hosted.SizeOf(item.Header), events: earlier.Events, complete: earlier.Whole, failures: earlier.Failures,
+		job: j, claim: j.Claim, item: item, size: hosted.SizeOf(item.Header), events: earlier.Events, complete: earlier.Complete, failures: earlier.Failures,
 		avoidUntil: map[string]time.Time{}, takenAt: now, waitingSince: now,
 	}
 }
--- a/gateway/jobs/api.go
+++ b/gateway/jobs/api.go
@@ -72,7 +72,7 @@
 
 // Submit accepts a job durably: nil means that the log has stored it. It retries until
 // ctx ends, and reports "not run" only if the job is not in the log.
-func (s *Service) Submit(ctx context.Context, head jobs.Head, items []jobs.Item) *kinds.Error {
+func (s *Service) Submit(ctx context.Context, head jobs.Spec, items []jobs.Item) *kinds.Error {
 	if s.hasJob(head.ID) {
 		return s.checkSameJob(&head)
 	}
@@ -93,7 +93,7 @@
 
 // checkSameJob checks a submission whose job id is stored already. It returns
 // kinds.KeyReused if the stored job belongs to another organisation.
-func (s *Service) checkSameJob(head *jobs.Head) *kinds.Error {
+func (s *Service) checkSameJob(head *jobs.Spec) *kinds.Error {
 	if s.isVisibleTo(head.ID, head.Organisation) {
 		return nil
 	}
@@ -145,7 +145,7 @@
 	return s.index.Sync(ctx) && !s.hasJob(job)
 }
 
-func (s *Service) appendJob(ctx context.Context, head jobs.Head, items []jobs.Item) *kinds.Error {
+func (s *Service) appendJob(ctx context.Context, head jobs.Spec, items []jobs.Item) *kinds.Error {
 	head.SubmittedMS = time.Now().UnixMilli()
 	done := func() bool { return s.hasJob(head.ID) }
 	itemsAt, failed := s.appendItems(ctx, head.ID, items, done)
@@ -172,7 +172,7 @@
 	for part := partitionOf(job, s.partitions); ; part = (part + 1) % s.partitions {
 		offset, err := s.appendBatches(ctx, textStream(part), records)
 		if err == nil || done() {
-			return jobs.TextRef{Part: part, Offset: offset}, nil
+			return jobs.TextRef{Partition: part, Offset: offset}, nil
 		}
 		if errors.Is(err, platform.ErrLogRefused) {
 			s.zlog.Error("The log refused the records of a batch job.", zap.Int("records", len(records)), zap.Error(err))
@@ -209,7 +209,7 @@
 }
 
 // encodeSubmission splits a job into records of a size that the log accepts.
-func (s *Service) encodeSubmission(head jobs.Head, items []jobs.Item, itemsAt jobs.TextRef) ([][]byte, error) {
+func (s *Service) encodeSubmission(head jobs.Spec, items []jobs.Item, itemsAt jobs.TextRef) ([][]byte, error) {
 	refs := make([]jobs.ItemRef, 0, len(items))
 	for _, item := range items {
 		refs = append(refs, jobs.ItemRef{ID: item.ID, Group: item.Group})
@@ -219,7 +219,7 @@
 	name := s.writer.Node + "/" + s.writer.Life + "/" + strconv.FormatUint(s.submissions.Add(1), 10)
 	records := make([][]byte, 0, len(parts))
 	for i, part := range parts {
-		r := jobs.Record{Writer: s.writer, Accept: &jobs.Accept{Head: head, Owner: owner, At: itemsAt, Submission: name, Part: i, Parts: len(parts), Items: part}}
+		r := jobs.Record{Writer: s.writer, Acceptance: &jobs.Acceptance{Spec: head, Owner: owner, ItemsRef: itemsAt, Submission: name, Part: i, Parts: len(parts), Items: part}}
 		data, err := r.Encode()
 		if err != nil {
 			return nil, errors.Trace(err)
@@ -239,7 +239,7 @@
 	s.index.mu.Lock()
 	defer s.index.mu.Unlock()
 	var candidate *jobs.Writer
-	for _, o := range s.index.state.Owners() {
+	for _, o := range s.index.state.EligibleOwners() {
 		silence := s.index.silenceOf(o.Owner, time.Now())
 		switch {
 		case o.Items+items > capacityOrDefault(o.Capacity):
@@ -417,7 +417,7 @@
 	read.Enough = j.Ended || j.Enough()
 	read.Due = time.Until(time.UnixMilli(j.SubmittedMS + j.DueMS))
 	read.Expected = s.index.expectedWait(j, time.Now())
-	return j.Total, results, !j.Open(), read
+	return j.Total, results, !j.IsOpen(), read
 }
 
 // Body returns the body of an item. The job must not have been ended.
@@ -446,5 +446,5 @@
 	if j == nil || j.Ended || j.Items[item] == nil {
 		return jobs.TextRef{}, false
 	}
-	return j.At, true
+	return j.ItemsRef, true
 }
--- a/gateway/jobs/gap_test.go
+++ b/gateway/jobs/gap_test.go
@@ -58,11 +58,11 @@
 }
 
 func acceptRecord(id string, items ...string) jobs.Record {
-	a := &jobs.Accept{Head: jobs.Head{ID: id, SubmittedMS: time.Now().UnixMilli()}, Parts: 1}
+	a := &jobs.Acceptance{Spec: jobs.Spec{ID: id, SubmittedMS: time.Now().UnixMilli()}, Parts: 1}
 	for _, item := range items {
 		a.Items = append(a.Items, jobs.ItemRef{ID: item})
 	}
-	return jobs.Record{Writer: jobs.Writer{Node: "a", Life: "1"}, Accept: a}
+	return jobs.Record{Writer: jobs.Writer{Node: "a", Life: "1"}, Acceptance: a}
 }
 
 func resultRecord(job, item string) jobs.Record {
@@ -107,7 +107,7 @@
 		_, _, err := service.Results(t.Context(), job, 0, 0)
 		require.NotNil(t, err, job)
 		require.Equal(t, string(kinds.LogUnavailable), err.Kind(), job)
-		err = service.Submit(t.Context(), jobs.Head{ID: job}, nil)
+		err = service.Submit(t.Context(), jobs.Spec{ID: job}, nil)
 		require.NotNil(t, err, job)
 		require.False(t, err.NotRun(), "job %s may run elsewhere", job)
 	}
@@ -129,7 +129,7 @@
 	pool := backend.NewPool(func(http.Header) string { return "" })
 	r := NewRunner(index, log, forward.New(view.New(nil, zap.NewNop()), pool, "zone-a", zap.NewNop()), writer, 1, 600, zap.NewNop())
 	followToEnd(t, index, log)
-	r.active["j"] = map[string]*activeItem{"i0": newActiveItem(index.state.Jobs["j"], jobs.Item{}, jobs.Made{})}
+	r.active["j"] = map[string]*activeItem{"i0": newActiveItem(index.state.Jobs["j"], jobs.Item{}, jobs.Output{})}
 
 	log.truncate(1)
 	log.add(t, acceptRecord("other", "o0"))
--- a/gateway/jobs/index.go
+++ b/gateway/jobs/index.go
@@ -249,7 +249,7 @@
 	x.nextOffset = page.Next
 	if page.Next >= page.End {
 		if x.asOf.IsZero() {
-			x.zlog.Info("Read the log to its end.", zap.Uint64("offset", page.Next), zap.Int("jobs", len(x.state.Jobs)), zap.Int("open", x.state.Open()))
+			x.zlog.Info("Read the log to its end.", zap.Uint64("offset", page.Next), zap.Int("jobs", len(x.state.Jobs)), zap.Int("open", x.state.CountOpen()))
 		}
 		x.asOf = sent
 	}
--- a/gateway/jobs/jobs_test.go
+++ b/gateway/jobs/jobs_test.go
@@ -58,7 +58,7 @@
 }
 
 // decode decodes a job of the stand-in's format.
-func decode(t testing.TB, id string, body map[string]any) (fold.Head, []fold.Item) {
+func decode(t testing.TB, id string, body map[string]any) (fold.Spec, []fold.Item) {
 	data, err := json.Marshal(body)
 	require.NoError(t, err)
 	r := httptest.NewRequest(http.MethodPost, "/jobs/"+id, nil)
--- a/gateway/jobs/known_test.go
+++ b/gateway/jobs/known_test.go
@@ -28,8 +28,8 @@
 // current end must not turn the answer into "not found".
 func TestReadJobIsKnownBeforeLogEnd(t *testing.T) {
 	index := NewIndex(growingLog{end: 1}, zap.NewNop())
-	record := jobs.Record{Writer: jobs.Writer{Node: "a", Life: "1"}, Accept: &jobs.Accept{
-		Head: jobs.Head{ID: "j"}, Parts: 1, Items: []jobs.ItemRef{{ID: "i"}},
+	record := jobs.Record{Writer: jobs.Writer{Node: "a", Life: "1"}, Acceptance: &jobs.Acceptance{
+		Spec: jobs.Spec{ID: "j"}, Parts: 1, Items: []jobs.ItemRef{{ID: "i"}},
 	}}
 	data, err := record.Encode()
 	require.NoError(t, err)
--- a/gateway/jobs/outbox.go
+++ b/gateway/jobs/outbox.go
@@ -112,7 +112,7 @@
 func (o *outbox) addProgress(job *jobs.Job, claim uint64, p jobs.Progress) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	t := o.partitionAppender(job.At.Part).textsOf(jobClaim{job.ID, claim})
+	t := o.partitionAppender(job.ItemsRef.Partition).textsOf(jobClaim{job.ID, claim})
 	t.progress = append(t.progress, p)
 }
 
@@ -124,7 +124,7 @@
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	a := o.partitionAppender(job.At.Part)
+	a := o.partitionAppender(job.ItemsRef.Partition)
 	t := a.textsOf(jobClaim{job.ID, claim})
 	t.results = append(t.results, r)
 	o.startIfIdle(a)
@@ -134,7 +134,7 @@
 func (o *outbox) addRelease(job *jobs.Job) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	a := o.partitionAppender(job.At.Part)
+	a := o.partitionAppender(job.ItemsRef.Partition)
 	a.releases = append(a.releases, job.ID)
 	o.startIfIdle(a)
 }
@@ -181,7 +181,7 @@
 	r := o.pending
 	o.pending = jobs.Record{}
 	o.mu.Unlock()
-	if r.Empty() && !heartbeat {
+	if r.IsEmpty() && !heartbeat {
 		return false
 	}
 	records, err := o.encodeRecords(&r)
@@ -249,7 +249,7 @@
 	}
 	// Jobs are released after the results that belong to them.
 	s.part.Releases = r.Releases
-	if !s.part.Empty() || len(s.records) == 0 {
+	if !s.part.IsEmpty() || len(s.records) == 0 {
 		s.close()
 	}
 	return s.records, errors.Trace(s.err)
--- a/gateway/jobs/outbox_test.go
+++ b/gateway/jobs/outbox_test.go
@@ -64,7 +64,7 @@
 	for i := range items {
 		items[i] = jobs.Item{Request: jobs.Request{ID: fmt.Sprintf("%064d", i)}, Group: fmt.Sprintf("%032d", i/8)}
 	}
-	records, err := s.encodeSubmission(jobs.Head{ID: "j", Total: len(items)}, items, jobs.TextRef{})
+	records, err := s.encodeSubmission(jobs.Spec{ID: "j", Total: len(items)}, items, jobs.TextRef{})
 	require.NoError(t, err)
 	require.Len(t, records, 3)
 	state := jobs.New()
@@ -89,7 +89,7 @@
 		r.Releases = []string{"j"}
 	})
 	for i := range 500 {
-		o.addResult(&jobs.Job{Head: jobs.Head{ID: "j"}}, 7, jobs.Result{Job: "j", Item: fmt.Sprint(i), Text: strings.Repeat("x", 20_000)})
+		o.addResult(&jobs.Job{Spec: jobs.Spec{ID: "j"}}, 7, jobs.Result{Job: "j", Item: fmt.Sprint(i), Text: strings.Repeat("x", 20_000)})
 	}
 	require.True(t, flushAll(t, o))
 	starts, results, texts, last := 0, 0, 0, -1
@@ -159,7 +159,7 @@
 func TestPartialTextsWaitForTheirPartition(t *testing.T) {
 	l := &unavailableLog{unavailable: textStream(2)}
 	o := newOutbox(l, jobs.Writer{Node: "a", Life: "1"}, 4, func() bool { return true }, func(textKey, string) {}, zap.NewNop())
-	j := &jobs.Job{Head: jobs.Head{ID: "j"}, At: jobs.TextRef{Part: 2}}
+	j := &jobs.Job{Spec: jobs.Spec{ID: "j"}, ItemsRef: jobs.TextRef{Partition: 2}}
 	event := func(i int) jobs.Progress {
 		return jobs.Progress{Item: "slow", From: i, Events: []jobs.Event{{Data: fmt.Sprint(i), Version: 1}}}
 	}
@@ -173,7 +173,7 @@
 	require.Len(t, o.pending.Results, 5)
 	require.Empty(t, o.pending.Releases)
 	for _, r := range o.pending.Results {
-		require.NotEqual(t, 2, r.Ref.Part)
+		require.NotEqual(t, 2, r.Ref.Partition)
 	}
 	l.unavailable = ""
 	require.True(t, o.flushAppender(t.Context(), o.appenders[2]))
@@ -187,7 +187,7 @@
 		}
 		texts.Apply(record)
 	}
-	require.Len(t, texts.Best("slow", 1).Events, 5)
+	require.Len(t, texts.LongestOutput("slow", 1).Events, 5)
 }
 
 // A job's partition is unavailable. Its owner loses the job, owns it again, and resumes from
@@ -196,7 +196,7 @@
 func TestEventsOfTwoClaimsAreSeparate(t *testing.T) {
 	l := &unavailableLog{unavailable: textStream(2)}
 	o := newOutbox(l, jobs.Writer{Node: "a", Life: "1"}, 4, func() bool { return true }, func(textKey, string) {}, zap.NewNop())
-	j := &jobs.Job{Head: jobs.Head{ID: "j"}, At: jobs.TextRef{Part: 2}}
+	j := &jobs.Job{Spec: jobs.Spec{ID: "j"}, ItemsRef: jobs.TextRef{Partition: 2}}
 	events := func(run string, from, to int) jobs.Progress {
 		p := jobs.Progress{Item: "i", From: from}
 		for k := from; k < to; k++ {
@@ -215,5 +215,5 @@
 		require.NoError(t, err)
 		texts.Apply(record)
 	}
-	require.Equal(t, events("second", 0, 6).Events, texts.Best("i", 1).Events)
+	require.Equal(t, events("second", 0, 6).Events, texts.LongestOutput("i", 1).Events)
 }
--- a/gateway/jobs/ownership.go
+++ b/gateway/jobs/ownership.go
@@ -22,13 +22,13 @@
 		r.releaseAfterGap()
 	}
 	for id := range r.active {
-		if j := r.index.state.Owned(id, r.writer); j == nil || !j.Open() {
+		if j := r.index.state.Owned(id, r.writer); j == nil || !j.IsOpen() {
 			r.dropJob(id)
 		}
 	}
 	r.index.state.Each(func(j *jobs.Job) {
 		switch {
-		case !j.Open():
+		case !j.IsOpen():
 		case j.Owner == r.writer && !j.Released && r.draining:
 			r.releaseJob(j)
 		case j.Owner == r.writer && !j.Released:
@@ -76,7 +76,7 @@
 	r.zlog.Info("Claiming a batch job.", zap.String("job", j.ID), zap.String("owner", j.Owner.Node), zap.Uint64("prior", j.Claim),
 		zap.Bool("released", j.Released), zap.Duration("silent", now.Sub(r.index.lastRecordAt[j.Owner])))
 	r.out.add(true, func(rec *jobs.Record) {
-		rec.Claims = append(rec.Claims, jobs.Claim{Job: j.ID, Prior: j.Claim})
+		rec.Claims = append(rec.Claims, jobs.Claim{Job: j.ID, PriorOffset: j.Claim})
 	})
 }
 
@@ -92,7 +92,7 @@
 	}
 	// Reading items and what earlier owners made must not delay the plan.
 	r.loading[j.ID] = true
-	head, at, takenOver := j.Head, j.At, j.Claim != j.Accepted
+	head, at, takenOver := j.Spec, j.ItemsRef, j.Claim != j.AcceptedOffset
 	r.tasks.Go(func() { r.loadAndStart(ctx, &head, at, takenOver) })
 }
 
@@ -123,7 +123,7 @@
 }
 
 // loadAndStart reads the items and earlier texts of a job and starts to run it.
-func (r *Runner) loadAndStart(ctx context.Context, head *jobs.Head, at jobs.TextRef, takenOver bool) {
+func (r *Runner) loadAndStart(ctx context.Context, head *jobs.Spec, at jobs.TextRef, takenOver bool) {
 	texts, err := readTexts(ctx, r.index.log, head, at, takenOver)
 	if err != nil {
 		r.zlog.Warn("Reading the texts of a batch job failed; retrying.", zap.String("job", head.ID), zap.Uint64("offset", at.Offset), zap.Error(err))
@@ -136,7 +136,7 @@
 	delete(r.loading, head.ID)
 	r.index.mu.Lock()
 	defer r.index.mu.Unlock()
-	if j := r.index.state.Owned(head.ID, r.writer); err == nil && j != nil && j.Open() && r.active[head.ID] == nil {
+	if j := r.index.state.Owned(head.ID, r.writer); err == nil && j != nil && j.IsOpen() && r.active[head.ID] == nil {
 		r.startItems(j, texts)
 	}
 	r.requestPlan()
@@ -152,7 +152,7 @@
 		if state.Done() {
 			continue
 		}
-		earlier := texts.Best(id, j.MinVersion)
+		earlier := texts.LongestOutput(id, j.MinVersion)
 		if len(earlier.Events) == 0 {
 			earlier = r.reuseText(j, id, earlier)
 		}
@@ -181,13 +181,13 @@
 
 // reuseText continues what this process made of an item in an earlier job, if its versions are
 // not too old for this job: a trainer submits again the groups that it did not wait for.
-func (r *Runner) reuseText(j *jobs.Job, item string, earlier jobs.Made) jobs.Made {
+func (r *Runner) reuseText(j *jobs.Job, item string, earlier jobs.Output) jobs.Output {
 	text, known := r.reusable[item]
-	if !known || text.model != j.Model || jobs.Stale(text.events, j.MinVersion) {
+	if !known || text.model != j.Model || jobs.HasStaleEvent(text.events, j.MinVersion) {
 		return earlier
 	}
 	samplesReused.Add(1)
-	earlier.Events, earlier.Whole = append([]jobs.Event(nil), text.events...), text.complete
+	earlier.Events, earlier.Complete = append([]jobs.Event(nil), text.events...), text.complete
 	return earlier
 }
 
--- a/gateway/jobs/partition_appender.go
+++ b/gateway/jobs/partition_appender.go
@@ -177,7 +177,7 @@
 	for i, g := range groups {
 		at := offset + uint64(i)
 		for _, res := range g.results {
-			res.Ref = &jobs.TextRef{Part: part, Offset: at, Bytes: len(res.Text)}
+			res.Ref = &jobs.TextRef{Partition: part, Offset: at, Bytes: len(res.Text)}
 			o.onTextAppended(textKey{part, at, res.Item}, res.Text)
 			results = append(results, res)
 		}
--- a/gateway/jobs/placing.go
+++ b/gateway/jobs/placing.go
@@ -206,7 +206,7 @@
 func (r *Runner) othersLoad() map[string]int {
 	load := map[string]int{}
 	r.index.state.Each(func(j *jobs.Job) {
-		if !j.Open() || j.Owner == r.writer {
+		if !j.IsOpen() || j.Owner == r.writer {
 			return
 		}
 		for _, item := range j.Items {
--- a/gateway/jobs/plan_bench_test.go
+++ b/gateway/jobs/plan_bench_test.go
@@ -25,15 +25,15 @@
 	now := time.Now()
 	for k := range steps {
 		job := fmt.Sprint("j", k)
-		a := &jobs.Accept{Head: jobs.Head{ID: job, Host: "app.example", Path: "/jobs/" + job, Model: "m", Groups: 10, SubmittedMS: now.UnixMilli()}, Parts: 1, Owner: &writer}
+		a := &jobs.Acceptance{Spec: jobs.Spec{ID: job, Host: "app.example", Path: "/jobs/" + job, Model: "m", Groups: 10, SubmittedMS: now.UnixMilli()}, Parts: 1, Owner: &writer}
 		for i := range items {
 			a.Items = append(a.Items, jobs.ItemRef{ID: fmt.Sprintf("%s-%03d", job, i), Group: fmt.Sprint("g", i/8)})
 		}
-		index.state.Apply(uint64(k), &jobs.Record{Writer: writer, Accept: a})
+		index.state.Apply(uint64(k), &jobs.Record{Writer: writer, Acceptance: a})
 		j := index.state.Jobs[job]
 		active := map[string]*activeItem{}
 		for i, id := range j.Order {
-			item := newActiveItem(j, jobs.Item{Request: jobs.Request{ID: id, Host: "app.example", Path: "/chat/" + id}, Group: a.Items[i].Group}, jobs.Made{})
+			item := newActiveItem(j, jobs.Item{Request: jobs.Request{ID: id, Host: "app.example", Path: "/chat/" + id}, Group: a.Items[i].Group}, jobs.Output{})
 			item.lastEventAt, item.streamEvents = now.Add(time.Hour), 1 // not silent
 			item.size.Model, item.size.Expected = "m", 100+i
 			item.phase, item.server = running, servers[i%engines].ID
--- a/gateway/jobs/ranking.go
+++ b/gateway/jobs/ranking.go
@@ -101,5 +101,5 @@
 	if a.item.Group == "" || a.job.Groups == 0 {
 		return a.item.ID, false
 	}
-	return a.item.Group, a.job.Again(a.item.Group)
+	return a.item.Group, a.job.IsResubmitted(a.item.Group)
 }
--- a/gateway/jobs/runner.go
+++ b/gateway/jobs/runner.go
@@ -187,10 +187,10 @@
 	if a.phase == running {
 		server = a.server
 	}
-	p := jobs.Progress{Item: a.item.ID, Run: a.run, From: a.reportedEvents, Failures: a.failures, Whole: a.complete}
+	p := jobs.Progress{Item: a.item.ID, Run: a.run, From: a.reportedEvents, Failures: a.failures, Complete: a.complete}
 	p.Events = append(p.Events, a.events[a.reportedEvents:]...)
 	a.reportedEvents = len(a.events)
-	if len(p.Events) > 0 || p.Failures > 0 || p.Whole {
+	if len(p.Events) > 0 || p.Failures > 0 || p.Complete {
 		r.out.addProgress(a.job, a.claim, p)
 	}
 	if a.reportedServer == server {
--- a/gateway/jobs/stream.go
+++ b/gateway/jobs/stream.go
@@ -48,7 +48,7 @@
 		a.firstStreamAt = now
 	}
 	a.streamNumber++
-	if jobs.Stale(a.events, a.job.MinVersion) {
+	if jobs.HasStaleEvent(a.events, a.job.MinVersion) {
 		samplesRestarted.Add(1)
 		a.restart()
 	}
--- a/gateway/jobs/text_cache.go
+++ b/gateway/jobs/text_cache.go
@@ -53,7 +53,7 @@
 	item   string
 }
 
-func keyOf(r *jobs.Result) textKey { return textKey{r.Ref.Part, r.Ref.Offset, r.Item} }
+func keyOf(r *jobs.Result) textKey { return textKey{r.Ref.Partition, r.Ref.Offset, r.Item} }
 
 func newTextCache(log *reader, zlog *zap.Logger) *TextCache {
 	return &TextCache{
--- a/gateway/jobs/textcalls.go
+++ b/gateway/jobs/textcalls.go
@@ -79,7 +79,7 @@
 			openCall[addr], size[addr] = at, 0
 		}
 		size[addr] += r.Ref.Bytes
-		calls[at].texts = append(calls[at].texts, requestedText{r.Ref.Part, r.Ref.Offset, r.Item})
+		calls[at].texts = append(calls[at].texts, requestedText{r.Ref.Partition, r.Ref.Offset, r.Item})
 	}
 	return calls
 }
@@ -144,7 +144,7 @@
 }
 
 func compareRefs(a, b *jobs.TextRef) int {
-	return cmp.Or(cmp.Compare(a.Part, b.Part), cmp.Compare(a.Offset, b.Offset))
+	return cmp.Or(cmp.Compare(a.Partition, b.Partition), cmp.Compare(a.Offset, b.Offset))
 }
 
 // readFromLog reads the first of the missing texts, which are sorted by their place in the log,
@@ -152,7 +152,7 @@
 func (c *TextCache) readFromLog(ctx context.Context, missing []*jobs.Result) ([]*jobs.Result, error) {
 	first := missing[0].Ref
 	textReads.Add(1)
-	page, err := c.log.readUpTo(ctx, textStream(first.Part), first.Offset, textReadKB(missing), 0)
+	page, err := c.log.readUpTo(ctx, textStream(first.Partition), first.Offset, textReadKB(missing), 0)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
@@ -163,13 +163,13 @@
 			continue // another record's error; a missing text is reported below
 		}
 		for _, text := range record.Texts {
-			c.put(textKey{first.Part, rec.Offset, text.Item}, text.Text)
+			c.put(textKey{first.Partition, rec.Offset, text.Item}, text.Text)
 		}
 	}
 	remaining := slices.DeleteFunc(slices.Clone(missing), func(r *jobs.Result) bool {
-		return r.Ref.Part == first.Part && r.Ref.Offset < page.Next && c.contains(keyOf(r))
+		return r.Ref.Partition == first.Partition && r.Ref.Offset < page.Next && c.contains(keyOf(r))
 	})
-	if len(remaining) > 0 && remaining[0].Ref.Part == first.Part && remaining[0].Ref.Offset < page.Next {
+	if len(remaining) > 0 && remaining[0].Ref.Partition == first.Partition && remaining[0].Ref.Offset < page.Next {
 		return nil, errors.NotFoundf("text of item %s at offset %d", remaining[0].Item, remaining[0].Ref.Offset)
 	}
 	return remaining, nil
@@ -184,7 +184,7 @@
 func textReadKB(missing []*jobs.Result) int {
 	size := 0
 	for _, r := range missing {
-		if r.Ref.Part == missing[0].Ref.Part {
+		if r.Ref.Partition == missing[0].Ref.Partition {
 			size += textReadFactor * r.Ref.Bytes
 		}
 	}
--- a/gateway/jobs/texts.go
+++ b/gateway/jobs/texts.go
@@ -26,9 +26,9 @@
 
 // readTexts folds the items of a job. If toEnd is set, because earlier owners may have made
 // texts, it also folds everything after them to the end of the stream.
-func readTexts(ctx context.Context, log *reader, j *jobs.Head, from jobs.TextRef, toEnd bool) (*jobs.Texts, error) {
+func readTexts(ctx context.Context, log *reader, j *jobs.Spec, from jobs.TextRef, toEnd bool) (*jobs.Texts, error) {
 	return foldTexts(ctx, log, j.ID, from, func(texts *jobs.Texts, atEnd bool) bool {
-		return texts.Known() >= j.Total && (!toEnd || atEnd)
+		return texts.ItemCount() >= j.Total && (!toEnd || atEnd)
 	})
 }
 
@@ -50,7 +50,7 @@
 	defer cancel()
 	texts := jobs.NewTexts(job)
 	for next := from.Offset; ; {
-		page, err := log.read(ctx, textStream(from.Part), next, 0)
+		page, err := log.read(ctx, textStream(from.Partition), next, 0)
 		if errors.Is(err, platform.ErrTruncated) && page.First > next {
 			next = page.First
 			continue
