--- a/decide/lease/lease_test.go
+++ b/decide/lease/lease_test.go
@@ -10,278 +10,282 @@
 )
 
 const (
-	tick    = 100 * time.Millisecond
-	takeOut = time.Second
+	tick            = 100 * time.Millisecond
+	minTurnInterval = time.Second
 )
 
 var (
-	sound  = Timing{Valid: 8 * tick, TakeOver: 12 * tick}
-	broken = Timing{Valid: 20 * tick, TakeOver: 12 * tick} // others take over while a holder may act
+	validTiming       = Timing{ValidFor: 8 * tick, TakeOverAfter: 12 * tick}
+	overlappingTiming = Timing{ValidFor: 20 * tick, TakeOverAfter: 12 * tick} // others take over while a holder may act
 )
 
-func TestOthersTakeOverWhatStandsStill(t *testing.T) {
-	a, b := New(Holder{"a", "1"}, sound), New(Holder{"b", "1"}, sound)
-	require.False(t, a.MayClaim(0, 0), "nothing was read")
+func TestUnrenewedLeaseIsTakenOver(t *testing.T) {
+	a, b := New(Holder{"a", "1"}, validTiming), New(Holder{"b", "1"}, validTiming)
+	require.False(t, a.MayClaim(0, 0), "no read has succeeded yet")
 	a.Observe(nil, 0)
 	b.Observe(nil, 0)
 	require.False(t, a.MayClaim(tick, 2*tick), "others go first")
 	require.True(t, a.MayClaim(2*tick, 2*tick))
 	claim := a.Claim(7, 2*tick)
 	require.EqualValues(t, 8, claim.Token)
-	require.False(t, a.MayAct(2*tick, 0), "the claim does not stand yet")
+	require.False(t, a.MayAct(2*tick, 0), "the claim is not stored yet")
 	a.Observe(&claim, 3*tick)
 	b.Observe(&claim, 3*tick)
 	require.True(t, a.MayAct(3*tick, tick))
-	require.True(t, a.MayAct(2*tick+sound.Valid, 0), "counted from when the claim was sent")
-	require.False(t, a.MayAct(2*tick+sound.Valid, tick))
-	require.False(t, b.MayClaim(2*tick+sound.TakeOver, 0))
-	require.True(t, b.MayClaim(3*tick+sound.TakeOver, 0))
-	b.Gap(20 * tick)
-	require.False(t, b.MayClaim(20*tick+tick, 0), "the holder could not renew either")
+	require.True(t, a.MayAct(2*tick+validTiming.ValidFor, 0), "validity starts when the claim is sent")
+	require.False(t, a.MayAct(2*tick+validTiming.ValidFor, tick))
+	require.False(t, b.MayClaim(2*tick+validTiming.TakeOverAfter, 0))
+	require.True(t, b.MayClaim(3*tick+validTiming.TakeOverAfter, 0))
+	b.ReadsResumed(20 * tick)
+	require.False(t, b.MayClaim(20*tick+tick, 0), "the holder may have been unable to renew either")
 	renewed := a.Renew(5, 21*tick)
 	a.Observe(&renewed, 21*tick)
 	require.True(t, a.MayAct(22*tick, 0))
 	b.Observe(&renewed, 22*tick)
-	took := b.Claim(11, 40*tick)
-	require.Equal(t, "a", took.Prior)
-	require.EqualValues(t, 5, took.Done)
-	require.Greater(t, took.Token, renewed.Token)
+	takenOver := b.Claim(11, 40*tick)
+	require.Equal(t, "a", takenOver.PreviousVM)
+	require.EqualValues(t, 5, takenOver.Progress)
+	require.Greater(t, takenOver.Token, renewed.Token)
 }
 
-func TestAReleasedLeaseIsTakenAtOnce(t *testing.T) {
-	a, b, c := New(Holder{"a", "1"}, sound), New(Holder{"b", "1"}, sound), New(Holder{"a", "2"}, sound)
+func TestReleasedLeaseIsTakenAtOnce(t *testing.T) {
+	a, b, c := New(Holder{"a", "1"}, validTiming), New(Holder{"b", "1"}, validTiming), New(Holder{"a", "2"}, validTiming)
 	a.Observe(nil, 0)
 	claim := a.Claim(0, 0)
 	a.Observe(&claim, 0)
 	released := a.Release(3, tick)
-	require.False(t, a.MayAct(tick, 0), "whatever becomes of the write")
+	require.False(t, a.MayAct(tick, 0), "whether or not the write succeeds")
 	for _, s := range []*State{a, b, c} {
 		s.Observe(&released, 2*tick)
 	}
 	require.True(t, b.MayClaim(2*tick, 0))
-	require.False(t, a.MayClaim(2*tick+sound.TakeOver, 0), "it could not do the duty")
+	require.False(t, a.MayClaim(2*tick+validTiming.TakeOverAfter, 0), "the VM that released the lease waits for others to claim it")
 	require.False(t, c.MayClaim(2*tick, 0))
 	second := b.Claim(5, 3*tick)
 	b.Observe(&second, 3*tick)
 	released = b.Release(3, 4*tick)
 	a.Observe(&released, 4*tick)
-	require.False(t, a.MayClaim(4*tick+tick, 0), "two that take turns at once look like two holders")
-	require.True(t, a.MayClaim(4*tick+sound.TakeOver, 0))
+	require.False(t, a.MayClaim(4*tick+tick, 0), "processes that alternate too fast look like two holders at once")
+	require.True(t, a.MayClaim(4*tick+validTiming.TakeOverAfter, 0))
 }
 
-// world is a store that takes a write where the stream ends, a platform that notes calls,
-// and processes whose reads, writes and pauses rapid draws.
-type world struct {
-	timing  Timing
-	now     time.Duration
-	records []Record
-	late    []write
-	calls   []call
-	procs   []*proc
+// simulation simulates a store that accepts a write only at the end of the stream, a platform
+// that records calls, and processes whose reads, writes and suspensions are drawn by rapid.
+type simulation struct {
+	timing     Timing
+	now        time.Duration
+	records    []Record
+	lateWrites []write
+	calls      []call
+	processes  []*process
 }
 
-type proc struct {
-	node   string
-	lives  int
-	state  *State
-	next   int // where the stream ends, as read
-	frozen time.Duration
+type process struct {
+	vm             string
+	incarnation    int
+	state          *State
+	nextOffset     int // end of the stream as of the last read
+	suspendedUntil time.Duration
 }
 
 type write struct {
 	record Record
-	at     int
-	due    time.Duration
+	offset int
+	dueAt  time.Duration
 }
 
 type call struct {
-	node  string
+	vm    string
 	token uint64
 	at    time.Duration
 }
 
-func newWorld(processes int, timing Timing) *world {
-	w := &world{timing: timing}
+func newSimulation(processes int, timing Timing) *simulation {
+	sim := &simulation{timing: timing}
 	for i := range processes {
-		p := &proc{node: fmt.Sprint("n", i)}
-		w.procs = append(w.procs, p)
-		w.restart(p)
+		p := &process{vm: fmt.Sprint("n", i)}
+		sim.processes = append(sim.processes, p)
+		sim.restart(p)
 	}
-	return w
+	return sim
 }
 
-func (w *world) restart(p *proc) {
-	p.lives++
-	p.state, p.next = New(Holder{p.node, fmt.Sprint(p.lives)}, w.timing), 0
+func (sim *simulation) restart(p *process) {
+	p.incarnation++
+	p.state, p.nextOffset = New(Holder{p.vm, fmt.Sprint(p.incarnation)}, sim.timing), 0
 }
 
-func (w *world) put(r Record, at int) bool {
-	if at != len(w.records) {
+func (sim *simulation) appendAt(r Record, offset int) bool {
+	if offset != len(sim.records) {
 		return false
 	}
-	w.records = append(w.records, r)
+	sim.records = append(sim.records, r)
 	return true
 }
 
-func (w *world) read(p *proc) {
-	p.next = len(w.records)
-	if p.next == 0 {
-		p.state.Observe(nil, w.now)
+func (sim *simulation) read(p *process) {
+	p.nextOffset = len(sim.records)
+	if p.nextOffset == 0 {
+		p.state.Observe(nil, sim.now)
 		return
 	}
-	newest := w.records[p.next-1]
-	p.state.Observe(&newest, w.now)
+	newest := sim.records[p.nextOffset-1]
+	p.state.Observe(&newest, sim.now)
 }
 
-// write is how a due write goes: taken, taken without an answer, carried out late, or lost.
-func (w *world) write(t *rapid.T, p *proc) {
+// write makes the write that is due. It is stored, stored without an answer, stored late, or
+// lost.
+func (sim *simulation) write(t *rapid.T, p *process) {
 	var r Record
 	switch {
 	case p.state.Holds() && rapid.IntRange(0, 9).Draw(t, "release") == 0:
-		r = p.state.Release(0, w.now)
+		r = p.state.Release(0, sim.now)
 	case p.state.Holds():
-		r = p.state.Renew(0, w.now)
-	case p.state.MayClaim(w.now, 0):
-		r = p.state.Claim(uint64(p.next), w.now)
+		r = p.state.Renew(0, sim.now)
+	case p.state.MayClaim(sim.now, 0):
+		r = p.state.Claim(uint64(p.nextOffset), sim.now)
 	default:
 		return
 	}
 	switch rapid.SampledFrom([]string{"answered", "answered", "unanswered", "late", "lost"}).Draw(t, "outcome") {
 	case "answered":
-		if w.put(r, p.next) {
-			p.next++
-			p.state.Observe(&r, w.now)
+		if sim.appendAt(r, p.nextOffset) {
+			p.nextOffset++
+			p.state.Observe(&r, sim.now)
 		}
 	case "unanswered":
-		w.put(r, p.next)
+		sim.appendAt(r, p.nextOffset)
 	case "late":
-		w.late = append(w.late, write{r, p.next, w.now + time.Duration(rapid.IntRange(1, 30).Draw(t, "late"))*tick})
+		sim.lateWrites = append(sim.lateWrites, write{r, p.nextOffset, sim.now + time.Duration(rapid.IntRange(1, 30).Draw(t, "late"))*tick})
 	}
 }
 
-// act makes a call that arrives within the time for which the process asked.
-func (w *world) act(t *rapid.T, p *proc) {
+// makeCall makes a call that arrives within the duration that the process passed to MayAct.
+func (sim *simulation) makeCall(t *rapid.T, p *process) {
 	const need = 2 * tick
-	if !p.state.MayAct(w.now, need) {
+	if !p.state.MayAct(sim.now, need) {
 		return
 	}
 	r, _ := p.state.Record()
-	w.calls = append(w.calls, call{p.node, r.Token, w.now + time.Duration(rapid.IntRange(0, 2).Draw(t, "way"))*tick})
+	sim.calls = append(sim.calls, call{p.vm, r.Token, sim.now + time.Duration(rapid.IntRange(0, 2).Draw(t, "way"))*tick})
 }
 
-func (w *world) step(t *rapid.T) {
-	w.now += tick
-	for _, late := range w.late {
-		if late.due == w.now {
-			w.put(late.record, late.at)
+func (sim *simulation) step(t *rapid.T) {
+	sim.now += tick
+	for _, late := range sim.lateWrites {
+		if late.dueAt == sim.now {
+			sim.appendAt(late.record, late.offset)
 		}
 	}
-	for _, p := range w.procs {
-		if w.now < p.frozen {
+	for _, p := range sim.processes {
+		if sim.now < p.suspendedUntil {
 			continue
 		}
-		switch rapid.IntRange(0, 11).Draw(t, "what") {
+		switch rapid.IntRange(0, 11).Draw(t, "action") {
 		case 0:
-			p.frozen = w.now + time.Duration(rapid.IntRange(1, 40).Draw(t, "frozen"))*tick
+			p.suspendedUntil = sim.now + time.Duration(rapid.IntRange(1, 40).Draw(t, "suspended"))*tick
 		case 1:
-			if rapid.IntRange(0, 3).Draw(t, "dies") == 0 {
-				w.restart(p)
+			if rapid.IntRange(0, 3).Draw(t, "restart") == 0 {
+				sim.restart(p)
 			}
 		case 2, 3, 4, 5:
-			w.read(p)
+			sim.read(p)
 		case 6, 7, 8:
-			w.write(t, p)
+			sim.write(t, p)
 		default:
-			w.act(t, p)
+			sim.makeCall(t, p)
 		}
 	}
 }
 
-// fault tells what the platform would call a second holder; empty: nothing.
-func (w *world) fault() string {
+// findViolation describes the first calls that the platform would take for those of two
+// holders at once; empty: there are none.
+func (sim *simulation) findViolation() string {
 	owner := map[uint64]string{}
-	for i, c := range w.calls {
-		if other, known := owner[c.token]; known && other != c.node {
-			return fmt.Sprintf("token %d of %s and %s", c.token, other, c.node)
+	for i, c := range sim.calls {
+		if other, known := owner[c.token]; known && other != c.vm {
+			return fmt.Sprintf("token %d of %s and %s", c.token, other, c.vm)
 		}
-		owner[c.token] = c.node
-		for j, before := range w.calls[:i] {
+		owner[c.token] = c.vm
+		for j, before := range sim.calls[:i] {
 			if before.token > c.token && before.at < c.at {
-				return fmt.Sprintf("token %d behind %d", c.token, before.token)
+				return fmt.Sprintf("token %d is used after token %d", c.token, before.token)
 			}
-			if before.node == c.node && c.at-before.at < takeOut && w.othersBetween(j, i) {
-				return fmt.Sprintf("%s takes turns within %v", c.node, c.at-before.at)
+			if before.vm == c.vm && c.at-before.at < minTurnInterval && sim.hasOtherCallsBetween(j, i) {
+				return fmt.Sprintf("%s acts again within %v, after another process acted", c.vm, c.at-before.at)
 			}
 		}
 	}
 	return ""
 }
 
-func (w *world) othersBetween(first, last int) bool {
-	for _, c := range w.calls[first+1 : last] {
-		if c.node != w.calls[first].node && c.at > w.calls[first].at && c.at < w.calls[last].at {
+func (sim *simulation) hasOtherCallsBetween(first, last int) bool {
+	for _, c := range sim.calls[first+1 : last] {
+		if c.vm != sim.calls[first].vm && c.at > sim.calls[first].at && c.at < sim.calls[last].at {
 			return true
 		}
 	}
 	return false
 }
 
-func play(t *rapid.T, timing Timing) *world {
-	w := newWorld(3, timing)
+func simulate(t *rapid.T, timing Timing) *simulation {
+	sim := newSimulation(3, timing)
 	for range rapid.IntRange(20, 200).Draw(t, "steps") {
-		w.step(t)
+		sim.step(t)
 	}
-	return w
+	return sim
 }
 
-// Guards against two holders at a time, whatever is frozen, lost, carried out late or
-// started again.
-func TestNoTwoHoldersAct(t *testing.T) {
-	acted := 0
+// Guards against two holders that act at the same time, whichever processes are suspended or
+// restarted and whichever writes are lost or stored late.
+func TestNoTwoHoldersActAtOnce(t *testing.T) {
+	callsMade := 0
 	rapid.Check(t, func(t *rapid.T) {
-		w := play(t, sound)
-		require.Empty(t, w.fault())
-		acted += len(w.calls)
+		sim := simulate(t, validTiming)
+		require.Empty(t, sim.findViolation())
+		callsMade += len(sim.calls)
 	})
-	require.Positive(t, acted)
+	require.Positive(t, callsMade)
 }
 
-// The check above finds a lease whose holder may act for longer than others wait.
-func TestABrokenLeaseIsCaught(t *testing.T) {
-	caught := rapid.Custom(func(t *rapid.T) string { return play(t, broken).fault() })
+// The simulation must detect a lease whose holder may act for longer than other processes
+// wait; otherwise TestNoTwoHoldersActAtOnce would prove nothing.
+func TestSimulationDetectsOverlappingHolders(t *testing.T) {
+	violations := rapid.Custom(func(t *rapid.T) string { return simulate(t, overlappingTiming).findViolation() })
 	for seed := range 2000 {
-		if caught.Example(seed) != "" {
+		if violations.Example(seed) != "" {
 			return
 		}
 	}
-	t.Fatal("no fault was found")
+	t.Fatal("no violation was found")
 }
 
-// Guards against a duty that nobody has: once all run and the store answers, one holds it.
-func TestSomebodyTakesALeaseThatWasLost(t *testing.T) {
+// Guards against a duty that no process has: once all processes run and the store answers,
+// exactly one must hold the lease.
+func TestLostLeaseIsClaimedAgain(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := play(t, sound)
-		w.late = nil
-		for range 6 * int(sound.TakeOver/tick) {
-			w.now += tick
-			for _, p := range w.procs {
-				p.frozen = 0
-				w.read(p)
+		sim := simulate(t, validTiming)
+		sim.lateWrites = nil
+		for range 6 * int(validTiming.TakeOverAfter/tick) {
+			sim.now += tick
+			for _, p := range sim.processes {
+				p.suspendedUntil = 0
+				sim.read(p)
 				if p.state.Holds() {
-					r := p.state.Renew(0, w.now)
-					require.True(t, w.put(r, p.next))
-					p.state.Observe(&r, w.now)
-				} else if p.state.MayClaim(w.now, 0) {
-					r := p.state.Claim(uint64(p.next), w.now)
-					require.True(t, w.put(r, p.next))
-					p.state.Observe(&r, w.now)
+					r := p.state.Renew(0, sim.now)
+					require.True(t, sim.appendAt(r, p.nextOffset))
+					p.state.Observe(&r, sim.now)
+				} else if p.state.MayClaim(sim.now, 0) {
+					r := p.state.Claim(uint64(p.nextOffset), sim.now)
+					require.True(t, sim.appendAt(r, p.nextOffset))
+					p.state.Observe(&r, sim.now)
 				}
 			}
 		}
 		holders := 0
-		for _, p := range w.procs {
-			w.read(p)
-			if p.state.MayAct(w.now, 0) {
+		for _, p := range sim.processes {
+			sim.read(p)
+			if p.state.MayAct(sim.now, 0) {
 				holders++
 			}
 		}
--- a/decide/usage/usage.go
+++ b/decide/usage/usage.go
@@ -1,80 +1,81 @@
-// Package usage decides what is reported of the requests of organisations: which window
-// of time a request counts in, when a window's counts are whole, and their sum. It is
-// pure.
+// Package usage decides how the requests of organisations are reported: which window of time
+// a request counts in, when the counts of a window are complete, and their sum. It does no
+// I/O and reads no clock.
 package usage
 
 import (
 	"time"
 )
 
-// Window is a span of the time of day, by its number since 1970.
+// Window identifies a window of time by its number since the Unix epoch (1970). All windows
+// have the same length.
 type Window uint64
 
-// At returns the window of a time of day; length is that of all windows.
-func At(t time.Time, length time.Duration) Window { return Window(t.UnixNano() / int64(length)) }
+// WindowAt returns the window that contains t; length is the length of all windows.
+func WindowAt(t time.Time, length time.Duration) Window { return Window(t.UnixNano() / int64(length)) }
 
-// End returns when a window ends.
+// End returns the end of a window, which is also the start of the next one.
 func (w Window) End(length time.Duration) time.Time {
 	return time.Unix(0, (int64(w)+1)*int64(length))
 }
 
-// Counts are requests by organisation.
+// Counts are the numbers of requests by organisation.
 type Counts map[string]uint64
 
-// Tally is what one process has counted in all of its life.
+// Tally holds what one process has counted since it started.
 type Tally struct {
-	// Process names one start of a process.
+	// Process identifies one incarnation of a process.
 	Process string `json:"p"`
-	// Complete is the newest window of which it has counted all requests.
+	// Complete is the newest window for which the process has counted all requests.
 	Complete Window `json:"c"`
-	// Left: it has ended, and counts no more.
-	Left    bool              `json:"x,omitempty"`
+	// Ended is set once the process has stopped counting.
+	Ended   bool              `json:"x,omitempty"`
 	Windows map[Window]Counts `json:"w,omitempty"`
 }
 
-// Patience says how long a window waits for the tallies of processes, after its end.
-type Patience struct {
-	// Least is waited for processes that nobody knows of yet.
-	Least time.Duration
-	// Most is waited for processes that have gone silent: a report that waits longer is
+// WaitLimits holds how long after its end a window waits for the tallies of processes.
+type WaitLimits struct {
+	// Min is the wait for processes that have not published any tally yet.
+	Min time.Duration
+	// Max is the wait for processes that no longer publish: a report that waits longer is
 	// late.
-	Most time.Duration
-	// Return is how long after an outage of the store it takes all processes to publish
-	// what they counted meanwhile.
-	Return time.Duration
+	Max time.Duration
+	// AfterOutage is the time after an outage of the store within which all processes
+	// publish what they counted during the outage.
+	AfterOutage time.Duration
 }
 
-// Age is how long ago things were.
+// Age holds the times that have passed since the events that Ready depends on.
 type Age struct {
-	Ended    time.Duration // the window's end
-	Followed time.Duration // the last outage of the store
+	SinceEnd    time.Duration // the window's end
+	SinceOutage time.Duration // the last outage of the store
 }
 
-// Ready tells whether the counts of a window can be summed up. done is the window that
-// was summed up last.
-func Ready(w, done Window, tallies []Tally, age Age, p Patience) bool {
-	if age.Ended < p.Least {
+// Ready reports whether the counts of a window can be summed up. lastSummed is the window
+// that was summed up last.
+func Ready(w, lastSummed Window, tallies []Tally, age Age, limits WaitLimits) bool {
+	if age.SinceEnd < limits.Min {
 		return false
 	}
-	told, awaited := false, false
+	reported, pending := false, false
 	for i := range tallies {
-		told = told || tallies[i].Complete >= w
-		awaited = awaited || tallies[i].awaited(w, done)
+		reported = reported || tallies[i].Complete >= w
+		pending = pending || tallies[i].isAwaited(w, lastSummed)
 	}
-	if awaited {
-		return age.Ended >= p.Most && age.Followed >= p.Return
+	if pending {
+		return age.SinceEnd >= limits.Max && age.SinceOutage >= limits.AfterOutage
 	}
-	return told || age.Followed >= p.Return
+	return reported || age.SinceOutage >= limits.AfterOutage
 }
 
-// awaited tells whether a process has more to publish of a window: one that was heard of by
-// the time that the last one was summed up.
-func (tally *Tally) awaited(w, done Window) bool {
-	return !tally.Left && tally.Complete < w && tally.Complete+1 >= done
+// isAwaited reports whether a process is expected to publish more counts of a window. One
+// that is more than one window behind lastSummed is taken to have stopped publishing.
+func (tally *Tally) isAwaited(w, lastSummed Window) bool {
+	return !tally.Ended && tally.Complete < w && tally.Complete+1 >= lastSummed
 }
 
-// Merge brings the tallies of each process together. Counts only grow, so that of two
-// tallies the larger numbers are the newer ones, in whichever order the tallies came.
+// Merge merges the tallies of each process into one. Counts only increase, so that of two
+// tallies the larger numbers are the newer ones, in whichever order the tallies were read.
 func Merge(tallies []Tally) []Tally {
 	byProcess := map[string]*Tally{}
 	for i := range tallies {
@@ -85,19 +86,20 @@
 			byProcess[tally.Process] = merged
 		}
 		merged.Complete = max(merged.Complete, tally.Complete)
-		merged.Left = merged.Left || tally.Left
+		merged.Ended = merged.Ended || tally.Ended
 		for w, counts := range tally.Windows {
-			merged.take(w, counts)
+			merged.mergeCounts(w, counts)
 		}
 	}
-	out := make([]Tally, 0, len(byProcess))
+	result := make([]Tally, 0, len(byProcess))
 	for _, tally := range byProcess {
-		out = append(out, *tally)
+		result = append(result, *tally)
 	}
-	return out
+	return result
 }
 
-func (tally *Tally) take(w Window, counts Counts) {
+// mergeCounts merges counts of a window into the tally.
+func (tally *Tally) mergeCounts(w Window, counts Counts) {
 	if tally.Windows[w] == nil {
 		tally.Windows[w] = Counts{}
 	}
@@ -117,11 +119,11 @@
 	return total
 }
 
-// Stale tells whether a process has published nothing of the windows from w on, so that
-// its tally is of no more use.
+// Stale reports whether a tally contains nothing about window w and later windows, so that
+// it is no longer needed.
 func (tally *Tally) Stale(w Window) bool {
-	for counted := range tally.Windows {
-		if counted >= w {
+	for window := range tally.Windows {
+		if window >= w {
 			return false
 		}
 	}
--- a/entry/server/crashes.go
+++ b/entry/server/crashes.go
@@ -44,8 +44,8 @@
 	return addrs
 }
 
-// Tell implements quarantine.Peers.
-func (p *entryPeers) Tell(ctx context.Context, addr string, changes []quarantine.Change) error {
+// Send implements quarantine.Peers.
+func (p *entryPeers) Send(ctx context.Context, addr string, changes []quarantine.Change) error {
 	conn, err := p.conns.Get(addr)
 	if err != nil {
 		return errors.Trace(err)
@@ -71,7 +71,7 @@
 		if e.GetRequest() == "" || e.GetServer() == "" {
 			continue // of another release
 		}
-		crash := poison.Crash{Request: poison.Name(e.GetRequest()), Server: e.GetServer(), At: time.UnixMilli(e.GetAtMs())}
+		crash := poison.Crash{Request: poison.Fingerprint(e.GetRequest()), Server: e.GetServer(), At: time.UnixMilli(e.GetAtMs())}
 		changes = append(changes, quarantine.Change{Crash: crash, Gone: e.GetGone()})
 	}
 	s.quarantine.Apply("peer", changes)
--- a/gateway/duties/keeper.go
+++ b/gateway/duties/keeper.go
@@ -47,8 +47,8 @@
 
 // Term is the time of one holder.
 type Term struct {
-	Token uint64
-	Done  uint64 // how far the duty had come when it began
+	Token    uint64
+	Progress uint64 // how far the duty had come when it began
 }
 
 // Keeper keeps one lease. It is safe for concurrent use.
@@ -84,7 +84,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	r, _ := k.state.Record()
-	return Term{Token: r.Token, Done: r.Done}, k.state.Holds() && k.quit == ""
+	return Term{Token: r.Token, Progress: r.Progress}, k.state.Holds() && k.quit == ""
 }
 
 // MayAct tells whether this process may act in a term for a time to come.
@@ -95,8 +95,8 @@
 	return k.quit == "" && r.Token == term.Token && k.state.MayAct(k.cfg.Now(), need)
 }
 
-// Followed is how long the store has answered since the last time it did not.
-func (k *Keeper) Followed() time.Duration {
+// SinceOutage is how long the store has answered since the last time it did not.
+func (k *Keeper) SinceOutage() time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.cfg.Now() - k.since
@@ -173,7 +173,7 @@
 		k.quit = ""
 		r := k.state.Claim(k.next, now)
 		if _, exists := k.state.Record(); !exists {
-			r.Done = k.cfg.First
+			r.Progress = k.cfg.First
 		}
 		return r, true
 	default:
@@ -240,7 +240,7 @@
 	if k.failing {
 		k.failing = false
 		k.since = now
-		k.state.Gap(now)
+		k.state.ReadsResumed(now)
 		k.log.Info("The leases can be read again.")
 	}
 	found := false
@@ -286,7 +286,7 @@
 	k.held = holds
 	if holds {
 		dutiesTaken.Add(1)
-		k.log.Info("This process has a duty.", zap.Uint64("token", r.Token), zap.String("before", r.Prior), zap.Uint64("done", r.Done))
+		k.log.Info("This process has a duty.", zap.Uint64("token", r.Token), zap.String("before", r.PreviousVM), zap.Uint64("done", r.Progress))
 		return
 	}
 	dutiesLost.Add(1)
--- a/gateway/jobs/active_item.go
+++ b/gateway/jobs/active_item.go
@@ -66,16 +66,16 @@
 	brokenStreams int
 	avoidUntil    map[string]time.Time
 
-	subject          *quarantine.Subject // nil until it is needed
-	quarantineLogged bool                // whether the quarantine was logged
+	subject          *quarantine.TrackedRequest // nil until it is needed
+	quarantineLogged bool                       // whether the quarantine was logged
 }
 
 // subject returns the item's subject in the quarantine; r.mu is held. Groups that a trainer
 // submits again, because it did not wait for them, are the same requests in the later job.
-func (r *Runner) subject(a *activeItem) *quarantine.Subject {
+func (r *Runner) subject(a *activeItem) *quarantine.TrackedRequest {
 	if a.subject == nil {
 		item := &a.item
-		a.subject = r.quarantine.Subject(func() poison.Content {
+		a.subject = r.quarantine.Track(func() poison.Content {
 			return poison.Content{Caller: a.job.Organisation, Method: http.MethodPost, Host: item.Host, URI: item.Path, Body: item.Body}
 		})
 	}
--- a/gateway/jobs/placing.go
+++ b/gateway/jobs/placing.go
@@ -87,7 +87,7 @@
 		a.quarantineLogged = true
 		samplesQuarantined.Add(1)
 		r.zlog.Warn("Sample is quarantined: each engine that ran it crashed.", zap.String("id", a.item.ID), zap.String("job", a.job.ID),
-			zap.String("request", string(subject.Name())), zap.Duration("for", subject.Refused()), zap.Int("events", len(a.events)))
+			zap.String("request", string(subject.Fingerprint())), zap.Duration("for", subject.RecordRefusal()), zap.Int("events", len(a.events)))
 	}
 	return true
 }
--- a/gateway/jobs/stream.go
+++ b/gateway/jobs/stream.go
@@ -68,10 +68,10 @@
 		switch {
 		case end == broken && r.forward.EndedUnder(ctx, service, server):
 			r.zlog.Warn("A server ended while it ran a sample.", zap.String("id", a.item.ID), zap.String("job", a.job.ID),
-				zap.String("request", string(s.subject.Name())), zap.String("server", server.ID))
-			s.subject.Ended(server.ID)
+				zap.String("request", string(s.subject.Fingerprint())), zap.String("server", server.ID))
+			s.subject.RecordCrash(server.ID)
 		case end == complete:
-			s.subject.Survived()
+			s.subject.RecordCompletion()
 		}
 		r.handleStreamEnd(parent, s, end, status, err)
 	})
@@ -87,7 +87,7 @@
 	addr            string
 	resumedAfter    int // number of events from earlier streams
 	requiredVersion uint64
-	subject         *quarantine.Subject
+	subject         *quarantine.TrackedRequest
 }
 
 // request returns the request for the engine.
--- a/gateway/server/gateway.go
+++ b/gateway/server/gateway.go
@@ -72,7 +72,7 @@
 	v.Pace = func() time.Duration { return feedPace(peers, set.Store.ReadsPerS) }
 	pool := backend.NewPool(hosted.AttemptID)
 	forwarder := forward.New(v, pool, set.Process.FailureDomain, logs.Part(log, "forward"))
-	forwarder.Quarantine.Share(store, quarantine.NewHTTPPeers(peers.Addrs), set.Store.ReadsPerS)
+	forwarder.Quarantine.EnableSharing(store, quarantine.NewHTTPPeers(peers.Addrs), set.Store.ReadsPerS)
 	book := gatewayjobs.NewIndex(store, logs.Part(log, "jobs"))
 	runner := gatewayjobs.NewRunner(book, store, forwarder, writer, set.Store.Parts, capacity, logs.Part(log, "runner"))
 	handler := &front.Front{
--- a/gateway/usage/usage_test.go
+++ b/gateway/usage/usage_test.go
@@ -59,12 +59,12 @@
 	p := &process{counter: usage.NewCounter(store, self.Node+"/"+self.Life, window, time.Now, two, zap.NewNop())}
 	p.keeper = duties.New(duties.Config{
 		Duty: usage.Duty, First: usage.First(time.Now(), window), Self: self, Store: store, Now: boottime.Now, Logger: zap.NewNop(), Renew: 100 * time.Millisecond,
-		Timing: lease.Timing{Valid: 1200 * time.Millisecond, TakeOver: 1500 * time.Millisecond},
+		Timing: lease.Timing{ValidFor: 1200 * time.Millisecond, TakeOverAfter: 1500 * time.Millisecond},
 		Look:   func() time.Duration { return 50 * time.Millisecond },
 	})
 	reporter := &usage.Reporter{
 		Keeper: p.keeper, Store: store, Platform: hosted.NewDutyClient(s.api.Addr()), Node: node, Length: window,
-		Patience: decide.Patience{Least: 100 * time.Millisecond, Most: 4 * time.Second}, Now: time.Now, Return: p.counter.Return, Log: zap.NewNop(),
+		WaitLimits: decide.WaitLimits{Min: 100 * time.Millisecond, Max: 4 * time.Second}, Now: time.Now, AfterOutage: p.counter.AfterOutage, Log: zap.NewNop(),
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var loops sync.WaitGroup
