--- a/gateway/jobs/history_test.go
+++ b/gateway/jobs/history_test.go
@@ -17,28 +17,28 @@
 	"dandelionsill.org/platform/hosted/hostedtest"
 )
 
-// op is what a caller asks of a job, got what it heard.
+// op is the kind of a caller's request, outcome what the answer says about the job.
 type op string
 
 const (
 	submit op = "submit"
-	look   op = "look"
+	lookup op = "look"
 )
 
-type got string
+type outcome string
 
 const (
-	yes    got = "yes"
-	no     got = "no"
-	unsure got = "unsure"
+	yes    outcome = "yes"
+	no     outcome = "no"
+	unsure outcome = "unsure"
 )
 
-// existence is the model of a job: it does not exist, then it does for good. A
-// submission without a sure answer may have been carried out or not.
+// existence is the model of a job: it does not exist, then it exists permanently. A
+// submission without a definite answer may have been carried out or not.
 var existence = porcupine.Model{
 	Init: func() any { return false },
 	Step: func(state, input, output any) (bool, any) {
-		exists, answer := state.(bool), output.(got)
+		exists, answer := state.(bool), output.(outcome)
 		switch {
 		case input.(op) == submit && answer == yes:
 			return true, true
@@ -57,16 +57,16 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// history records what callers asked and heard, by job.
+// history records the requests of callers and their outcomes, by job.
 type history struct {
 	mu    sync.Mutex
 	start time.Time
 	ops   map[string][]porcupine.Operation
-	seen  map[string][]fold.Result // the longest list of results read
+	seen  map[string][]fold.Result // the longest list of results that was read
 	t     *testing.T
 }
 
-func (h *history) do(client int, job string, what op, ask func() got) {
+func (h *history) record(client int, job string, what op, ask func() outcome) {
 	call := time.Since(h.start).Nanoseconds()
 	answer := ask()
 	end := time.Since(h.start).Nanoseconds()
@@ -78,8 +78,8 @@
 	h.ops[job] = append(h.ops[job], porcupine.Operation{ClientId: client, Input: what, Call: call, Output: answer, Return: end})
 }
 
-// read notes results; those that anybody has read before must be the same.
-func (h *history) read(job string, results []fold.Result) {
+// checkResults checks that results which were read before have not changed.
+func (h *history) checkResults(job string, results []fold.Result) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	known := h.seen[job]
@@ -91,7 +91,7 @@
 	}
 }
 
-func answerOf(err *kinds.Error) got {
+func answerOf(err *kinds.Error) outcome {
 	switch {
 	case err == nil:
 		return yes
@@ -104,11 +104,11 @@
 	}
 }
 
-// Callers hand jobs in at three entries and look them up there, while the store
-// refuses, loses answers and carries appends out late, and an entry is killed.
-// The history has to be that of jobs which exist once and for good: after a 202
-// nobody is told "not found", after a "not run" the job is not there, and no
-// result that was read changes its position or content.
+// Callers submit jobs at three entries and look them up there, while the store refuses calls,
+// loses answers and carries out appends late, and one entry is killed. The history has to be
+// that of jobs which exist once and permanently: after a 202 no caller gets "not found", after
+// a "not run" the job does not exist, and no result that was read changes its position or
+// content.
 func TestHistoryOfAcceptance(t *testing.T) {
 	t.Parallel()
 	pf := gatewaytest.NewPlatform(t, 3, 1)
@@ -122,7 +122,7 @@
 		clients.Go(func() {
 			rng := rand.New(rand.NewPCG(7, uint64(client)))
 			for n := range 20 {
-				askOnce(t, h, entries[rng.IntN(3)], client, fmt.Sprintf("j%d", (n+client)/4), rng)
+				callOnce(t, h, entries[rng.IntN(3)], client, fmt.Sprintf("j%d", (n+client)/4), rng)
 				if client == 0 && n == 10 {
 					entries[2].Stop()
 				}
@@ -138,8 +138,8 @@
 		for _, o := range ops {
 			if o.Input == submit && o.Output == yes {
 				accepted++
-				h.read(job, entries[0].results(t, job, 2))
-				h.read(job, entries[1].results(t, job, 2))
+				h.checkResults(job, entries[0].results(t, job, 2))
+				h.checkResults(job, entries[1].results(t, job, 2))
 				break
 			}
 		}
@@ -151,7 +151,7 @@
 	}
 }
 
-// breakStore brings about one fault after the other.
+// breakStore causes one fault after the other.
 func breakStore(ctx context.Context, s *hostedtest.Store) {
 	faults := []hostedtest.StoreFaults{{}, {LoseAppends: true}, {}, {Down: true}, {}, {LateAppends: 150 * time.Millisecond}}
 	for i := 0; ctx.Err() == nil; i++ {
@@ -163,20 +163,20 @@
 	}
 }
 
-// askOnce hands a job in, or looks it up and reads its results.
-func askOnce(t *testing.T, h *history, e *entry, client int, job string, rng *rand.Rand) {
+// callOnce submits a job, or looks it up and reads its results.
+func callOnce(t *testing.T, h *history, e *entry, client int, job string, rng *rand.Rand) {
 	ctx, cancel := context.WithTimeout(t.Context(), 150*time.Millisecond+time.Duration(rng.IntN(300))*time.Millisecond)
 	defer cancel()
 	if rng.IntN(3) == 0 {
 		head, items := decode(t, job, hostedtest.Job(job, "m", 2, 1))
-		h.do(client, job, submit, func() got { return answerOf(e.service.Submit(ctx, head, items)) })
+		h.record(client, job, submit, func() outcome { return answerOf(e.service.Submit(ctx, head, items)) })
 		return
 	}
-	h.do(client, job, look, func() got {
+	h.record(client, job, lookup, func() outcome {
 		_, results, err := e.service.Results(ctx, job, 0, 0)
 		switch {
 		case err == nil:
-			h.read(job, results)
+			h.checkResults(job, results)
 			return yes
 		case err.Kind() == string(kinds.NotFound):
 			return no
--- a/gateway/jobs/outbox_test.go
+++ b/gateway/jobs/outbox_test.go
@@ -13,16 +13,16 @@
 	"dandelionsill.org/platform"
 )
 
-// strictLog refuses records and appends of a size that the platform refuses.
+// strictLog refuses records and appends of sizes that the platform refuses.
 type strictLog struct {
 	platform.Log
 	records [][]byte
-	refuse  int // appends refused for what they are
+	refuse  int // number of appends to refuse as invalid
 }
 
 const (
-	platformRecord = 262144
-	platformCall   = 2097152
+	platformRecordBytes = 262144
+	platformAppendBytes = 2097152
 )
 
 func (l *strictLog) AppendAll(_ context.Context, _ string, records [][]byte) (uint64, error) {
@@ -33,11 +33,11 @@
 	size := 0
 	for _, r := range records {
 		size += len(r) + 4
-		if len(r) > platformRecord {
+		if len(r) > platformRecordBytes {
 			return 0, platform.ErrLogRefused
 		}
 	}
-	if size > platformCall {
+	if size > platformAppendBytes {
 		return 0, platform.ErrLogRefused
 	}
 	l.records = append(l.records, records...)
@@ -48,28 +48,28 @@
 	return newOutbox(l, jobs.Writer{Node: "a", Life: "1"}, 4, func() bool { return true }, func(textKey, string) {}, zap.NewNop())
 }
 
-// flushAll appends all that an outbox holds.
+// flushAll appends everything that an outbox holds.
 func flushAll(t *testing.T, o *outbox) bool {
-	for _, l := range o.lanes {
-		require.True(t, o.flushLane(t.Context(), l))
+	for _, l := range o.appenders {
+		require.True(t, o.flushAppender(t.Context(), l))
 	}
 	return o.flush(t.Context(), false)
 }
 
-// A job of more items than one record may name is split; its parts are appended
-// together, and name each item once.
+// A job with more items than one record may name is split; its parts are appended together,
+// and name each item once.
 func TestManyItemsAreSplit(t *testing.T) {
-	s := NewService(NewBook(&strictLog{}, zap.NewNop()), &strictLog{}, jobs.Writer{Node: "a", Life: "1"}, 4, 600, zap.NewNop())
+	s := NewService(NewIndex(&strictLog{}, zap.NewNop()), &strictLog{}, jobs.Writer{Node: "a", Life: "1"}, 4, 600, zap.NewNop())
 	items := make([]jobs.Item, 2500)
 	for i := range items {
 		items[i] = jobs.Item{Request: jobs.Request{ID: fmt.Sprintf("%064d", i)}, Group: fmt.Sprintf("%032d", i/8)}
 	}
-	records, err := s.submission(jobs.Spec{ID: "j", Total: len(items)}, items, jobs.TextRef{})
+	records, err := s.encodeSubmission(jobs.Spec{ID: "j", Total: len(items)}, items, jobs.TextRef{})
 	require.NoError(t, err)
 	require.Len(t, records, 3)
 	state := jobs.New()
 	for i, data := range records {
-		require.Less(t, len(data), platformRecord)
+		require.Less(t, len(data), platformRecordBytes)
 		record, err := jobs.Decode(data)
 		require.NoError(t, err)
 		state.Apply(uint64(i), record)
@@ -77,10 +77,9 @@
 	require.Equal(t, len(items), state.Jobs["j"].Total)
 }
 
-// The log is away for seconds while 250 samples run. What has piled up is more
-// than one append may hold; sent whole it was refused for ever, and with it
-// every result after it.
-func TestPiledUpNewsIsSplit(t *testing.T) {
+// The log is unavailable for seconds while 250 samples run. The backlog is larger than one
+// append may be: sent in one piece it was refused for ever, and blocked every later result.
+func TestBacklogIsSplit(t *testing.T) {
 	l := &strictLog{}
 	o := newStrictOutbox(l)
 	o.add(false, func(r *jobs.Record) {
@@ -90,7 +89,7 @@
 		r.Releases = []string{"j"}
 	})
 	for i := range 500 {
-		o.result(&jobs.Job{Spec: jobs.Spec{ID: "j"}}, 7, jobs.Result{Job: "j", Item: fmt.Sprint(i), Text: strings.Repeat("x", 20_000)})
+		o.addResult(&jobs.Job{Spec: jobs.Spec{ID: "j"}}, 7, jobs.Result{Job: "j", Item: fmt.Sprint(i), Text: strings.Repeat("x", 20_000)})
 	}
 	require.True(t, flushAll(t, o))
 	starts, results, texts, last := 0, 0, 0, -1
@@ -113,12 +112,12 @@
 	require.Equal(t, 20_000, starts)
 	require.Equal(t, 500, results)
 	require.Equal(t, 500, texts)
-	require.Equal(t, len(l.records)-1, last, "a job is given up behind its text")
+	require.Equal(t, len(l.records)-1, last, "a job is released after its texts")
 }
 
-// Records that the log refuses for what they are would hold up all that comes
-// after them; they are dropped, and the next go through.
-func TestRefusedRecordsHoldNothingUp(t *testing.T) {
+// Records that the log refuses as invalid would block all later ones; they are dropped, and
+// the next ones are appended.
+func TestRefusedRecordsDoNotBlockLaterOnes(t *testing.T) {
 	l := &strictLog{refuse: 1}
 	o := newStrictOutbox(l)
 	o.add(false, func(r *jobs.Record) { r.Ends = []string{"bad"} })
@@ -129,23 +128,23 @@
 	require.Contains(t, string(l.records[0]), "good")
 }
 
-func TestNothingToSayIsNotAppended(t *testing.T) {
+func TestEmptyOutboxAppendsNothing(t *testing.T) {
 	l := &strictLog{}
 	o := newStrictOutbox(l)
 	require.False(t, o.flush(t.Context(), false))
-	require.True(t, o.flush(t.Context(), true), "a sign of life")
+	require.True(t, o.flush(t.Context(), true), "heartbeat without other content")
 	require.Len(t, l.records, 1)
 }
 
-// A partition of the log is away for a while, with what is appended meanwhile.
-type awayLog struct {
+// unavailableLog refuses the appends to one partition.
+type unavailableLog struct {
 	strictLog
-	away    string
-	streams []string
+	unavailable string
+	streams     []string
 }
 
-func (l *awayLog) AppendAll(ctx context.Context, stream string, records [][]byte) (uint64, error) {
-	if stream == l.away {
+func (l *unavailableLog) AppendAll(ctx context.Context, stream string, records [][]byte) (uint64, error) {
+	if stream == l.unavailable {
 		return 0, platform.ErrLogUnavailable
 	}
 	for range records {
@@ -154,30 +153,30 @@
 	return l.strictLog.AppendAll(ctx, stream, records)
 }
 
-// A job's partition is away while its samples make events. Whole texts go elsewhere at
-// once; the texts so far wait, keep their order, and nothing of them is lost or
-// appended twice. The job is given up only behind them.
-func TestTextsSoFarWaitForTheirPartition(t *testing.T) {
-	l := &awayLog{away: textStream(2)}
+// A job's partition is unavailable while its samples make events. Complete texts go to another
+// partition at once. Partial texts wait and keep their order, and none of them is lost or
+// appended twice. The job is released only after them.
+func TestPartialTextsWaitForTheirPartition(t *testing.T) {
+	l := &unavailableLog{unavailable: textStream(2)}
 	o := newOutbox(l, jobs.Writer{Node: "a", Life: "1"}, 4, func() bool { return true }, func(textKey, string) {}, zap.NewNop())
 	j := &jobs.Job{Spec: jobs.Spec{ID: "j"}, ItemsRef: jobs.TextRef{Partition: 2}}
 	event := func(i int) jobs.Progress {
 		return jobs.Progress{Item: "slow", From: i, Events: []jobs.Event{{Data: fmt.Sprint(i), Version: 1}}}
 	}
 	for i := range 5 {
-		o.progress(j, 7, event(i))
-		o.result(j, 7, jobs.Result{Job: "j", Item: fmt.Sprint("whole", i), Text: "text"})
-		require.False(t, o.flushLane(t.Context(), o.lanes[2]))
+		o.addProgress(j, 7, event(i))
+		o.addResult(j, 7, jobs.Result{Job: "j", Item: fmt.Sprint("whole", i), Text: "text"})
+		require.False(t, o.flushAppender(t.Context(), o.appenders[2]))
 	}
-	o.release(j)
-	require.False(t, o.flushLane(t.Context(), o.lanes[2]))
+	o.addRelease(j)
+	require.False(t, o.flushAppender(t.Context(), o.appenders[2]))
 	require.Len(t, o.pending.Results, 5)
 	require.Empty(t, o.pending.Releases)
 	for _, r := range o.pending.Results {
 		require.NotEqual(t, 2, r.Ref.Partition)
 	}
-	l.away = ""
-	require.True(t, o.flushLane(t.Context(), o.lanes[2]))
+	l.unavailable = ""
+	require.True(t, o.flushAppender(t.Context(), o.appenders[2]))
 	require.Equal(t, []string{"j"}, o.pending.Releases)
 	texts := jobs.NewTexts("j")
 	for i, data := range l.records {
@@ -191,11 +190,11 @@
 	require.Len(t, texts.LongestOutput("slow", 1).Events, 5)
 }
 
-// A job's partition is away. Its owner loses the job and has it again, and goes on from
-// the one event that the log had, with another run. The events that it had made before
-// stand under its earlier claim: under the new one they would be taken for that run's.
-func TestEventsOfTwoClaimsAreKeptApart(t *testing.T) {
-	l := &awayLog{away: textStream(2)}
+// A job's partition is unavailable. Its owner loses the job, owns it again, and resumes from
+// the one event that the log had, in another run. The events that it had made before belong to
+// its earlier claim: under the new one they would count as events of the new run.
+func TestEventsOfTwoClaimsAreSeparate(t *testing.T) {
+	l := &unavailableLog{unavailable: textStream(2)}
 	o := newOutbox(l, jobs.Writer{Node: "a", Life: "1"}, 4, func() bool { return true }, func(textKey, string) {}, zap.NewNop())
 	j := &jobs.Job{Spec: jobs.Spec{ID: "j"}, ItemsRef: jobs.TextRef{Partition: 2}}
 	events := func(run string, from, to int) jobs.Progress {
@@ -205,11 +204,11 @@
 		}
 		return p
 	}
-	o.progress(j, 7, events("first", 0, 4))
-	require.False(t, o.flushLane(t.Context(), o.lanes[2]))
-	o.progress(j, 9, events("second", 0, 6))
-	l.away = ""
-	require.True(t, o.flushLane(t.Context(), o.lanes[2]))
+	o.addProgress(j, 7, events("first", 0, 4))
+	require.False(t, o.flushAppender(t.Context(), o.appenders[2]))
+	o.addProgress(j, 9, events("second", 0, 6))
+	l.unavailable = ""
+	require.True(t, o.flushAppender(t.Context(), o.appenders[2]))
 	texts := jobs.NewTexts("j")
 	for _, data := range l.records {
 		record, err := jobs.DecodeText(data)
--- a/gateway/jobs/plan_bench_test.go
+++ b/gateway/jobs/plan_bench_test.go
@@ -12,15 +12,15 @@
 	"dandelionsill.org/gateway/gatewaytest"
 )
 
-// One plan of an owner that runs six steps of 150 samples on 73 engines: it plans up to
-// 50 times a second.
+// BenchmarkPlan measures one plan of an owner that runs six steps of 150 samples on 73 engines;
+// an owner plans up to 50 times a second.
 func BenchmarkPlan(b *testing.B) {
 	const steps, items, engines = 6, 150, 73
 	pf := gatewaytest.NewPlatform(b, engines, 0)
 	p := pf.NewProcess(b)
-	book := NewBook(p.Store, zap.NewNop())
+	index := NewIndex(p.Store, zap.NewNop())
 	writer := jobs.Writer{Node: "a", Life: "1"}
-	r := NewRunner(book, p.Store, p.Forward, writer, 3, 1200, zap.NewNop())
+	r := NewRunner(index, p.Store, p.Forward, writer, 3, 1200, zap.NewNop())
 	servers := p.View.Now().Servers["engines"]
 	now := time.Now()
 	for k := range steps {
@@ -29,23 +29,23 @@
 		for i := range items {
 			a.Items = append(a.Items, jobs.ItemRef{ID: fmt.Sprintf("%s-%03d", job, i), Group: fmt.Sprint("g", i/8)})
 		}
-		book.state.Apply(uint64(k), &jobs.Record{Writer: writer, Acceptance: a})
-		j := book.state.Jobs[job]
-		works := map[string]*work{}
+		index.state.Apply(uint64(k), &jobs.Record{Writer: writer, Acceptance: a})
+		j := index.state.Jobs[job]
+		active := map[string]*activeItem{}
 		for i, id := range j.Order {
-			w := newWork(j, jobs.Item{Request: jobs.Request{ID: id, Host: "app.example", Path: "/chat/" + id}, Group: a.Items[i].Group}, jobs.Output{})
-			w.lastEvent, w.streamed = now.Add(time.Hour), 1 // not silent
-			w.size.Model, w.size.Expected = "m", 100+i
-			w.phase, w.server = running, servers[i%engines].ID
-			works[id] = w
+			item := newActiveItem(j, jobs.Item{Request: jobs.Request{ID: id, Host: "app.example", Path: "/chat/" + id}, Group: a.Items[i].Group}, jobs.Output{})
+			item.lastEventAt, item.streamEvents = now.Add(time.Hour), 1 // not silent
+			item.size.Model, item.size.Expected = "m", 100+i
+			item.phase, item.server = running, servers[i%engines].ID
+			active[id] = item
 		}
-		r.works[job] = works
+		r.active[job] = active
 	}
 	for i := range 30 {
-		w := r.works["j0"]["j0-000"]
-		w.size.Expected, w.events = 50+i, make([]jobs.Event, 10+i)
-		r.learnLength(w)
-		w.events = nil
+		item := r.active["j0"]["j0-000"]
+		item.size.Expected, item.events = 50+i, make([]jobs.Event, 10+i)
+		r.observeLength(item)
+		item.events = nil
 	}
 	for _, s := range servers {
 		r.paces.Observe(s.ID, 75*time.Millisecond, now)
--- a/gateway/jobs/poison_test.go
+++ b/gateway/jobs/poison_test.go
@@ -11,7 +11,7 @@
 	"dandelionsill.org/platform/hosted/hostedtest"
 )
 
-func crashed(servers []*hostedtest.Server) int {
+func countCrashed(servers []*hostedtest.Server) int {
 	n := 0
 	for _, s := range servers {
 		if s.Crashed() {
@@ -21,11 +21,11 @@
 	return n
 }
 
-// One sample of a step crashes each engine that begins it. An engine that ends is no
-// failure of the sample's own, so that its owner moved it on from engine to engine until
-// none was left, and the whole step with it. Now the fourth engine never gets it: the
-// step's other samples are whole, also those that were at the engines that ended.
-func TestSampleThatCrashesEnginesIsHeldBack(t *testing.T) {
+// One sample of a step crashes each engine that starts it. A crash of the engine is not counted
+// as a failure of the sample, so its owner moved it from engine to engine until none was left
+// for the whole step. With the quarantine the fourth engine never gets it: the step's other
+// samples are complete, also those that ran at the crashed engines.
+func TestSampleThatCrashesEnginesIsQuarantined(t *testing.T) {
 	t.Parallel()
 	pf := gatewaytest.NewPlatform(t, 6, 1)
 	for _, s := range pf.Engines {
@@ -33,27 +33,27 @@
 	}
 	e := newEntry(t, pf, "a")
 	e.submit(t, "j", 6, 1)
-	requireWhole(t, e.results(t, "j", 5), pf.Engines[0].Events)
-	require.Eventually(t, func() bool { return crashed(pf.Engines) == poison.QuarantineThreshold }, gatewaytest.Wait, time.Millisecond)
+	requireComplete(t, e.results(t, "j", 5), pf.Engines[0].Events)
+	require.Eventually(t, func() bool { return countCrashed(pf.Engines) == poison.QuarantineThreshold }, gatewaytest.Wait, time.Millisecond)
 
-	// The trainer hands the same sample in again, in a later job and at another owner.
+	// The trainer submits the same sample again, in a later job and at another owner.
 	other := newEntry(t, pf, "b")
 	head, items := decode(t, "k", hostedtest.Job("j", "m", 2, 1))
 	require.Nil(t, other.service.Submit(t.Context(), head, items))
-	requireWhole(t, other.results(t, "k", 1), pf.Engines[0].Events)
-	require.Equal(t, poison.QuarantineThreshold, crashed(pf.Engines))
+	requireComplete(t, other.results(t, "k", 1), pf.Engines[0].Events)
+	require.Equal(t, poison.QuarantineThreshold, countCrashed(pf.Engines))
 	for _, job := range []string{"j", "k"} {
 		_, results, err := other.service.Results(t.Context(), job, 0, 0)
 		require.Nil(t, err)
 		for _, r := range results {
-			require.NotEqual(t, "j-i0", r.Item, "it has not failed in a way that its trainer may be told of")
+			require.NotEqual(t, "j-i0", r.Item, "a quarantined sample must not be reported as a result")
 		}
 	}
 }
 
-// The call for one sample's score crashes each server that runs it, and is made again
-// for as long as the sample's job is open. The servers that are left score the others.
-func TestScoreThatCrashesServersIsStopped(t *testing.T) {
+// The call for one sample's score crashes each server that runs it, and is repeated as long as
+// the sample's job is open. The remaining servers score the other samples.
+func TestScoreThatCrashesServersIsQuarantined(t *testing.T) {
 	t.Parallel()
 	pf := gatewaytest.NewPlatform(t, 2, 5)
 	for _, s := range pf.Plain {
@@ -61,9 +61,9 @@
 	}
 	e := newEntry(t, pf, "a")
 	e.submit(t, "j", 6, 1)
-	requireWhole(t, e.results(t, "j", 5), pf.Engines[0].Events)
-	require.Eventually(t, func() bool { return crashed(pf.Plain) == poison.QuarantineThreshold }, gatewaytest.Wait, time.Millisecond)
+	requireComplete(t, e.results(t, "j", 5), pf.Engines[0].Events)
+	require.Eventually(t, func() bool { return countCrashed(pf.Plain) == poison.QuarantineThreshold }, gatewaytest.Wait, time.Millisecond)
 	e.submit(t, "k", 4, 1)
-	requireWhole(t, e.results(t, "k", 4), pf.Engines[0].Events)
-	require.Equal(t, poison.QuarantineThreshold, crashed(pf.Plain))
+	requireComplete(t, e.results(t, "k", 4), pf.Engines[0].Events)
+	require.Equal(t, poison.QuarantineThreshold, countCrashed(pf.Plain))
 }
--- a/gateway/jobs/reads.go
+++ b/gateway/jobs/reads.go
@@ -12,18 +12,18 @@
 	"dandelionsill.org/platform"
 )
 
-// endKB is what a read asks for that only looks for the log's end. With as much as
-// the log gives, each question about a job that a process did not know yet cost a
-// megabyte, while hundreds of processes read the past.
-const endKB = 1
+// endReadKB is the size of a read that only looks for the log's end. With reads of the usual
+// size, each question about an unknown job cost a megabyte while hundreds of processes were
+// reading the past.
+const endReadKB = 1
 
 var (
-	bytesRead   = metrics.Counter("jobs_log_read_bytes_total")
-	readsCutOff = metrics.Counter("jobs_log_reads_cut_off_total")
+	bytesRead     = metrics.Counter("jobs_log_read_bytes_total")
+	readsTimedOut = metrics.Counter("jobs_log_reads_cut_off_total")
 )
 
-// reader reads the log in pieces of a size that the log can bear beside the reads of
-// all other processes. It is safe for concurrent use.
+// reader reads the log in pages whose size adapts to the load that the reads of all other
+// processes put on the log. It is safe for concurrent use.
 type reader struct {
 	log platform.Log
 
@@ -33,41 +33,41 @@
 
 func newReader(log platform.Log) *reader { return &reader{log: log} }
 
-func (r *reader) kb() int {
+func (r *reader) windowKB() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.window.KB()
 }
 
-// read returns records of a stream from an offset on, as many as the log is asked for
-// at a time, waiting up to wait for the first.
+// read returns records of a stream from an offset on, in a page of the current window's size,
+// and waits for at most wait for the first.
 func (r *reader) read(ctx context.Context, stream string, from uint64, wait time.Duration) (platform.Page, error) {
-	return r.readMost(ctx, stream, from, r.kb(), wait)
+	return r.readUpTo(ctx, stream, from, r.windowKB(), wait)
 }
 
-// readMost reads no more than some KB, but one record at least.
-func (r *reader) readMost(ctx context.Context, stream string, from uint64, most int, wait time.Duration) (platform.Page, error) {
-	for kb := min(most, r.kb()); ; {
+// readUpTo is read with a limit of maxKB, but returns at least one record if there is one.
+func (r *reader) readUpTo(ctx context.Context, stream string, from uint64, maxKB int, wait time.Duration) (platform.Page, error) {
+	for kb := min(maxKB, r.windowKB()); ; {
 		sent := time.Now()
 		page, err := r.log.Read(ctx, stream, from, kb, wait)
-		r.note(kb, page, err, time.Since(sent))
+		r.observe(kb, page, err, time.Since(sent))
 		if err != nil || len(page.Records) > 0 || page.End <= from {
 			return page, err
 		}
-		// A log that gives no record larger than what was asked for would be asked
-		// for the same one for ever.
+		// The log may return no record that is larger than the requested size: without a
+		// larger request the same read would be repeated for ever.
 		if kb = fetch.LargerKB(kb); kb == 0 {
-			return page, errors.Errorf("record %d of %s is larger than the log gives", from, stream)
+			return page, errors.Errorf("record %d of stream %s is larger than the largest read", from, stream)
 		}
 	}
 }
 
-// note tells the window how a read of some KB went.
-func (r *reader) note(kb int, page platform.Page, err error, took time.Duration) {
+// observe reports the outcome of a read of kb KB to the window.
+func (r *reader) observe(kb int, page platform.Page, err error, took time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if errors.Is(err, context.DeadlineExceeded) {
-		readsCutOff.Add(1)
+		readsTimedOut.Add(1)
 		r.window.RecordTimeout(kb)
 		return
 	}
@@ -79,10 +79,10 @@
 	r.window.RecordAnswer(kb, got, took)
 }
 
-// end returns the offset behind the last record of a stream; from is one that is
-// known to stand there, or zero.
-func (r *reader) end(ctx context.Context, stream string, from uint64) (uint64, error) {
-	page, err := r.log.Read(ctx, stream, from, endKB, 0)
+// endOffset returns the offset after the last record of a stream. from is an offset that is
+// known to exist there, or zero.
+func (r *reader) endOffset(ctx context.Context, stream string, from uint64) (uint64, error) {
+	page, err := r.log.Read(ctx, stream, from, endReadKB, 0)
 	if errors.Is(err, platform.ErrTruncated) {
 		return page.First, nil
 	}
--- a/gateway/jobs/slowstore_test.go
+++ b/gateway/jobs/slowstore_test.go
@@ -16,47 +16,46 @@
 	"dandelionsill.org/platform/hosted/hostedtest"
 )
 
-// overload is a spell in which the store's reads are scarcer than its followers
-// ask for.
+// overload is a period in which the store accepts fewer reads than its followers make.
 type overload struct {
 	entries int
-	// readsPerS is the store's rate of reads, all entries together.
+	// readsPerS is the store's rate of reads for all entries together.
 	readsPerS int
 	slow      time.Duration // of each read
 	jobs      int
-	// away are the streams that can't be read at all for a part of the spell.
-	away []string
-	// restarts is how many entries start anew meanwhile.
+	// unavailable are the streams that can't be read for a part of the period.
+	unavailable []string
+	// restarts is how many entries restart meanwhile.
 	restarts int
 }
 
 var overloads = rapid.Custom(func(t *rapid.T) overload {
 	return overload{
-		entries:   rapid.IntRange(3, 6).Draw(t, "entries"),
-		readsPerS: rapid.IntRange(5, 40).Draw(t, "reads a second"),
-		slow:      time.Duration(rapid.IntRange(0, 80).Draw(t, "ms a read")) * time.Millisecond,
-		jobs:      rapid.IntRange(2, 5).Draw(t, "jobs"),
-		away:      rapid.SampledFrom([][]string{nil, {jobs.Stream}, {"texts"}}).Draw(t, "away"),
-		restarts:  rapid.IntRange(0, 2).Draw(t, "restarts"),
+		entries:     rapid.IntRange(3, 6).Draw(t, "entries"),
+		readsPerS:   rapid.IntRange(5, 40).Draw(t, "reads a second"),
+		slow:        time.Duration(rapid.IntRange(0, 80).Draw(t, "ms a read")) * time.Millisecond,
+		jobs:        rapid.IntRange(2, 5).Draw(t, "jobs"),
+		unavailable: rapid.SampledFrom([][]string{nil, {jobs.Stream}, {"texts"}}).Draw(t, "away"),
+		restarts:    rapid.IntRange(0, 2).Draw(t, "restarts"),
 	}
 })
 
-// A fleet has grown until its followers ask more of the store than it answers:
-// most reads are refused, followers fall behind, some start again and read the
-// whole past through the same store. While it lasts an entry may say that it does
-// not know; it never says of an accepted job that there is none. Afterwards every
-// entry gives every accepted job whole, the results at the same positions.
-func TestFollowersOfAnOverloadedStoreLoseNothing(t *testing.T) {
+// A fleet has grown until its followers need more reads than the store accepts: most reads are
+// refused, followers fall behind, and some restart and read all records through the same store.
+// Meanwhile an entry may answer that it does not know, but never that an accepted job does not
+// exist. Afterwards every entry returns every accepted job complete, with the results at the
+// same positions.
+func TestFollowersOfOverloadedStoreLoseNothing(t *testing.T) {
 	t.Parallel()
 	for seed := range 6 {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			overloads.Example(seed).play(t)
+			overloads.Example(seed).run(t)
 		})
 	}
 }
 
-func (o overload) play(t *testing.T) {
+func (o overload) run(t *testing.T) {
 	t.Logf("%+v", o)
 	pf := gatewaytest.NewPlatform(t, 2, 1)
 	for _, e := range pf.Engines {
@@ -78,26 +77,26 @@
 		entries[i].Stop()
 		entries[i] = startEntry(t, pf, fmt.Sprintf("n%d", i), "2")
 	}
-	if o.away != nil {
-		pf.Store.Fail(hostedtest.StoreFaults{ReadsPerS: o.readsPerS, SlowReads: o.slow, Away: o.away})
+	if o.unavailable != nil {
+		pf.Store.Fail(hostedtest.StoreFaults{ReadsPerS: o.readsPerS, SlowReads: o.slow, Away: o.unavailable})
 	}
 	for _, e := range entries {
 		for _, id := range accepted {
-			requireHonest(t, e, id)
+			requireNeverNotFound(t, e, id)
 		}
 	}
 	pf.Store.Fail(hostedtest.StoreFaults{})
 	for _, id := range accepted {
 		first := entries[0].results(t, id, 2)
-		requireWhole(t, first, 40)
+		requireComplete(t, first, 40)
 		for _, e := range entries[1:] {
-			require.Equal(t, order(first), order(e.results(t, id, 2)), "%s at another entry", id)
+			require.Equal(t, itemOrder(first), itemOrder(e.results(t, id, 2)), "%s at another entry", id)
 		}
 	}
 }
 
-// accepts submits a job and tells whether it is accepted. One that is not has to be
-// handed in again by its trainer, elsewhere; that is not played here.
+// accepts submits a job and reports whether it is accepted. A trainer would submit a refused job
+// again at another entry; the test does not.
 func (e *entry) accepts(t *testing.T, id string) bool {
 	head, items := decode(t, id, hostedtest.Job(id, "m", 2, 1))
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
@@ -105,8 +104,8 @@
 	return e.service.Submit(ctx, head, items) == nil
 }
 
-// requireHonest asks once for an accepted job.
-func requireHonest(t *testing.T, e *entry, id string) {
+// requireNeverNotFound reads an accepted job once.
+func requireNeverNotFound(t *testing.T, e *entry, id string) {
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
 	_, _, err := e.service.Results(ctx, id, 0, 0)
@@ -115,8 +114,8 @@
 	}
 }
 
-// order lists the items by their position.
-func order(results []fold.Result) []string {
+// itemOrder returns the items in the order of their positions.
+func itemOrder(results []fold.Result) []string {
 	var ids []string
 	for _, r := range results {
 		ids = append(ids, r.Item)
--- a/gateway/jobs/submit_bench_test.go
+++ b/gateway/jobs/submit_bench_test.go
@@ -12,7 +12,7 @@
 	"dandelionsill.org/platform/hosted/hostedtest"
 )
 
-// ns for what an entry does to a step of 120 samples before it is accepted.
+// BenchmarkSubmission measures what an entry does with a step of 120 samples before accepting it.
 func BenchmarkSubmission(b *testing.B) {
 	const items = 120
 	job := hostedtest.Job("j", "m", items, 1)
@@ -50,7 +50,7 @@
 	}
 	b.Run("encode", func(b *testing.B) {
 		for b.Loop() {
-			records, err := itemRecords(jobs.Writer{Node: "front-a-1", Life: "1"}, "j", list)
+			records, err := encodeItems(jobs.Writer{Node: "front-a-1", Life: "1"}, "j", list)
 			if err != nil {
 				b.Fatal(err)
 			}
