--- a/gateway/forward/bench_test.go
+++ b/gateway/forward/bench_test.go
@@ -9,7 +9,8 @@
 	"dandelionsill.org/gateway/gatewaytest"
 )
 
-// One safe request through the forwarder, the stand-in's side included.
+// BenchmarkSend measures one repeatable request through the forwarder, including the
+// stand-in server.
 func BenchmarkSend(b *testing.B) {
 	pf := gatewaytest.NewPlatform(b, 0, 3)
 	p := pf.NewProcess(b)
--- a/gateway/forward/forward.go
+++ b/gateway/forward/forward.go
@@ -1,6 +1,6 @@
-// Package forward gets one request answered by a server of its service: it
-// picks servers, repeats what may be repeated, and tells truthfully whether a
-// request that failed has not run.
+// Package forward sends a request to a server of its service and returns the answer. It
+// picks the servers, retries and hedges where the route allows it, and reports a failed
+// request as "not run" only if no server can have run it.
 package forward
 
 import (
@@ -28,25 +28,28 @@
 	"dandelionsill.org/quarantine"
 )
 
-// Limits of the tries of one request.
+// Limits of the attempts of one request.
 const (
-	// maxRefusals bounds the servers that may refuse a request unrun before
-	// it is given up; they don't count against the route's attempts.
+	// maxRefusals bounds how many servers may refuse a request without running it
+	// before the request is given up. Refusals don't count against the route's
+	// attempts.
 	maxRefusals = 6
-	// hedgeShare of the route's objective passes before a safe request is sent
-	// to a second server as well. A server that has gone dark answers never,
-	// and the objective is then still met by the second one.
+	// hedgeShare is the share of the route's objective after which a repeatable request
+	// is also sent to a second server. If the first server never answers, the second
+	// one can still meet the objective.
 	hedgeShare = 0.5
-	// defaultHedgeDelay is for routes without an objective.
+	// defaultHedgeDelay is the hedge delay of routes without an objective.
 	defaultHedgeDelay = 300 * time.Millisecond
-	// refusedRetryDelay lies between rounds of servers that are all full.
+	// refusedRetryDelay is the pause after every server was tried, before they are
+	// tried again.
 	refusedRetryDelay = 20 * time.Millisecond
-	// maxBodyBytes bounds an answer that is read whole, in bytes.
+	// maxBodyBytes bounds the body of an answer that is buffered completely.
 	maxBodyBytes = 32 << 20
-	// retryAfter is when callers are told to come back: the time in which a
-	// full server ends a few requests.
+	// retryAfter is the retry delay suggested to callers whose request did not run. A
+	// full server completes a few requests in this time.
 	retryAfter = 250 * time.Millisecond
-	// minAttemptTime is the least time that a try is worth.
+	// minAttemptTime is the least time before the deadline in which another attempt is
+	// made.
 	minAttemptTime = 5 * time.Millisecond
 )
 
@@ -55,7 +58,7 @@
 	hedges   = metrics.Counter("forward_hedges_total")
 )
 
-// Call is a request to be answered by a service.
+// Call is a request to forward to a server of a service.
 type Call struct {
 	Route  *table.Route
 	ID     string
@@ -64,29 +67,30 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Organisation is whose request it is; empty: nobody's.
+	// Organisation is the organisation that the request belongs to; empty if there is
+	// none.
 	Organisation string
-	// Deadline is when the answer is of no more use.
+	// Deadline is the time after which the answer is of no use.
 	Deadline time.Time
 }
 
-// Reply is the whole answer of a server.
+// Reply is the complete answer of a server.
 type Reply struct {
 	Status int
 	Header http.Header
 	Body   []byte
 	Server string
-	// Failures is how many servers answered the call with an internal error.
+	// Failures is the number of servers that answered the call with status 500.
 	Failures int
 }
 
-// Forwarder sends calls to the servers of the view.
+// Forwarder sends calls to the servers listed in the view.
 type Forwarder struct {
 	View *view.View
 	Pool *backend.Pool
-	// Quarantine keeps requests that crash servers from reaching any.
+	// Quarantine withholds requests that crash servers from all servers.
 	Quarantine *quarantine.Quarantine
-	// Usage counts the requests of organisations that began to run; nil: nobody does.
+	// Usage counts the started requests of each organisation; nil disables counting.
 	Usage *usage.Counter
 
 	domain      string
@@ -95,7 +99,7 @@
 	policy      *route.Policy
 }
 
-// New returns a forwarder of a process in a failure domain.
+// New returns a forwarder for a process in the failure domain.
 func New(v *view.View, pool *backend.Pool, domain string, log *zap.Logger) *Forwarder {
 	policy := &route.Policy{
 		Stages:  append(route.HardStages(), route.SoftStages()...),
@@ -105,8 +109,8 @@
 	return &Forwarder{View: v, Pool: pool, Quarantine: quarantine.New(logs.Part(log, "quarantine")), domain: domain, log: log, serverStats: newServerStats(), policy: policy}
 }
 
-// Send returns a server's answer or the reason why there is none. ctx ends
-// when the caller has gone.
+// Send forwards the call and returns a server's answer, or the error to report to the
+// caller. ctx must end when the caller disconnects.
 func (f *Forwarder) Send(ctx context.Context, call Call) (*Reply, *kinds.Error) {
 	ctx, cancel := context.WithDeadline(ctx, call.Deadline)
 	defer cancel()
@@ -118,49 +122,50 @@
 	return reply, err
 }
 
-// choice is why a server was asked.
+// choice is the server picked for an attempt, with the reason for the pick.
 type choice struct {
 	server          members.Server
 	listed          int    // servers of the service
-	eligible        int    // of them after the filters
-	load            int    // this process's requests there
-	reason          string // how it was picked
-	skippedEjection bool   // the filter of outliers had to be passed over
+	eligible        int    // servers that the filters left
+	load            int    // requests of this process in flight at the server
+	reason          string // why the policy picked the server
+	skippedEjection bool   // the policy had to skip the filter of ejected servers
 }
 
-// outcome is how one try ended.
+// outcome is the result of one attempt.
 type outcome struct {
 	choice
 	reply   *Reply
 	err     error
 	notRun  bool
-	crashed bool // the server's process ended under the request
-	ctxDone bool // the request was over before
+	crashed bool // the server's process ended while it had the request
+	ctxDone bool // the request's context had ended before the attempt did
 	took    time.Duration
 }
 
-// started tells whether the server started to run the request, as far as can be known: one
-// whose connection broke had it.
+// started reports whether the server started to run the request, as far as can be
+// known. A request whose connection broke counts as started.
 func (o *outcome) started() bool {
 	return !o.notRun && !o.ctxDone && (o.err == nil || !errors.Is(o.err, backend.ErrNotSent))
 }
 
-// callState is one call on its way. All fields belong to the goroutine of run.
+// callState is the state of one call that is being forwarded. All fields belong to the
+// goroutine of run or Stream.
 type callState struct {
 	forwarder *Forwarder
 	call      Call
 	held      *kinds.Held
 	service   string
 	tried     map[string]bool
-	asked     []string // servers in the order in which they were asked
+	asked     []string // ids of the servers asked, in that order
 	outcomes  chan outcome
 	start     time.Time
 
-	inFlight    int // tries without an outcome
-	mayHaveRun  int // tries that may have run, running ones included
+	inFlight    int // attempts without an outcome
+	mayHaveRun  int // attempts that may have run, those in flight included
 	refusals    int
-	failures    int      // internal errors that servers answered
-	lastFailure *outcome // the newest failure that a server answered itself
+	failures    int      // answers with status 500
+	lastFailure *outcome // the latest answer with a status of 500 or more
 	subject     *quarantine.Subject
 	usage       *usage.Request
 }
@@ -171,6 +176,7 @@
 	return s
 }
 
+// run starts attempts until there is an answer or an error to return.
 func (s *callState) run(ctx context.Context) (*Reply, *kinds.Error) {
 	hedge := time.NewTimer(s.hedgeDelay())
 	defer hedge.Stop()
@@ -201,13 +207,14 @@
 	return time.Duration(hedgeShare * float64(s.call.Route.Objective))
 }
 
-// mayRepeat tells whether one more server may be asked while others may have
-// run the request.
+// mayRepeat reports whether the request may be sent to another server although the
+// servers asked so far may have run it.
 func (s *callState) mayRepeat() bool {
 	return s.mayHaveRun == 0 || s.call.Route.Repeatable() && s.mayHaveRun < s.call.Route.MaxAttempts
 }
 
-// handleOutcome takes the outcome of a try: an answer, one more try, or the failure.
+// handleOutcome records the outcome of an attempt. It returns the final answer or error
+// and true, or false if an attempt is in flight or was started.
 func (s *callState) handleOutcome(ctx context.Context, o outcome) (*Reply, *kinds.Error, bool) {
 	s.inFlight--
 	if o.notRun {
@@ -239,13 +246,14 @@
 	return s.finalFailure()
 }
 
-// retry launches one more try where that is allowed and of use.
+// retry starts another attempt and returns true, if one is allowed, there is time for
+// it, and a server can be picked.
 func (s *callState) retry(ctx context.Context) bool {
 	if !s.mayRepeat() || s.refusals > maxRefusals || time.Until(s.call.Deadline) < minAttemptTime {
 		return false
 	}
 	if s.inFlight > 0 && s.isSuspect() {
-		return false // one server at a time: the one that has it may end as well
+		return false // one server at a time, since the one that has the request may crash too
 	}
 	if s.launch(ctx) {
 		return true
@@ -253,7 +261,7 @@
 	if s.inFlight > 0 || s.isQuarantined() {
 		return false
 	}
-	// Every server had its turn: after a short pause they get another.
+	// All servers have been tried: try them again after a short pause.
 	clear(s.tried)
 	select {
 	case <-time.After(refusedRetryDelay):
@@ -263,7 +271,8 @@
 	return s.launch(ctx)
 }
 
-// finalFailure is the answer when no try is left.
+// finalFailure returns the result of a call that no further attempt is made for: the
+// last failure that a server answered, or else an error.
 func (s *callState) finalFailure() (*Reply, *kinds.Error, bool) {
 	if s.lastFailure != nil {
 		s.lastFailure.reply.Failures = s.failures
@@ -278,6 +287,8 @@
 	return nil, kinds.New(kinds.OutcomeUnknown, "no whole answer of the servers asked: %v", s.asked), true
 }
 
+// contextError returns the error of a call whose ctx has ended: the caller
+// disconnected, or the deadline passed.
 func (s *callState) contextError(ctx context.Context) *kinds.Error {
 	if ctx.Err() == context.Canceled {
 		if s.inFlight > 0 {
@@ -291,8 +302,8 @@
 	return kinds.New(kinds.DeadlineExceeded, "no answer within %v of the servers asked: %v", time.Since(s.start).Round(time.Millisecond), s.asked)
 }
 
-// refuse makes a "not run" error, which turns into "outcome unknown" where a
-// try may have run.
+// refuse returns a "not run" error, which becomes "outcome unknown" if an attempt may
+// have run.
 func (s *callState) refuse(kind kinds.NotRunKind, reason string) *kinds.Error {
 	if s.mayHaveRun > 0 {
 		s.held.Send()
@@ -300,7 +311,8 @@
 	return s.held.Refuse(kind, "%s", reason).WithRetryAfter(retryAfter)
 }
 
-// launch sends the request to one more server; false: there is none.
+// launch starts an attempt at another server. It returns false if none can be picked or
+// the request is quarantined.
 func (s *callState) launch(ctx context.Context) bool {
 	if s.isQuarantined() {
 		return false
@@ -318,6 +330,7 @@
 	return true
 }
 
+// pick chooses the server of the next attempt; false means that none is eligible.
 func (s *callState) pick() (choice, bool) {
 	servers := s.forwarder.View.Now().Servers[s.service]
 	candidates := s.forwarder.serverStats.candidates(s.service, s.forwarder.domain, servers, time.Now())
@@ -335,7 +348,7 @@
 	}, true
 }
 
-// attempt sends the request to one server and reads its whole answer.
+// attempt sends the request to one server and reads its complete answer.
 func (f *Forwarder) attempt(ctx context.Context, call Call, service string, c choice) outcome {
 	start := time.Now()
 	server := c.server
@@ -353,8 +366,9 @@
 	return o
 }
 
-// ServerCrashed tells whether a connection that broke under a request shows that the
-// server's process ended. One that leaves ends by itself, whatever it runs.
+// ServerCrashed reports whether the server's process ended, after a connection broke
+// while it carried a request. A leaving server ends regularly, whatever it runs, so
+// that its end is no crash.
 func (f *Forwarder) ServerCrashed(ctx context.Context, service string, server members.Server) bool {
 	listed, known := f.View.Now().Server(service, server.ID)
 	return known && !listed.Leaving && f.Pool.Ended(ctx, server.Addr)
@@ -370,14 +384,14 @@
 	if err != nil {
 		return nil, err
 	}
-	// A success without the server's signature is not the server's answer.
+	// A success without a signature did not come from the server.
 	if answer.Status < http.StatusMultipleChoices && hosted.Seal(answer.Header) == "" {
 		return nil, errors.Annotate(backend.ErrBroken, "success without a signature")
 	}
 	return &Reply{Status: answer.Status, Header: answer.Header, Body: body, Server: server.ID}, nil
 }
 
-// logAttempt writes one line for a try: why that server, and how it ended.
+// logAttempt logs why the server of an attempt was picked and how the attempt ended.
 func (f *Forwarder) logAttempt(call *Call, service string, o *outcome) {
 	status := 0
 	if o.reply != nil {
--- a/gateway/forward/forward_test.go
+++ b/gateway/forward/forward_test.go
@@ -16,7 +16,7 @@
 	"dandelionsill.org/platform/hosted/hostedtest"
 )
 
-// newCall is a request to a path of the stand-ins' configuration.
+// newCall returns a request to a path of the stand-ins' configuration.
 func newCall(t *testing.T, p *gatewaytest.Process, id, path string) forward.Call {
 	r := p.View.Now().Table.Match("app.example", path)
 	require.NotNil(t, r)
@@ -55,8 +55,8 @@
 	require.NotEmpty(t, a.Header.Get(hostedtest.HeaderDeadline))
 }
 
-// One server refuses without running the request; the caller gets the other's
-// answer and sees nothing of it, also where the request may run only once.
+// One server refuses without running the request. The caller gets the other server's
+// answer and does not notice the refusal, also if the request may run only once.
 func TestRefusedRequestIsSentToAnotherServer(t *testing.T) {
 	pf := gatewaytest.NewPlatform(t, 0, 2)
 	p := pf.NewProcess(t)
@@ -70,8 +70,7 @@
 	}
 }
 
-// All servers refuse: the caller is told "not run", which is true, and when to
-// come back.
+// All servers refuse. The caller gets "not run", which is true, and a time to retry.
 func TestRefusalByAllIsNotRun(t *testing.T) {
 	pf := gatewaytest.NewPlatform(t, 0, 2)
 	p := pf.NewProcess(t)
@@ -87,9 +86,9 @@
 	}
 }
 
-// A write reaches a server that fails, answers without its signature or says
-// nothing. It may have run: it goes to no second server, and the answer does
-// not say "not run".
+// A write reaches a server that fails, answers without its signature or never answers.
+// It may have run, so it must not be sent to a second server, and the answer must not
+// say "not run".
 func TestUnsafeRequestRunsOnce(t *testing.T) {
 	for name, fault := range map[string]hostedtest.ServerFaults{
 		"fails": {Status: 500}, "no signature": {NoSeal: true}, "silent": {Silent: true},
@@ -113,8 +112,8 @@
 	}
 }
 
-// A server has gone dark: it takes the request and never answers. The caller
-// gets another server's answer, long before the deadline.
+// A server accepts the request and never answers. The caller gets another server's
+// answer, long before the deadline.
 func TestSilentServerIsHedged(t *testing.T) {
 	pf := gatewaytest.NewPlatform(t, 0, 2)
 	p := pf.NewProcess(t)
@@ -124,7 +123,7 @@
 		require.Nil(t, err)
 		require.Equal(t, 200, reply.Status)
 	}
-	// The dark one is told to stop as soon as its answer is of no more use.
+	// The silent server is cancelled as soon as its answer is no longer needed.
 	require.Eventually(t, func() bool { return pf.Plain[0].Open() == 0 }, gatewaytest.Wait, time.Millisecond)
 }
 
@@ -141,7 +140,7 @@
 	require.Len(t, arrivals(pf.Plain), 2)
 }
 
-// A server that leaves gets nothing more from the moment its entry says so.
+// A server gets no more requests as soon as its entry says that it is leaving.
 func TestLeavingServerGetsNoRequest(t *testing.T) {
 	pf := gatewaytest.NewPlatform(t, 0, 2)
 	p := pf.NewProcess(t)
@@ -157,8 +156,8 @@
 	require.Empty(t, pf.Plain[0].Arrivals())
 }
 
-// An address is used again by another server, which must not run what was
-// meant for the one before.
+// An address is reused by another server, which must not run requests that were meant
+// for the previous one.
 func TestReusedAddressRunsNothing(t *testing.T) {
 	pf := gatewaytest.NewPlatform(t, 0, 1)
 	entry := pf.Plain[0].Entry("ready")
@@ -173,7 +172,7 @@
 	}
 }
 
-// The caller has gone: the servers stop, and nothing more is sent.
+// The caller disconnects. The servers stop, and the request is sent to no other server.
 func TestCallerDisconnectCancelsServers(t *testing.T) {
 	pf := gatewaytest.NewPlatform(t, 0, 1)
 	p := pf.NewProcess(t)
@@ -222,5 +221,5 @@
 func TestEndToEndHeaders(t *testing.T) {
 	h := http.Header{"Connection": {"close, X-Hop"}, "X-Hop": {"1"}, "Te": {"trailers"}, "Content-Length": {"3"}, "X-Own": {"2"}}
 	require.Equal(t, http.Header{"X-Own": {"2"}}, forward.EndToEnd(h))
-	require.Len(t, h, 5, "the caller's header stays as it is")
+	require.Len(t, h, 5, "the caller's header is not modified")
 }
--- a/gateway/forward/headers.go
+++ b/gateway/forward/headers.go
@@ -5,13 +5,14 @@
 	"strings"
 )
 
-// hopByHop headers concern one connection only (RFC 9110, section 7.6.1).
+// hopByHop lists the headers that concern a single connection (RFC 9110, section
+// 7.6.1).
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Content-Length",
 }
 
-// EndToEnd returns a copy of a header without what concerns one connection.
+// EndToEnd returns a copy of h without the headers that concern a single connection.
 func EndToEnd(h http.Header) http.Header {
 	out := h.Clone()
 	for _, listed := range h.Values("Connection") {
@@ -25,12 +26,13 @@
 	return out
 }
 
-// CopyHeader adds a server's end-to-end headers to an answer.
+// CopyHeader copies the end-to-end headers of a server's answer into the answer to the
+// caller.
 func CopyHeader(to, from http.Header) {
 	for name, values := range EndToEnd(from) {
 		to[name] = values
 	}
 	if to.Get("Content-Type") == "" {
-		to["Content-Type"] = nil // keeps net/http from guessing one
+		to["Content-Type"] = nil // keeps net/http from detecting a type
 	}
 }
--- a/gateway/forward/poison_test.go
+++ b/gateway/forward/poison_test.go
@@ -16,17 +16,18 @@
 	"dandelionsill.org/platform/hosted/hostedtest"
 )
 
-// maxCrashes is how many servers a request may end: three that show what it does, and
-// three more retries that were under way or came before all processes had heard of it.
+// maxCrashes is how many servers one request may crash: three before it is quarantined,
+// and three more by retries that were in flight or arrived before all processes were
+// notified.
 const maxCrashes = 6
 
-// A caller's request crashes each server that runs it. Its caller gets 502 and asks
-// again, at any gateway and with a new id, and the servers are back after each attempt.
-// In one case over a dozen servers ended so: all four of a service, four times over, and
-// other callers found no server meanwhile. The logs had two servers for each attempt,
-// "connection broke before the whole answer: unexpected EOF", at gateway after gateway:
-// each attempt was a new request to all of them, for nothing but its content is the same,
-// and nobody kept what had happened under it.
+// A request crashes each server that runs it. Its caller gets 502 and retries, at any
+// gateway and with a new id, and the servers are restarted between the attempts. In one
+// incident over a dozen servers ended this way: all four of a service, four times over,
+// and other callers found no server meanwhile. Each attempt ended two servers with "connection
+// broke before the whole answer: unexpected EOF". The gateways treated each attempt as
+// a new request, since only its content stayed the same, and no process recorded the
+// crashes.
 func TestRequestThatCrashesServersIsStopped(t *testing.T) {
 	const attempts = 12
 	crash := hostedtest.ServerFaults{CrashOn: "/score/deadly"}
@@ -51,7 +52,7 @@
 	require.Nil(t, err, "other requests are served")
 }
 
-// quarantinePath ends as many servers under a path as put it into quarantinePath.
+// quarantinePath crashes servers with requests to the path until it is quarantined.
 func quarantinePath(t *testing.T, pf *gatewaytest.Platform, p *gatewaytest.Process, path string) {
 	crash := hostedtest.ServerFaults{CrashOn: path}
 	for _, s := range pf.Plain {
@@ -68,8 +69,8 @@
 	}
 }
 
-// A quarantined request comes again: its caller is told at once that it did not run and
-// when to come back, and no server sees it. A write is no exception.
+// A quarantined request is sent again. Its caller is told immediately that it did not
+// run and when to retry, and no server receives it. This holds for writes too.
 func TestQuarantinedRequestIsRefusedAtOnce(t *testing.T) {
 	for _, path := range []string{"/score/deadly", "/write/deadly"} {
 		pf := gatewaytest.NewPlatform(t, 0, 3)
@@ -86,13 +87,13 @@
 }
 
 // A server ends while it has another caller's request, which the next server answers.
-// That request is nothing that ends servers: it is served ever after, and neither the
-// store nor the peers hear of it.
+// That request does not crash servers: it must stay served, and neither the store nor
+// the peers are notified of the crash.
 func TestBystanderOfACrashIsServed(t *testing.T) {
 	pf := gatewaytest.NewPlatform(t, 0, 4)
 	p := pf.NewProcess(t)
 	for range 3 * poison.QuarantineAt {
-		// Whichever server gets it first ends, and none after it.
+		// The first server that gets it crashes, and none after it.
 		once := new(atomic.Int64)
 		once.Store(1)
 		for _, s := range pf.Plain {
@@ -108,9 +109,10 @@
 	require.Empty(t, pf.Store.Records(hostedtest.TopicCrashes))
 }
 
-// A bystander is at two servers that end under another request, which the ends are put
-// down to, and is then answered. Two more servers end while they have it, for reasons of
-// their own: the answer between stands, and it is served.
+// A bystander is at two servers that crash under another request, to which the crashes
+// are attributed, and is then answered. Later two more servers end for other reasons
+// while they have the bystander. The answer in between clears it of the earlier
+// crashes, so that it is still served.
 func TestAnswerClearsUnsuspectedRequest(t *testing.T) {
 	pf := gatewaytest.NewPlatform(t, 0, 2)
 	p := pf.NewProcess(t)
@@ -131,9 +133,10 @@
 	require.Equal(t, poison.Suspect, q.Verdict(bystander))
 }
 
-// A stream crashes each server that begins it. It may go on elsewhere, so that each
-// attempt ends as many servers as the route allows; the quarantine holds for it alike,
-// and its caller is told so instead of being sent to a fourth server.
+// A stream crashes each server that starts it. Since it may be resumed at other
+// servers, each attempt ends as many servers as the route allows. The quarantine must
+// apply to it as well, and its caller gets the quarantine's error instead of a fourth
+// server.
 func TestStreamThatCrashesServersIsStopped(t *testing.T) {
 	pf := gatewaytest.NewPlatform(t, 5, 0)
 	p := pf.NewProcess(t)
--- a/gateway/forward/quarantine.go
+++ b/gateway/forward/quarantine.go
@@ -10,29 +10,30 @@
 	"dandelionsill.org/quarantine"
 )
 
-// newSubject is the call as the quarantine sees it.
+// newSubject returns the call's request as a subject of the quarantine.
 func (f *Forwarder) newSubject(c *Call) *quarantine.Subject {
 	return f.Quarantine.Subject(func() poison.Content {
 		return poison.Content{Caller: c.Organisation + poison.CallerOf(c.Header), Method: c.Method, Host: c.Host, URI: c.URI, Body: c.Body}
 	})
 }
 
-// isSuspect tells whether the request may go to one server at a time only: a hedge or a
-// second try beside the first would end two servers at once.
+// isSuspect reports whether the request must be sent to one server at a time: with a
+// hedge or a second attempt in parallel it could crash two servers at once.
 func (s *callState) isSuspect() bool { return s.subject.Verdict() != poison.Clear }
 
-// isQuarantined tells whether the request may go to no server.
+// isQuarantined reports whether the request must not be sent to any server.
 func (s *callState) isQuarantined() bool { return s.subject.Verdict() == poison.Quarantined }
 
-// recordCrash notes that a server ended under the call.
+// recordCrash records that a server crashed while it had the request.
 func (s *callState) recordCrash(c *choice) {
 	s.forwarder.log.Warn("A server ended under a request.", zap.String("id", s.call.ID), zap.String("request", string(s.subject.Name())),
 		zap.String("service", s.service), zap.String("server", c.server.ID), zap.Int("others", c.load))
 	s.subject.Ended(c.server.ID)
 }
 
-// reportResult tells the quarantine how the call ended. A failure that a server answered says
-// neither: one that is overloaded answers so without having run the request.
+// reportResult reports the result of the call to the quarantine. Nothing is reported
+// for a failure that a server answered: an overloaded server answers so without having
+// run the request.
 func (s *callState) reportResult(reply *Reply) {
 	switch {
 	case reply != nil && reply.Status < http.StatusInternalServerError:
@@ -42,7 +43,8 @@
 	}
 }
 
-// noServerError is the answer to a request that goes to no server, or to no further one.
+// noServerError returns the error of a request for which no server is left, or which is
+// quarantined.
 func (s *callState) noServerError() *kinds.Error {
 	if !s.isQuarantined() {
 		return s.refuse(kinds.NoServer, "no server of the service takes work")
--- a/gateway/forward/stats.go
+++ b/gateway/forward/stats.go
@@ -9,15 +9,16 @@
 	"dandelionsill.org/decide/route"
 )
 
-// ejectionConfig is how plain services are judged: answers take tens of milliseconds
-// there, so that a server is known within seconds and tried again as soon.
+// ejectionConfig configures the ejection of outliers among plain servers. They answer
+// within tens of milliseconds, so that a few seconds are enough to detect an outlier,
+// and to try it again.
 var ejectionConfig = eject.Config{
 	Alpha: 0.3, MinSamples: 3, Factor: 4, FailureRate: 0.5, MaxShare: 0.67,
 	Base: 2 * time.Second, MaxDuration: 10 * time.Second, Probation: 10 * time.Second,
 }
 
-// serverStats is what this process has learnt about the servers of each service from
-// their answers: health checks would cost more than they tell.
+// serverStats holds what this process has learnt about servers from their answers.
+// Health checks would cost more than they would reveal.
 type serverStats struct {
 	mu       sync.Mutex
 	pools    map[string]*eject.Pool // by service
@@ -28,7 +29,7 @@
 	return &serverStats{pools: map[string]*eject.Pool{}, inFlight: map[string]int{}}
 }
 
-// candidates returns the servers of a service as the routing policy wants them.
+// candidates returns the servers of a service as candidates of the routing policy.
 func (f *serverStats) candidates(service, domain string, servers []members.Server, now time.Time) []route.Candidate {
 	ids := make([]string, len(servers))
 	for i, s := range servers {
@@ -76,7 +77,7 @@
 	f.inFlight[server]++
 }
 
-// attemptEnded notes how a try attemptEnded after took.
+// attemptEnded records the end of an attempt that took the given time.
 func (f *serverStats) attemptEnded(service, server string, took time.Duration, failed bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/gateway/forward/stream.go
+++ b/gateway/forward/stream.go
@@ -15,23 +15,26 @@
 	"dandelionsill.org/platform/hosted"
 )
 
-// copyBufferBytes is the size of one piece of a stream, in bytes.
+// copyBufferBytes is the size of the buffer that streams are copied with.
 const copyBufferBytes = 16 << 10
 
-// Silence of a stream that can be resumed. Callers give a stream up after a gap
-// of two seconds or four times its objective; half of that leaves another server
-// as much time.
+// Timeouts of streams that can be resumed. Callers give a stream up after a gap of two
+// seconds or four times its objective. Half of that leaves another server as much time.
 const (
+	// maxEventGap bounds the time between two events.
 	maxEventGap = time.Second
-	// firstEventObjectives of the objective is waited for the first event, if that is more.
+	// firstEventObjectives times the objective bounds the wait for the first event, if
+	// that is longer than maxEventGap.
 	firstEventObjectives = 2
 )
 
-// Stream forwards a request whose answer is a series of events, each as it
-// arrives. Before the answer's first byte another server is asked where the one
-// before refused. Where the route lets a stream be resumed, one that breaks off
-// or falls silent goes on at another server behind the last event that the caller
-// has; any other must not look complete.
+// Stream forwards a request whose answer is a series of events, and passes each event
+// on as it arrives. If a server refuses the request, the next one is asked. If the
+// route allows streams to be resumed, a stream that breaks off or stalls is resumed at
+// another server after the last event that the caller has. Any other broken stream must
+// not look complete to the caller, so its connection is aborted.
+//
+// Stream returns the status that was written, or the error to report if nothing was.
 func (f *Forwarder) Stream(ctx context.Context, call Call, w http.ResponseWriter) (int, *kinds.Error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -82,22 +85,22 @@
 
 const (
 	streamDone    streamEnd = "done"
-	streamRefused streamEnd = "refused" // it did not run
+	streamRefused streamEnd = "refused" // the server did not run the request
 	streamBroken  streamEnd = "broken"
 )
 
-// streamState is one stream on its way to its caller. All fields belong to the
-// goroutine of Stream.
+// streamState is the state of one stream that is being forwarded. All fields belong to
+// the goroutine of Stream.
 type streamState struct {
 	*callState
 	w         http.ResponseWriter
-	status    int    // of the first server's answer; 0: nothing was written yet
-	lastEvent int    // id of the last event that the caller has
-	version   uint64 // weights that made it, as the caller was told
+	status    int    // of the first server's answer; 0: nothing has been written yet
+	lastEvent int    // id of the last event written to the caller
+	version   uint64 // weight version of that event, as reported to the caller
 }
 
-// fail tells the error to a caller that has nothing yet; any other sees its
-// connection break.
+// fail returns err if nothing has been written to the caller; otherwise it aborts the
+// caller's connection.
 func (s *streamState) fail(err *kinds.Error) (int, *kinds.Error) {
 	if s.status != 0 {
 		panic(http.ErrAbortHandler)
@@ -105,7 +108,8 @@
 	return 0, err
 }
 
-// streamFrom forwards the stream of one server, behind the events that the caller has.
+// streamFrom forwards the stream of one server, from the event after the last one that
+// the caller has.
 func (s *streamState) streamFrom(callerCtx context.Context, c choice) (end streamEnd, err error) {
 	ctx, cancel := context.WithCancel(callerCtx)
 	defer cancel()
@@ -117,7 +121,7 @@
 	start := time.Now()
 	s.forwarder.serverStats.attemptStarted(c.server.ID)
 	answer, err := s.forwarder.open(ctx, s.remainingCall(), c.server)
-	// A server is judged by how soon it begins: how long a stream is is not its doing.
+	// Only the time to the head counts for ejection: a stream's length depends on the request.
 	headTime := time.Since(start)
 	defer func() {
 		s.forwarder.serverStats.attemptEnded(s.service, c.server.ID, headTime, end == streamBroken && callerCtx.Err() == nil)
@@ -132,11 +136,11 @@
 		return streamRefused, nil
 	}
 	defer answer.Close()
-	s.usage.Began(0) // the head comes with the first event
+	s.usage.Began(0) // the head arrives together with the first event
 	return s.forwardAnswer(answer, gapTimer)
 }
 
-// remainingCall is the call for what the caller does not have yet.
+// remainingCall returns the call for the events that the caller does not have yet.
 func (s *streamState) remainingCall() Call {
 	call := s.call
 	if s.status != 0 && s.lastEvent > 0 {
@@ -146,8 +150,8 @@
 	return call
 }
 
-// forwardAnswer passes an answer on. The head of a resumed stream stays that of its
-// first server.
+// forwardAnswer passes a server's answer on. The caller gets the head of the first
+// answer only; answers that resume the stream add their events.
 func (s *streamState) forwardAnswer(answer *backend.Answer, gapTimer *time.Timer) (streamEnd, error) {
 	ok := answer.Status < http.StatusMultipleChoices
 	switch {
@@ -164,7 +168,7 @@
 	return s.forwardEvents(answer, gapTimer)
 }
 
-// forwardEvents passes whole forwardEvents on, each once and in their order.
+// forwardEvents passes complete events on, each once and in order.
 func (s *streamState) forwardEvents(answer *backend.Answer, gapTimer *time.Timer) (streamEnd, error) {
 	reader := hosted.NewRawEventReader(answer.Body)
 	version := hosted.WeightVersion(answer.Header)
@@ -185,7 +189,7 @@
 		if event.Version > 0 {
 			version = event.Version
 		} else if version != s.version {
-			// The server that goes on has other weights than the one before.
+			// The server that resumes the stream has other weights than the one before.
 			raw = hosted.VersionLine(version) + raw
 		}
 		s.write([]byte(raw))
@@ -193,7 +197,7 @@
 	}
 }
 
-// copyBody passes an answer on as it is.
+// copyBody passes the body of an answer on unchanged.
 func (s *streamState) copyBody(answer *backend.Answer) (streamEnd, error) {
 	buf := make([]byte, copyBufferBytes)
 	for {
@@ -211,15 +215,16 @@
 	}
 }
 
-// write sends bytes to the caller at once; a caller that has gone ends the call.
+// write sends bytes to the caller immediately. It aborts the call if the caller has
+// disconnected.
 func (s *streamState) write(p []byte) {
 	if _, err := s.w.Write(p); err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	_ = http.NewResponseController(s.w).Flush() // a failed write shows at the next piece
+	_ = http.NewResponseController(s.w).Flush() // the next Write reports a failure
 }
 
-// open sends the request to a server and reads the head of its answer.
+// open sends the request to a server and reads the head of the answer.
 func (f *Forwarder) open(ctx context.Context, call Call, server members.Server) (*backend.Answer, error) {
 	header := call.Header.Clone()
 	hosted.SetAttemptID(header, call.ID)
--- a/gateway/forward/stream_test.go
+++ b/gateway/forward/stream_test.go
@@ -14,7 +14,8 @@
 	"dandelionsill.org/platform/hosted/hostedtest"
 )
 
-// readStream asks for a stream that may be resumed and returns its events and how it ended.
+// readStream requests a resumable stream and returns its events and the error that
+// ended it.
 func readStream(t *testing.T, p *gatewaytest.Process, header http.Header) (*http.Response, []hosted.Event, error) {
 	c := newCall(t, p, "s", "/chat/x")
 	c.Deadline = time.Now().Add(gatewaytest.Wait)
@@ -28,7 +29,7 @@
 		}
 	}))
 	t.Cleanup(srv.Close)
-	client := &http.Client{Timeout: gatewaytest.Wait} // a stream that nobody goes on with would else hang the test
+	client := &http.Client{Timeout: gatewaytest.Wait} // otherwise a stream that is not resumed would hang the test
 	resp, err := client.Get(srv.URL)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = resp.Body.Close() })
@@ -51,16 +52,16 @@
 	}
 }
 
-// One engine breaks the caller's stream off, or falls silent in its middle. The
-// stream goes on at the other behind the last event: the caller sees one whole
-// stream, each event once.
+// One engine breaks the caller's stream off, or stalls in the middle of it. The stream
+// is resumed at the other engine after the last event, so that the caller sees one
+// complete stream with each event once.
 func TestStreamResumesOnAnotherServer(t *testing.T) {
 	for name, faults := range map[string]hostedtest.ServerFaults{"breaks off": {BreakAfter: 2}, "falls silent": {Mute: 2}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			pf := gatewaytest.NewPlatform(t, 2, 0)
 			p := pf.NewProcess(t)
-			// Whichever is asked first fails; the other is sound.
+			// The engine that is asked first fails, the other completes the stream.
 			pf.Engines[0].Fail(faults)
 			pf.Engines[1].Fail(faults)
 			pf.Engines[0].Events, pf.Engines[1].Events = 4, 4
@@ -72,8 +73,9 @@
 	}
 }
 
-// The engine that goes on has other weights than the one before. The first event
-// that they made says so, or the caller would take it for the earlier weights'.
+// The engine that resumes a stream has other weights than the one before. The first
+// event made with them must carry their version, or the caller would attribute it to
+// the earlier weights.
 func TestResumedStreamReportsNewWeightVersion(t *testing.T) {
 	pf := gatewaytest.NewPlatform(t, 2, 0)
 	p := pf.NewProcess(t)
@@ -91,7 +93,7 @@
 	require.Zero(t, events[3].Version)
 }
 
-// A caller comes back for the rest of a stream, which breaks off again.
+// A caller asks for the rest of a stream, which breaks off again.
 func TestStreamResumedByCallerIsResumedAgain(t *testing.T) {
 	pf := gatewaytest.NewPlatform(t, 2, 0)
 	p := pf.NewProcess(t)
@@ -106,7 +108,7 @@
 	requireEvents(t, events, 3, 6)
 }
 
-// No server is left that goes on. The stream must not look complete.
+// No server is left that could resume the stream. It must not look complete.
 func TestUnresumableStreamDoesNotLookComplete(t *testing.T) {
 	pf := gatewaytest.NewPlatform(t, 2, 0)
 	p := pf.NewProcess(t)
--- a/gateway/forward/usage_test.go
+++ b/gateway/forward/usage_test.go
@@ -17,7 +17,8 @@
 	"dandelionsill.org/platform/hosted/hostedtest"
 )
 
-// countedRequests returns what the process counts of an organisation's requests.
+// countedRequests returns the number of an organisation's requests that the process
+// counted.
 func countedRequests(t *testing.T, p *gatewaytest.Process, counter *usage.Counter, organisation string) uint64 {
 	counter.Leave(t.Context())
 	records, _, err := p.Store.Newest(t.Context(), platform.StreamUsage)
@@ -32,8 +33,8 @@
 	return n
 }
 
-// Guards against requests that count twice because they were tried again, or count
-// although no server began them, or don't although one did.
+// Guards against requests that are counted twice because they were retried, that are
+// counted although no server started them, or that are not counted although one did.
 func TestStartedRequestIsCountedOnce(t *testing.T) {
 	const window = 5 * time.Second
 	tests := []struct {
@@ -72,7 +73,8 @@
 	}
 }
 
-// Guards against requests whose callers leave before the answer and that are not counted.
+// Guards against requests that are not counted because their caller disconnected before
+// the answer.
 func TestRequestOfDisconnectedCallerIsCounted(t *testing.T) {
 	pf := gatewaytest.NewPlatform(t, 0, 1)
 	p := pf.NewProcess(t)
