--- a/gateway/forward/stats.go
+++ b/gateway/forward/stats.go
@@ -30,14 +30,14 @@
 }
 
 // candidates returns the servers of a service as candidates of the routing policy.
-func (f *serverStats) candidates(service, domain string, servers []members.Server, now time.Time) []route.Candidate {
+func (st *serverStats) candidates(service, domain string, servers []members.Server, now time.Time) []route.Candidate {
 	ids := make([]string, len(servers))
 	for i, s := range servers {
 		ids[i] = s.ID
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	ejected := f.pool(service).Evaluate(now, ids)
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	ejected := st.pool(service).Evaluate(now, ids)
 	out := make([]route.Candidate, len(servers))
 	for i, s := range servers {
 		out[i] = route.Candidate{
@@ -49,7 +49,7 @@
 			Leaving:       s.Leaving,
 			Ejected:       ejected[s.ID],
 			Slots:         s.Slots,
-			OwnLoad:       f.inFlight[s.ID],
+			OwnLoad:       st.inFlight[s.ID],
 		}
 	}
 	return out
@@ -62,30 +62,30 @@
 	return route.SameRegion
 }
 
-func (f *serverStats) pool(service string) *eject.Pool {
-	p := f.pools[service]
+func (st *serverStats) pool(service string) *eject.Pool {
+	p := st.pools[service]
 	if p == nil {
 		p = eject.New(ejectionConfig)
-		f.pools[service] = p
+		st.pools[service] = p
 	}
 	return p
 }
 
-func (f *serverStats) attemptStarted(server string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.inFlight[server]++
+func (st *serverStats) attemptStarted(server string) {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	st.inFlight[server]++
 }
 
 // attemptEnded records the end of an attempt that took the given time.
-func (f *serverStats) attemptEnded(service, server string, took time.Duration, failed bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.inFlight[server]--
-	if f.inFlight[server] <= 0 {
-		delete(f.inFlight, server)
+func (st *serverStats) attemptEnded(service, server string, took time.Duration, failed bool) {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	st.inFlight[server]--
+	if st.inFlight[server] <= 0 {
+		delete(st.inFlight, server)
 	}
-	p := f.pool(service)
+	p := st.pool(service)
 	p.AddCost(server, took.Seconds())
 	p.AddResult(server, failed)
 }
