--- a/gateway/front/caller.go
+++ b/gateway/front/caller.go
@@ -31,13 +31,13 @@
 	if public {
 		return "", nil
 	}
-	return "", f.refuseKey(snap, hash, single)
+	return "", f.unknownKeyError(snap, hash, single)
 }
 
-// refuseKey is the answer to a caller whose key is not known here. The operator may have
+// unknownKeyError is the answer to a caller whose key is not known here. The operator may have
 // added the key a moment ago: a process whose configuration may not be the newest tells
 // the caller to come back, for nobody repeats a request that was refused for its key.
-func (f *Front) refuseKey(snap *view.Snapshot, hash table.KeyHash, single bool) *kinds.Error {
+func (f *Front) unknownKeyError(snap *view.Snapshot, hash table.KeyHash, single bool) *kinds.Error {
 	held := kinds.Hold()
 	age := f.View.Age().Round(time.Millisecond)
 	switch {
@@ -52,9 +52,9 @@
 	}
 }
 
-// permit lets the callers of the job's organisation through. To all others the job does
+// authorizeJob lets the callers of the job's organisation through. To all others the job does
 // not exist.
-func (f *Front) permit(ctx context.Context, snap *view.Snapshot, r *http.Request, job string) *kinds.Error {
+func (f *Front) authorizeJob(ctx context.Context, snap *view.Snapshot, r *http.Request, job string) *kinds.Error {
 	organisation, refused := f.identify(snap, r, false)
 	if refused != nil && !f.Jobs.Public(job) {
 		return refused
--- a/gateway/front/caller_test.go
+++ b/gateway/front/caller_test.go
@@ -14,14 +14,14 @@
 	"dandelionsill.org/platform/hosted/hostedtest"
 )
 
-// organised puts a configuration in force in which the keys belong to organisations.
-func organised(t *testing.T, pf *gatewaytest.Platform, f *front.Front, version int, keys map[string][]string) {
+// applyOrganisations puts a configuration in force in which the keys belong to organisations.
+func applyOrganisations(t *testing.T, pf *gatewaytest.Platform, f *front.Front, version int, keys map[string][]string) {
 	pf.Store.Put(hostedtest.TopicOperator, "config", hostedtest.Organisations(hostedtest.Config(version), keys))
 	require.Eventually(t, func() bool { return f.View.Now().Table.Version == uint64(version) }, gatewaytest.Wait, time.Millisecond)
 }
 
-func with(id, key string) map[string]string {
-	header := attempt(id)
+func headerWithKey(id, key string) map[string]string {
+	header := attemptHeader(id)
 	if key != "" {
 		header[hostedtest.HeaderKey] = key
 	}
@@ -29,26 +29,26 @@
 }
 
 // Guards against a server that is told another organisation than the key's, or the key.
-func TestServersAreToldTheOrganisationAndNotTheKey(t *testing.T) {
+func TestServersReceiveOrganisationNotKey(t *testing.T) {
 	pf := gatewaytest.NewPlatform(t, 0, 1)
 	f, url := newFront(t, pf)
-	organised(t, pf, f, 2, map[string][]string{"a": {"key-1", "key-2"}, "b": {"key-3"}})
-	header := with("r1", "key-2")
+	applyOrganisations(t, pf, f, 2, map[string][]string{"a": {"key-1", "key-2"}, "b": {"key-3"}})
+	header := headerWithKey("r1", "key-2")
 	header[hostedtest.HeaderOrganisation] = "b"
 	resp, _ := send(t, "POST", url+"/write/x", header, nil)
 	require.Equal(t, 200, resp.StatusCode)
-	resp, _ = send(t, "POST", url+"/score/x", with("r2", "key-3"), nil)
+	resp, _ = send(t, "POST", url+"/score/x", headerWithKey("r2", "key-3"), nil)
 	require.Equal(t, 200, resp.StatusCode)
-	forged := with("r3", "unknown")
+	forged := headerWithKey("r3", "unknown")
 	forged[hostedtest.HeaderOrganisation] = "b"
 	resp, _ = send(t, "POST", url+"/score/x", forged, nil)
 	require.Equal(t, 200, resp.StatusCode, "a public route needs no key")
-	var told []string
+	var received []string
 	for _, a := range pf.Plain[0].Arrivals() {
 		require.Empty(t, a.Header.Values(hostedtest.HeaderKey))
-		told = append(told, a.ID+" "+a.Header.Get(hostedtest.HeaderOrganisation))
+		received = append(received, a.ID+" "+a.Header.Get(hostedtest.HeaderOrganisation))
 	}
-	require.Equal(t, []string{"r1 a", "r2 b", "r3 "}, told)
+	require.Equal(t, []string{"r1 a", "r2 b", "r3 "}, received)
 }
 
 // Guards against requests that run without a key of the newest configuration, and
@@ -56,22 +56,22 @@
 func TestUnknownKeysAreRefused(t *testing.T) {
 	pf := gatewaytest.NewPlatform(t, 0, 1)
 	f, url := newFront(t, pf)
-	organised(t, pf, f, 2, map[string][]string{"a": {"key-1", "key-2"}})
+	applyOrganisations(t, pf, f, 2, map[string][]string{"a": {"key-1", "key-2"}})
 	for _, key := range []string{"", "key-3", "KEY-1", "key-1 key-2"} {
-		resp, _ := send(t, "POST", url+"/write/x", with("r", key), nil)
+		resp, _ := send(t, "POST", url+"/write/x", headerWithKey("r", key), nil)
 		require.Equal(t, 401, resp.StatusCode, "key %q", key)
 	}
 	resp := sendTwoKeys(t, url+"/write/x")
 	require.Equal(t, 401, resp.StatusCode)
-	organised(t, pf, f, 3, map[string][]string{"a": {"key-1"}})
-	resp, _ = send(t, "POST", url+"/write/x", with("r", "key-2"), nil)
+	applyOrganisations(t, pf, f, 3, map[string][]string{"a": {"key-1"}})
+	resp, _ = send(t, "POST", url+"/write/x", headerWithKey("r", "key-2"), nil)
 	require.Equal(t, 401, resp.StatusCode, "a key that was taken away")
 	require.Empty(t, pf.Plain[0].Arrivals())
 	pf.Store.Fail(hostedtest.StoreFaults{Down: true})
 	require.Eventually(t, func() bool { return !f.View.Sure() }, gatewaytest.Wait, time.Millisecond)
-	resp, _ = send(t, "POST", url+"/write/x", with("r", "key-3"), nil)
+	resp, _ = send(t, "POST", url+"/write/x", headerWithKey("r", "key-3"), nil)
 	require.Equal(t, 503, resp.StatusCode, "the key may have been added meanwhile")
-	resp, _ = send(t, "POST", url+"/write/x", with("r1", "key-1"), nil)
+	resp, _ = send(t, "POST", url+"/write/x", headerWithKey("r1", "key-1"), nil)
 	require.Equal(t, 200, resp.StatusCode)
 }
 
@@ -91,7 +91,7 @@
 func TestBatchJobsBelongToAnOrganisation(t *testing.T) {
 	pf := gatewaytest.NewPlatform(t, 1, 1)
 	f, url := newFront(t, pf)
-	organised(t, pf, f, 2, map[string][]string{"a": {"key-1", "key-2"}, "b": {"key-3"}})
+	applyOrganisations(t, pf, f, 2, map[string][]string{"a": {"key-1", "key-2"}, "b": {"key-3"}})
 	job := hostedtest.Job("j", "m", 2, 1)
 	for _, item := range job["items"].([]map[string]any) {
 		item["headers"].(map[string]string)[hostedtest.HeaderOrganisation] = "b"
@@ -100,24 +100,24 @@
 	body, err := json.Marshal(job)
 	require.NoError(t, err)
 	submit := func(key string) int {
-		resp, _ := send(t, "POST", url+"/jobs/x", with("j", key), body)
+		resp, _ := send(t, "POST", url+"/jobs/x", headerWithKey("j", key), body)
 		return resp.StatusCode
 	}
 	require.Equal(t, 401, submit(""))
 	require.Equal(t, 202, submit("key-1"))
-	organised(t, pf, f, 3, map[string][]string{"a": {"key-2"}, "b": {"key-3"}})
+	applyOrganisations(t, pf, f, 3, map[string][]string{"a": {"key-2"}, "b": {"key-3"}})
 	require.Equal(t, 401, submit("key-1"))
 	require.Equal(t, 202, submit("key-2"), "once more, with another key of the organisation")
 	require.Equal(t, 422, submit("key-3"))
 	calls := []struct{ method, path string }{{"GET", hostedtest.PathJob + "j"}, {"GET", hostedtest.PathItem + "j?id=j-i0"}, {"DELETE", hostedtest.PathJob + "j"}}
 	for _, call := range calls {
 		for key, status := range map[string]int{"key-1": 401, "key-3": 404, "": 401} {
-			resp, _ := send(t, call.method, url+call.path, with("c", key), nil)
+			resp, _ := send(t, call.method, url+call.path, headerWithKey("c", key), nil)
 			require.Equal(t, status, resp.StatusCode, "%s with key %q", call.path, key)
 		}
 	}
 	require.Eventually(t, func() bool {
-		resp, text := send(t, "GET", url+hostedtest.PathJob+"j", with("c", "key-2"), nil)
+		resp, text := send(t, "GET", url+hostedtest.PathJob+"j", headerWithKey("c", "key-2"), nil)
 		var read struct {
 			Next int `json:"next"`
 		}
@@ -130,6 +130,6 @@
 	for _, a := range pf.Plain[0].Arrivals() {
 		require.Empty(t, a.Header.Values(hostedtest.HeaderOrganisation), "a score is asked for by the system")
 	}
-	resp, _ := send(t, "DELETE", url+hostedtest.PathJob+"j", with("c", "key-2"), nil)
+	resp, _ := send(t, "DELETE", url+hostedtest.PathJob+"j", headerWithKey("c", "key-2"), nil)
 	require.Equal(t, 200, resp.StatusCode)
 }
--- a/gateway/front/front.go
+++ b/gateway/front/front.go
@@ -32,11 +32,11 @@
 	defaultDeadline = 10 * time.Second
 	// answerMargin is left of the caller's time for the way back of the answer.
 	answerMargin = 20 * time.Millisecond
-	// bodyDefault bounds a body where no configuration says, in bytes.
-	bodyDefault = 32 << 20
-	// submitShare of the caller's time is spent on getting a batch job into
+	// defaultMaxBodyBytes bounds a body where no configuration says, in bytes.
+	defaultMaxBodyBytes = 32 << 20
+	// submitTimeShare of the caller's time is spent on getting a batch job into
 	// the log; what is left is enough to try another entry.
-	submitShare = 0.6
+	submitTimeShare = 0.6
 )
 
 var (
@@ -54,38 +54,38 @@
 	Log     *zap.Logger
 	Latency *metrics.Histogram
 
-	open    atomic.Int64
-	leaving atomic.Bool
+	inFlight atomic.Int64
+	draining atomic.Bool
 }
 
-// Leave makes each answer the last of its connection.
-func (f *Front) Leave() { f.leaving.Store(true) }
+// StartDrain makes each answer the last of its connection.
+func (f *Front) StartDrain() { f.draining.Store(true) }
 
-// Open is the number of requests that are being served.
-func (f *Front) Open() int64 { return f.open.Load() }
+// InFlight is the number of requests that are being served.
+func (f *Front) InFlight() int64 { return f.inFlight.Load() }
 
 // ServeHTTP implements http.Handler.
 func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	f.open.Add(1)
-	defer f.open.Add(-1)
+	f.inFlight.Add(1)
+	defer f.inFlight.Add(-1)
 	requests.Add(1)
-	begin := time.Now()
+	start := time.Now()
 	ctx, span := trace.Tracer("gateway: front").Start(r.Context(), "front.serve",
 		oteltrace.WithAttributes(attribute.String("id", hosted.AttemptID(r.Header))))
 	defer span.End()
 	r = r.WithContext(ctx)
-	if f.leaving.Load() {
+	if f.draining.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	status, err := f.serve(w, r, begin)
+	status, err := f.serve(w, r, start)
 	if err != nil {
-		status = f.fail(w, r, err, begin)
+		status = f.writeError(w, r, err, start)
 	}
-	f.count(status)
-	f.Latency.Observe(time.Since(begin))
+	f.countAnswer(status)
+	f.Latency.Observe(time.Since(start))
 }
 
-func (f *Front) count(status int) {
+func (f *Front) countAnswer(status int) {
 	switch {
 	case status < http.StatusBadRequest:
 		answered.Add(1)
@@ -97,7 +97,7 @@
 }
 
 // serve answers the request, or returns the error to be told.
-func (f *Front) serve(w http.ResponseWriter, r *http.Request, begin time.Time) (int, *kinds.Error) {
+func (f *Front) serve(w http.ResponseWriter, r *http.Request, start time.Time) (int, *kinds.Error) {
 	held := kinds.Hold()
 	snap := f.View.Now()
 	if snap.Table == nil {
@@ -108,10 +108,10 @@
 		return 0, held.Refuse(kinds.BadRequest, "%v", err)
 	}
 	if call.Kind != hosted.CallNone {
-		if refused := f.permit(r.Context(), snap, r, call.Job); refused != nil {
+		if refused := f.authorizeJob(r.Context(), snap, r, call.Job); refused != nil {
 			return 0, refused
 		}
-		return f.jobCall(w, r, call)
+		return f.serveJobCall(w, r, call)
 	}
 	route := snap.Table.Match(r.Host, r.URL.Path)
 	if route == nil && !f.View.Sure() {
@@ -128,24 +128,24 @@
 	if failed != nil {
 		return 0, failed
 	}
-	deadline := begin.Add(timeLeft(r, route))
+	deadline := start.Add(answerTimeout(r, route))
 	if route.Kind == table.Batch {
-		return f.submit(w, r, route, organisation, body, begin)
+		return f.submitJob(w, r, route, organisation, body, start)
 	}
 	return f.proxy(w, r, route, organisation, body, deadline)
 }
 
-// callerWaits is how long the caller will wait by its own word.
-func callerWaits(r *http.Request) time.Duration {
+// callerTimeout is how long the caller will wait by its own word.
+func callerTimeout(r *http.Request) time.Duration {
 	if left := hosted.Deadline(r.Header); left > 0 {
 		return left
 	}
 	return defaultDeadline
 }
 
-// timeLeft is how long the caller may be kept waiting.
-func timeLeft(r *http.Request, route *table.Route) time.Duration {
-	left := callerWaits(r)
+// answerTimeout is how long the caller may be kept waiting.
+func answerTimeout(r *http.Request, route *table.Route) time.Duration {
+	left := callerTimeout(r)
 	if route.Timeout > 0 && route.Timeout < left {
 		left = route.Timeout
 	}
@@ -154,7 +154,7 @@
 
 func readBody(r *http.Request, limit int64) ([]byte, *kinds.Error) {
 	if limit <= 0 {
-		limit = bodyDefault
+		limit = defaultMaxBodyBytes
 	}
 	body, err := io.ReadAll(io.LimitReader(r.Body, limit+1))
 	if err != nil {
@@ -185,8 +185,8 @@
 	return reply.Status, nil
 }
 
-// submit accepts a batch job.
-func (f *Front) submit(w http.ResponseWriter, r *http.Request, route *table.Route, organisation string, body []byte, begin time.Time) (int, *kinds.Error) {
+// submitJob accepts a batch job.
+func (f *Front) submitJob(w http.ResponseWriter, r *http.Request, route *table.Route, organisation string, body []byte, start time.Time) (int, *kinds.Error) {
 	if r.Method != http.MethodPost {
 		return 0, kinds.Hold().Refuse(kinds.NotFound, "batch jobs are posted")
 	}
@@ -195,12 +195,12 @@
 		return 0, kinds.Hold().Refuse(kinds.BadRequest, "%v", err)
 	}
 	head.DueMS, head.Organisation = route.Due.Milliseconds(), organisation
-	left := callerWaits(r)
-	ctx, cancel := context.WithDeadline(r.Context(), begin.Add(time.Duration(submitShare*float64(left))))
+	left := callerTimeout(r)
+	ctx, cancel := context.WithDeadline(r.Context(), start.Add(time.Duration(submitTimeShare*float64(left))))
 	defer cancel()
 	failed := f.Jobs.Submit(ctx, head, items)
 	f.Log.Info("Submission.", zap.String("job", head.ID), zap.Int("step", head.Step), zap.Int("items", len(items)),
-		zap.Duration("took", time.Since(begin)), zap.Error(errorOrNil(failed)))
+		zap.Duration("took", time.Since(start)), zap.Error(errorOrNil(failed)))
 	if failed != nil {
 		return 0, failed
 	}
@@ -216,11 +216,11 @@
 	return err
 }
 
-// jobCall answers a call about a batch job.
-func (f *Front) jobCall(w http.ResponseWriter, r *http.Request, call hosted.Call) (int, *kinds.Error) {
+// serveJobCall answers a call about a batch job.
+func (f *Front) serveJobCall(w http.ResponseWriter, r *http.Request, call hosted.Call) (int, *kinds.Error) {
 	switch call.Kind {
 	case hosted.CallEnd:
-		left := callerWaits(r)
+		left := callerTimeout(r)
 		ctx, cancel := context.WithTimeout(r.Context(), left-left/5)
 		defer cancel()
 		if err := f.Jobs.End(ctx, call.Job); err != nil {
@@ -237,13 +237,13 @@
 		_, _ = w.Write(body)
 		return http.StatusOK, nil
 	default:
-		begin := time.Now()
+		start := time.Now()
 		total, results, err := f.Jobs.Results(r.Context(), call.Job, call.After, call.Wait)
 		if err != nil {
 			return 0, err
 		}
 		f.Log.Info("Results read.", zap.String("job", call.Job), zap.Int("after", call.After), zap.Int("results", len(results)),
-			zap.Int("items", total), zap.Duration("wait", call.Wait), zap.Duration("took", time.Since(begin)))
+			zap.Int("items", total), zap.Duration("wait", call.Wait), zap.Duration("took", time.Since(start)))
 		data, encodeErr := hosted.EncodeResults(total, call.After, results)
 		if encodeErr != nil {
 			return 0, kinds.New(kinds.Internal, "%v", encodeErr)
@@ -259,13 +259,13 @@
 	return http.StatusOK
 }
 
-// fail tells the caller an error, and says "not run" only of what has not run.
-func (f *Front) fail(w http.ResponseWriter, r *http.Request, err *kinds.Error, begin time.Time) int {
+// writeError tells the caller an error, and says "not run" only of what has not run.
+func (f *Front) writeError(w http.ResponseWriter, r *http.Request, err *kinds.Error, start time.Time) int {
 	id := hosted.AttemptID(r.Header)
 	row := err.Answer()
 	f.Log.Info("Request failed.", zap.String("id", id), zap.String("method", r.Method), zap.String("host", r.Host),
 		zap.String("path", r.URL.Path), zap.String("kind", err.Kind()), zap.Bool("not_run", row.NotRun), zap.Int("status", row.HTTP),
-		zap.Uint64("config", configVersion(f.View.Now())), zap.Duration("took", time.Since(begin)), zap.String("why", err.Message()))
+		zap.Uint64("config", configVersion(f.View.Now())), zap.Duration("took", time.Since(start)), zap.String("why", err.Message()))
 	if err.Kind() == string(kinds.Cancelled) {
 		panic(http.ErrAbortHandler) // nobody is there to read an answer
 	}
@@ -290,12 +290,12 @@
 
 // Drain waits until no request is being served, or ctx ends.
 func (f *Front) Drain(ctx context.Context) error {
-	const look = 20 * time.Millisecond
-	for f.open.Load() > 0 {
+	const pollInterval = 20 * time.Millisecond
+	for f.inFlight.Load() > 0 {
 		select {
 		case <-ctx.Done():
-			return errors.Annotatef(ctx.Err(), "%d requests in flight", f.open.Load())
-		case <-time.After(look):
+			return errors.Annotatef(ctx.Err(), "%d requests in flight", f.inFlight.Load())
+		case <-time.After(pollInterval):
 		}
 	}
 	return nil
--- a/gateway/front/front_test.go
+++ b/gateway/front/front_test.go
@@ -57,14 +57,14 @@
 	return resp, string(data)
 }
 
-func attempt(id string) map[string]string {
+func attemptHeader(id string) map[string]string {
 	return map[string]string{hostedtest.HeaderAttempt: id, hostedtest.HeaderDeadline: "2000"}
 }
 
-func TestCallersGetTheServersAnswer(t *testing.T) {
+func TestCallerGetsServerAnswer(t *testing.T) {
 	pf := gatewaytest.NewPlatform(t, 0, 1)
 	_, url := newFront(t, pf)
-	resp, body := send(t, "POST", url+"/score/x", attempt("r1"), []byte("b"))
+	resp, body := send(t, "POST", url+"/score/x", attemptHeader("r1"), []byte("b"))
 	require.Equal(t, 200, resp.StatusCode)
 	require.Equal(t, "answer to r1", body)
 	require.Equal(t, "seal-r1", resp.Header.Get(hostedtest.HeaderSeal))
@@ -73,7 +73,7 @@
 
 // Our own failures bear no server's signature, and say "not run" and when to
 // come back where that is so.
-func TestOwnFailures(t *testing.T) {
+func TestGatewayErrors(t *testing.T) {
 	pf := gatewaytest.NewPlatform(t, 0, 1)
 	_, url := newFront(t, pf)
 	tests := []struct {
@@ -92,7 +92,7 @@
 		{"end of an unknown job", "DELETE", hostedtest.PathJob + "none", "", 404, false},
 	}
 	for _, test := range tests {
-		resp, _ := send(t, test.method, url+test.path, attempt("r"), []byte(test.body))
+		resp, _ := send(t, test.method, url+test.path, attemptHeader("r"), []byte(test.body))
 		require.Equal(t, test.status, resp.StatusCode, test.name)
 		require.Empty(t, resp.Header.Get(hostedtest.HeaderSeal), test.name)
 		require.Equal(t, "r", resp.Header.Get(hostedtest.HeaderAttempt), test.name)
@@ -107,11 +107,11 @@
 // The store has been away, or this entry fell behind: the operator may have added a
 // route meanwhile. Its callers would be refused for good with 404; they are told to
 // come back. Once the store is back, 404 is true again.
-func TestNoRouteIsSaidOnlyOfANewConfiguration(t *testing.T) {
+func TestNotFoundRequiresCurrentConfiguration(t *testing.T) {
 	pf := gatewaytest.NewPlatform(t, 0, 1)
 	_, url := newFront(t, pf)
 	status := func() int {
-		resp, _ := send(t, "GET", url+"/nowhere/", attempt("r"), nil)
+		resp, _ := send(t, "GET", url+"/nowhere/", attemptHeader("r"), nil)
 		if resp.StatusCode == 503 {
 			require.Equal(t, "1", resp.Header.Get(hostedtest.HeaderNotExecuted))
 			require.NotEmpty(t, resp.Header.Get("Retry-After"))
@@ -153,7 +153,7 @@
 	data, err := json.Marshal(hostedtest.Job("j", "m", 4, 1))
 	require.NoError(t, err)
 	for range 2 {
-		resp, _ := send(t, "POST", url+"/jobs/x", attempt("j"), data)
+		resp, _ := send(t, "POST", url+"/jobs/x", attemptHeader("j"), data)
 		require.Equal(t, http.StatusAccepted, resp.StatusCode)
 	}
 	_, body := send(t, "GET", url+hostedtest.PathItem+"j?id=j-i1", nil, nil)
@@ -199,13 +199,13 @@
 		_ = resp.Body.Close()
 		answered <- resp.StatusCode
 	}()
-	require.Eventually(t, func() bool { return f.Open() == 1 }, gatewaytest.Wait, time.Millisecond)
-	f.Leave()
-	soon, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
+	require.Eventually(t, func() bool { return f.InFlight() == 1 }, gatewaytest.Wait, time.Millisecond)
+	f.StartDrain()
+	expiring, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
 	defer cancel()
-	require.Error(t, f.Drain(soon))
+	require.Error(t, f.Drain(expiring))
 	require.NoError(t, f.Drain(t.Context()))
 	require.Equal(t, 504, <-answered)
-	resp, _ := send(t, "GET", url+"/nowhere/", attempt("r"), nil)
+	resp, _ := send(t, "GET", url+"/nowhere/", attemptHeader("r"), nil)
 	require.True(t, resp.Close)
 }
--- a/gateway/server/gateway.go
+++ b/gateway/server/gateway.go
@@ -135,7 +135,7 @@
 		return
 	}
 	usage.leave()
-	handler.Leave()
+	handler.StartDrain()
 	runner.Leave()
 }
 
