--- a/gateway/front/caller.go
+++ b/gateway/front/caller.go
@@ -14,8 +14,9 @@
 
 var unauthenticated = metrics.Counter("front_unauthenticated_total")
 
-// identify returns the organisation whose key the request carries; empty: the
-// configuration has no organisations, or the route is public and no known key was sent.
+// identify returns the organisation that owns the key in the request. It is empty if
+// the configuration has no organisations, or if the route is public and no known key
+// was sent.
 func (f *Front) identify(snap *view.Snapshot, r *http.Request, public bool) (string, *kinds.Error) {
 	directory := snap.Table.Organisations
 	if directory == nil {
@@ -34,9 +35,10 @@
 	return "", f.unknownKeyError(snap, hash, single)
 }
 
-// unknownKeyError is the answer to a caller whose key is not known here. The operator may have
-// added the key a moment ago: a process whose configuration may not be the newest tells
-// the caller to come back, for nobody repeats a request that was refused for its key.
+// unknownKeyError returns the error for a key that this process does not know. The
+// operator may have added the key a moment ago. If this process's configuration may be
+// outdated, the caller is therefore asked to retry, since callers don't retry requests
+// that were refused because of their key.
 func (f *Front) unknownKeyError(snap *view.Snapshot, hash table.KeyHash, single bool) *kinds.Error {
 	held := kinds.Hold()
 	age := f.View.Age().Round(time.Millisecond)
@@ -52,8 +54,8 @@
 	}
 }
 
-// authorizeJob lets the callers of the job's organisation through. To all others the job does
-// not exist.
+// authorizeJob returns an error unless the request belongs to the job's organisation.
+// To other organisations the job appears not to exist.
 func (f *Front) authorizeJob(ctx context.Context, snap *view.Snapshot, r *http.Request, job string) *kinds.Error {
 	organisation, refused := f.identify(snap, r, false)
 	if refused != nil && !f.Jobs.Public(job) {
--- a/gateway/front/caller_test.go
+++ b/gateway/front/caller_test.go
@@ -14,12 +14,14 @@
 	"dandelionsill.org/platform/hosted/hostedtest"
 )
 
-// applyOrganisations puts a configuration in force in which the keys belong to organisations.
+// applyOrganisations applies a configuration that assigns the keys to organisations.
 func applyOrganisations(t *testing.T, pf *gatewaytest.Platform, f *front.Front, version int, keys map[string][]string) {
 	pf.Store.Put(hostedtest.TopicOperator, "config", hostedtest.Organisations(hostedtest.Config(version), keys))
 	require.Eventually(t, func() bool { return f.View.Now().Table.Version == uint64(version) }, gatewaytest.Wait, time.Millisecond)
 }
 
+// headerWithKey returns the headers of an attempt that carries the key, if there is
+// one.
 func headerWithKey(id, key string) map[string]string {
 	header := attemptHeader(id)
 	if key != "" {
@@ -28,7 +30,8 @@
 	return header
 }
 
-// Guards against a server that is told another organisation than the key's, or the key.
+// Guards against servers that receive another organisation than the key's, or the key
+// itself.
 func TestServersReceiveOrganisationNotKey(t *testing.T) {
 	pf := gatewaytest.NewPlatform(t, 0, 1)
 	f, url := newFront(t, pf)
@@ -52,7 +55,7 @@
 }
 
 // Guards against requests that run without a key of the newest configuration, and
-// against refusals for good by a process that may not know it.
+// against permanent refusals by a process whose configuration may be outdated.
 func TestUnknownKeysAreRefused(t *testing.T) {
 	pf := gatewaytest.NewPlatform(t, 0, 1)
 	f, url := newFront(t, pf)
@@ -65,7 +68,7 @@
 	require.Equal(t, 401, resp.StatusCode)
 	applyOrganisations(t, pf, f, 3, map[string][]string{"a": {"key-1"}})
 	resp, _ = send(t, "POST", url+"/write/x", headerWithKey("r", "key-2"), nil)
-	require.Equal(t, 401, resp.StatusCode, "a key that was taken away")
+	require.Equal(t, 401, resp.StatusCode, "a key that was removed")
 	require.Empty(t, pf.Plain[0].Arrivals())
 	pf.Store.Fail(hostedtest.StoreFaults{Down: true})
 	require.Eventually(t, func() bool { return !f.View.Sure() }, gatewaytest.Wait, time.Millisecond)
@@ -86,8 +89,9 @@
 	return resp
 }
 
-// Guards against batch jobs that callers of other organisations read or end, against
-// samples under another name than their job's, and against a job that ends with a key.
+// Guards against callers of other organisations that read or end a batch job, against
+// samples that carry another organisation than their job's, and against jobs that end
+// when a key is removed.
 func TestBatchJobsBelongToAnOrganisation(t *testing.T) {
 	pf := gatewaytest.NewPlatform(t, 1, 1)
 	f, url := newFront(t, pf)
@@ -128,7 +132,7 @@
 		require.Empty(t, a.Header.Values(hostedtest.HeaderKey))
 	}
 	for _, a := range pf.Plain[0].Arrivals() {
-		require.Empty(t, a.Header.Values(hostedtest.HeaderOrganisation), "a score is asked for by the system")
+		require.Empty(t, a.Header.Values(hostedtest.HeaderOrganisation), "scores are requested by the system, not by an organisation")
 	}
 	resp, _ := send(t, "DELETE", url+hostedtest.PathJob+"j", headerWithKey("c", "key-2"), nil)
 	require.Equal(t, 200, resp.StatusCode)
--- a/gateway/front/front.go
+++ b/gateway/front/front.go
@@ -1,5 +1,5 @@
-// Package front takes the callers' requests: it finds the route, forwards the
-// request or hands it to the batch jobs, and writes the answer.
+// Package front serves the requests of callers: it finds the route, forwards the
+// request or passes it to the batch job service, and writes the answer.
 package front
 
 import (
@@ -26,16 +26,17 @@
 	"dandelionsill.org/platform/hosted"
 )
 
-// Times and sizes of requests.
+// Limits of requests.
 const (
-	// defaultDeadline is for callers that state none.
+	// defaultDeadline applies to requests that state no deadline.
 	defaultDeadline = 10 * time.Second
-	// answerMargin is left of the caller's time for the way back of the answer.
+	// answerMargin is the part of the caller's time that is reserved for sending the
+	// answer back.
 	answerMargin = 20 * time.Millisecond
-	// defaultMaxBodyBytes bounds a body where no configuration says, in bytes.
+	// defaultMaxBodyBytes bounds request bodies if the configuration sets no limit.
 	defaultMaxBodyBytes = 32 << 20
-	// submitTimeShare of the caller's time is spent on getting a batch job into
-	// the log; what is left is enough to try another entry.
+	// submitTimeShare is the share of the caller's time that may be used to append a
+	// batch job to the log. The rest is enough for the caller to try another gateway.
 	submitTimeShare = 0.6
 )
 
@@ -46,7 +47,7 @@
 	failures = metrics.Counter("front_answers_failed_total")
 )
 
-// Front is the handler of callers' requests.
+// Front is the HTTP handler of callers' requests.
 type Front struct {
 	View    *view.View
 	Forward *forward.Forwarder
@@ -58,10 +59,10 @@
 	draining atomic.Bool
 }
 
-// StartDrain makes each answer the last of its connection.
+// StartDrain makes Front close each connection after its next answer.
 func (f *Front) StartDrain() { f.draining.Store(true) }
 
-// InFlight is the number of requests that are being served.
+// InFlight returns the number of requests that are being served.
 func (f *Front) InFlight() int64 { return f.inFlight.Load() }
 
 // ServeHTTP implements http.Handler.
@@ -85,6 +86,7 @@
 	f.Latency.Observe(time.Since(start))
 }
 
+// countAnswer counts an answer by its status: ok, not run or failed.
 func (f *Front) countAnswer(status int) {
 	switch {
 	case status < http.StatusBadRequest:
@@ -96,7 +98,7 @@
 	}
 }
 
-// serve answers the request, or returns the error to be told.
+// serve answers the request and returns the status, or returns the error to write.
 func (f *Front) serve(w http.ResponseWriter, r *http.Request, start time.Time) (int, *kinds.Error) {
 	held := kinds.Hold()
 	snap := f.View.Now()
@@ -135,7 +137,8 @@
 	return f.proxy(w, r, route, organisation, body, deadline)
 }
 
-// callerTimeout is how long the caller will wait by its own word.
+// callerTimeout returns how long the caller waits for an answer, as stated in the
+// request.
 func callerTimeout(r *http.Request) time.Duration {
 	if left := hosted.Deadline(r.Header); left > 0 {
 		return left
@@ -143,7 +146,8 @@
 	return defaultDeadline
 }
 
-// answerTimeout is how long the caller may be kept waiting.
+// answerTimeout returns how long the request may take: the caller's timeout or the
+// route's, whichever is less, minus answerMargin but at least half of it.
 func answerTimeout(r *http.Request, route *table.Route) time.Duration {
 	left := callerTimeout(r)
 	if route.Timeout > 0 && route.Timeout < left {
@@ -152,6 +156,8 @@
 	return max(left-answerMargin, left/2)
 }
 
+// readBody reads the request's body, which may have up to limit bytes; a limit of 0 or
+// less means defaultMaxBodyBytes.
 func readBody(r *http.Request, limit int64) ([]byte, *kinds.Error) {
 	if limit <= 0 {
 		limit = defaultMaxBodyBytes
@@ -166,6 +172,7 @@
 	return body, nil
 }
 
+// proxy forwards the request to a server and writes its answer.
 func (f *Front) proxy(w http.ResponseWriter, r *http.Request, route *table.Route, organisation string, body []byte, deadline time.Time) (int, *kinds.Error) {
 	call := forward.Call{
 		Route: route, ID: hosted.AttemptID(r.Header), Method: r.Method, URI: r.RequestURI, Host: r.Host,
@@ -181,7 +188,7 @@
 	forward.CopyHeader(w.Header(), reply.Header)
 	w.Header().Set("Content-Length", strconv.Itoa(len(reply.Body)))
 	w.WriteHeader(reply.Status)
-	_, _ = w.Write(reply.Body) // a caller that left shows in its own context
+	_, _ = w.Write(reply.Body) // a disconnected caller shows in its request's context
 	return reply.Status, nil
 }
 
@@ -199,7 +206,7 @@
 	ctx, cancel := context.WithDeadline(r.Context(), start.Add(time.Duration(submitTimeShare*float64(left))))
 	defer cancel()
 	failed := f.Jobs.Submit(ctx, head, items)
-	f.Log.Info("Submission.", zap.String("job", head.ID), zap.Int("step", head.Step), zap.Int("items", len(items)),
+	f.Log.Info("Batch job submission handled.", zap.String("job", head.ID), zap.Int("step", head.Step), zap.Int("items", len(items)),
 		zap.Duration("took", time.Since(start)), zap.Error(errorOrNil(failed)))
 	if failed != nil {
 		return 0, failed
@@ -208,7 +215,8 @@
 	return http.StatusAccepted, nil
 }
 
-// errorOrNil keeps a nil *kinds.Error from becoming an error that is not nil.
+// errorOrNil converts err to an error, without turning a nil *kinds.Error into a
+// non-nil error.
 func errorOrNil(err *kinds.Error) error {
 	if err == nil {
 		return nil
@@ -216,7 +224,8 @@
 	return err
 }
 
-// serveJobCall answers a call about a batch job.
+// serveJobCall answers a request about an existing batch job: its results, the body of
+// an item, or its end.
 func (f *Front) serveJobCall(w http.ResponseWriter, r *http.Request, call hosted.Call) (int, *kinds.Error) {
 	switch call.Kind {
 	case hosted.CallEnd:
@@ -259,7 +268,8 @@
 	return http.StatusOK
 }
 
-// writeError tells the caller an error, and says "not run" only of what has not run.
+// writeError logs err and writes it to the caller, marked as not executed only if the
+// request did not run. It returns the status.
 func (f *Front) writeError(w http.ResponseWriter, r *http.Request, err *kinds.Error, start time.Time) int {
 	id := hosted.AttemptID(r.Header)
 	row := err.Answer()
@@ -267,7 +277,7 @@
 		zap.String("path", r.URL.Path), zap.String("kind", err.Kind()), zap.Bool("not_run", row.NotRun), zap.Int("status", row.HTTP),
 		zap.Uint64("config", configVersion(f.View.Now())), zap.Duration("took", time.Since(start)), zap.String("why", err.Message()))
 	if err.Kind() == string(kinds.Cancelled) {
-		panic(http.ErrAbortHandler) // nobody is there to read an answer
+		panic(http.ErrAbortHandler) // the caller has disconnected
 	}
 	if row.NotRun {
 		hosted.SetNotExecuted(w.Header())
@@ -288,7 +298,7 @@
 	return snap.Table.Version
 }
 
-// Drain waits until no request is being served, or ctx ends.
+// Drain waits until no request is being served. It returns an error if ctx ends first.
 func (f *Front) Drain(ctx context.Context) error {
 	const pollInterval = 20 * time.Millisecond
 	for f.inFlight.Load() > 0 {
--- a/gateway/front/front_test.go
+++ b/gateway/front/front_test.go
@@ -24,7 +24,7 @@
 	"dandelionsill.org/platform/hosted/hostedtest"
 )
 
-// newFront serves the platform's callers on loopback.
+// newFront serves the platform's callers on a loopback address and returns the URL.
 func newFront(t *testing.T, pf *gatewaytest.Platform) (*front.Front, string) {
 	p := pf.NewProcess(t)
 	book := jobs.NewBook(p.Store, zap.NewNop())
@@ -71,8 +71,8 @@
 	require.Equal(t, "r1", resp.Header.Get(hostedtest.HeaderAttempt))
 }
 
-// Our own failures bear no server's signature, and say "not run" and when to
-// come back where that is so.
+// Errors of the gateway itself carry no server's signature. They say "not run" and when
+// to retry if that applies.
 func TestGatewayErrors(t *testing.T) {
 	pf := gatewaytest.NewPlatform(t, 0, 1)
 	_, url := newFront(t, pf)
@@ -104,9 +104,10 @@
 	require.NotEmpty(t, resp.Header.Get("Retry-After"))
 }
 
-// The store has been away, or this entry fell behind: the operator may have added a
-// route meanwhile. Its callers would be refused for good with 404; they are told to
-// come back. Once the store is back, 404 is true again.
+// The store is unavailable, or this gateway has fallen behind, and the operator may
+// have added a route meanwhile. Callers of that route must not be refused permanently
+// with 404, so they are asked to retry. Once the store is available again, the answer
+// is 404.
 func TestNotFoundRequiresCurrentConfiguration(t *testing.T) {
 	pf := gatewaytest.NewPlatform(t, 0, 1)
 	_, url := newFront(t, pf)
@@ -125,8 +126,8 @@
 	require.Eventually(t, func() bool { return status() == 404 }, gatewaytest.Wait, 10*time.Millisecond)
 }
 
-// A request that no server answers gets its final answer when its time is up,
-// and one that may have run is not called "not run".
+// A request that no server answers gets its final answer when its deadline passes. If
+// it may have run, the answer does not say "not run".
 func TestDeadlineIsAnswered(t *testing.T) {
 	pf := gatewaytest.NewPlatform(t, 0, 1)
 	_, url := newFront(t, pf)
@@ -136,7 +137,7 @@
 	require.Empty(t, resp.Header.Get(hostedtest.HeaderNotExecuted))
 }
 
-// Before the first configuration everything is refused as not run.
+// Before the first configuration is read, all requests are refused as not run.
 func TestNoConfigurationIsNotRun(t *testing.T) {
 	store := hosted.NewStore("127.0.0.1:1")
 	f := &front.Front{View: view.New(store, zap.NewNop()), Log: zap.NewNop(), Latency: metrics.NewHistogram("front_test_latency")}
@@ -146,7 +147,7 @@
 	require.NotEmpty(t, w.Header().Get("Retry-After"))
 }
 
-// The whole path of a trainer over HTTP: submission, bodies, results, end.
+// All calls of a trainer over HTTP: submission, bodies, results, end.
 func TestBatchJobOverHTTP(t *testing.T) {
 	pf := gatewaytest.NewPlatform(t, 1, 1)
 	_, url := newFront(t, pf)
@@ -179,8 +180,8 @@
 	require.Equal(t, 200, resp.StatusCode)
 }
 
-// A stop begins: each answer ends its connection, and the drain waits for what
-// is in flight.
+// The process starts to drain: each answer closes its connection, and Drain waits for
+// the requests in flight.
 func TestDrainWaitsForRequests(t *testing.T) {
 	pf := gatewaytest.NewPlatform(t, 0, 1)
 	f, url := newFront(t, pf)
