--- a/gateway/backend/backend.go
+++ b/gateway/backend/backend.go
@@ -36,16 +36,16 @@
 	// dialTimeout bounds a connection to a server a few milliseconds away; a
 	// silent machine is known by it.
 	dialTimeout = 300 * time.Millisecond
-	// endedTimeout bounds the question whether a server has ended: a retry waits for it.
-	endedTimeout = 100 * time.Millisecond
-	// keptPerServer bounds the idle connections kept to one server.
-	keptPerServer = 16
-	// drainLimit is how much is read of an answer that nobody wants, to keep
+	// endedCheckTimeout bounds the question whether a server has ended: a retry waits for it.
+	endedCheckTimeout = 100 * time.Millisecond
+	// maxIdlePerServer bounds the idle connections kept to one server.
+	maxIdlePerServer = 16
+	// maxDiscardBytes is how much is read of an answer that nobody wants, to keep
 	// its connection; in bytes.
-	drainLimit = 64 << 10
-	// writtenAtOnce is the longest body that surely fits into the socket's
+	maxDiscardBytes = 64 << 10
+	// maxSyncWriteBytes is the longest body that surely fits into the socket's
 	// buffer, in bytes.
-	writtenAtOnce = 8 << 10
+	maxSyncWriteBytes = 8 << 10
 )
 
 var (
@@ -73,31 +73,31 @@
 	// Length is the body's length; -1: not known beforehand.
 	Length int64
 
-	conn *conn
-	resp *http.Response
-	pool *Pool
-	addr string
-	done bool
-	stop func() bool
+	conn     *conn
+	resp     *http.Response
+	pool     *Pool
+	addr     string
+	complete bool
+	stop     func() bool
 }
 
-// IDOf reads the request id that an answer bears; empty: none.
-type IDOf func(http.Header) string
+// RequestIDFunc reads the request id that an answer bears; empty: none.
+type RequestIDFunc func(http.Header) string
 
 // Pool keeps connections to any number of servers. It is safe for concurrent use.
 type Pool struct {
-	idOf IDOf
-	dial func(ctx context.Context, addr string) (net.Conn, error)
+	requestID RequestIDFunc
+	dial      func(ctx context.Context, addr string) (net.Conn, error)
 
 	mu   sync.Mutex
 	idle map[string][]*conn // by server address, the newest last
 }
 
 // NewPool returns an empty pool.
-func NewPool(idOf IDOf) *Pool {
+func NewPool(requestID RequestIDFunc) *Pool {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &Pool{
-		idOf: idOf,
+		requestID: requestID,
 		dial: func(ctx context.Context, addr string) (net.Conn, error) {
 			return dialer.DialContext(ctx, "tcp", addr)
 		},
@@ -109,13 +109,13 @@
 // When ctx ends the connection is closed, which tells the server to stop.
 // Close the answer in any case.
 func (p *Pool) Do(ctx context.Context, addr string, req *Request) (*Answer, error) {
-	c, err := p.take(ctx, addr)
+	c, err := p.acquire(ctx, addr)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
 	// Closing is the only way to interrupt a read or write of the connection.
 	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
-	resp, err := p.exchange(c, req)
+	resp, err := p.roundTrip(c, req)
 	if err != nil {
 		stop()
 		_ = c.Close()
@@ -127,14 +127,14 @@
 	}, nil
 }
 
-// exchange sends the request and reads the head of the answer.
-func (p *Pool) exchange(c *conn, req *Request) (*http.Response, error) {
+// roundTrip sends the request and reads the head of the answer.
+func (p *Pool) roundTrip(c *conn, req *Request) (*http.Response, error) {
 	sent := p.send(c, req)
-	resp, err := readFinal(c, req.Method)
+	resp, err := readFinalResponse(c, req.Method)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrBroken, err)
 	}
-	if got := p.idOf(resp.Header); got != "" && got != req.ID {
+	if got := p.requestID(resp.Header); got != "" && got != req.ID {
 		mismatches.Add(1)
 		return nil, ErrMismatch
 	}
@@ -154,7 +154,7 @@
 // reading of the answer.
 func (p *Pool) send(c *conn, req *Request) <-chan error {
 	sent := make(chan error, 1)
-	if len(req.Body) <= writtenAtOnce {
+	if len(req.Body) <= maxSyncWriteBytes {
 		sent <- req.write(c)
 		return sent
 	}
@@ -163,7 +163,7 @@
 }
 
 func (r *Request) write(c *conn) error {
-	w := c.w
+	w := c.writer
 	_, _ = w.WriteString(r.Method + " " + r.URI + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
 	if len(r.Body) > 0 || r.Method != http.MethodGet && r.Method != http.MethodHead {
 		_, _ = w.WriteString("Content-Length: " + strconv.Itoa(len(r.Body)) + "\r\n")
@@ -174,10 +174,10 @@
 	return errors.Trace(w.Flush())
 }
 
-// readFinal reads the head of the final answer, past interim ones.
-func readFinal(c *conn, method string) (*http.Response, error) {
+// readFinalResponse reads the head of the final answer, past interim ones.
+func readFinalResponse(c *conn, method string) (*http.Response, error) {
 	for {
-		resp, err := http.ReadResponse(c.r, &http.Request{Method: method})
+		resp, err := http.ReadResponse(c.reader, &http.Request{Method: method})
 		if err != nil {
 			return nil, err
 		}
@@ -187,15 +187,15 @@
 	}
 }
 
-// take returns a kept connection that is still usable, or a new one.
-func (p *Pool) take(ctx context.Context, addr string) (*conn, error) {
+// acquire returns a kept connection that is still usable, or a new one.
+func (p *Pool) acquire(ctx context.Context, addr string) (*conn, error) {
 	now := time.Now()
 	for {
-		c := p.pop(addr)
+		c := p.popIdle(addr)
 		if c == nil {
 			break
 		}
-		if c.usable(now) {
+		if c.isUsable(now) {
 			return c, nil
 		}
 		_ = c.Close()
@@ -208,42 +208,42 @@
 	return newConn(raw), nil
 }
 
-func (p *Pool) pop(addr string) *conn {
+func (p *Pool) popIdle(addr string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	kept := p.idle[addr]
-	if len(kept) == 0 {
+	idle := p.idle[addr]
+	if len(idle) == 0 {
 		return nil
 	}
-	c := kept[len(kept)-1]
-	p.idle[addr] = kept[:len(kept)-1]
+	c := idle[len(idle)-1]
+	p.idle[addr] = idle[:len(idle)-1]
 	return c
 }
 
-// Kept tells whether an idle connection to a server is at hand.
-func (p *Pool) Kept(addr string) bool {
+// HasIdle tells whether an idle connection to a server is at hand.
+func (p *Pool) HasIdle(addr string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	kept := p.idle[addr]
-	return len(kept) > 0 && time.Now().Before(kept[len(kept)-1].expires)
+	idle := p.idle[addr]
+	return len(idle) > 0 && time.Now().Before(idle[len(idle)-1].expires)
 }
 
-func (p *Pool) keep(addr string, c *conn) {
+func (p *Pool) putIdle(addr string, c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.idle[addr]) >= keptPerServer {
+	if len(p.idle[addr]) >= maxIdlePerServer {
 		_ = c.Close()
 		return
 	}
 	p.idle[addr] = append(p.idle[addr], c)
 }
 
-// Ended tells whether the process of the server at addr has ended: its machine
+// ServerEnded tells whether the process of the server at addr has ended: its machine
 // refuses connections. It is asked after a connection broke, which alone tells
 // nothing: networks reset connections, and servers close them. A machine that does
 // not answer proves nothing either. A connection that is made is kept.
-func (p *Pool) Ended(ctx context.Context, addr string) bool {
-	ctx, cancel := context.WithTimeout(ctx, endedTimeout)
+func (p *Pool) ServerEnded(ctx context.Context, addr string) bool {
+	ctx, cancel := context.WithTimeout(ctx, endedCheckTimeout)
 	defer cancel()
 	raw, err := p.dial(ctx, addr)
 	switch {
@@ -255,8 +255,8 @@
 	}
 	connsOpened.Add(1)
 	c := newConn(raw)
-	c.expires = time.Now().Add(defaultKeep)
-	p.keep(addr, c)
+	c.expires = time.Now().Add(defaultKeepAlive)
+	p.putIdle(addr, c)
 	return false
 }
 
@@ -264,11 +264,11 @@
 func (p *Pool) Retain(addrs map[string]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for addr, kept := range p.idle {
+	for addr, conns := range p.idle {
 		if addrs[addr] {
 			continue
 		}
-		for _, c := range kept {
+		for _, c := range conns {
 			_ = c.Close()
 		}
 		delete(p.idle, addr)
@@ -284,30 +284,30 @@
 	if int64(len(body)) > limit {
 		return nil, errors.Annotatef(ErrBroken, "body of over %d bytes", limit)
 	}
-	a.done = true
+	a.complete = true
 	return body, nil
 }
 
-// Finished tells that the body was read to its end.
-func (a *Answer) Finished() { a.done = true }
+// MarkComplete tells that the body was read to its end.
+func (a *Answer) MarkComplete() { a.complete = true }
 
 // Close gives the connection back where the answer was read whole, and closes
 // it otherwise, which makes the server stop.
 func (a *Answer) Close() {
-	unharmed := a.stop()
-	reusable := unharmed && a.done && !a.resp.Close && a.conn.r.Buffered() == 0
+	uninterrupted := a.stop()
+	reusable := uninterrupted && a.complete && !a.resp.Close && a.conn.reader.Buffered() == 0
 	if !reusable {
 		_ = a.conn.Close()
 		return
 	}
-	a.conn.expires = time.Now().Add(keepFor(a.Header.Get("Keep-Alive")))
-	a.pool.keep(a.addr, a.conn)
+	a.conn.expires = time.Now().Add(keepAliveTimeout(a.Header.Get("Keep-Alive")))
+	a.pool.putIdle(a.addr, a.conn)
 }
 
 // Discard reads the rest of a small body, so that its connection can be kept.
 func (a *Answer) Discard() {
-	if _, err := a.ReadAll(drainLimit); err != nil {
-		a.done = false // Close then ends the connection
+	if _, err := a.ReadAll(maxDiscardBytes); err != nil {
+		a.complete = false // Close then ends the connection
 	}
 	a.Close()
 }
--- a/gateway/backend/backend_test.go
+++ b/gateway/backend/backend_test.go
@@ -18,19 +18,19 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func idOf(h http.Header) string { return h.Get("X-Id") }
+func requestID(h http.Header) string { return h.Get("X-Id") }
 
-// peer is a server that answers each request on a connection with what reply
+// testServer is a server that answers each request on a connection with what reply
 // returns; it counts the connections.
-type peer struct {
+type testServer struct {
 	addr  string
 	conns atomic.Int64
 }
 
-func newPeer(t *testing.T, reply func(r *http.Request, w net.Conn) (goOn bool)) *peer {
+func newTestServer(t *testing.T, reply func(r *http.Request, w net.Conn) (keepOpen bool)) *testServer {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	p := &peer{addr: l.Addr().String()}
+	p := &testServer{addr: l.Addr().String()}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -61,7 +61,7 @@
 	}
 }
 
-func ok(w io.Writer, id, body, extra string) {
+func writeOK(w io.Writer, id, body, extra string) {
 	fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nX-Id: %s\r\n%sContent-Length: %d\r\n\r\n%s", id, extra, len(body), body)
 }
 
@@ -70,7 +70,7 @@
 }
 
 func newPool(t *testing.T) *Pool {
-	p := NewPool(idOf)
+	p := NewPool(requestID)
 	t.Cleanup(func() { p.Retain(nil) })
 	return p
 }
@@ -89,10 +89,10 @@
 // uses the first one's connection.
 func TestRequestsShareAConnection(t *testing.T) {
 	var seen []string
-	p := newPeer(t, func(r *http.Request, w net.Conn) bool {
+	p := newTestServer(t, func(r *http.Request, w net.Conn) bool {
 		body, _ := io.ReadAll(r.Body)
 		seen = append(seen, fmt.Sprint(r.Method, " ", r.RequestURI, " ", r.Host, " ", string(body), " ", r.Header.Get("User-Agent")))
-		ok(w, r.Header.Get("X-Id"), "x", "")
+		writeOK(w, r.Header.Get("X-Id"), "x", "")
 		return true
 	})
 	pool := newPool(t)
@@ -103,24 +103,24 @@
 	}
 	require.EqualValues(t, 1, p.conns.Load())
 	require.Equal(t, []string{"POST /a?b=c h body ", "POST /a?b=c h body "}, seen)
-	require.True(t, pool.Kept(p.addr))
+	require.True(t, pool.HasIdle(p.addr))
 }
 
 // A faulty server sends a second answer behind the first, in the same bytes or
 // while its connection is idle. It would be taken for the answer of the next
 // request, whose caller would get another caller's bytes.
-func TestExtraAnswerReachesNobody(t *testing.T) {
+func TestExtraAnswerIsDiscarded(t *testing.T) {
 	late := make(chan struct{})
-	p := newPeer(t, func(r *http.Request, w net.Conn) bool {
+	p := newTestServer(t, func(r *http.Request, w net.Conn) bool {
 		id := r.Header.Get("X-Id")
 		answers := bufio.NewWriter(w) // one write: both answers are there at once
 		defer answers.Flush()
-		ok(answers, id, "answer to "+id, "")
+		writeOK(answers, id, "answer to "+id, "")
 		switch id {
 		case "1":
-			ok(answers, id, "again to "+id, "")
+			writeOK(answers, id, "again to "+id, "")
 		case "3":
-			time.AfterFunc(20*time.Millisecond, func() { ok(w, id, "late to "+id, ""); close(late) })
+			time.AfterFunc(20*time.Millisecond, func() { writeOK(w, id, "late to "+id, ""); close(late) })
 		}
 		return true
 	})
@@ -141,12 +141,12 @@
 // after, when the next request is on its way. That request then ends with
 // ErrMismatch, its outcome unknown; it never gets the other's bytes, and the one
 // behind it is served, for the connection was closed.
-func TestExtraAnswerAtAnyMomentIsNotTheNextOnes(t *testing.T) {
-	p := newPeer(t, func(r *http.Request, w net.Conn) bool {
+func TestLateExtraAnswerIsNotUsedForNextRequest(t *testing.T) {
+	p := newTestServer(t, func(r *http.Request, w net.Conn) bool {
 		id := r.Header.Get("X-Id")
-		ok(w, id, "answer to "+id, "")
+		writeOK(w, id, "answer to "+id, "")
 		if strings.HasPrefix(id, "twice") {
-			ok(w, id, "again to "+id, "")
+			writeOK(w, id, "again to "+id, "")
 		}
 		return true
 	})
@@ -169,8 +169,8 @@
 // The late answer arrives after the next request was sent: it bears another
 // id, and the request's outcome is unknown.
 func TestAnswerOfAnotherRequestIsRefused(t *testing.T) {
-	p := newPeer(t, func(r *http.Request, w net.Conn) bool {
-		ok(w, "other", "not yours", "")
+	p := newTestServer(t, func(r *http.Request, w net.Conn) bool {
+		writeOK(w, "other", "not yours", "")
 		return true
 	})
 	_, err := fetch(t, newPool(t), p.addr, "1")
@@ -182,8 +182,8 @@
 // would be lost with its outcome unknown, so a closed one is never used.
 func TestClosedConnectionIsNotUsed(t *testing.T) {
 	closed := make(chan struct{}, 2)
-	p := newPeer(t, func(r *http.Request, w net.Conn) bool {
-		ok(w, r.Header.Get("X-Id"), "x", "")
+	p := newTestServer(t, func(r *http.Request, w net.Conn) bool {
+		writeOK(w, r.Header.Get("X-Id"), "x", "")
 		_ = w.Close()
 		closed <- struct{}{}
 		return false
@@ -199,22 +199,22 @@
 }
 
 // "Connection: close" and the stated timeout are kept to.
-func TestServerSaysHowLongAConnectionLasts(t *testing.T) {
+func TestKeepAliveHeaderIsHonoured(t *testing.T) {
 	header := "Connection: close\r\n"
-	p := newPeer(t, func(r *http.Request, w net.Conn) bool {
-		ok(w, r.Header.Get("X-Id"), "x", header)
+	p := newTestServer(t, func(r *http.Request, w net.Conn) bool {
+		writeOK(w, r.Header.Get("X-Id"), "x", header)
 		return true
 	})
 	pool := newPool(t)
 	_, err := fetch(t, pool, p.addr, "1")
 	require.NoError(t, err)
-	require.False(t, pool.Kept(p.addr))
+	require.False(t, pool.HasIdle(p.addr))
 	header = "Keep-Alive: timeout=1\r\n"
 	_, err = fetch(t, pool, p.addr, "2")
 	require.NoError(t, err)
-	require.False(t, pool.Kept(p.addr), "one second less the margin is none")
-	require.Equal(t, 9*time.Second, keepFor("max=3, timeout=10"))
-	require.Equal(t, defaultKeep, keepFor("timeout=soon"))
+	require.False(t, pool.HasIdle(p.addr), "one second less the margin is none")
+	require.Equal(t, 9*time.Second, keepAliveTimeout("max=3, timeout=10"))
+	require.Equal(t, defaultKeepAlive, keepAliveTimeout("timeout=soon"))
 }
 
 // The server breaks off in the middle: with a length, in chunks, or in its
@@ -227,7 +227,7 @@
 		"no bytes": "",
 		"garbage":  "\x00\x01 not http\r\n\r\n",
 	} {
-		p := newPeer(t, func(_ *http.Request, w net.Conn) bool {
+		p := newTestServer(t, func(_ *http.Request, w net.Conn) bool {
 			_, _ = io.WriteString(w, bytes)
 			return false
 		})
@@ -238,8 +238,8 @@
 
 // An answer without a length ends with its connection. One that is reset on
 // the way isn't complete.
-func TestResetEndsNoAnswer(t *testing.T) {
-	p := newPeer(t, func(r *http.Request, w net.Conn) bool {
+func TestResetAnswerIsIncomplete(t *testing.T) {
+	p := newTestServer(t, func(r *http.Request, w net.Conn) bool {
 		_, _ = io.WriteString(w, "HTTP/1.1 200 OK\r\n\r\nhalf")
 		if r.Header.Get("X-Id") == "reset" {
 			_ = w.(*net.TCPConn).SetLinger(0)
@@ -257,13 +257,13 @@
 // A server rejects a long body before it has read it and reads on later. The
 // next request on that connection would stand within the body.
 func TestEarlyAnswerEndsTheConnection(t *testing.T) {
-	goOn := make(chan struct{})
-	p := newPeer(t, func(r *http.Request, w net.Conn) bool {
-		ok(w, r.Header.Get("X-Id"), "early", "")
-		<-goOn
+	proceed := make(chan struct{})
+	p := newTestServer(t, func(r *http.Request, w net.Conn) bool {
+		writeOK(w, r.Header.Get("X-Id"), "early", "")
+		<-proceed
 		return false
 	})
-	defer close(goOn)
+	defer close(proceed)
 	pool := newPool(t)
 	req := request("1")
 	req.Body = []byte(strings.Repeat("x", 32<<20))
@@ -273,14 +273,14 @@
 	require.NoError(t, err)
 	require.Equal(t, "early", string(body))
 	a.Close()
-	require.False(t, pool.Kept(p.addr))
+	require.False(t, pool.HasIdle(p.addr))
 }
 
 // The caller leaves: the connection is closed at once, so that the server stops.
-func TestLeavingCallerClosesTheConnection(t *testing.T) {
+func TestCancelClosesConnection(t *testing.T) {
 	stopped := make(chan struct{})
 	arrived := make(chan struct{})
-	p := newPeer(t, func(_ *http.Request, w net.Conn) bool {
+	p := newTestServer(t, func(_ *http.Request, w net.Conn) bool {
 		close(arrived)
 		_, _ = w.Read(make([]byte, 1))
 		close(stopped)
@@ -316,12 +316,12 @@
 			}
 			go serveConn(c, func(r *http.Request, w net.Conn) bool {
 				_, _ = io.Copy(io.Discard, r.Body)
-				ok(w, "1", strings.Repeat("x", 800), "")
+				writeOK(w, "1", strings.Repeat("x", 800), "")
 				return true
 			})
 		}
 	}()
-	pool := NewPool(idOf)
+	pool := NewPool(requestID)
 	defer pool.Retain(nil)
 	for b.Loop() {
 		a, err := pool.Do(context.Background(), l.Addr().String(), request("1"))
@@ -335,18 +335,18 @@
 // A connection broke. Only a machine that refuses connections shows that the server's
 // process ended; one that takes a new one lives, and that one is kept for the retry.
 func TestEndedServerRefusesConnections(t *testing.T) {
-	p := newPeer(t, func(r *http.Request, w net.Conn) bool { ok(w, r.Header.Get("X-Id"), "x", ""); return true })
-	pool := NewPool(idOf)
-	require.False(t, pool.Ended(t.Context(), p.addr))
-	require.True(t, pool.Kept(p.addr))
+	p := newTestServer(t, func(r *http.Request, w net.Conn) bool { writeOK(w, r.Header.Get("X-Id"), "x", ""); return true })
+	pool := NewPool(requestID)
+	require.False(t, pool.ServerEnded(t.Context(), p.addr))
+	require.True(t, pool.HasIdle(p.addr))
 	pool.Retain(nil)
 
 	gone, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	require.NoError(t, gone.Close())
-	require.True(t, pool.Ended(t.Context(), gone.Addr().String()))
+	require.True(t, pool.ServerEnded(t.Context(), gone.Addr().String()))
 
-	silent, cancel := context.WithCancel(t.Context())
+	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
-	require.False(t, pool.Ended(silent, gone.Addr().String()), "a machine that does not answer proves nothing")
+	require.False(t, pool.ServerEnded(cancelled, gone.Addr().String()), "a machine that does not answer proves nothing")
 }
--- a/gateway/backend/conn.go
+++ b/gateway/backend/conn.go
@@ -12,28 +12,28 @@
 // conn is one connection to a backend server; it carries one request at a time.
 type conn struct {
 	net.Conn
-	r *bufio.Reader
-	w *bufio.Writer
+	reader *bufio.Reader
+	writer *bufio.Writer
 	// expires is when the server may close it by itself.
 	expires time.Time
 }
 
 // Sizes of a connection's buffers, in bytes; most answers fit into one.
 const (
-	readBuffer  = 4 << 10
-	writeBuffer = 4 << 10
+	readBufferBytes  = 4 << 10
+	writeBufferBytes = 4 << 10
 )
 
 func newConn(c net.Conn) *conn {
-	return &conn{Conn: c, r: bufio.NewReaderSize(c, readBuffer), w: bufio.NewWriterSize(c, writeBuffer)}
+	return &conn{Conn: c, reader: bufio.NewReaderSize(c, readBufferBytes), writer: bufio.NewWriterSize(c, writeBufferBytes)}
 }
 
-// usable tells whether a kept connection can carry another request. A server
+// isUsable tells whether a kept connection can carry another request. A server
 // that closed it, or that sent bytes behind its last answer, shows here
 // without a read: such bytes belong to no request, and a request on a closed
 // connection would be lost with its outcome unknown.
-func (c *conn) usable(now time.Time) bool {
-	if !now.Before(c.expires) || c.r.Buffered() > 0 {
+func (c *conn) isUsable(now time.Time) bool {
+	if !now.Before(c.expires) || c.reader.Buffered() > 0 {
 		return false
 	}
 	sc, ok := c.Conn.(syscall.Conn)
@@ -44,27 +44,27 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	idle := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = err == syscall.EAGAIN || err == syscall.EWOULDBLOCK
+		idle = err == syscall.EAGAIN || err == syscall.EWOULDBLOCK
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && idle
 }
 
 // Lifetimes of kept connections.
 const (
-	// defaultKeep is for servers that state no timeout.
-	defaultKeep = 4 * time.Second
-	// keepMargin is left of a stated timeout, so that a request does not cross
+	// defaultKeepAlive is for servers that state no timeout.
+	defaultKeepAlive = 4 * time.Second
+	// keepAliveMargin is left of a stated timeout, so that a request does not cross
 	// the server's close.
-	keepMargin = time.Second
+	keepAliveMargin = time.Second
 )
 
-// keepFor reads "timeout=N" of a Keep-Alive header, in whole seconds.
-func keepFor(header string) time.Duration {
+// keepAliveTimeout reads "timeout=N" of a Keep-Alive header, in whole seconds.
+func keepAliveTimeout(header string) time.Duration {
 	for _, part := range strings.Split(header, ",") {
 		value, found := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
 		if !found {
@@ -74,7 +74,7 @@
 		if err != nil { // an unreadable timeout is one not stated
 			break
 		}
-		return time.Duration(seconds)*time.Second - keepMargin
+		return time.Duration(seconds)*time.Second - keepAliveMargin
 	}
-	return defaultKeep
+	return defaultKeepAlive
 }
--- a/gateway/forward/forward.go
+++ b/gateway/forward/forward.go
@@ -335,7 +335,7 @@
 	servers := s.forwarder.View.Now().Servers[s.service]
 	candidates := s.forwarder.serverStats.candidates(s.service, s.forwarder.domain, servers, time.Now())
 	for i := range candidates {
-		candidates[i].Connected = s.forwarder.Pool.Kept(servers[i].Addr)
+		candidates[i].Connected = s.forwarder.Pool.HasIdle(servers[i].Addr)
 	}
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	picked := s.forwarder.policy.Pick(&route.Request{Tried: s.tried}, candidates, rng, &route.Scratch{})
@@ -371,7 +371,7 @@
 // that its end is no crash.
 func (f *Forwarder) ServerCrashed(ctx context.Context, service string, server members.Server) bool {
 	listed, known := f.View.Now().Server(service, server.ID)
-	return known && !listed.Leaving && f.Pool.Ended(ctx, server.Addr)
+	return known && !listed.Leaving && f.Pool.ServerEnded(ctx, server.Addr)
 }
 
 func (f *Forwarder) exchange(ctx context.Context, call Call, server members.Server) (*Reply, error) {
--- a/gateway/forward/stream.go
+++ b/gateway/forward/stream.go
@@ -175,7 +175,7 @@
 	for {
 		event, err := reader.Next()
 		if err == io.EOF {
-			answer.Finished()
+			answer.MarkComplete()
 			return streamDone, nil
 		}
 		if err != nil {
@@ -206,7 +206,7 @@
 			s.write(buf[:n])
 		}
 		if err == io.EOF {
-			answer.Finished()
+			answer.MarkComplete()
 			return streamDone, nil
 		}
 		if err != nil {
--- a/gateway/jobs/stream.go
+++ b/gateway/jobs/stream.go
@@ -156,7 +156,7 @@
 	for {
 		event, err := reader.Next()
 		if err == io.EOF {
-			answer.Finished()
+			answer.MarkComplete()
 			return complete, nil
 		}
 		if err != nil {
