--- a/gateway/forward/stream.go
+++ b/gateway/forward/stream.go
@@ -39,7 +39,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	s := &streamState{
-		callState: f.newCallState(call), w: w, lastEvent: hosted.Resumed(call.Header),
+		callState: f.newCallState(call), writer: w, lastEvent: hosted.Resumed(call.Header),
 	}
 	defer func() { s.reportResult(nil) }()
 	defer s.usage.Done()
@@ -93,7 +93,7 @@
 // the goroutine of Stream.
 type streamState struct {
 	*callState
-	w         http.ResponseWriter
+	writer    http.ResponseWriter
 	status    int    // of the first server's answer; 0: nothing has been written yet
 	lastEvent int    // id of the last event written to the caller
 	version   uint64 // weight version of that event, as reported to the caller
@@ -156,8 +156,8 @@
 	ok := answer.Status < http.StatusMultipleChoices
 	switch {
 	case s.status == 0:
-		CopyHeader(s.w.Header(), answer.Header)
-		s.w.WriteHeader(answer.Status)
+		CopyHeader(s.writer.Header(), answer.Header)
+		s.writer.WriteHeader(answer.Status)
 		s.status, s.version = answer.Status, hosted.WeightVersion(answer.Header)
 	case !ok:
 		return streamBroken, errors.Errorf("status %d in place of the rest", answer.Status)
@@ -218,10 +218,10 @@
 // write sends bytes to the caller immediately. It aborts the call if the caller has
 // disconnected.
 func (s *streamState) write(p []byte) {
-	if _, err := s.w.Write(p); err != nil {
+	if _, err := s.writer.Write(p); err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	_ = http.NewResponseController(s.w).Flush() // the next Write reports a failure
+	_ = http.NewResponseController(s.writer).Flush() // the next Write reports a failure
 }
 
 // open sends the request to a server and reads the head of the answer.
