--- a/gateway/backend/backend.go
+++ b/gateway/backend/backend.go
@@ -1,10 +1,11 @@
-// Package backend sends single requests to backend servers over kept HTTP/1.1
-// connections. It tells apart what was surely not sent from what may have run,
-// and hands no bytes on that belong to another request.
+// Package backend sends single requests to backend servers over HTTP/1.1 connections
+// that it keeps alive. Its errors distinguish a request that was certainly not sent
+// from one that may have run, and no bytes are passed on that belong to another
+// request.
 //
-// net/http's own client is not used here: it takes whatever stands next on a
-// connection for the answer, so that a late second answer of one request would
-// be given to the next.
+// The client of net/http is not used here: it takes whatever comes next on a connection
+// for the answer, so that a late second answer to one request would be returned for the
+// next request.
 package backend
 
 import (
@@ -23,8 +24,8 @@
 	"dandelionsill.org/base/metrics"
 )
 
-// Errors of Do. ErrNotSent proves that the server got no byte of the request;
-// after any other it may have run.
+// Errors of Do. ErrNotSent proves that the server received no byte of the request;
+// after any other error the request may have run.
 var (
 	ErrNotSent  = errors.New("backend: not sent")
 	ErrBroken   = errors.New("backend: connection broke before the whole answer")
@@ -33,18 +34,19 @@
 
 // Limits of connections.
 const (
-	// dialTimeout bounds a connection to a server a few milliseconds away; a
-	// silent machine is known by it.
+	// dialTimeout bounds the time to connect. Servers are a few milliseconds away, so
+	// that a machine that takes longer is unresponsive.
 	dialTimeout = 300 * time.Millisecond
-	// endedCheckTimeout bounds the question whether a server has ended: a retry waits for it.
+	// endedCheckTimeout bounds the check whether a server has ended, since a retry
+	// waits for it.
 	endedCheckTimeout = 100 * time.Millisecond
-	// maxIdlePerServer bounds the idle connections kept to one server.
+	// maxIdlePerServer bounds the idle connections kept for one server.
 	maxIdlePerServer = 16
-	// maxDiscardBytes is how much is read of an answer that nobody wants, to keep
-	// its connection; in bytes.
+	// maxDiscardBytes is how much of an unwanted answer is read so that its connection
+	// can be kept.
 	maxDiscardBytes = 64 << 10
-	// maxSyncWriteBytes is the longest body that surely fits into the socket's
-	// buffer, in bytes.
+	// maxSyncWriteBytes is the longest body that certainly fits into the socket's
+	// buffer, so that writing it does not block.
 	maxSyncWriteBytes = 8 << 10
 )
 
@@ -54,23 +56,23 @@
 	serversEnded = metrics.Counter("backend_servers_ended_total")
 )
 
-// Request is one request to a server.
+// Request is a request to a server.
 type Request struct {
 	Method string
 	URI    string // path and query as the caller sent them
 	Host   string
 	Header http.Header
 	Body   []byte
-	// ID names the request; the answer has to bear the same.
+	// ID identifies the request. If the answer carries an id, it must be the same.
 	ID string
 }
 
-// Answer is the head of a server's answer, with its body still to be read.
+// Answer is the head of a server's answer, with the body still to be read.
 type Answer struct {
 	Status int
 	Header http.Header
 	Body   io.Reader
-	// Length is the body's length; -1: not known beforehand.
+	// Length is the body's length in bytes; -1 if it is not known beforehand.
 	Length int64
 
 	conn     *conn
@@ -81,7 +83,7 @@
 	stop     func() bool
 }
 
-// RequestIDFunc reads the request id that an answer bears; empty: none.
+// RequestIDFunc returns the request id that an answer carries; empty if it has none.
 type RequestIDFunc func(http.Header) string
 
 // Pool keeps connections to any number of servers. It is safe for concurrent use.
@@ -93,7 +95,7 @@
 	idle map[string][]*conn // by server address, the newest last
 }
 
-// NewPool returns an empty pool.
+// NewPool returns an empty pool. requestID reads the request ids of answers.
 func NewPool(requestID RequestIDFunc) *Pool {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &Pool{
@@ -105,15 +107,15 @@
 	}
 }
 
-// Do sends a request to the server at addr and reads the head of its answer.
-// When ctx ends the connection is closed, which tells the server to stop.
-// Close the answer in any case.
+// Do sends a request to the server at addr and reads the head of the answer. If ctx
+// ends, the connection is closed, which tells the server to stop. The caller of Do must
+// call Close or Discard on the answer.
 func (p *Pool) Do(ctx context.Context, addr string, req *Request) (*Answer, error) {
 	c, err := p.acquire(ctx, addr)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
-	// Closing is the only way to interrupt a read or write of the connection.
+	// A read or write of the connection can only be interrupted by closing it.
 	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
 	resp, err := p.roundTrip(c, req)
 	if err != nil {
@@ -143,15 +145,15 @@
 		resp.Close = resp.Close || err != nil
 	default:
 		// The rest of the body is still on its way: the connection can't be
-		// used again, or the next request would stand within this body.
+		// used again, since the next request would be written within this body.
 		resp.Close = true
 	}
 	return resp, nil
 }
 
-// send writes the request. A server may answer before it has read a long body
-// and read no further meanwhile, so that a long one is written beside the
-// reading of the answer.
+// send writes the request. A server may answer before it has read all of a long body,
+// and read no further meanwhile. A long body is therefore written concurrently with
+// reading the answer.
 func (p *Pool) send(c *conn, req *Request) <-chan error {
 	sent := make(chan error, 1)
 	if len(req.Body) <= maxSyncWriteBytes {
@@ -162,19 +164,20 @@
 	return sent
 }
 
+// write writes the request to c.
 func (r *Request) write(c *conn) error {
 	w := c.writer
 	_, _ = w.WriteString(r.Method + " " + r.URI + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
 	if len(r.Body) > 0 || r.Method != http.MethodGet && r.Method != http.MethodHead {
 		_, _ = w.WriteString("Content-Length: " + strconv.Itoa(len(r.Body)) + "\r\n")
 	}
-	_ = r.Header.Write(w) // errors of the writer stay and show at Flush
+	_ = r.Header.Write(w) // the writer keeps its first error, and Flush returns it
 	_, _ = w.WriteString("\r\n")
 	_, _ = w.Write(r.Body)
 	return errors.Trace(w.Flush())
 }
 
-// readFinalResponse reads the head of the final answer, past interim ones.
+// readFinalResponse reads the head of the final answer and skips interim (1xx) ones.
 func readFinalResponse(c *conn, method string) (*http.Response, error) {
 	for {
 		resp, err := http.ReadResponse(c.reader, &http.Request{Method: method})
@@ -187,7 +190,7 @@
 	}
 }
 
-// acquire returns a kept connection that is still usable, or a new one.
+// acquire returns a usable idle connection, or a new one.
 func (p *Pool) acquire(ctx context.Context, addr string) (*conn, error) {
 	now := time.Now()
 	for {
@@ -208,6 +211,8 @@
 	return newConn(raw), nil
 }
 
+// popIdle removes and returns the newest idle connection to a server; nil if there is
+// none.
 func (p *Pool) popIdle(addr string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -220,7 +225,7 @@
 	return c
 }
 
-// HasIdle tells whether an idle connection to a server is at hand.
+// HasIdle reports whether the pool has an unexpired idle connection to a server.
 func (p *Pool) HasIdle(addr string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -228,6 +233,7 @@
 	return len(idle) > 0 && time.Now().Before(idle[len(idle)-1].expires)
 }
 
+// putIdle adds an idle connection, or closes it if there are maxIdlePerServer already.
 func (p *Pool) putIdle(addr string, c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -238,10 +244,11 @@
 	p.idle[addr] = append(p.idle[addr], c)
 }
 
-// ServerEnded tells whether the process of the server at addr has ended: its machine
-// refuses connections. It is asked after a connection broke, which alone tells
-// nothing: networks reset connections, and servers close them. A machine that does
-// not answer proves nothing either. A connection that is made is kept.
+// ServerEnded reports whether the process of the server at addr has ended, which is the
+// case if its machine refuses connections. It is meant to be called after a connection
+// broke. That alone proves nothing, since networks reset connections and servers close
+// them. A machine that does not answer proves nothing either. If a connection is
+// established, it is kept.
 func (p *Pool) ServerEnded(ctx context.Context, addr string) bool {
 	ctx, cancel := context.WithTimeout(ctx, endedCheckTimeout)
 	defer cancel()
@@ -260,7 +267,7 @@
 	return false
 }
 
-// Retain closes the connections to all servers but those at the addresses.
+// Retain closes the idle connections to all servers except those at addrs.
 func (p *Pool) Retain(addrs map[string]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -275,7 +282,8 @@
 	}
 }
 
-// ReadAll reads the whole body; an error is ErrBroken. limit bounds it, in bytes.
+// ReadAll reads the complete body. It returns an ErrBroken error if the body ends early
+// or is longer than limit bytes.
 func (a *Answer) ReadAll(limit int64) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(a.Body, limit+1))
 	if err != nil {
@@ -288,11 +296,12 @@
 	return body, nil
 }
 
-// MarkComplete tells that the body was read to its end.
+// MarkComplete records that the body was read to its end, so that Close can keep the
+// connection.
 func (a *Answer) MarkComplete() { a.complete = true }
 
-// Close gives the connection back where the answer was read whole, and closes
-// it otherwise, which makes the server stop.
+// Close returns the connection to the pool if the answer was read completely. Otherwise
+// it closes the connection, which makes the server stop.
 func (a *Answer) Close() {
 	uninterrupted := a.stop()
 	reusable := uninterrupted && a.complete && !a.resp.Close && a.conn.reader.Buffered() == 0
@@ -304,10 +313,11 @@
 	a.pool.putIdle(a.addr, a.conn)
 }
 
-// Discard reads the rest of a small body, so that its connection can be kept.
+// Discard reads the rest of a small body, so that its connection can be kept, and
+// closes the answer.
 func (a *Answer) Discard() {
 	if _, err := a.ReadAll(maxDiscardBytes); err != nil {
-		a.complete = false // Close then ends the connection
+		a.complete = false // makes Close close the connection
 	}
 	a.Close()
 }
--- a/gateway/backend/backend_test.go
+++ b/gateway/backend/backend_test.go
@@ -20,8 +20,8 @@
 
 func requestID(h http.Header) string { return h.Get("X-Id") }
 
-// testServer is a server that answers each request on a connection with what reply
-// returns; it counts the connections.
+// testServer is a server that answers each request on a connection by calling reply. It
+// counts the connections.
 type testServer struct {
 	addr  string
 	conns atomic.Int64
@@ -85,8 +85,8 @@
 	return string(body), err
 }
 
-// The request reaches the server as the caller sent it, and the second one
-// uses the first one's connection.
+// The request reaches the server as the caller sent it, and the second request uses the
+// connection of the first.
 func TestRequestsShareAConnection(t *testing.T) {
 	var seen []string
 	p := newTestServer(t, func(r *http.Request, w net.Conn) bool {
@@ -106,9 +106,9 @@
 	require.True(t, pool.HasIdle(p.addr))
 }
 
-// A faulty server sends a second answer behind the first, in the same bytes or
-// while its connection is idle. It would be taken for the answer of the next
-// request, whose caller would get another caller's bytes.
+// A faulty server sends a second answer after the first, in the same bytes or while its
+// connection is idle. If it were taken for the answer to the next request, a caller
+// would get another caller's bytes.
 func TestExtraAnswerIsDiscarded(t *testing.T) {
 	late := make(chan struct{})
 	p := newTestServer(t, func(r *http.Request, w net.Conn) bool {
@@ -137,10 +137,10 @@
 	}, 5*time.Second, time.Millisecond)
 }
 
-// The second answer comes at any moment: before the connection is checked, or
-// after, when the next request is on its way. That request then ends with
-// ErrMismatch, its outcome unknown; it never gets the other's bytes, and the one
-// behind it is served, for the connection was closed.
+// The second answer may come at any moment: before the connection is checked, or after
+// the next request was sent. That request then ends with ErrMismatch, its outcome
+// unknown. It never gets the other request's bytes, and the request after it is served,
+// because the connection was closed.
 func TestLateExtraAnswerIsNotUsedForNextRequest(t *testing.T) {
 	p := newTestServer(t, func(r *http.Request, w net.Conn) bool {
 		id := r.Header.Get("X-Id")
@@ -166,8 +166,8 @@
 	}
 }
 
-// The late answer arrives after the next request was sent: it bears another
-// id, and the request's outcome is unknown.
+// The late answer arrives after the next request was sent. It carries another id, and
+// the outcome of the request is unknown.
 func TestAnswerOfAnotherRequestIsRefused(t *testing.T) {
 	p := newTestServer(t, func(r *http.Request, w net.Conn) bool {
 		writeOK(w, "other", "not yours", "")
@@ -178,8 +178,8 @@
 	require.NotErrorIs(t, err, ErrNotSent)
 }
 
-// Servers close idle connections. A request written on one that was closed
-// would be lost with its outcome unknown, so a closed one is never used.
+// Servers close idle connections. A request written on a closed connection would be
+// lost with its outcome unknown, so a closed connection must not be used.
 func TestClosedConnectionIsNotUsed(t *testing.T) {
 	closed := make(chan struct{}, 2)
 	p := newTestServer(t, func(r *http.Request, w net.Conn) bool {
@@ -198,7 +198,7 @@
 	}
 }
 
-// "Connection: close" and the stated timeout are kept to.
+// "Connection: close" and the stated keep-alive timeout are honoured.
 func TestKeepAliveHeaderIsHonoured(t *testing.T) {
 	header := "Connection: close\r\n"
 	p := newTestServer(t, func(r *http.Request, w net.Conn) bool {
@@ -212,13 +212,13 @@
 	header = "Keep-Alive: timeout=1\r\n"
 	_, err = fetch(t, pool, p.addr, "2")
 	require.NoError(t, err)
-	require.False(t, pool.HasIdle(p.addr), "one second less the margin is none")
+	require.False(t, pool.HasIdle(p.addr), "one second minus the margin is zero")
 	require.Equal(t, 9*time.Second, keepAliveTimeout("max=3, timeout=10"))
 	require.Equal(t, defaultKeepAlive, keepAliveTimeout("timeout=soon"))
 }
 
-// The server breaks off in the middle: with a length, in chunks, or in its
-// head. Each has to show as an error, or half an answer would look whole.
+// The server breaks off within a body with a length, within chunks, or within the head.
+// Each case must be an error, or half an answer would look complete.
 func TestBrokenAnswersAreErrors(t *testing.T) {
 	for name, bytes := range map[string]string{
 		"length":   "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf",
@@ -236,8 +236,8 @@
 	}
 }
 
-// An answer without a length ends with its connection. One that is reset on
-// the way isn't complete.
+// An answer without a length ends with its connection. If the connection is reset, the
+// answer is not complete.
 func TestResetAnswerIsIncomplete(t *testing.T) {
 	p := newTestServer(t, func(r *http.Request, w net.Conn) bool {
 		_, _ = io.WriteString(w, "HTTP/1.1 200 OK\r\n\r\nhalf")
@@ -254,8 +254,8 @@
 	require.ErrorIs(t, err, ErrBroken)
 }
 
-// A server rejects a long body before it has read it and reads on later. The
-// next request on that connection would stand within the body.
+// A server rejects a long body before it has read it, and reads the rest later. The
+// next request on that connection would be written within the body.
 func TestEarlyAnswerEndsTheConnection(t *testing.T) {
 	proceed := make(chan struct{})
 	p := newTestServer(t, func(r *http.Request, w net.Conn) bool {
@@ -276,7 +276,8 @@
 	require.False(t, pool.HasIdle(p.addr))
 }
 
-// The caller leaves: the connection is closed at once, so that the server stops.
+// The caller disconnects. The connection is closed immediately, so that the server
+// stops.
 func TestCancelClosesConnection(t *testing.T) {
 	stopped := make(chan struct{})
 	arrived := make(chan struct{})
@@ -293,8 +294,8 @@
 	<-stopped
 }
 
-// Nobody listens: not a byte was sent, so the request may go elsewhere, also
-// one that may run only once.
+// No process listens at the address. No byte was sent, so the request may be sent to
+// another server, even if it may run only once.
 func TestRefusedConnectionProvesNotSent(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -303,7 +304,7 @@
 	require.ErrorIs(t, err, ErrNotSent)
 }
 
-// One small request and its answer on a kept connection.
+// BenchmarkDo measures a small request and its answer on an idle connection.
 func BenchmarkDo(b *testing.B) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(b, err)
@@ -332,8 +333,9 @@
 	}
 }
 
-// A connection broke. Only a machine that refuses connections shows that the server's
-// process ended; one that takes a new one lives, and that one is kept for the retry.
+// After a connection broke, only a machine that refuses connections shows that the
+// server's process ended. A server that accepts a new connection is alive, and that
+// connection is kept for the retry.
 func TestEndedServerRefusesConnections(t *testing.T) {
 	p := newTestServer(t, func(r *http.Request, w net.Conn) bool { writeOK(w, r.Header.Get("X-Id"), "x", ""); return true })
 	pool := NewPool(requestID)
--- a/gateway/backend/conn.go
+++ b/gateway/backend/conn.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// conn is one connection to a backend server; it carries one request at a time.
+// conn is a connection to a backend server. It carries one request at a time.
 type conn struct {
 	net.Conn
 	reader *bufio.Reader
 	writer *bufio.Writer
-	// expires is when the server may close it by itself.
+	// expires is when the server may close the idle connection.
 	expires time.Time
 }
 
@@ -28,10 +28,10 @@
 	return &conn{Conn: c, reader: bufio.NewReaderSize(c, readBufferBytes), writer: bufio.NewWriterSize(c, writeBufferBytes)}
 }
 
-// isUsable tells whether a kept connection can carry another request. A server
-// that closed it, or that sent bytes behind its last answer, shows here
-// without a read: such bytes belong to no request, and a request on a closed
-// connection would be lost with its outcome unknown.
+// isUsable reports whether an idle connection can carry another request. It peeks at
+// the socket without consuming bytes, to detect that the server closed the connection
+// or sent bytes after its last answer. Such bytes belong to no request, and a request
+// on a closed connection would be lost with its outcome unknown.
 func (c *conn) isUsable(now time.Time) bool {
 	if !now.Before(c.expires) || c.reader.Buffered() > 0 {
 		return false
@@ -54,16 +54,17 @@
 	return err == nil && idle
 }
 
-// Lifetimes of kept connections.
+// Lifetimes of idle connections.
 const (
-	// defaultKeepAlive is for servers that state no timeout.
+	// defaultKeepAlive applies to servers that state no timeout.
 	defaultKeepAlive = 4 * time.Second
-	// keepAliveMargin is left of a stated timeout, so that a request does not cross
-	// the server's close.
+	// keepAliveMargin is subtracted from a stated timeout, so that a request is not
+	// sent while the server closes the connection.
 	keepAliveMargin = time.Second
 )
 
-// keepAliveTimeout reads "timeout=N" of a Keep-Alive header, in whole seconds.
+// keepAliveTimeout returns how long to keep a connection: the "timeout=N" of a
+// Keep-Alive header, in whole seconds, minus keepAliveMargin.
 func keepAliveTimeout(header string) time.Duration {
 	for _, part := range strings.Split(header, ",") {
 		value, found := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
@@ -71,7 +72,7 @@
 			continue
 		}
 		seconds, err := strconv.Atoi(value)
-		if err != nil { // an unreadable timeout is one not stated
+		if err != nil { // an unreadable timeout counts as not stated
 			break
 		}
 		return time.Duration(seconds)*time.Second - keepAliveMargin
