--- a/gateway/forward/bench_test.go
+++ b/gateway/forward/bench_test.go
@@ -14,7 +14,7 @@
 func BenchmarkSend(b *testing.B) {
 	pf := gatewaytest.NewPlatform(b, 0, 3)
 	p := pf.NewProcess(b)
-	r := p.View.Now().Table.Match("app.example", "/score/x")
+	r := p.View.Current().Table.Match("app.example", "/score/x")
 	c := newCallOn(r, "r", "/score/x")
 	for b.Loop() {
 		c.Deadline = time.Now().Add(2 * time.Second)
--- a/gateway/forward/forward.go
+++ b/gateway/forward/forward.go
@@ -332,7 +332,7 @@
 
 // pick chooses the server of the next attempt; false means that none is eligible.
 func (s *callState) pick() (choice, bool) {
-	servers := s.forwarder.View.Now().Servers[s.service]
+	servers := s.forwarder.View.Current().Servers[s.service]
 	candidates := s.forwarder.serverStats.candidates(s.service, s.forwarder.domain, servers, time.Now())
 	for i := range candidates {
 		candidates[i].Connected = s.forwarder.Pool.HasIdle(servers[i].Addr)
@@ -370,7 +370,7 @@
 // while it carried a request. A leaving server ends regularly, whatever it runs, so
 // that its end is no crash.
 func (f *Forwarder) ServerCrashed(ctx context.Context, service string, server members.Server) bool {
-	listed, known := f.View.Now().Server(service, server.ID)
+	listed, known := f.View.Current().Server(service, server.ID)
 	return known && !listed.Leaving && f.Pool.ServerEnded(ctx, server.Addr)
 }
 
@@ -402,7 +402,7 @@
 		message = "Try failed."
 	}
 	f.log.Info(message, zap.String("id", call.ID), zap.String("service", service), zap.String("server", o.server.ID),
-		zap.Uint64("config", f.View.Now().Table.Version), zap.Int("listed", o.listed), zap.Int("left", o.eligible), zap.Int("load", o.load),
+		zap.Uint64("config", f.View.Current().Table.Version), zap.Int("listed", o.listed), zap.Int("left", o.eligible), zap.Int("load", o.load),
 		zap.String("picked", o.reason), zap.Bool("outliers_too", o.skippedEjection), zap.Int("status", status), zap.Bool("not_run", o.notRun),
 		zap.Duration("took", o.took), zap.Error(o.err))
 }
--- a/gateway/forward/forward_test.go
+++ b/gateway/forward/forward_test.go
@@ -18,7 +18,7 @@
 
 // newCall returns a request to a path of the stand-ins' configuration.
 func newCall(t *testing.T, p *gatewaytest.Process, id, path string) forward.Call {
-	r := p.View.Now().Table.Match("app.example", path)
+	r := p.View.Current().Table.Match("app.example", path)
 	require.NotNil(t, r)
 	return newCallOn(r, id, path)
 }
@@ -146,7 +146,7 @@
 	p := pf.NewProcess(t)
 	pf.Register(pf.Plain[0], "draining")
 	require.Eventually(t, func() bool {
-		s, ok := p.View.Now().Server("plain", "p0")
+		s, ok := p.View.Current().Server("plain", "p0")
 		return ok && s.Leaving
 	}, gatewaytest.Wait, time.Millisecond)
 	for range 5 {
--- a/gateway/front/caller.go
+++ b/gateway/front/caller.go
@@ -41,9 +41,9 @@
 // that were refused because of their key.
 func (f *Front) unknownKeyError(snap *view.Snapshot, hash table.KeyHash, single bool) *kinds.Error {
 	held := kinds.Hold()
-	age := f.View.Age().Round(time.Millisecond)
+	age := f.View.ConfigAge().Round(time.Millisecond)
 	switch {
-	case !f.View.Sure():
+	case !f.View.IsFresh():
 		return held.Refuse(kinds.NotReady, "key %v is not in version %d, which was the newest %v ago", hash, snap.Table.Version, age)
 	case !single:
 		unauthenticated.Add(1)
--- a/gateway/front/caller_test.go
+++ b/gateway/front/caller_test.go
@@ -17,7 +17,7 @@
 // applyOrganisations applies a configuration that assigns the keys to organisations.
 func applyOrganisations(t *testing.T, pf *gatewaytest.Platform, f *front.Front, version int, keys map[string][]string) {
 	pf.Store.Put(hostedtest.TopicOperator, "config", hostedtest.Organisations(hostedtest.Config(version), keys))
-	require.Eventually(t, func() bool { return f.View.Now().Table.Version == uint64(version) }, gatewaytest.Wait, time.Millisecond)
+	require.Eventually(t, func() bool { return f.View.Current().Table.Version == uint64(version) }, gatewaytest.Wait, time.Millisecond)
 }
 
 // headerWithKey returns the headers of an attempt that carries the key, if there is
@@ -71,7 +71,7 @@
 	require.Equal(t, 401, resp.StatusCode, "a key that was removed")
 	require.Empty(t, pf.Plain[0].Arrivals())
 	pf.Store.Fail(hostedtest.StoreFaults{Down: true})
-	require.Eventually(t, func() bool { return !f.View.Sure() }, gatewaytest.Wait, time.Millisecond)
+	require.Eventually(t, func() bool { return !f.View.IsFresh() }, gatewaytest.Wait, time.Millisecond)
 	resp, _ = send(t, "POST", url+"/write/x", headerWithKey("r", "key-3"), nil)
 	require.Equal(t, 503, resp.StatusCode, "the key may have been added meanwhile")
 	resp, _ = send(t, "POST", url+"/write/x", headerWithKey("r1", "key-1"), nil)
--- a/gateway/front/front.go
+++ b/gateway/front/front.go
@@ -101,7 +101,7 @@
 // serve answers the request and returns the status, or returns the error to write.
 func (f *Front) serve(w http.ResponseWriter, r *http.Request, start time.Time) (int, *kinds.Error) {
 	held := kinds.Hold()
-	snap := f.View.Now()
+	snap := f.View.Current()
 	if snap.Table == nil {
 		return 0, held.Refuse(kinds.NotReady, "no configuration yet")
 	}
@@ -116,7 +116,7 @@
 		return f.serveJobCall(w, r, call)
 	}
 	route := snap.Table.Match(r.Host, r.URL.Path)
-	if route == nil && !f.View.Sure() {
+	if route == nil && !f.View.IsFresh() {
 		return 0, held.Refuse(kinds.NotReady, "no route in version %d, which may not be the newest", snap.Table.Version)
 	}
 	if route == nil {
@@ -275,7 +275,7 @@
 	row := err.Answer()
 	f.Log.Info("Request failed.", zap.String("id", id), zap.String("method", r.Method), zap.String("host", r.Host),
 		zap.String("path", r.URL.Path), zap.String("kind", err.Kind()), zap.Bool("not_run", row.NotRun), zap.Int("status", row.HTTP),
-		zap.Uint64("config", configVersion(f.View.Now())), zap.Duration("took", time.Since(start)), zap.String("why", err.Message()))
+		zap.Uint64("config", configVersion(f.View.Current())), zap.Duration("took", time.Since(start)), zap.String("why", err.Message()))
 	if err.Kind() == string(kinds.Cancelled) {
 		panic(http.ErrAbortHandler) // the caller has disconnected
 	}
--- a/gateway/gatewaytest/gatewaytest.go
+++ b/gateway/gatewaytest/gatewaytest.go
@@ -99,7 +99,7 @@
 
 // Knows tells whether the process knows just the plain servers of the platform.
 func (p *Process) Knows(pf *Platform) bool {
-	known := p.View.Now().Servers["plain"]
+	known := p.View.Current().Servers["plain"]
 	if len(known) != len(pf.Plain) {
 		return false
 	}
@@ -151,7 +151,7 @@
 	p.share(t, proc)
 	proc.Go(v.Run)
 	require.Eventually(t, func() bool {
-		snap := v.Now()
+		snap := v.Current()
 		return snap.Table != nil && len(snap.Servers["engines"]) == len(p.Engines) && len(snap.Servers["plain"]) == len(p.Plain)
 	}, Wait, time.Millisecond)
 	return proc
--- a/gateway/jobs/jobs_test.go
+++ b/gateway/jobs/jobs_test.go
@@ -52,7 +52,7 @@
 // knows tells whether the process has heard that an engine has a version of the
 // model m.
 func (e *entry) knows(server string, version uint64) bool {
-	return slices.ContainsFunc(e.View.Now().Servers["engines"], func(s members.Server) bool {
+	return slices.ContainsFunc(e.View.Current().Servers["engines"], func(s members.Server) bool {
 		return s.Name == server && s.Versions["m"] == version
 	})
 }
@@ -323,7 +323,7 @@
 	t.Parallel()
 	pf := singleVersionPlatform(t)
 	a := newEntry(t, pf, "a")
-	require.Eventually(t, func() bool { return a.View.Now().Table.Version == 2 }, gatewaytest.Wait, time.Millisecond)
+	require.Eventually(t, func() bool { return a.View.Current().Table.Version == 2 }, gatewaytest.Wait, time.Millisecond)
 	a.submit(t, "j", 8, 1)
 	require.Eventually(t, func() bool { return noted(pf, "j") >= 12 }, gatewaytest.Wait, time.Millisecond)
 	pf.Engines[1].Fail(hostedtest.ServerFaults{BreakAfter: 1})
@@ -345,7 +345,7 @@
 	pf.Engines[0].Fail(hostedtest.ServerFaults{Refuse: true})
 	pf.Engines[1].Fail(hostedtest.ServerFaults{BreakAfter: 1})
 	a := newEntry(t, pf, "a")
-	require.Eventually(t, func() bool { return a.View.Now().Table.Version == 2 }, gatewaytest.Wait, time.Millisecond)
+	require.Eventually(t, func() bool { return a.View.Current().Table.Version == 2 }, gatewaytest.Wait, time.Millisecond)
 	a.submit(t, "j", 4, 1)
 	require.Eventually(t, func() bool { return noted(pf, "j") >= 4 }, gatewaytest.Wait, time.Millisecond)
 	loadSecond(t, pf.Engines[0])
@@ -464,7 +464,7 @@
 	again.Restart(2000, 1)
 	pf.Register(again, "ready")
 	require.Eventually(t, func() bool {
-		s, known := e.View.Now().Server("engines", again.ID+"@2000")
+		s, known := e.View.Current().Server("engines", again.ID+"@2000")
 		return known && s.Versions["m"] == 1
 	}, gatewaytest.Wait, time.Millisecond)
 	had := len(again.Arrivals())
--- a/gateway/jobs/ownership.go
+++ b/gateway/jobs/ownership.go
@@ -165,7 +165,7 @@
 
 // routeOf returns the route to which a job was handed in; nil: it is gone.
 func (r *Runner) routeOf(j *jobs.Job) *table.Route {
-	t := r.view.Now().Table
+	t := r.view.Current().Table
 	if t == nil {
 		return nil
 	}
--- a/gateway/jobs/placing.go
+++ b/gateway/jobs/placing.go
@@ -55,7 +55,7 @@
 // place binds waiting items to engines and moves one from a slow engine.
 func (r *Runner) place(ctx context.Context, now time.Time) {
 	byService := map[string][]*work{}
-	snap := r.view.Now()
+	snap := r.view.Current()
 	for _, works := range r.works {
 		for _, w := range works {
 			if w.phase == waiting && w.whole {
--- a/gateway/jobs/plan_bench_test.go
+++ b/gateway/jobs/plan_bench_test.go
@@ -21,7 +21,7 @@
 	book := NewBook(p.Store, zap.NewNop())
 	writer := jobs.Writer{Node: "a", Life: "1"}
 	r := NewRunner(book, p.Store, p.Forward, writer, 3, 1200, zap.NewNop())
-	servers := p.View.Now().Servers["engines"]
+	servers := p.View.Current().Servers["engines"]
 	now := time.Now()
 	for k := range steps {
 		job := fmt.Sprint("j", k)
--- a/gateway/jobs/score.go
+++ b/gateway/jobs/score.go
@@ -73,7 +73,7 @@
 // askScore makes one call and returns how often it may fail.
 func (r *Runner) askScore(ctx context.Context, w *work) (*forward.Reply, int, *kinds.Error) {
 	ask := w.item.Score
-	table := r.view.Now().Table
+	table := r.view.Current().Table
 	if table == nil {
 		return nil, 1, kinds.Hold().Refuse(kinds.NotReady, "no configuration")
 	}
--- a/gateway/orders/orders.go
+++ b/gateway/orders/orders.go
@@ -113,8 +113,8 @@
 
 // step looks once and returns when to look again.
 func (a *Agent) step(ctx context.Context) time.Duration {
-	snap := a.cfg.View.Now()
-	a.fence = max(a.fence, snap.Operator+1)
+	snap := a.cfg.View.Current()
+	a.fence = max(a.fence, snap.OperatorOffset+1)
 	a.noteNames(snap)
 	self, peers := a.find(snap)
 	if self == nil || self.Leaving {
--- a/gateway/orders/orders_test.go
+++ b/gateway/orders/orders_test.go
@@ -160,7 +160,7 @@
 	config["routes"].([]map[string]any)[0][hostedtest.FieldSingleVersion] = true
 	pf.Store.Put(hostedtest.TopicOperator, "config", config)
 	p := newAgent(t, pf, pf.Engines[0], nil)
-	require.Eventually(t, func() bool { return p.View.Now().Table.Version == 2 }, gatewaytest.Wait, time.Millisecond)
+	require.Eventually(t, func() bool { return p.View.Current().Table.Version == 2 }, gatewaytest.Wait, time.Millisecond)
 	name(pf, 3)
 	require.Eventually(t, func() bool { return served(t, pf.Engines[0]) == 3 }, gatewaytest.Wait, time.Millisecond)
 	require.Equal(t, "wait", pf.Engines[0].Orders()[0].Mode)
--- a/gateway/orders/step_test.go
+++ b/gateway/orders/step_test.go
@@ -37,8 +37,8 @@
 	pf.Store.Put(hostedtest.TopicOperator, "version/m", map[string]any{"model": "m", "version": 3})
 	listed := func(name string) func() bool {
 		return func() bool {
-			servers := p.View.Now().Servers["engines"]
-			return len(servers) == 1 && servers[0].Name == name && p.View.Now().Versions["m"] == 3
+			servers := p.View.Current().Servers["engines"]
+			return len(servers) == 1 && servers[0].Name == name && p.View.Current().Versions["m"] == 3
 		}
 	}
 	require.Eventually(t, listed("before"), gatewaytest.Wait, time.Millisecond)
--- a/gateway/server/agent.go
+++ b/gateway/server/agent.go
@@ -22,7 +22,7 @@
 	store := hosted.NewStore(set.Store.Address)
 	peers := withPeers(store, set.Process.Name, "", log)
 	v := view.New(store, logs.Part(log, "view"))
-	v.Pace = func() time.Duration { return feedPace(peers, set.Store.ReadsPerS) }
+	v.MinReadInterval = func() time.Duration { return feedPace(peers, set.Store.ReadsPerS) }
 	agent := orders.New(orders.Config{
 		Node: set.Process.Name, Life: life(), Addr: set.Engine.Address, View: v,
 		Engine: hosted.NewEngineClient(set.Engine.Address), Log: store, Logger: log,
--- a/gateway/server/gateway.go
+++ b/gateway/server/gateway.go
@@ -68,8 +68,8 @@
 	peers := withPeers(store, set.Process.Name, set.Listen.Peers, log)
 	processes := func() int { return len(peers.Addrs()) + 1 }
 	v := view.New(store, logs.Part(log, "view"))
-	v.Copies = true
-	v.Pace = func() time.Duration { return feedPace(peers, set.Store.ReadsPerS) }
+	v.UseCopies = true
+	v.MinReadInterval = func() time.Duration { return feedPace(peers, set.Store.ReadsPerS) }
 	pool := backend.NewPool(hosted.AttemptID)
 	forwarder := forward.New(v, pool, set.Process.FailureDomain, logs.Part(log, "forward"))
 	forwarder.Quarantine.Share(store, quarantine.NewHTTPPeers(peers.Addrs), set.Store.ReadsPerS)
@@ -202,7 +202,7 @@
 }
 
 func (r *readiness) serve(w http.ResponseWriter, _ *http.Request) {
-	if !r.up.Load() || r.view.Now().Table == nil || !r.book.CaughtUp() || !r.quarantine.Known() {
+	if !r.up.Load() || r.view.Current().Table == nil || !r.book.CaughtUp() || !r.quarantine.Known() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
--- a/gateway/view/copies.go
+++ b/gateway/view/copies.go
@@ -19,13 +19,13 @@
 // reads the copy. It is older than what it stands for by seconds at most, and is
 // not looked at any more once the feed itself was read.
 const (
-	// copyEach is how often somebody writes a copy, by the number of processes.
-	copyEach = 4 * time.Second
-	// copiers is how many processes write a copy of a new configuration, in the
+	// copyInterval is how often somebody writes a copy, by the number of processes.
+	copyInterval = 4 * time.Second
+	// copyWriters is how many processes write a copy of a new configuration, in the
 	// mean: with three, one in twenty is left to the turn of the next.
-	copiers = 3
-	// copySoon is the longest that such a copy waits.
-	copySoon = 400 * time.Millisecond
+	copyWriters = 3
+	// maxCopyDelay is the longest that such a copy waits.
+	maxCopyDelay = 400 * time.Millisecond
 )
 
 var (
@@ -35,9 +35,9 @@
 
 // RunCopies writes copies until ctx ends; processes tells how many do.
 func (v *View) RunCopies(ctx context.Context, processes func() int) {
-	at := v.Now().TableAt
-	turn := func() time.Duration { return sleep.Jitter(copyEach * time.Duration(max(1, processes()))) }
-	timer := time.NewTimer(turn())
+	appliedAt := v.Current().TableAppliedAt
+	nextDelay := func() time.Duration { return sleep.Jitter(copyInterval * time.Duration(max(1, processes()))) }
+	timer := time.NewTimer(nextDelay())
 	defer timer.Stop()
 	for {
 		changed := v.Changed.Next()
@@ -46,10 +46,10 @@
 			return
 		case <-timer.C:
 			v.saveCopies(ctx)
-			timer.Reset(turn())
+			timer.Reset(nextDelay())
 		case <-changed:
-			if now := v.Now().TableAt; now.After(at) {
-				at = now
+			if now := v.Current().TableAppliedAt; now.After(appliedAt) {
+				appliedAt = now
 				v.copyTable(ctx, processes())
 			}
 		}
@@ -58,7 +58,7 @@
 
 // copyTable copies a new configuration where this process is among those that do.
 func (v *View) copyTable(ctx context.Context, processes int) {
-	if rand.N(max(1, processes)) < copiers && sleep.For(ctx, rand.N(copySoon)) {
+	if rand.N(max(1, processes)) < copyWriters && sleep.For(ctx, rand.N(maxCopyDelay)) {
 		v.saveCopies(ctx)
 	}
 }
@@ -73,18 +73,18 @@
 	}
 }
 
-// standIn reads the copy of a feed that this process could never read.
-func (f *follower) standIn(ctx context.Context) {
-	if !f.v.Copies || f.known || f.copied {
+// readCopy reads the copy of a feed that this process could never read.
+func (f *follower) readCopy(ctx context.Context) {
+	if !f.view.UseCopies || f.feedRead || f.copyRead {
 		return
 	}
-	changes, err := f.v.feeds.LoadCopy(ctx, f.feed)
+	changes, err := f.view.feeds.LoadCopy(ctx, f.feed)
 	if err != nil {
-		f.v.log.Info("There is no copy to go by.", zap.Stringer("feed", f.feed), zap.Error(err))
+		f.view.log.Info("There is no copy to go by.", zap.Stringer("feed", f.feed), zap.Error(err))
 		return
 	}
-	f.copied = true
+	f.copyRead = true
 	copiesUsed.Add(1)
-	f.v.log.Warn("Going by a copy, for the store can't be reached in this part.", zap.Stringer("feed", f.feed), zap.Int("records", len(changes)))
-	f.v.replace(f.feed, changes)
+	f.view.log.Warn("Going by a copy, for the store can't be reached in this part.", zap.Stringer("feed", f.feed), zap.Int("records", len(changes)))
+	f.view.replaceAll(f.feed, changes)
 }
--- a/gateway/view/view_test.go
+++ b/gateway/view/view_test.go
@@ -17,17 +17,17 @@
 	"dandelionsill.org/platform"
 )
 
-// feeds is a store in memory.
-type feeds struct {
+// memoryFeeds is a store in memory.
+type memoryFeeds struct {
 	mu      sync.Mutex
 	newest  map[platform.Feed][]platform.Change
 	changes map[platform.Feed][]platform.Change
 	down    bool
-	deaf    bool // waiting reads hear nothing
+	stalled bool // waiting reads hear nothing
 	copies  map[platform.Feed][]platform.Change
 }
 
-func (f *feeds) SaveCopy(_ context.Context, feed platform.Feed) error {
+func (f *memoryFeeds) SaveCopy(_ context.Context, feed platform.Feed) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.down {
@@ -37,7 +37,7 @@
 	return nil
 }
 
-func (f *feeds) LoadCopy(_ context.Context, feed platform.Feed) ([]platform.Change, error) {
+func (f *memoryFeeds) LoadCopy(_ context.Context, feed platform.Feed) ([]platform.Change, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.copies[feed] == nil {
@@ -46,19 +46,19 @@
 	return f.copies[feed], nil
 }
 
-func newFeeds() *feeds {
-	return &feeds{newest: map[platform.Feed][]platform.Change{}, changes: map[platform.Feed][]platform.Change{}, copies: map[platform.Feed][]platform.Change{}}
+func newMemoryFeeds() *memoryFeeds {
+	return &memoryFeeds{newest: map[platform.Feed][]platform.Change{}, changes: map[platform.Feed][]platform.Change{}, copies: map[platform.Feed][]platform.Change{}}
 }
 
-func (f *feeds) set(change func(*feeds)) {
+func (f *memoryFeeds) update(change func(*memoryFeeds)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	change(f)
 }
 
-// say adds a change; at the store it is the newest word as well.
-func (f *feeds) say(feed platform.Feed, c platform.Change) {
-	f.set(func(f *feeds) {
+// add adds a change; at the store it is the newest word as well.
+func (f *memoryFeeds) add(feed platform.Feed, c platform.Change) {
+	f.update(func(f *memoryFeeds) {
 		c.Offset = uint64(len(f.changes[feed]))
 		f.changes[feed] = append(f.changes[feed], c)
 		if c.Gone == "" {
@@ -75,7 +75,7 @@
 	})
 }
 
-func (f *feeds) Snapshot(_ context.Context, feed platform.Feed) ([]platform.Change, uint64, error) {
+func (f *memoryFeeds) Snapshot(_ context.Context, feed platform.Feed) ([]platform.Change, uint64, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.down {
@@ -84,16 +84,16 @@
 	return f.newest[feed], uint64(len(f.changes[feed])), nil
 }
 
-func (f *feeds) Changes(ctx context.Context, feed platform.Feed, from uint64, wait time.Duration) ([]platform.Change, uint64, error) {
+func (f *memoryFeeds) Changes(ctx context.Context, feed platform.Feed, from uint64, wait time.Duration) ([]platform.Change, uint64, error) {
 	deadline := time.After(wait)
 	for {
 		f.mu.Lock()
-		all, down, deaf := f.changes[feed], f.down, f.deaf
+		all, down, stalled := f.changes[feed], f.down, f.stalled
 		f.mu.Unlock()
 		switch {
 		case down:
 			return nil, from, platform.ErrLogUnavailable
-		case !deaf && from < uint64(len(all)):
+		case !stalled && from < uint64(len(all)):
 			return all[from:], uint64(len(all)), nil
 		}
 		select {
@@ -112,8 +112,8 @@
 	return tb
 }
 
-// run starts a view in virtual time.
-func run(t *testing.T, f *feeds, test func(v *View)) {
+// runView starts a view in virtual time.
+func runView(t *testing.T, f *memoryFeeds, test func(v *View)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		v := New(f, zap.NewNop())
@@ -131,75 +131,75 @@
 
 // A configuration is in force within a second of its acknowledgement, and one
 // that comes late or again never takes the place of a newer one.
-func TestConfigurationNeverGoesBack(t *testing.T) {
-	f := newFeeds()
-	f.say(platform.FeedOperator, platform.Change{Table: tableOf(t, 4)})
-	run(t, f, func(v *View) {
+func TestConfigurationVersionNeverDecreases(t *testing.T) {
+	f := newMemoryFeeds()
+	f.add(platform.FeedOperator, platform.Change{Table: tableOf(t, 4)})
+	runView(t, f, func(v *View) {
 		time.Sleep(100 * time.Millisecond)
-		require.EqualValues(t, 4, v.Now().Table.Version)
-		f.say(platform.FeedOperator, platform.Change{Table: tableOf(t, 9)})
-		f.say(platform.FeedOperator, platform.Change{Table: tableOf(t, 7)})
+		require.EqualValues(t, 4, v.Current().Table.Version)
+		f.add(platform.FeedOperator, platform.Change{Table: tableOf(t, 9)})
+		f.add(platform.FeedOperator, platform.Change{Table: tableOf(t, 7)})
 		time.Sleep(100 * time.Millisecond)
-		require.EqualValues(t, 9, v.Now().Table.Version)
-		f.say(platform.FeedOperator, platform.Change{Version: &platform.NamedVersion{Model: "m", Version: 3}})
-		f.say(platform.FeedOperator, platform.Change{Version: &platform.NamedVersion{Model: "m", Version: 2}})
-		f.say(platform.FeedOperator, platform.Change{Err: platform.ErrNotFound})
+		require.EqualValues(t, 9, v.Current().Table.Version)
+		f.add(platform.FeedOperator, platform.Change{Version: &platform.NamedVersion{Model: "m", Version: 3}})
+		f.add(platform.FeedOperator, platform.Change{Version: &platform.NamedVersion{Model: "m", Version: 2}})
+		f.add(platform.FeedOperator, platform.Change{Err: platform.ErrNotFound})
 		time.Sleep(100 * time.Millisecond)
-		require.EqualValues(t, 3, v.Now().Versions["m"])
-		require.EqualValues(t, 5, v.Now().Operator)
+		require.EqualValues(t, 3, v.Current().Versions["m"])
+		require.EqualValues(t, 5, v.Current().OperatorOffset)
 	})
 }
 
 // The store's waiting reads go deaf while a server leaves: without the fresh
 // list it would get work for as long as the deafness lasts.
-func TestDeafReadsAreMadeUpForByTheList(t *testing.T) {
-	f := newFeeds()
-	f.say(platform.FeedServers, server("a"))
-	f.say(platform.FeedServers, server("b"))
-	run(t, f, func(v *View) {
+func TestSnapshotCoversMissedChanges(t *testing.T) {
+	f := newMemoryFeeds()
+	f.add(platform.FeedServers, server("a"))
+	f.add(platform.FeedServers, server("b"))
+	runView(t, f, func(v *View) {
 		time.Sleep(100 * time.Millisecond)
-		require.Len(t, v.Now().Servers["s"], 2)
-		f.set(func(f *feeds) { f.deaf = true })
-		f.say(platform.FeedServers, platform.Change{Gone: "a"})
-		time.Sleep(snapshotEvery + pollWait + 100*time.Millisecond)
-		require.Len(t, v.Now().Servers["s"], 1)
+		require.Len(t, v.Current().Servers["s"], 2)
+		f.update(func(f *memoryFeeds) { f.stalled = true })
+		f.add(platform.FeedServers, platform.Change{Gone: "a"})
+		time.Sleep(snapshotInterval + pollWait + 100*time.Millisecond)
+		require.Len(t, v.Current().Servers["s"], 1)
 	})
 }
 
 // The store is away for five seconds and all entries lapse meanwhile. Servers
 // go on being used through the outage and for two seconds after it, in which
 // those that live come back.
-func TestServersLastThroughAnOutage(t *testing.T) {
-	f := newFeeds()
-	f.say(platform.FeedServers, server("lives"))
-	f.say(platform.FeedServers, server("dead"))
-	run(t, f, func(v *View) {
+func TestServersSurviveStoreOutage(t *testing.T) {
+	f := newMemoryFeeds()
+	f.add(platform.FeedServers, server("lives"))
+	f.add(platform.FeedServers, server("dead"))
+	runView(t, f, func(v *View) {
 		time.Sleep(100 * time.Millisecond)
-		f.set(func(f *feeds) { f.down = true })
+		f.update(func(f *memoryFeeds) { f.down = true })
 		time.Sleep(5 * time.Second)
-		require.Len(t, v.Now().Servers["s"], 2)
-		f.say(platform.FeedServers, platform.Change{Gone: "lives"})
-		f.say(platform.FeedServers, platform.Change{Gone: "dead"})
-		f.set(func(f *feeds) { f.down = false })
+		require.Len(t, v.Current().Servers["s"], 2)
+		f.add(platform.FeedServers, platform.Change{Gone: "lives"})
+		f.add(platform.FeedServers, platform.Change{Gone: "dead"})
+		f.update(func(f *memoryFeeds) { f.down = false })
 		time.Sleep(time.Second)
-		require.Len(t, v.Now().Servers["s"], 2, "one second after the return")
-		f.say(platform.FeedServers, server("lives"))
+		require.Len(t, v.Current().Servers["s"], 2, "one second after the return")
+		f.add(platform.FeedServers, server("lives"))
 		time.Sleep(2 * time.Second)
-		require.Len(t, v.Now().Servers["s"], 1)
-		require.Equal(t, "lives", v.Now().Servers["s"][0].ID)
+		require.Len(t, v.Current().Servers["s"], 1)
+		require.Equal(t, "lives", v.Current().Servers["s"][0].ID)
 	})
 }
 
 // A server that leaves in calm times counts as leaving at once.
-func TestLeavingServerShowsAtOnce(t *testing.T) {
-	f := newFeeds()
-	f.say(platform.FeedServers, server("a"))
-	run(t, f, func(v *View) {
+func TestLeavingServerIsSeenImmediately(t *testing.T) {
+	f := newMemoryFeeds()
+	f.add(platform.FeedServers, server("a"))
+	runView(t, f, func(v *View) {
 		time.Sleep(100 * time.Millisecond)
 		changed := v.Changed.Next()
-		f.say(platform.FeedServers, platform.Change{Server: &members.Server{ID: "a", Name: "a", Service: "s", Leaving: true}})
+		f.add(platform.FeedServers, platform.Change{Server: &members.Server{ID: "a", Name: "a", Service: "s", Leaving: true}})
 		<-changed
-		s, ok := v.Now().Server("s", "a")
+		s, ok := v.Current().Server("s", "a")
 		require.True(t, ok)
 		require.True(t, s.Leaving)
 	})
@@ -209,9 +209,9 @@
 // The server is not used until it writes again; the others hold all the while, and
 // a record that stays is told of once, not with each whole list.
 func TestForeignEntryHidesOneServer(t *testing.T) {
-	f := newFeeds()
-	f.say(platform.FeedServers, server("a"))
-	f.say(platform.FeedServers, server("b"))
+	f := newMemoryFeeds()
+	f.add(platform.FeedServers, server("a"))
+	f.add(platform.FeedServers, server("b"))
 	core, logged := observer.New(zap.WarnLevel)
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -220,18 +220,18 @@
 		loops.Go(func() { v.Run(ctx) })
 		time.Sleep(100 * time.Millisecond)
 		bad := platform.Change{Gone: "a", Err: errors.New("no server")}
-		f.set(func(f *feeds) {
+		f.update(func(f *memoryFeeds) {
 			f.changes[platform.FeedServers] = append(f.changes[platform.FeedServers], bad)
 			f.newest[platform.FeedServers] = []platform.Change{bad, server("b")}
 		})
 		time.Sleep(100 * time.Millisecond)
-		require.Equal(t, []members.Server{*server("b").Server}, v.Now().Servers["s"])
+		require.Equal(t, []members.Server{*server("b").Server}, v.Current().Servers["s"])
 		time.Sleep(20 * time.Second)
-		require.Equal(t, []members.Server{*server("b").Server}, v.Now().Servers["s"])
+		require.Equal(t, []members.Server{*server("b").Server}, v.Current().Servers["s"])
 		require.Equal(t, 1, logged.Len())
-		f.say(platform.FeedServers, server("a"))
+		f.add(platform.FeedServers, server("a"))
 		time.Sleep(100 * time.Millisecond)
-		require.Len(t, v.Now().Servers["s"], 2)
+		require.Len(t, v.Current().Servers["s"], 2)
 		cancel()
 		loops.Wait()
 	})
@@ -239,11 +239,11 @@
 
 // Whole lists that take long are renewed the later, so that however many processes
 // read however long lists, the store gives most of its time to other reads.
-func TestLongListsAreRenewedTheLater(t *testing.T) {
+func TestSlowSnapshotsAreLessFrequent(t *testing.T) {
 	for range 100 {
-		require.Equal(t, snapshotEvery, renewAfter(10*time.Millisecond))
-		require.Greater(t, renewAfter(100*time.Millisecond), 9*time.Second)
-		require.Less(t, renewAfter(time.Hour), 2*snapshotLatest)
+		require.Equal(t, snapshotInterval, nextSnapshotDelay(10*time.Millisecond))
+		require.Greater(t, nextSnapshotDelay(100*time.Millisecond), 9*time.Second)
+		require.Less(t, nextSnapshotDelay(time.Hour), 2*maxSnapshotInterval)
 	}
 }
 
@@ -252,17 +252,17 @@
 // the copies that were written before, in place of refusing all requests until that
 // part is back, and by the feeds themselves once it is. An agent, whose fencing
 // token must never go down, waits.
-func TestProcessThatStartsInAnOutageGoesByCopies(t *testing.T) {
-	f := newFeeds()
-	f.say(platform.FeedOperator, platform.Change{Table: tableOf(t, 4)})
-	f.say(platform.FeedServers, server("a"))
-	run(t, f, func(v *View) {
+func TestStartDuringOutageUsesCopies(t *testing.T) {
+	f := newMemoryFeeds()
+	f.add(platform.FeedOperator, platform.Change{Table: tableOf(t, 4)})
+	f.add(platform.FeedServers, server("a"))
+	runView(t, f, func(v *View) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		var copying sync.WaitGroup
 		copying.Go(func() { v.RunCopies(ctx, func() int { return 1 }) })
-		time.Sleep(3 * copyEach)
-		f.set(func(f *feeds) { f.down = true })
+		time.Sleep(3 * copyInterval)
+		f.update(func(f *memoryFeeds) { f.down = true })
 		cancel()
 		copying.Wait()
 	})
@@ -270,7 +270,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
 			v := New(f, zap.NewNop())
-			v.Copies = copies
+			v.UseCopies = copies
 			var loops sync.WaitGroup
 			loops.Go(func() { v.Run(ctx) })
 			time.Sleep(time.Second)
@@ -279,13 +279,13 @@
 			loops.Wait()
 		})
 	}
-	start(false, func(v *View) { require.Nil(t, v.Now().Table) })
+	start(false, func(v *View) { require.Nil(t, v.Current().Table) })
 	start(true, func(v *View) {
-		require.EqualValues(t, 4, v.Now().Table.Version)
-		require.Equal(t, []members.Server{*server("a").Server}, v.Now().Servers["s"])
-		f.say(platform.FeedOperator, platform.Change{Table: tableOf(t, 5)})
-		f.set(func(f *feeds) { f.down = false })
+		require.EqualValues(t, 4, v.Current().Table.Version)
+		require.Equal(t, []members.Server{*server("a").Server}, v.Current().Servers["s"])
+		f.add(platform.FeedOperator, platform.Change{Table: tableOf(t, 5)})
+		f.update(func(f *memoryFeeds) { f.down = false })
 		time.Sleep(time.Second)
-		require.EqualValues(t, 5, v.Now().Table.Version)
+		require.EqualValues(t, 5, v.Current().Table.Version)
 	})
 }
