--- a/gateway/view/copies.go
+++ b/gateway/view/copies.go
@@ -12,19 +12,21 @@
 	"dandelionsill.org/platform"
 )
 
-// Copies of what the operator and the servers write. The store may be away in
-// parts: where the partition with the configuration could not be reached and all
-// processes lost power, nobody would know a configuration although the rest of the
-// store answers, and every request would be refused. A process that starts then
-// reads the copy. It is older than what it stands for by seconds at most, and is
-// not looked at any more once the feed itself was read.
+// Copies of the feeds of the operator and of the servers. Parts of the store can be
+// unavailable: if the partition with the configuration could not be reached and all
+// processes lost power, no process would know a configuration although the rest of the
+// store answers, and every request would be refused. A process that starts then reads
+// the copy. The copy is at most seconds older than the feed, and is not used any more
+// once the feed itself has been read.
 const (
-	// copyInterval is how often somebody writes a copy, by the number of processes.
+	// copyInterval is the mean time between two copies by any process. Each process
+	// copies at this interval times the number of processes.
 	copyInterval = 4 * time.Second
-	// copyWriters is how many processes write a copy of a new configuration, in the
-	// mean: with three, one in twenty is left to the turn of the next.
+	// copyWriters is the mean number of processes that copy a new configuration. With
+	// three, no process does in one case of twenty, which is left to the next periodic
+	// copy.
 	copyWriters = 3
-	// maxCopyDelay is the longest that such a copy waits.
+	// maxCopyDelay bounds the random delay of a copy of a new configuration.
 	maxCopyDelay = 400 * time.Millisecond
 )
 
@@ -33,7 +35,8 @@
 	copiesUsed  = metrics.Counter("view_copies_used_total")
 )
 
-// RunCopies writes copies until ctx ends; processes tells how many do.
+// RunCopies writes copies until ctx ends. processes returns the number of processes
+// that run it.
 func (v *View) RunCopies(ctx context.Context, processes func() int) {
 	appliedAt := v.Current().TableAppliedAt
 	nextDelay := func() time.Duration { return sleep.Jitter(copyInterval * time.Duration(max(1, processes()))) }
@@ -56,35 +59,37 @@
 	}
 }
 
-// copyTable copies a new configuration where this process is among those that do.
+// copyTable copies a new configuration if this process is among those randomly chosen
+// to.
 func (v *View) copyTable(ctx context.Context, processes int) {
 	if rand.N(max(1, processes)) < copyWriters && sleep.For(ctx, rand.N(maxCopyDelay)) {
 		v.saveCopies(ctx)
 	}
 }
 
+// saveCopies writes a copy of both feeds.
 func (v *View) saveCopies(ctx context.Context) {
 	for _, feed := range []platform.Feed{platform.FeedOperator, platform.FeedServers} {
 		if err := v.feeds.SaveCopy(ctx, feed); err != nil {
-			v.log.Info("No copy was written.", zap.Stringer("feed", feed), zap.Error(err))
+			v.log.Info("A copy of the feed could not be written.", zap.Stringer("feed", feed), zap.Error(err))
 			return
 		}
 		copiesSaved.Add(1)
 	}
 }
 
-// readCopy reads the copy of a feed that this process could never read.
+// readCopy reads the copy of a feed that this process has never been able to read.
 func (f *follower) readCopy(ctx context.Context) {
 	if !f.view.UseCopies || f.feedRead || f.copyRead {
 		return
 	}
 	changes, err := f.view.feeds.LoadCopy(ctx, f.feed)
 	if err != nil {
-		f.view.log.Info("There is no copy to go by.", zap.Stringer("feed", f.feed), zap.Error(err))
+		f.view.log.Info("No copy of the feed could be read.", zap.Stringer("feed", f.feed), zap.Error(err))
 		return
 	}
 	f.copyRead = true
 	copiesUsed.Add(1)
-	f.view.log.Warn("Going by a copy, for the store can't be reached in this part.", zap.Stringer("feed", f.feed), zap.Int("records", len(changes)))
+	f.view.log.Warn("Using a copy of the feed, because the feed can't be read.", zap.Stringer("feed", f.feed), zap.Int("records", len(changes)))
 	f.view.replaceAll(f.feed, changes)
 }
--- a/gateway/view/unreadable.go
+++ b/gateway/view/unreadable.go
@@ -9,31 +9,33 @@
 	"dandelionsill.org/platform"
 )
 
-// Bounds of the lines about records that can't be read.
+// Limits of the log lines about unreadable records.
 const (
-	// unreadableLogBurst and badPerS let each of a few bad records be told at once; a writer
-	// that floods the store with them gets a line a second.
+	// unreadableLogBurst and unreadableLogsPerS allow each of a few unreadable records
+	// to be logged immediately. If a writer floods the store with them, one line a
+	// second is logged.
 	unreadableLogBurst = 20
 	unreadableLogsPerS = 1
-	// maxRememberedRecords bounds the records that are not told again.
+	// maxRememberedRecords bounds the records remembered as logged.
 	maxRememberedRecords = 1000
 )
 
-// unreadableRecords are the unreadable records that were told of. One that stays in the
-// store is met again with each whole list.
+// unreadableRecords remembers the unreadable records that were logged. A record that
+// stays in the store is read again with each complete list.
 type unreadableRecords struct {
 	mu     sync.Mutex
 	logged map[unreadableRecord]bool
 	limit  *rate.Limiter
 }
 
+// unreadableRecord identifies an unreadable record.
 type unreadableRecord struct {
 	feed   platform.Feed
 	key    string
 	offset uint64
 }
 
-// shouldLog tells whether a line is due for a record.
+// shouldLog reports whether a record should be logged, and remembers it if so.
 func (b *unreadableRecords) shouldLog(r unreadableRecord) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -50,11 +52,11 @@
 	return true
 }
 
-// logUnreadable notes a record that names nothing.
+// logUnreadable counts a record that can't be decoded, and logs it the first time.
 func (v *View) logUnreadable(feed platform.Feed, c platform.Change) {
 	unreadable.Add(1)
 	if v.unreadable.shouldLog(unreadableRecord{feed, c.Gone, c.Offset}) {
-		v.log.Warn("A record can't be read and is left out.", zap.Stringer("feed", feed), zap.String("key", c.Gone),
+		v.log.Warn("A record can't be read and is ignored.", zap.Stringer("feed", feed), zap.String("key", c.Gone),
 			zap.Uint64("offset", c.Offset), zap.Error(c.Err))
 	}
 }
--- a/gateway/view/view.go
+++ b/gateway/view/view.go
@@ -1,6 +1,6 @@
-// Package view keeps what a process knows of the platform: the routing table in
-// force, the backend servers and the weight versions that trainers named.
-// Readers take a Snapshot without a lock; two loops follow the store's feeds.
+// Package view holds what a process knows of the platform: the routing table in force,
+// the backend servers, and the weight versions that trainers named. Readers take a
+// Snapshot without a lock, while two loops follow the feeds of the store.
 package view
 
 import (
@@ -19,26 +19,29 @@
 	"dandelionsill.org/platform"
 )
 
-// Times of the loops that follow the feeds.
+// Timing of the loops that follow the feeds.
 const (
-	// pollWait is how long a read waits at the store for a change. It bounds
-	// what a connection that went silent costs: a configuration has to be in
-	// force within 2 s, and a silent read ends after pollWait and the client's
-	// own timeout.
+	// pollWait is how long a read waits at the store for a change. It bounds the delay
+	// caused by a connection that has become unresponsive: a configuration has to be in
+	// force within 2 s, and a read without an answer ends after pollWait and the
+	// client's own timeout.
 	pollWait = 700 * time.Millisecond
-	// snapshotInterval renews the whole list, so that a change that a read missed
-	// (the store's watchers can go deaf for a second) is not missed for good.
+	// snapshotInterval is the usual time between two reads of the complete list. They
+	// make up for changes that a read missed, since the store's watchers can miss
+	// changes for a second.
 	snapshotInterval = 4 * time.Second
-	// maxSnapshotShare is the most of the time that is spent on reading whole lists:
-	// one that took long is renewed the later. The lists of a large fleet, each renewed
-	// at its usual pace, are more than the store gives, and all reads come late.
+	// maxSnapshotShare bounds the share of the time that is used to read complete
+	// lists: after a read that took long, the next one is later. The lists of a large
+	// fleet, read at the usual interval by every process, would overload the store and
+	// delay all reads.
 	maxSnapshotShare = 0.005
-	// maxSnapshotInterval bounds that.
+	// maxSnapshotInterval bounds the time between two reads of the complete list,
+	// before jitter.
 	maxSnapshotInterval = time.Minute
 	minRetryDelay       = 50 * time.Millisecond
 	maxRetryDelay       = 400 * time.Millisecond
-	// outageThreshold is how long reads fail before the store counts as away. A
-	// single lost answer is no outage.
+	// outageThreshold is how long reads must fail before the store counts as
+	// unavailable. A single lost answer is no outage.
 	outageThreshold = 400 * time.Millisecond
 	expireInterval  = 100 * time.Millisecond
 )
@@ -49,18 +52,18 @@
 	storeOutages  = metrics.Counter("view_store_outages_total")
 )
 
-// Snapshot is what was known at one moment. It must not be changed.
+// Snapshot is the state known at one moment. It must not be modified.
 type Snapshot struct {
-	Table          *table.Table // nil: no configuration has been read
-	TableAppliedAt time.Time    // when Table came into force here
-	Servers        map[string][]members.Server
-	Versions       map[string]uint64 // newest named version of each model
-	// OperatorOffset is the highest offset read of the operator's feed. It only
-	// grows, in every process alike, and so serves as a fencing token.
+	Table          *table.Table                // nil: no configuration has been read
+	TableAppliedAt time.Time                   // when this process applied Table
+	Servers        map[string][]members.Server // by service
+	Versions       map[string]uint64           // newest named version, by model
+	// OperatorOffset is the highest offset read of the operator's feed. It only grows,
+	// and offsets are the same in every process, so that it serves as a fencing token.
 	OperatorOffset uint64
 }
 
-// Server returns a server of a service by its id.
+// Server returns the server of a service with the given id; false if there is none.
 func (s *Snapshot) Server(service, id string) (members.Server, bool) {
 	for _, server := range s.Servers[service] {
 		if server.ID == id {
@@ -70,16 +73,18 @@
 	return members.Server{}, false
 }
 
-// View follows the store. Its zero value can't be used.
+// View follows the store's feeds. Its zero value can't be used.
 type View struct {
+	// Changed is notified of each new snapshot.
 	Changed signal.Signal
-	// UseCopies lets the view go by copies; it is set before Run. An agent must not: the
-	// newest offset that it has read is its fencing token, and by a copy it would go
-	// down.
+	// UseCopies lets the view read copies of the feeds while the feeds can't be read.
+	// It is set before Run. An agent must not set it: its fencing token is the newest
+	// offset that it has read, which a copy would decrease.
 	UseCopies bool
-	// MinReadInterval is the least time between two reads of a feed's changes; it is set before
-	// Run. nil: none. Each change wakes every process: unbounded, 300 of them would
-	// read each of the changes of 3,000 servers' entries by itself.
+	// MinReadInterval returns the least time between two reads of a feed's changes; nil
+	// means none. It is set before Run. Each change ends the waiting reads of all
+	// processes: without a bound, 300 processes would each read every change of the
+	// entries of 3,000 servers separately.
 	MinReadInterval func() time.Duration
 
 	feeds      platform.Feeds
@@ -87,17 +92,17 @@
 	now        func() time.Time
 	unreadable unreadableRecords
 
-	// operatorReadAt is when the last read of the operator's feed that succeeded was
-	// sent, in nanoseconds since the start; 0: none has.
+	// operatorReadAt is when the last successful read of the operator's feed was sent,
+	// in nanoseconds since started; 0 if none has succeeded.
 	operatorReadAt atomic.Int64
 	started        time.Time
 
 	current atomic.Pointer[Snapshot]
-	mu      sync.Mutex // guards set and the making of snapshots
+	mu      sync.Mutex // guards servers and the creation of snapshots
 	servers *members.Set
 }
 
-// New returns a view that knows nothing yet.
+// New returns a view with an empty snapshot.
 func New(feeds platform.Feeds, log *zap.Logger) *View {
 	v := &View{feeds: feeds, log: log, now: time.Now, started: time.Now(), servers: members.New(members.DefaultReturn)}
 	v.current.Store(&Snapshot{Servers: map[string][]members.Server{}, Versions: map[string]uint64{}})
@@ -107,23 +112,24 @@
 // Current returns the current snapshot.
 func (v *View) Current() *Snapshot { return v.current.Load() }
 
-// maxConfigAge is how old the last word of the operator's feed may be for this process to
-// say that a route does not exist: a read that waits, and as much again for a slow
-// store. Configurations have to be in force within 2 s of their acknowledgement.
+// maxConfigAge is the greatest ConfigAge at which this process may report that a route
+// does not exist: the time of a waiting read, and as much again for a slow store.
+// Configurations have to be in force within 2 s of their acknowledgement.
 const maxConfigAge = 2 * pollWait
 
-// IsFresh tells whether the configuration is as new as it has to be to refuse a request
-// for a route that it lacks. A process that falls behind an overloaded store, or is
-// cut off from it, would refuse callers of routes that were added meanwhile for good.
+// IsFresh reports whether the configuration is new enough to refuse a request for a
+// route that it lacks. A process that falls behind an overloaded store, or can't reach
+// it, would otherwise permanently refuse callers of routes that were added meanwhile.
 func (v *View) IsFresh() bool { return v.operatorReadAt.Load() > 0 && v.ConfigAge() <= maxConfigAge }
 
-// ConfigAge is how long ago the configuration was surely the newest; where it never was, the
-// age of the view.
+// ConfigAge returns how long ago the configuration was certainly the newest one, or the
+// age of the view if it never was.
 func (v *View) ConfigAge() time.Duration {
 	return v.now().Sub(v.started) - time.Duration(v.operatorReadAt.Load())
 }
 
-// recordRead notes that all is applied that a feed told in a read that was sent at a time.
+// recordRead records that everything returned by a read of the feed that was sent at
+// the given time has been applied.
 func (v *View) recordRead(feed platform.Feed, sent time.Time) {
 	if feed == platform.FeedOperator {
 		v.operatorReadAt.Store(int64(max(1, sent.Sub(v.started))))
@@ -139,6 +145,7 @@
 	loops.Wait()
 }
 
+// expire regularly removes servers whose grace period after an outage has ended.
 func (v *View) expire(ctx context.Context) {
 	for sleep.For(ctx, expireInterval) {
 		v.mu.Lock()
@@ -149,18 +156,20 @@
 	}
 }
 
-// follower is the state of one loop.
+// follower is the state of the loop that follows one feed.
 type follower struct {
 	view       *View
 	feed       platform.Feed
 	retryDelay time.Duration
-	// failingSince is when reads began to fail; zero: they don't.
+	// failingSince is when reads started to fail; zero if the last one succeeded.
 	failingSince time.Time
 	inOutage     bool
-	// feedRead: the feed itself was read. copyRead: its copy was.
+	// feedRead: the feed itself has been read. copyRead: its copy has been read.
 	feedRead, copyRead bool
 }
 
+// follow alternates between reading the complete list of a feed and reading its
+// changes, until ctx ends.
 func (v *View) follow(ctx context.Context, feed platform.Feed) {
 	f := &follower{view: v, feed: feed}
 	for ctx.Err() == nil {
@@ -179,7 +188,8 @@
 	}
 }
 
-// nextSnapshotDelay is how long after a whole list that took some time the next is due.
+// nextSnapshotDelay returns how long after a complete list the next one is due, if the
+// read took the given time.
 func nextSnapshotDelay(took time.Duration) time.Duration {
 	due := time.Duration(float64(took) / maxSnapshotShare)
 	if due <= snapshotInterval {
@@ -188,7 +198,8 @@
 	return max(snapshotInterval, sleep.Jitter(min(maxSnapshotInterval, due)))
 }
 
-// followChanges reads changes until a new snapshot is due.
+// followChanges reads changes from offset next on, until a read fails or the next
+// complete list is due.
 func (f *follower) followChanges(ctx context.Context, next uint64, after time.Duration) {
 	renew := f.view.now().Add(after)
 	for ctx.Err() == nil && f.view.now().Before(renew) {
@@ -208,6 +219,7 @@
 	}
 }
 
+// recordFailure records a failed read and waits before the next attempt.
 func (f *follower) recordFailure(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
@@ -219,12 +231,14 @@
 	if !f.inOutage && now.Sub(f.failingSince) >= outageThreshold {
 		f.inOutage = true
 		storeOutages.Add(1)
-		f.view.log.Warn("Lost the store.", zap.Stringer("feed", f.feed), zap.Error(err))
+		f.view.log.Warn("The store is unavailable.", zap.Stringer("feed", f.feed), zap.Error(err))
 	}
 	f.retryDelay = min(maxRetryDelay, max(minRetryDelay, 2*f.retryDelay))
 	sleep.For(ctx, sleep.Jitter(f.retryDelay))
 }
 
+// recordSuccess records a successful read. After an outage, servers get a grace period
+// to write their entries again.
 func (f *follower) recordSuccess() {
 	now := f.view.now()
 	f.retryDelay = 0
@@ -237,7 +251,7 @@
 	f.failingSince, f.inOutage = time.Time{}, false
 }
 
-// replaceAll takes a full list of a feed's records.
+// replaceAll applies the complete list of a feed's records.
 func (v *View) replaceAll(feed platform.Feed, changes []platform.Change) {
 	if feed == platform.FeedOperator {
 		v.apply(feed, changes)
@@ -258,6 +272,7 @@
 	v.publishServers()
 }
 
+// apply applies changes of a feed.
 func (v *View) apply(feed platform.Feed, changes []platform.Change) {
 	if len(changes) == 0 {
 		return
@@ -276,6 +291,7 @@
 	v.Changed.Notify()
 }
 
+// applyServers applies changes of server entries; mu is held.
 func (v *View) applyServers(changes []platform.Change) {
 	for _, c := range changes {
 		switch {
@@ -286,25 +302,26 @@
 			v.logServer(*c.Server)
 			v.servers.Put(*c.Server)
 		case c.Gone != "":
-			v.log.Info("A backend server's entry is gone.", zap.String("server", c.Gone), zap.Uint64("offset", c.Offset))
+			v.log.Info("A backend server's entry was removed.", zap.String("server", c.Gone), zap.Uint64("offset", c.Offset))
 			v.servers.Remove(c.Gone, v.now())
 		}
 	}
 	v.publishServers()
 }
 
-// logServer logs what changes belief: a new server, or one that leaves.
+// logServer logs a server that is new or starts or stops leaving.
 func (v *View) logServer(server members.Server) {
 	before, known := v.current.Load().Server(server.Service, server.ID)
 	if known && before.Leaving == server.Leaving {
 		return
 	}
-	v.log.Info("Backend server.", zap.String("server", server.ID), zap.String("service", server.Service),
+	v.log.Info("A backend server was added or changed.", zap.String("server", server.ID), zap.String("service", server.Service),
 		zap.String("addr", server.Addr), zap.Time("born", server.Born), zap.Bool("leaving", server.Leaving))
 }
 
-// applyOperator takes one record of the operator. What is older than what is
-// in force is passed over: a configuration never goes back.
+// applyOperator applies one record of the operator's feed to next. Tables and versions
+// that are not newer than those in force are ignored, so that a configuration is never
+// replaced by an older one.
 func (v *View) applyOperator(next *Snapshot, c platform.Change) {
 	next.OperatorOffset = max(next.OperatorOffset, c.Offset)
 	switch {
@@ -313,7 +330,7 @@
 	case c.Table != nil && (next.Table == nil || c.Table.Version > next.Table.Version):
 		next.Table, next.TableAppliedAt = c.Table, v.now()
 		appliedTables.Add(1)
-		v.log.Info("Configuration in force.", zap.Uint64("version", c.Table.Version), zap.Uint64("offset", c.Offset),
+		v.log.Info("A configuration is in force.", zap.Uint64("version", c.Table.Version), zap.Uint64("offset", c.Offset),
 			zap.Int("routes", len(c.Table.Routes)), zap.Bool("keys", c.Table.Organisations != nil))
 		v.logLeftOut(c.Table)
 	case c.Version != nil && c.Version.Version > next.Versions[c.Version.Model]:
@@ -323,25 +340,25 @@
 		}
 		versions[c.Version.Model] = c.Version.Version
 		next.Versions = versions
-		v.log.Info("Weight version named.", zap.String("model", c.Version.Model),
+		v.log.Info("A weight version was named.", zap.String("model", c.Version.Model),
 			zap.Uint64("version", c.Version.Version), zap.Uint64("offset", c.Offset))
 	}
 }
 
-// maxLeftOutLogs bounds the lines about one configuration.
+// maxLeftOutLogs bounds the log lines about one configuration.
 const maxLeftOutLogs = 20
 
-// logLeftOut logs which parts of a configuration can't be used.
+// logLeftOut logs the parts of a configuration that can't be used.
 func (v *View) logLeftOut(t *table.Table) {
 	for _, why := range t.LeftOut[:min(len(t.LeftOut), maxLeftOutLogs)] {
-		v.log.Warn("A part of the configuration is left out.", zap.Uint64("version", t.Version), zap.String("why", why))
+		v.log.Warn("A part of the configuration can't be used and is ignored.", zap.Uint64("version", t.Version), zap.String("why", why))
 	}
 	if more := len(t.LeftOut) - maxLeftOutLogs; more > 0 {
-		v.log.Warn("More parts of the configuration are left out.", zap.Uint64("version", t.Version), zap.Int("more", more))
+		v.log.Warn("More parts of the configuration can't be used and are ignored.", zap.Uint64("version", t.Version), zap.Int("more", more))
 	}
 }
 
-// publishServers makes the set visible; mu is held.
+// publishServers publishes a snapshot with the current servers; mu is held.
 func (v *View) publishServers() {
 	next := *v.current.Load()
 	next.Servers = v.servers.ByService()
--- a/gateway/view/view_test.go
+++ b/gateway/view/view_test.go
@@ -23,7 +23,7 @@
 	newest  map[platform.Feed][]platform.Change
 	changes map[platform.Feed][]platform.Change
 	down    bool
-	stalled bool // waiting reads hear nothing
+	stalled bool // waiting reads return no changes
 	copies  map[platform.Feed][]platform.Change
 }
 
@@ -50,13 +50,14 @@
 	return &memoryFeeds{newest: map[platform.Feed][]platform.Change{}, changes: map[platform.Feed][]platform.Change{}, copies: map[platform.Feed][]platform.Change{}}
 }
 
+// update calls change with the lock held.
 func (f *memoryFeeds) update(change func(*memoryFeeds)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	change(f)
 }
 
-// add adds a change; at the store it is the newest word as well.
+// add appends a change to a feed and updates the feed's complete list.
 func (f *memoryFeeds) add(feed platform.Feed, c platform.Change) {
 	f.update(func(f *memoryFeeds) {
 		c.Offset = uint64(len(f.changes[feed]))
@@ -112,7 +113,7 @@
 	return tb
 }
 
-// runView starts a view in virtual time.
+// runView runs a view in virtual time.
 func runView(t *testing.T, f *memoryFeeds, test func(v *View)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -129,8 +130,8 @@
 	return platform.Change{Server: &members.Server{ID: id, Name: id, Service: "s"}}
 }
 
-// A configuration is in force within a second of its acknowledgement, and one
-// that comes late or again never takes the place of a newer one.
+// A configuration is in force within a second of its acknowledgement. An older one that
+// arrives late or again must not replace a newer one.
 func TestConfigurationVersionNeverDecreases(t *testing.T) {
 	f := newMemoryFeeds()
 	f.add(platform.FeedOperator, platform.Change{Table: tableOf(t, 4)})
@@ -150,8 +151,8 @@
 	})
 }
 
-// The store's waiting reads go deaf while a server leaves: without the fresh
-// list it would get work for as long as the deafness lasts.
+// The store's waiting reads miss changes while a server leaves. Without the complete
+// list, the server would get requests until the reads return changes again.
 func TestSnapshotCoversMissedChanges(t *testing.T) {
 	f := newMemoryFeeds()
 	f.add(platform.FeedServers, server("a"))
@@ -166,9 +167,9 @@
 	})
 }
 
-// The store is away for five seconds and all entries lapse meanwhile. Servers
-// go on being used through the outage and for two seconds after it, in which
-// those that live come back.
+// The store is unavailable for five seconds and all entries lapse meanwhile. Servers
+// must remain in use during the outage and for two seconds after it, in which the
+// running servers write their entries again.
 func TestServersSurviveStoreOutage(t *testing.T) {
 	f := newMemoryFeeds()
 	f.add(platform.FeedServers, server("lives"))
@@ -182,7 +183,7 @@
 		f.add(platform.FeedServers, platform.Change{Gone: "dead"})
 		f.update(func(f *memoryFeeds) { f.down = false })
 		time.Sleep(time.Second)
-		require.Len(t, v.Current().Servers["s"], 2, "one second after the return")
+		require.Len(t, v.Current().Servers["s"], 2, "one second after the outage")
 		f.add(platform.FeedServers, server("lives"))
 		time.Sleep(2 * time.Second)
 		require.Len(t, v.Current().Servers["s"], 1)
@@ -190,7 +191,7 @@
 	})
 }
 
-// A server that leaves in calm times counts as leaving at once.
+// Without an outage, a leaving server counts as leaving immediately.
 func TestLeavingServerIsSeenImmediately(t *testing.T) {
 	f := newMemoryFeeds()
 	f.add(platform.FeedServers, server("a"))
@@ -205,9 +206,9 @@
 	})
 }
 
-// Another writer puts something else in place of a server's entry, and next to it.
-// The server is not used until it writes again; the others hold all the while, and
-// a record that stays is told of once, not with each whole list.
+// Another writer replaces a server's entry, and adds a record next to it. The server is
+// not used until it writes its entry again, the other servers are not affected, and an
+// unreadable record that stays is logged once, not with each complete list.
 func TestForeignEntryHidesOneServer(t *testing.T) {
 	f := newMemoryFeeds()
 	f.add(platform.FeedServers, server("a"))
@@ -237,8 +238,9 @@
 	})
 }
 
-// Whole lists that take long are renewed the later, so that however many processes
-// read however long lists, the store gives most of its time to other reads.
+// The longer a complete list takes to read, the later the next one is read. The store
+// thus spends most of its time on other reads, however many processes read however long
+// lists.
 func TestSlowSnapshotsAreLessFrequent(t *testing.T) {
 	for range 100 {
 		require.Equal(t, snapshotInterval, nextSnapshotDelay(10*time.Millisecond))
@@ -248,10 +250,10 @@
 }
 
 // The part of the store with the configuration and the servers' entries can't be
-// reached, and every process loses power meanwhile. One that starts then goes by
-// the copies that were written before, in place of refusing all requests until that
-// part is back, and by the feeds themselves once it is. An agent, whose fencing
-// token must never go down, waits.
+// reached, and every process loses power meanwhile. A process that then starts uses the
+// copies written before, instead of refusing all requests until that part is available
+// again, and uses the feeds as soon as it is. An agent, whose fencing token must never
+// decrease, waits.
 func TestStartDuringOutageUsesCopies(t *testing.T) {
 	f := newMemoryFeeds()
 	f.add(platform.FeedOperator, platform.Change{Table: tableOf(t, 4)})
