--- a/gateway/view/unreadable.go
+++ b/gateway/view/unreadable.go
@@ -56,7 +56,7 @@
 func (v *View) logUnreadable(feed platform.Feed, c platform.Change) {
 	unreadable.Add(1)
 	if v.unreadable.shouldLog(unreadableRecord{feed, c.Gone, c.Offset}) {
-		v.log.Warn("A record can't be read and is ignored.", zap.Stringer("feed", feed), zap.String("key", c.Gone),
+		v.log.Warn("A record can't be read and is left out.", zap.Stringer("feed", feed), zap.String("key", c.Gone),
 			zap.Uint64("offset", c.Offset), zap.Error(c.Err))
 	}
 }
