--- a/gateway/forward/forward.go
+++ b/gateway/forward/forward.go
@@ -207,8 +207,8 @@
 	return time.Duration(hedgeShare * float64(s.call.Route.Objective))
 }
 
-// mayRepeat reports whether the request may be sent to another server although the
-// servers asked so far may have run it.
+// mayRepeat reports whether the request may be sent to another server, given how many
+// servers may have run it.
 func (s *callState) mayRepeat() bool {
 	return s.mayHaveRun == 0 || s.call.Route.Repeatable() && s.mayHaveRun < s.call.Route.MaxAttempts
 }
