--- a/gateway/forward/bench_test.go
+++ b/gateway/forward/bench_test.go
@@ -9,12 +9,13 @@
 	"dandelionsill.org/gateway/gatewaytest"
 )
 
-// One safe request through the forwarder, the stand-in's side included.
+// BenchmarkSend measures one repeatable request through the forwarder, including the
+// stand-in server.
 func BenchmarkSend(b *testing.B) {
 	pf := gatewaytest.NewPlatform(b, 0, 3)
 	p := pf.NewProcess(b)
-	r := p.View.Now().Table.Match("app.example", "/score/x")
-	c := callOn(r, "r", "/score/x")
+	r := p.View.Current().Table.Match("app.example", "/score/x")
+	c := newCallOn(r, "r", "/score/x")
 	for b.Loop() {
 		c.Deadline = time.Now().Add(2 * time.Second)
 		reply, err := p.Forward.Send(b.Context(), c)
--- a/gateway/forward/poison_test.go
+++ b/gateway/forward/poison_test.go
@@ -16,17 +16,18 @@
 	"dandelionsill.org/platform/hosted/hostedtest"
 )
 
-// endedMost is how many servers a request may end: three that show what it does, and
-// three more retries that were under way or came before all processes had heard of it.
-const endedMost = 6
+// maxCrashes is how many servers one request may crash: three before it is quarantined,
+// and three more by retries that were in flight or arrived before all processes were
+// notified.
+const maxCrashes = 6
 
-// A caller's request crashes each server that runs it. Its caller gets 502 and asks
-// again, at any gateway and with a new id, and the servers are back after each attempt.
-// In one case over a dozen servers ended so: all four of a service, four times over, and
-// other callers found no server meanwhile. The logs had two servers for each attempt,
-// "connection broke before the whole answer: unexpected EOF", at gateway after gateway:
-// each attempt was a new request to all of them, for nothing but its content is the same,
-// and nobody kept what had happened under it.
+// A request crashes each server that runs it. Its caller gets 502 and retries, at any
+// gateway and with a new id, and the servers are restarted between the attempts. In one
+// incident over a dozen servers ended this way: all four of a service, four times over,
+// and other callers found no server meanwhile. Each attempt ended two servers with "connection
+// broke before the whole answer: unexpected EOF". The gateways treated each attempt as
+// a new request, since only its content stayed the same, and no process recorded the
+// crashes.
 func TestRequestThatCrashesServersIsStopped(t *testing.T) {
 	const attempts = 12
 	crash := hostedtest.ServerFaults{CrashOn: "/score/deadly"}
@@ -38,27 +39,27 @@
 	ended := 0
 	for i := range attempts {
 		p := gateways[i%len(gateways)]
-		reply, err := p.Forward.Send(t.Context(), call(t, p, "attempt-"+strconv.Itoa(i), "/score/deadly"))
+		reply, err := p.Forward.Send(t.Context(), newCall(t, p, "attempt-"+strconv.Itoa(i), "/score/deadly"))
 		require.NotNil(t, err, "%v", reply)
 		ended += pf.Revive(t, crash)
 		for _, g := range gateways {
 			require.Eventually(t, func() bool { return g.Knows(pf) }, gatewaytest.Wait, time.Millisecond)
 		}
 	}
-	require.LessOrEqual(t, ended, endedMost, "servers ended under one request")
+	require.LessOrEqual(t, ended, maxCrashes, "servers ended under one request")
 	p := gateways[0]
-	_, err := p.Forward.Send(t.Context(), call(t, p, "other", "/score/other"))
+	_, err := p.Forward.Send(t.Context(), newCall(t, p, "other", "/score/other"))
 	require.Nil(t, err, "other requests are served")
 }
 
-// quarantine ends as many servers under a path as put it into quarantine.
-func quarantine(t *testing.T, pf *gatewaytest.Platform, p *gatewaytest.Process, path string) {
+// quarantinePath crashes servers with requests to the path until it is quarantined.
+func quarantinePath(t *testing.T, pf *gatewaytest.Platform, p *gatewaytest.Process, path string) {
 	crash := hostedtest.ServerFaults{CrashOn: path}
 	for _, s := range pf.Plain {
 		s.Fail(crash)
 	}
 	for i := 0; !p.Forward.Quarantine.Empty() || i == 0; i++ {
-		_, err := p.Forward.Send(t.Context(), call(t, p, "deadly-"+strconv.Itoa(i), path))
+		_, err := p.Forward.Send(t.Context(), newCall(t, p, "deadly-"+strconv.Itoa(i), path))
 		require.NotNil(t, err)
 		if err.Kind() == string(kinds.Quarantined) {
 			break
@@ -68,15 +69,15 @@
 	}
 }
 
-// A quarantined request comes again: its caller is told at once that it did not run and
-// when to come back, and no server sees it. A write is no exception.
+// A quarantined request is sent again. Its caller is told immediately that it did not
+// run and when to retry, and no server receives it. This holds for writes too.
 func TestQuarantinedRequestIsRefusedAtOnce(t *testing.T) {
 	for _, path := range []string{"/score/deadly", "/write/deadly"} {
 		pf := gatewaytest.NewPlatform(t, 0, 3)
 		p := pf.NewProcess(t)
-		quarantine(t, pf, p, path)
+		quarantinePath(t, pf, p, path)
 		before := len(arrivals(pf.Plain))
-		_, err := p.Forward.Send(t.Context(), call(t, p, "again", path))
+		_, err := p.Forward.Send(t.Context(), newCall(t, p, "again", path))
 		require.Equal(t, string(kinds.Quarantined), err.Kind())
 		require.True(t, err.NotRun())
 		require.Equal(t, http.StatusServiceUnavailable, err.Answer().HTTP)
@@ -86,19 +87,19 @@
 }
 
 // A server ends while it has another caller's request, which the next server answers.
-// That request is nothing that ends servers: it is served ever after, and neither the
-// store nor the peers hear of it.
+// That request does not crash servers: it must stay served, and neither the store nor
+// the peers are notified of the crash.
 func TestBystanderOfACrashIsServed(t *testing.T) {
 	pf := gatewaytest.NewPlatform(t, 0, 4)
 	p := pf.NewProcess(t)
 	for range 3 * poison.QuarantineThreshold {
-		// Whichever server gets it first ends, and none after it.
+		// The first server that gets it crashes, and none after it.
 		once := new(atomic.Int64)
 		once.Store(1)
 		for _, s := range pf.Plain {
 			s.Fail(hostedtest.ServerFaults{CrashOn: "/score/bystander", Crashes: once})
 		}
-		reply, err := p.Forward.Send(t.Context(), call(t, p, "bystander", "/score/bystander"))
+		reply, err := p.Forward.Send(t.Context(), newCall(t, p, "bystander", "/score/bystander"))
 		require.Nil(t, err)
 		require.Equal(t, 200, reply.Status)
 		require.Equal(t, 1, pf.Revive(t, hostedtest.ServerFaults{}))
@@ -108,13 +109,14 @@
 	require.Empty(t, pf.Store.Records(hostedtest.TopicCrashes))
 }
 
-// A bystander is at two servers that end under another request, which the ends are put
-// down to, and is then answered. Two more servers end while they have it, for reasons of
-// their own: the answer between stands, and it is served.
-func TestAnswerCountsForWhoIsNoSuspect(t *testing.T) {
+// A bystander is at two servers that crash under another request, to which the crashes
+// are attributed, and is then answered. Later two more servers end for other reasons
+// while they have the bystander. The answer in between clears it of the earlier
+// crashes, so that it is still served.
+func TestAnswerClearsUnsuspectedRequest(t *testing.T) {
 	pf := gatewaytest.NewPlatform(t, 0, 2)
 	p := pf.NewProcess(t)
-	c := call(t, p, "bystander", "/score/bystander")
+	c := newCall(t, p, "bystander", "/score/bystander")
 	content := poison.Content{Caller: poison.CallerFromHeader(c.Header), Method: c.Method, Host: c.Host, URI: c.URI, Body: c.Body}
 	bystander := content.Fingerprint()
 	q := p.Forward.Quarantine
@@ -131,9 +133,10 @@
 	require.Equal(t, poison.Suspect, q.Verdict(bystander))
 }
 
-// A stream crashes each server that begins it. It may go on elsewhere, so that each
-// attempt ends as many servers as the route allows; the quarantine holds for it alike,
-// and its caller is told so instead of being sent to a fourth server.
+// A stream crashes each server that starts it. Since it may be resumed at other
+// servers, each attempt ends as many servers as the route allows. The quarantine must
+// apply to it as well, and its caller gets the quarantine's error instead of a fourth
+// server.
 func TestStreamThatCrashesServersIsStopped(t *testing.T) {
 	pf := gatewaytest.NewPlatform(t, 5, 0)
 	p := pf.NewProcess(t)
@@ -150,7 +153,7 @@
 		return n
 	}
 	send := func(path string) (int, *kinds.Error) {
-		c := call(t, p, "s", path)
+		c := newCall(t, p, "s", path)
 		c.Header.Set(hostedtest.HeaderModel, "m")
 		return p.Forward.Stream(t.Context(), c, httptest.NewRecorder())
 	}
--- a/gateway/forward/stream.go
+++ b/gateway/forward/stream.go
@@ -15,46 +15,49 @@
 	"dandelionsill.org/platform/hosted"
 )
 
-// copyBuffer is the size of one piece of a stream, in bytes.
-const copyBuffer = 16 << 10
+// copyBufferBytes is the size of the buffer that streams are copied with.
+const copyBufferBytes = 16 << 10
 
-// Silence of a stream that can be resumed. Callers give a stream up after a gap
-// of two seconds or four times its objective; half of that leaves another server
-// as much time.
+// Timeouts of streams that can be resumed. Callers give a stream up after a gap of two
+// seconds or four times its objective. Half of that leaves another server as much time.
 const (
-	streamGap = time.Second
-	// firstGapShare of the objective is waited for the first event, if that is more.
-	firstGapShare = 2
+	// maxEventGap bounds the time between two events.
+	maxEventGap = time.Second
+	// firstEventObjectives times the objective bounds the wait for the first event, if
+	// that is longer than maxEventGap.
+	firstEventObjectives = 2
 )
 
-// Stream forwards a request whose answer is a series of events, each as it
-// arrives. Before the answer's first byte another server is asked where the one
-// before refused. Where the route lets a stream be resumed, one that breaks off
-// or falls silent goes on at another server behind the last event that the caller
-// has; any other must not look complete.
+// Stream forwards a request whose answer is a series of events, and passes each event
+// on as it arrives. If a server refuses the request, the next one is asked. If the
+// route allows streams to be resumed, a stream that breaks off or stalls is resumed at
+// another server after the last event that the caller has. Any other broken stream must
+// not look complete to the caller, so its connection is aborted.
+//
+// Stream returns the status that was written, or the error to report if nothing was.
 func (f *Forwarder) Stream(ctx context.Context, call Call, w http.ResponseWriter) (int, *kinds.Error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	s := &streaming{
-		sending: f.sending(call), w: w, last: hosted.Resumed(call.Header),
+	s := &streamState{
+		callState: f.newCallState(call), writer: w, lastEvent: hosted.Resumed(call.Header),
 	}
-	defer func() { s.judge(nil) }()
+	defer func() { s.reportResult(nil) }()
 	defer s.usage.Done()
 	for {
-		if s.quarantined() {
-			return s.giveUp(s.noServer())
+		if s.isQuarantined() {
+			return s.fail(s.noServerError())
 		}
 		c, ok := s.pick()
-		if !ok || s.refusals > refusalsMost {
-			return s.giveUp(s.refuse(kinds.Overloaded, "no server took the stream"))
+		if !ok || s.refusals > maxRefusals {
+			return s.fail(s.refuse(kinds.Overloaded, "no server took the stream"))
 		}
 		s.tried[c.server.ID] = true
 		s.asked = append(s.asked, c.server.ID)
-		end, err := s.from(ctx, c)
+		end, err := s.streamFrom(ctx, c)
 		f.log.Info("Stream of a server ended.", zap.String("id", call.ID), zap.String("service", s.service), zap.String("server", c.server.ID),
-			zap.String("picked", c.why), zap.String("end", string(end)), zap.Int("last_event", s.last), zap.Error(err))
-		if end == streamBroken && ctx.Err() == nil && f.EndedUnder(ctx, s.service, c.server) {
-			s.serverEnded(&c)
+			zap.String("picked", c.reason), zap.String("end", string(end)), zap.Int("last_event", s.lastEvent), zap.Error(err))
+		if end == streamBroken && ctx.Err() == nil && f.ServerCrashed(ctx, s.service, c.server) {
+			s.recordCrash(&c)
 		}
 		switch {
 		case end == streamDone:
@@ -66,11 +69,11 @@
 			s.refusals++
 			continue
 		case ctx.Err() != nil:
-			return s.giveUp(s.outOfTime(ctx))
+			return s.fail(s.contextError(ctx))
 		}
-		s.mayRun++
-		if !call.Route.Repeatable() || s.mayRun >= call.Route.MaxAttempts || s.status >= http.StatusMultipleChoices {
-			return s.giveUp(kinds.New(kinds.OutcomeUnknown, "the stream broke off: %v", err))
+		s.mayHaveRun++
+		if !call.Route.Repeatable() || s.mayHaveRun >= call.Route.MaxAttempts || s.status >= http.StatusMultipleChoices {
+			return s.fail(kinds.New(kinds.OutcomeUnknown, "the stream broke off: %v", err))
 		}
 		clear(s.tried)
 		s.tried[c.server.ID] = true
@@ -82,44 +85,47 @@
 
 const (
 	streamDone    streamEnd = "done"
-	streamRefused streamEnd = "refused" // it did not run
+	streamRefused streamEnd = "refused" // the server did not run the request
 	streamBroken  streamEnd = "broken"
 )
 
-// streaming is one stream on its way to its caller. All fields belong to the
-// goroutine of Stream.
-type streaming struct {
-	*sending
-	w       http.ResponseWriter
-	status  int    // of the first server's answer; 0: nothing was written yet
-	last    int    // id of the last event that the caller has
-	version uint64 // weights that made it, as the caller was told
+// streamState is the state of one stream that is being forwarded. All fields belong to
+// the goroutine of Stream.
+type streamState struct {
+	*callState
+	writer    http.ResponseWriter
+	status    int    // of the first server's answer; 0: nothing has been written yet
+	lastEvent int    // id of the last event written to the caller
+	version   uint64 // weight version of that event, as reported to the caller
 }
 
-// giveUp tells the error to a caller that has nothing yet; any other sees its
-// connection break.
-func (s *streaming) giveUp(err *kinds.Error) (int, *kinds.Error) {
+// fail returns err if nothing has been written to the caller; otherwise it aborts the
+// caller's connection.
+func (s *streamState) fail(err *kinds.Error) (int, *kinds.Error) {
 	if s.status != 0 {
 		panic(http.ErrAbortHandler)
 	}
 	return 0, err
 }
 
-// from forwards the stream of one server, behind the events that the caller has.
-func (s *streaming) from(caller context.Context, c choice) (end streamEnd, err error) {
-	ctx, cancel := context.WithCancel(caller)
+// streamFrom forwards the stream of one server, from the event after the last one that
+// the caller has.
+func (s *streamState) streamFrom(callerCtx context.Context, c choice) (end streamEnd, err error) {
+	ctx, cancel := context.WithCancel(callerCtx)
 	defer cancel()
-	watch := time.AfterFunc(max(streamGap, firstGapShare*s.call.Route.LatencyObjective), cancel)
-	defer watch.Stop()
+	gapTimer := time.AfterFunc(max(maxEventGap, firstEventObjectives*s.call.Route.LatencyObjective), cancel)
+	defer gapTimer.Stop()
 	if !s.call.Route.Resumable {
-		watch.Stop()
+		gapTimer.Stop()
 	}
-	begun := time.Now()
-	s.f.fleet.begun(c.server.ID)
-	answer, err := s.f.open(ctx, s.rest(), c.server)
-	// A server is judged by how soon it begins: how long a stream is is not its doing.
-	headed := time.Since(begun)
-	defer func() { s.f.fleet.ended(s.service, c.server.ID, headed, end == streamBroken && caller.Err() == nil) }()
+	start := time.Now()
+	s.forwarder.serverStats.attemptStarted(c.server.ID)
+	answer, err := s.forwarder.open(ctx, s.remainingCall(), c.server)
+	// Only the time to the head counts for ejection: a stream's length depends on the request.
+	headTime := time.Since(start)
+	defer func() {
+		s.forwarder.serverStats.attemptEnded(s.service, c.server.ID, headTime, end == streamBroken && callerCtx.Err() == nil)
+	}()
 	switch {
 	case errors.Is(err, backend.ErrNotSent):
 		return streamRefused, err
@@ -130,77 +136,77 @@
 		return streamRefused, nil
 	}
 	defer answer.Close()
-	s.usage.Began(0) // the head comes with the first event
-	return s.forward(answer, watch)
+	s.usage.Began(0) // the head arrives together with the first event
+	return s.forwardAnswer(answer, gapTimer)
 }
 
-// rest is the call for what the caller does not have yet.
-func (s *streaming) rest() Call {
+// remainingCall returns the call for the events that the caller does not have yet.
+func (s *streamState) remainingCall() Call {
 	call := s.call
-	if s.status != 0 && s.last > 0 {
+	if s.status != 0 && s.lastEvent > 0 {
 		call.Header = call.Header.Clone()
-		hosted.SetResume(call.Header, s.last)
+		hosted.SetResume(call.Header, s.lastEvent)
 	}
 	return call
 }
 
-// forward passes an answer on. The head of a resumed stream stays that of its
-// first server.
-func (s *streaming) forward(answer *backend.Answer, watch *time.Timer) (streamEnd, error) {
+// forwardAnswer passes a server's answer on. The caller gets the head of the first
+// answer only; answers that resume the stream add their events.
+func (s *streamState) forwardAnswer(answer *backend.Answer, gapTimer *time.Timer) (streamEnd, error) {
 	ok := answer.Status < http.StatusMultipleChoices
 	switch {
 	case s.status == 0:
-		CopyHeader(s.w.Header(), answer.Header)
-		s.w.WriteHeader(answer.Status)
+		CopyHeader(s.writer.Header(), answer.Header)
+		s.writer.WriteHeader(answer.Status)
 		s.status, s.version = answer.Status, hosted.WeightVersion(answer.Header)
 	case !ok:
 		return streamBroken, errors.Errorf("status %d in place of the rest", answer.Status)
 	}
 	if !ok || !s.call.Route.Resumable {
-		return s.copy(answer)
+		return s.copyBody(answer)
 	}
-	return s.events(answer, watch)
+	return s.forwardEvents(answer, gapTimer)
 }
 
-// events passes whole events on, each once and in their order.
-func (s *streaming) events(answer *backend.Answer, watch *time.Timer) (streamEnd, error) {
+// forwardEvents passes complete events on, each once and in order.
+func (s *streamState) forwardEvents(answer *backend.Answer, gapTimer *time.Timer) (streamEnd, error) {
 	reader := hosted.NewRawEventReader(answer.Body)
 	version := hosted.WeightVersion(answer.Header)
 	for {
 		event, err := reader.Next()
 		if err == io.EOF {
-			answer.Finished()
+			answer.MarkComplete()
 			return streamDone, nil
 		}
 		if err != nil {
 			return streamBroken, errors.Trace(err)
 		}
-		if event.ID != s.last+1 {
-			return streamBroken, errors.Errorf("event %d where %d is due", event.ID, s.last+1)
+		if event.ID != s.lastEvent+1 {
+			return streamBroken, errors.Errorf("event %d where %d is due", event.ID, s.lastEvent+1)
 		}
-		watch.Reset(streamGap)
+		gapTimer.Reset(maxEventGap)
 		raw := event.Raw
 		if event.Version > 0 {
 			version = event.Version
 		} else if version != s.version {
-			// The server that goes on has other weights than the one before.
+			// The server that resumes the stream has other weights than the one before.
 			raw = hosted.VersionLine(version) + raw
 		}
 		s.write([]byte(raw))
-		s.last, s.version = event.ID, version
+		s.lastEvent, s.version = event.ID, version
 	}
 }
 
-// copy passes an answer on as it is.
-func (s *streaming) copy(answer *backend.Answer) (streamEnd, error) {
-	buf := make([]byte, copyBuffer)
+// copyBody passes the body of an answer on unchanged.
+func (s *streamState) copyBody(answer *backend.Answer) (streamEnd, error) {
+	buf := make([]byte, copyBufferBytes)
 	for {
 		n, err := answer.Body.Read(buf)
 		if n > 0 {
 			s.write(buf[:n])
 		}
 		if err == io.EOF {
-			answer.Finished()
+			answer.MarkComplete()
 			return streamDone, nil
 		}
 		if err != nil {
@@ -209,15 +215,16 @@
 	}
 }
 
-// write sends bytes to the caller at once; a caller that has gone ends the call.
-func (s *streaming) write(p []byte) {
-	if _, err := s.w.Write(p); err != nil {
+// write sends bytes to the caller immediately. It aborts the call if the caller has
+// disconnected.
+func (s *streamState) write(p []byte) {
+	if _, err := s.writer.Write(p); err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	_ = http.NewResponseController(s.w).Flush() // a failed write shows at the next piece
+	_ = http.NewResponseController(s.writer).Flush() // the next Write reports a failure
 }
 
-// open sends the request to a server and reads the head of its answer.
+// open sends the request to a server and reads the head of the answer.
 func (f *Forwarder) open(ctx context.Context, call Call, server members.Server) (*backend.Answer, error) {
 	header := call.Header.Clone()
 	hosted.SetAttemptID(header, call.ID)
--- a/gateway/front/front_test.go
+++ b/gateway/front/front_test.go
@@ -24,7 +24,7 @@
 	"dandelionsill.org/platform/hosted/hostedtest"
 )
 
-// newFront serves the platform's callers on loopback.
+// newFront serves the platform's callers on a loopback address and returns the URL.
 func newFront(t *testing.T, pf *gatewaytest.Platform) (*front.Front, string) {
 	p := pf.NewProcess(t)
 	book := jobs.NewIndex(p.Store, zap.NewNop())
@@ -57,23 +57,23 @@
 	return resp, string(data)
 }
 
-func attempt(id string) map[string]string {
+func attemptHeader(id string) map[string]string {
 	return map[string]string{hostedtest.HeaderAttempt: id, hostedtest.HeaderDeadline: "2000"}
 }
 
-func TestCallersGetTheServersAnswer(t *testing.T) {
+func TestCallerGetsServerAnswer(t *testing.T) {
 	pf := gatewaytest.NewPlatform(t, 0, 1)
 	_, url := newFront(t, pf)
-	resp, body := send(t, "POST", url+"/score/x", attempt("r1"), []byte("b"))
+	resp, body := send(t, "POST", url+"/score/x", attemptHeader("r1"), []byte("b"))
 	require.Equal(t, 200, resp.StatusCode)
 	require.Equal(t, "answer to r1", body)
 	require.Equal(t, "seal-r1", resp.Header.Get(hostedtest.HeaderSeal))
 	require.Equal(t, "r1", resp.Header.Get(hostedtest.HeaderAttempt))
 }
 
-// Our own failures bear no server's signature, and say "not run" and when to
-// come back where that is so.
-func TestOwnFailures(t *testing.T) {
+// Errors of the gateway itself carry no server's signature. They say "not run" and when
+// to retry if that applies.
+func TestGatewayErrors(t *testing.T) {
 	pf := gatewaytest.NewPlatform(t, 0, 1)
 	_, url := newFront(t, pf)
 	tests := []struct {
@@ -92,7 +92,7 @@
 		{"end of an unknown job", "DELETE", hostedtest.PathJob + "none", "", 404, false},
 	}
 	for _, test := range tests {
-		resp, _ := send(t, test.method, url+test.path, attempt("r"), []byte(test.body))
+		resp, _ := send(t, test.method, url+test.path, attemptHeader("r"), []byte(test.body))
 		require.Equal(t, test.status, resp.StatusCode, test.name)
 		require.Empty(t, resp.Header.Get(hostedtest.HeaderSeal), test.name)
 		require.Equal(t, "r", resp.Header.Get(hostedtest.HeaderAttempt), test.name)
@@ -104,14 +104,15 @@
 	require.NotEmpty(t, resp.Header.Get("Retry-After"))
 }
 
-// The store has been away, or this entry fell behind: the operator may have added a
-// route meanwhile. Its callers would be refused for good with 404; they are told to
-// come back. Once the store is back, 404 is true again.
-func TestNoRouteIsSaidOnlyOfANewConfiguration(t *testing.T) {
+// The store is unavailable, or this gateway has fallen behind, and the operator may
+// have added a route meanwhile. Callers of that route must not be refused permanently
+// with 404, so they are asked to retry. Once the store is available again, the answer
+// is 404.
+func TestNotFoundRequiresCurrentConfiguration(t *testing.T) {
 	pf := gatewaytest.NewPlatform(t, 0, 1)
 	_, url := newFront(t, pf)
 	status := func() int {
-		resp, _ := send(t, "GET", url+"/nowhere/", attempt("r"), nil)
+		resp, _ := send(t, "GET", url+"/nowhere/", attemptHeader("r"), nil)
 		if resp.StatusCode == 503 {
 			require.Equal(t, "1", resp.Header.Get(hostedtest.HeaderNotExecuted))
 			require.NotEmpty(t, resp.Header.Get("Retry-After"))
@@ -125,8 +126,8 @@
 	require.Eventually(t, func() bool { return status() == 404 }, gatewaytest.Wait, 10*time.Millisecond)
 }
 
-// A request that no server answers gets its final answer when its time is up,
-// and one that may have run is not called "not run".
+// A request that no server answers gets its final answer when its deadline passes. If
+// it may have run, the answer does not say "not run".
 func TestDeadlineIsAnswered(t *testing.T) {
 	pf := gatewaytest.NewPlatform(t, 0, 1)
 	_, url := newFront(t, pf)
@@ -136,7 +137,7 @@
 	require.Empty(t, resp.Header.Get(hostedtest.HeaderNotExecuted))
 }
 
-// Before the first configuration everything is refused as not run.
+// Before the first configuration is read, all requests are refused as not run.
 func TestNoConfigurationIsNotRun(t *testing.T) {
 	store := hosted.NewStore("127.0.0.1:1")
 	f := &front.Front{View: view.New(store, zap.NewNop()), Log: zap.NewNop(), Latency: metrics.NewHistogram("front_test_latency")}
@@ -146,14 +147,14 @@
 	require.NotEmpty(t, w.Header().Get("Retry-After"))
 }
 
-// The whole path of a trainer over HTTP: submission, bodies, results, end.
+// All calls of a trainer over HTTP: submission, bodies, results, end.
 func TestBatchJobOverHTTP(t *testing.T) {
 	pf := gatewaytest.NewPlatform(t, 1, 1)
 	_, url := newFront(t, pf)
 	data, err := json.Marshal(hostedtest.Job("j", "m", 4, 1))
 	require.NoError(t, err)
 	for range 2 {
-		resp, _ := send(t, "POST", url+"/jobs/x", attempt("j"), data)
+		resp, _ := send(t, "POST", url+"/jobs/x", attemptHeader("j"), data)
 		require.Equal(t, http.StatusAccepted, resp.StatusCode)
 	}
 	_, body := send(t, "GET", url+hostedtest.PathItem+"j?id=j-i1", nil, nil)
@@ -179,8 +180,8 @@
 	require.Equal(t, 200, resp.StatusCode)
 }
 
-// A stop begins: each answer ends its connection, and the drain waits for what
-// is in flight.
+// The process starts to drain: each answer closes its connection, and Drain waits for
+// the requests in flight.
 func TestDrainWaitsForRequests(t *testing.T) {
 	pf := gatewaytest.NewPlatform(t, 0, 1)
 	f, url := newFront(t, pf)
@@ -199,13 +200,13 @@
 		_ = resp.Body.Close()
 		answered <- resp.StatusCode
 	}()
-	require.Eventually(t, func() bool { return f.Open() == 1 }, gatewaytest.Wait, time.Millisecond)
-	f.Leave()
-	soon, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
+	require.Eventually(t, func() bool { return f.InFlight() == 1 }, gatewaytest.Wait, time.Millisecond)
+	f.StartDrain()
+	expiring, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
 	defer cancel()
-	require.Error(t, f.Drain(soon))
+	require.Error(t, f.Drain(expiring))
 	require.NoError(t, f.Drain(t.Context()))
 	require.Equal(t, 504, <-answered)
-	resp, _ := send(t, "GET", url+"/nowhere/", attempt("r"), nil)
+	resp, _ := send(t, "GET", url+"/nowhere/", attemptHeader("r"), nil)
 	require.True(t, resp.Close)
 }
--- a/gateway/jobs/ownership.go
+++ b/gateway/jobs/ownership.go
@@ -165,7 +165,7 @@
 
 // routeOf returns the route to which a job was submitted; nil: it was removed.
 func (r *Runner) routeOf(j *jobs.Job) *table.Route {
-	t := r.view.Now().Table
+	t := r.view.Current().Table
 	if t == nil {
 		return nil
 	}
--- a/gateway/jobs/placing.go
+++ b/gateway/jobs/placing.go
@@ -56,7 +56,7 @@
 // from a slow engine.
 func (r *Runner) placeAll(ctx context.Context, now time.Time) {
 	byService := map[string][]*activeItem{}
-	snap := r.view.Now()
+	snap := r.view.Current()
 	for _, active := range r.active {
 		for _, a := range active {
 			if a.phase == waiting && a.complete {
--- a/gateway/jobs/score.go
+++ b/gateway/jobs/score.go
@@ -73,7 +73,7 @@
 // requestScore makes one call; it also returns how many failures are allowed.
 func (r *Runner) requestScore(ctx context.Context, a *activeItem) (*forward.Reply, int, *kinds.Error) {
 	request := a.item.Score
-	table := r.view.Now().Table
+	table := r.view.Current().Table
 	if table == nil {
 		return nil, 1, kinds.Hold().Refuse(kinds.NotReady, "no configuration")
 	}
--- a/gateway/jobs/stream.go
+++ b/gateway/jobs/stream.go
@@ -66,7 +66,7 @@
 			return // the item was requeued or stopped before
 		}
 		switch {
-		case end == broken && r.forward.EndedUnder(ctx, service, server):
+		case end == broken && r.forward.ServerCrashed(ctx, service, server):
 			r.zlog.Warn("A server ended while it ran a sample.", zap.String("id", a.item.ID), zap.String("job", a.job.ID),
 				zap.String("request", string(s.subject.Fingerprint())), zap.String("server", server.ID))
 			s.subject.RecordCrash(server.ID)
@@ -156,7 +156,7 @@
 	for {
 		event, err := reader.Next()
 		if err == io.EOF {
-			answer.Finished()
+			answer.MarkComplete()
 			return complete, nil
 		}
 		if err != nil {
