--- a/entry/steps/announce_test.go
+++ b/entry/steps/announce_test.go
@@ -14,7 +14,7 @@
 // every engine stays below the floor, and the step never ends.
 func TestNewestVersionOfAPostIsAnnounced(t *testing.T) {
 	inBubble(t, func(w *world) {
-		w.terms(func(tr *manifest.Trainer) { tr.StalenessBound = 0 })
+		w.configureTrainer(func(tr *manifest.Trainer) { tr.StalenessBound = 0 })
 		w.agents(2, 4, 100)
 		w.view.Announce("m", 1)
 		w.entry("a")
--- a/entry/steps/bench_test.go
+++ b/entry/steps/bench_test.go
@@ -46,12 +46,12 @@
 		time.Sleep(10 * time.Millisecond)
 		done = 0
 		for _, a := range w.fleet.agents {
-			done += len(a.snapshotDone())
+			done += len(a.finishTimes())
 		}
 	}
 	for _, a := range w.fleet.agents {
 		a.mu.Lock()
-		a.held, a.doneAt = nil, map[string]time.Time{}
+		a.held, a.finishedAt = nil, map[string]time.Time{}
 		a.mu.Unlock()
 	}
 	heap = liveHeap() - before
--- a/entry/steps/claim.go
+++ b/entry/steps/claim.go
@@ -14,29 +14,29 @@
 )
 
 const (
-	claimTimeout  = 5 * time.Second
-	claimRetryMin = 500 * time.Millisecond
-	claimRetryMax = 15 * time.Second
-	readWait      = 20 * time.Second
-	readMax       = 256
-	readRetry     = time.Second
-	logLinesEvery = 10 * time.Second
+	claimTimeout       = 5 * time.Second
+	minClaimRetryDelay = 500 * time.Millisecond
+	maxClaimRetryDelay = 15 * time.Second
+	maxReadWait        = 20 * time.Second
+	maxReadRecords     = 256
+	readRetryDelay     = time.Second
+	logLineInterval    = 10 * time.Second
 )
 
-// claim writes the step's claim to the log, beside the generation, which
+// appendClaim writes the step's appendClaim to the log, beside the generation, which
 // never waits for it: with the log down the trainer's attempt alone orders
-// the owners. The reader of the log adopts the claim when it stands there, so
+// the owners. The reader of the log adopts the appendClaim when it stands there, so
 // an append whose answer was lost needs no special care: its repeat has the
 // same record id and the fold ignores the second.
-func (s *Steps) claim(st *step) {
+func (s *Steps) appendClaim(st *step) {
 	data := foldsteps.Encode(foldsteps.Claim{
 		ID: st.claimID, Trainer: st.key.Trainer, Step: st.key.Step, Attempt: st.attempt, Entry: s.cfg.Name,
 	})
-	for wait := claimRetryMin; ; wait = min(2*wait, claimRetryMax) {
+	for wait := minClaimRetryDelay; ; wait = min(2*wait, maxClaimRetryDelay) {
 		ctx, cancel := context.WithTimeout(st.ctx, claimTimeout)
 		_, err := s.cfg.Log.Append(ctx, platform.StreamSteps, data)
 		cancel()
-		if err == nil || st.ctx.Err() != nil || s.claimed(st) {
+		if err == nil || st.ctx.Err() != nil || s.hasClaim(st) {
 			return
 		}
 		if !sleep.For(st.ctx, wait) {
@@ -45,48 +45,48 @@
 	}
 }
 
-func (s *Steps) claimed(st *step) bool {
+func (s *Steps) hasClaim(st *step) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return st.epoch.Claim != 0
 }
 
-// follow reads the claims of all entries from the log.
-func (s *Steps) follow() {
-	lines := logs.Limited(s.cfg.Logger, logLinesEvery)
-	next := uint64(0)
+// followLog reads the claims of all entries from the log.
+func (s *Steps) followLog() {
+	logger := logs.Limited(s.cfg.Logger, logLineInterval)
+	nextOffset := uint64(0)
 	for s.ctx.Err() == nil {
-		page, err := s.cfg.Log.Read(s.ctx, platform.StreamSteps, next, readMax, readWait)
+		page, err := s.cfg.Log.Read(s.ctx, platform.StreamSteps, nextOffset, maxReadRecords, maxReadWait)
 		if errors.Is(err, platform.ErrTruncated) {
 			// Claims that are no longer kept are of steps that ended, or of
 			// this entry's own, which it knows.
-			next = page.First
+			nextOffset = page.First
 			continue
 		}
 		if err != nil {
-			lines.Warn("the log can't be read; attempts alone order the owners", zap.Error(err))
-			sleep.For(s.ctx, readRetry)
+			logger.Warn("the log can't be read; attempts alone order the owners", zap.Error(err))
+			sleep.For(s.ctx, readRetryDelay)
 			continue
 		}
-		s.fold(page.Records)
-		next = max(next, page.Next)
+		s.applyRecords(page.Records)
+		nextOffset = max(nextOffset, page.Next)
 	}
 }
 
-func (s *Steps) fold(records []platform.Record) {
+func (s *Steps) applyRecords(records []platform.Record) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, rec := range records {
 		if change, ok := s.owners.Apply(rec); ok {
-			s.learn(change)
+			s.applyChange(change)
 		}
 	}
 }
 
-// learn adopts this entry's own claim and gives way to another owner's. An
+// applyChange adopts this entry's own claim and gives way to another owner's. An
 // owner that was paused learns here that it lost its step and stops spending
 // tokens on it; its trainer left it long before.
-func (s *Steps) learn(c foldsteps.Change) {
+func (s *Steps) applyChange(c foldsteps.Change) {
 	st := s.steps[c.Key]
 	if st == nil || c.Owner.Epoch.Attempt < st.attempt {
 		return
@@ -95,7 +95,7 @@
 		st.epoch = c.Owner.Epoch
 		return
 	}
-	takenOverTotal.Add(1)
+	supersededTotal.Add(1)
 	s.cfg.Logger.Info("Another entry took a step over.", zap.String("trainer", c.Key.Trainer),
 		zap.Uint64("step", c.Key.Step), zap.String("by", c.Owner.Entry), logs.Trace(st.ctx))
 	s.stop(st, errSuperseded(c.Key, c.Owner))
--- a/entry/steps/deliver.go
+++ b/entry/steps/deliver.go
@@ -15,13 +15,13 @@
 	"dandelionsill.org/manifest"
 )
 
-// take makes this entry the step's owner, or finds that it is already.
-func (s *Steps) take(ctx context.Context, t manifest.Trainer, req PostRequest, digest [sha256.Size]byte) (*PostAnswer, error) {
-	s.announce(t.Model, req.NewestVersion)
+// takeStep makes this entry the step's owner, or finds that it is already.
+func (s *Steps) takeStep(ctx context.Context, t manifest.Trainer, req PostRequest, digest [sha256.Size]byte) (*PostAnswer, error) {
+	s.announceVersion(t.Model, req.NewestVersion)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	key := foldsteps.Key{Trainer: t.Name, Step: req.Step}
-	if owner, ok := s.owners.Owner(key); ok && s.beats(owner, req.Attempt) {
+	if owner, ok := s.owners.Owner(key); ok && s.isSupersededBy(owner, req.Attempt) {
 		return nil, errSuperseded(key, owner)
 	}
 	old := s.steps[key]
@@ -39,8 +39,8 @@
 			// refused the groups that its former self had taken.
 			return nil, errSuperseded(key, foldsteps.Owner{Entry: s.cfg.Name, Epoch: old.epoch})
 		}
-		old.touched = time.Now()
-		return old.answer(), nil
+		old.lastRequestAt = time.Now()
+		return old.postAnswer(), nil
 	}
 	if s.draining {
 		return nil, errLeaving()
@@ -48,62 +48,62 @@
 	st := s.newStep(ctx, t, req, digest)
 	if old != nil {
 		s.stop(old, errSuperseded(key, foldsteps.Owner{Entry: s.cfg.Name, Epoch: st.epoch}))
-		inherit(st, old)
+		inheritFloor(st, old)
 	}
 	s.steps[key] = st
 	s.raiseFloor(st, req.NewestVersion)
 	if s.cfg.Log != nil {
-		s.goDo(func() { s.claim(st) })
+		s.spawn(func() { s.appendClaim(st) })
 	}
 	if req.Attempt > 1 {
-		st.holding = true
-		s.goDo(func() { s.collect(st) })
+		st.collecting = true
+		s.spawn(func() { s.collectHeld(st) })
 	}
-	s.adoptFrom(st, old)
-	s.poke()
+	s.adoptFinished(st, old)
+	s.wakeScheduler()
 	s.cfg.Logger.Info("Took a step.", zap.String("trainer", t.Name), zap.Uint64("step", req.Step),
-		zap.Uint64("attempt", req.Attempt), zap.Int("groups", st.total), zap.Int("samples", len(st.samples)), logs.Trace(st.ctx))
-	return st.answer(), nil
+		zap.Uint64("attempt", req.Attempt), zap.Int("groups", st.groupCount), zap.Int("samples", len(st.samples)), logs.Trace(st.ctx))
+	return st.postAnswer(), nil
 }
 
-// announce spreads a version that is heard of first in a step's post: the
+// announceVersion spreads a version that is heard of first in a step's post: the
 // trainer may have died between the store and its word, and without the word
 // no engine would load what the step's floor asks for.
-func (s *Steps) announce(model string, version uint64) {
+func (s *Steps) announceVersion(model string, version uint64) {
 	if v := s.cfg.View.View(); v != nil && version > v.Versions[model] {
 		s.cfg.View.Announce(model, version)
 	}
 }
 
-// beats tells whether an owner by the log's word rules an attempt here out.
-func (s *Steps) beats(owner foldsteps.Owner, attempt uint64) bool {
+// isSupersededBy tells whether an owner by the log's word rules an attempt here out.
+func (s *Steps) isSupersededBy(owner foldsteps.Owner, attempt uint64) bool {
 	if owner.Epoch.Attempt == attempt {
 		return owner.Entry != s.cfg.Name
 	}
 	return owner.Epoch.Attempt > attempt
 }
 
-// inherit carries the knowledge of an earlier attempt on.
-func inherit(st, old *step) { st.floor = max(st.floor, old.floor) }
+// inheritFloor carries the knowledge of an earlier attempt on.
+func inheritFloor(st, old *step) { st.floor = max(st.floor, old.floor) }
 
-// adoptFrom takes over what an earlier attempt at this entry had finished.
-func (s *Steps) adoptFrom(st, old *step) {
+// adoptFinished takes over what an earlier attempt at this entry had finished.
+func (s *Steps) adoptFinished(st, old *step) {
 	if old == nil {
 		return
 	}
 	for _, sm := range old.samples {
 		if sm.done != nil {
-			s.adopt(st, sampleKey{sm.group.wire, sm.index}, sm.requestHash(), sm.done)
+			s.adopt(st, sampleKey{sm.group.wireID, sm.index}, sm.requestHash(), sm.done)
 		}
 	}
 }
 
-func (st *step) answer() *PostAnswer {
-	return &PostAnswer{Epoch: Epoch(st.epoch), Step: st.key.Step, Groups: st.total}
+func (st *step) postAnswer() *PostAnswer {
+	return &PostAnswer{Epoch: Epoch(st.epoch), Step: st.key.Step, Groups: st.groupCount}
 }
 
-// release ends a step that its trainer is done with.
-func (s *Steps) release(key foldsteps.Key, attempt uint64) error {
+// releaseStep ends a step that its trainer is done with.
+func (s *Steps) releaseStep(key foldsteps.Key, attempt uint64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	st := s.steps[key]
@@ -117,33 +117,33 @@
 	return nil
 }
 
-// groups answers one pull. It waits until there is something to tell.
-func (s *Steps) groups(r *http.Request) (*GroupsAnswer, error) {
+// answerPull answers one pull. It waits until there is something to tell.
+func (s *Steps) answerPull(r *http.Request) (*GroupsAnswer, error) {
 	trainer, refusal := auth.Trainer(s.cfg.View.View(), r)
 	if refusal != nil {
 		return nil, refusal
 	}
-	id, attempt, err := stepOf(r)
+	id, attempt, err := stepAndAttempt(r)
 	if err != nil {
 		return nil, err
 	}
-	cursor, err := number(r, "cursor")
+	cursor, err := queryNumber(r, "cursor")
 	if err != nil {
 		return nil, err
 	}
-	waitMS, err := number(r, "wait_ms")
+	waitMS, err := queryNumber(r, "wait_ms")
 	if err != nil {
 		return nil, err
 	}
-	wait := min(time.Duration(min(waitMS, uint64(maxWait.Milliseconds())))*time.Millisecond, maxWait)
-	st, err := s.find(foldsteps.Key{Trainer: trainer.Name, Step: id}, attempt)
+	wait := min(time.Duration(min(waitMS, uint64(maxPullWait.Milliseconds())))*time.Millisecond, maxPullWait)
+	st, err := s.findStep(foldsteps.Key{Trainer: trainer.Name, Step: id}, attempt)
 	if err != nil {
 		return nil, err
 	}
-	return s.pull(r.Context(), st, int(cursor), wait)
+	return s.waitForGroups(r.Context(), st, int(cursor), wait)
 }
 
-func (s *Steps) find(key foldsteps.Key, attempt uint64) (*step, error) {
+func (s *Steps) findStep(key foldsteps.Key, attempt uint64) (*step, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	owner, known := s.owners.Owner(key)
@@ -161,7 +161,7 @@
 	return st, nil
 }
 
-func (s *Steps) pull(ctx context.Context, st *step, cursor int, wait time.Duration) (*GroupsAnswer, error) {
+func (s *Steps) waitForGroups(ctx context.Context, st *step, cursor int, wait time.Duration) (*GroupsAnswer, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	s.mu.Lock()
@@ -170,26 +170,26 @@
 		return nil, badRequest("cursor %d: this owner has acknowledged %d and %d are ready", cursor, st.acked, len(st.ready))
 	}
 	st.acknowledge(cursor)
-	st.waiters++
+	st.waitingPulls++
 	defer func() {
-		st.waiters--
-		st.touched = time.Now()
+		st.waitingPulls--
+		st.lastRequestAt = time.Now()
 	}()
-	over := wait == 0
+	timedOut := wait == 0
 	for {
-		if st.stopped != nil {
-			return nil, st.stopped
+		if st.stopReason != nil {
+			return nil, st.stopReason
 		}
 		if cursor < st.acked {
 			return nil, badRequest("cursor %d: another pull has acknowledged %d meanwhile", cursor, st.acked)
 		}
-		if cursor < len(st.ready) || st.complete() {
+		if cursor < len(st.ready) || st.isComplete() {
 			return st.page(cursor), nil
 		}
-		if s.leaving {
+		if s.redirecting {
 			return nil, errLeaving()
 		}
-		if over {
+		if timedOut {
 			return st.page(cursor), nil
 		}
 		changed := st.changed
@@ -197,9 +197,9 @@
 		select {
 		case <-changed:
 		case <-timer.C:
-			over = true
+			timedOut = true
 		case <-ctx.Done():
-			over = true
+			timedOut = true
 		}
 		s.mu.Lock()
 	}
@@ -213,7 +213,7 @@
 		}
 		st.ready[st.acked] = nil
 	}
-	st.touched = time.Now()
+	st.lastRequestAt = time.Now()
 }
 
 // page builds the answer for a cursor. The same cursor gets the same groups
@@ -222,7 +222,7 @@
 	a := &GroupsAnswer{Epoch: Epoch(st.epoch), Cursor: cursor, Groups: []Group{}}
 	bytes := 0
 	for _, g := range st.ready[cursor:] {
-		if len(a.Groups) == answerGroups || bytes > answerBytes {
+		if len(a.Groups) == maxAnswerGroups || bytes > targetAnswerBytes {
 			break
 		}
 		out := Group{ID: g.id, Samples: make([]Sample, 0, len(g.samples))}
@@ -233,7 +233,7 @@
 		a.Groups = append(a.Groups, out)
 		a.Cursor++
 	}
-	a.Done = st.complete() && a.Cursor == st.total
+	a.Done = st.isComplete() && a.Cursor == st.groupCount
 	return a
 }
 
--- a/entry/steps/failure_test.go
+++ b/entry/steps/failure_test.go
@@ -30,17 +30,17 @@
 		a := w.entry("a")
 		w.entry("b")
 		after(time.Second, func() {
-			w.setFault(func(r *http.Request) fate {
+			w.setFault(func(r *http.Request) delivery {
 				if r.URL.Host == "a" {
-					return loseRequest
+					return dropRequest
 				}
 				return deliver
 			})
 			a.Close()
 		})
 		got := w.run(w.client("a", "b"), step(12, 4))
-		made, used := w.made(got)
-		require.LessOrEqual(t, made-used, 12*sampleTokens, "at most the running samples are made again")
+		generated, used := w.countTokens(got)
+		require.LessOrEqual(t, generated-used, 12*sampleTokens, "at most the running samples are made again")
 		require.Equal(t, 1, w.count("POST b"))
 	})
 }
@@ -52,15 +52,15 @@
 	inBubble(t, func(w *world) {
 		w.agents(2, 4, 100)
 		w.entry("a")
-		w.setFault(func(r *http.Request) fate {
+		w.setFault(func(r *http.Request) delivery {
 			if r.Method == http.MethodPost && w.count("POST a") == 1 {
-				return loseAnswer
+				return dropAnswer
 			}
 			return deliver
 		})
-		made, used := w.made(w.run(w.client("a"), step(4, 4)))
+		generated, used := w.countTokens(w.run(w.client("a"), step(4, 4)))
 		require.Equal(t, 2, w.count("POST a"))
-		require.Equal(t, used, made)
+		require.Equal(t, used, generated)
 	})
 }
 
@@ -70,14 +70,14 @@
 	inBubble(t, func(w *world) {
 		w.agents(2, 4, 100)
 		w.entry("a")
-		w.setFault(func(r *http.Request) fate {
+		w.setFault(func(r *http.Request) delivery {
 			if r.Method == http.MethodGet && w.count("GET a")%2 == 1 {
-				return loseAnswer
+				return dropAnswer
 			}
 			return deliver
 		})
-		made, used := w.made(w.run(w.client("a"), step(8, 4)))
-		require.Equal(t, used, made)
+		generated, used := w.countTokens(w.run(w.client("a"), step(8, 4)))
+		require.Equal(t, used, generated)
 		require.Equal(t, 1, w.count("POST a"), "the owner stays")
 	})
 }
@@ -88,9 +88,9 @@
 	inBubble(t, func(w *world) {
 		w.agents(2, 4, 100)
 		w.entry("a")
-		w.setFault(func(r *http.Request) fate {
+		w.setFault(func(r *http.Request) delivery {
 			if r.Method == http.MethodGet && w.count("GET a")%2 == 0 {
-				return oldAnswer
+				return replayAnswer
 			}
 			return deliver
 		})
@@ -107,24 +107,24 @@
 		w.agents(2, 2, 100)
 		w.entry("a")
 		w.entry("b")
-		w.setFault(func(r *http.Request) fate {
+		w.setFault(func(r *http.Request) delivery {
 			switch {
-			case r.URL.Host == "a" && w.oldHasGroups():
+			case r.URL.Host == "a" && w.previousAnswerHasGroups():
 				<-r.Context().Done()
-				return loseRequest
+				return dropRequest
 			case r.URL.Host == "b" && r.Method == http.MethodGet && w.count("GET b")%2 == 1:
-				return oldAnswer
+				return replayAnswer
 			}
 			return deliver
 		})
-		made, used := w.made(w.run(w.client("a", "b"), step(24, 4)))
+		generated, used := w.countTokens(w.run(w.client("a", "b"), step(24, 4)))
 		require.Positive(t, w.count("GET b"), "the step was taken over")
 		require.Equal(t, 1, w.count("POST b"), "and stayed there")
 		require.Equal(t, 1, w.count("POST a"))
-		require.LessOrEqual(t, made-used, 8*sampleTokens, "a stopped when it read b's claim")
+		require.LessOrEqual(t, generated-used, 8*sampleTokens, "a stopped when it read b's claim")
 		synctest.Wait()
 		w.setFault(nil)
-		require.Equal(t, http.StatusConflict, w.status("a", "/v1/steps/1/groups?attempt=1"))
+		require.Equal(t, http.StatusConflict, w.getStatus("a", "/v1/steps/1/groups?attempt=1"))
 	})
 }
 
@@ -136,21 +136,21 @@
 		w.agents(2, 2, 100)
 		w.entry("a")
 		var posted *http.Request
-		w.setFault(func(r *http.Request) fate {
+		w.setFault(func(r *http.Request) delivery {
 			switch {
 			case r.Method == http.MethodPost:
 				posted = r
 			case r.Method == http.MethodGet && w.count("GET a") == 2:
 				w.log.setDown(true)
 				w.entry("b")
-				w.copyTo("b", posted)
+				w.copyPost("b", posted)
 				after(time.Second, func() { w.log.setDown(false) })
 			}
 			return deliver
 		})
-		made, used := w.made(w.run(w.client("a"), step(16, 4)))
+		generated, used := w.countTokens(w.run(w.client("a"), step(16, 4)))
 		require.Equal(t, 1, w.count("POST a"), "the first claim stays the owner's")
-		require.LessOrEqual(t, made-used, 16*sampleTokens, "b went on for some 2 s of 13")
+		require.LessOrEqual(t, generated-used, 16*sampleTokens, "b went on for some 2 s of 13")
 	})
 }
 
@@ -163,10 +163,10 @@
 		w.entry("a")
 		after(1500*time.Millisecond, w.fleet.agents[0].crash)
 		began := time.Now()
-		made, used := w.made(w.run(w.client("a"), step(3, 8)))
-		require.LessOrEqual(t, made-used, 4*4, "at most one chunk of each broken stream is lost")
+		generated, used := w.countTokens(w.run(w.client("a"), step(3, 8)))
+		require.LessOrEqual(t, generated-used, 4*4, "at most one chunk of each broken stream is lost")
 		require.Less(t, time.Since(began), 6*time.Second+time.Second, "24 samples of 2 s, 8 slots at the worst")
-		require.Less(t, w.fleet.agents[0].asked, 8, "no hot loop at the dead server")
+		require.Less(t, w.fleet.agents[0].requests, 8, "no hot loop at the dead server")
 	})
 }
 
@@ -176,14 +176,14 @@
 	inBubble(t, func(w *world) {
 		w.agents(3, 4, 20)
 		w.entry("a")
-		w.terms(func(tr *manifest.Trainer) { tr.HedgePercent = 0 })
-		thaw := make(chan struct{})
-		defer close(thaw)
+		w.configureTrainer(func(tr *manifest.Trainer) { tr.HedgePercent = 0 })
+		unfreeze := make(chan struct{})
+		defer close(unfreeze)
 		after(500*time.Millisecond, func() {
 			a := w.fleet.agents[0]
 			a.mu.Lock()
 			defer a.mu.Unlock()
-			a.frozen = thaw
+			a.frozen = unfreeze
 		})
 		began := time.Now()
 		w.run(w.client("a"), step(3, 8))
@@ -200,27 +200,27 @@
 		w.agents(2, 4, 100)
 		w.entry("a")
 		until := time.Now().Add(2 * time.Second)
-		bad, cut := 0, 0
-		w.fleet.agents[0].break_ = func(*pb.GenerateRequest, int) *kinds.Error {
+		badChunks, badResults := 0, 0
+		w.fleet.agents[0].refuseRequest = func(*pb.GenerateRequest, int) *kinds.Error {
 			if time.Now().Before(until) {
 				return kinds.New(kinds.SampleDiscarded, "the engine restarted")
 			}
 			return nil
 		}
-		w.fleet.agents[1].spoil = func(_ *pb.GenerateRequest, c *pb.GenerateChunk) {
-			if bad < 5 && time.Now().Before(until) {
+		w.fleet.agents[1].corruptChunk = func(_ *pb.GenerateRequest, c *pb.GenerateChunk) {
+			if badChunks < 5 && time.Now().Before(until) {
 				c.Version = 0
-				bad++
+				badChunks++
 			}
 		}
-		w.fleet.agents[1].cut = func(*pb.GenerateDone) bool {
-			cut++
-			return cut <= 3
+		w.fleet.agents[1].corruptResult = func(*pb.GenerateDone) bool {
+			badResults++
+			return badResults <= 3
 		}
 		w.run(w.client("a"), step(4, 4))
 		require.Equal(t, 1, w.count("POST a"), "the trainer sees nothing of it")
-		require.GreaterOrEqual(t, w.fleet.agents[1].asked+len(w.fleet.agents[0].doneAt), 16+bad+3, "each bad one was made again")
-		require.Less(t, w.fleet.agents[0].asked, 200, "no hot loop")
+		require.GreaterOrEqual(t, w.fleet.agents[1].requests+len(w.fleet.agents[0].finishedAt), 16+badChunks+3, "each bad one was made again")
+		require.Less(t, w.fleet.agents[0].requests, 200, "no hot loop")
 	})
 }
 
@@ -229,17 +229,17 @@
 // sample again, later. It counts once.
 func TestLateDuplicateAfterHedge(t *testing.T) {
 	inBubble(t, func(w *world) {
-		w.terms(func(tr *manifest.Trainer) { tr.HedgePercent = 60 })
+		w.configureTrainer(func(tr *manifest.Trainer) { tr.HedgePercent = 60 })
 		w.agents(2, 2, 100)
 		slow := w.fleet.agents[1]
-		slow.rate, slow.deaf, slow.chunk = 4, true, 1
+		slow.rate, slow.ignoresCancel, slow.chunk = 4, true, 1
 		w.entry("a", func(c *steps.Config) { c.Policy.NoMove = true })
 		began := time.Now()
 		w.run(w.client("a"), step(2, 6))
 		require.Less(t, time.Since(began), 9*time.Second, "alone, the slow stream takes 10 s")
 		time.Sleep(20 * time.Second) // the late copies end
 		synctest.Wait()
-		require.NotEmpty(t, slow.snapshotDone(), "a late copy did come")
+		require.NotEmpty(t, slow.finishTimes(), "a late copy did come")
 	})
 }
 
@@ -250,13 +250,13 @@
 	inBubble(t, func(w *world) {
 		w.agents(2, 4, 20)
 		w.entry("a")
-		thaw := make(chan struct{})
-		odd := w.fleet.agents[0]
-		odd.frozen, odd.deaf = thaw, true
-		after(5*time.Second, func() { close(thaw) })
+		unfreeze := make(chan struct{})
+		frozen := w.fleet.agents[0]
+		frozen.frozen, frozen.ignoresCancel = unfreeze, true
+		after(5*time.Second, func() { close(unfreeze) })
 		w.run(w.client("a"), step(12, 4))
 		require.Equal(t, 1, w.count("POST a"), "the trainer sees nothing of it")
-		require.NotEmpty(t, odd.snapshotDone(), "late copies did come")
+		require.NotEmpty(t, frozen.finishTimes(), "late copies did come")
 	})
 }
 
@@ -265,12 +265,12 @@
 // does not wait for it, and each sample has one score.
 func TestScorerLateAndTwice(t *testing.T) {
 	inBubble(t, func(w *world) {
-		w.terms(func(tr *manifest.Trainer) { tr.Scorer, tr.ScorerPath = "judge", "/score" })
+		w.configureTrainer(func(tr *manifest.Trainer) { tr.Scorer, tr.ScorerPath = "judge", "/score" })
 		w.agents(2, 4, 100)
-		judge := newAgent("judge-0", 8, 1)
-		up := time.Now().Add(5 * time.Second)
-		judge.scores = func(ctx context.Context, n int) (string, error) {
-			if time.Now().Before(up) {
+		scorer := newAgent("judge-0", 8, 1)
+		upAt := time.Now().Add(5 * time.Second)
+		scorer.answerScore = func(ctx context.Context, n int) (string, error) {
+			if time.Now().Before(upAt) {
 				return "", context.DeadlineExceeded
 			}
 			if n%2 == 0 {
@@ -279,12 +279,12 @@
 			}
 			return `{"score":1}`, nil
 		}
-		w.fleet.scorers = append(w.fleet.scorers, judge)
+		w.fleet.scorers = append(w.fleet.scorers, scorer)
 		w.entry("a")
 		after(4*time.Second, func() {
 			done := 0
 			for _, a := range w.fleet.agents {
-				done += len(a.snapshotDone())
+				done += len(a.finishTimes())
 			}
 			require.Equal(t, 16, done, "generation did not wait")
 		})
@@ -309,11 +309,11 @@
 		w.log.setDown(true)
 		w.entry("a")
 		after(4*time.Second, func() {
-			require.Positive(t, len(w.fleet.agents[0].snapshotDone()), "generation did not wait for the log")
+			require.Positive(t, len(w.fleet.agents[0].finishTimes()), "generation did not wait for the log")
 		})
 		after(8*time.Second, func() { w.log.setDown(false) })
-		made, used := w.made(w.run(w.client("a"), step(12, 4)))
-		require.Equal(t, used, made)
+		generated, used := w.countTokens(w.run(w.client("a"), step(12, 4)))
+		require.Equal(t, used, generated)
 		require.Equal(t, 1, w.count("POST a"))
 		require.Len(t, w.log.records, 1, "the claim stands once")
 	})
@@ -326,9 +326,9 @@
 	inBubble(t, func(w *world) {
 		w.agents(2, 4, 100)
 		w.entry("a")
-		w.setFault(func(r *http.Request) fate {
+		w.setFault(func(r *http.Request) delivery {
 			if r.Method == http.MethodDelete {
-				return loseRequest
+				return dropRequest
 			}
 			return deliver
 		})
@@ -346,14 +346,14 @@
 		for _, a := range w.fleet.agents {
 			a.mu.Lock()
 			a.held = nil // the entry itself knows what is finished
-			a.break_ = func(req *pb.GenerateRequest, _ int) *kinds.Error {
+			a.refuseRequest = func(req *pb.GenerateRequest, _ int) *kinds.Error {
 				require.NotContains(t, st.Have, req.GetSample().GetGroup(), "the trainer has it")
 				return nil
 			}
 			a.mu.Unlock()
 		}
-		made, used := w.made(append(w.run(w.client("a"), st), kept...))
-		require.LessOrEqual(t, made-used, 8*sampleTokens, "at most the running samples are made again")
+		generated, used := w.countTokens(append(w.run(w.client("a"), st), kept...))
+		require.LessOrEqual(t, generated-used, 8*sampleTokens, "at most the running samples are made again")
 	})
 }
 
@@ -364,7 +364,7 @@
 	inBubble(t, func(w *world) {
 		w.agents(2, 4, 100)
 		w.entry("a")
-		announced := time.Now().Add(500 * time.Millisecond)
+		announcedAt := time.Now().Add(500 * time.Millisecond)
 		after(500*time.Millisecond, func() { w.view.Announce("m", 3) })
 		after(2*time.Second, func() {
 			for _, a := range w.fleet.agents {
@@ -373,21 +373,21 @@
 				a.mu.Unlock()
 			}
 		})
-		old := 0
+		oldSamples := 0
 		for _, g := range w.run(w.client("a"), step(6, 4)) {
 			for _, s := range g.Samples {
 				require.Len(t, s.Spans, 1, "the trainer takes no mixed samples")
 				if s.Spans[0].Version == 1 {
-					old++
-					at, ok := w.fleet.agents[0].doneAt[s.Text]
+					oldSamples++
+					at, ok := w.fleet.agents[0].finishedAt[s.Text]
 					if !ok {
-						at = w.fleet.agents[1].doneAt[s.Text]
+						at = w.fleet.agents[1].finishedAt[s.Text]
 					}
-					require.False(t, at.After(announced), "made below the floor")
+					require.False(t, at.After(announcedAt), "made below the floor")
 				}
 			}
 		}
-		require.Positive(t, old, "what was whole before stays good")
+		require.Positive(t, oldSamples, "what was whole before stays good")
 	})
 }
 
@@ -398,22 +398,22 @@
 		w.agents(2, 2, 20)
 		a := w.entry("a")
 		w.entry("b")
-		var began, moved time.Time
-		w.setFault(func(r *http.Request) fate {
+		var drainedAt, movedAt time.Time
+		w.setFault(func(r *http.Request) delivery {
 			if r.Method == http.MethodPost && r.URL.Host == "b" {
-				moved = time.Now()
+				movedAt = time.Now()
 			}
 			return deliver
 		})
 		after(3*time.Second, func() {
-			began = time.Now()
+			drainedAt = time.Now()
 			ctx, cancel := context.WithTimeout(context.Background(), 8*time.Second)
 			defer cancel()
 			require.NoError(t, a.Drain(ctx), "running samples end before the process does")
 		})
-		made, used := w.made(w.run(w.client("a", "b"), step(12, 4)))
+		generated, used := w.countTokens(w.run(w.client("a", "b"), step(12, 4)))
 		require.Equal(t, 1, w.count("POST b"))
-		require.InDelta(t, 6, moved.Sub(began).Seconds(), 0.5, "a worked on for most of its time, then let the trainer go at once")
-		require.LessOrEqual(t, made-used, 4*sampleTokens)
+		require.InDelta(t, 6, movedAt.Sub(drainedAt).Seconds(), 0.5, "a worked on for most of its time, then let the trainer go at once")
+		require.LessOrEqual(t, generated-used, 4*sampleTokens)
 	})
 }
--- a/entry/steps/fakes_test.go
+++ b/entry/steps/fakes_test.go
@@ -23,175 +23,175 @@
 	"dandelionsill.org/wire/refusal"
 )
 
-// agent is an in-process engine behind pb.AgentClient. Token i of a sample is
+// fakeAgent is an in-process engine behind pb.AgentClient. Token i of a sample is
 // "PROMPT#SEED.i@VERSION ", so a text alone shows what truly made it.
-type agent struct {
-	pb.AgentClient // panics on what a test does not expect
-	name           string
-	slots          int
-	rate           float64 // tokens/s of one stream
-	chunk          int     // tokens
-	crowding       float64 // s added to a token's time by each stream beside it
-	length         func(seed uint64) int
-	scores         func(ctx context.Context, n int) (string, error)
-	noScore        func(body []byte, n int) *kinds.Error // refuses the n-th call
-
-	mu      sync.Mutex
-	version uint64
-	down    bool
-	frozen  chan struct{} // streams hang until it is closed
-	free    chan struct{}
-	running int // with those in the queue
-	active  int
-	asked   int
-	made    int // tokens, truly
-	scored  int
-	held    []*pb.HeldSample
-	break_  func(req *pb.GenerateRequest, n int) *kinds.Error // refuses the n-th request
-	cut     func(d *pb.GenerateDone) bool                     // spoils a result's label
-	spoil   func(req *pb.GenerateRequest, c *pb.GenerateChunk)
-	lost    chan struct{} // closed at a crash
-	deaf    bool          // streams go on when they are cancelled
-	doneAt  map[string]time.Time
-	streams map[string]*stream
-	epoch   [2]uint64 // newest owner seen: attempt, claim
-}
-
-func newAgent(name string, slots int, rate float64) *agent {
-	return &agent{
+type fakeAgent struct {
+	pb.AgentClient    // panics on what a test does not expect
+	name              string
+	slots             int
+	rate              float64 // tokens/s of one stream
+	chunk             int     // tokens
+	slowdownPerStream float64 // s added to a token's time by each stream beside it
+	length            func(seed uint64) int
+	answerScore       func(ctx context.Context, n int) (string, error)
+	refuseScore       func(body []byte, n int) *kinds.Error // refuses the n-th call
+
+	mu              sync.Mutex
+	version         uint64
+	down            bool
+	frozen          chan struct{} // streams hang until it is closed
+	slotFreed       chan struct{}
+	streamCount     int // with those in the queue
+	active          int
+	requests        int
+	generatedTokens int // tokens, truly
+	scoreCalls      int
+	held            []*pb.HeldSample
+	refuseRequest   func(req *pb.GenerateRequest, n int) *kinds.Error // refuses the n-th request
+	corruptResult   func(d *pb.GenerateDone) bool                     // spoils a result's label
+	corruptChunk    func(req *pb.GenerateRequest, c *pb.GenerateChunk)
+	crashed         chan struct{} // closed at a crash
+	ignoresCancel   bool          // streams go on when they are cancelled
+	finishedAt      map[string]time.Time
+	streams         map[string]*stream
+	epoch           [2]uint64 // newest owner seen: attempt, claim
+}
+
+func newAgent(name string, slots int, rate float64) *fakeAgent {
+	return &fakeAgent{
 		name: name, slots: slots, rate: rate, chunk: 4, version: 1,
-		length: func(uint64) int { return 40 },
-		free:   make(chan struct{}), lost: make(chan struct{}),
-		doneAt: map[string]time.Time{}, streams: map[string]*stream{},
+		length:    func(uint64) int { return 40 },
+		slotFreed: make(chan struct{}), crashed: make(chan struct{}),
+		finishedAt: map[string]time.Time{}, streams: map[string]*stream{},
 	}
 }
 
-func (a *agent) crash() {
+func (a *fakeAgent) crash() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.down, a.held = true, nil
-	close(a.lost)
-	a.lost = make(chan struct{})
+	close(a.crashed)
+	a.crashed = make(chan struct{})
 }
 
-func (a *agent) state() *pb.AgentState {
+func (a *fakeAgent) state() *pb.AgentState {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return &pb.AgentState{
 		Name: a.name, Ready: true, Version: a.version, Slots: int32(a.slots),
-		Running: int32(min(a.running, a.slots)), Queued: int32(max(0, a.running-a.slots)), StreamTokensPerS: a.rate,
+		Running: int32(min(a.streamCount, a.slots)), Queued: int32(max(0, a.streamCount-a.slots)), StreamTokensPerS: a.rate,
 	}
 }
 
-// hears is closed when the stream learns that it was cancelled.
-func (s *stream) hears() <-chan struct{} {
-	if s.a.deaf {
+// cancelled is closed when the stream learns that it was cancelled.
+func (s *stream) cancelled() <-chan struct{} {
+	if s.agent.ignoresCancel {
 		return nil
 	}
 	return s.ctx.Done()
 }
 
-func (s *stream) exported() <-chan struct{} {
-	if s.a.deaf {
+func (s *stream) stopped() <-chan struct{} {
+	if s.agent.ignoresCancel {
 		return nil
 	}
-	return s.moved.Done()
+	return s.stopCtx.Done()
 }
 
-// snapshotDone returns when each text was whole.
-func (a *agent) snapshotDone() map[string]time.Time {
+// finishTimes returns when each text was whole.
+func (a *fakeAgent) finishTimes() map[string]time.Time {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return maps.Clone(a.doneAt)
+	return maps.Clone(a.finishedAt)
 }
 
 type stream struct {
 	grpc.ClientStream
-	a      *agent
-	ctx    context.Context
-	req    *pb.GenerateRequest
-	lost   chan struct{}
-	text   string
-	at     int
-	spans  []*pb.Span
-	phase  int
-	active bool // guarded by a.mu
-	left   sync.Once
-	moved  context.Context
-	halt   context.CancelFunc
-	ended  chan struct{}
-}
-
-func (a *agent) Generate(ctx context.Context, req *pb.GenerateRequest, _ ...grpc.CallOption) (grpc.ServerStreamingClient[pb.GenerateReply], error) {
+	agent     *fakeAgent
+	ctx       context.Context
+	req       *pb.GenerateRequest
+	crashed   chan struct{}
+	text      string
+	tokens    int
+	spans     []*pb.Span
+	phase     int
+	active    bool // guarded by a.mu
+	leaveOnce sync.Once
+	stopCtx   context.Context
+	stop      context.CancelFunc
+	ended     chan struct{}
+}
+
+func (a *fakeAgent) Generate(ctx context.Context, req *pb.GenerateRequest, _ ...grpc.CallOption) (grpc.ServerStreamingClient[pb.GenerateReply], error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.down {
 		return nil, status.Error(codes.Unavailable, "connection refused")
 	}
-	a.asked++
-	s := &stream{a: a, ctx: ctx, req: req, lost: a.lost}
-	if a.break_ != nil {
-		if err := a.break_(req, a.asked); err != nil {
-			return refusals{err: err}, nil
+	a.requests++
+	s := &stream{agent: a, ctx: ctx, req: req, crashed: a.crashed}
+	if a.refuseRequest != nil {
+		if err := a.refuseRequest(req, a.requests); err != nil {
+			return refusedStream{err: err}, nil
 		}
 	}
 	epoch := [2]uint64{req.GetEpoch().GetAttempt(), req.GetEpoch().GetClaim()}
 	if slices.Compare(epoch[:], a.epoch[:]) < 0 {
-		return refusals{err: errOlder}, nil
+		return refusedStream{err: errOlderOwner}, nil
 	}
 	if epoch != a.epoch {
 		a.epoch = epoch // as agents do: the streams of older owners end
-		for _, o := range a.streams {
-			o.halt()
+		for _, other := range a.streams {
+			other.stop()
 		}
 	}
 	if a.version < req.GetFloor() {
-		return refusals{err: kinds.Hold().Refuse(kinds.StaleWeights, "serves %d", a.version)}, nil
+		return refusedStream{err: kinds.Hold().Refuse(kinds.StaleWeights, "serves %d", a.version)}, nil
 	}
-	a.running++
-	s.moved, s.halt = context.WithCancel(context.Background())
+	a.streamCount++
+	s.stopCtx, s.stop = context.WithCancel(context.Background())
 	s.ended = make(chan struct{})
 	a.streams[req.GetRequestId()] = s
-	context.AfterFunc(ctx, s.leave)
+	context.AfterFunc(ctx, s.release)
 	if r := req.GetResume(); len(r.GetSpans()) > 0 {
 		s.text, s.spans = r.GetText(), r.GetSpans()
-		s.at = int(s.spans[len(s.spans)-1].GetTo())
+		s.tokens = int(s.spans[len(s.spans)-1].GetTo())
 	}
 	return s, nil
 }
 
-func (s *stream) leave() {
-	s.left.Do(func() {
-		s.a.mu.Lock()
-		defer s.a.mu.Unlock()
-		s.a.running--
-		delete(s.a.streams, s.req.GetRequestId())
+func (s *stream) release() {
+	s.leaveOnce.Do(func() {
+		s.agent.mu.Lock()
+		defer s.agent.mu.Unlock()
+		s.agent.streamCount--
+		delete(s.agent.streams, s.req.GetRequestId())
 		close(s.ended)
-		s.halt()
+		s.stop()
 		if s.active {
-			s.a.active--
+			s.agent.active--
 		}
-		close(s.a.free)
-		s.a.free = make(chan struct{})
+		close(s.agent.slotFreed)
+		s.agent.slotFreed = make(chan struct{})
 	})
 }
 
-// slot waits in the agent's queue; the order of a scramble is good enough.
-func (s *stream) slot() error {
+// awaitSlot waits in the agent's queue; the order of a scramble is good enough.
+func (s *stream) awaitSlot() error {
 	for {
-		s.a.mu.Lock()
-		free := s.a.free
-		if s.a.active < s.a.slots {
-			s.a.active++
+		s.agent.mu.Lock()
+		free := s.agent.slotFreed
+		if s.agent.active < s.agent.slots {
+			s.agent.active++
 			s.active = true
-			s.a.mu.Unlock()
+			s.agent.mu.Unlock()
 			return nil
 		}
-		s.a.mu.Unlock()
+		s.agent.mu.Unlock()
 		select {
 		case <-free:
-		case <-s.lost:
-			s.leave()
+		case <-s.crashed:
+			s.release()
 			return status.Error(codes.Unavailable, "connection lost")
 		case <-s.ctx.Done():
 			return status.FromContextError(s.ctx.Err()).Err()
@@ -199,14 +199,14 @@
 	}
 }
 
-func (s *stream) wait(d time.Duration) error {
-	s.a.mu.Lock()
-	frozen := s.a.frozen
-	s.a.mu.Unlock()
+func (s *stream) pause(d time.Duration) error {
+	s.agent.mu.Lock()
+	frozen := s.agent.frozen
+	s.agent.mu.Unlock()
 	if frozen != nil {
 		select {
 		case <-frozen:
-		case <-s.hears():
+		case <-s.cancelled():
 			return status.FromContextError(s.ctx.Err()).Err()
 		}
 	}
@@ -215,55 +215,55 @@
 	select {
 	case <-t.C:
 		return nil
-	case <-s.lost:
-		s.leave()
+	case <-s.crashed:
+		s.release()
 		return status.Error(codes.Unavailable, "connection lost")
-	case <-s.exported():
-		return errMoved
-	case <-s.hears():
+	case <-s.stopped():
+		return errExported
+	case <-s.cancelled():
 		return status.FromContextError(s.ctx.Err()).Err()
 	}
 }
 
-var errOlder = kinds.New(kinds.Superseded, "a newer owner of the step has been seen")
+var errOlderOwner = kinds.New(kinds.Superseded, "a newer owner of the step has been seen")
 
-var errMoved = kinds.New(kinds.Cancelled, "exported")
+var errExported = kinds.New(kinds.Cancelled, "exported")
 
 func (s *stream) Recv() (*pb.GenerateReply, error) {
-	a := s.a
+	a := s.agent
 	s.phase++
 	if s.phase == 1 {
-		if err := s.slot(); err != nil {
+		if err := s.awaitSlot(); err != nil {
 			return nil, err
 		}
-		return &pb.GenerateReply{Part: &pb.GenerateReply_Started{Started: &pb.GenerateStarted{Version: a.state().Version}}}, s.wait(0)
+		return &pb.GenerateReply{Part: &pb.GenerateReply_Started{Started: &pb.GenerateStarted{Version: a.state().Version}}}, s.pause(0)
 	}
-	whole := min(a.length(s.req.GetSeed()), int(s.req.GetMaxTokens()))
-	if s.at >= whole {
-		defer s.leave()
-		done := &pb.GenerateDone{FinishReason: "stop", Tokens: uint32(s.at), Spans: s.spans, Text: s.text}
+	length := min(a.length(s.req.GetSeed()), int(s.req.GetMaxTokens()))
+	if s.tokens >= length {
+		defer s.release()
+		done := &pb.GenerateDone{FinishReason: "stop", Tokens: uint32(s.tokens), Spans: s.spans, Text: s.text}
 		a.mu.Lock()
 		defer a.mu.Unlock()
-		a.doneAt[s.text] = time.Now()
-		if a.cut != nil && a.cut(done) {
+		a.finishedAt[s.text] = time.Now()
+		if a.corruptResult != nil && a.corruptResult(done) {
 			done = &pb.GenerateDone{Tokens: done.Tokens, Text: done.Text, Spans: []*pb.Span{{Version: 1, To: done.Tokens - 1}}}
 			return &pb.GenerateReply{Part: &pb.GenerateReply_Done{Done: done}}, nil
 		}
 		a.held = append(a.held, &pb.HeldSample{Id: s.req.GetSample(), Done: done, PromptHash: label.RequestHash(s.req.GetPrompt(), s.req.GetSeed(), s.req.GetMaxTokens())})
 		return &pb.GenerateReply{Part: &pb.GenerateReply_Done{Done: done}}, nil
 	}
-	n := min(a.chunk, whole-s.at)
+	n := min(a.chunk, length-s.tokens)
 	a.mu.Lock()
-	each := 1/a.rate + a.crowding*float64(min(a.running, a.slots)-1)
+	secondsPerToken := 1/a.rate + a.slowdownPerStream*float64(min(a.streamCount, a.slots)-1)
 	a.mu.Unlock()
-	if err := s.wait(time.Duration(float64(n) * each * float64(time.Second))); err == errMoved {
-		s.leave()
+	if err := s.pause(time.Duration(float64(n) * secondsPerToken * float64(time.Second))); err == errExported {
+		s.release()
 		a.mu.Lock()
 		defer a.mu.Unlock()
 		if s.req.GetEpoch().GetAttempt() < a.epoch[0] || s.req.GetEpoch().GetClaim() < a.epoch[1] {
-			return refusals{err: errOlder}.Recv()
+			return refusedStream{err: errOlderOwner}.Recv()
 		}
-		return refusals{err: errMoved}.Recv()
+		return refusedStream{err: errExported}.Recv()
 	} else if err != nil {
 		return nil, err
 	}
@@ -271,18 +271,18 @@
 	defer a.mu.Unlock()
 	c := &pb.GenerateChunk{Tokens: uint32(n), Version: a.version}
 	for i := range n {
-		c.Text += token(s.req.GetPrompt(), s.req.GetSeed(), s.at+i, a.version)
+		c.Text += token(s.req.GetPrompt(), s.req.GetSeed(), s.tokens+i, a.version)
 	}
 	if k := len(s.spans) - 1; k >= 0 && s.spans[k].Version == a.version {
-		s.spans[k].To = uint32(s.at + n)
+		s.spans[k].To = uint32(s.tokens + n)
 	} else {
-		s.spans = append(s.spans, &pb.Span{Version: a.version, From: uint32(s.at), To: uint32(s.at + n)})
+		s.spans = append(s.spans, &pb.Span{Version: a.version, From: uint32(s.tokens), To: uint32(s.tokens + n)})
 	}
 	s.text += c.Text
-	s.at += n
-	a.made += n
-	if a.spoil != nil {
-		a.spoil(s.req, c)
+	s.tokens += n
+	a.generatedTokens += n
+	if a.corruptChunk != nil {
+		a.corruptChunk(s.req, c)
 	}
 	return &pb.GenerateReply{Part: &pb.GenerateReply_Chunk{Chunk: c}}, nil
 }
@@ -291,9 +291,9 @@
 	return fmt.Sprintf("%s#%d.%d@%d ", prompt, seed, i, version)
 }
 
-// truth reads the versions out of a text and checks that it is the beginning
+// parseTokens reads the versions out of a text and checks that it is the beginning
 // of the output for a prompt and seed.
-func truth(prompt string, seed uint64, text string) ([]uint64, error) {
+func parseTokens(prompt string, seed uint64, text string) ([]uint64, error) {
 	var versions []uint64
 	for i, tok := range strings.Fields(text) {
 		_, v, _ := strings.Cut(tok, "@")
@@ -306,30 +306,30 @@
 	return versions, nil
 }
 
-type refusals struct {
+type refusedStream struct {
 	grpc.ClientStream
 	err *kinds.Error
 }
 
-func (r refusals) Recv() (*pb.GenerateReply, error) {
+func (r refusedStream) Recv() (*pb.GenerateReply, error) {
 	return &pb.GenerateReply{Part: &pb.GenerateReply_Refusal{Refusal: refusal.Encode(r.err)}}, nil
 }
 
 type heldStream struct {
 	grpc.ClientStream
-	left []*pb.HeldSample
+	remaining []*pb.HeldSample
 }
 
 func (h *heldStream) Recv() (*pb.HeldSample, error) {
-	if len(h.left) == 0 {
+	if len(h.remaining) == 0 {
 		return nil, io.EOF
 	}
-	next := h.left[0]
-	h.left = h.left[1:]
+	next := h.remaining[0]
+	h.remaining = h.remaining[1:]
 	return next, nil
 }
 
-func (a *agent) Held(_ context.Context, req *pb.HeldRequest, _ ...grpc.CallOption) (grpc.ServerStreamingClient[pb.HeldSample], error) {
+func (a *fakeAgent) Held(_ context.Context, req *pb.HeldRequest, _ ...grpc.CallOption) (grpc.ServerStreamingClient[pb.HeldSample], error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.down {
@@ -338,14 +338,14 @@
 	h := &heldStream{}
 	for _, s := range a.held {
 		if s.GetId().GetTrainer() == req.GetTrainer() && s.GetId().GetStep() == req.GetStep() {
-			h.left = append(h.left, s)
+			h.remaining = append(h.remaining, s)
 		}
 	}
 	return h, nil
 }
 
 // ExportKV stops a stream and returns its text, but no cache.
-func (a *agent) ExportKV(_ context.Context, req *pb.ExportKVRequest, _ ...grpc.CallOption) (*pb.ExportKVReply, error) {
+func (a *fakeAgent) ExportKV(_ context.Context, req *pb.ExportKVRequest, _ ...grpc.CallOption) (*pb.ExportKVReply, error) {
 	a.mu.Lock()
 	s := a.streams[req.GetRequestId()]
 	stuck := a.down || a.frozen != nil
@@ -353,22 +353,22 @@
 	if s == nil || stuck {
 		return nil, status.Error(codes.NotFound, "no such stream")
 	}
-	s.halt()
+	s.stop()
 	<-s.ended
 	return &pb.ExportKVReply{Text: s.text, Spans: s.spans}, nil
 }
 
 // Call answers as a scorer.
-func (a *agent) Call(ctx context.Context, _ ...grpc.CallOption) (grpc.BidiStreamingClient[pb.CallSend, pb.CallReply], error) {
+func (a *fakeAgent) Call(ctx context.Context, _ ...grpc.CallOption) (grpc.BidiStreamingClient[pb.CallSend, pb.CallReply], error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.scored++
-	return &callStream{a: a, ctx: ctx, n: a.scored}, nil
+	a.scoreCalls++
+	return &callStream{agent: a, ctx: ctx, n: a.scoreCalls}, nil
 }
 
 type callStream struct {
 	grpc.ClientStream
-	a     *agent
+	agent *fakeAgent
 	ctx   context.Context
 	n     int
 	phase int
@@ -384,14 +384,14 @@
 	c.phase++
 	switch c.phase {
 	case 1:
-		if c.a.noScore != nil {
-			if err := c.a.noScore(c.body, c.n); err != nil {
+		if c.agent.refuseScore != nil {
+			if err := c.agent.refuseScore(c.body, c.n); err != nil {
 				return &pb.CallReply{Part: &pb.CallReply_Refusal{Refusal: refusal.Encode(err)}}, nil
 			}
 		}
 		return &pb.CallReply{Part: &pb.CallReply_Head{Head: &pb.CallHead{Status: 200}}}, nil
 	case 2:
-		body, err := c.a.scores(c.ctx, c.n)
+		body, err := c.agent.answerScore(c.ctx, c.n)
 		return &pb.CallReply{Part: &pb.CallReply_Body{Body: []byte(body)}}, err
 	}
 	return &pb.CallReply{Part: &pb.CallReply_End{End: &pb.CallEnd{}}}, nil
@@ -399,16 +399,16 @@
 
 // fakeFleet reports its agents at once and counts work.
 type fakeFleet struct {
-	mu      sync.Mutex
-	agents  []*agent
-	scorers []*agent
-	flying  map[string]int
-	changed chan struct{}
+	mu       sync.Mutex
+	agents   []*fakeAgent
+	scorers  []*fakeAgent
+	inFlight map[string]int
+	changed  chan struct{}
 }
 
 func (f *fakeFleet) Snapshot() *fleet.Snapshot {
 	snap := &fleet.Snapshot{By: map[string][]*fleet.Server{}, ByName: map[string]*fleet.Server{}}
-	add := func(pool string, a *agent) {
+	add := func(pool string, a *fakeAgent) {
 		s := &fleet.Server{Name: a.name, State: a.state(), Client: a, InFlight: f.InFlightNow(a.name)}
 		snap.By[pool] = append(snap.By[pool], s)
 		snap.ByName[a.name] = s
@@ -425,11 +425,11 @@
 func (f *fakeFleet) Begin(name string) func(fleet.Outcome) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.flying[name]++
+	f.inFlight[name]++
 	return func(fleet.Outcome) {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		f.flying[name]--
+		f.inFlight[name]--
 		close(f.changed)
 		f.changed = make(chan struct{})
 	}
@@ -438,7 +438,7 @@
 func (f *fakeFleet) InFlightNow(name string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.flying[name]
+	return f.inFlight[name]
 }
 
 func (f *fakeFleet) Changed() <-chan struct{} {
@@ -449,10 +449,10 @@
 
 // fakeLog is a log that can be down.
 type fakeLog struct {
-	mu      sync.Mutex
-	records []platform.Record
-	down    bool
-	more    chan struct{}
+	mu       sync.Mutex
+	records  []platform.Record
+	down     bool
+	appended chan struct{}
 }
 
 func (l *fakeLog) setDown(down bool) {
@@ -469,8 +469,8 @@
 	}
 	at := uint64(len(l.records))
 	l.records = append(l.records, platform.Record{Offset: at, Data: data})
-	close(l.more)
-	l.more = make(chan struct{})
+	close(l.appended)
+	l.appended = make(chan struct{})
 	return at, nil
 }
 
@@ -481,7 +481,7 @@
 		return platform.Page{}, platform.ErrLogUnavailable
 	}
 	if from >= uint64(len(l.records)) {
-		more := l.more
+		more := l.appended
 		l.mu.Unlock()
 		select {
 		case <-more:
--- a/entry/steps/generate.go
+++ b/entry/steps/generate.go
@@ -25,11 +25,11 @@
 // Backoff of lost samples. There is no limit of tries: a step has no answer
 // but its samples. The backoff keeps the tries from becoming a hot loop.
 const (
-	failBackoff    = 20 * time.Millisecond
-	refuseBackoff  = 20 * time.Millisecond
-	discardBackoff = 50 * time.Millisecond
-	maxBackoff     = 2 * time.Second
-	freeTries      = 1 // losses before the backoff begins
+	failureBackoff      = 20 * time.Millisecond
+	refusalBackoff      = 20 * time.Millisecond
+	discardBackoff      = 50 * time.Millisecond
+	maxBackoff          = 2 * time.Second
+	lossesBeforeBackoff = 1 // losses before the backoff begins
 )
 
 // errDiscard is what the entry itself finds wrong with a sample.
@@ -42,21 +42,21 @@
 	ctx, span := trace.Tracer("entry: steps").Start(r.ctx, "steps.generate")
 	defer span.End()
 	defer r.cancel()
-	from := s.resumeFrom(st, r)
-	r.takeOver(from)
+	from := s.resumePoint(st, r)
+	r.resume(from)
 	s.mu.Lock()
-	base := 0
+	resumedTokens := 0
 	if from != nil {
-		base = from.tokens
+		resumedTokens = from.tokens
 	}
-	st.plan.Started(r.id, base)
+	st.plan.Started(r.id, resumedTokens)
 	s.mu.Unlock()
-	done, err := s.stream(ctx, st, r, s.request(st, r, from))
-	r.end(outcome(r, err))
-	s.ended(st, r, done, err)
+	done, err := s.stream(ctx, st, r, s.buildRequest(st, r, from))
+	r.reportOutcome(outcome(r, err))
+	s.handleEnd(st, r, done, err)
 }
 
-func (s *Steps) request(st *step, r *run, from *partial) *pb.GenerateRequest {
+func (s *Steps) buildRequest(st *step, r *run, from *partial) *pb.GenerateRequest {
 	sm := st.samples[r.sample]
 	req := &pb.GenerateRequest{
 		RequestId: r.request,
@@ -68,11 +68,11 @@
 		Priority:  int32(st.trainer.Priority),
 		Weight:    st.trainer.Weight,
 		Sample: &pb.SampleID{
-			Trainer: st.key.Trainer, Step: st.key.Step, Group: sm.group.wire, Index: sm.index,
+			Trainer: st.key.Trainer, Step: st.key.Step, Group: sm.group.wireID, Index: sm.index,
 		},
 		Epoch:      agentEpoch(r.attempt),
 		Floor:      r.floor.Load(),
-		AllowMixed: r.mixed,
+		AllowMixed: r.allowMixed,
 		Hedge:      r.action.Kind != straggle.Start,
 	}
 	if v := s.cfg.View.View(); v != nil {
@@ -80,7 +80,7 @@
 	}
 	if from != nil {
 		req.Resume = &pb.Resume{Text: from.text, Spans: from.spans, Kv: from.kv}
-	} else if !r.hidden {
+	} else if !r.agentMayResume {
 		req.Resume = &pb.Resume{} // from the first token, whatever the agent holds
 	}
 	return req
@@ -108,9 +108,9 @@
 		}
 		switch part := reply.GetPart().(type) {
 		case *pb.GenerateReply_Started:
-			s.noteStart(r)
+			s.recordStart(r)
 		case *pb.GenerateReply_Chunk:
-			if err := s.chunk(st, r, part.Chunk); err != nil {
+			if err := s.handleChunk(st, r, part.Chunk); err != nil {
 				return nil, err
 			}
 		case *pb.GenerateReply_Done:
@@ -121,29 +121,29 @@
 	}
 }
 
-func (s *Steps) noteStart(r *run) {
+func (s *Steps) recordStart(r *run) {
 	s.mu.Lock()
-	s.begun(r)
-	s.warm(r.server.Name)
+	s.markStarted(r)
+	s.clearCooldown(r.server.Name)
 	s.mu.Unlock()
 }
 
-// chunk takes a chunk in. The floor may have risen since the request: a token
+// handleChunk takes a handleChunk in. The floor may have risen since the request: a token
 // that arrives below it may have been made below it, so it is not taken.
-func (s *Steps) chunk(st *step, r *run, c *pb.GenerateChunk) error {
+func (s *Steps) handleChunk(st *step, r *run, c *pb.GenerateChunk) error {
 	if c.GetTokens() == 0 {
 		return nil
 	}
 	if c.GetVersion() == 0 {
 		return errDiscard("a chunk has no weight version")
 	}
-	if fresh.CheckChunk(c.GetVersion(), r.version(), r.floor.Load(), r.mixed) != fresh.Continue {
+	if fresh.CheckChunk(c.GetVersion(), r.lastVersion(), r.floor.Load(), r.allowMixed) != fresh.Continue {
 		return errStale
 	}
-	if r.add(c) == 1 {
-		s.noteStart(r)
+	if r.addChunk(c) == 1 {
+		s.recordStart(r)
 		if r.action.Kind == straggle.Move {
-			s.poke() // ends the run that it replaces
+			s.wakeScheduler() // ends the run that it replaces
 		}
 	}
 	return nil
@@ -155,7 +155,7 @@
 // checkDone makes sure that a result is whole and that each token of it has a
 // label; the agent's word alone doesn't reach a trainer.
 func checkDone(d *pb.GenerateDone, req *pb.GenerateRequest) error {
-	if !labelled(d.GetSpans(), int(d.GetTokens())) {
+	if !spansCover(d.GetSpans(), int(d.GetTokens())) {
 		return errDiscard("%d tokens with spans %v", d.GetTokens(), d.GetSpans())
 	}
 	if !strings.HasPrefix(d.GetText(), req.GetResume().GetText()) {
@@ -187,84 +187,84 @@
 	return fleet.Failed
 }
 
-// ended takes the run's end into the step.
-func (s *Steps) ended(st *step, r *run, done *pb.GenerateDone, err error) {
+// handleEnd takes the run's end into the step.
+func (s *Steps) handleEnd(st *step, r *run, done *pb.GenerateDone, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	defer s.poke()
-	mine := st.runs[r.id] == r
-	s.forget(st, r)
-	if st.stopped != nil || !mine {
+	defer s.wakeScheduler()
+	isCurrent := st.runs[r.id] == r
+	s.removeRun(st, r)
+	if st.stopReason != nil || !isCurrent {
 		return
 	}
 	sm := st.samples[r.sample]
 	subject := s.subject(st, sm)
 	if err == nil {
 		subject.Survived()
-		s.finished(st, r, done)
+		s.handleResult(st, r, done)
 		return
 	}
-	s.noteEnd(subject, st.name(sm), err)
-	s.lost(st, r, err)
+	s.recordServerEnd(subject, st.sampleName(sm), err)
+	s.handleLoss(st, r, err)
 }
 
-func (s *Steps) finished(st *step, r *run, done *pb.GenerateDone) {
-	won, cancels := st.plan.Finished(r.id, int(done.GetTokens()), st.now())
-	s.act(st, cancels, nil)
-	if won {
+func (s *Steps) handleResult(st *step, r *run, done *pb.GenerateDone) {
+	isFirst, cancels := st.plan.Finished(r.id, int(done.GetTokens()), st.elapsed())
+	s.execute(st, cancels, nil)
+	if isFirst {
 		sm := st.samples[r.sample]
-		s.cfg.Explain.Add(st.ctx, "steps", st.name(sm), "finished at "+r.server.Name, fmt.Sprintf("%d tokens by weights %s", done.GetTokens(), versions(done.GetSpans())))
-		s.finish(st, sm, done)
+		s.cfg.Explain.Add(st.ctx, "steps", st.sampleName(sm), "finished at "+r.server.Name, fmt.Sprintf("%d tokens by weights %s", done.GetTokens(), versions(done.GetSpans())))
+		s.recordResult(st, sm, done)
 	}
 }
 
-// lost queues the run's sample again, in the way that its end asks for.
-func (s *Steps) lost(st *step, r *run, err error) {
+// handleLoss queues the run's sample again, in the way that its end asks for.
+func (s *Steps) handleLoss(st *step, r *run, err error) {
 	lostTotal.Add(1)
 	sm := st.samples[r.sample]
-	sm.tries++
+	sm.losses++
 	e, ok := kinds.As(err)
-	s.cfg.Explain.Add(st.ctx, "steps", st.name(sm), lostWhat(r.server.Name, e), lostWhy(err))
+	s.cfg.Explain.Add(st.ctx, "steps", st.sampleName(sm), lossEvent(r.server.Name, e), lossReason(err))
 	if !ok {
 		// The connection or the agent failed. What it sent is labelled and
 		// stays good.
-		s.chill(r.server.Name, fleet.Failed, 0)
-		st.plan.Lost(r.id, s.keep(st, r), s.backoff(sm, failBackoff), st.now())
+		s.startCooldown(r.server.Name, fleet.Failed, 0)
+		st.plan.Lost(r.id, s.savePartial(st, r), s.backoff(sm, failureBackoff), st.elapsed())
 		return
 	}
 	switch e.Kind() {
 	case string(kinds.Superseded):
-		s.superseded(st, e)
+		s.stopSuperseded(st, e)
 	case string(kinds.SampleDiscarded):
 		discardedTotal.Add(1)
-		keep := 0
-		if e == errStale && r.mixed {
-			keep = s.keep(st, r) // the tokens so far were fresh when made
+		kept := 0
+		if e == errStale && r.allowMixed {
+			kept = s.savePartial(st, r) // the tokens so far were fresh when made
 		} else {
 			sm.partial = nil // what is known of it can't be trusted
 		}
-		st.plan.Lost(r.id, keep, s.backoff(sm, discardBackoff), st.now())
+		st.plan.Lost(r.id, kept, s.backoff(sm, discardBackoff), st.elapsed())
 	case string(kinds.Cancelled):
 		// The agent let the stream go, as at the export for a move.
-		st.plan.Lost(r.id, s.keep(st, r), s.backoff(sm, refuseBackoff), st.now())
+		st.plan.Lost(r.id, s.savePartial(st, r), s.backoff(sm, refusalBackoff), st.elapsed())
 	case string(kinds.BackendFailed):
-		s.chill(r.server.Name, fleet.Failed, 0)
-		st.plan.Lost(r.id, s.keep(st, r), s.backoff(sm, failBackoff), st.now())
+		s.startCooldown(r.server.Name, fleet.Failed, 0)
+		st.plan.Lost(r.id, s.savePartial(st, r), s.backoff(sm, failureBackoff), st.elapsed())
 	default:
-		s.chill(r.server.Name, fleet.Refused, e.Answer().RetryAfter)
-		st.plan.Lost(r.id, s.keep(st, r), s.backoff(sm, refuseBackoff), st.now())
+		s.startCooldown(r.server.Name, fleet.Refused, e.Answer().RetryAfter)
+		st.plan.Lost(r.id, s.savePartial(st, r), s.backoff(sm, refusalBackoff), st.elapsed())
 	}
 }
 
-// lostWhat and lostWhy word a run's end for the decision record.
-func lostWhat(server string, e *kinds.Error) string {
+// lossEvent and lostWhy word a run's end for the decision record.
+func lossEvent(server string, e *kinds.Error) string {
 	if e != nil && e.NotRun() {
 		return "refused by " + server + ", not run"
 	}
 	return "lost at " + server
 }
 
-func lostWhy(err error) string {
+func lossReason(err error) string {
 	if _, ok := kinds.As(err); ok {
 		return err.Error()
 	}
@@ -280,10 +280,10 @@
 	return strings.Join(list, ", ")
 }
 
-// superseded stops the step when an agent knows a newer owner: the log may be
+// stopSuperseded stops the step when an agent knows a newer owner: the log may be
 // down and the trainer may have posted the step elsewhere.
-func (s *Steps) superseded(st *step, e *kinds.Error) {
-	takenOverTotal.Add(1)
+func (s *Steps) stopSuperseded(st *step, e *kinds.Error) {
+	supersededTotal.Add(1)
 	s.cfg.Logger.Info("Another entry took a step over.", zap.String("trainer", st.key.Trainer),
 		zap.Uint64("step", st.key.Step), zap.String("why", e.Message()), logs.Trace(st.ctx))
 	s.stop(st, kinds.New(kinds.Superseded, "an agent knows a newer owner of step %d of %s", st.key.Step, st.key.Trainer))
@@ -291,10 +291,10 @@
 
 // backoff delays a sample's next try: none after its first loss, then a time
 // that doubles, jittered down by up to a half.
-func (s *Steps) backoff(sm *sample, first time.Duration) time.Duration {
-	if sm.tries <= freeTries {
+func (s *Steps) backoff(sm *sample, base time.Duration) time.Duration {
+	if sm.losses <= lossesBeforeBackoff {
 		return 0
 	}
-	d := min(first<<min(sm.tries-freeTries-1, 16), maxBackoff)
+	d := min(base<<min(sm.losses-lossesBeforeBackoff-1, 16), maxBackoff)
 	return d/2 + time.Duration(s.rand.Int64N(int64(d/2)+1))
 }
--- a/entry/steps/held.go
+++ b/entry/steps/held.go
@@ -12,32 +12,32 @@
 	"dandelionsill.org/wire/pb"
 )
 
-const heldTimeout = 5 * time.Second
+const collectTimeout = 5 * time.Second
 
-// collect asks all agents for the finished samples of a taken-over step. The
+// collectHeld asks all agents for the finished samples of a taken-over step. The
 // step begins to generate when all have answered or after HeldWait; what
 // comes later still counts and ends the run that was begun in its place.
-func (s *Steps) collect(st *step) {
-	ctx, cancel := context.WithTimeout(st.ctx, heldTimeout)
+func (s *Steps) collectHeld(st *step) {
+	ctx, cancel := context.WithTimeout(st.ctx, collectTimeout)
 	defer cancel()
-	begin := func() {
+	startGenerating := func() {
 		s.mu.Lock()
-		st.holding = false
+		st.collecting = false
 		s.mu.Unlock()
-		s.poke()
+		s.wakeScheduler()
 	}
-	early := time.AfterFunc(s.cfg.HeldWait, begin)
-	defer early.Stop()
-	var asked sync.WaitGroup
+	timer := time.AfterFunc(s.cfg.MaxHeldWait, startGenerating)
+	defer timer.Stop()
+	var wg sync.WaitGroup
 	for _, sv := range s.cfg.Fleet.Snapshot().By["model/"+st.trainer.Model] {
-		asked.Go(func() { s.collectFrom(ctx, st, sv) })
+		wg.Go(func() { s.collectHeldFrom(ctx, st, sv) })
 	}
-	asked.Wait()
-	begin()
+	wg.Wait()
+	startGenerating()
 }
 
-func (s *Steps) collectFrom(ctx context.Context, st *step, sv *fleet.Server) {
-	held, err := sv.Client.Held(ctx, &pb.HeldRequest{
+func (s *Steps) collectHeldFrom(ctx context.Context, st *step, sv *fleet.Server) {
+	stream, err := sv.Client.Held(ctx, &pb.HeldRequest{
 		Trainer: st.key.Trainer, Step: st.key.Step,
 		Epoch: agentEpoch(st.attempt),
 	})
@@ -45,22 +45,22 @@
 		return
 	}
 	for {
-		h, err := held.Recv()
+		heldSample, err := stream.Recv()
 		if errors.Is(err, io.EOF) || err != nil {
 			return
 		}
 		s.mu.Lock()
-		key := sampleKey{h.GetId().GetGroup(), h.GetId().GetIndex()}
-		mine := h.GetId().GetTrainer() == st.key.Trainer && h.GetId().GetStep() == st.key.Step
-		if mine && st.stopped == nil && s.adopt(st, key, h.GetPromptHash(), h.GetDone()) {
+		key := sampleKey{heldSample.GetId().GetGroup(), heldSample.GetId().GetIndex()}
+		ofThisStep := heldSample.GetId().GetTrainer() == st.key.Trainer && heldSample.GetId().GetStep() == st.key.Step
+		if ofThisStep && st.stopReason == nil && s.adopt(st, key, heldSample.GetPromptHash(), heldSample.GetDone()) {
 			adoptedTotal.Add(1)
 		}
 		s.mu.Unlock()
 	}
 }
 
-// oldest returns the version of the first token; without one all are fresh.
-func oldest(done *pb.GenerateDone) uint64 {
+// oldestVersion returns the version of the first token; without one all are fresh.
+func oldestVersion(done *pb.GenerateDone) uint64 {
 	if len(done.GetSpans()) == 0 {
 		return math.MaxUint64
 	}
@@ -70,7 +70,7 @@
 // adopt uses a finished sample that was found elsewhere, if it is one of this
 // step's and still as fresh as a new one would have to be. Steps.mu is held.
 func (s *Steps) adopt(st *step, key sampleKey, hash string, done *pb.GenerateDone) bool {
-	i, ok := st.byID[key]
+	i, ok := st.indexByKey[key]
 	if !ok || st.samples[i].done != nil {
 		return false
 	}
@@ -78,17 +78,17 @@
 	if hash != sm.requestHash() || int(done.GetTokens()) > sm.group.spec.MaxTokens {
 		return false
 	}
-	if !labelled(done.GetSpans(), int(done.GetTokens())) {
+	if !spansCover(done.GetSpans(), int(done.GetTokens())) {
 		return false
 	}
-	if oldest(done) < st.floor || (!st.trainer.Mixed && len(done.GetSpans()) > 1) {
+	if oldestVersion(done) < st.floor || (!st.trainer.Mixed && len(done.GetSpans()) > 1) {
 		return false
 	}
 	won, cancels := st.plan.FinishedElsewhere(i, int(done.GetTokens()))
-	s.act(st, cancels, nil)
+	s.execute(st, cancels, nil)
 	if won {
-		s.cfg.Explain.Add(st.ctx, "steps", st.name(sm), "adopted", "an agent held it finished")
-		s.finish(st, sm, done)
+		s.cfg.Explain.Add(st.ctx, "steps", st.sampleName(sm), "adopted", "an agent held it finished")
+		s.recordResult(st, sm, done)
 	}
 	return won
 }
--- a/entry/steps/http.go
+++ b/entry/steps/http.go
@@ -21,11 +21,11 @@
 )
 
 const (
-	maxWait      = 30 * time.Second
-	maxGroups    = 1 << 14
-	maxSamples   = 1 << 16 // of one step
-	answerGroups = 64      // groups of one answer
-	answerBytes  = 4 << 20 // about; one group always fits
+	maxPullWait       = 30 * time.Second
+	maxGroups         = 1 << 14
+	maxSamples        = 1 << 16 // of one step
+	maxAnswerGroups   = 64      // groups of one answer
+	targetAnswerBytes = 4 << 20 // about; one group always fits
 )
 
 // GroupSpec is one group that a trainer asks for. Sample i is generated with
@@ -143,7 +143,7 @@
 	if err := check(&req, s.cfg.View.View().Manifest.Models[trainer.Model]); err != nil {
 		return nil, err
 	}
-	return s.take(r.Context(), trainer, req, digestOf(req))
+	return s.takeStep(r.Context(), trainer, req, digestOf(req))
 }
 
 // digestOf hashes what makes two posts of one attempt the same; a repost may
@@ -191,7 +191,7 @@
 	ctx, span := trace.FromHTTP(r, "steps.groups")
 	defer span.End()
 	id := requestID(r)
-	reply, err := s.groups(r.WithContext(ctx))
+	reply, err := s.answerPull(r.WithContext(ctx))
 	if err != nil {
 		answer.Error(w, id, err)
 		return
@@ -206,9 +206,9 @@
 		answer.Error(w, id, refusal)
 		return
 	}
-	step, attempt, err := stepOf(r)
+	step, attempt, err := stepAndAttempt(r)
 	if err == nil {
-		err = s.release(foldsteps.Key{Trainer: trainer.Name, Step: step}, attempt)
+		err = s.releaseStep(foldsteps.Key{Trainer: trainer.Name, Step: step}, attempt)
 	}
 	if err != nil {
 		answer.Error(w, id, err)
@@ -217,15 +217,15 @@
 	answer.JSON(w, id, http.StatusOK, struct{}{})
 }
 
-func stepOf(r *http.Request) (step, attempt uint64, err error) {
+func stepAndAttempt(r *http.Request) (step, attempt uint64, err error) {
 	if step, err = strconv.ParseUint(r.PathValue("step"), 10, 64); err != nil {
 		return 0, 0, badRequest("step: a number")
 	}
-	attempt, err = number(r, "attempt")
+	attempt, err = queryNumber(r, "attempt")
 	return step, attempt, err
 }
 
-func number(r *http.Request, name string) (uint64, error) {
+func queryNumber(r *http.Request, name string) (uint64, error) {
 	text := r.URL.Query().Get(name)
 	if text == "" {
 		return 0, nil
--- a/entry/steps/leaving_test.go
+++ b/entry/steps/leaving_test.go
@@ -26,7 +26,7 @@
 			a := w.fleet.agents[0]
 			a.mu.Lock()
 			defer a.mu.Unlock()
-			return a.running
+			return a.streamCount
 		}
 		after(4*time.Second, func() {
 			before = running()
--- a/entry/steps/manifest_change_test.go
+++ b/entry/steps/manifest_change_test.go
@@ -31,13 +31,13 @@
 // samples over two versions that the manifest in force forbids.
 func TestMixedSwitchedOffMidStep(t *testing.T) {
 	inBubble(t, func(w *world) {
-		w.terms(func(tr *manifest.Trainer) { tr.Mixed = true })
+		w.configureTrainer(func(tr *manifest.Trainer) { tr.Mixed = true })
 		w.agents(2, 2, 20)
-		inForce, late := false, 0
+		inForce, forbiddenRequests := false, 0
 		for _, a := range w.fleet.agents {
-			a.break_ = func(req *pb.GenerateRequest, _ int) *kinds.Error {
+			a.refuseRequest = func(req *pb.GenerateRequest, _ int) *kinds.Error {
 				if inForce && req.GetAllowMixed() {
-					late++
+					forbiddenRequests++
 				}
 				return nil
 			}
@@ -52,7 +52,7 @@
 			inForce = true
 		})
 		w.run(w.client("a"), step(6, 4))
-		require.Zero(t, late, "requests for mixed samples, 3 s after the manifest forbade them")
+		require.Zero(t, forbiddenRequests, "requests for mixed samples, 3 s after the manifest forbade them")
 	})
 }
 
@@ -62,15 +62,15 @@
 // tokens older than the bound in force from any agent that is cut off from it.
 func TestBoundLoweredMidStep(t *testing.T) {
 	inBubble(t, func(w *world) {
-		w.terms(func(tr *manifest.Trainer) { tr.StalenessBound = 5 })
+		w.configureTrainer(func(tr *manifest.Trainer) { tr.StalenessBound = 5 })
 		w.agents(2, 2, 20)
 		w.fleet.agents[1].version = 3
 		w.view.Announce("m", 3)
-		inForce, late := false, 0
+		inForce, staleRequests := false, 0
 		for _, a := range w.fleet.agents {
-			a.break_ = func(req *pb.GenerateRequest, _ int) *kinds.Error {
+			a.refuseRequest = func(req *pb.GenerateRequest, _ int) *kinds.Error {
 				if inForce && req.GetFloor() < 3 {
-					late++
+					staleRequests++
 				}
 				return nil
 			}
@@ -85,6 +85,6 @@
 			inForce = true
 		})
 		w.run(w.client("a"), step(6, 4))
-		require.Zero(t, late, "requests below the bound in force, 3 s after it was lowered")
+		require.Zero(t, staleRequests, "requests below the bound in force, 3 s after it was lowered")
 	})
 }
--- a/entry/steps/model_change_test.go
+++ b/entry/steps/model_change_test.go
@@ -14,7 +14,7 @@
 func TestTrainerMovesToAnotherModel(t *testing.T) {
 	inBubble(t, func(w *world) {
 		w.agents(2, 4, 100)
-		w.terms(func(tr *manifest.Trainer) { tr.Model = "old" })
+		w.configureTrainer(func(tr *manifest.Trainer) { tr.Model = "old" })
 		w.view.v.Manifest.Models["old"] = manifest.Model{Name: "old", MaxTokens: 4096}
 		w.entry("a")
 		first := step(1, 1)
--- a/entry/steps/outcome_test.go
+++ b/entry/steps/outcome_test.go
@@ -10,13 +10,13 @@
 	"dandelionsill.org/entry/steps"
 )
 
-// judging counts what is said of the servers.
-type judging struct {
+// outcomeCounter counts what is said of the servers.
+type outcomeCounter struct {
 	*fakeFleet
 	failed atomic.Int64
 }
 
-func (f *judging) Begin(name string) func(fleet.Outcome) {
+func (f *outcomeCounter) Begin(name string) func(fleet.Outcome) {
 	end := f.fakeFleet.Begin(name)
 	return func(o fleet.Outcome) {
 		if o == fleet.Failed {
@@ -30,15 +30,15 @@
 // and are sent elsewhere when a slot comes free there; others are moved and end
 // at their agent as cancelled. The entry books these as failures of the server,
 // and healthy engines are ejected for trainers and application callers alike.
-func TestLongStepBooksNoFailures(t *testing.T) {
+func TestLongStepReportsNoFailures(t *testing.T) {
 	inBubble(t, func(w *world) {
 		w.agents(3, 4, 100)
 		for _, a := range w.fleet.agents {
 			a.length = func(seed uint64) int { return 80 + int(seed*7919)%320 }
 		}
-		judge := &judging{fakeFleet: w.fleet}
-		w.entry("a", func(c *steps.Config) { c.Fleet = judge })
+		counter := &outcomeCounter{fakeFleet: w.fleet}
+		w.entry("a", func(c *steps.Config) { c.Fleet = counter })
 		w.run(w.client("a"), step(16, 8))
-		require.Zero(t, judge.failed.Load())
+		require.Zero(t, counter.failed.Load())
 	})
 }
--- a/entry/steps/poison_test.go
+++ b/entry/steps/poison_test.go
@@ -17,8 +17,8 @@
 	"dandelionsill.org/wire/pb"
 )
 
-// deadly is the seed of the sample that ends engines: the second of group g1.
-const deadly = 1001
+// crashingSeed is the seed of the sample that ends engines: the second of group g1.
+const crashingSeed = 1001
 
 // One sample of a step ends each engine that begins it. A step has no answer but its
 // samples, so that its entry gave it to one engine after the other for as long as the
@@ -29,8 +29,8 @@
 		w.agents(4, 4, 100)
 		ended := 0
 		for _, a := range w.fleet.agents {
-			a.break_ = func(req *pb.GenerateRequest, n int) *kinds.Error {
-				if req.GetSeed() != deadly {
+			a.refuseRequest = func(req *pb.GenerateRequest, n int) *kinds.Error {
+				if req.GetSeed() != crashingSeed {
 					return nil
 				}
 				ended++
@@ -50,18 +50,18 @@
 func TestScoreThatEndsServersIsStopped(t *testing.T) {
 	inBubble(t, func(w *world) {
 		w.agents(2, 4, 100)
-		judge := newAgent("judge", 4, 1)
-		judge.scores = func(context.Context, int) (string, error) { return `{"score": 1}`, nil }
+		scorer := newAgent("judge", 4, 1)
+		scorer.answerScore = func(context.Context, int) (string, error) { return `{"score": 1}`, nil }
 		ended := 0
-		judge.noScore = func(body []byte, n int) *kinds.Error {
-			if !bytes.Contains(body, fmt.Appendf(nil, "p1#%d.0@", deadly)) {
+		scorer.refuseScore = func(body []byte, n int) *kinds.Error {
+			if !bytes.Contains(body, fmt.Appendf(nil, "p1#%d.0@", crashingSeed)) {
 				return nil
 			}
 			ended++
 			return kinds.New(kinds.BackendFailed, "no whole answer").WithEnded(fmt.Sprint("judge/", n))
 		}
-		w.fleet.scorers = append(w.fleet.scorers, judge)
-		w.terms(func(tr *manifest.Trainer) { tr.Scorer, tr.ScorerPath = "judge", "/score" })
+		w.fleet.scorers = append(w.fleet.scorers, scorer)
+		w.configureTrainer(func(tr *manifest.Trainer) { tr.Scorer, tr.ScorerPath = "judge", "/score" })
 		w.entry("a", func(c *steps.Config) { c.Quarantine = quarantine.New(zap.NewNop()) })
 		got, err := w.collect(w.client("a"), step(4, 4))
 		require.ErrorIs(t, err, context.DeadlineExceeded, "the trainer waits for what is held back")
--- a/entry/steps/policy_test.go
+++ b/entry/steps/policy_test.go
@@ -17,14 +17,14 @@
 // A trial's engines are like the stand-in's: a token takes 12 ms and 0.25 ms
 // more for each stream beside it.
 const (
-	trialAgents   = 4
-	trialSlots    = 32
-	trialRate     = 1 / 0.01225
-	trialCrowding = 0.00025
+	trialAgents            = 4
+	trialSlots             = 32
+	trialRate              = 1 / 0.01225
+	trialSlowdownPerStream = 0.00025
 )
 
-// natural is a lognormal length; half of its variance belongs to the prompt.
-func natural(seed uint64, mean, sigma float64) int {
+// sampleLength is a lognormal length; half of its variance belongs to the prompt.
+func sampleLength(seed uint64, mean, sigma float64) int {
 	prompt := rand.New(rand.NewPCG(seed/1000, 1)).NormFloat64()
 	own := rand.New(rand.NewPCG(seed, 2)).NormFloat64()
 	z := math.Sqrt(0.5)*prompt + math.Sqrt(0.5)*own
@@ -32,9 +32,9 @@
 }
 
 type trial struct {
-	groups, samples, max int
-	disturb              func(w *world)
-	ideal                float64 // capacity that is left, as a share
+	groups, samples, maxTokens int
+	injectFault                func(w *world)
+	capacity                   float64 // capacity that is left, as a share
 }
 
 type result struct{ ratio, waste, makespan float64 }
@@ -42,23 +42,23 @@
 func (tr trial) run(t *testing.T, p steps.Policy) (out result) {
 	inBubble(t, func(w *world) {
 		w.agents(trialAgents, trialSlots, trialRate)
-		if tr.disturb != nil {
-			tr.disturb(w)
+		if tr.injectFault != nil {
+			tr.injectFault(w)
 		}
 		for _, a := range w.fleet.agents {
 			a.chunk = 16
-			if a.crowding == 0 {
-				a.crowding = trialCrowding
+			if a.slowdownPerStream == 0 {
+				a.slowdownPerStream = trialSlowdownPerStream
 			}
-			a.length = func(seed uint64) int { return natural(seed, 300, 0.8) }
+			a.length = func(seed uint64) int { return sampleLength(seed, 300, 0.8) }
 		}
 		w.entry("a", func(c *steps.Config) { c.Policy = p })
 		st := trainer.Step{ID: 1, NewestVersion: 1}
 		total, longest := 0, 0
 		for i := range tr.groups {
-			g := trainer.GroupSpec{ID: fmt.Sprint("g", i), Prompt: fmt.Sprint("p", i), Samples: tr.samples, MaxTokens: tr.max, Seed: uint64(1000 * (i + 1))}
+			g := trainer.GroupSpec{ID: fmt.Sprint("g", i), Prompt: fmt.Sprint("p", i), Samples: tr.samples, MaxTokens: tr.maxTokens, Seed: uint64(1000 * (i + 1))}
 			for j := range tr.samples {
-				n := min(natural(g.Seed+uint64(j), 300, 0.8), tr.max)
+				n := min(sampleLength(g.Seed+uint64(j), 300, 0.8), tr.maxTokens)
 				total, longest = total+n, max(longest, n)
 			}
 			st.Groups = append(st.Groups, g)
@@ -66,18 +66,18 @@
 		began := time.Now()
 		got := w.run(w.client("a"), st)
 		out.makespan = time.Since(began).Seconds()
-		full := trialSlots / (1/trialRate + trialCrowding*(trialSlots-1))
-		ideal := max(float64(total)/(full*trialAgents*tr.ideal), float64(longest)/trialRate)
+		fullRate := trialSlots / (1/trialRate + trialSlowdownPerStream*(trialSlots-1))
+		ideal := max(float64(total)/(fullRate*trialAgents*tr.capacity), float64(longest)/trialRate)
 		out.ratio = out.makespan / ideal
-		made, used := w.made(got)
-		out.waste = float64(made-used) / float64(made)
+		generated, used := w.countTokens(got)
+		out.waste = float64(generated-used) / float64(generated)
 	})
 	return out
 }
 
 func slowServer(w *world) {
 	a := w.fleet.agents[0]
-	a.rate, a.crowding = trialRate/4, trialCrowding*4
+	a.rate, a.slowdownPerStream = trialRate/4, trialSlowdownPerStream*4
 }
 
 func crashLater(w *world) { after(4*time.Second, w.fleet.agents[0].crash) }
--- a/entry/steps/suspect.go
+++ b/entry/steps/quarantine.go
@@ -13,8 +13,8 @@
 	"dandelionsill.org/quarantine"
 )
 
-// heldFor is how long a sample in quarantine waits until it is looked at again.
-const heldFor = 5 * time.Second
+// quarantineRetryDelay is how long a sample in quarantine waits until it is looked at again.
+const quarantineRetryDelay = 5 * time.Second
 
 // subject is a sample as the quarantine sees it, in whatever step. Steps.mu is held.
 func (s *Steps) subject(st *step, sm *sample) *quarantine.Subject {
@@ -29,18 +29,18 @@
 	return sm.subject
 }
 
-// held tells whether a run must not begin: each engine that ran the sample crashed, or
+// isHeldBack tells whether a run must not begin: each engine that ran the sample crashed, or
 // one did and another has it now. A step has no answer but its samples, so that such a
 // one waits for as long as its quarantine lasts.
-func (s *Steps) held(st *step, a straggle.Action) bool {
+func (s *Steps) isHeldBack(st *step, a straggle.Action) bool {
 	sm := st.samples[a.Sample]
 	subject := s.subject(st, sm)
 	switch subject.Verdict() {
 	case poison.Quarantined:
-		s.cfg.Explain.Add(st.ctx, "steps", st.name(sm), "held back", "each engine that ran it crashed")
-		if !sm.held {
-			sm.held = true
-			s.cfg.Logger.Warn("A sample is held back: each engine that ran it crashed.", zap.String("sample", st.name(sm)),
+		s.cfg.Explain.Add(st.ctx, "steps", st.sampleName(sm), "held back", "each engine that ran it crashed")
+		if !sm.heldBackLogged {
+			sm.heldBackLogged = true
+			s.cfg.Logger.Warn("A sample is held back: each engine that ran it crashed.", zap.String("sample", st.sampleName(sm)),
 				zap.String("request", string(subject.Name())))
 		}
 		return true
@@ -51,13 +51,13 @@
 	}
 }
 
-// noteEnd takes in that a server ended under a sample or the call for its score, where
+// recordServerEnd takes in that a server ended under a sample or the call for its score, where
 // err says so.
-func (s *Steps) noteEnd(subject *quarantine.Subject, what string, err error) {
+func (s *Steps) recordServerEnd(subject *quarantine.Subject, name string, err error) {
 	e, ok := kinds.As(err)
 	if !ok || e.Ended() == "" {
 		return
 	}
-	s.cfg.Logger.Warn("A server ended under a sample.", zap.String("sample", what), zap.String("request", string(subject.Name())), zap.String("server", e.Ended()))
+	s.cfg.Logger.Warn("A server ended under a sample.", zap.String("sample", name), zap.String("request", string(subject.Name())), zap.String("server", e.Ended()))
 	subject.Ended(e.Ended())
 }
--- a/entry/steps/repost_test.go
+++ b/entry/steps/repost_test.go
@@ -19,9 +19,9 @@
 	inBubble(t, func(w *world) {
 		w.agents(2, 4, 100)
 		w.entry("a")
-		w.setFault(func(r *http.Request) fate {
+		w.setFault(func(r *http.Request) delivery {
 			if r.Method == http.MethodDelete {
-				return loseRequest
+				return dropRequest
 			}
 			return deliver
 		})
@@ -45,16 +45,16 @@
 // back with "a greater attempt" than its own 1, which is the one in use. The
 // entry takes the POST for a repeat and refuses cursor 0, as groups were
 // acknowledged; the client takes bad_request for final. The step is lost.
-func TestTrainerComesBackWithTheAttemptInUse(t *testing.T) {
+func TestTrainerRestartsWithAttemptInUse(t *testing.T) {
 	inBubble(t, func(w *world) {
 		w.agents(2, 4, 100)
 		w.entry("a")
-		w.setFault(func(r *http.Request) fate {
+		w.setFault(func(r *http.Request) delivery {
 			switch {
 			case r.Method == http.MethodPost && w.count("POST a") <= 3:
-				return loseAnswer
+				return dropAnswer
 			case r.Method == http.MethodDelete:
-				return loseRequest
+				return dropRequest
 			}
 			return deliver
 		})
--- a/entry/steps/run.go
+++ b/entry/steps/run.go
@@ -22,59 +22,59 @@
 	kv     []byte
 }
 
-func (p *partial) last() uint64 {
+func (p *partial) lastVersion() uint64 {
 	if p == nil || len(p.spans) == 0 {
 		return 0
 	}
 	return p.spans[len(p.spans)-1].GetVersion()
 }
 
-// whole tells whether every token of the text has a label.
-func (p *partial) whole() bool { return p != nil && p.tokens > 0 && labelled(p.spans, p.tokens) }
+// isLabelled tells whether every token of the text has a label.
+func (p *partial) isLabelled() bool { return p != nil && p.tokens > 0 && spansCover(p.spans, p.tokens) }
 
-// labelled tells whether spans name a version for each of the tokens.
-func labelled(spans []*pb.Span, tokens int) bool {
-	at := uint32(0)
+// spansCover tells whether spans name a version for each of the tokens.
+func spansCover(spans []*pb.Span, tokens int) bool {
+	covered := uint32(0)
 	for _, s := range spans {
-		if s.GetVersion() == 0 || s.GetFrom() != at || s.GetTo() <= at {
+		if s.GetVersion() == 0 || s.GetFrom() != covered || s.GetTo() <= covered {
 			return false
 		}
-		at = s.GetTo()
+		covered = s.GetTo()
 	}
-	return int(at) == tokens
+	return int(covered) == tokens
 }
 
 // run is one stream of one sample at one agent.
 type run struct {
-	id      straggle.RunID
-	action  straggle.Action
-	sample  int
-	server  *fleet.Server
-	request string // request id
-	attempt uint64
-	mixed   bool // may span versions, by the terms when it began
-	parent  *run
-	ctx     context.Context
-	cancel  context.CancelFunc
-	end     func(fleet.Outcome)
-	floor   atomic.Uint64
-	// hidden: the agent may go on from a beginning that it holds of an older
+	id            straggle.RunID
+	action        straggle.Action
+	sample        int
+	server        *fleet.Server
+	request       string // request id
+	attempt       uint64
+	allowMixed    bool // may span versions, by the terms when it began
+	parent        *run
+	ctx           context.Context
+	cancel        context.CancelFunc
+	reportOutcome func(fleet.Outcome)
+	floor         atomic.Uint64
+	// agentMayResume: the agent may go on from a beginning that it holds of an older
 	// owner's stream, which this run then doesn't know. Its own text has no
 	// beginning and can't be resumed from.
-	hidden  bool
-	stalled atomic.Bool // cancelled because it made no progress
-	started bool        // guarded by Steps.mu: left the agent's queue
+	agentMayResume bool
+	stalled        atomic.Bool // cancelled because it made no progress
+	started        bool        // guarded by Steps.mu: left the agent's queue
 
-	mu     sync.Mutex
-	text   []byte
-	tokens int
-	chunks int
-	spans  []*pb.Span
-	lastAt time.Time
+	mu          sync.Mutex
+	text        []byte
+	tokens      int
+	chunks      int
+	spans       []*pb.Span
+	lastChunkAt time.Time
 }
 
-// takeOver begins the run behind what another made.
-func (r *run) takeOver(p *partial) {
+// resume begins the run behind what another made.
+func (r *run) resume(p *partial) {
 	if p == nil {
 		return
 	}
@@ -85,8 +85,8 @@
 	r.spans = cloneSpans(p.spans)
 }
 
-// add takes a chunk in. It returns the number of chunks so far.
-func (r *run) add(c *pb.GenerateChunk) int {
+// addChunk takes a chunk in. It returns the number of chunks so far.
+func (r *run) addChunk(c *pb.GenerateChunk) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	from := uint32(r.tokens)
@@ -94,7 +94,7 @@
 	r.text = append(r.text, c.GetText()...)
 	r.tokens = int(to)
 	r.chunks++
-	r.lastAt = time.Now()
+	r.lastChunkAt = time.Now()
 	if k := len(r.spans) - 1; k >= 0 && r.spans[k].GetVersion() == c.GetVersion() {
 		r.spans[k].To = to
 	} else if to > from {
@@ -103,7 +103,7 @@
 	return r.chunks
 }
 
-func (r *run) version() uint64 {
+func (r *run) lastVersion() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.spans) == 0 {
@@ -112,20 +112,20 @@
 	return r.spans[len(r.spans)-1].GetVersion()
 }
 
-func (r *run) progress() (tokens, chunks int, version uint64, last time.Time) {
+func (r *run) progress() (tokens, chunks int, version uint64, lastChunk time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if k := len(r.spans) - 1; k >= 0 {
 		version = r.spans[k].GetVersion()
 	}
-	return r.tokens, r.chunks, version, r.lastAt
+	return r.tokens, r.chunks, version, r.lastChunkAt
 }
 
 // snapshot returns what the run made so far; nil where that is nothing.
 func (r *run) snapshot() *partial {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.tokens == 0 || r.hidden {
+	if r.tokens == 0 || r.agentMayResume {
 		return nil
 	}
 	return &partial{text: string(r.text), tokens: r.tokens, spans: cloneSpans(r.spans)}
@@ -139,51 +139,51 @@
 	return out
 }
 
-// act carries the plan's decisions out. Steps.mu is held.
-func (s *Steps) act(st *step, acts []straggle.Action, snap *fleet.Snapshot) {
-	for _, a := range acts {
-		s.cfg.Explain.Add(st.ctx, "steps", st.name(st.samples[a.Sample]), a.Kind.String()+" at "+a.Server, a.Reason)
+// execute carries the plan's decisions out. Steps.mu is held.
+func (s *Steps) execute(st *step, actions []straggle.Action, snap *fleet.Snapshot) {
+	for _, a := range actions {
+		s.cfg.Explain.Add(st.ctx, "steps", st.sampleName(st.samples[a.Sample]), a.Kind.String()+" at "+a.Server, a.Reason)
 		switch a.Kind {
 		case straggle.Cancel:
-			s.drop(st, a)
+			s.cancelRun(st, a)
 			continue
 		}
-		if s.held(st, a) {
-			st.plan.Lost(a.Run, 0, heldFor, st.now())
+		if s.isHeldBack(st, a) {
+			st.plan.Lost(a.Run, 0, quarantineRetryDelay, st.elapsed())
 			continue
 		}
 		server := snap.ByName[a.Server]
 		if server == nil {
-			st.plan.Lost(a.Run, 0, failBackoff, st.now())
+			st.plan.Lost(a.Run, 0, failureBackoff, st.elapsed())
 			continue
 		}
 		s.launch(st, a, server)
 	}
 }
 
-// drop stops a run that the plan wrote off; what it made stays for a resume.
-func (s *Steps) drop(st *step, a straggle.Action) {
+// cancelRun stops a run that the plan wrote off; what it made stays for a resume.
+func (s *Steps) cancelRun(st *step, a straggle.Action) {
 	r := st.runs[a.Run]
 	if r == nil {
 		return
 	}
 	if a.Reason == straggle.ReasonNoProgress {
 		r.stalled.Store(true)
-		s.chill(a.Server, fleet.Failed, 0)
+		s.startCooldown(a.Server, fleet.Failed, 0)
 	}
-	s.keep(st, r)
-	s.forget(st, r)
+	s.savePartial(st, r)
+	s.removeRun(st, r)
 	r.cancel()
 }
 
-// keep remembers what a lost run had made, where no more is known already.
-func (s *Steps) keep(st *step, r *run) int {
+// savePartial remembers what a lost run had made, where no more is known already.
+func (s *Steps) savePartial(st *step, r *run) int {
 	sm := st.samples[r.sample]
 	if s.cfg.Policy.NoResume || s.cfg.Policy.Baseline || sm.done != nil {
 		return 0
 	}
 	p := r.snapshot()
-	if !p.whole() {
+	if !p.isLabelled() {
 		return 0
 	}
 	if sm.partial == nil || sm.partial.tokens < p.tokens {
@@ -192,43 +192,43 @@
 	return p.tokens
 }
 
-func (s *Steps) forget(st *step, r *run) {
+func (s *Steps) removeRun(st *step, r *run) {
 	if st.runs[r.id] != r {
 		return
 	}
 	delete(st.runs, r.id)
-	s.begun(r)
+	s.markStarted(r)
 }
 
-// begun tells that the run no longer waits in its agent's queue.
-func (s *Steps) begun(r *run) {
+// markStarted tells that the run no longer waits in its agent's queue.
+func (s *Steps) markStarted(r *run) {
 	if r.started {
 		return
 	}
 	r.started = true
-	s.waiting[r.server.Name]--
+	s.unstartedRuns[r.server.Name]--
 }
 
 func (s *Steps) launch(st *step, a straggle.Action, server *fleet.Server) {
 	sm := st.samples[a.Sample]
 	r := &run{
 		id: a.Run, action: a, sample: a.Sample, server: server,
-		attempt: st.attempt,
-		mixed:   st.trainer.Mixed,
-		request: fmt.Sprintf("%s/%d/%d@%s", st.name(sm), st.attempt, a.Run, s.cfg.Name),
-		parent:  st.runs[a.From],
-		hidden:  st.attempt > 1 && sm.partial == nil && a.Kind == straggle.Start,
-		end:     s.cfg.Fleet.Begin(server.Name),
+		attempt:        st.attempt,
+		allowMixed:     st.trainer.Mixed,
+		request:        fmt.Sprintf("%s/%d/%d@%s", st.sampleName(sm), st.attempt, a.Run, s.cfg.Name),
+		parent:         st.runs[a.From],
+		agentMayResume: st.attempt > 1 && sm.partial == nil && a.Kind == straggle.Start,
+		reportOutcome:  s.cfg.Fleet.Begin(server.Name),
 	}
 	r.floor.Store(st.floor)
 	r.ctx, r.cancel = context.WithCancel(st.ctx)
 	st.runs[a.Run] = r
-	s.waiting[server.Name]++
-	s.goDo(func() { s.generate(st, r) })
+	s.unstartedRuns[server.Name]++
+	s.spawn(func() { s.generate(st, r) })
 }
 
-// resumeFrom finds what the run can go on from; nil: from the first token.
-func (s *Steps) resumeFrom(st *step, r *run) *partial {
+// resumePoint finds what the run can go on from; nil: from the first token.
+func (s *Steps) resumePoint(st *step, r *run) *partial {
 	if s.cfg.Policy.NoResume || s.cfg.Policy.Baseline {
 		return nil
 	}
@@ -238,13 +238,13 @@
 	if r.parent != nil {
 		p = r.parent.snapshot()
 		if r.action.Kind == straggle.Move {
-			if exported := s.export(r.ctx, r.parent); exported.whole() {
+			if exported := s.export(r.ctx, r.parent); exported.isLabelled() {
 				p = exported
 			}
 		}
 	}
 	version := r.server.State.GetVersion()
-	if !p.whole() || !fresh.MayResume(version, p.last(), r.floor.Load(), r.mixed) {
+	if !p.isLabelled() || !fresh.MayResume(version, p.lastVersion(), r.floor.Load(), r.allowMixed) {
 		return nil
 	}
 	return p
@@ -255,10 +255,10 @@
 // export stops a stream at its agent and returns what it made, with its KV
 // cache. Without the cache the next engine computes it again, so any failure
 // is ignored.
-func (s *Steps) export(ctx context.Context, of *run) *partial {
+func (s *Steps) export(ctx context.Context, source *run) *partial {
 	ctx, cancel := context.WithTimeout(ctx, exportTimeout)
 	defer cancel()
-	reply, err := of.server.Client.ExportKV(ctx, &pb.ExportKVRequest{RequestId: of.request})
+	reply, err := source.server.Client.ExportKV(ctx, &pb.ExportKVRequest{RequestId: source.request})
 	if err != nil {
 		return nil
 	}
--- a/entry/steps/schedule.go
+++ b/entry/steps/schedule.go
@@ -14,61 +14,61 @@
 )
 
 const (
-	tickEvery = 25 * time.Millisecond
-	idleEvery = time.Second // no step under way: only trainers may go silent
-	// windowShare of a server's slots may wait in its agent's queue where
+	tickInterval     = 25 * time.Millisecond
+	idleTickInterval = time.Second // no step under way: only trainers may go silent
+	// slotsPerQueuedRun of a server's slots may wait in its agent's queue where
 	// others fill the slots: the agent's fair queue gives each trainer its
 	// share only while it has something waiting. So may they while much of
 	// the step is queued: else each slot stands empty for a round trip after
 	// each sample.
-	windowShare  = 16
-	deepStep     = 1.0 // queued samples for each running one
-	coolFirst    = 100 * time.Millisecond
-	coolRefused  = 50 * time.Millisecond
-	coolMax      = 3 * time.Second
-	coolDoubling = 5
+	slotsPerQueuedRun    = 16
+	deepQueueRatio       = 1.0 // queued samples for each running one
+	minFailureCooldown   = 100 * time.Millisecond
+	refusalCooldown      = 50 * time.Millisecond
+	maxCooldown          = 3 * time.Second
+	maxCooldownDoublings = 5
 )
 
 // cooldown keeps new work off a server that just refused or failed. The fleet
 // and the VM list learn of it later; without it every queued sample would try
 // the dead server once.
 type cooldown struct {
-	until time.Time
-	fails int
+	until    time.Time
+	failures int
 }
 
-// chill keeps new runs off a server for a while. Steps.mu is held.
-func (s *Steps) chill(name string, how fleet.Outcome, advice time.Duration) {
+// startCooldown keeps new runs off a server for a while. Steps.mu is held.
+func (s *Steps) startCooldown(name string, outcome fleet.Outcome, retryAfter time.Duration) {
 	now := time.Now()
-	c := s.cool[name]
+	c := s.cooldowns[name]
 	if c == nil {
 		c = &cooldown{}
-		s.cool[name] = c
+		s.cooldowns[name] = c
 	}
 	if c.until.After(now) {
 		return
 	}
-	wait := max(coolRefused, min(advice, coolMax))
-	if how == fleet.Failed {
-		wait = min(coolFirst<<min(c.fails, coolDoubling), coolMax)
-		c.fails++
+	wait := max(refusalCooldown, min(retryAfter, maxCooldown))
+	if outcome == fleet.Failed {
+		wait = min(minFailureCooldown<<min(c.failures, maxCooldownDoublings), maxCooldown)
+		c.failures++
 	}
 	c.until = now.Add(wait)
 }
 
-// warm forgets a server's failures. Steps.mu is held.
-func (s *Steps) warm(name string) { delete(s.cool, name) }
+// clearCooldown forgets a server's failures. Steps.mu is held.
+func (s *Steps) clearCooldown(name string) { delete(s.cooldowns, name) }
 
 // schedule fills free slots whenever something changed.
 func (s *Steps) schedule() {
-	tick := time.NewTimer(tickEvery)
+	tick := time.NewTimer(tickInterval)
 	defer tick.Stop()
 	for {
 		changed := s.cfg.Fleet.Changed()
-		if s.pass() {
-			tick.Reset(tickEvery)
+		if s.schedulePass() {
+			tick.Reset(tickInterval)
 		} else {
-			tick.Reset(idleEvery)
+			tick.Reset(idleTickInterval)
 		}
 		select {
 		case <-s.ctx.Done():
@@ -81,67 +81,67 @@
 	}
 }
 
-// pass offers the free slots to the steps of this entry. It reports whether
+// schedulePass offers the free slots to the steps of this entry. It reports whether
 // there are steps under way.
-func (s *Steps) pass() (busy bool) {
+func (s *Steps) schedulePass() (busy bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	snap := s.cfg.Fleet.Snapshot()
-	active := s.active()
+	active := s.activeSteps()
 	for _, st := range active {
-		s.refresh(st)
+		s.refreshSettings(st)
 		s.raiseFloor(st, 0)
-		if st.plan.MeasurementDue(st.now()) {
-			st.observe()
+		if st.plan.MeasurementDue(st.elapsed()) {
+			st.reportProgress()
 		}
 	}
 	if len(active) > 1 {
 		for _, st := range active {
-			s.next(st, snap, share(st, active))
+			s.scheduleStep(st, snap, slotShare(st, active))
 		}
 	}
 	for _, st := range active {
-		s.next(st, snap, 1)
+		s.scheduleStep(st, snap, 1)
 	}
 	return len(active) > 0
 }
 
-// observe tells the plan how far the step's streams have come. Steps.mu is held.
-func (st *step) observe() {
+// reportProgress tells the plan how far the step's streams have come. Steps.mu is held.
+func (st *step) reportProgress() {
 	for id, r := range st.runs {
 		if tokens, chunks, version, last := r.progress(); chunks > 0 {
-			st.plan.Observe(id, tokens, chunks, version, last.Sub(st.began))
+			st.plan.Observe(id, tokens, chunks, version, last.Sub(st.startedAt))
 		}
 	}
 }
 
-// refresh puts the trainer's terms of the manifest in force to a step that was
+// refreshSettings puts the trainer's terms of the manifest in force to a step that was
 // posted under an older one.
-func (s *Steps) refresh(st *step) {
+func (s *Steps) refreshSettings(st *step) {
 	v := s.cfg.View.View()
 	if v == nil || v.Manifest == nil {
 		return
 	}
-	now, ok := v.Manifest.Trainers[st.trainer.Name]
-	if !ok || now.Model != st.trainer.Model {
+	current, ok := v.Manifest.Trainers[st.trainer.Name]
+	if !ok || current.Model != st.trainer.Model {
 		return
 	}
-	st.trainer.Mixed, st.trainer.StalenessBound = now.Mixed, now.StalenessBound
-	st.plan.UpdateSettings(now.Mixed, now.HedgePercent)
+	st.trainer.Mixed, st.trainer.StalenessBound = current.Mixed, current.StalenessBound
+	st.plan.UpdateSettings(current.Mixed, current.HedgePercent)
 }
 
-// active returns the steps that may get slots, in an order that rotates, and
+// activeSteps returns the steps that may get slots, in an order that rotates, and
 // gives up those whose trainer is gone.
-func (s *Steps) active() []*step {
+func (s *Steps) activeSteps() []*step {
 	var out []*step
 	for _, st := range s.steps {
-		if st.waiters == 0 && time.Since(st.touched) > s.cfg.IdleTimeout {
+		if st.waitingPulls == 0 && time.Since(st.lastRequestAt) > s.cfg.IdleTimeout {
 			s.cfg.Logger.Warn("Gave a step up; its trainer is silent.",
 				zap.String("trainer", st.key.Trainer), zap.Uint64("step", st.key.Step))
 			s.stop(st, kinds.New(kinds.Cancelled, "the trainer was silent for %v", s.cfg.IdleTimeout))
 			continue
 		}
-		if !st.holding && !st.plan.Done() {
+		if !st.collecting && !st.plan.Done() {
 			out = append(out, st)
 		}
 	}
@@ -151,17 +151,17 @@
 	if len(out) == 0 {
 		return nil
 	}
-	s.rotate++
-	turn := s.rotate % len(out)
-	return append(out[turn:], out[:turn]...)
+	s.rotation++
+	start := s.rotation % len(out)
+	return append(out[start:], out[:start]...)
 }
 
-// share is a step's part of the slots that this entry uses.
-func share(st *step, active []*step) float64 {
+// slotShare is a step's part of the slots that this entry uses.
+func slotShare(st *step, active []*step) float64 {
 	sum := 0.0
-	for _, o := range active {
-		if o.trainer.Model == st.trainer.Model {
-			sum += weight(o)
+	for _, other := range active {
+		if other.trainer.Model == st.trainer.Model {
+			sum += weight(other)
 		}
 	}
 	return weight(st) / sum
@@ -174,83 +174,83 @@
 	return 1
 }
 
-// next lets one step's plan act on up to a share of each server's slots.
-func (s *Steps) next(st *step, snap *fleet.Snapshot, part float64) {
-	servers := s.servers(st, snap)
-	if part < 1 {
-		mine := map[string]int{}
+// scheduleStep lets one step's plan act on up to a share of each server's slots.
+func (s *Steps) scheduleStep(st *step, snap *fleet.Snapshot, share float64) {
+	servers := s.eligibleServers(st, snap)
+	if share < 1 {
+		ownRuns := map[string]int{}
 		for _, r := range st.runs {
-			mine[r.server.Name]++
+			ownRuns[r.server.Name]++
 		}
 		for i := range servers {
 			sv := &servers[i]
 			if sv.Leaving {
 				continue
 			}
-			own := int(part*float64(slots(snap.ByName[sv.Name].State))) - mine[sv.Name]
-			sv.Free = max(0, min(sv.Free, own))
+			remaining := int(share*float64(slots(snap.ByName[sv.Name].State))) - ownRuns[sv.Name]
+			sv.Free = max(0, min(sv.Free, remaining))
 		}
 	}
-	if s.leaving {
+	if s.redirecting {
 		for i := range servers {
 			servers[i].Free = 0
 		}
 	}
-	s.act(st, st.plan.Next(st.now(), servers), snap)
+	s.execute(st, st.plan.Next(st.elapsed(), servers), snap)
 }
 
-// servers returns the engines that may get runs of the step.
-func (s *Steps) servers(st *step, snap *fleet.Snapshot) []straggle.Server {
-	now, usable := time.Now(), 0
+// eligibleServers returns the engines that may get runs of the step.
+func (s *Steps) eligibleServers(st *step, snap *fleet.Snapshot) []straggle.Server {
+	now, usableCount := time.Now(), 0
 	stats := st.plan.Stats()
-	deep := float64(stats.Queued) > deepStep*float64(stats.Running)
+	deepQueue := float64(stats.Queued) > deepQueueRatio*float64(stats.Running)
 	var leaving map[string]bool
 	if v := s.cfg.View.View(); v != nil && v.Manifest != nil {
 		leaving = v.Manifest.Leaving
 	}
-	var good, ejected []straggle.Server // good holds the leaving ones too, to be moved off
+	var eligible, ejected []straggle.Server // good holds the leaving ones too, to be moved off
 	for _, sv := range snap.By["model/"+st.trainer.Model] {
 		state := sv.State
 		if leaving[sv.Name] || state.GetLeaving() {
-			good = append(good, straggle.Server{Name: sv.Name, Leaving: true})
+			eligible = append(eligible, straggle.Server{Name: sv.Name, Leaving: true})
 			continue
 		}
 		if !sv.Ready() || state.GetVersion() == 0 || state.GetVersion() < st.floor {
 			continue
 		}
-		if c := s.cool[sv.Name]; c != nil && c.until.After(now) {
+		if c := s.cooldowns[sv.Name]; c != nil && c.until.After(now) {
 			continue
 		}
-		out := s.view(sv, deep)
+		out := s.view(sv, deepQueue)
 		if sv.Ejected {
 			ejected = append(ejected, out)
 			continue
 		}
-		good = append(good, out)
-		usable++
+		eligible = append(eligible, out)
+		usableCount++
 	}
-	if usable == 0 {
-		good = append(good, ejected...)
+	if usableCount == 0 {
+		eligible = append(eligible, ejected...)
 	}
-	return good
+	return eligible
 }
 
 // view corrects a server's report, which lags, by what this entry has sent
 // and seen end since. deep: much of the step is queued.
-func (s *Steps) view(sv *fleet.Server, deep bool) straggle.Server {
+func (s *Steps) view(sv *fleet.Server, deepQueue bool) straggle.Server {
 	state := sv.State
-	mine := s.cfg.Fleet.InFlightNow(sv.Name)
+	ownInFlight := s.cfg.Fleet.InFlightNow(sv.Name)
 	others := max(0, int(state.GetRunning()+state.GetQueued())-sv.InFlight)
-	free := slots(state) - others - mine
+	free := slots(state) - others - ownInFlight
 	full := free <= 0
-	if full && (others > 0 || deep) && s.waiting[sv.Name] < 1+slots(state)/windowShare {
+	if full && (others > 0 || deepQueue) && s.unstartedRuns[sv.Name] < 1+slots(state)/slotsPerQueuedRun {
 		free = 1
 	}
 	return straggle.Server{
 		Name:       sv.Name,
 		Free:       free,
 		SlotsFull:  full,
-		Running:    min(others+mine, slots(state)),
+		Running:    min(others+ownInFlight, slots(state)),
 		StreamRate: state.GetStreamTokensPerS(),
 		Version:    state.GetVersion(),
 		Swapping:   state.GetSwapping(),
--- a/entry/steps/score.go
+++ b/entry/steps/score.go
@@ -22,7 +22,7 @@
 
 const (
 	scoreTimeout    = 10 * time.Second
-	scoreBackoff    = 100 * time.Millisecond
+	minScoreBackoff = 100 * time.Millisecond
 	maxScoreBackoff = 5 * time.Second
 )
 
@@ -39,9 +39,9 @@
 	Score *float64 `json:"score"`
 }
 
-// scoreUntilDone asks the scorer until it answers. Generation goes on beside
+// scoreWithRetries asks the scorer until it answers. Generation goes on beside
 // it. Only the first answer is taken; a later one finds its call cancelled.
-func (s *Steps) scoreUntilDone(st *step, sm *sample) {
+func (s *Steps) scoreWithRetries(st *step, sm *sample) {
 	body, err := json.Marshal(scoreRequest{
 		Trainer: st.key.Trainer, Step: st.key.Step, Group: sm.group.id, Index: sm.index,
 		Prompt: sm.group.spec.Prompt, Text: sm.done.GetText(),
@@ -52,29 +52,29 @@
 	subject := s.cfg.Quarantine.Subject(func() poison.Content {
 		return poison.Content{Caller: st.key.Trainer, Method: http.MethodPost, Host: st.trainer.Scorer, URI: st.trainer.ScorerPath, Body: body}
 	})
-	for wait := scoreBackoff; ; wait = min(2*wait, maxScoreBackoff) {
+	for wait := minScoreBackoff; ; wait = min(2*wait, maxScoreBackoff) {
 		score, err := s.score(st, subject, body)
 		if err == nil {
 			subject.Survived()
-			s.scored(st, sm, score)
+			s.recordScore(st, sm, score)
 			return
 		}
-		s.noteEnd(subject, st.name(sm), err)
-		s.cfg.Explain.Add(st.ctx, "steps", st.name(sm), "not scored", err.Error())
+		s.recordServerEnd(subject, st.sampleName(sm), err)
+		s.cfg.Explain.Add(st.ctx, "steps", st.sampleName(sm), "not scored", err.Error())
 		if !sleep.For(st.ctx, wait) {
 			return
 		}
 	}
 }
 
-func (s *Steps) scored(st *step, sm *sample, score float64) {
+func (s *Steps) recordScore(st *step, sm *sample, score float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if st.stopped != nil {
+	if st.stopReason != nil {
 		return
 	}
 	sm.score = &score
-	s.settle(st, sm)
+	s.completeSample(st, sm)
 }
 
 // score makes one call to the scorer, at its least loaded server.
@@ -82,7 +82,7 @@
 	if subject.Verdict() == poison.Quarantined {
 		return 0, kinds.Hold().Refuse(kinds.Quarantined, "each server of scorer %s that ran it crashed", st.trainer.Scorer)
 	}
-	sv := s.scorer(st.trainer.Scorer)
+	sv := s.leastLoadedScorer(st.trainer.Scorer)
 	if sv == nil {
 		return 0, kinds.Hold().Refuse(kinds.NoServer, "no server of scorer %s is ready", st.trainer.Scorer)
 	}
@@ -113,7 +113,7 @@
 	return scoreTimeout
 }
 
-func (s *Steps) scorer(service string) *fleet.Server {
+func (s *Steps) leastLoadedScorer(service string) *fleet.Server {
 	var best *fleet.Server
 	least := 0
 	for _, sv := range s.cfg.Fleet.Snapshot().By["service/"+service] {
@@ -150,12 +150,12 @@
 	if err := stream.CloseSend(); err != nil {
 		return 0, err
 	}
-	return decode(stream)
+	return readScore(stream)
 }
 
-// decode reads a scorer's answer. It counts only with its CallEnd: a cut
+// readScore reads a scorer's answer. It counts only with its CallEnd: a cut
 // answer may still look like whole JSON.
-func decode(stream pb.Agent_CallClient) (float64, error) {
+func readScore(stream pb.Agent_CallClient) (float64, error) {
 	var status int32
 	var data []byte
 	for {
@@ -171,12 +171,12 @@
 		case *pb.CallReply_Body:
 			data = append(data, part.Body...)
 		case *pb.CallReply_End:
-			return scoreOf(status, data)
+			return parseScore(status, data)
 		}
 	}
 }
 
-func scoreOf(status int32, data []byte) (float64, error) {
+func parseScore(status int32, data []byte) (float64, error) {
 	if status != http.StatusOK {
 		return 0, fmt.Errorf("scorer answered %d", status)
 	}
--- a/entry/steps/step.go
+++ b/entry/steps/step.go
@@ -20,49 +20,49 @@
 
 // sample is one sample's state beside the plan's.
 type sample struct {
-	group   *group
-	index   uint32
-	partial *partial         // what a lost run had made
-	done    *pb.GenerateDone // finished
-	score   *float64
-	tries   int                 // losses so far
-	subject *quarantine.Subject // nil: not needed yet
-	held    bool                // it was logged that the sample is in quarantine
+	group          *group
+	index          uint32
+	partial        *partial         // what a lost run had made
+	done           *pb.GenerateDone // finished
+	score          *float64
+	losses         int                 // losses so far
+	subject        *quarantine.Subject // nil: not needed yet
+	heldBackLogged bool                // it was logged that the sample is in quarantine
 }
 
 type group struct {
-	id      string
-	wire    string // id and terms, as agents know the group
-	spec    GroupSpec
-	samples []*sample
-	open    int // samples that are not complete
+	id         string
+	wireID     string // id and terms, as agents know the group
+	spec       GroupSpec
+	samples    []*sample
+	incomplete int // samples that are not complete
 }
 
 // step is one step that this entry owns. Guarded by Steps.mu.
 type step struct {
-	key     foldsteps.Key
-	attempt uint64          // never changes
-	epoch   foldsteps.Epoch // with the claim once it is known
-	claimID string
-	trainer manifest.Trainer
-	digest  [sha256.Size]byte // of what was posted
-	began   time.Time
-	touched time.Time // when the trainer last asked
-	waiters int       // GETs that wait now
-	floor   uint64
-	plan    *straggle.Plan
-	samples []*sample
-	runs    map[straggle.RunID]*run
-	byID    map[sampleKey]int
-	total   int
-	ready   []*group // in the order of completion; nil once acknowledged
-	acked   int
-	holding bool // waits for agents to tell what they hold
-	changed chan struct{}
-	stopped *kinds.Error
-	ctx     context.Context
-	cancel  context.CancelFunc
-	counted straggle.Stats // already in the metrics
+	key           foldsteps.Key
+	attempt       uint64          // never changes
+	epoch         foldsteps.Epoch // with the claim once it is known
+	claimID       string
+	trainer       manifest.Trainer
+	digest        [sha256.Size]byte // of what was posted
+	startedAt     time.Time
+	lastRequestAt time.Time // when the trainer last asked
+	waitingPulls  int       // GETs that wait now
+	floor         uint64
+	plan          *straggle.Plan
+	samples       []*sample
+	runs          map[straggle.RunID]*run
+	indexByKey    map[sampleKey]int
+	groupCount    int
+	ready         []*group // in the order of completion; nil once acknowledged
+	acked         int
+	collecting    bool // waits for agents to tell what they hold
+	changed       chan struct{}
+	stopReason    *kinds.Error
+	ctx           context.Context
+	cancel        context.CancelFunc
+	reportedStats straggle.Stats // already in the metrics
 }
 
 type sampleKey struct {
@@ -76,11 +76,11 @@
 	st.changed = make(chan struct{})
 }
 
-func (st *step) now() time.Duration { return time.Since(st.began) }
+func (st *step) elapsed() time.Duration { return time.Since(st.startedAt) }
 
-func (st *step) complete() bool { return len(st.ready) == st.total }
+func (st *step) isComplete() bool { return len(st.ready) == st.groupCount }
 
-func (st *step) name(sm *sample) string {
+func (st *step) sampleName(sm *sample) string {
 	return fmt.Sprintf("%s/%d/%s/%d", st.key.Trainer, st.key.Step, sm.group.id, sm.index)
 }
 
@@ -88,16 +88,16 @@
 func (s *Steps) newStep(ctx context.Context, t manifest.Trainer, req PostRequest, digest [sha256.Size]byte) *step {
 	now := time.Now()
 	st := &step{
-		key:     foldsteps.Key{Trainer: t.Name, Step: req.Step},
-		attempt: req.Attempt,
-		epoch:   foldsteps.Epoch{Attempt: req.Attempt},
-		trainer: t,
-		digest:  digest,
-		began:   now,
-		touched: now,
-		runs:    map[straggle.RunID]*run{},
-		byID:    map[sampleKey]int{},
-		changed: make(chan struct{}),
+		key:           foldsteps.Key{Trainer: t.Name, Step: req.Step},
+		attempt:       req.Attempt,
+		epoch:         foldsteps.Epoch{Attempt: req.Attempt},
+		trainer:       t,
+		digest:        digest,
+		startedAt:     now,
+		lastRequestAt: now,
+		runs:          map[straggle.RunID]*run{},
+		indexByKey:    map[sampleKey]int{},
+		changed:       make(chan struct{}),
 	}
 	st.claimID = fmt.Sprintf("%s/%d/%d/%s/%d", t.Name, req.Step, req.Attempt, s.cfg.Name, now.UnixNano())
 	st.ctx, st.cancel = context.WithCancel(context.WithoutCancel(ctx))
@@ -110,21 +110,21 @@
 		if have[spec.ID] {
 			continue
 		}
-		groups = append(groups, st.add(spec))
+		groups = append(groups, st.addGroup(spec))
 	}
 	st.plan = straggle.New(s.planConfig(t), groups)
 	return st
 }
 
-func (st *step) add(spec GroupSpec) straggle.Group {
-	g := &group{id: spec.ID, wire: wireID(spec), spec: spec, open: spec.Samples}
+func (st *step) addGroup(spec GroupSpec) straggle.Group {
+	g := &group{id: spec.ID, wireID: wireID(spec), spec: spec, incomplete: spec.Samples}
 	for i := range spec.Samples {
 		sm := &sample{group: g, index: uint32(i)}
 		g.samples = append(g.samples, sm)
-		st.byID[sampleKey{g.wire, sm.index}] = len(st.samples)
+		st.indexByKey[sampleKey{g.wireID, sm.index}] = len(st.samples)
 		st.samples = append(st.samples, sm)
 	}
-	st.total++
+	st.groupCount++
 	return straggle.Group{
 		Samples:   spec.Samples,
 		MaxTokens: spec.MaxTokens,
@@ -156,8 +156,8 @@
 // other seeds or limits under the same ids would otherwise be given what agents
 // hold of the old ones.
 func wireID(g GroupSpec) string {
-	terms := fmt.Sprintf("%d/%d/%s", g.Seed, g.MaxTokens, g.Prompt)
-	return fmt.Sprintf("%s#%016x", g.ID, xxhash.Sum64String(terms))
+	parameters := fmt.Sprintf("%d/%d/%s", g.Seed, g.MaxTokens, g.Prompt)
+	return fmt.Sprintf("%s#%016x", g.ID, xxhash.Sum64String(parameters))
 }
 
 // seed returns the seed that the sample is generated with.
@@ -169,71 +169,71 @@
 }
 
 // stop ends a step here: its runs are cancelled and its trainer is told why.
-func (s *Steps) stop(st *step, why *kinds.Error) {
-	if st.stopped != nil {
+func (s *Steps) stop(st *step, reason *kinds.Error) {
+	if st.stopReason != nil {
 		return
 	}
-	st.stopped = why
+	st.stopReason = reason
 	st.cancel()
 	for _, r := range st.runs {
 		r.cancel()
 	}
-	st.count()
+	st.updateMetrics()
 	st.notify()
 	if s.steps[st.key] == st {
 		delete(s.steps, st.key)
 	}
-	s.poke()
+	s.wakeScheduler()
 }
 
-// count adds what the plan did since the last call to the metrics.
-func (st *step) count() {
-	now, old := st.plan.Stats(), st.counted
-	finishedTotal.Add(int64(now.Finished - old.Finished))
-	tokensTotal.Add(int64(now.Tokens - old.Tokens))
-	wastedTotal.Add(int64(now.Wasted - old.Wasted))
-	hedgesTotal.Add(int64(now.Hedges - old.Hedges))
-	movesTotal.Add(int64(now.Moves - old.Moves))
-	st.counted = now
+// updateMetrics adds what the plan did since the last call to the metrics.
+func (st *step) updateMetrics() {
+	current, previous := st.plan.Stats(), st.reportedStats
+	finishedTotal.Add(int64(current.Finished - previous.Finished))
+	tokensTotal.Add(int64(current.Tokens - previous.Tokens))
+	wastedTotal.Add(int64(current.Wasted - previous.Wasted))
+	hedgesTotal.Add(int64(current.Hedges - previous.Hedges))
+	movesTotal.Add(int64(current.Moves - previous.Moves))
+	st.reportedStats = current
 }
 
-// finish takes the result of a sample, from a run or found at an agent.
-func (s *Steps) finish(st *step, sm *sample, done *pb.GenerateDone) {
+// recordResult takes the result of a sample, from a run or found at an agent.
+func (s *Steps) recordResult(st *step, sm *sample, done *pb.GenerateDone) {
 	sm.done = done
 	sm.partial = nil
-	st.count()
+	st.updateMetrics()
 	if st.trainer.Scorer == "" {
-		s.settle(st, sm)
+		s.completeSample(st, sm)
 		return
 	}
-	s.goDo(func() { s.scoreUntilDone(st, sm) })
+	s.spawn(func() { s.scoreWithRetries(st, sm) })
 }
 
-// settle counts a complete sample; with its last one a group can be delivered.
-func (s *Steps) settle(st *step, sm *sample) {
-	sm.group.open--
-	if sm.group.open > 0 {
+// completeSample counts a complete sample; with its last one a group can be delivered.
+func (s *Steps) completeSample(st *step, sm *sample) {
+	sm.group.incomplete--
+	if sm.group.incomplete > 0 {
 		return
 	}
 	st.ready = append(st.ready, sm.group)
 	st.notify()
 }
 
-// trainerNewest is the newest version that the trainer is known to have, by
+// newestVersion is the newest version that the trainer is known to have, by
 // its own word: in the step request or announced. It only rises.
-func (s *Steps) trainerNewest(t manifest.Trainer, said uint64) uint64 {
+func (s *Steps) newestVersion(t manifest.Trainer, reported uint64) uint64 {
 	key := t.Name + "/" + t.Model // versions of another model say nothing of this one
-	newest := max(s.newest[key], said)
+	newest := max(s.newestVersions[key], reported)
 	if v := s.cfg.View.View(); v != nil {
 		newest = max(newest, v.Versions[t.Model])
 	}
-	s.newest[key] = newest
+	s.newestVersions[key] = newest
 	return newest
 }
 
 // raiseFloor keeps the step's floor up with its trainer's newest version.
-func (s *Steps) raiseFloor(st *step, said uint64) {
-	floor := fresh.Floor(s.trainerNewest(st.trainer, said), st.trainer.StalenessBound)
+func (s *Steps) raiseFloor(st *step, reported uint64) {
+	floor := fresh.Floor(s.newestVersion(st.trainer, reported), st.trainer.StalenessBound)
 	if floor <= st.floor {
 		return
 	}
--- a/entry/steps/steps.go
+++ b/entry/steps/steps.go
@@ -31,7 +31,7 @@
 
 const (
 	defaultIdleTimeout = 2 * time.Minute
-	defaultHeldWait    = 500 * time.Millisecond
+	defaultMaxHeldWait = 500 * time.Millisecond
 	defaultMaxBody     = 64 << 20
 )
 
@@ -62,9 +62,9 @@
 	// IdleTimeout: a step that its trainer has not asked about for so long is
 	// given up.
 	IdleTimeout time.Duration
-	// HeldWait bounds how long a taken-over step waits for agents to tell
+	// MaxHeldWait bounds how long a taken-over step waits for agents to tell
 	// what they hold before it generates.
-	HeldWait time.Duration
+	MaxHeldWait time.Duration
 	// MaxBody bounds a posted step, in bytes.
 	MaxBody int64
 	// Plan overrides limits of the straggler decisions; zero: defaults.
@@ -81,8 +81,8 @@
 	if c.IdleTimeout == 0 {
 		c.IdleTimeout = defaultIdleTimeout
 	}
-	if c.HeldWait == 0 {
-		c.HeldWait = defaultHeldWait
+	if c.MaxHeldWait == 0 {
+		c.MaxHeldWait = defaultMaxHeldWait
 	}
 	if c.MaxBody == 0 {
 		c.MaxBody = defaultMaxBody
@@ -91,15 +91,15 @@
 }
 
 var (
-	finishedTotal  = metrics.Counter("steps_samples_finished_total")
-	lostTotal      = metrics.Counter("steps_runs_lost_total")
-	discardedTotal = metrics.Counter("steps_samples_discarded_total")
-	hedgesTotal    = metrics.Counter("steps_hedges_total")
-	movesTotal     = metrics.Counter("steps_moves_total")
-	wastedTotal    = metrics.Counter("steps_wasted_tokens_total")
-	tokensTotal    = metrics.Counter("steps_tokens_total")
-	adoptedTotal   = metrics.Counter("steps_samples_adopted_total")
-	takenOverTotal = metrics.Counter("steps_superseded_total")
+	finishedTotal   = metrics.Counter("steps_samples_finished_total")
+	lostTotal       = metrics.Counter("steps_runs_lost_total")
+	discardedTotal  = metrics.Counter("steps_samples_discarded_total")
+	hedgesTotal     = metrics.Counter("steps_hedges_total")
+	movesTotal      = metrics.Counter("steps_moves_total")
+	wastedTotal     = metrics.Counter("steps_wasted_tokens_total")
+	tokensTotal     = metrics.Counter("steps_tokens_total")
+	adoptedTotal    = metrics.Counter("steps_samples_adopted_total")
+	supersededTotal = metrics.Counter("steps_superseded_total")
 )
 
 // Steps owns steps. It is safe for concurrent use.
@@ -110,41 +110,41 @@
 	wg     sync.WaitGroup
 	wake   chan struct{} // holds one token: the scheduler has something to do
 
-	mu       sync.Mutex
-	steps    map[foldsteps.Key]*step
-	owners   *foldsteps.State
-	newest   map[string]uint64 // trainer and model -> newest version by its own word
-	cool     map[string]*cooldown
-	waiting  map[string]int // server -> runs sent that haven't started there
-	rand     *rand.Rand
-	draining bool // takes no new steps
-	leaving  bool // sends trainers elsewhere
-	rotate   int
+	mu             sync.Mutex
+	steps          map[foldsteps.Key]*step
+	owners         *foldsteps.State
+	newestVersions map[string]uint64 // trainer and model -> newest version by its own word
+	cooldowns      map[string]*cooldown
+	unstartedRuns  map[string]int // server -> runs sent that haven't started there
+	rand           *rand.Rand
+	draining       bool // takes no new steps
+	redirecting    bool // sends trainers elsewhere
+	rotation       int
 }
 
 // New returns Steps and starts its scheduler and its reader of the log.
 // Drain or Close ends them.
 func New(cfg Config) *Steps {
 	s := &Steps{
-		cfg:     cfg.withDefaults(),
-		wake:    make(chan struct{}, 1),
-		steps:   map[foldsteps.Key]*step{},
-		owners:  foldsteps.New(),
-		newest:  map[string]uint64{},
-		cool:    map[string]*cooldown{},
-		waiting: map[string]int{},
-		rand:    rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		cfg:            cfg.withDefaults(),
+		wake:           make(chan struct{}, 1),
+		steps:          map[foldsteps.Key]*step{},
+		owners:         foldsteps.New(),
+		newestVersions: map[string]uint64{},
+		cooldowns:      map[string]*cooldown{},
+		unstartedRuns:  map[string]int{},
+		rand:           rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
-	metrics.Gauge("steps_owned", func() any { return s.owned() })
-	s.goDo(s.schedule)
+	metrics.Gauge("steps_owned", func() any { return s.stepCount() })
+	s.spawn(s.schedule)
 	if s.cfg.Log != nil {
-		s.goDo(s.follow)
+		s.spawn(s.followLog)
 	}
 	return s
 }
 
-func (s *Steps) goDo(f func()) {
+func (s *Steps) spawn(f func()) {
 	s.wg.Add(1)
 	go func() {
 		defer s.wg.Done()
@@ -152,7 +152,7 @@
 	}()
 }
 
-func (s *Steps) owned() int {
+func (s *Steps) stepCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.steps)
@@ -183,9 +183,9 @@
 	return mux
 }
 
-// drainShare of the time to drain is given to steps to end here; in the rest
+// finishShare of the time to drain is given to steps to end here; in the rest
 // their trainers go to other entries.
-const drainShare = 0.75
+const finishShare = 0.75
 
 // Drain ends Steps for a planned stop: it takes no new step, goes on with its
 // own until they end or most of ctx's time is over, then sends the trainers
@@ -196,25 +196,25 @@
 	s.mu.Lock()
 	s.draining = true
 	s.mu.Unlock()
-	first, cancel := ctx, context.CancelFunc(func() {})
+	finishCtx, cancel := ctx, context.CancelFunc(func() {})
 	if deadline, ok := ctx.Deadline(); ok {
-		limit := time.Duration(drainShare * float64(time.Until(deadline)))
-		first, cancel = context.WithTimeout(ctx, limit)
+		limit := time.Duration(finishShare * float64(time.Until(deadline)))
+		finishCtx, cancel = context.WithTimeout(ctx, limit)
 	}
 	defer cancel()
-	if s.await(first, func() bool { return len(s.steps) == 0 }) == nil {
+	if s.pollUntil(finishCtx, func() bool { return len(s.steps) == 0 }) == nil {
 		return nil
 	}
 	s.mu.Lock()
-	s.leaving = true
+	s.redirecting = true
 	for _, st := range s.steps {
 		st.notify()
 	}
 	s.mu.Unlock()
-	return s.await(ctx, func() bool { return len(s.steps) == 0 || s.running() == 0 })
+	return s.pollUntil(ctx, func() bool { return len(s.steps) == 0 || s.runCount() == 0 })
 }
 
-func (s *Steps) running() int {
+func (s *Steps) runCount() int {
 	n := 0
 	for _, st := range s.steps {
 		n += len(st.runs)
@@ -222,14 +222,14 @@
 	return n
 }
 
-// await polls a condition under the lock.
-func (s *Steps) await(ctx context.Context, done func() bool) error {
-	const every = 20 * time.Millisecond
-	t := time.NewTicker(every)
+// pollUntil polls a condition under the lock.
+func (s *Steps) pollUntil(ctx context.Context, condition func() bool) error {
+	const pollInterval = 20 * time.Millisecond
+	t := time.NewTicker(pollInterval)
 	defer t.Stop()
 	for {
 		s.mu.Lock()
-		ok := done()
+		ok := condition()
 		s.mu.Unlock()
 		if ok {
 			return nil
@@ -254,7 +254,7 @@
 	s.wg.Wait()
 }
 
-func (s *Steps) poke() {
+func (s *Steps) wakeScheduler() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
--- a/entry/steps/steps_test.go
+++ b/entry/steps/steps_test.go
@@ -6,12 +6,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestStepComesWhole(t *testing.T) {
+func TestStepDeliversAllGroups(t *testing.T) {
 	inBubble(t, func(w *world) {
 		w.agents(3, 4, 100)
 		w.entry("a")
 		got := w.run(w.client("a"), step(8, 4))
-		made, used := w.made(got)
-		require.Equal(t, used, made, "nothing is wasted when nothing fails")
+		generated, used := w.countTokens(got)
+		require.Equal(t, used, generated, "nothing is wasted when nothing fails")
 	})
 }
--- a/entry/steps/world_test.go
+++ b/entry/steps/world_test.go
@@ -71,18 +71,18 @@
 	mu sync.Mutex
 	// fault sees each request; it may act, and its answer says what becomes
 	// of the exchange.
-	fault func(r *http.Request) fate
-	calls map[string]int // "METHOD host" -> count
-	old   *httptest.ResponseRecorder
+	fault          func(r *http.Request) delivery
+	calls          map[string]int // "METHOD host" -> count
+	previousAnswer *httptest.ResponseRecorder
 }
 
-type fate uint8
+type delivery uint8
 
 const (
-	deliver fate = iota
-	loseRequest
-	loseAnswer
-	oldAnswer // of entry a's last GET, instead of this one's
+	deliver delivery = iota
+	dropRequest
+	dropAnswer
+	replayAnswer // of entry a's last GET, instead of this one's
 )
 
 func inBubble(t *testing.T, f func(w *world)) {
@@ -96,8 +96,8 @@
 func newWorld(t testing.TB) *world {
 	w := &world{
 		t:       t,
-		fleet:   &fakeFleet{flying: map[string]int{}, changed: make(chan struct{})},
-		log:     &fakeLog{more: make(chan struct{})},
+		fleet:   &fakeFleet{inFlight: map[string]int{}, changed: make(chan struct{})},
+		log:     &fakeLog{appended: make(chan struct{})},
 		entries: map[string]*steps.Steps{},
 		calls:   map[string]int{},
 		ring:    explain.New("test", 4096),
@@ -120,8 +120,8 @@
 	}
 }
 
-// terms changes the trainer's terms.
-func (w *world) terms(change func(*manifest.Trainer)) {
+// configureTrainer changes the trainer's configureTrainer.
+func (w *world) configureTrainer(change func(*manifest.Trainer)) {
 	tr := w.view.v.Manifest.Trainers["t"]
 	change(&tr)
 	w.view.v.Manifest.Trainers["t"] = tr
@@ -149,11 +149,11 @@
 	w.calls[r.Method+" "+r.URL.Host]++
 	fault, s := w.fault, w.entries[r.URL.Host]
 	w.mu.Unlock()
-	what := deliver
+	action := deliver
 	if fault != nil {
-		what = fault(r)
+		action = fault(r)
 	}
-	if what == loseRequest || s == nil {
+	if action == dropRequest || s == nil {
 		return nil, fmt.Errorf("connection refused")
 	}
 	rec := httptest.NewRecorder()
@@ -163,7 +163,7 @@
 		s.Handler().ServeHTTP(rec, r)
 	}()
 	<-done
-	if what == loseAnswer {
+	if action == dropAnswer {
 		return nil, fmt.Errorf("connection reset")
 	}
 	if r.Context().Err() != nil {
@@ -171,19 +171,19 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if what == oldAnswer && w.old != nil {
-		return response(w.old), nil
+	if action == replayAnswer && w.previousAnswer != nil {
+		return response(w.previousAnswer), nil
 	}
 	if r.Method == http.MethodGet && r.URL.Host == "a" {
-		w.old = rec
+		w.previousAnswer = rec
 	}
 	return response(rec), nil
 }
 
-func (w *world) oldHasGroups() bool {
+func (w *world) previousAnswerHasGroups() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.old != nil && strings.Contains(w.old.Body.String(), `"text"`)
+	return w.previousAnswer != nil && strings.Contains(w.previousAnswer.Body.String(), `"text"`)
 }
 
 // response makes a new response at each call, unlike the recorder's Result.
@@ -191,7 +191,7 @@
 	return &http.Response{StatusCode: rec.Code, Header: rec.Header(), Body: io.NopCloser(bytes.NewReader(rec.Body.Bytes()))}
 }
 
-func (w *world) setFault(f func(r *http.Request) fate) {
+func (w *world) setFault(f func(r *http.Request) delivery) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.fault = f
@@ -256,7 +256,7 @@
 }
 
 func (w *world) check(g trainer.GroupSpec, s trainer.Sample) {
-	versions, err := truth(g.Prompt, g.Seed+uint64(s.Index), s.Text)
+	versions, err := parseTokens(g.Prompt, g.Seed+uint64(s.Index), s.Text)
 	require.NoError(w.t, err)
 	require.Len(w.t, versions, int(s.Tokens))
 	for _, sp := range s.Spans {
@@ -266,11 +266,11 @@
 	}
 }
 
-// made counts the tokens that the engines made and the trainer got.
-func (w *world) made(got []trainer.Group) (made, used int) {
+// countTokens counts the tokens that the engines countTokens and the trainer got.
+func (w *world) countTokens(got []trainer.Group) (generated, used int) {
 	for _, a := range w.fleet.agents {
 		a.mu.Lock()
-		made += a.made
+		generated += a.generatedTokens
 		a.mu.Unlock()
 	}
 	for _, g := range got {
@@ -278,11 +278,11 @@
 			used += int(s.Tokens)
 		}
 	}
-	return made, used
+	return generated, used
 }
 
-// status is what an entry answers to a GET of the trainer.
-func (w *world) status(entry, path string) int {
+// getStatus is what an entry answers to a GET of the trainer.
+func (w *world) getStatus(entry, path string) int {
 	r := httptest.NewRequest(http.MethodGet, path, nil)
 	r.Header.Set("Authorization", "Bearer "+secret)
 	rec := httptest.NewRecorder()
@@ -301,8 +301,8 @@
 	require.Equal(w.t, http.StatusOK, rec.Code, rec.Body.String())
 }
 
-// copyTo delivers a copy of a POST to another entry.
-func (w *world) copyTo(entry string, r *http.Request) {
+// copyPost delivers a copy of a POST to another entry.
+func (w *world) copyPost(entry string, r *http.Request) {
 	body, err := r.GetBody()
 	require.NoError(w.t, err)
 	dup := r.Clone(r.Context())
