--- a/entry/steps/bench_test.go
+++ b/entry/steps/bench_test.go
@@ -10,11 +10,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// BenchmarkStep runs whole steps at one entry with 40 agents of 32 slots and
-// samples of 304 tokens in chunks of 8. It reports the processor time by
-// sample, with that of the fake agents and the client, and the live heap by
-// sample when all are done and none is pulled. The slope between the sizes is
-// what a sample costs.
+// BenchmarkStep runs whole steps at one entry with 40 agents of 32 slots and samples of
+// 304 tokens in chunks of 8. It reports the processor time per sample, including that of
+// the fake agents and the client, and the live heap per sample when all samples are done
+// and none was pulled. The slope between the sizes is the cost of a sample.
 func BenchmarkStep(b *testing.B) {
 	for _, samples := range []int{256, 1024, 2048} {
 		b.Run(fmt.Sprint(samples), func(b *testing.B) {
--- a/entry/steps/claim.go
+++ b/entry/steps/claim.go
@@ -23,11 +23,11 @@
 	logLineInterval    = 10 * time.Second
 )
 
-// appendClaim writes the step's appendClaim to the log, beside the generation, which
-// never waits for it: with the log down the trainer's attempt alone orders
-// the owners. The reader of the log adopts the appendClaim when it stands there, so
-// an append whose answer was lost needs no special care: its repeat has the
-// same record id and the fold ignores the second.
+// appendClaim appends the step's claim to the log, in parallel to generation, which
+// never waits for it: while the log is unavailable, only the attempt that the trainer
+// chose orders the owners. followLog adopts the claim when it reads it from the log, so
+// an append whose answer was lost needs no special handling: the retry has the same
+// record id and foldsteps.State ignores the second record.
 func (s *Steps) appendClaim(st *step) {
 	data := foldsteps.Encode(foldsteps.Claim{
 		ID: st.claimID, Trainer: st.key.Trainer, Step: st.key.Step, Attempt: st.attempt, Entry: s.cfg.Name,
@@ -58,13 +58,13 @@
 	for s.ctx.Err() == nil {
 		page, err := s.cfg.Log.Read(s.ctx, platform.StreamSteps, nextOffset, maxReadRecords, maxReadWait)
 		if errors.Is(err, platform.ErrTruncated) {
-			// Claims that are no longer kept are of steps that ended, or of
-			// this entry's own, which it knows.
+			// Claims that the log no longer keeps belong to steps that have ended, or
+			// were appended by this entry, which knows them.
 			nextOffset = page.First
 			continue
 		}
 		if err != nil {
-			logger.Warn("the log can't be read; attempts alone order the owners", zap.Error(err))
+			logger.Warn("The log can't be read, so only attempts order the owners of a step.", zap.Error(err))
 			sleep.For(s.ctx, readRetryDelay)
 			continue
 		}
@@ -83,9 +83,9 @@
 	}
 }
 
-// applyChange adopts this entry's own claim and gives way to another owner's. An
-// owner that was paused learns here that it lost its step and stops spending
-// tokens on it; its trainer left it long before.
+// applyChange adopts this entry's own claim, and stops a step that another entry
+// owns. An owner that was suspended finds out here that it lost its step and stops
+// generating tokens for it; by then its trainer has long switched to the new owner.
 func (s *Steps) applyChange(c foldsteps.Change) {
 	st := s.steps[c.Key]
 	if st == nil || c.Owner.Epoch.Attempt < st.attempt {
@@ -96,7 +96,7 @@
 		return
 	}
 	supersededTotal.Add(1)
-	s.cfg.Logger.Info("Another entry took a step over.", zap.String("trainer", c.Key.Trainer),
+	s.cfg.Logger.Info("Another entry took over a step.", zap.String("trainer", c.Key.Trainer),
 		zap.Uint64("step", c.Key.Step), zap.String("by", c.Owner.Entry), logs.Trace(st.ctx))
 	s.stop(st, errSuperseded(c.Key, c.Owner))
 }
--- a/entry/steps/concurrent_pulls_test.go
+++ b/entry/steps/concurrent_pulls_test.go
@@ -11,10 +11,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Two instances of a trainer (the old one was thought dead) pull one attempt of
-// a step at cursor 0. When a group is ready both wake; the faster one has the
-// answer and acknowledges it before the slower one's handler runs on, which
-// then builds its page from the freed groups: a nil dereference under the lock.
+// Two instances of a trainer (the old one was wrongly considered dead) pull the same
+// attempt at cursor 0. When a group is ready, both pulls wake. The faster trainer
+// acknowledges the group before the slower pull continues, which then must not build its
+// page from the freed group: that was a nil dereference under the lock.
 func TestSecondPullAfterAcknowledgement(t *testing.T) {
 	inBubble(t, func(w *world) {
 		w.agents(2, 4, 100)
--- a/entry/steps/deliver.go
+++ b/entry/steps/deliver.go
@@ -15,7 +15,8 @@
 	"dandelionsill.org/manifest"
 )
 
-// takeStep makes this entry the step's owner, or finds that it is already.
+// takeStep makes this entry the owner of a posted step. If it already owns this attempt,
+// it returns the same answer again. It returns errSuperseded if there is a newer owner.
 func (s *Steps) takeStep(ctx context.Context, t manifest.Trainer, req PostRequest, digest [sha256.Size]byte) (*PostAnswer, error) {
 	s.announceVersion(t.Model, req.NewestVersion)
 	s.mu.Lock()
@@ -34,9 +35,9 @@
 			return nil, badRequest("step %d attempt %d was posted with other groups", req.Step, req.Attempt)
 		}
 		if old.acked > 0 {
-			// A trainer that lost the answer to its post has acknowledged
-			// nothing; this one came back from a restart and must not be
-			// refused the groups that its former self had taken.
+			// A trainer that retries its POST because the answer was lost has
+			// acknowledged nothing. This one has restarted: it needs a new attempt,
+			// because the groups that it acknowledged before are freed here.
 			return nil, errSuperseded(key, foldsteps.Owner{Entry: s.cfg.Name, Epoch: old.epoch})
 		}
 		old.lastRequestAt = time.Now()
@@ -61,21 +62,22 @@
 	}
 	s.adoptFinished(st, old)
 	s.wakeScheduler()
-	s.cfg.Logger.Info("Took a step.", zap.String("trainer", t.Name), zap.Uint64("step", req.Step),
+	s.cfg.Logger.Info("This entry now owns a step.", zap.String("trainer", t.Name), zap.Uint64("step", req.Step),
 		zap.Uint64("attempt", req.Attempt), zap.Int("groups", st.groupCount), zap.Int("samples", len(st.samples)), logs.Trace(st.ctx))
 	return st.postAnswer(), nil
 }
 
-// announceVersion spreads a version that is heard of first in a step's post: the
-// trainer may have died between the store and its word, and without the word
-// no engine would load what the step's floor asks for.
+// announceVersion announces a version that this entry first sees in a posted step. The
+// trainer may have crashed after it stored the version and before it announced it;
+// without the announcement no engine would load the version that the step's floor
+// requires.
 func (s *Steps) announceVersion(model string, version uint64) {
 	if v := s.cfg.View.View(); v != nil && version > v.Versions[model] {
 		s.cfg.View.Announce(model, version)
 	}
 }
 
-// isSupersededBy tells whether an owner by the log's word rules an attempt here out.
+// isSupersededBy reports whether the owner in the log excludes an attempt at this entry.
 func (s *Steps) isSupersededBy(owner foldsteps.Owner, attempt uint64) bool {
 	if owner.Epoch.Attempt == attempt {
 		return owner.Entry != s.cfg.Name
@@ -83,10 +85,10 @@
 	return owner.Epoch.Attempt > attempt
 }
 
-// inheritFloor carries the knowledge of an earlier attempt on.
+// inheritFloor keeps the floor of an earlier attempt.
 func inheritFloor(st, old *step) { st.floor = max(st.floor, old.floor) }
 
-// adoptFinished takes over what an earlier attempt at this entry had finished.
+// adoptFinished adopts the samples that an earlier attempt at this entry had finished.
 func (s *Steps) adoptFinished(st, old *step) {
 	if old == nil {
 		return
@@ -102,7 +104,7 @@
 	return &PostAnswer{Epoch: Epoch(st.epoch), Step: st.key.Step, Groups: st.groupCount}
 }
 
-// releaseStep ends a step that its trainer is done with.
+// releaseStep ends a step that its trainer no longer needs.
 func (s *Steps) releaseStep(key foldsteps.Key, attempt uint64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -117,7 +119,7 @@
 	return nil
 }
 
-// answerPull answers one pull. It waits until there is something to tell.
+// answerPull answers one pull. It waits for a complete group for up to wait_ms.
 func (s *Steps) answerPull(r *http.Request) (*GroupsAnswer, error) {
 	trainer, refusal := auth.Trainer(s.cfg.View.View(), r)
 	if refusal != nil {
@@ -205,7 +207,7 @@
 	}
 }
 
-// acknowledge frees the groups before the cursor: its trainer has them.
+// acknowledge frees the groups before the cursor, which the trainer has received.
 func (st *step) acknowledge(cursor int) {
 	for ; st.acked < cursor; st.acked++ {
 		for _, sm := range st.ready[st.acked].samples {
@@ -216,8 +218,8 @@
 	st.lastRequestAt = time.Now()
 }
 
-// page builds the answer for a cursor. The same cursor gets the same groups
-// again: an answer that was lost on its way costs a repeat, not a sample.
+// page builds the answer for a cursor. The same cursor returns the same groups again, so
+// an answer that is lost on its way costs a retry but no sample.
 func (st *step) page(cursor int) *GroupsAnswer {
 	a := &GroupsAnswer{Epoch: Epoch(st.epoch), Cursor: cursor, Groups: []Group{}}
 	bytes := 0
--- a/entry/steps/empty_sample_test.go
+++ b/entry/steps/empty_sample_test.go
@@ -4,10 +4,10 @@
 	"testing"
 )
 
-// One draft of a step is empty: the model stops at its first token, as it does
-// for that seed on every engine. The agent says Done with 0 tokens, the entry
-// discards it as unlabelled and generates it again, for ever. The trainer never
-// gets the group: its step does not end. No token was made, so none lacks a label.
+// One sample of a step is empty, because the model stops at its first token for that seed
+// on every engine. The agent sends Done with 0 tokens. If the entry discarded the sample as
+// unlabelled, it would generate it forever and the step would never end. An empty sample
+// is valid: no token lacks a label.
 func TestEmptySampleEndsTheStep(t *testing.T) {
 	inBubble(t, func(w *world) {
 		w.agents(2, 4, 100)
--- a/entry/steps/failure_test.go
+++ b/entry/steps/failure_test.go
@@ -21,9 +21,9 @@
 
 func after(d time.Duration, f func()) { time.AfterFunc(d, f) }
 
-// The trainer pulls from entry a, which dies with some groups delivered and
-// some samples running. The trainer's pulls fail, it posts attempt 2 to b with
-// what it has; b finds the finished samples at the agents and makes the rest.
+// Entry a crashes after it has delivered some groups, while samples are running. The
+// trainer's pulls fail and it posts attempt 2 to b with the groups that it has. b adopts
+// the finished samples from the agents and generates the others.
 func TestEntryDiesAndAnotherTakesOver(t *testing.T) {
 	inBubble(t, func(w *world) {
 		w.agents(3, 4, 100)
@@ -40,14 +40,13 @@
 		})
 		got := w.run(w.client("a", "b"), step(12, 4))
 		generated, used := w.countTokens(got)
-		require.LessOrEqual(t, generated-used, 12*sampleTokens, "at most the running samples are made again")
+		require.LessOrEqual(t, generated-used, 12*sampleTokens, "at most the running samples are generated again")
 		require.Equal(t, 1, w.count("POST b"))
 	})
 }
 
-// The entry takes the step but its answer is lost. The trainer can't know and
-// posts the same attempt again; the entry answers that it owns the step and
-// generates nothing twice.
+// The entry accepts a step but its answer is lost, so the trainer posts the same attempt
+// again. The entry answers that it owns the step and generates nothing twice.
 func TestLostPostAnswer(t *testing.T) {
 	inBubble(t, func(w *world) {
 		w.agents(2, 4, 100)
@@ -64,8 +63,8 @@
 	})
 }
 
-// Every second pull's answer, with groups in it, is lost on its way. The
-// cursor was not advanced, so the same groups come again with the next pull.
+// Every second answer to a pull, with groups in it, is lost. The cursor does not advance,
+// so the next pull returns the same groups.
 func TestLostGroupsAnswer(t *testing.T) {
 	inBubble(t, func(w *world) {
 		w.agents(2, 4, 100)
@@ -78,12 +77,12 @@
 		})
 		generated, used := w.countTokens(w.run(w.client("a"), step(8, 4)))
 		require.Equal(t, used, generated)
-		require.Equal(t, 1, w.count("POST a"), "the owner stays")
+		require.Equal(t, 1, w.count("POST a"), "the owner does not change")
 	})
 }
 
-// A pull's answer comes twice: again in place of the next one's. Its groups
-// were taken already and count once.
+// The answer to a pull arrives again in place of the next answer. Its groups have been
+// received already and count once.
 func TestGroupsAnswerComesTwice(t *testing.T) {
 	inBubble(t, func(w *world) {
 		w.agents(2, 4, 100)
@@ -95,13 +94,13 @@
 			return deliver
 		})
 		w.run(w.client("a"), step(8, 4))
-		require.Equal(t, 1, w.count("POST a"), "the owner stays")
+		require.Equal(t, 1, w.count("POST a"), "the owner does not change")
 	})
 }
 
-// Entry a hangs, the trainer goes on with b, and then a's answer of the past
-// arrives in place of b's. Its epoch is an older attempt: its cursor and its
-// groups count for nothing. a itself reads b's claim and stops.
+// Entry a hangs, the trainer continues with b, and then an old answer of a arrives in place
+// of b's. Its epoch has an older attempt, so the trainer ignores its cursor and groups. a
+// reads b's claim in the log and stops.
 func TestPausedOldOwnerAnswersLate(t *testing.T) {
 	inBubble(t, func(w *world) {
 		w.agents(2, 2, 100)
@@ -119,7 +118,7 @@
 		})
 		generated, used := w.countTokens(w.run(w.client("a", "b"), step(24, 4)))
 		require.Positive(t, w.count("GET b"), "the step was taken over")
-		require.Equal(t, 1, w.count("POST b"), "and stayed there")
+		require.Equal(t, 1, w.count("POST b"), "b remains the owner")
 		require.Equal(t, 1, w.count("POST a"))
 		require.LessOrEqual(t, generated-used, 8*sampleTokens, "a stopped when it read b's claim")
 		synctest.Wait()
@@ -128,9 +127,9 @@
 	})
 }
 
-// A balancer delivers the POST a second time, late, to an entry that can't read
-// the log: two owners of one attempt, which agents can't tell apart. The trainer
-// goes on with a, whose claim came first; b stops when it can read that.
+// A balancer delivers a late second copy of the POST to entry b, which can't read the log.
+// So two entries own one attempt, and agents can't distinguish them. The trainer continues
+// with a, whose claim is first in the log; b stops when it can read that claim.
 func TestLateCopyOfThePostAtAnotherEntry(t *testing.T) {
 	inBubble(t, func(w *world) {
 		w.agents(2, 2, 100)
@@ -149,14 +148,14 @@
 			return deliver
 		})
 		generated, used := w.countTokens(w.run(w.client("a"), step(16, 4)))
-		require.Equal(t, 1, w.count("POST a"), "the first claim stays the owner's")
-		require.LessOrEqual(t, generated-used, 16*sampleTokens, "b went on for some 2 s of 13")
+		require.Equal(t, 1, w.count("POST a"), "the entry with the first claim remains the owner")
+		require.LessOrEqual(t, generated-used, 16*sampleTokens, "b continued for about 2 s of 13")
 	})
 }
 
-// An agent and its engine die with samples running. The streams break, the
-// entry goes on with each sample elsewhere behind the text it has, and leaves
-// the dead server alone. The trainer sees nothing of it.
+// An agent and its engine crash while samples run. The entry resumes each sample on another
+// server from the text that it has, and sends no work to the failed server. The trainer
+// does not notice.
 func TestAgentCrashMidSample(t *testing.T) {
 	inBubble(t, func(w *world) {
 		w.agents(3, 4, 20)
@@ -165,13 +164,13 @@
 		began := time.Now()
 		generated, used := w.countTokens(w.run(w.client("a"), step(3, 8)))
 		require.LessOrEqual(t, generated-used, 4*4, "at most one chunk of each broken stream is lost")
-		require.Less(t, time.Since(began), 6*time.Second+time.Second, "24 samples of 2 s, 8 slots at the worst")
-		require.Less(t, w.fleet.agents[0].requests, 8, "no hot loop at the dead server")
+		require.Less(t, time.Since(began), 6*time.Second+time.Second, "24 samples of 2 s, 8 slots in the worst case")
+		require.Less(t, w.fleet.agents[0].requests, 8, "no hot loop at the failed server")
 	})
 }
 
-// An engine freezes: its connections stay open and its agent reports it ready
-// with free slots. Only its silence tells; its samples go on elsewhere.
+// An engine freezes: its connections stay open, and its agent reports it as ready with free
+// slots. The entry detects it by the missing chunks and runs its samples elsewhere.
 func TestFrozenEngine(t *testing.T) {
 	inBubble(t, func(w *world) {
 		w.agents(3, 4, 20)
@@ -191,10 +190,10 @@
 	})
 }
 
-// For two seconds one agent can't prove any label and discards each sample at
-// once; the other passes chunks without a version on, then results whose spans
-// leave a token out. The entry makes these samples again, with a pause between
-// the tries, and nothing unproved reaches the trainer.
+// For two seconds one agent can't prove any label and discards each sample at once. The
+// other agent sends chunks without a version, and then results whose spans omit a token.
+// The entry generates these samples again, with a backoff between the attempts, and
+// delivers nothing without a proved label.
 func TestDiscardedLabel(t *testing.T) {
 	inBubble(t, func(w *world) {
 		w.agents(2, 4, 100)
@@ -218,15 +217,14 @@
 			return badResults <= 3
 		}
 		w.run(w.client("a"), step(4, 4))
-		require.Equal(t, 1, w.count("POST a"), "the trainer sees nothing of it")
-		require.GreaterOrEqual(t, w.fleet.agents[1].requests+len(w.fleet.agents[0].finishedAt), 16+badChunks+3, "each bad one was made again")
+		require.Equal(t, 1, w.count("POST a"), "the trainer does not notice")
+		require.GreaterOrEqual(t, w.fleet.agents[1].requests+len(w.fleet.agents[0].finishedAt), 16+badChunks+3, "each bad sample was generated again")
 		require.Less(t, w.fleet.agents[0].requests, 200, "no hot loop")
 	})
 }
 
-// A sample crawls on a slow server and gets a second copy, which ends first.
-// The slow stream does not hear that it was cancelled and brings the same
-// sample again, later. It counts once.
+// A sample on a slow server gets a second copy, which ends first. The slow stream ignores
+// its cancellation and returns the same sample later. The sample counts once.
 func TestLateDuplicateAfterHedge(t *testing.T) {
 	inBubble(t, func(w *world) {
 		w.configureTrainer(func(tr *manifest.Trainer) { tr.HedgePercent = 60 })
@@ -239,13 +237,13 @@
 		require.Less(t, time.Since(began), 9*time.Second, "alone, the slow stream takes 10 s")
 		time.Sleep(20 * time.Second) // the late copies end
 		synctest.Wait()
-		require.NotEmpty(t, slow.finishTimes(), "a late copy did come")
+		require.NotEmpty(t, slow.finishTimes(), "a late copy arrived")
 	})
 }
 
-// An engine freezes and does not hear that its streams were cancelled. Their
-// samples are run elsewhere; then it thaws and brings the same samples again,
-// while the step is still under way. Each counts once.
+// An engine freezes and ignores the cancellation of its streams. Their samples run
+// elsewhere. Then the engine resumes and returns the same samples again during the step.
+// Each counts once.
 func TestLateCopyOfAStalledStream(t *testing.T) {
 	inBubble(t, func(w *world) {
 		w.agents(2, 4, 20)
@@ -255,14 +253,14 @@
 		frozen.frozen, frozen.ignoresCancel = unfreeze, true
 		after(5*time.Second, func() { close(unfreeze) })
 		w.run(w.client("a"), step(12, 4))
-		require.Equal(t, 1, w.count("POST a"), "the trainer sees nothing of it")
-		require.NotEmpty(t, frozen.finishTimes(), "late copies did come")
+		require.Equal(t, 1, w.count("POST a"), "the trainer does not notice")
+		require.NotEmpty(t, frozen.finishTimes(), "late copies arrived")
 	})
 }
 
-// The scorer is down when the first samples are done, then its first answers
-// come too late and are asked for again, so that it answers twice. Generation
-// does not wait for it, and each sample has one score.
+// The scorer is down when the first samples are done. Then its first answers are late and
+// the calls are repeated, so it answers twice. Generation does not wait for it, and each
+// sample has one score.
 func TestScorerLateAndTwice(t *testing.T) {
 	inBubble(t, func(w *world) {
 		w.configureTrainer(func(tr *manifest.Trainer) { tr.Scorer, tr.ScorerPath = "judge", "/score" })
@@ -274,7 +272,7 @@
 				return "", context.DeadlineExceeded
 			}
 			if n%2 == 0 {
-				<-ctx.Done() // it did score, but nobody hears it
+				<-ctx.Done() // it scored the sample, but its answer is too late
 				return `{"score":2}`, ctx.Err()
 			}
 			return `{"score":1}`, nil
@@ -297,9 +295,9 @@
 	})
 }
 
-// The log is down when the step is posted. Generation starts at once with
-// claim 0. The log comes back, the claim lands and is adopted: later answers
-// name it, and the trainer goes on with the same owner.
+// The log is unavailable when the step is posted. Generation starts at once with claim 0.
+// When the log is available again, the claim is appended and adopted: later answers contain
+// it, and the trainer continues with the same owner.
 func TestLogDownAtStart(t *testing.T) {
 	inBubble(t, func(w *world) {
 		w.agents(2, 2, 20)
@@ -315,13 +313,13 @@
 		generated, used := w.countTokens(w.run(w.client("a"), step(12, 4)))
 		require.Equal(t, used, generated)
 		require.Equal(t, 1, w.count("POST a"))
-		require.Len(t, w.log.records, 1, "the claim stands once")
+		require.Len(t, w.log.records, 1, "the claim was appended once")
 	})
 }
 
-// The trainer dies with three groups kept, comes back and posts the step with
-// a greater attempt and what it has. Only the rest comes, and what was
-// finished meanwhile is not made again.
+// The trainer crashes with three groups received, restarts and posts the step with a
+// greater attempt and the list of those groups. It gets only the others, and samples that
+// were finished meanwhile are not generated again.
 func TestTrainerRestartsWithHave(t *testing.T) {
 	inBubble(t, func(w *world) {
 		w.agents(2, 4, 100)
@@ -345,7 +343,7 @@
 		st.Attempt = 2
 		for _, a := range w.fleet.agents {
 			a.mu.Lock()
-			a.held = nil // the entry itself knows what is finished
+			a.held = nil // the entry itself has the finished samples
 			a.refuseRequest = func(req *pb.GenerateRequest, _ int) *kinds.Error {
 				require.NotContains(t, st.Have, req.GetSample().GetGroup(), "the trainer has it")
 				return nil
@@ -353,13 +351,13 @@
 			a.mu.Unlock()
 		}
 		generated, used := w.countTokens(append(w.run(w.client("a"), st), kept...))
-		require.LessOrEqual(t, generated-used, 8*sampleTokens, "at most the running samples are made again")
+		require.LessOrEqual(t, generated-used, 8*sampleTokens, "at most the running samples are generated again")
 	})
 }
 
-// The trainer publishes version 3 while samples of version 1 run; its bound is
-// one. No token of version 1 that is made from then on is delivered, and the
-// samples are made again once the engines serve version 3.
+// The trainer publishes version 3 while samples of version 1 run; its staleness bound is
+// one. Tokens that version 1 generates after that are not delivered, and their samples are
+// generated again when the engines serve version 3.
 func TestFloorRisesMidStep(t *testing.T) {
 	inBubble(t, func(w *world) {
 		w.agents(2, 4, 100)
@@ -376,23 +374,23 @@
 		oldSamples := 0
 		for _, g := range w.run(w.client("a"), step(6, 4)) {
 			for _, s := range g.Samples {
-				require.Len(t, s.Spans, 1, "the trainer takes no mixed samples")
+				require.Len(t, s.Spans, 1, "the trainer accepts no mixed samples")
 				if s.Spans[0].Version == 1 {
 					oldSamples++
 					at, ok := w.fleet.agents[0].finishedAt[s.Text]
 					if !ok {
 						at = w.fleet.agents[1].finishedAt[s.Text]
 					}
-					require.False(t, at.After(announcedAt), "made below the floor")
+					require.False(t, at.After(announcedAt), "generated below the floor")
 				}
 			}
 		}
-		require.Positive(t, oldSamples, "what was whole before stays good")
+		require.Positive(t, oldSamples, "samples that were complete before are delivered")
 	})
 }
 
-// Entry a is stopped as planned with a step under way that can't end in time.
-// It sends its trainer to b, which goes on; nothing is lost or doubled.
+// Entry a is stopped as planned with a step that can't end in time. It sends its trainer to
+// b, which continues the step; no sample is lost or delivered twice.
 func TestDrainHandsStepOver(t *testing.T) {
 	inBubble(t, func(w *world) {
 		w.agents(2, 2, 20)
@@ -413,7 +411,7 @@
 		})
 		generated, used := w.countTokens(w.run(w.client("a", "b"), step(12, 4)))
 		require.Equal(t, 1, w.count("POST b"))
-		require.InDelta(t, 6, movedAt.Sub(drainedAt).Seconds(), 0.5, "a worked on for most of its time, then let the trainer go at once")
+		require.InDelta(t, 6, movedAt.Sub(drainedAt).Seconds(), 0.5, "a continued for most of its drain time, then sent the trainer away at once")
 		require.LessOrEqual(t, generated-used, 4*sampleTokens)
 	})
 }
--- a/entry/steps/fakes_test.go
+++ b/entry/steps/fakes_test.go
@@ -24,14 +24,14 @@
 )
 
 // fakeAgent is an in-process engine behind pb.AgentClient. Token i of a sample is
-// "PROMPT#SEED.i@VERSION ", so a text alone shows what truly made it.
+// "PROMPT#SEED.i@VERSION ", so the text shows which version generated each token.
 type fakeAgent struct {
-	pb.AgentClient    // panics on what a test does not expect
+	pb.AgentClient    // panics on unexpected calls
 	name              string
 	slots             int
 	rate              float64 // tokens/s of one stream
-	chunk             int     // tokens
-	slowdownPerStream float64 // s added to a token's time by each stream beside it
+	chunk             int     // tokens per chunk
+	slowdownPerStream float64 // seconds added to a token's time by each other stream
 	length            func(seed uint64) int
 	answerScore       func(ctx context.Context, n int) (string, error)
 	refuseScore       func(body []byte, n int) *kinds.Error // refuses the n-th call
@@ -41,17 +41,17 @@
 	down            bool
 	frozen          chan struct{} // streams hang until it is closed
 	slotFreed       chan struct{}
-	streamCount     int // with those in the queue
+	streamCount     int // includes queued streams
 	active          int
 	requests        int
-	generatedTokens int // tokens, truly
+	generatedTokens int
 	scoreCalls      int
 	held            []*pb.HeldSample
 	refuseRequest   func(req *pb.GenerateRequest, n int) *kinds.Error // refuses the n-th request
-	corruptResult   func(d *pb.GenerateDone) bool                     // spoils a result's label
+	corruptResult   func(d *pb.GenerateDone) bool                     // if true, the result's spans omit the last token
 	corruptChunk    func(req *pb.GenerateRequest, c *pb.GenerateChunk)
-	crashed         chan struct{} // closed at a crash
-	ignoresCancel   bool          // streams go on when they are cancelled
+	crashed         chan struct{} // closed when the agent crashes
+	ignoresCancel   bool          // streams continue after they are cancelled
 	finishedAt      map[string]time.Time
 	streams         map[string]*stream
 	epoch           [2]uint64 // newest owner seen: attempt, claim
@@ -83,7 +83,7 @@
 	}
 }
 
-// cancelled is closed when the stream learns that it was cancelled.
+// cancelled is closed when the stream is cancelled; nil if the agent ignores that.
 func (s *stream) cancelled() <-chan struct{} {
 	if s.agent.ignoresCancel {
 		return nil
@@ -98,7 +98,7 @@
 	return s.stopCtx.Done()
 }
 
-// finishTimes returns when each text was whole.
+// finishTimes returns when each text was complete.
 func (a *fakeAgent) finishTimes() map[string]time.Time {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -115,7 +115,7 @@
 	tokens    int
 	spans     []*pb.Span
 	phase     int
-	active    bool // guarded by a.mu
+	active    bool // guarded by agent.mu
 	leaveOnce sync.Once
 	stopCtx   context.Context
 	stop      context.CancelFunc
@@ -140,7 +140,7 @@
 		return refusedStream{err: errOlderOwner}, nil
 	}
 	if epoch != a.epoch {
-		a.epoch = epoch // as agents do: the streams of older owners end
+		a.epoch = epoch // like a real agent: a newer owner ends the streams of older ones
 		for _, other := range a.streams {
 			other.stop()
 		}
@@ -176,7 +176,7 @@
 	})
 }
 
-// awaitSlot waits in the agent's queue; the order of a scramble is good enough.
+// awaitSlot waits for a slot; the order of waiting streams is arbitrary.
 func (s *stream) awaitSlot() error {
 	for {
 		s.agent.mu.Lock()
@@ -291,8 +291,8 @@
 	return fmt.Sprintf("%s#%d.%d@%d ", prompt, seed, i, version)
 }
 
-// parseTokens reads the versions out of a text and checks that it is the beginning
-// of the output for a prompt and seed.
+// parseTokens returns the version of each token of a text. It checks that the text is the
+// beginning of the output for a prompt and seed.
 func parseTokens(prompt string, seed uint64, text string) ([]uint64, error) {
 	var versions []uint64
 	for i, tok := range strings.Fields(text) {
@@ -344,7 +344,7 @@
 	return h, nil
 }
 
-// ExportKV stops a stream and returns its text, but no cache.
+// ExportKV stops a stream and returns its text without a KV cache.
 func (a *fakeAgent) ExportKV(_ context.Context, req *pb.ExportKVRequest, _ ...grpc.CallOption) (*pb.ExportKVReply, error) {
 	a.mu.Lock()
 	s := a.streams[req.GetRequestId()]
@@ -397,7 +397,7 @@
 	return &pb.CallReply{Part: &pb.CallReply_End{End: &pb.CallEnd{}}}, nil
 }
 
-// fakeFleet reports its agents at once and counts work.
+// fakeFleet reports its agents without delay and counts the work in flight.
 type fakeFleet struct {
 	mu       sync.Mutex
 	agents   []*fakeAgent
@@ -447,7 +447,7 @@
 	return f.changed
 }
 
-// fakeLog is a log that can be down.
+// fakeLog is a log that can be made unavailable.
 type fakeLog struct {
 	mu       sync.Mutex
 	records  []platform.Record
--- a/entry/steps/generate.go
+++ b/entry/steps/generate.go
@@ -22,22 +22,22 @@
 	"dandelionsill.org/wire/refusal"
 )
 
-// Backoff of lost samples. There is no limit of tries: a step has no answer
-// but its samples. The backoff keeps the tries from becoming a hot loop.
+// Backoff of lost samples. The number of attempts is not limited, because a step can't
+// end without all its samples. The backoff prevents a hot loop.
 const (
 	failureBackoff      = 20 * time.Millisecond
 	refusalBackoff      = 20 * time.Millisecond
 	discardBackoff      = 50 * time.Millisecond
 	maxBackoff          = 2 * time.Second
-	lossesBeforeBackoff = 1 // losses before the backoff begins
+	lossesBeforeBackoff = 1 // losses without a backoff
 )
 
-// errDiscard is what the entry itself finds wrong with a sample.
+// errDiscard returns the error for a sample that the entry itself found invalid.
 func errDiscard(format string, args ...any) *kinds.Error {
 	return kinds.New(kinds.SampleDiscarded, format, args...)
 }
 
-// generate carries one run from its request to its end.
+// generate executes one run from its request to its end.
 func (s *Steps) generate(st *step, r *run) {
 	ctx, span := trace.Tracer("entry: steps").Start(r.ctx, "steps.generate")
 	defer span.End()
@@ -81,18 +81,18 @@
 	if from != nil {
 		req.Resume = &pb.Resume{Text: from.text, Spans: from.spans, Kv: from.kv}
 	} else if !r.agentMayResume {
-		req.Resume = &pb.Resume{} // from the first token, whatever the agent holds
+		req.Resume = &pb.Resume{} // start from the first token, even if the agent holds a partial sample
 	}
 	return req
 }
 
-// agentEpoch is the epoch that agents see: the attempt alone. An agent ends
-// the streams of older epochs, so a claim that is adopted in the middle of the
-// step would end this entry's own. The attempt is enough there: it rises with
-// each owner that the trainer turns to.
+// agentEpoch returns the epoch that agents see: only the attempt. An agent ends the
+// streams of older epochs, so if agents saw the claim, its adoption in the middle of a
+// step would end this entry's own streams. The attempt suffices, because it increases
+// with each owner that the trainer switches to.
 func agentEpoch(attempt uint64) *pb.Epoch { return &pb.Epoch{Attempt: attempt} }
 
-// stream reads the run's chunks until its result.
+// stream reads the run's replies until its result.
 func (s *Steps) stream(ctx context.Context, st *step, r *run, req *pb.GenerateRequest) (*pb.GenerateDone, error) {
 	replies, err := r.server.Client.Generate(ctx, req)
 	if err != nil {
@@ -128,8 +128,9 @@
 	s.mu.Unlock()
 }
 
-// handleChunk takes a handleChunk in. The floor may have risen since the request: a token
-// that arrives below it may have been made below it, so it is not taken.
+// handleChunk adds a chunk to the run. The floor may have risen since the request: a
+// token that arrives with a version below the floor may have been generated after the
+// rise, so it is not accepted.
 func (s *Steps) handleChunk(st *step, r *run, c *pb.GenerateChunk) error {
 	if c.GetTokens() == 0 {
 		return nil
@@ -143,17 +144,18 @@
 	if r.addChunk(c) == 1 {
 		s.recordStart(r)
 		if r.action.Kind == straggle.Move {
-			s.wakeScheduler() // ends the run that it replaces
+			s.wakeScheduler() // so that the plan cancels the run that this one replaces
 		}
 	}
 	return nil
 }
 
-// errStale: the stream's engine makes tokens that the step no longer takes.
+// errStale is returned if the stream's engine generates tokens that the step no longer
+// accepts.
 var errStale = kinds.New(kinds.SampleDiscarded, "the engine's weights are older than the floor, or changed within the sample")
 
-// checkDone makes sure that a result is whole and that each token of it has a
-// label; the agent's word alone doesn't reach a trainer.
+// checkDone checks that a result is complete and that each of its tokens has a label.
+// An agent's result is not delivered to a trainer without this check.
 func checkDone(d *pb.GenerateDone, req *pb.GenerateRequest) error {
 	if !spansCover(d.GetSpans(), int(d.GetTokens())) {
 		return errDiscard("%d tokens with spans %v", d.GetTokens(), d.GetSpans())
@@ -178,7 +180,7 @@
 	}
 	if e, ok := kinds.As(err); ok {
 		if e.Kind() == string(kinds.Cancelled) {
-			return fleet.Abandoned // let go for a move
+			return fleet.Abandoned // the agent stopped the stream for a move
 		}
 		if e.NotRun() || e.Kind() == string(kinds.SampleDiscarded) || e.Kind() == string(kinds.Superseded) {
 			return fleet.Refused
@@ -187,7 +189,7 @@
 	return fleet.Failed
 }
 
-// handleEnd takes the run's end into the step.
+// handleEnd applies the end of a run to its step.
 func (s *Steps) handleEnd(st *step, r *run, done *pb.GenerateDone, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -218,7 +220,8 @@
 	}
 }
 
-// handleLoss queues the run's sample again, in the way that its end asks for.
+// handleLoss queues the run's sample again. The error decides whether its tokens can be
+// resumed, how long the backoff is, and whether the server gets a cooldown.
 func (s *Steps) handleLoss(st *step, r *run, err error) {
 	lostTotal.Add(1)
 	sm := st.samples[r.sample]
@@ -226,8 +229,8 @@
 	e, ok := kinds.As(err)
 	s.cfg.Explain.Add(st.ctx, "steps", st.sampleName(sm), lossEvent(r.server.Name, e), lossReason(err))
 	if !ok {
-		// The connection or the agent failed. What it sent is labelled and
-		// stays good.
+		// The connection or the agent failed. The tokens received so far are
+		// labelled and stay valid.
 		s.startCooldown(r.server.Name, fleet.Failed, 0)
 		st.plan.Lost(r.id, s.savePartial(st, r), s.backoff(sm, failureBackoff), st.elapsed())
 		return
@@ -239,13 +242,13 @@
 		discardedTotal.Add(1)
 		kept := 0
 		if e == errStale && r.allowMixed {
-			kept = s.savePartial(st, r) // the tokens so far were fresh when made
+			kept = s.savePartial(st, r) // the tokens so far were fresh when they were generated
 		} else {
-			sm.partial = nil // what is known of it can't be trusted
+			sm.partial = nil // the labels of its tokens can't be trusted
 		}
 		st.plan.Lost(r.id, kept, s.backoff(sm, discardBackoff), st.elapsed())
 	case string(kinds.Cancelled):
-		// The agent let the stream go, as at the export for a move.
+		// The agent ended the stream, for example at the export for a move.
 		st.plan.Lost(r.id, s.savePartial(st, r), s.backoff(sm, refusalBackoff), st.elapsed())
 	case string(kinds.BackendFailed):
 		s.startCooldown(r.server.Name, fleet.Failed, 0)
@@ -256,7 +259,7 @@
 	}
 }
 
-// lossEvent and lostWhy word a run's end for the decision record.
+// lossEvent and lossReason describe the end of a run in the decision record.
 func lossEvent(server string, e *kinds.Error) string {
 	if e != nil && e.NotRun() {
 		return "refused by " + server + ", not run"
@@ -280,17 +283,18 @@
 	return strings.Join(list, ", ")
 }
 
-// stopSuperseded stops the step when an agent knows a newer owner: the log may be
-// down and the trainer may have posted the step elsewhere.
+// stopSuperseded stops the step because an agent has seen a newer owner: the trainer may
+// have posted the step to another entry while the log is unavailable.
 func (s *Steps) stopSuperseded(st *step, e *kinds.Error) {
 	supersededTotal.Add(1)
-	s.cfg.Logger.Info("Another entry took a step over.", zap.String("trainer", st.key.Trainer),
+	s.cfg.Logger.Info("Another entry took over a step.", zap.String("trainer", st.key.Trainer),
 		zap.Uint64("step", st.key.Step), zap.String("why", e.Message()), logs.Trace(st.ctx))
 	s.stop(st, kinds.New(kinds.Superseded, "an agent knows a newer owner of step %d of %s", st.key.Step, st.key.Trainer))
 }
 
-// backoff delays a sample's next try: none after its first loss, then a time
-// that doubles, jittered down by up to a half.
+// backoff returns the delay before a sample's next attempt: zero after the first loss,
+// then an exponentially growing delay up to maxBackoff, less a random part of up to half
+// of it.
 func (s *Steps) backoff(sm *sample, base time.Duration) time.Duration {
 	if sm.losses <= lossesBeforeBackoff {
 		return 0
--- a/entry/steps/held.go
+++ b/entry/steps/held.go
@@ -14,9 +14,10 @@
 
 const collectTimeout = 5 * time.Second
 
-// collectHeld asks all agents for the finished samples of a taken-over step. The
-// step begins to generate when all have answered or after HeldWait; what
-// comes later still counts and ends the run that was begun in its place.
+// collectHeld asks all agents for the finished samples of a step that this entry took
+// over. The step starts to generate when all agents have answered or after MaxHeldWait.
+// A sample that arrives later is still adopted, and the run that was started for it is
+// cancelled.
 func (s *Steps) collectHeld(st *step) {
 	ctx, cancel := context.WithTimeout(st.ctx, collectTimeout)
 	defer cancel()
@@ -59,7 +60,8 @@
 	}
 }
 
-// oldestVersion returns the version of the first token; without one all are fresh.
+// oldestVersion returns the version of the first token. An empty sample counts as fresh:
+// its oldest version is the maximum.
 func oldestVersion(done *pb.GenerateDone) uint64 {
 	if len(done.GetSpans()) == 0 {
 		return math.MaxUint64
@@ -67,8 +69,9 @@
 	return done.GetSpans()[0].GetVersion()
 }
 
-// adopt uses a finished sample that was found elsewhere, if it is one of this
-// step's and still as fresh as a new one would have to be. Steps.mu is held.
+// adopt uses a finished sample that was found elsewhere, and reports whether it did. The
+// sample must belong to this step and be as fresh as a new one would have to be. Steps.mu
+// is held.
 func (s *Steps) adopt(st *step, key sampleKey, hash string, done *pb.GenerateDone) bool {
 	i, ok := st.indexByKey[key]
 	if !ok || st.samples[i].done != nil {
--- a/entry/steps/http.go
+++ b/entry/steps/http.go
@@ -23,20 +23,20 @@
 const (
 	maxPullWait       = 30 * time.Second
 	maxGroups         = 1 << 14
-	maxSamples        = 1 << 16 // of one step
-	maxAnswerGroups   = 64      // groups of one answer
-	targetAnswerBytes = 4 << 20 // about; one group always fits
+	maxSamples        = 1 << 16 // per step
+	maxAnswerGroups   = 64      // per answer
+	targetAnswerBytes = 4 << 20 // soft limit: an answer has at least one group
 )
 
-// GroupSpec is one group that a trainer asks for. Sample i is generated with
-// seed Seed+i.
+// GroupSpec is one group that a trainer requests. Sample i is generated with seed
+// Seed+i.
 type GroupSpec struct {
 	ID        string `json:"id"`
 	Prompt    string `json:"prompt"`
 	Samples   int    `json:"samples"`
 	MaxTokens int    `json:"max_tokens"`
 	Seed      uint64 `json:"seed"`
-	// ExpectedTokens is the trainer's guess of a sample's length; 0: none.
+	// ExpectedTokens is the trainer's estimate of a sample's length; 0: none.
 	ExpectedTokens int `json:"expected_tokens,omitempty"`
 }
 
@@ -49,7 +49,7 @@
 	Have          []string    `json:"have"`
 }
 
-// Epoch is an owner's epoch in answers.
+// Epoch is an owner's epoch, as answers contain it.
 type Epoch struct {
 	Attempt uint64 `json:"attempt"`
 	Claim   uint64 `json:"claim"`
@@ -59,10 +59,10 @@
 type PostAnswer struct {
 	Epoch  Epoch  `json:"epoch"`
 	Step   uint64 `json:"step"`
-	Groups int    `json:"groups"` // that will be delivered
+	Groups int    `json:"groups"` // number of groups that will be delivered
 }
 
-// Span is a sample's label: tokens [From, To) were made by Version.
+// Span is the label of a part of a sample: Version generated the tokens [From, To).
 type Span struct {
 	Version uint64 `json:"version"`
 	From    uint32 `json:"from"`
@@ -78,7 +78,7 @@
 	Score  *float64 `json:"score,omitempty"`
 }
 
-// Group is one delivered group, whole.
+// Group is one delivered group with all its samples.
 type Group struct {
 	ID      string   `json:"id"`
 	Samples []Sample `json:"samples"`
@@ -146,8 +146,8 @@
 	return s.takeStep(r.Context(), trainer, req, digestOf(req))
 }
 
-// digestOf hashes what makes two posts of one attempt the same; a repost may
-// name more groups that the trainer has by now.
+// digestOf returns a hash that is equal for two POSTs of the same attempt. It ignores
+// Have, because a repeated POST may list groups that the trainer received meanwhile.
 func digestOf(req PostRequest) [sha256.Size]byte {
 	data, err := json.Marshal(req.Groups)
 	if err != nil {
--- a/entry/steps/leaving_test.go
+++ b/entry/steps/leaving_test.go
@@ -9,11 +9,11 @@
 	"dandelionsill.org/confsync"
 )
 
-// A server is stopped as planned: the manifest names it as leaving. Long
-// samples run there, and the other server has slots free. Nobody moves them:
-// the agent's drain waits 30 s and the process ends with the streams cut. The
-// trainer's samples begin again elsewhere, from nothing where the versions
-// differ, though there was time and room to move each with its KV cache.
+// A server is stopped as planned: the manifest lists it as leaving. Long samples run there,
+// and the other server has free slots. If the entry did not move them, the agent's drain
+// would end after 30 s and break the streams. The samples would then start again elsewhere,
+// from the first token if the versions differ, although there was time to move each with
+// its KV cache.
 func TestRunsMoveOffALeavingServer(t *testing.T) {
 	inBubble(t, func(w *world) {
 		w.agents(2, 8, 4) // 400 tokens in 100 s
@@ -41,6 +41,6 @@
 		after(24*time.Second, func() { after20s = running() })
 		w.run(w.client("a"), step(4, 2))
 		require.Positive(t, before)
-		require.Zero(t, after20s, "streams on vm-0, 20 s after it was to leave")
+		require.Zero(t, after20s, "streams on vm-0, 20 s after it was listed as leaving")
 	})
 }
--- a/entry/steps/manifest_change_test.go
+++ b/entry/steps/manifest_change_test.go
@@ -12,7 +12,7 @@
 	"dandelionsill.org/wire/pb"
 )
 
-// reconfigure puts other terms of the trainer in force, as a new revision does.
+// reconfigure changes the trainer's settings, like a new manifest revision.
 func (w *world) reconfigure(change func(*manifest.Trainer)) {
 	w.view.mu.Lock()
 	defer w.view.mu.Unlock()
@@ -25,10 +25,9 @@
 	w.view.changed = make(chan struct{})
 }
 
-// The operator switches mixed samples off in the middle of a long step, and the
-// revision is in force. Samples that begin long after it are still asked for as
-// mixed: the step keeps the terms of its POST until its end. The trainer gets
-// samples over two versions that the manifest in force forbids.
+// The operator disables mixed samples during a long step. Samples that start after the
+// revision is in force must not be requested as mixed: if the step kept the settings of its
+// POST, the trainer would get samples over two versions, which the manifest forbids.
 func TestMixedSwitchedOffMidStep(t *testing.T) {
 	inBubble(t, func(w *world) {
 		w.configureTrainer(func(tr *manifest.Trainer) { tr.Mixed = true })
@@ -56,10 +55,9 @@
 	})
 }
 
-// The operator lowers the staleness bound from 5 to 0 in the middle of a step;
-// version 3 is announced, engine 0 serves 1 and engine 1 serves 3. The entry
-// goes on sending samples with the floor of the old bound. The trainer gets
-// tokens older than the bound in force from any agent that is cut off from it.
+// The operator lowers the staleness bound from 5 to 0 during a step; version 3 is announced,
+// engine 0 serves 1 and engine 1 serves 3. If the entry kept the floor of the old bound, an
+// agent that does not have the new manifest yet would deliver tokens older than the bound.
 func TestBoundLoweredMidStep(t *testing.T) {
 	inBubble(t, func(w *world) {
 		w.configureTrainer(func(tr *manifest.Trainer) { tr.StalenessBound = 5 })
--- a/entry/steps/model_change_test.go
+++ b/entry/steps/model_change_test.go
@@ -7,10 +7,10 @@
 	"dandelionsill.org/manifest"
 )
 
-// A manifest moves a trainer from model "old", at version 900, to model "m", at
-// version 1, whose numbers are its own. The entry keeps the trainer's newest
-// version by its name alone, so it asks for version 899 of "m", and teaches the
-// agents that floor too. No engine is ever fresh enough: the step never ends.
+// A manifest moves a trainer from model "old" at version 900 to model "m" at version 1. The
+// versions of the two models are unrelated. If the entry stored the trainer's newest version
+// without the model, it would require version 899 of "m" and send that floor to the agents.
+// No engine would be fresh enough, and the step would never end.
 func TestTrainerMovesToAnotherModel(t *testing.T) {
 	inBubble(t, func(w *world) {
 		w.agents(2, 4, 100)
--- a/entry/steps/outcome_test.go
+++ b/entry/steps/outcome_test.go
@@ -10,7 +10,7 @@
 	"dandelionsill.org/entry/steps"
 )
 
-// outcomeCounter counts what is said of the servers.
+// outcomeCounter is a fleet that counts the failures reported of its servers.
 type outcomeCounter struct {
 	*fakeFleet
 	failed atomic.Int64
@@ -26,10 +26,10 @@
 	}
 }
 
-// Nothing fails in a long step. Some of its samples wait in the agents' queues
-// and are sent elsewhere when a slot comes free there; others are moved and end
-// at their agent as cancelled. The entry books these as failures of the server,
-// and healthy engines are ejected for trainers and application callers alike.
+// Nothing fails in a long step. Some of its samples wait in an agent's queue and are sent to
+// another server that has a free slot; others are moved, and their old streams end as
+// cancelled. If the entry reported these as failures, healthy engines would be ejected for
+// trainers and application callers alike.
 func TestLongStepReportsNoFailures(t *testing.T) {
 	inBubble(t, func(w *world) {
 		w.agents(3, 4, 100)
--- a/entry/steps/poison_test.go
+++ b/entry/steps/poison_test.go
@@ -17,13 +17,13 @@
 	"dandelionsill.org/wire/pb"
 )
 
-// crashingSeed is the seed of the sample that ends engines: the second of group g1.
+// crashingSeed is the seed of the sample that crashes engines: the second of group g1.
 const crashingSeed = 1001
 
-// One sample of a step ends each engine that begins it. A step has no answer but its
-// samples, so that its entry gave it to one engine after the other for as long as the
-// trainer waited, with all samples that ran there. Now three engines end under it, and
-// the trainer gets all groups but that sample's.
+// One sample of a step crashes each engine that starts it. A step can't end without all its
+// samples, so without the quarantine the entry would send it to one engine after another,
+// and each crash would also end the other samples that run there. With it three engines
+// crash, and the trainer gets all groups but the one of that sample.
 func TestSampleThatEndsEnginesIsHeldBack(t *testing.T) {
 	inBubble(t, func(w *world) {
 		w.agents(4, 4, 100)
@@ -39,14 +39,14 @@
 		}
 		w.entry("a", func(c *steps.Config) { c.Quarantine = quarantine.New(zap.NewNop()) })
 		got, err := w.collect(w.client("a"), step(4, 4))
-		require.ErrorIs(t, err, context.DeadlineExceeded, "the trainer waits for what is held back")
+		require.ErrorIs(t, err, context.DeadlineExceeded, "the trainer waits for the held-back sample")
 		require.Len(t, got, 3)
 		require.Equal(t, poison.QuarantineAt, ended)
 	})
 }
 
-// The call for one sample's score ends each server that runs it. Three end, and the
-// other samples' scores come.
+// The call for one sample's score crashes each server that runs it. Three crash, and the
+// other samples are scored.
 func TestScoreThatEndsServersIsStopped(t *testing.T) {
 	inBubble(t, func(w *world) {
 		w.agents(2, 4, 100)
@@ -64,7 +64,7 @@
 		w.configureTrainer(func(tr *manifest.Trainer) { tr.Scorer, tr.ScorerPath = "judge", "/score" })
 		w.entry("a", func(c *steps.Config) { c.Quarantine = quarantine.New(zap.NewNop()) })
 		got, err := w.collect(w.client("a"), step(4, 4))
-		require.ErrorIs(t, err, context.DeadlineExceeded, "the trainer waits for what is held back")
+		require.ErrorIs(t, err, context.DeadlineExceeded, "the trainer waits for the score that is held back")
 		require.Len(t, got, 3)
 		require.Equal(t, poison.QuarantineAt, ended)
 	})
--- a/entry/steps/policy_test.go
+++ b/entry/steps/policy_test.go
@@ -14,8 +14,8 @@
 	"dandelionsill.org/trainer"
 )
 
-// A trial's engines are like the stand-in's: a token takes 12 ms and 0.25 ms
-// more for each stream beside it.
+// The engines of a trial are like the stand-in's: a token takes 12 ms and 0.25 ms more for
+// each other stream on the engine.
 const (
 	trialAgents            = 4
 	trialSlots             = 32
@@ -23,7 +23,7 @@
 	trialSlowdownPerStream = 0.00025
 )
 
-// sampleLength is a lognormal length; half of its variance belongs to the prompt.
+// sampleLength returns a lognormal length; half of its variance belongs to the prompt.
 func sampleLength(seed uint64, mean, sigma float64) int {
 	prompt := rand.New(rand.NewPCG(seed/1000, 1)).NormFloat64()
 	own := rand.New(rand.NewPCG(seed, 2)).NormFloat64()
@@ -34,7 +34,7 @@
 type trial struct {
 	groups, samples, maxTokens int
 	injectFault                func(w *world)
-	capacity                   float64 // capacity that is left, as a share
+	capacity                   float64 // remaining share of the engines' capacity
 }
 
 type result struct{ ratio, waste, makespan float64 }
@@ -91,9 +91,9 @@
 	})
 }
 
-// The goals for a step's makespan and wasted tokens, in fake time: as a share
-// of the physical limit, the larger of all tokens at the engines' full rate
-// and the longest sample alone on an engine.
+// The goals for a step's makespan and wasted tokens, in fake time. The makespan is compared
+// with the physical limit: the time for all tokens at the engines' full rate, or for the
+// longest sample alone on an engine if that is longer.
 func TestPolicyGoals(t *testing.T) {
 	trials := []struct {
 		name string
--- a/entry/steps/quarantine.go
+++ b/entry/steps/quarantine.go
@@ -13,10 +13,11 @@
 	"dandelionsill.org/quarantine"
 )
 
-// quarantineRetryDelay is how long a sample in quarantine waits until it is looked at again.
+// quarantineRetryDelay is the time until a held-back sample is checked again.
 const quarantineRetryDelay = 5 * time.Second
 
-// subject is a sample as the quarantine sees it, in whatever step. Steps.mu is held.
+// subject returns the identity of a sample in the quarantine, which is the same in every
+// step. Steps.mu is held.
 func (s *Steps) subject(st *step, sm *sample) *quarantine.Subject {
 	if sm.subject == nil {
 		sm.subject = s.cfg.Quarantine.Subject(func() poison.Content {
@@ -29,9 +30,9 @@
 	return sm.subject
 }
 
-// isHeldBack tells whether a run must not begin: each engine that ran the sample crashed, or
-// one did and another has it now. A step has no answer but its samples, so that such a
-// one waits for as long as its quarantine lasts.
+// isHeldBack reports whether a run must not start: each engine that ran the sample
+// crashed, or one crashed and the action would run a second copy. A step can't end
+// without all its samples, so a held-back sample waits until its quarantine ends.
 func (s *Steps) isHeldBack(st *step, a straggle.Action) bool {
 	sm := st.samples[a.Sample]
 	subject := s.subject(st, sm)
@@ -51,8 +52,8 @@
 	}
 }
 
-// recordServerEnd takes in that a server ended under a sample or the call for its score, where
-// err says so.
+// recordServerEnd reports to the quarantine that a server ended while it ran a sample or
+// the call for its score, if err says so.
 func (s *Steps) recordServerEnd(subject *quarantine.Subject, name string, err error) {
 	e, ok := kinds.As(err)
 	if !ok || e.Ended() == "" {
--- a/entry/steps/repost_test.go
+++ b/entry/steps/repost_test.go
@@ -11,10 +11,9 @@
 	"dandelionsill.org/trainer"
 )
 
-// A trainer that draws its seeds at each start dies and posts its step again,
-// with other seeds and a greater limit. The entry and the agents give it the
-// samples of the old seeds: what comes is not what was asked for, and a sample
-// that the old limit cut off comes cut off.
+// A trainer that draws new seeds at each start crashes and posts its step again, with other
+// seeds and a greater limit. The entry and the agents must not return the samples of the
+// old seeds, or samples that ended at the old limit.
 func TestRepostWithOtherSeeds(t *testing.T) {
 	inBubble(t, func(w *world) {
 		w.agents(2, 4, 100)
@@ -31,7 +30,7 @@
 			st.Have = append(st.Have, g.ID)
 			break
 		}
-		time.Sleep(2 * time.Second) // the entry finishes more meanwhile
+		time.Sleep(2 * time.Second) // the entry finishes more samples meanwhile
 		st.Attempt = 2
 		for i := range st.Groups {
 			st.Groups[i].Seed += 500_000
@@ -40,11 +39,10 @@
 	})
 }
 
-// The trainer's client raised the attempt by itself, as the answers to its
-// first POST were lost; it never tells the trainer. The trainer dies and comes
-// back with "a greater attempt" than its own 1, which is the one in use. The
-// entry takes the POST for a repeat and refuses cursor 0, as groups were
-// acknowledged; the client takes bad_request for final. The step is lost.
+// The answers to the trainer's first POST were lost, so its client raised the attempt without
+// telling the trainer. The trainer restarts and raises its own attempt 1 to the one in use.
+// If the entry took the POST for a repeat, it would refuse cursor 0, because groups were
+// acknowledged, and the client treats bad_request as final: the step would be lost.
 func TestTrainerRestartsWithAttemptInUse(t *testing.T) {
 	inBubble(t, func(w *world) {
 		w.agents(2, 4, 100)
--- a/entry/steps/run.go
+++ b/entry/steps/run.go
@@ -14,7 +14,7 @@
 	"dandelionsill.org/wire/pb"
 )
 
-// partial is the beginning of a sample: text whose every token has its label.
+// partial is an unfinished sample whose tokens all have labels.
 type partial struct {
 	text   string
 	tokens int
@@ -29,10 +29,11 @@
 	return p.spans[len(p.spans)-1].GetVersion()
 }
 
-// isLabelled tells whether every token of the text has a label.
+// isLabelled reports whether there are tokens and every one has a label.
 func (p *partial) isLabelled() bool { return p != nil && p.tokens > 0 && spansCover(p.spans, p.tokens) }
 
-// spansCover tells whether spans name a version for each of the tokens.
+// spansCover reports whether the spans give a version for every token, without gaps or
+// overlaps.
 func spansCover(spans []*pb.Span, tokens int) bool {
 	covered := uint32(0)
 	for _, s := range spans {
@@ -50,20 +51,20 @@
 	action        straggle.Action
 	sample        int
 	server        *fleet.Server
-	request       string // request id
+	request       string // id of the request to the agent
 	attempt       uint64
-	allowMixed    bool // may span versions, by the terms when it began
+	allowMixed    bool // may span versions, by the trainer's settings when the run started
 	parent        *run
 	ctx           context.Context
 	cancel        context.CancelFunc
 	reportOutcome func(fleet.Outcome)
 	floor         atomic.Uint64
-	// agentMayResume: the agent may go on from a beginning that it holds of an older
-	// owner's stream, which this run then doesn't know. Its own text has no
-	// beginning and can't be resumed from.
+	// agentMayResume is set if the agent may resume from a partial sample of an older
+	// owner's stream, which this run does not know. The run's text may then lack its
+	// first part, so no other run may resume from it.
 	agentMayResume bool
 	stalled        atomic.Bool // cancelled because it made no progress
-	started        bool        // guarded by Steps.mu: left the agent's queue
+	started        bool        // guarded by Steps.mu: the run is no longer in the agent's queue
 
 	mu          sync.Mutex
 	text        []byte
@@ -73,7 +74,7 @@
 	lastChunkAt time.Time
 }
 
-// resume begins the run behind what another made.
+// resume initializes the run with the tokens of an earlier run; nil: with none.
 func (r *run) resume(p *partial) {
 	if p == nil {
 		return
@@ -85,7 +86,7 @@
 	r.spans = cloneSpans(p.spans)
 }
 
-// addChunk takes a chunk in. It returns the number of chunks so far.
+// addChunk adds a chunk. It returns the number of chunks so far.
 func (r *run) addChunk(c *pb.GenerateChunk) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -121,7 +122,8 @@
 	return r.tokens, r.chunks, version, r.lastChunkAt
 }
 
-// snapshot returns what the run made so far; nil where that is nothing.
+// snapshot returns the tokens of the run so far, nil if there are none that another run
+// could resume from.
 func (r *run) snapshot() *partial {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -139,7 +141,7 @@
 	return out
 }
 
-// execute carries the plan's decisions out. Steps.mu is held.
+// execute carries out the plan's decisions. Steps.mu is held.
 func (s *Steps) execute(st *step, actions []straggle.Action, snap *fleet.Snapshot) {
 	for _, a := range actions {
 		s.cfg.Explain.Add(st.ctx, "steps", st.sampleName(st.samples[a.Sample]), a.Kind.String()+" at "+a.Server, a.Reason)
@@ -161,7 +163,7 @@
 	}
 }
 
-// cancelRun stops a run that the plan wrote off; what it made stays for a resume.
+// cancelRun stops a run that the plan has abandoned and keeps its tokens for a resume.
 func (s *Steps) cancelRun(st *step, a straggle.Action) {
 	r := st.runs[a.Run]
 	if r == nil {
@@ -176,7 +178,8 @@
 	r.cancel()
 }
 
-// savePartial remembers what a lost run had made, where no more is known already.
+// savePartial keeps the tokens of a lost run, unless the sample already has as many. It
+// returns the number of tokens of the run that can be resumed from.
 func (s *Steps) savePartial(st *step, r *run) int {
 	sm := st.samples[r.sample]
 	if s.cfg.Policy.NoResume || s.cfg.Policy.Baseline || sm.done != nil {
@@ -200,7 +203,7 @@
 	s.markStarted(r)
 }
 
-// markStarted tells that the run no longer waits in its agent's queue.
+// markStarted records that the run no longer waits in its agent's queue.
 func (s *Steps) markStarted(r *run) {
 	if r.started {
 		return
@@ -227,7 +230,8 @@
 	s.spawn(func() { s.generate(st, r) })
 }
 
-// resumePoint finds what the run can go on from; nil: from the first token.
+// resumePoint returns the tokens that the run resumes from; nil: it starts at the first
+// token.
 func (s *Steps) resumePoint(st *step, r *run) *partial {
 	if s.cfg.Policy.NoResume || s.cfg.Policy.Baseline {
 		return nil
@@ -252,9 +256,8 @@
 
 const exportTimeout = time.Second
 
-// export stops a stream at its agent and returns what it made, with its KV
-// cache. Without the cache the next engine computes it again, so any failure
-// is ignored.
+// export stops a stream at its agent and returns its tokens with their KV cache. Any
+// failure is ignored, because without the cache the next engine computes it again.
 func (s *Steps) export(ctx context.Context, source *run) *partial {
 	ctx, cancel := context.WithTimeout(ctx, exportTimeout)
 	defer cancel()
--- a/entry/steps/schedule.go
+++ b/entry/steps/schedule.go
@@ -15,29 +15,31 @@
 
 const (
 	tickInterval     = 25 * time.Millisecond
-	idleTickInterval = time.Second // no step under way: only trainers may go silent
-	// slotsPerQueuedRun of a server's slots may wait in its agent's queue where
-	// others fill the slots: the agent's fair queue gives each trainer its
-	// share only while it has something waiting. So may they while much of
-	// the step is queued: else each slot stands empty for a round trip after
-	// each sample.
+	idleTickInterval = time.Second // without active steps, only idle trainers have to be detected
+	// slotsPerQueuedRun bounds the runs that may wait in an agent's queue: one, and one
+	// more for each so many slots of the server. Runs may wait there if others fill the
+	// slots, because the agent's fair queue gives a trainer its share only while the
+	// trainer has something queued. They may also wait while much of the step is
+	// queued; otherwise each slot would stay empty for a round trip after each sample.
 	slotsPerQueuedRun    = 16
-	deepQueueRatio       = 1.0 // queued samples for each running one
+	deepQueueRatio       = 1.0 // minimum ratio of queued to running samples at which much of a step is queued
 	minFailureCooldown   = 100 * time.Millisecond
 	refusalCooldown      = 50 * time.Millisecond
 	maxCooldown          = 3 * time.Second
 	maxCooldownDoublings = 5
 )
 
-// cooldown keeps new work off a server that just refused or failed. The fleet
-// and the VM list learn of it later; without it every queued sample would try
-// the dead server once.
+// cooldown keeps new work off a server that has just refused or failed. Fleet reports and
+// the VM list show the failure only later; without a cooldown every queued sample would
+// try the failed server once.
 type cooldown struct {
 	until    time.Time
 	failures int
 }
 
-// startCooldown keeps new runs off a server for a while. Steps.mu is held.
+// startCooldown keeps new runs off a server for a while, unless a cooldown is running. A
+// failure doubles the time of the failure before; after a refusal it is retryAfter,
+// within limits. Steps.mu is held.
 func (s *Steps) startCooldown(name string, outcome fleet.Outcome, retryAfter time.Duration) {
 	now := time.Now()
 	c := s.cooldowns[name]
@@ -56,10 +58,10 @@
 	c.until = now.Add(wait)
 }
 
-// clearCooldown forgets a server's failures. Steps.mu is held.
+// clearCooldown resets a server's failures. Steps.mu is held.
 func (s *Steps) clearCooldown(name string) { delete(s.cooldowns, name) }
 
-// schedule fills free slots whenever something changed.
+// schedule assigns samples to free slots whenever something has changed.
 func (s *Steps) schedule() {
 	tick := time.NewTimer(tickInterval)
 	defer tick.Stop()
@@ -82,7 +84,7 @@
 }
 
 // schedulePass offers the free slots to the steps of this entry. It reports whether
-// there are steps under way.
+// there are active steps.
 func (s *Steps) schedulePass() (busy bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -106,7 +108,8 @@
 	return len(active) > 0
 }
 
-// reportProgress tells the plan how far the step's streams have come. Steps.mu is held.
+// reportProgress reports the progress of the step's streams to its plan. Steps.mu is
+// held.
 func (st *step) reportProgress() {
 	for id, r := range st.runs {
 		if tokens, chunks, version, last := r.progress(); chunks > 0 {
@@ -115,8 +118,8 @@
 	}
 }
 
-// refreshSettings puts the trainer's terms of the manifest in force to a step that was
-// posted under an older one.
+// refreshSettings applies the trainer's settings of the current manifest to a step that
+// was posted under an older one.
 func (s *Steps) refreshSettings(st *step) {
 	v := s.cfg.View.View()
 	if v == nil || v.Manifest == nil {
@@ -130,13 +133,13 @@
 	st.plan.UpdateSettings(current.Mixed, current.HedgePercent)
 }
 
-// activeSteps returns the steps that may get slots, in an order that rotates, and
-// gives up those whose trainer is gone.
+// activeSteps returns the steps that may get slots, in rotating order, and abandons
+// those whose trainer no longer polls.
 func (s *Steps) activeSteps() []*step {
 	var out []*step
 	for _, st := range s.steps {
 		if st.waitingPulls == 0 && time.Since(st.lastRequestAt) > s.cfg.IdleTimeout {
-			s.cfg.Logger.Warn("Gave a step up; its trainer is silent.",
+			s.cfg.Logger.Warn("Abandoned a step because its trainer stopped polling.",
 				zap.String("trainer", st.key.Trainer), zap.Uint64("step", st.key.Step))
 			s.stop(st, kinds.New(kinds.Cancelled, "the trainer was silent for %v", s.cfg.IdleTimeout))
 			continue
@@ -156,7 +159,7 @@
 	return append(out[start:], out[:start]...)
 }
 
-// slotShare is a step's part of the slots that this entry uses.
+// slotShare returns a step's share of the slots that this entry uses for its model.
 func slotShare(st *step, active []*step) float64 {
 	sum := 0.0
 	for _, other := range active {
@@ -174,7 +177,7 @@
 	return 1
 }
 
-// scheduleStep lets one step's plan act on up to a share of each server's slots.
+// scheduleStep lets the step's plan use up to a share of each server's slots.
 func (s *Steps) scheduleStep(st *step, snap *fleet.Snapshot, share float64) {
 	servers := s.eligibleServers(st, snap)
 	if share < 1 {
@@ -208,7 +211,7 @@
 	if v := s.cfg.View.View(); v != nil && v.Manifest != nil {
 		leaving = v.Manifest.Leaving
 	}
-	var eligible, ejected []straggle.Server // good holds the leaving ones too, to be moved off
+	var eligible, ejected []straggle.Server // eligible includes leaving servers, to move their runs
 	for _, sv := range snap.By["model/"+st.trainer.Model] {
 		state := sv.State
 		if leaving[sv.Name] || state.GetLeaving() {
@@ -235,8 +238,8 @@
 	return eligible
 }
 
-// view corrects a server's report, which lags, by what this entry has sent
-// and seen end since. deep: much of the step is queued.
+// view corrects a server's report, which lags, by the work that this entry has sent and
+// seen end since. deepQueue: much of the step is queued.
 func (s *Steps) view(sv *fleet.Server, deepQueue bool) straggle.Server {
 	state := sv.State
 	ownInFlight := s.cfg.Fleet.InFlightNow(sv.Name)
--- a/entry/steps/score.go
+++ b/entry/steps/score.go
@@ -39,8 +39,8 @@
 	Score *float64 `json:"score"`
 }
 
-// scoreWithRetries asks the scorer until it answers. Generation goes on beside
-// it. Only the first answer is taken; a later one finds its call cancelled.
+// scoreWithRetries calls the scorer until it answers. Generation continues meanwhile. A
+// call is cancelled before the next one, so a late answer is ignored.
 func (s *Steps) scoreWithRetries(st *step, sm *sample) {
 	body, err := json.Marshal(scoreRequest{
 		Trainer: st.key.Trainer, Step: st.key.Step, Group: sm.group.id, Index: sm.index,
@@ -122,7 +122,7 @@
 		}
 		load := s.cfg.Fleet.InFlightNow(sv.Name)
 		if sv.Ejected {
-			load += 1 << 20 // only when there is no other
+			load += 1 << 20 // use it only if there is no other
 		}
 		if best == nil || load < least {
 			best, least = sv, load
@@ -153,8 +153,8 @@
 	return readScore(stream)
 }
 
-// readScore reads a scorer's answer. It counts only with its CallEnd: a cut
-// answer may still look like whole JSON.
+// readScore reads a scorer's answer. The answer counts only if it ends with a CallEnd:
+// a truncated one may still be valid JSON.
 func readScore(stream pb.Agent_CallClient) (float64, error) {
 	var status int32
 	var data []byte
--- a/entry/steps/step.go
+++ b/entry/steps/step.go
@@ -18,51 +18,51 @@
 	"dandelionsill.org/wire/pb"
 )
 
-// sample is one sample's state beside the plan's.
+// sample is the state of one sample beyond what the plan keeps.
 type sample struct {
 	group          *group
 	index          uint32
-	partial        *partial         // what a lost run had made
-	done           *pb.GenerateDone // finished
+	partial        *partial         // longest partial sample of its lost runs
+	done           *pb.GenerateDone // result; nil: not finished, or acknowledged
 	score          *float64
-	losses         int                 // losses so far
+	losses         int
 	subject        *quarantine.Subject // nil: not needed yet
-	heldBackLogged bool                // it was logged that the sample is in quarantine
+	heldBackLogged bool                // the log message about its quarantine was written
 }
 
 type group struct {
 	id         string
-	wireID     string // id and terms, as agents know the group
+	wireID     string // group id in requests to agents: id and a hash of the generation parameters
 	spec       GroupSpec
 	samples    []*sample
-	incomplete int // samples that are not complete
+	incomplete int // samples without a result or a score
 }
 
-// step is one step that this entry owns. Guarded by Steps.mu.
+// step is a step that this entry owns. It is guarded by Steps.mu.
 type step struct {
 	key           foldsteps.Key
-	attempt       uint64          // never changes
-	epoch         foldsteps.Epoch // with the claim once it is known
+	attempt       uint64          // immutable
+	epoch         foldsteps.Epoch // includes the claim once it is known
 	claimID       string
 	trainer       manifest.Trainer
-	digest        [sha256.Size]byte // of what was posted
+	digest        [sha256.Size]byte // of the posted groups
 	startedAt     time.Time
-	lastRequestAt time.Time // when the trainer last asked
-	waitingPulls  int       // GETs that wait now
+	lastRequestAt time.Time // time of the trainer's last request
+	waitingPulls  int       // pulls that wait at this moment
 	floor         uint64
 	plan          *straggle.Plan
 	samples       []*sample
 	runs          map[straggle.RunID]*run
 	indexByKey    map[sampleKey]int
 	groupCount    int
-	ready         []*group // in the order of completion; nil once acknowledged
+	ready         []*group // complete groups in the order of their completion; nil once acknowledged
 	acked         int
-	collecting    bool // waits for agents to tell what they hold
+	collecting    bool // waits for the agents' held samples
 	changed       chan struct{}
 	stopReason    *kinds.Error
 	ctx           context.Context
 	cancel        context.CancelFunc
-	reportedStats straggle.Stats // already in the metrics
+	reportedStats straggle.Stats // part of the statistics that the metrics include
 }
 
 type sampleKey struct {
@@ -70,7 +70,7 @@
 	index uint32
 }
 
-// notify wakes the GETs that wait for the step.
+// notify wakes the waiting pulls.
 func (st *step) notify() {
 	close(st.changed)
 	st.changed = make(chan struct{})
@@ -84,7 +84,7 @@
 	return fmt.Sprintf("%s/%d/%s/%d", st.key.Trainer, st.key.Step, sm.group.id, sm.index)
 }
 
-// newStep builds the state of a posted step without what the trainer has.
+// newStep returns the state of a posted step, without the groups that the trainer has.
 func (s *Steps) newStep(ctx context.Context, t manifest.Trainer, req PostRequest, digest [sha256.Size]byte) *step {
 	now := time.Now()
 	st := &step{
@@ -152,9 +152,9 @@
 	return c
 }
 
-// wireID names a group and its terms. A trainer that posts a step again with
-// other seeds or limits under the same ids would otherwise be given what agents
-// hold of the old ones.
+// wireID returns the id of a group at agents, which includes a hash of its generation
+// parameters. Otherwise a trainer that posts a step again with other seeds or limits
+// under the same ids would get the samples that agents hold for the old ones.
 func wireID(g GroupSpec) string {
 	parameters := fmt.Sprintf("%d/%d/%s", g.Seed, g.MaxTokens, g.Prompt)
 	return fmt.Sprintf("%s#%016x", g.ID, xxhash.Sum64String(parameters))
@@ -163,12 +163,13 @@
 // seed returns the seed that the sample is generated with.
 func (sm *sample) seed() uint64 { return sm.group.spec.Seed + uint64(sm.index) }
 
-// requestHash returns the name under which agents hold the sample finished.
+// requestHash returns the hash under which agents hold the finished sample.
 func (sm *sample) requestHash() string {
 	return label.RequestHash(sm.group.spec.Prompt, sm.seed(), uint32(sm.group.spec.MaxTokens))
 }
 
-// stop ends a step here: its runs are cancelled and its trainer is told why.
+// stop ends a step at this entry. It cancels the runs and returns the reason to the
+// waiting pulls.
 func (s *Steps) stop(st *step, reason *kinds.Error) {
 	if st.stopReason != nil {
 		return
@@ -186,7 +187,7 @@
 	s.wakeScheduler()
 }
 
-// updateMetrics adds what the plan did since the last call to the metrics.
+// updateMetrics adds the plan's statistics since the last call to the metrics.
 func (st *step) updateMetrics() {
 	current, previous := st.plan.Stats(), st.reportedStats
 	finishedTotal.Add(int64(current.Finished - previous.Finished))
@@ -197,7 +198,7 @@
 	st.reportedStats = current
 }
 
-// recordResult takes the result of a sample, from a run or found at an agent.
+// recordResult stores the result of a sample, from a run or from an agent that held it.
 func (s *Steps) recordResult(st *step, sm *sample, done *pb.GenerateDone) {
 	sm.done = done
 	sm.partial = nil
@@ -209,7 +210,8 @@
 	s.spawn(func() { s.scoreWithRetries(st, sm) })
 }
 
-// completeSample counts a complete sample; with its last one a group can be delivered.
+// completeSample counts a sample as complete. When all samples of its group are complete,
+// the group can be delivered.
 func (s *Steps) completeSample(st *step, sm *sample) {
 	sm.group.incomplete--
 	if sm.group.incomplete > 0 {
@@ -219,10 +221,10 @@
 	st.notify()
 }
 
-// newestVersion is the newest version that the trainer is known to have, by
-// its own word: in the step request or announced. It only rises.
+// newestVersion returns the trainer's newest version, as reported in its step request or
+// announced. It never decreases.
 func (s *Steps) newestVersion(t manifest.Trainer, reported uint64) uint64 {
-	key := t.Name + "/" + t.Model // versions of another model say nothing of this one
+	key := t.Name + "/" + t.Model // versions of different models are unrelated
 	newest := max(s.newestVersions[key], reported)
 	if v := s.cfg.View.View(); v != nil {
 		newest = max(newest, v.Versions[t.Model])
@@ -231,7 +233,7 @@
 	return newest
 }
 
-// raiseFloor keeps the step's floor up with its trainer's newest version.
+// raiseFloor raises the step's floor according to its trainer's newest version.
 func (s *Steps) raiseFloor(st *step, reported uint64) {
 	floor := fresh.Floor(s.newestVersion(st.trainer, reported), st.trainer.StalenessBound)
 	if floor <= st.floor {
--- a/entry/steps/steps.go
+++ b/entry/steps/steps.go
@@ -1,10 +1,10 @@
-// Package steps owns the steps that trainers post to this entry: it keeps
-// their samples queued, binds them to engines late, has them scored, and
-// hands whole groups out by cursor (docs/PROTOCOLS.md, "steps").
+// Package steps owns the steps that trainers post to this entry: it queues their
+// samples, binds them to engines late, has them scored, and delivers complete groups by
+// cursor (docs/PROTOCOLS.md, "steps").
 //
-// Nothing here lasts. What a trainer acknowledged stands with the trainer;
-// all else can be generated again or stands as finished samples at agents.
-// So an entry may die at any moment and a step costs tokens, never a sample.
+// The package stores nothing durably. The trainer has what it acknowledged; everything
+// else can be generated again or is held as finished samples by agents. So if an entry
+// crashes, its steps lose tokens but no samples.
 package steps
 
 import (
@@ -35,8 +35,8 @@
 	defaultMaxBody     = 64 << 20
 )
 
-// Policy switches mechanisms off, so that a bench shows what each one earns.
-// All are on by default.
+// Policy disables single mechanisms so that their effect can be measured. By default all
+// are enabled.
 type Policy struct {
 	Baseline       bool `ini:"steps.baseline" default:"false" help:"push a step's samples at once, round robin, with no other mechanism (for measurements)"`
 	NoHedge        bool `ini:"steps.no_hedge" default:"false" help:"never run a second copy of a late sample"`
@@ -47,7 +47,7 @@
 	NoResume       bool `ini:"steps.no_resume" default:"false" help:"begin a lost sample again from its first token"`
 }
 
-// Config of Steps. Zero durations take defaults.
+// Config configures Steps. Zero durations and limits take defaults.
 type Config struct {
 	Name    string
 	Fleet   fleet.Fleet
@@ -56,16 +56,16 @@
 	Explain *explain.Ring
 	Logger  *zap.Logger
 	Policy  Policy
-	// Quarantine keeps samples that crash engines from reaching any; nil: one of its
-	// own.
+	// Quarantine keeps samples that crash engines away from further engines; nil: a new
+	// one that is not shared.
 	Quarantine *quarantine.Quarantine
-	// IdleTimeout: a step that its trainer has not asked about for so long is
-	// given up.
+	// IdleTimeout is the time without a request of its trainer after which a step is
+	// abandoned.
 	IdleTimeout time.Duration
-	// MaxHeldWait bounds how long a taken-over step waits for agents to tell
-	// what they hold before it generates.
+	// MaxHeldWait bounds how long a step that was taken over waits for the samples that
+	// agents hold before it starts to generate.
 	MaxHeldWait time.Duration
-	// MaxBody bounds a posted step, in bytes.
+	// MaxBody is the maximum size of a posted step in bytes.
 	MaxBody int64
 	// Plan overrides limits of the straggler decisions; zero: defaults.
 	Plan straggle.Config
@@ -102,28 +102,28 @@
 	supersededTotal = metrics.Counter("steps_superseded_total")
 )
 
-// Steps owns steps. It is safe for concurrent use.
+// Steps owns the steps of this entry. It is safe for concurrent use.
 type Steps struct {
 	cfg    Config
 	ctx    context.Context
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
-	wake   chan struct{} // holds one token: the scheduler has something to do
+	wake   chan struct{} // capacity 1; a value wakes the scheduler
 
 	mu             sync.Mutex
 	steps          map[foldsteps.Key]*step
 	owners         *foldsteps.State
-	newestVersions map[string]uint64 // trainer and model -> newest version by its own word
+	newestVersions map[string]uint64 // trainer and model -> newest version reported by the trainer
 	cooldowns      map[string]*cooldown
-	unstartedRuns  map[string]int // server -> runs sent that haven't started there
+	unstartedRuns  map[string]int // server -> runs that were sent and have not started there
 	rand           *rand.Rand
-	draining       bool // takes no new steps
-	redirecting    bool // sends trainers elsewhere
+	draining       bool // accepts no new steps
+	redirecting    bool // sends trainers to other entries
 	rotation       int
 }
 
-// New returns Steps and starts its scheduler and its reader of the log.
-// Drain or Close ends them.
+// New returns Steps and starts its scheduler and its reader of the log. Drain or Close
+// ends them.
 func New(cfg Config) *Steps {
 	s := &Steps{
 		cfg:            cfg.withDefaults(),
@@ -158,7 +158,7 @@
 	return len(s.steps)
 }
 
-// Models lists the models of the steps that still need samples.
+// Models returns the models of the steps that still need samples, sorted.
 func (s *Steps) Models() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -171,7 +171,7 @@
 	return slices.Sorted(maps.Keys(models))
 }
 
-// Register adds the step protocol's routes.
+// Register adds the routes of the step protocol.
 func (s *Steps) Register(srv *khttp.Server) { srv.HandlePrefix("/v1/steps", s.Handler()) }
 
 // Handler serves the step protocol.
@@ -183,14 +183,14 @@
 	return mux
 }
 
-// finishShare of the time to drain is given to steps to end here; in the rest
-// their trainers go to other entries.
+// finishShare is the share of the drain time in which steps may finish here; in the rest
+// their trainers are sent to other entries.
 const finishShare = 0.75
 
-// Drain ends Steps for a planned stop: it takes no new step, goes on with its
-// own until they end or most of ctx's time is over, then sends the trainers
-// to other entries and lets running samples end (agents hold the finished
-// ones for the new owner). It returns ctx's error when some were cut.
+// Drain ends Steps for a planned stop. It accepts no new steps and continues its own
+// until they end or finishShare of ctx's time has passed. Then it sends the trainers to
+// other entries and lets running samples end; agents hold the finished ones for the new
+// owner. It returns ctx's error if some samples could not end in time.
 func (s *Steps) Drain(ctx context.Context) error {
 	defer s.Close()
 	s.mu.Lock()
@@ -222,7 +222,7 @@
 	return n
 }
 
-// pollUntil polls a condition under the lock.
+// pollUntil polls a condition under the lock until it is true or ctx ends.
 func (s *Steps) pollUntil(ctx context.Context, condition func() bool) error {
 	const pollInterval = 20 * time.Millisecond
 	t := time.NewTicker(pollInterval)
@@ -242,7 +242,7 @@
 	}
 }
 
-// Close stops everything at once.
+// Close stops all steps immediately and waits for the package's goroutines.
 func (s *Steps) Close() {
 	s.cancel()
 	s.mu.Lock()
--- a/entry/steps/steps_test.go
+++ b/entry/steps/steps_test.go
@@ -12,6 +12,6 @@
 		w.entry("a")
 		got := w.run(w.client("a"), step(8, 4))
 		generated, used := w.countTokens(got)
-		require.Equal(t, used, generated, "nothing is wasted when nothing fails")
+		require.Equal(t, used, generated, "no token is wasted if nothing fails")
 	})
 }
--- a/entry/steps/world_test.go
+++ b/entry/steps/world_test.go
@@ -30,7 +30,7 @@
 
 const secret = "s3cret"
 
-// view is a confsync.Viewer whose versions a test raises.
+// view is a confsync.Viewer whose versions a test can raise.
 type view struct {
 	mu      sync.Mutex
 	v       *confsync.View
@@ -59,7 +59,7 @@
 	v.changed = make(chan struct{})
 }
 
-// world is entries, agents, a log and a network in one bubble of fake time.
+// world is a simulated deployment in fake time: entries, agents, a log and a network.
 type world struct {
 	t       testing.TB
 	fleet   *fakeFleet
@@ -69,8 +69,8 @@
 	ring    *explain.Ring
 
 	mu sync.Mutex
-	// fault sees each request; it may act, and its answer says what becomes
-	// of the exchange.
+	// fault is called for each request. It may change the world, and returns what happens
+	// to the request and its answer.
 	fault          func(r *http.Request) delivery
 	calls          map[string]int // "METHOD host" -> count
 	previousAnswer *httptest.ResponseRecorder
@@ -82,7 +82,7 @@
 	deliver delivery = iota
 	dropRequest
 	dropAnswer
-	replayAnswer // of entry a's last GET, instead of this one's
+	replayAnswer // answer with entry a's previous answer to a GET
 )
 
 func inBubble(t *testing.T, f func(w *world)) {
@@ -120,7 +120,7 @@
 	}
 }
 
-// configureTrainer changes the trainer's configureTrainer.
+// configureTrainer sets the trainer's settings before the step is posted.
 func (w *world) configureTrainer(change func(*manifest.Trainer)) {
 	tr := w.view.v.Manifest.Trainers["t"]
 	change(&tr)
@@ -143,7 +143,7 @@
 	return s
 }
 
-// RoundTrip carries a request to the entry that the URL's host names.
+// RoundTrip sends a request to the entry that is the host of the URL.
 func (w *world) RoundTrip(r *http.Request) (*http.Response, error) {
 	w.mu.Lock()
 	w.calls[r.Method+" "+r.URL.Host]++
@@ -186,7 +186,7 @@
 	return w.previousAnswer != nil && strings.Contains(w.previousAnswer.Body.String(), `"text"`)
 }
 
-// response makes a new response at each call, unlike the recorder's Result.
+// response returns a new response on each call, unlike the recorder's Result.
 func response(rec *httptest.ResponseRecorder) *http.Response {
 	return &http.Response{StatusCode: rec.Code, Header: rec.Header(), Body: io.NopCloser(bytes.NewReader(rec.Body.Bytes()))}
 }
@@ -223,8 +223,8 @@
 	return s
 }
 
-// run runs a step and checks each group against the truth: exactly once,
-// whole, and every token labelled by the version that truly made it.
+// run runs a step and checks that each group arrives exactly once and complete, and that
+// every token is labelled with the version that generated it.
 func (w *world) run(c *trainer.Client, st trainer.Step) []trainer.Group {
 	got, err := w.collect(c, st)
 	require.NoError(w.t, err)
@@ -266,7 +266,7 @@
 	}
 }
 
-// countTokens counts the tokens that the engines countTokens and the trainer got.
+// countTokens returns how many tokens the engines generated and the trainer received.
 func (w *world) countTokens(got []trainer.Group) (generated, used int) {
 	for _, a := range w.fleet.agents {
 		a.mu.Lock()
@@ -281,7 +281,7 @@
 	return generated, used
 }
 
-// getStatus is what an entry answers to a GET of the trainer.
+// getStatus returns the status of an entry's answer to a GET by the trainer.
 func (w *world) getStatus(entry, path string) int {
 	r := httptest.NewRequest(http.MethodGet, path, nil)
 	r.Header.Set("Authorization", "Bearer "+secret)
@@ -290,7 +290,7 @@
 	return rec.Code
 }
 
-// post posts a step as the client does.
+// post posts a step like the trainer's client.
 func (w *world) post(entry string, st trainer.Step) {
 	body, err := json.Marshal(map[string]any{"step": st.ID, "attempt": 1, "newest_version": st.NewestVersion, "groups": st.Groups, "have": st.Have})
 	require.NoError(w.t, err)
