--- a/entry/steps/fakes_test.go
+++ b/entry/steps/fakes_test.go
@@ -107,19 +107,19 @@
 
 type stream struct {
 	grpc.ClientStream
-	agent     *fakeAgent
-	ctx       context.Context
-	req       *pb.GenerateRequest
-	crashed   chan struct{}
-	text      string
-	tokens    int
-	spans     []*pb.Span
-	phase     int
-	active    bool // guarded by agent.mu
-	leaveOnce sync.Once
-	stopCtx   context.Context
-	stop      context.CancelFunc
-	ended     chan struct{}
+	agent       *fakeAgent
+	ctx         context.Context
+	req         *pb.GenerateRequest
+	crashed     chan struct{}
+	text        string
+	tokens      int
+	spans       []*pb.Span
+	phase       int
+	active      bool // guarded by agent.mu
+	releaseOnce sync.Once
+	stopCtx     context.Context
+	stop        context.CancelFunc
+	ended       chan struct{}
 }
 
 func (a *fakeAgent) Generate(ctx context.Context, req *pb.GenerateRequest, _ ...grpc.CallOption) (grpc.ServerStreamingClient[pb.GenerateReply], error) {
@@ -161,7 +161,7 @@
 }
 
 func (s *stream) release() {
-	s.leaveOnce.Do(func() {
+	s.releaseOnce.Do(func() {
 		s.agent.mu.Lock()
 		defer s.agent.mu.Unlock()
 		s.agent.streamCount--
