--- a/entry/answer/answer.go
+++ b/entry/answer/answer.go
@@ -45,7 +45,7 @@
 func Error(w http.ResponseWriter, requestID string, err error) {
 	body, status := Body(requestID, err)
 	if body.Error.RetryAfterMS > 0 {
-		w.Header().Set("Retry-After", strconv.FormatInt(seconds(body.Error.RetryAfterMS), 10))
+		w.Header().Set("Retry-After", strconv.FormatInt(ceilSeconds(body.Error.RetryAfterMS), 10))
 	}
 	JSON(w, requestID, status, body)
 }
@@ -57,15 +57,15 @@
 	if !ok {
 		e = kinds.New(kinds.Internal, "%v", err)
 	}
-	row := e.Answer()
+	answer := e.Answer()
 	detail := ErrorDetail{
 		Kind:         e.Kind(),
 		Message:      kinds.ToWire(e).Message,
-		NotRun:       row.NotRun,
-		RetryAfterMS: jittered(row.RetryAfter).Milliseconds(),
+		NotRun:       answer.NotRun,
+		RetryAfterMS: addJitter(answer.RetryAfter).Milliseconds(),
 		RequestID:    requestID,
 	}
-	return ErrorBody{Error: detail}, row.HTTP
+	return ErrorBody{Error: detail}, answer.HTTP
 }
 
 // JSON answers with a value.
@@ -83,13 +83,13 @@
 	_, _ = w.Write(append(data, '\n'))
 }
 
-// jittered lengthens a wait by up to a quarter; it never shortens it.
-func jittered(wait time.Duration) time.Duration {
+// addJitter lengthens a wait by up to a quarter; it never shortens it.
+func addJitter(wait time.Duration) time.Duration {
 	return wait + time.Duration(rand.Float64()*retryJitter*float64(wait))
 }
 
-// seconds rounds up: Retry-After counts whole seconds, and zero would invite
+// ceilSeconds rounds up: Retry-After counts whole ceilSeconds, and zero would invite
 // a repeat at once.
-func seconds(ms int64) int64 {
+func ceilSeconds(ms int64) int64 {
 	return (ms + 999) / 1000
 }
