--- a/entry/auth/auth.go
+++ b/entry/auth/auth.go
@@ -11,13 +11,13 @@
 	"dandelionsill.org/manifest"
 )
 
-const scheme = "Bearer "
+const bearerPrefix = "Bearer "
 
 // Caller returns the caller whose token the request carries. Its errors are
 // of kind NotReady (no manifest yet), Unauthenticated, or Forbidden (the
 // token is a trainer's).
 func Caller(v *confsync.View, r *http.Request) (manifest.Caller, *kinds.Error) {
-	token, refusal := bearer(v, r)
+	token, refusal := bearerToken(v, r)
 	if refusal != nil {
 		return manifest.Caller{}, refusal
 	}
@@ -33,7 +33,7 @@
 // Trainer returns the trainer whose token the request carries, with errors
 // like Caller's.
 func Trainer(v *confsync.View, r *http.Request) (manifest.Trainer, *kinds.Error) {
-	token, refusal := bearer(v, r)
+	token, refusal := bearerToken(v, r)
 	if refusal != nil {
 		return manifest.Trainer{}, refusal
 	}
@@ -49,7 +49,7 @@
 // Operator checks that the request carries an operator's token, with errors
 // like Caller's.
 func Operator(v *confsync.View, r *http.Request) *kinds.Error {
-	token, refusal := bearer(v, r)
+	token, refusal := bearerToken(v, r)
 	if refusal != nil {
 		return refusal
 	}
@@ -62,7 +62,7 @@
 	return kinds.Hold().Refuse(kinds.Forbidden, "the token is no operator's ([fleet] operator_sha256 of the manifest in force)")
 }
 
-func bearer(v *confsync.View, r *http.Request) (string, *kinds.Error) {
+func bearerToken(v *confsync.View, r *http.Request) (string, *kinds.Error) {
 	if v == nil || v.Manifest == nil {
 		return "", kinds.Hold().Refuse(kinds.NotReady, "no manifest revision is known yet")
 	}
@@ -70,10 +70,10 @@
 	if header == "" {
 		return "", kinds.Hold().Refuse(kinds.Unauthenticated, "header Authorization is missing; send \"Bearer TOKEN\"")
 	}
-	if len(header) <= len(scheme) || !strings.EqualFold(header[:len(scheme)], scheme) {
+	if len(header) <= len(bearerPrefix) || !strings.EqualFold(header[:len(bearerPrefix)], bearerPrefix) {
 		return "", kinds.Hold().Refuse(kinds.Unauthenticated, "header Authorization is not \"Bearer TOKEN\"")
 	}
-	return header[len(scheme):], nil
+	return header[len(bearerPrefix):], nil
 }
 
 func unknownToken() *kinds.Error {
--- a/entry/auth/auth_test.go
+++ b/entry/auth/auth_test.go
@@ -26,24 +26,24 @@
 staleness_bound = 1
 `
 
-func TestWhoAsks(t *testing.T) {
+func TestTokensByRole(t *testing.T) {
 	m, err := manifest.Parse("test", []byte(manifestText))
 	require.NoError(t, err)
-	known := &confsync.View{Manifest: m}
+	withManifest := &confsync.View{Manifest: m}
 	cases := []struct {
 		view   *confsync.View
 		header string
 		// kinds of the refusals; "": let in
 		caller, trainer, operator string
 	}{
-		{known, "Bearer t", "", "forbidden", "forbidden"},
-		{known, "bearer p", "forbidden", "", "forbidden"},
-		{known, "Bearer o", "unauthenticated", "unauthenticated", ""},
+		{withManifest, "Bearer t", "", "forbidden", "forbidden"},
+		{withManifest, "bearer p", "forbidden", "", "forbidden"},
+		{withManifest, "Bearer o", "unauthenticated", "unauthenticated", ""},
 		{&confsync.View{Manifest: &manifest.Manifest{}}, "Bearer o", "unauthenticated", "unauthenticated", "forbidden"},
-		{known, "Bearer x", "unauthenticated", "unauthenticated", "forbidden"},
-		{known, "Bearer ", "unauthenticated", "unauthenticated", "unauthenticated"},
-		{known, "Basic t", "unauthenticated", "unauthenticated", "unauthenticated"},
-		{known, "", "unauthenticated", "unauthenticated", "unauthenticated"},
+		{withManifest, "Bearer x", "unauthenticated", "unauthenticated", "forbidden"},
+		{withManifest, "Bearer ", "unauthenticated", "unauthenticated", "unauthenticated"},
+		{withManifest, "Basic t", "unauthenticated", "unauthenticated", "unauthenticated"},
+		{withManifest, "", "unauthenticated", "unauthenticated", "unauthenticated"},
 		{nil, "Bearer t", "not_ready", "not_ready", "not_ready"},
 		{&confsync.View{}, "Bearer t", "not_ready", "not_ready", "not_ready"},
 	}
