--- a/entry/answer/answer.go
+++ b/entry/answer/answer.go
@@ -1,5 +1,5 @@
-// Package answer writes an entry's own answers over HTTP: JSON values, and
-// errors in the one form that every caller, trainer and operator gets.
+// Package answer writes an entry's own HTTP answers: JSON values, and errors in the form
+// that every caller, trainer and operator gets.
 package answer
 
 import (
@@ -15,14 +15,14 @@
 // Headers that an entry sets on its answers.
 const (
 	HeaderRequestID = "X-Request-Id"
-	// HeaderServer names the backend server VM that answered.
+	// HeaderServer contains the name of the backend server VM that answered.
 	HeaderServer = "Dandelion-Server"
-	// HeaderReplayed is "true" on an answer held from the key's first run.
+	// HeaderReplayed is "true" on an answer that was stored at the key's first execution.
 	HeaderReplayed = "Dandelion-Replayed"
 )
 
-// retryJitter spreads Retry-After: refused callers that come back at one
-// moment would overload the same servers again.
+// retryJitter is the maximum random extension of Retry-After, as a share of it. Refused
+// callers that all retry at the same moment would overload the same servers again.
 const retryJitter = 0.25
 
 // ErrorBody is the JSON form of an error.
@@ -30,18 +30,18 @@
 	Error ErrorDetail `json:"error"`
 }
 
-// ErrorDetail tells a caller what happened and what it may do.
+// ErrorDetail describes an error and what the caller may do about it.
 type ErrorDetail struct {
 	Kind    string `json:"kind"`
 	Message string `json:"message"`
-	// NotRun is true only where the request is proven not to have run.
+	// NotRun is true only if the request is proved not to have run.
 	NotRun       bool   `json:"not_run"`
 	RetryAfterMS int64  `json:"retry_after_ms,omitempty"`
 	RequestID    string `json:"request_id"`
 }
 
-// Error answers a request with err's kind. An error without a kind answers as
-// kinds.Internal. Nothing may have been written to w before.
+// Error answers a request with err's kind, status and Retry-After. An error without a
+// kind is answered as kinds.Internal. Nothing may have been written to w before.
 func Error(w http.ResponseWriter, requestID string, err error) {
 	body, status := Body(requestID, err)
 	if body.Error.RetryAfterMS > 0 {
@@ -50,8 +50,8 @@
 	JSON(w, requestID, status, body)
 }
 
-// Body returns err's JSON form and HTTP status. Streams whose status line is
-// already out send it as their last event.
+// Body returns err's JSON form and HTTP status. A stream that has already sent its status
+// line sends the JSON form as its last event.
 func Body(requestID string, err error) (ErrorBody, int) {
 	e, ok := kinds.As(err)
 	if !ok {
@@ -68,7 +68,8 @@
 	return ErrorBody{Error: detail}, answer.HTTP
 }
 
-// JSON answers with a value.
+// JSON answers a request with a status and a JSON value. If the value can't be encoded,
+// it answers with status 500 and an error of kind internal.
 func JSON(w http.ResponseWriter, requestID string, status int, value any) {
 	data, err := json.Marshal(value)
 	if err != nil {
@@ -83,13 +84,13 @@
 	_, _ = w.Write(append(data, '\n'))
 }
 
-// addJitter lengthens a wait by up to a quarter; it never shortens it.
+// addJitter extends a wait by a random part of up to a quarter; it never shortens it.
 func addJitter(wait time.Duration) time.Duration {
 	return wait + time.Duration(rand.Float64()*retryJitter*float64(wait))
 }
 
-// ceilSeconds rounds up: Retry-After counts whole ceilSeconds, and zero would invite
-// a repeat at once.
+// ceilSeconds converts milliseconds to seconds, rounded up: Retry-After has whole seconds,
+// and 0 would invite an immediate retry.
 func ceilSeconds(ms int64) int64 {
 	return (ms + 999) / 1000
 }
--- a/entry/answer/answer_test.go
+++ b/entry/answer/answer_test.go
@@ -45,9 +45,9 @@
 	}
 }
 
-// Refused callers all read the same advice. If every one came back at that
-// moment the overload would repeat, so the advice is spread, never shortened,
-// and rounded up to whole seconds.
+// Refused callers all get the same advice. If all of them retried at the same moment, the
+// overload would repeat. So the advice is spread, never shortened, and rounded up to whole
+// seconds.
 func TestRetryAfterIsSpreadAndRoundedUp(t *testing.T) {
 	seen := map[int64]bool{}
 	for range 200 {
