--- a/entry/auth/auth.go
+++ b/entry/auth/auth.go
@@ -1,5 +1,5 @@
-// Package auth tells who sends a request to an entry, by the bearer tokens
-// whose hashes the manifest holds.
+// Package auth identifies the sender of a request to an entry by its bearer token, whose
+// hash is in the manifest.
 package auth
 
 import (
@@ -13,9 +13,8 @@
 
 const bearerPrefix = "Bearer "
 
-// Caller returns the caller whose token the request carries. Its errors are
-// of kind NotReady (no manifest yet), Unauthenticated, or Forbidden (the
-// token is a trainer's).
+// Caller returns the caller whose token the request carries. Its errors have kind NotReady
+// (there is no manifest yet), Unauthenticated, or Forbidden (the token is a trainer's).
 func Caller(v *confsync.View, r *http.Request) (manifest.Caller, *kinds.Error) {
 	token, refusal := bearerToken(v, r)
 	if refusal != nil {
@@ -30,8 +29,8 @@
 	return manifest.Caller{}, unknownToken()
 }
 
-// Trainer returns the trainer whose token the request carries, with errors
-// like Caller's.
+// Trainer returns the trainer whose token the request carries. Its errors have the same
+// kinds as Caller's; a caller's token is Forbidden.
 func Trainer(v *confsync.View, r *http.Request) (manifest.Trainer, *kinds.Error) {
 	token, refusal := bearerToken(v, r)
 	if refusal != nil {
@@ -46,8 +45,8 @@
 	return manifest.Trainer{}, unknownToken()
 }
 
-// Operator checks that the request carries an operator's token, with errors
-// like Caller's.
+// Operator checks that the request carries an operator's token. Its errors have kind
+// NotReady, Unauthenticated (there is no bearer token), or Forbidden (any other token).
 func Operator(v *confsync.View, r *http.Request) *kinds.Error {
 	token, refusal := bearerToken(v, r)
 	if refusal != nil {
--- a/entry/auth/auth_test.go
+++ b/entry/auth/auth_test.go
@@ -33,7 +33,7 @@
 	cases := []struct {
 		view   *confsync.View
 		header string
-		// kinds of the refusals; "": let in
+		// kinds of the refusals; "": accepted
 		caller, trainer, operator string
 	}{
 		{withManifest, "Bearer t", "", "forbidden", "forbidden"},
