--- a/entry/steps/deliver.go
+++ b/entry/steps/deliver.go
@@ -239,6 +239,7 @@
 	return a
 }
 
+// deliver returns a finished sample in the form of an answer.
 func deliver(sm *sample) Sample {
 	out := Sample{Index: sm.index, Text: sm.done.GetText(), Tokens: sm.done.GetTokens(), Score: sm.score}
 	for _, sp := range sm.done.GetSpans() {
--- a/entry/steps/run.go
+++ b/entry/steps/run.go
@@ -14,7 +14,7 @@
 	"dandelionsill.org/wire/pb"
 )
 
-// partial is an unfinished sample whose tokens all have labels.
+// partial is the beginning of a sample with the labels of its tokens.
 type partial struct {
 	text   string
 	tokens int
--- a/entry/steps/schedule.go
+++ b/entry/steps/schedule.go
@@ -22,15 +22,15 @@
 	// trainer has something queued. They may also wait while much of the step is
 	// queued; otherwise each slot would stay empty for a round trip after each sample.
 	slotsPerQueuedRun    = 16
-	deepQueueRatio       = 1.0 // minimum ratio of queued to running samples at which much of a step is queued
+	deepQueueRatio       = 1.0 // queued samples per running one above which much of a step counts as queued
 	minFailureCooldown   = 100 * time.Millisecond
 	refusalCooldown      = 50 * time.Millisecond
 	maxCooldown          = 3 * time.Second
 	maxCooldownDoublings = 5
 )
 
-// cooldown keeps new work off a server that has just refused or failed. Fleet reports and
-// the VM list show the failure only later; without a cooldown every queued sample would
+// cooldown keeps new work off a server that has just refused or failed. The fleet's reports
+// and the VM list show the failure only later; without a cooldown every queued sample would
 // try the failed server once.
 type cooldown struct {
 	until    time.Time
--- a/entry/steps/step.go
+++ b/entry/steps/step.go
@@ -35,7 +35,7 @@
 	wireID     string // group id in requests to agents: id and a hash of the generation parameters
 	spec       GroupSpec
 	samples    []*sample
-	incomplete int // samples without a result or a score
+	incomplete int // samples whose result or score is missing
 }
 
 // step is a step that this entry owns. It is guarded by Steps.mu.
@@ -62,7 +62,7 @@
 	stopReason    *kinds.Error
 	ctx           context.Context
 	cancel        context.CancelFunc
-	reportedStats straggle.Stats // part of the statistics that the metrics include
+	reportedStats straggle.Stats // statistics that the metrics already include
 }
 
 type sampleKey struct {
