--- a/entry/auth/auth.go
+++ b/entry/auth/auth.go
@@ -1,5 +1,5 @@
-// Package auth tells who sends a request to an entry, by the bearer tokens
-// whose hashes the manifest holds.
+// Package auth identifies the sender of a request to an entry by its bearer token, whose
+// hash is in the manifest.
 package auth
 
 import (
@@ -11,13 +11,12 @@
 	"dandelionsill.org/manifest"
 )
 
-const scheme = "Bearer "
+const bearerPrefix = "Bearer "
 
-// Caller returns the caller whose token the request carries. Its errors are
-// of kind NotReady (no manifest yet), Unauthenticated, or Forbidden (the
-// token is a trainer's).
+// Caller returns the caller whose token the request carries. Its errors have kind NotReady
+// (there is no manifest yet), Unauthenticated, or Forbidden (the token is a trainer's).
 func Caller(v *confsync.View, r *http.Request) (manifest.Caller, *kinds.Error) {
-	token, refusal := bearer(v, r)
+	token, refusal := bearerToken(v, r)
 	if refusal != nil {
 		return manifest.Caller{}, refusal
 	}
@@ -30,10 +29,10 @@
 	return manifest.Caller{}, unknownToken()
 }
 
-// Trainer returns the trainer whose token the request carries, with errors
-// like Caller's.
+// Trainer returns the trainer whose token the request carries. Its errors have the same
+// kinds as Caller's; a caller's token is Forbidden.
 func Trainer(v *confsync.View, r *http.Request) (manifest.Trainer, *kinds.Error) {
-	token, refusal := bearer(v, r)
+	token, refusal := bearerToken(v, r)
 	if refusal != nil {
 		return manifest.Trainer{}, refusal
 	}
@@ -46,10 +45,10 @@
 	return manifest.Trainer{}, unknownToken()
 }
 
-// Operator checks that the request carries an operator's token, with errors
-// like Caller's.
+// Operator checks that the request carries an operator's token. Its errors have kind
+// NotReady, Unauthenticated (there is no bearer token), or Forbidden (any other token).
 func Operator(v *confsync.View, r *http.Request) *kinds.Error {
-	token, refusal := bearer(v, r)
+	token, refusal := bearerToken(v, r)
 	if refusal != nil {
 		return refusal
 	}
@@ -62,7 +61,7 @@
 	return kinds.Hold().Refuse(kinds.Forbidden, "the token is no operator's ([fleet] operator_sha256 of the manifest in force)")
 }
 
-func bearer(v *confsync.View, r *http.Request) (string, *kinds.Error) {
+func bearerToken(v *confsync.View, r *http.Request) (string, *kinds.Error) {
 	if v == nil || v.Manifest == nil {
 		return "", kinds.Hold().Refuse(kinds.NotReady, "no manifest revision is known yet")
 	}
@@ -70,10 +69,10 @@
 	if header == "" {
 		return "", kinds.Hold().Refuse(kinds.Unauthenticated, "header Authorization is missing; send \"Bearer TOKEN\"")
 	}
-	if len(header) <= len(scheme) || !strings.EqualFold(header[:len(scheme)], scheme) {
+	if len(header) <= len(bearerPrefix) || !strings.EqualFold(header[:len(bearerPrefix)], bearerPrefix) {
 		return "", kinds.Hold().Refuse(kinds.Unauthenticated, "header Authorization is not \"Bearer TOKEN\"")
 	}
-	return header[len(scheme):], nil
+	return header[len(bearerPrefix):], nil
 }
 
 func unknownToken() *kinds.Error {
--- a/entry/steps/bench_test.go
+++ b/entry/steps/bench_test.go
@@ -10,11 +10,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// BenchmarkStep runs whole steps at one entry with 40 agents of 32 slots and
-// samples of 304 tokens in chunks of 8. It reports the processor time by
-// sample, with that of the fake agents and the client, and the live heap by
-// sample when all are done and none is pulled. The slope between the sizes is
-// what a sample costs.
+// BenchmarkStep runs whole steps at one entry with 40 agents of 32 slots and samples of
+// 304 tokens in chunks of 8. It reports the processor time per sample, including that of
+// the fake agents and the client, and the live heap per sample when all samples are done
+// and none was pulled. The slope between the sizes is the cost of a sample.
 func BenchmarkStep(b *testing.B) {
 	for _, samples := range []int{256, 1024, 2048} {
 		b.Run(fmt.Sprint(samples), func(b *testing.B) {
@@ -46,12 +45,12 @@
 		time.Sleep(10 * time.Millisecond)
 		done = 0
 		for _, a := range w.fleet.agents {
-			done += len(a.snapshotDone())
+			done += len(a.finishTimes())
 		}
 	}
 	for _, a := range w.fleet.agents {
 		a.mu.Lock()
-		a.held, a.doneAt = nil, map[string]time.Time{}
+		a.held, a.finishedAt = nil, map[string]time.Time{}
 		a.mu.Unlock()
 	}
 	heap = liveHeap() - before
--- a/entry/steps/deliver.go
+++ b/entry/steps/deliver.go
@@ -15,13 +15,14 @@
 	"dandelionsill.org/manifest"
 )
 
-// take makes this entry the step's owner, or finds that it is already.
-func (s *Steps) take(ctx context.Context, t manifest.Trainer, req PostRequest, digest [sha256.Size]byte) (*PostAnswer, error) {
-	s.announce(t.Model, req.NewestVersion)
+// takeStep makes this entry the owner of a posted step. If it already owns this attempt,
+// it returns the same answer again. It returns errSuperseded if there is a newer owner.
+func (s *Steps) takeStep(ctx context.Context, t manifest.Trainer, req PostRequest, digest [sha256.Size]byte) (*PostAnswer, error) {
+	s.announceVersion(t.Model, req.NewestVersion)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	key := foldsteps.Key{Trainer: t.Name, Step: req.Step}
-	if owner, ok := s.owners.Owner(key); ok && s.beats(owner, req.Attempt) {
+	if owner, ok := s.owners.Owner(key); ok && s.isSupersededBy(owner, req.Attempt) {
 		return nil, errSuperseded(key, owner)
 	}
 	old := s.steps[key]
@@ -34,13 +35,13 @@
 			return nil, badRequest("step %d attempt %d was posted with other groups", req.Step, req.Attempt)
 		}
 		if old.acked > 0 {
-			// A trainer that lost the answer to its post has acknowledged
-			// nothing; this one came back from a restart and must not be
-			// refused the groups that its former self had taken.
+			// A trainer that retries its POST because the answer was lost has
+			// acknowledged nothing. This one has restarted: it needs a new attempt,
+			// because the groups that it acknowledged before are freed here.
 			return nil, errSuperseded(key, foldsteps.Owner{Entry: s.cfg.Name, Epoch: old.epoch})
 		}
-		old.touched = time.Now()
-		return old.answer(), nil
+		old.lastRequestAt = time.Now()
+		return old.postAnswer(), nil
 	}
 	if s.draining {
 		return nil, errLeaving()
@@ -48,62 +49,63 @@
 	st := s.newStep(ctx, t, req, digest)
 	if old != nil {
 		s.stop(old, errSuperseded(key, foldsteps.Owner{Entry: s.cfg.Name, Epoch: st.epoch}))
-		inherit(st, old)
+		inheritFloor(st, old)
 	}
 	s.steps[key] = st
 	s.raiseFloor(st, req.NewestVersion)
 	if s.cfg.Log != nil {
-		s.goDo(func() { s.claim(st) })
+		s.spawn(func() { s.appendClaim(st) })
 	}
 	if req.Attempt > 1 {
-		st.holding = true
-		s.goDo(func() { s.collect(st) })
-	}
-	s.adoptFrom(st, old)
-	s.poke()
-	s.cfg.Logger.Info("Took a step.", zap.String("trainer", t.Name), zap.Uint64("step", req.Step),
-		zap.Uint64("attempt", req.Attempt), zap.Int("groups", st.total), zap.Int("samples", len(st.samples)), logs.Trace(st.ctx))
-	return st.answer(), nil
+		st.collecting = true
+		s.spawn(func() { s.collectHeld(st) })
+	}
+	s.adoptFinished(st, old)
+	s.wakeScheduler()
+	s.cfg.Logger.Info("This entry now owns a step.", zap.String("trainer", t.Name), zap.Uint64("step", req.Step),
+		zap.Uint64("attempt", req.Attempt), zap.Int("groups", st.groupCount), zap.Int("samples", len(st.samples)), logs.Trace(st.ctx))
+	return st.postAnswer(), nil
 }
 
-// announce spreads a version that is heard of first in a step's post: the
-// trainer may have died between the store and its word, and without the word
-// no engine would load what the step's floor asks for.
-func (s *Steps) announce(model string, version uint64) {
+// announceVersion announces a version that this entry first sees in a posted step. The
+// trainer may have crashed after it stored the version and before it announced it;
+// without the announcement no engine would load the version that the step's floor
+// requires.
+func (s *Steps) announceVersion(model string, version uint64) {
 	if v := s.cfg.View.View(); v != nil && version > v.Versions[model] {
 		s.cfg.View.Announce(model, version)
 	}
 }
 
-// beats tells whether an owner by the log's word rules an attempt here out.
-func (s *Steps) beats(owner foldsteps.Owner, attempt uint64) bool {
+// isSupersededBy reports whether the owner in the log excludes an attempt at this entry.
+func (s *Steps) isSupersededBy(owner foldsteps.Owner, attempt uint64) bool {
 	if owner.Epoch.Attempt == attempt {
 		return owner.Entry != s.cfg.Name
 	}
 	return owner.Epoch.Attempt > attempt
 }
 
-// inherit carries the knowledge of an earlier attempt on.
-func inherit(st, old *step) { st.floor = max(st.floor, old.floor) }
+// inheritFloor keeps the floor of an earlier attempt.
+func inheritFloor(st, old *step) { st.floor = max(st.floor, old.floor) }
 
-// adoptFrom takes over what an earlier attempt at this entry had finished.
-func (s *Steps) adoptFrom(st, old *step) {
+// adoptFinished adopts the samples that an earlier attempt at this entry had finished.
+func (s *Steps) adoptFinished(st, old *step) {
 	if old == nil {
 		return
 	}
 	for _, sm := range old.samples {
 		if sm.done != nil {
-			s.adopt(st, sampleKey{sm.group.wire, sm.index}, sm.requestHash(), sm.done)
+			s.adopt(st, sampleKey{sm.group.wireID, sm.index}, sm.requestHash(), sm.done)
 		}
 	}
 }
 
-func (st *step) answer() *PostAnswer {
-	return &PostAnswer{Epoch: Epoch(st.epoch), Step: st.key.Step, Groups: st.total}
+func (st *step) postAnswer() *PostAnswer {
+	return &PostAnswer{Epoch: Epoch(st.epoch), Step: st.key.Step, Groups: st.groupCount}
 }
 
-// release ends a step that its trainer is done with.
-func (s *Steps) release(key foldsteps.Key, attempt uint64) error {
+// releaseStep ends a step that its trainer no longer needs.
+func (s *Steps) releaseStep(key foldsteps.Key, attempt uint64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	st := s.steps[key]
@@ -117,33 +119,33 @@
 	return nil
 }
 
-// groups answers one pull. It waits until there is something to tell.
-func (s *Steps) groups(r *http.Request) (*GroupsAnswer, error) {
+// answerPull answers one pull. It waits for a complete group for up to wait_ms.
+func (s *Steps) answerPull(r *http.Request) (*GroupsAnswer, error) {
 	trainer, refusal := auth.Trainer(s.cfg.View.View(), r)
 	if refusal != nil {
 		return nil, refusal
 	}
-	id, attempt, err := stepOf(r)
+	id, attempt, err := stepAndAttempt(r)
 	if err != nil {
 		return nil, err
 	}
-	cursor, err := number(r, "cursor")
+	cursor, err := queryNumber(r, "cursor")
 	if err != nil {
 		return nil, err
 	}
-	waitMS, err := number(r, "wait_ms")
+	waitMS, err := queryNumber(r, "wait_ms")
 	if err != nil {
 		return nil, err
 	}
-	wait := min(time.Duration(min(waitMS, uint64(maxWait.Milliseconds())))*time.Millisecond, maxWait)
-	st, err := s.find(foldsteps.Key{Trainer: trainer.Name, Step: id}, attempt)
+	wait := min(time.Duration(min(waitMS, uint64(maxPullWait.Milliseconds())))*time.Millisecond, maxPullWait)
+	st, err := s.findStep(foldsteps.Key{Trainer: trainer.Name, Step: id}, attempt)
 	if err != nil {
 		return nil, err
 	}
-	return s.pull(r.Context(), st, int(cursor), wait)
+	return s.waitForGroups(r.Context(), st, int(cursor), wait)
 }
 
-func (s *Steps) find(key foldsteps.Key, attempt uint64) (*step, error) {
+func (s *Steps) findStep(key foldsteps.Key, attempt uint64) (*step, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	owner, known := s.owners.Owner(key)
@@ -161,7 +163,7 @@
 	return st, nil
 }
 
-func (s *Steps) pull(ctx context.Context, st *step, cursor int, wait time.Duration) (*GroupsAnswer, error) {
+func (s *Steps) waitForGroups(ctx context.Context, st *step, cursor int, wait time.Duration) (*GroupsAnswer, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	s.mu.Lock()
@@ -170,26 +172,26 @@
 		return nil, badRequest("cursor %d: this owner has acknowledged %d and %d are ready", cursor, st.acked, len(st.ready))
 	}
 	st.acknowledge(cursor)
-	st.waiters++
+	st.waitingPulls++
 	defer func() {
-		st.waiters--
-		st.touched = time.Now()
+		st.waitingPulls--
+		st.lastRequestAt = time.Now()
 	}()
-	over := wait == 0
+	timedOut := wait == 0
 	for {
-		if st.stopped != nil {
-			return nil, st.stopped
+		if st.stopReason != nil {
+			return nil, st.stopReason
 		}
 		if cursor < st.acked {
 			return nil, badRequest("cursor %d: another pull has acknowledged %d meanwhile", cursor, st.acked)
 		}
-		if cursor < len(st.ready) || st.complete() {
+		if cursor < len(st.ready) || st.isComplete() {
 			return st.page(cursor), nil
 		}
-		if s.leaving {
+		if s.redirecting {
 			return nil, errLeaving()
 		}
-		if over {
+		if timedOut {
 			return st.page(cursor), nil
 		}
 		changed := st.changed
@@ -197,15 +199,15 @@
 		select {
 		case <-changed:
 		case <-timer.C:
-			over = true
+			timedOut = true
 		case <-ctx.Done():
-			over = true
+			timedOut = true
 		}
 		s.mu.Lock()
 	}
 }
 
-// acknowledge frees the groups before the cursor: its trainer has them.
+// acknowledge frees the groups before the cursor, which the trainer has received.
 func (st *step) acknowledge(cursor int) {
 	for ; st.acked < cursor; st.acked++ {
 		for _, sm := range st.ready[st.acked].samples {
@@ -213,16 +215,16 @@
 		}
 		st.ready[st.acked] = nil
 	}
-	st.touched = time.Now()
+	st.lastRequestAt = time.Now()
 }
 
-// page builds the answer for a cursor. The same cursor gets the same groups
-// again: an answer that was lost on its way costs a repeat, not a sample.
+// page builds the answer for a cursor. The same cursor returns the same groups again, so
+// an answer that is lost on its way costs a retry but no sample.
 func (st *step) page(cursor int) *GroupsAnswer {
 	a := &GroupsAnswer{Epoch: Epoch(st.epoch), Cursor: cursor, Groups: []Group{}}
 	bytes := 0
 	for _, g := range st.ready[cursor:] {
-		if len(a.Groups) == answerGroups || bytes > answerBytes {
+		if len(a.Groups) == maxAnswerGroups || bytes > targetAnswerBytes {
 			break
 		}
 		out := Group{ID: g.id, Samples: make([]Sample, 0, len(g.samples))}
@@ -233,10 +235,11 @@
 		a.Groups = append(a.Groups, out)
 		a.Cursor++
 	}
-	a.Done = st.complete() && a.Cursor == st.total
+	a.Done = st.isComplete() && a.Cursor == st.groupCount
 	return a
 }
 
+// deliver returns a finished sample in the form of an answer.
 func deliver(sm *sample) Sample {
 	out := Sample{Index: sm.index, Text: sm.done.GetText(), Tokens: sm.done.GetTokens(), Score: sm.score}
 	for _, sp := range sm.done.GetSpans() {
--- a/entry/steps/http.go
+++ b/entry/steps/http.go
@@ -21,22 +21,22 @@
 )
 
 const (
-	maxWait      = 30 * time.Second
-	maxGroups    = 1 << 14
-	maxSamples   = 1 << 16 // of one step
-	answerGroups = 64      // groups of one answer
-	answerBytes  = 4 << 20 // about; one group always fits
+	maxPullWait       = 30 * time.Second
+	maxGroups         = 1 << 14
+	maxSamples        = 1 << 16 // per step
+	maxAnswerGroups   = 64      // per answer
+	targetAnswerBytes = 4 << 20 // soft limit: an answer has at least one group
 )
 
-// GroupSpec is one group that a trainer asks for. Sample i is generated with
-// seed Seed+i.
+// GroupSpec is one group that a trainer requests. Sample i is generated with seed
+// Seed+i.
 type GroupSpec struct {
 	ID        string `json:"id"`
 	Prompt    string `json:"prompt"`
 	Samples   int    `json:"samples"`
 	MaxTokens int    `json:"max_tokens"`
 	Seed      uint64 `json:"seed"`
-	// ExpectedTokens is the trainer's guess of a sample's length; 0: none.
+	// ExpectedTokens is the trainer's estimate of a sample's length; 0: none.
 	ExpectedTokens int `json:"expected_tokens,omitempty"`
 }
 
@@ -49,7 +49,7 @@
 	Have          []string    `json:"have"`
 }
 
-// Epoch is an owner's epoch in answers.
+// Epoch is an owner's epoch, as answers contain it.
 type Epoch struct {
 	Attempt uint64 `json:"attempt"`
 	Claim   uint64 `json:"claim"`
@@ -59,10 +59,10 @@
 type PostAnswer struct {
 	Epoch  Epoch  `json:"epoch"`
 	Step   uint64 `json:"step"`
-	Groups int    `json:"groups"` // that will be delivered
+	Groups int    `json:"groups"` // number of groups that will be delivered
 }
 
-// Span is a sample's label: tokens [From, To) were made by Version.
+// Span is the label of a part of a sample: Version generated the tokens [From, To).
 type Span struct {
 	Version uint64 `json:"version"`
 	From    uint32 `json:"from"`
@@ -78,7 +78,7 @@
 	Score  *float64 `json:"score,omitempty"`
 }
 
-// Group is one delivered group, whole.
+// Group is one delivered group with all its samples.
 type Group struct {
 	ID      string   `json:"id"`
 	Samples []Sample `json:"samples"`
@@ -143,11 +143,11 @@
 	if err := check(&req, s.cfg.View.View().Manifest.Models[trainer.Model]); err != nil {
 		return nil, err
 	}
-	return s.take(r.Context(), trainer, req, digestOf(req))
+	return s.takeStep(r.Context(), trainer, req, digestOf(req))
 }
 
-// digestOf hashes what makes two posts of one attempt the same; a repost may
-// name more groups that the trainer has by now.
+// digestOf returns a hash that is equal for two POSTs of the same attempt. It ignores
+// Have, because a repeated POST may list groups that the trainer received meanwhile.
 func digestOf(req PostRequest) [sha256.Size]byte {
 	data, err := json.Marshal(req.Groups)
 	if err != nil {
@@ -191,7 +191,7 @@
 	ctx, span := trace.FromHTTP(r, "steps.groups")
 	defer span.End()
 	id := requestID(r)
-	reply, err := s.groups(r.WithContext(ctx))
+	reply, err := s.answerPull(r.WithContext(ctx))
 	if err != nil {
 		answer.Error(w, id, err)
 		return
@@ -206,9 +206,9 @@
 		answer.Error(w, id, refusal)
 		return
 	}
-	step, attempt, err := stepOf(r)
+	step, attempt, err := stepAndAttempt(r)
 	if err == nil {
-		err = s.release(foldsteps.Key{Trainer: trainer.Name, Step: step}, attempt)
+		err = s.releaseStep(foldsteps.Key{Trainer: trainer.Name, Step: step}, attempt)
 	}
 	if err != nil {
 		answer.Error(w, id, err)
@@ -217,15 +217,15 @@
 	answer.JSON(w, id, http.StatusOK, struct{}{})
 }
 
-func stepOf(r *http.Request) (step, attempt uint64, err error) {
+func stepAndAttempt(r *http.Request) (step, attempt uint64, err error) {
 	if step, err = strconv.ParseUint(r.PathValue("step"), 10, 64); err != nil {
 		return 0, 0, badRequest("step: a number")
 	}
-	attempt, err = number(r, "attempt")
+	attempt, err = queryNumber(r, "attempt")
 	return step, attempt, err
 }
 
-func number(r *http.Request, name string) (uint64, error) {
+func queryNumber(r *http.Request, name string) (uint64, error) {
 	text := r.URL.Query().Get(name)
 	if text == "" {
 		return 0, nil
--- a/entry/steps/suspect.go
+++ b/entry/steps/quarantine.go
@@ -13,10 +13,11 @@
 	"dandelionsill.org/quarantine"
 )
 
-// heldFor is how long a sample in quarantine waits until it is looked at again.
-const heldFor = 5 * time.Second
+// quarantineRetryDelay is the time until a held-back sample is checked again.
+const quarantineRetryDelay = 5 * time.Second
 
-// subject is a sample as the quarantine sees it, in whatever step. Steps.mu is held.
+// subject returns the identity of a sample in the quarantine, which is the same in every
+// step. Steps.mu is held.
 func (s *Steps) subject(st *step, sm *sample) *quarantine.TrackedRequest {
 	if sm.subject == nil {
 		sm.subject = s.cfg.Quarantine.Track(func() poison.Content {
@@ -29,18 +30,18 @@
 	return sm.subject
 }
 
-// held tells whether a run must not begin: each engine that ran the sample crashed, or
-// one did and another has it now. A step has no answer but its samples, so that such a
-// one waits for as long as its quarantine lasts.
-func (s *Steps) held(st *step, a straggle.Action) bool {
+// isHeldBack reports whether a run must not start: each engine that ran the sample
+// crashed, or one crashed and the action would run a second copy. A step can't end
+// without all its samples, so a held-back sample waits until its quarantine ends.
+func (s *Steps) isHeldBack(st *step, a straggle.Action) bool {
 	sm := st.samples[a.Sample]
 	subject := s.subject(st, sm)
 	switch subject.Verdict() {
 	case poison.Quarantined:
-		s.cfg.Explain.Add(st.ctx, "steps", st.name(sm), "held back", "each engine that ran it crashed")
-		if !sm.held {
-			sm.held = true
-			s.cfg.Logger.Warn("A sample is held back: each engine that ran it crashed.", zap.String("sample", st.name(sm)),
+		s.cfg.Explain.Add(st.ctx, "steps", st.sampleName(sm), "held back", "each engine that ran it crashed")
+		if !sm.heldBackLogged {
+			sm.heldBackLogged = true
+			s.cfg.Logger.Warn("A sample is held back: each engine that ran it crashed.", zap.String("sample", st.sampleName(sm)),
 				zap.String("request", string(subject.Fingerprint())))
 		}
 		return true
@@ -51,13 +52,13 @@
 	}
 }
 
-// noteEnd takes in that a server ended under a sample or the call for its score, where
-// err says so.
-func (s *Steps) noteEnd(subject *quarantine.TrackedRequest, what string, err error) {
+// recordServerEnd reports to the quarantine that a server ended while it ran a sample or
+// the call for its score, if err says so.
+func (s *Steps) recordServerEnd(subject *quarantine.TrackedRequest, name string, err error) {
 	e, ok := kinds.As(err)
 	if !ok || e.Ended() == "" {
 		return
 	}
-	s.cfg.Logger.Warn("A server ended under a sample.", zap.String("sample", what), zap.String("request", string(subject.Fingerprint())), zap.String("server", e.Ended()))
+	s.cfg.Logger.Warn("A server ended under a sample.", zap.String("sample", name), zap.String("request", string(subject.Fingerprint())), zap.String("server", e.Ended()))
 	subject.RecordCrash(e.Ended())
 }
--- a/entry/steps/steps.go
+++ b/entry/steps/steps.go
@@ -1,10 +1,10 @@
-// Package steps owns the steps that trainers post to this entry: it keeps
-// their samples queued, binds them to engines late, has them scored, and
-// hands whole groups out by cursor (docs/PROTOCOLS.md, "steps").
+// Package steps owns the steps that trainers post to this entry: it queues their
+// samples, binds them to engines late, has them scored, and delivers complete groups by
+// cursor (docs/PROTOCOLS.md, "steps").
 //
-// Nothing here lasts. What a trainer acknowledged stands with the trainer;
-// all else can be generated again or stands as finished samples at agents.
-// So an entry may die at any moment and a step costs tokens, never a sample.
+// The package stores nothing durably. The trainer has what it acknowledged; everything
+// else can be generated again or is held as finished samples by agents. So if an entry
+// crashes, its steps lose tokens but no samples.
 package steps
 
 import (
@@ -31,12 +31,12 @@
 
 const (
 	defaultIdleTimeout = 2 * time.Minute
-	defaultHeldWait    = 500 * time.Millisecond
+	defaultMaxHeldWait = 500 * time.Millisecond
 	defaultMaxBody     = 64 << 20
 )
 
-// Policy switches mechanisms off, so that a bench shows what each one earns.
-// All are on by default.
+// Policy disables single mechanisms so that their effect can be measured. By default all
+// are enabled.
 type Policy struct {
 	Baseline       bool `ini:"steps.baseline" default:"false" help:"push a step's samples at once, round robin, with no other mechanism (for measurements)"`
 	NoHedge        bool `ini:"steps.no_hedge" default:"false" help:"never run a second copy of a late sample"`
@@ -47,7 +47,7 @@
 	NoResume       bool `ini:"steps.no_resume" default:"false" help:"begin a lost sample again from its first token"`
 }
 
-// Config of Steps. Zero durations take defaults.
+// Config configures Steps. Zero durations and limits take defaults.
 type Config struct {
 	Name    string
 	Fleet   fleet.Fleet
@@ -56,16 +56,16 @@
 	Explain *explain.Ring
 	Logger  *zap.Logger
 	Policy  Policy
-	// Quarantine keeps samples that crash engines from reaching any; nil: one of its
-	// own.
+	// Quarantine keeps samples that crash engines away from further engines; nil: a new
+	// one that is not shared.
 	Quarantine *quarantine.Quarantine
-	// IdleTimeout: a step that its trainer has not asked about for so long is
-	// given up.
+	// IdleTimeout is the time without a request of its trainer after which a step is
+	// abandoned.
 	IdleTimeout time.Duration
-	// HeldWait bounds how long a taken-over step waits for agents to tell
-	// what they hold before it generates.
-	HeldWait time.Duration
-	// MaxBody bounds a posted step, in bytes.
+	// MaxHeldWait bounds how long a step that was taken over waits for the samples that
+	// agents hold before it starts to generate.
+	MaxHeldWait time.Duration
+	// MaxBody is the maximum size of a posted step in bytes.
 	MaxBody int64
 	// Plan overrides limits of the straggler decisions; zero: defaults.
 	Plan straggle.Config
@@ -81,8 +81,8 @@
 	if c.IdleTimeout == 0 {
 		c.IdleTimeout = defaultIdleTimeout
 	}
-	if c.HeldWait == 0 {
-		c.HeldWait = defaultHeldWait
+	if c.MaxHeldWait == 0 {
+		c.MaxHeldWait = defaultMaxHeldWait
 	}
 	if c.MaxBody == 0 {
 		c.MaxBody = defaultMaxBody
@@ -91,60 +91,60 @@
 }
 
 var (
-	finishedTotal  = metrics.Counter("steps_samples_finished_total")
-	lostTotal      = metrics.Counter("steps_runs_lost_total")
-	discardedTotal = metrics.Counter("steps_samples_discarded_total")
-	hedgesTotal    = metrics.Counter("steps_hedges_total")
-	movesTotal     = metrics.Counter("steps_moves_total")
-	wastedTotal    = metrics.Counter("steps_wasted_tokens_total")
-	tokensTotal    = metrics.Counter("steps_tokens_total")
-	adoptedTotal   = metrics.Counter("steps_samples_adopted_total")
-	takenOverTotal = metrics.Counter("steps_superseded_total")
+	finishedTotal   = metrics.Counter("steps_samples_finished_total")
+	lostTotal       = metrics.Counter("steps_runs_lost_total")
+	discardedTotal  = metrics.Counter("steps_samples_discarded_total")
+	hedgesTotal     = metrics.Counter("steps_hedges_total")
+	movesTotal      = metrics.Counter("steps_moves_total")
+	wastedTotal     = metrics.Counter("steps_wasted_tokens_total")
+	tokensTotal     = metrics.Counter("steps_tokens_total")
+	adoptedTotal    = metrics.Counter("steps_samples_adopted_total")
+	supersededTotal = metrics.Counter("steps_superseded_total")
 )
 
-// Steps owns steps. It is safe for concurrent use.
+// Steps owns the steps of this entry. It is safe for concurrent use.
 type Steps struct {
 	cfg    Config
 	ctx    context.Context
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
-	wake   chan struct{} // holds one token: the scheduler has something to do
+	wake   chan struct{} // capacity 1; a value wakes the scheduler
 
-	mu       sync.Mutex
-	steps    map[foldsteps.Key]*step
-	owners   *foldsteps.State
-	newest   map[string]uint64 // trainer and model -> newest version by its own word
-	cool     map[string]*cooldown
-	waiting  map[string]int // server -> runs sent that haven't started there
-	rand     *rand.Rand
-	draining bool // takes no new steps
-	leaving  bool // sends trainers elsewhere
-	rotate   int
+	mu             sync.Mutex
+	steps          map[foldsteps.Key]*step
+	owners         *foldsteps.State
+	newestVersions map[string]uint64 // trainer and model -> newest version reported by the trainer
+	cooldowns      map[string]*cooldown
+	unstartedRuns  map[string]int // server -> runs that were sent and have not started there
+	rand           *rand.Rand
+	draining       bool // accepts no new steps
+	redirecting    bool // sends trainers to other entries
+	rotation       int
 }
 
-// New returns Steps and starts its scheduler and its reader of the log.
-// Drain or Close ends them.
+// New returns Steps and starts its scheduler and its reader of the log. Drain or Close
+// ends them.
 func New(cfg Config) *Steps {
 	s := &Steps{
-		cfg:     cfg.withDefaults(),
-		wake:    make(chan struct{}, 1),
-		steps:   map[foldsteps.Key]*step{},
-		owners:  foldsteps.New(),
-		newest:  map[string]uint64{},
-		cool:    map[string]*cooldown{},
-		waiting: map[string]int{},
-		rand:    rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		cfg:            cfg.withDefaults(),
+		wake:           make(chan struct{}, 1),
+		steps:          map[foldsteps.Key]*step{},
+		owners:         foldsteps.New(),
+		newestVersions: map[string]uint64{},
+		cooldowns:      map[string]*cooldown{},
+		unstartedRuns:  map[string]int{},
+		rand:           rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
-	metrics.Gauge("steps_owned", func() any { return s.owned() })
-	s.goDo(s.schedule)
+	metrics.Gauge("steps_owned", func() any { return s.stepCount() })
+	s.spawn(s.schedule)
 	if s.cfg.Log != nil {
-		s.goDo(s.follow)
+		s.spawn(s.followLog)
 	}
 	return s
 }
 
-func (s *Steps) goDo(f func()) {
+func (s *Steps) spawn(f func()) {
 	s.wg.Add(1)
 	go func() {
 		defer s.wg.Done()
@@ -152,13 +152,13 @@
 	}()
 }
 
-func (s *Steps) owned() int {
+func (s *Steps) stepCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.steps)
 }
 
-// Models lists the models of the steps that still need samples.
+// Models returns the models of the steps that still need samples, sorted.
 func (s *Steps) Models() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -171,7 +171,7 @@
 	return slices.Sorted(maps.Keys(models))
 }
 
-// Register adds the step protocol's routes.
+// Register adds the routes of the step protocol.
 func (s *Steps) Register(srv *khttp.Server) { srv.HandlePrefix("/v1/steps", s.Handler()) }
 
 // Handler serves the step protocol.
@@ -183,38 +183,38 @@
 	return mux
 }
 
-// drainShare of the time to drain is given to steps to end here; in the rest
-// their trainers go to other entries.
-const drainShare = 0.75
+// finishShare is the share of the drain time in which steps may finish here; in the rest
+// their trainers are sent to other entries.
+const finishShare = 0.75
 
-// Drain ends Steps for a planned stop: it takes no new step, goes on with its
-// own until they end or most of ctx's time is over, then sends the trainers
-// to other entries and lets running samples end (agents hold the finished
-// ones for the new owner). It returns ctx's error when some were cut.
+// Drain ends Steps for a planned stop. It accepts no new steps and continues its own
+// until they end or finishShare of ctx's time has passed. Then it sends the trainers to
+// other entries and lets running samples end; agents hold the finished ones for the new
+// owner. It returns ctx's error if some samples could not end in time.
 func (s *Steps) Drain(ctx context.Context) error {
 	defer s.Close()
 	s.mu.Lock()
 	s.draining = true
 	s.mu.Unlock()
-	first, cancel := ctx, context.CancelFunc(func() {})
+	finishCtx, cancel := ctx, context.CancelFunc(func() {})
 	if deadline, ok := ctx.Deadline(); ok {
-		limit := time.Duration(drainShare * float64(time.Until(deadline)))
-		first, cancel = context.WithTimeout(ctx, limit)
+		limit := time.Duration(finishShare * float64(time.Until(deadline)))
+		finishCtx, cancel = context.WithTimeout(ctx, limit)
 	}
 	defer cancel()
-	if s.await(first, func() bool { return len(s.steps) == 0 }) == nil {
+	if s.pollUntil(finishCtx, func() bool { return len(s.steps) == 0 }) == nil {
 		return nil
 	}
 	s.mu.Lock()
-	s.leaving = true
+	s.redirecting = true
 	for _, st := range s.steps {
 		st.notify()
 	}
 	s.mu.Unlock()
-	return s.await(ctx, func() bool { return len(s.steps) == 0 || s.running() == 0 })
+	return s.pollUntil(ctx, func() bool { return len(s.steps) == 0 || s.runCount() == 0 })
 }
 
-func (s *Steps) running() int {
+func (s *Steps) runCount() int {
 	n := 0
 	for _, st := range s.steps {
 		n += len(st.runs)
@@ -222,14 +222,14 @@
 	return n
 }
 
-// await polls a condition under the lock.
-func (s *Steps) await(ctx context.Context, done func() bool) error {
-	const every = 20 * time.Millisecond
-	t := time.NewTicker(every)
+// pollUntil polls a condition under the lock until it is true or ctx ends.
+func (s *Steps) pollUntil(ctx context.Context, condition func() bool) error {
+	const pollInterval = 20 * time.Millisecond
+	t := time.NewTicker(pollInterval)
 	defer t.Stop()
 	for {
 		s.mu.Lock()
-		ok := done()
+		ok := condition()
 		s.mu.Unlock()
 		if ok {
 			return nil
@@ -242,7 +242,7 @@
 	}
 }
 
-// Close stops everything at once.
+// Close stops all steps immediately and waits for the package's goroutines.
 func (s *Steps) Close() {
 	s.cancel()
 	s.mu.Lock()
@@ -254,7 +254,7 @@
 	s.wg.Wait()
 }
 
-func (s *Steps) poke() {
+func (s *Steps) wakeScheduler() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
