--- a/agent/calls/calls.go
+++ b/agent/calls/calls.go
@@ -310,7 +310,7 @@
 	case err.NotRun():
 		run.Release()
 	default:
-		run.Lose()
+		run.FinishUnknown()
 	}
 }
 
--- a/agent/calls/rig_test.go
+++ b/agent/calls/rig_test.go
@@ -60,7 +60,7 @@
 	table := once.New(once.Config{
 		Owner:   fold.Owner{Name: "agent-1", Incarnation: uuid.NewString()},
 		Service: "orders", Log: client,
-		Terms: func() once.Terms { return once.Terms{Window: time.Hour, Skew: time.Second} },
+		Limits: func() once.Limits { return once.Limits{Window: time.Hour, Skew: time.Second} },
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
--- a/agent/once/bench_test.go
+++ b/agent/once/bench_test.go
@@ -14,15 +14,15 @@
 // benchLog answers at once, but for the given time per append.
 type benchLog struct {
 	*fakeLog
-	took time.Duration
+	appendTime time.Duration
 }
 
 func (l benchLog) Append(_ context.Context, _ string, data []byte) (uint64, error) {
-	time.Sleep(l.took)
+	time.Sleep(l.appendTime)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.appends++
-	l.add(data)
+	l.addRecord(data)
 	return uint64(len(l.records) - 1), nil
 }
 
@@ -42,7 +42,7 @@
 			for range callers {
 				wg.Go(func() {
 					for range jobs {
-						run, _, err := table.Claim(ctx, request())
+						run, _, err := table.Claim(ctx, newRequest())
 						if err != nil {
 							b.Error(err)
 							return
@@ -58,7 +58,7 @@
 			}
 			close(jobs)
 			wg.Wait()
-			b.ReportMetric(float64(claims)/float64(log.count()), "claims/append")
+			b.ReportMetric(float64(claims)/float64(log.appendCount()), "claims/append")
 		})
 	}
 }
@@ -72,11 +72,11 @@
 			for b.Loop() {
 				table, stop := start(b, newFakeLog(), "a")
 				table.cfg.ClaimTimeout = time.Minute
-				before := heap()
+				before := liveHeapBytes()
 				var wg sync.WaitGroup
 				for range keys {
 					wg.Go(func() {
-						run, _, err := table.Claim(context.Background(), request())
+						run, _, err := table.Claim(context.Background(), newRequest())
 						if err != nil {
 							b.Error(err)
 							return
@@ -86,8 +86,8 @@
 					})
 				}
 				wg.Wait()
-				table.cfg.Log.(*fakeLog).forget()
-				bytes = heap() - before
+				table.cfg.Log.(*fakeLog).clearData()
+				bytes = liveHeapBytes() - before
 				if n := table.Stats().Runs; n != keys {
 					b.Fatal(n)
 				}
@@ -98,8 +98,8 @@
 	}
 }
 
-// forget drops the records, which are not the table's memory.
-func (l *fakeLog) forget() {
+// clearData drops the records, which are not the table's memory.
+func (l *fakeLog) clearData() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for i := range l.records {
@@ -107,8 +107,8 @@
 	}
 }
 
-// heap is the live heap in bytes after a collection.
-func heap() uint64 {
+// liveHeapBytes is the live liveHeapBytes in bytes after a collection.
+func liveHeapBytes() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/agent/once/commit.go
+++ b/agent/once/commit.go
@@ -13,37 +13,37 @@
 )
 
 const (
-	maxBatch      = 1000 // claims in one append
-	appendTimeout = 2 * time.Second
-	minBackoff    = 20 * time.Millisecond
-	maxBackoff    = time.Second
-	// activeFor is how long an owner counts as one that shares the append rate.
-	activeFor = 10 * time.Second
+	maxBatchClaims = 1000 // claims in one append
+	appendTimeout  = 2 * time.Second
+	minBackoff     = 20 * time.Millisecond
+	maxBackoff     = time.Second
+	// activeOwnerWindow is how long an owner counts as one that shares the append rate.
+	activeOwnerWindow = 10 * time.Second
 )
 
-// write appends waiting claims, one batch at a time, until ctx ends.
-func (t *Table) write(ctx context.Context) {
-	var last time.Time
+// writeClaims appends waiting claims, one batch at a time, until ctx ends.
+func (t *Table) writeClaims(ctx context.Context) {
+	var lastAppend time.Time
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-t.wake:
+		case <-t.claimsQueued:
 		}
-		sleep.For(ctx, time.Until(last.Add(t.interval())))
-		batch, rest := t.take()
-		if rest {
-			poke(t.wake)
+		sleep.For(ctx, time.Until(lastAppend.Add(t.appendInterval())))
+		batch, more := t.take()
+		if more {
+			notify(t.claimsQueued)
 		}
 		if len(batch) == 0 {
 			continue
 		}
-		last = time.Now()
-		t.commit(ctx, batch)
+		lastAppend = time.Now()
+		t.commitBatch(ctx, batch)
 	}
 }
 
-// interval keeps all agents of the stream together within its share of the
+// appendInterval keeps all agents of the stream together within its share of the
 // log's append rate. Each counts the others from the stream itself, so that
 // nobody has to hand shares out.
 //
@@ -57,49 +57,49 @@
 // agent), with k the least that carries the keyed calls and spans the failure
 // domains. k <= S/10 keeps the mean wait at 50 ms, and fewer, larger records
 // cost all readers less.
-func (t *Table) interval() time.Duration {
-	terms := t.cfg.Terms()
-	if terms.AppendsPerS <= 0 {
-		return terms.MinInterval
+func (t *Table) appendInterval() time.Duration {
+	limits := t.cfg.Limits()
+	if limits.AppendsPerS <= 0 {
+		return limits.MinInterval
 	}
 	t.mu.Lock()
-	active := max(1, t.fold.ActiveOwners(activeFor))
+	active := max(1, t.keys.ActiveOwners(activeOwnerWindow))
 	t.mu.Unlock()
-	share := time.Duration(float64(active) / terms.AppendsPerS * float64(time.Second))
-	return max(terms.MinInterval, share)
+	share := time.Duration(float64(active) / limits.AppendsPerS * float64(time.Second))
+	return max(limits.MinInterval, share)
 }
 
 // take removes the next batch from the queue, without claims that nobody waits
 // for any more.
-func (t *Table) take() (batch []*pending, rest bool) {
+func (t *Table) take() (batch []*pending, more bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for len(t.queue) > 0 && len(batch) < maxBatch {
+	for len(t.queue) > 0 && len(batch) < maxBatchClaims {
 		p := t.queue[0]
 		t.queue[0] = nil
 		t.queue = t.queue[1:]
-		if t.claims[p.key] == p {
+		if t.pendingClaims[p.digest] == p {
 			batch = append(batch, p)
 		}
 	}
 	return batch, len(t.queue) > 0
 }
 
-// commit writes one batch until it stands in the log or nobody waits for it.
+// commitBatch writes one batch until it stands in the log or nobody waits for it.
 // Writing it again is safe, because the fold lets the first claim stand; but it
 // is done only after a read to the end has shown that it is not there.
-func (t *Table) commit(ctx context.Context, batch []*pending) {
-	seq, data := t.encode(batch)
-	for delay := minBackoff; t.wanted(batch) && ctx.Err() == nil; delay = min(2*delay, maxBackoff) {
-		t.begun()
+func (t *Table) commitBatch(ctx context.Context, batch []*pending) {
+	seq, data := t.encodeBatch(batch)
+	for delay := minBackoff; t.hasWaiters(batch) && ctx.Err() == nil; delay = min(2*delay, maxBackoff) {
+		t.recordAppendStart()
 		offset, err := t.append(ctx, data)
 		switch {
 		case err == nil:
-			t.stands(offset, seq)
+			t.recordAppended(offset, seq)
 			return
 		case errors.Is(err, platform.ErrLogUnavailable):
 			t.log.Warn("The log is down; claims are refused.", zap.Error(err))
-			t.fail(batch)
+			t.refuseBatch(batch)
 			return
 		case errors.Is(err, platform.ErrRate):
 			t.log.Warn("The log's append rate is spent.")
@@ -121,10 +121,10 @@
 	return t.cfg.Log.Append(ctx, t.stream, data)
 }
 
-func (t *Table) encode(batch []*pending) (seq uint64, data []byte) {
+func (t *Table) encodeBatch(batch []*pending) (seq uint64, data []byte) {
 	t.mu.Lock()
-	t.seq++
-	seq = t.seq
+	t.lastSeq++
+	seq = t.lastSeq
 	t.mu.Unlock()
 	b := fold.Batch{Owner: t.cfg.Owner, Seq: seq, Claims: make([]fold.Claim, len(batch))}
 	for i, p := range batch {
@@ -137,13 +137,13 @@
 // readBack tells whether a batch stands in the log. False means that it did
 // not when the read came to the end, or that nobody waits for it any more.
 func (t *Table) readBack(ctx context.Context, batch []*pending, seq uint64) bool {
-	for delay := minBackoff; ctx.Err() == nil && t.wanted(batch); {
-		atEnd, err := t.read(ctx, 0)
-		if t.hasLanded(seq) {
+	for delay := minBackoff; ctx.Err() == nil && t.hasWaiters(batch); {
+		atEnd, err := t.readPage(ctx, 0)
+		if t.isReadBack(seq) {
 			return true
 		}
 		if err == nil && atEnd {
-			t.confirm()
+			t.clearUnconfirmed()
 			return false
 		}
 		if err != nil {
@@ -154,53 +154,53 @@
 	return false
 }
 
-// confirm notes that the log answers: what is not there was lost on its way.
-func (t *Table) confirm() {
+// clearUnconfirmed notes that the log answers: what is not there was lost on its way.
+func (t *Table) clearUnconfirmed() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.unconfirmed = time.Time{}
+	t.unconfirmedSince = time.Time{}
 }
 
-// begun notes that a batch is on its way: the tail polls for it.
-func (t *Table) begun() {
+// recordAppendStart notes that a batch is on its way: the tail polls for it.
+func (t *Table) recordAppendStart() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.begins++
-	if t.unconfirmed.IsZero() {
-		t.unconfirmed = time.Now()
+	t.appendsStarted++
+	if t.unconfirmedSince.IsZero() {
+		t.unconfirmedSince = time.Now()
 	}
-	poke(t.hurry)
+	notify(t.readNow)
 }
 
-func (t *Table) hasLanded(seq uint64) bool {
+func (t *Table) isReadBack(seq uint64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.landed >= seq
+	return t.readBackSeq >= seq
 }
 
-// wanted tells whether anybody still waits for a claim of the batch.
-func (t *Table) wanted(batch []*pending) bool {
+// hasWaiters tells whether anybody still waits for a claim of the batch.
+func (t *Table) hasWaiters(batch []*pending) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, p := range batch {
-		if t.claims[p.key] == p {
+		if t.pendingClaims[p.digest] == p {
 			return true
 		}
 	}
 	return false
 }
 
-// fail refuses a batch that the log did not take, and for a moment every claim
+// refuseBatch refuses a batch that the log did not take, and for a moment every claim
 // that would follow it.
-func (t *Table) fail(batch []*pending) {
+func (t *Table) refuseBatch(batch []*pending) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.downUntil = time.Now().Add(logDownPause)
+	t.logDownUntil = time.Now().Add(logDownPause)
 	for _, p := range batch {
-		if t.claims[p.key] != p {
+		if t.pendingClaims[p.digest] != p {
 			continue
 		}
-		delete(t.claims, p.key)
+		delete(t.pendingClaims, p.digest)
 		p.err = logUnavailable("the log is down")
 		close(p.done)
 	}
--- a/agent/once/fake_test.go
+++ b/agent/once/fake_test.go
@@ -15,27 +15,27 @@
 
 const latency = 2 * time.Millisecond
 
-// fate is what the fake log does with one append.
-type fate uint8
+// appendOutcome is what the fake log does with one append.
+type appendOutcome uint8
 
 const (
-	taken    fate = iota
-	answered      // taken, answer lost
-	dropped       // not taken, looks like a lost answer
-	delayed       // taken a second after the client saw the lost answer
-	refused       // outage
-	rated
+	stored           appendOutcome = iota
+	storedUnanswered               // taken, answer lost
+	requestLost                    // not taken, looks like a lost answer
+	storedLate                     // taken a second after the client saw the lost answer
+	refused                        // outage
+	rateLimited
 )
 
 // fakeLog is one stream in memory, in the test's virtual time.
 type fakeLog struct {
-	mu       sync.Mutex
-	records  []platform.Record
-	appends  int
-	reads    int
-	changed  chan struct{}
-	next     func() fate // nil: taken
-	readDown bool
+	mu          sync.Mutex
+	records     []platform.Record
+	appends     int
+	reads       int
+	changed     chan struct{}
+	nextOutcome func() appendOutcome // nil: taken
+	failReads   bool
 }
 
 func newFakeLog() *fakeLog { return &fakeLog{changed: make(chan struct{})} }
@@ -45,33 +45,33 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.appends++
-	f := taken
-	if l.next != nil {
-		f = l.next()
+	outcome := stored
+	if l.nextOutcome != nil {
+		outcome = l.nextOutcome()
 	}
-	switch f {
+	switch outcome {
 	case refused:
 		return 0, platform.ErrLogUnavailable
-	case rated:
+	case rateLimited:
 		return 0, platform.ErrRate
-	case dropped:
+	case requestLost:
 		return 0, platform.ErrAppendUnknown
-	case delayed:
+	case storedLate:
 		time.AfterFunc(time.Second, func() {
 			l.mu.Lock()
 			defer l.mu.Unlock()
-			l.add(data)
+			l.addRecord(data)
 		})
 		return 0, platform.ErrAppendUnknown
 	}
-	l.add(data)
-	if f == answered {
+	l.addRecord(data)
+	if outcome == storedUnanswered {
 		return 0, platform.ErrAppendUnknown
 	}
 	return uint64(len(l.records) - 1), nil
 }
 
-func (l *fakeLog) add(data []byte) {
+func (l *fakeLog) addRecord(data []byte) {
 	l.records = append(l.records, platform.Record{Offset: uint64(len(l.records)), Time: time.Now(), Data: data})
 	close(l.changed)
 	l.changed = make(chan struct{})
@@ -87,7 +87,7 @@
 	for {
 		l.mu.Lock()
 		end, changed := uint64(len(l.records)), l.changed
-		if l.readDown {
+		if l.failReads {
 			l.mu.Unlock()
 			return platform.Page{}, platform.ErrLogUnavailable
 		}
@@ -109,29 +109,31 @@
 	}
 }
 
-// lose forgets all records.
-func (l *fakeLog) lose() {
+// dropRecords forgets all records.
+func (l *fakeLog) dropRecords() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.records = nil
 }
 
-func (l *fakeLog) set(next func() fate) {
+func (l *fakeLog) setOutcomes(nextOutcome func() appendOutcome) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.next = next
+	l.nextOutcome = nextOutcome
 }
 
-func (l *fakeLog) count() int {
+func (l *fakeLog) appendCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.appends
 }
 
-// always returns one fate for every append.
-func always(f fate) func() fate { return func() fate { return f } }
+// alwaysOutcome returns one fate for every append.
+func alwaysOutcome(outcome appendOutcome) func() appendOutcome {
+	return func() appendOutcome { return outcome }
+}
 
-var testTerms = Terms{Window: 10 * time.Minute, Skew: time.Second, MinInterval: time.Millisecond}
+var testLimits = Limits{Window: 10 * time.Minute, Skew: time.Second, MinInterval: time.Millisecond}
 
 // start runs a table until the test's end or stop. Each call is another incarnation.
 func start(t testing.TB, log platform.Log, name string) (table *Table, stop func()) {
@@ -158,7 +160,7 @@
 func newTable(log platform.Log, name string) *Table {
 	return New(Config{
 		Owner: fold.Owner{Name: name, Incarnation: uuid.NewString()}, Service: "orders", Log: log,
-		Terms: func() Terms { return testTerms },
+		Limits: func() Limits { return testLimits },
 	})
 }
 
@@ -176,4 +178,4 @@
 	return fold.Key{Caller: "shop", ID: u}
 }
 
-func request() Request { return Request{Key: newKey(time.Now()), Hash: fold.Hash{1}} }
+func newRequest() Request { return Request{Key: newKey(time.Now()), Hash: fold.Hash{1}} }
--- a/agent/once/history_test.go
+++ b/agent/once/history_test.go
@@ -16,17 +16,17 @@
 	"dandelionsill.org/kinds"
 )
 
-// try is the outcome of one try as its caller sees it, with the truth of the
-// backend server: value is what this try's own run made, "" for no run.
-type try struct {
+// attempt is the outcome of one attempt as its caller sees it, with the truth of the
+// backend server: value is what this attempt's own run made, "" for no run.
+type attempt struct {
 	notRun   bool
 	replayed string
 	value    string
 }
 
-// oneRun is the object that callers should see: a key that is empty until one
+// oneRunModel is the object that callers should see: a key that is empty until one
 // try sets it, and answers with that value ever after.
-var oneRun = porcupine.Model{
+var oneRunModel = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		parts := make(map[int][]porcupine.Operation)
 		for _, op := range history {
@@ -40,7 +40,7 @@
 	},
 	Init: func() any { return "" },
 	Step: func(state, _, output any) (bool, any) {
-		value, out := state.(string), output.(try)
+		value, out := state.(string), output.(attempt)
 		switch {
 		case out.value != "":
 			return !out.notRun && value == "", out.value
@@ -51,14 +51,14 @@
 	},
 }
 
-// fleet is three agent names, each with its live incarnation and with older ones
+// agents is three agent names, each with its live incarnation and with older ones
 // that were only frozen and go on.
-type fleet struct {
+type agents struct {
 	mu     sync.Mutex
 	tables map[string][]*Table
 }
 
-func (f *fleet) pick(rng *rand.Rand, name string) *Table {
+func (f *agents) pickTable(rng *rand.Rand, name string) *Table {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	tables := f.tables[name]
@@ -73,7 +73,7 @@
 // under their own names, and replaced ones that were only frozen go on. The
 // callers' history must be one of an object that runs once, and no "not run"
 // may be given for a run.
-func TestHistoryOfOneRunPerKey(t *testing.T) {
+func TestHistoryHasOneRunPerKey(t *testing.T) {
 	for seed := range uint64(25) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) { history(t, seed) })
@@ -84,22 +84,22 @@
 func history(t *testing.T, seed uint64) {
 	log := newFakeLog()
 	logRNG := rand.New(rand.NewPCG(seed, 1))
-	log.set(func() fate { // under the log's lock
+	log.setOutcomes(func() appendOutcome { // under the log's lock
 		if logRNG.IntN(2) == 0 {
-			return taken
+			return stored
 		}
-		return fate(logRNG.IntN(int(rated) + 1))
+		return appendOutcome(logRNG.IntN(int(rateLimited) + 1))
 	})
 	names := []string{"a", "b", "c"}
-	f := &fleet{tables: make(map[string][]*Table)}
+	fleet := &agents{tables: make(map[string][]*Table)}
 	for _, name := range names {
 		table, _ := start(t, log, name)
-		f.tables[name] = []*Table{table}
+		fleet.tables[name] = []*Table{table}
 	}
 	const keys = 4
 	requests := make([]Request, keys)
 	for i := range requests {
-		requests[i] = request()
+		requests[i] = newRequest()
 	}
 	var (
 		mu      sync.Mutex
@@ -116,7 +116,7 @@
 				time.Sleep(time.Duration(rng.IntN(400)) * time.Millisecond)
 				key := rng.IntN(keys)
 				op := porcupine.Operation{ClientId: c, Input: key, Call: clock.Add(1)}
-				out := attempt(rng, f, names[rng.IntN(len(names))], requests[key], func() string {
+				out := runAttempt(rng, fleet, names[rng.IntN(len(names))], requests[key], func() string {
 					mu.Lock()
 					defer mu.Unlock()
 					runs[key]++
@@ -136,9 +136,9 @@
 			time.Sleep(time.Duration(rng.IntN(2000)) * time.Millisecond)
 			name := names[rng.IntN(len(names))]
 			table, _ := start(t, log, name)
-			f.mu.Lock()
-			f.tables[name] = append(f.tables[name], table)
-			f.mu.Unlock()
+			fleet.mu.Lock()
+			fleet.tables[name] = append(fleet.tables[name], table)
+			fleet.mu.Unlock()
 		}
 	})
 	callers.Wait()
@@ -147,37 +147,37 @@
 	for key, n := range runs {
 		require.LessOrEqual(t, n, 1, "key %d ran %d times", key, n)
 	}
-	require.True(t, porcupine.CheckOperations(oneRun, ops))
+	require.True(t, porcupine.CheckOperations(oneRunModel, ops))
 }
 
-// attempt is what agent/calls does with one try, with stalls in between.
-func attempt(rng *rand.Rand, f *fleet, name string, r Request, backend func() string) try {
+// runAttempt is what agent/calls does with one try, with stalls in between.
+func runAttempt(rng *rand.Rand, fleet *agents, name string, r Request, backend func() string) attempt {
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
-	run, a, err := take(ctx, f.pick(rng, name), r)
+	run, a, err := take(ctx, fleet.pickTable(rng, name), r)
 	if err != nil && err.Kind() == string(kinds.ClaimedElsewhere) {
-		run, a, err = take(ctx, f.pick(rng, err.Holder()), r)
+		run, a, err = take(ctx, fleet.pickTable(rng, err.Holder()), r)
 	}
 	switch {
 	case err != nil:
-		return try{notRun: err.NotRun()}
+		return attempt{notRun: err.NotRun()}
 	case a != nil:
-		return try{replayed: string(a.Body)}
+		return attempt{replayed: string(a.Body)}
 	}
-	stall(rng)
+	maybeStall(rng)
 	if rng.IntN(4) == 0 {
 		run.Release()
-		return try{notRun: true}
+		return attempt{notRun: true}
 	}
 	run.Start()
-	stall(rng)
+	maybeStall(rng)
 	value := backend()
 	if rng.IntN(4) == 0 {
-		run.Lose()
-		return try{value: value}
+		run.FinishUnknown()
+		return attempt{value: value}
 	}
 	run.Finish(&Answer{Body: []byte(value)})
-	return try{value: value}
+	return attempt{value: value}
 }
 
 // take looks up and claims until one of both decides.
@@ -192,8 +192,8 @@
 	}
 }
 
-// stall freezes a tenth of the tries far beyond their deadline.
-func stall(rng *rand.Rand) {
+// maybeStall freezes a tenth of the tries far beyond their deadline.
+func maybeStall(rng *rand.Rand) {
 	if rng.IntN(10) == 0 {
 		time.Sleep(5 * time.Second)
 	}
--- a/agent/once/once.go
+++ b/agent/once/once.go
@@ -43,9 +43,9 @@
 	logInterval   = 10 * time.Second // of one message under failure
 )
 
-// Terms are the bounds of idempotency keys in force; all but MinInterval come
+// Limits are the bounds of idempotency keys in force; all but MinInterval come
 // from the manifest.
-type Terms struct {
+type Limits struct {
 	Window      time.Duration // how old a key may be
 	Skew        time.Duration // bound between any two clocks
 	MinInterval time.Duration // between the starts of two appends
@@ -57,8 +57,8 @@
 	Owner   fold.Owner
 	Service string
 	Log     platform.Log
-	// Terms is called at each use.
-	Terms func() Terms
+	// Limits is called at each use.
+	Limits func() Limits
 	// ReadInterval is the longest pause between two reads of a busy stream; 0:
 	// 1 s. Pauses are jittered down to half of it.
 	ReadInterval time.Duration
@@ -79,41 +79,41 @@
 // Table is the agent's knowledge of its service's keys. It is safe for
 // concurrent use; Run must run.
 type Table struct {
-	cfg    Config
-	stream string
-	log    *zap.Logger
-	self   fold.OwnerDigest
-	wake   chan struct{} // tells the writer that claims wait
-	hurry  chan struct{} // tells the tail that an own append is on its way or stands
-
-	mu        sync.Mutex
-	fold      *fold.State
-	runs      map[fold.Key]*Run
-	claims    map[fold.Digest]*pending
-	queue     []*pending
-	seq       uint64 // of the last batch
-	landed    uint64 // highest own seq read back
-	downUntil time.Time
-	// unconfirmed is when the oldest own batch that has not been read back was
+	cfg          Config
+	stream       string
+	log          *zap.Logger
+	self         fold.OwnerDigest
+	claimsQueued chan struct{} // tells the writer that claims wait
+	readNow      chan struct{} // tells the tail that an own append is on its way or stands
+
+	mu            sync.Mutex
+	keys          *fold.State
+	runs          map[fold.Key]*Run
+	pendingClaims map[fold.Digest]*pending
+	queue         []*pending
+	lastSeq       uint64 // of the last batch
+	readBackSeq   uint64 // highest own seq read back
+	logDownUntil  time.Time
+	// unconfirmedSince is when the oldest own batch that has not been read back was
 	// begun; zero: none.
-	unconfirmed time.Time
-	readTo      uint64             // offset behind the last own append that was answered
-	begins      uint64             // own appends begun
-	polled      uint64             // begins when the tail's last read began
-	caughtUp    bool               // the stream was read to its end once
-	settled     bool               // so it was since the start or the last reset
-	endPoll     context.CancelFunc // of the tail's read
-	started     bool               // the tail's first offset was found; only the tail uses it
-	sweepAt     time.Time
-
-	held      list.List // *Run with an answer, last used first
+	unconfirmedSince   time.Time
+	readTarget         uint64             // offset behind the last own append that was answered
+	appendsStarted     uint64             // own appends begun
+	appendsAtPoll      uint64             // begins when the tail's last read began
+	caughtUp           bool               // the stream was read to its end once
+	caughtUpSinceReset bool               // so it was since the start or the last reset
+	cancelPoll         context.CancelFunc // of the tail's read
+	skippedOld         bool               // the tail's first offset was found; only the tail uses it
+	nextSweep          time.Time
+
+	heldRuns  list.List // *Run with an answer, last used first
 	heldBytes int64
 }
 
 // pending is a key whose claim is to be written and read back.
 type pending struct {
 	claim   fold.Claim
-	key     fold.Digest // of the claim
+	digest  fold.Digest // of the claim
 	waiters int
 	done    chan struct{} // closed once the stream or err decides
 	err     *kinds.Error  // set before done is closed
@@ -144,25 +144,27 @@
 		cfg.Logger = zap.NewNop()
 	}
 	return &Table{
-		cfg:    cfg,
-		stream: platform.StreamOncePrefix + cfg.Service,
-		log:    logs.Limited(cfg.Logger, logInterval),
-		self:   cfg.Owner.OwnerDigest(),
-		wake:   make(chan struct{}, 1),
-		hurry:  make(chan struct{}, 1),
-		fold:   fold.New(foldTerms(cfg.Terms())),
-		runs:   make(map[fold.Key]*Run),
-		claims: make(map[fold.Digest]*pending),
+		cfg:           cfg,
+		stream:        platform.StreamOncePrefix + cfg.Service,
+		log:           logs.Limited(cfg.Logger, logInterval),
+		self:          cfg.Owner.OwnerDigest(),
+		claimsQueued:  make(chan struct{}, 1),
+		readNow:       make(chan struct{}, 1),
+		keys:          fold.New(foldLimits(cfg.Limits())),
+		runs:          make(map[fold.Key]*Run),
+		pendingClaims: make(map[fold.Digest]*pending),
 	}
 }
 
-func foldTerms(t Terms) fold.Limits { return fold.Limits{Window: t.Window, Skew: t.Skew} }
+func foldLimits(limits Limits) fold.Limits {
+	return fold.Limits{Window: limits.Window, Skew: limits.Skew}
+}
 
 // Run tails the stream and writes claims until ctx ends.
 func (t *Table) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	wg.Go(func() { t.tail(ctx) })
-	wg.Go(func() { t.write(ctx) })
+	wg.Go(func() { t.writeClaims(ctx) })
 	wg.Wait()
 }
 
@@ -185,7 +187,7 @@
 func (t *Table) Stats() Stats {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return Stats{Keys: t.fold.Len(), Runs: len(t.runs), HeldBytes: t.heldBytes, Next: t.fold.Next()}
+	return Stats{Keys: t.keys.Len(), Runs: len(t.runs), HeldBytes: t.heldBytes, Next: t.keys.Next()}
 }
 
 // Lookup answers a try of a key that needs no slot of the backend server: it
@@ -195,7 +197,7 @@
 	for {
 		t.mu.Lock()
 		f := t.find(r)
-		down := f.state == free && t.logDown()
+		down := f.state == unclaimed && t.isLogDown()
 		t.mu.Unlock()
 		switch {
 		case f.err != nil:
@@ -220,7 +222,7 @@
 // of one key would otherwise hold slots only to wait. The caller must end the
 // run: Release, Finish or Lose.
 func (t *Table) Claim(ctx context.Context, r Request) (run *Run, answer *Answer, err *kinds.Error) {
-	timeout, cancel := context.WithTimeout(ctx, t.cfg.ClaimTimeout)
+	claimCtx, cancel := context.WithTimeout(ctx, t.cfg.ClaimTimeout)
 	defer cancel()
 	for {
 		t.mu.Lock()
@@ -230,10 +232,10 @@
 			run := t.reserve(r)
 			t.mu.Unlock()
 			return run, nil, nil
-		case f.state == free:
+		case f.state == unclaimed:
 			p := t.enqueue(r)
 			t.mu.Unlock()
-			if err := t.await(timeout, ctx, p); err != nil {
+			if err := t.awaitClaim(claimCtx, ctx, p); err != nil {
 				return nil, nil, err
 			}
 		default:
@@ -243,16 +245,16 @@
 	}
 }
 
-// logDown tells whether a claim would wait in vain. While a batch stays
+// isLogDown tells whether a claim would wait in vain. While a batch stays
 // unconfirmed for longer than a claim may wait, one claim at a time may try, so that an outage can't
 // fill the backend server's slots with waiting claims. That a claim was given
 // up is no sign of it: its caller may just have had little time. t.mu is held.
-func (t *Table) logDown() bool {
-	if time.Now().Before(t.downUntil) {
+func (t *Table) isLogDown() bool {
+	if time.Now().Before(t.logDownUntil) {
 		return true
 	}
-	stuck := !t.unconfirmed.IsZero() && time.Since(t.unconfirmed) > t.cfg.ClaimTimeout
-	return stuck && len(t.claims) > 0
+	stuck := !t.unconfirmedSince.IsZero() && time.Since(t.unconfirmedSince) > t.cfg.ClaimTimeout
+	return stuck && len(t.pendingClaims) > 0
 }
 
 // keyState says what may be done with a key.
@@ -260,7 +262,7 @@
 
 const (
 	decided   keyState = iota // found has an answer, an error or a run to wait for
-	free                      // nobody has claimed it
+	unclaimed                 // nobody has claimed it
 	unstarted                 // ours, and no run of it was started
 )
 
@@ -277,16 +279,16 @@
 	if err := t.checkAge(held, r.Key); err != nil {
 		return found{err: err}
 	}
-	f := t.fold.Find(r.Key)
+	f := t.keys.Find(r.Key)
 	switch {
 	case f.Status == fold.Free:
-		return found{state: free}
+		return found{state: unclaimed}
 	case f.Status == fold.TooOld:
 		return found{err: held.Refuse(kinds.KeyTooOld, "the key is older than the window")}
 	case f.Status == fold.Lost:
 		return found{err: kinds.New(kinds.OutcomeUnknown, "the log no longer holds what was known of keys of that age")}
 	case f.Hash != r.Hash.Short():
-		return found{err: reused(held)}
+		return found{err: keyReused(held)}
 	case f.Owner == t.self:
 		return t.findOwn(held, r)
 	case f.Owner.Name == t.self.Name:
@@ -305,11 +307,11 @@
 	case run.hash != r.Hash:
 		// The stream's short hashes collide. Without the whole hash the caller
 		// would be given another request's answer.
-		return found{err: reused(held)}
+		return found{err: keyReused(held)}
 	case run.state == reserved || run.state == started:
 		return found{run: run}
 	case run.answer != nil:
-		t.held.MoveToFront(run.elem)
+		t.heldRuns.MoveToFront(run.heldElement)
 		replays.Add(1)
 		return found{answer: run.answer}
 	case run.state == finished:
@@ -318,14 +320,14 @@
 	return found{err: kinds.New(kinds.OutcomeUnknown, "the request was sent; its answer was lost")}
 }
 
-func reused(held *kinds.Held) *kinds.Error {
+func keyReused(held *kinds.Held) *kinds.Error {
 	return held.Refuse(kinds.KeyReused, "the key was used for another request")
 }
 
 // checkAge refuses keys that this agent can't judge. An agent whose clock is
 // within the skew refuses each key before any fold may have forgotten it.
 func (t *Table) checkAge(held *kinds.Held, key fold.Key) *kinds.Error {
-	terms := t.cfg.Terms()
+	terms := t.cfg.Limits()
 	age := time.Since(key.Issued())
 	if age < -terms.Skew {
 		return held.Refuse(kinds.BadRequest, "the idempotency key is from %v in the future", -age.Round(time.Millisecond))
@@ -339,41 +341,41 @@
 // enqueue joins or makes the pending claim of a key. t.mu is held.
 func (t *Table) enqueue(r Request) *pending {
 	key := r.Key.Digest()
-	p := t.claims[key]
+	p := t.pendingClaims[key]
 	if p == nil {
-		p = &pending{claim: fold.Claim{Key: r.Key, Hash: r.Hash}, key: key, done: make(chan struct{})}
-		t.claims[key] = p
+		p = &pending{claim: fold.Claim{Key: r.Key, Hash: r.Hash}, digest: key, done: make(chan struct{})}
+		t.pendingClaims[key] = p
 		t.queue = append(t.queue, p)
-		poke(t.wake)
+		notify(t.claimsQueued)
 	}
 	p.waiters++
 	return p
 }
 
-// poke wakes the reader of a channel that holds one signal.
-func poke(signal chan<- struct{}) {
+// notify wakes the reader of a channel that holds one signal.
+func notify(signal chan<- struct{}) {
 	select {
 	case signal <- struct{}{}:
 	default:
 	}
 }
 
-// await waits until the stream decides on a claim. Whoever gives up has truly
+// awaitClaim waits until the stream decides on a claim. Whoever gives up has truly
 // not run the request: only a claim that was read back lets it run.
-func (t *Table) await(timeout, caller context.Context, p *pending) *kinds.Error {
+func (t *Table) awaitClaim(claimCtx, callerCtx context.Context, p *pending) *kinds.Error {
 	select {
 	case <-p.done:
 		return p.err
-	case <-timeout.Done():
+	case <-claimCtx.Done():
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	p.waiters--
-	if p.waiters == 0 && t.claims[p.key] == p {
-		delete(t.claims, p.key)
+	if p.waiters == 0 && t.pendingClaims[p.digest] == p {
+		delete(t.pendingClaims, p.digest)
 	}
 	switch {
-	case caller.Err() == context.Canceled:
+	case callerCtx.Err() == context.Canceled:
 		return kinds.New(kinds.Cancelled, "the caller went away while the key was being claimed")
 	case p.waiters > 0:
 		return kinds.New(kinds.OutcomeUnknown, "another try of the key is still waiting and may run")
@@ -381,6 +383,6 @@
 	return logUnavailable("the key's claim could not be confirmed in time")
 }
 
-func logUnavailable(why string) *kinds.Error {
-	return kinds.Hold().Refuse(kinds.LogUnavailable, "%s", why).WithRetryAfter(logRetryAfter)
+func logUnavailable(reason string) *kinds.Error {
+	return kinds.Hold().Refuse(kinds.LogUnavailable, "%s", reason).WithRetryAfter(logRetryAfter)
 }
--- a/agent/once/once_test.go
+++ b/agent/once/once_test.go
@@ -25,8 +25,8 @@
 	return run
 }
 
-// refusedWith expects both ways to answer to refuse alike.
-func refusedWith(t *testing.T, table *Table, r Request, kind string, notRun bool) *kinds.Error {
+// requireRefusal expects both ways to answer to refuse alike.
+func requireRefusal(t *testing.T, table *Table, r Request, kind string, notRun bool) *kinds.Error {
 	t.Helper()
 	run, a, err := table.Claim(t.Context(), r)
 	require.Nil(t, run)
@@ -44,7 +44,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		log := newFakeLog()
 		table, _ := start(t, log, "a")
-		r := request()
+		r := newRequest()
 		run := claim(t, table, r)
 		run.Start()
 		run.Finish(answer)
@@ -58,18 +58,18 @@
 
 		// Later, after the table has cleaned up: the run must not be forgotten
 		// before its key is, or the order would run again.
-		time.Sleep(2 * sweepEvery)
-		claim(t, table, request()).Release()
+		time.Sleep(2 * sweepInterval)
+		claim(t, table, newRequest()).Release()
 		_, got, err = table.Claim(t.Context(), r)
 		require.Nil(t, err)
 		require.Same(t, answer, got)
 
 		other := r
 		other.Hash = fold.Hash{2}
-		refusedWith(t, table, other, string(kinds.KeyReused), true)
+		requireRefusal(t, table, other, string(kinds.KeyReused), true)
 		other.Hash = r.Hash
 		other.Hash[15]++ // collides in the stream, which holds short hashes
-		refusedWith(t, table, other, string(kinds.KeyReused), true)
+		requireRefusal(t, table, other, string(kinds.KeyReused), true)
 		other.Key.Caller = "clinic"
 		claim(t, table, other).Release()
 	})
@@ -77,10 +77,10 @@
 
 // The caller's first try still runs when its second comes, through another
 // entry: the second waits and gets the first's answer. It holds no slot.
-func TestSecondTryJoinsTheRun(t *testing.T) {
+func TestSecondAttemptWaitsForTheRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table, _ := start(t, newFakeLog(), "a")
-		r := request()
+		r := newRequest()
 		run := claim(t, table, r)
 		run.Start()
 		go func() {
@@ -93,15 +93,15 @@
 		require.Same(t, answer, got)
 
 		// A joiner whose time ends first must not hear "not run".
-		r = request()
+		r = newRequest()
 		run = claim(t, table, r)
 		run.Start()
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		_, err, _ = table.Lookup(ctx, r)
 		require.Equal(t, string(kinds.OutcomeUnknown), err.Kind())
-		run.Lose()
-		refusedWith(t, table, r, string(kinds.OutcomeUnknown), false)
+		run.FinishUnknown()
+		requireRefusal(t, table, r, string(kinds.OutcomeUnknown), false)
 	})
 }
 
@@ -112,29 +112,29 @@
 	synctest.Test(t, func(t *testing.T) {
 		log := newFakeLog()
 		table, _ := start(t, log, "a")
-		r := request()
+		r := newRequest()
 		run := claim(t, table, r)
 		second, a, err := table.Claim(t.Context(), r)
 		require.True(t, second == nil && a == nil && err == nil, "it must wait without a slot")
-		goesOn := make(chan bool)
+		canClaim := make(chan bool)
 		go func() {
 			_, _, known := table.Lookup(t.Context(), r)
-			goesOn <- !known
+			canClaim <- !known
 		}()
 		synctest.Wait()
 		run.Release()
-		require.True(t, <-goesOn)
+		require.True(t, <-canClaim)
 		claim(t, table, r).Release()
-		require.Equal(t, 1, log.count())
+		require.Equal(t, 1, log.appendCount())
 	})
 }
 
 // Two tries of a key wait for the same claim. The one whose time ends first
 // must not hear "not run": the other may yet run it.
-func TestSharedClaimIsNotGivenUpAsNotRun(t *testing.T) {
+func TestSharedClaimTimeoutIsOutcomeUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table, _ := start(t, slowAppends{newFakeLog(), time.Second}, "a")
-		r := request()
+		r := newRequest()
 		go func() { claim(t, table, r).Release() }()
 		synctest.Wait()
 		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
@@ -149,20 +149,20 @@
 // the claim and runs the request once; the log holds one record. Where the
 // request was lost instead, reading back shows so and it is written again.
 func TestLostAppendAnswerIsReadBack(t *testing.T) {
-	for name, f := range map[string]fate{"answer lost": answered, "request lost": dropped} {
+	for name, outcome := range map[string]appendOutcome{"answer lost": storedUnanswered, "request lost": requestLost} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				log := newFakeLog()
 				first := true
-				log.set(func() fate {
+				log.setOutcomes(func() appendOutcome {
 					if first {
 						first = false
-						return f
+						return outcome
 					}
-					return taken
+					return stored
 				})
 				table, _ := start(t, log, "a")
-				claim(t, table, request()).Release()
+				claim(t, table, newRequest()).Release()
 				require.Len(t, log.records, 1)
 			})
 		})
@@ -173,33 +173,33 @@
 // log unavailable" in time. The claim stood in the log all along. Once reads
 // work again it is ours and unstarted: the repeat runs here without another
 // claim, and nowhere else.
-func TestAbandonedClaimThatLandsIsOursAndUnstarted(t *testing.T) {
+func TestAbandonedClaimThatIsStoredStaysUnstarted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := newFakeLog()
-		log.set(always(answered))
+		log.setOutcomes(alwaysOutcome(storedUnanswered))
 		a, _ := start(t, log, "a")
 		b, _ := start(t, log, "b")
 		synctest.Wait()
 		log.mu.Lock()
-		log.readDown = true
+		log.failReads = true
 		log.mu.Unlock()
-		r := request()
+		r := newRequest()
 		began := time.Now()
 		// The tail's long poll was open before reads failed and would deliver.
-		time.Sleep(longPoll + time.Second)
-		err := refusedWith(t, a, r, string(kinds.LogUnavailable), true)
+		time.Sleep(longPollWait + time.Second)
+		err := requireRefusal(t, a, r, string(kinds.LogUnavailable), true)
 		require.Positive(t, err.Answer().RetryAfter)
-		require.Less(t, time.Since(began), longPoll+2*time.Second+defaultClaimTimeout)
+		require.Less(t, time.Since(began), longPollWait+2*time.Second+defaultClaimTimeout)
 
 		log.mu.Lock()
-		log.readDown = false
+		log.failReads = false
 		log.mu.Unlock()
 		time.Sleep(2 * maxBackoff)
-		before := log.count()
-		held := refusedWith(t, b, r, string(kinds.ClaimedElsewhere), true)
+		before := log.appendCount()
+		held := requireRefusal(t, b, r, string(kinds.ClaimedElsewhere), true)
 		require.Equal(t, "a", held.Holder())
 		claim(t, a, r).Release()
-		require.Equal(t, before, log.count())
+		require.Equal(t, before, log.appendCount())
 	})
 }
 
@@ -210,42 +210,42 @@
 	synctest.Test(t, func(t *testing.T) {
 		log := newFakeLog()
 		table, _ := start(t, log, "a")
-		known := request()
+		known := newRequest()
 		run := claim(t, table, known)
 		run.Start()
 		run.Finish(answer)
 
-		log.set(always(refused))
-		fresh := request()
+		log.setOutcomes(alwaysOutcome(refused))
+		newKeyRequest := newRequest()
 		began := time.Now()
-		refusedWith(t, table, fresh, string(kinds.LogUnavailable), true)
+		requireRefusal(t, table, newKeyRequest, string(kinds.LogUnavailable), true)
 		require.Less(t, time.Since(began), 100*time.Millisecond)
-		_, err, isKnown := table.Lookup(t.Context(), fresh)
+		_, err, isKnown := table.Lookup(t.Context(), newKeyRequest)
 		require.True(t, isKnown, "refused without a slot")
 		require.Equal(t, string(kinds.LogUnavailable), err.Kind())
 		got, err, _ := table.Lookup(t.Context(), known)
 		require.Nil(t, err)
 		require.Same(t, answer, got)
 
-		log.set(nil)
+		log.setOutcomes(nil)
 		time.Sleep(logDownPause)
-		_, _, isKnown = table.Lookup(t.Context(), fresh)
+		_, _, isKnown = table.Lookup(t.Context(), newKeyRequest)
 		require.False(t, isKnown)
-		claim(t, table, fresh).Release()
+		claim(t, table, newKeyRequest).Release()
 	})
 }
 
 // Agent a owns the key and is frozen before it sends. Meanwhile b must not run
 // it, and names a. When a goes on, the key is still its own.
-func TestFrozenOwnerStaysTheOwner(t *testing.T) {
+func TestSuspendedOwnerStaysTheOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := newFakeLog()
 		a, _ := start(t, log, "a")
 		b, _ := start(t, log, "b")
-		r := request()
+		r := newRequest()
 		run := claim(t, a, r)
 		time.Sleep(5 * time.Minute)
-		require.Equal(t, "a", refusedWith(t, b, r, string(kinds.ClaimedElsewhere), true).Holder())
+		require.Equal(t, "a", requireRefusal(t, b, r, string(kinds.ClaimedElsewhere), true).Holder())
 		run.Start()
 		run.Finish(answer)
 	})
@@ -258,39 +258,39 @@
 	synctest.Test(t, func(t *testing.T) {
 		log := newFakeLog()
 		first, stop := start(t, log, "a")
-		r := request()
+		r := newRequest()
 		claim(t, first, r).Start()
 		stop()
 		second, _ := start(t, log, "a")
-		refusedWith(t, second, r, string(kinds.OutcomeUnknown), false)
+		requireRefusal(t, second, r, string(kinds.OutcomeUnknown), false)
 	})
 }
 
 // Keys that can't be judged: too old for the window, from the future, and
 // finished ones whose answer was evicted or whose window has passed.
-func TestKeysThatCantBeJudged(t *testing.T) {
+func TestKeysThatAreNeverRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := newFakeLog()
 		table, _ := start(t, log, "a")
-		table.cfg.MaxHeldBytes = 2 * answer.bytes()
+		table.cfg.MaxHeldBytes = 2 * answer.size()
 		at := func(d time.Duration) Request { return Request{Key: newKey(time.Now().Add(d))} }
-		refusedWith(t, table, at(-testTerms.Window), string(kinds.KeyTooOld), true)
-		refusedWith(t, table, at(2*testTerms.Skew), string(kinds.BadRequest), true)
+		requireRefusal(t, table, at(-testLimits.Window), string(kinds.KeyTooOld), true)
+		requireRefusal(t, table, at(2*testLimits.Skew), string(kinds.BadRequest), true)
 
-		first := request()
-		for i, r := range []Request{first, request(), request()} {
+		first := newRequest()
+		for i, r := range []Request{first, newRequest(), newRequest()} {
 			run := claim(t, table, r)
 			run.Start()
 			run.Finish(answer)
-			require.LessOrEqual(t, table.Stats().HeldBytes, 2*answer.bytes(), i)
+			require.LessOrEqual(t, table.Stats().HeldBytes, 2*answer.size(), i)
 		}
-		refusedWith(t, table, first, string(kinds.OutcomeUnknown), false)
+		requireRefusal(t, table, first, string(kinds.OutcomeUnknown), false)
 
-		time.Sleep(testTerms.Window + time.Minute)
-		refusedWith(t, table, first, string(kinds.KeyTooOld), true)
-		claim(t, table, request()).Release() // moves the fold's clock
-		time.Sleep(2 * sweepEvery)
-		claim(t, table, request()).Release()
+		time.Sleep(testLimits.Window + time.Minute)
+		requireRefusal(t, table, first, string(kinds.KeyTooOld), true)
+		claim(t, table, newRequest()).Release() // moves the fold's clock
+		time.Sleep(2 * sweepInterval)
+		claim(t, table, newRequest()).Release()
 		require.Zero(t, table.Stats().HeldBytes)
 		require.Zero(t, table.Stats().Runs)
 	})
@@ -302,8 +302,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		log := newFakeLog()
 		table := newTable(log, "a")
-		table.cfg.Terms = func() Terms {
-			terms := testTerms
+		table.cfg.Limits = func() Limits {
+			terms := testLimits
 			terms.AppendsPerS = 10
 			return terms
 		}
@@ -313,13 +313,13 @@
 		for i := range burst {
 			wg.Go(func() {
 				time.Sleep(time.Duration(i) * time.Millisecond)
-				run, _, err := table.Claim(t.Context(), request())
+				run, _, err := table.Claim(t.Context(), newRequest())
 				require.Nil(t, err)
 				run.Release()
 			})
 		}
 		wg.Wait()
-		require.LessOrEqual(t, log.count(), 7)
+		require.LessOrEqual(t, log.appendCount(), 7)
 	})
 }
 
@@ -328,10 +328,10 @@
 // through another entry, waits for the first until its own deadline and is told
 // deadline_too_short, "not run"; then the first gets its go and runs. The agent
 // knows that another try of the very key may still run.
-func TestRepeatOfAKeyThatMayYetRunIsUnknown(t *testing.T) {
+func TestRepeatOfAKeyThatMayStillRunIsUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table, _ := start(t, newFakeLog(), "a")
-		r := request()
+		r := newRequest()
 		first := claim(t, table, r)
 		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 		defer cancel()
--- a/agent/once/outage_test.go
+++ b/agent/once/outage_test.go
@@ -12,11 +12,11 @@
 // slowAppends is a log that takes its time; each record is taken all the same.
 type slowAppends struct {
 	*fakeLog
-	took time.Duration
+	delay time.Duration
 }
 
 func (l slowAppends) Append(ctx context.Context, stream string, data []byte) (uint64, error) {
-	time.Sleep(l.took)
+	time.Sleep(l.delay)
 	return l.fakeLog.Append(ctx, stream, data)
 }
 
@@ -25,21 +25,21 @@
 // 0.7 s; half a second after its start the log counts as down (stuckAfter), and
 // every other key's write is refused with log_unavailable until it has landed;
 // then the next batch begins and so on.
-func TestSlowLogIsNoOutage(t *testing.T) {
+func TestSlowLogIsNotAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table, _ := start(t, slowAppends{newFakeLog(), 700 * time.Millisecond}, "a")
-		ask := func() {
-			run, _, _ := table.Claim(t.Context(), request())
+		tryClaim := func() {
+			run, _, _ := table.Claim(t.Context(), newRequest())
 			if run != nil {
 				run.Release()
 			}
 		}
 		refused := 0
 		for range 50 {
-			if _, _, known := table.Lookup(t.Context(), request()); known {
+			if _, _, known := table.Lookup(t.Context(), newRequest()); known {
 				refused++
 			} else {
-				go ask()
+				go tryClaim()
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
@@ -53,27 +53,27 @@
 // commit's interval and gives up; await takes that for a sign of an outage
 // (doubtful); until the next own batch has landed every new key but one is
 // refused. One caller with short deadlines thus refuses everybody's writes.
-func TestOneCallersShortDeadlineIsNoOutage(t *testing.T) {
+func TestShortDeadlineOfOneCallerIsNotAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table, _ := start(t, newFakeLog(), "a")
-		claim(t, table, request()).Release() // the log works; the next append keeps its interval
+		claim(t, table, newRequest()).Release() // the log works; the next append keeps its interval
 
 		short, cancel := context.WithTimeout(t.Context(), time.Millisecond)
 		defer cancel()
-		_, _, err := table.Claim(short, request())
+		_, _, err := table.Claim(short, newRequest())
 		require.NotNil(t, err)
 		require.True(t, err.NotRun())
 
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			run, _, _ := table.Claim(t.Context(), request()) // another caller waits for the next batch
+			run, _, _ := table.Claim(t.Context(), newRequest()) // another caller waits for the next batch
 			if run != nil {
 				run.Release()
 			}
 		}()
 		synctest.Wait()
-		_, refusal, known := table.Lookup(t.Context(), request())
+		_, refusal, known := table.Lookup(t.Context(), newRequest())
 		require.False(t, known, "refused although the log is up: %v", refusal)
 		<-done
 	})
--- a/agent/once/run.go
+++ b/agent/once/run.go
@@ -19,7 +19,7 @@
 	Body   []byte
 }
 
-func (a *Answer) bytes() int64 {
+func (a *Answer) size() int64 {
 	n := answerOverhead + len(a.Body)
 	for name, values := range a.Header {
 		for _, v := range values {
@@ -32,10 +32,10 @@
 type runState uint8
 
 const (
-	reserved runState = iota // owned, not sent
-	started                  // may have been sent
-	finished                 // the whole answer came
-	lost                     // sent, and the answer did not come
+	reserved   runState = iota // owned, not sent
+	started                    // may have been sent
+	finished                   // the whole answer came
+	answerLost                 // sent, and the answer did not come
 )
 
 // Run is the right to run one key's request, and later its result. It stays in
@@ -46,9 +46,9 @@
 	hash  fold.Hash
 
 	// Guarded by table.mu.
-	state  runState
-	answer *Answer
-	elem   *list.Element // in table.held while answer is held
+	state       runState
+	answer      *Answer
+	heldElement *list.Element // in table.held while answer is held
 
 	done chan struct{} // closed when the run is released or over
 }
@@ -84,45 +84,45 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r.state = finished
-	t.hold(r, a)
+	t.holdAnswer(r, a)
 	close(r.done)
 }
 
-// Lose ends the run without an answer: it may have run. Every repeat is told so.
-func (r *Run) Lose() {
+// FinishUnknown ends the run without an answer: it may have run. Every repeat is told so.
+func (r *Run) FinishUnknown() {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
-	r.state = lost
+	r.state = answerLost
 	close(r.done)
 }
 
-// hold keeps an answer and evicts the least recently used ones beyond the bound.
-func (t *Table) hold(r *Run, a *Answer) {
+// holdAnswer keeps an answer and evicts the least recently used ones beyond the bound.
+func (t *Table) holdAnswer(r *Run, a *Answer) {
 	r.answer = a
-	r.elem = t.held.PushFront(r)
-	t.heldBytes += a.bytes()
+	r.heldElement = t.heldRuns.PushFront(r)
+	t.heldBytes += a.size()
 	for t.heldBytes > t.cfg.MaxHeldBytes {
-		t.drop(t.held.Back().Value.(*Run))
+		t.dropAnswer(t.heldRuns.Back().Value.(*Run))
 	}
 }
 
-// drop forgets a held answer, not the run.
-func (t *Table) drop(r *Run) {
-	t.held.Remove(r.elem)
-	t.heldBytes -= r.answer.bytes()
-	r.answer, r.elem = nil, nil
+// dropAnswer forgets a held answer, not the run.
+func (t *Table) dropAnswer(r *Run) {
+	t.heldRuns.Remove(r.heldElement)
+	t.heldBytes -= r.answer.size()
+	r.answer, r.heldElement = nil, nil
 }
 
-// sweep forgets runs whose keys are too old to be asked for: the fold answers
+// dropExpiredRuns forgets runs whose keys are too old to be asked for: the fold answers
 // for those before any run is looked for. t.mu is held.
-func (t *Table) sweep() {
+func (t *Table) dropExpiredRuns() {
 	for key, r := range t.runs {
-		over := r.state == finished || r.state == lost
-		if !over || t.fold.Find(key).Status != fold.TooOld {
+		ended := r.state == finished || r.state == answerLost
+		if !ended || t.keys.Find(key).Status != fold.TooOld {
 			continue
 		}
 		if r.answer != nil {
-			t.drop(r)
+			t.dropAnswer(r)
 		}
 		delete(t.runs, key)
 	}
--- a/agent/once/tail.go
+++ b/agent/once/tail.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	maxRecords  = 1000 // records in one read
-	longPoll    = 10 * time.Second
-	readTimeout = 2 * time.Second // beyond the long poll
-	sweepEvery  = time.Minute
+	maxPageRecords = 1000 // records in one read
+	longPollWait   = 10 * time.Second
+	readTimeout    = 2 * time.Second // beyond the long poll
+	sweepInterval  = time.Minute
 	// startSkews, in clock skews, is how much older than the key window the
 	// record is from which a new agent reads (findStart).
 	startSkews = 3
@@ -39,7 +39,7 @@
 func (t *Table) tail(ctx context.Context) {
 	delay := minBackoff
 	for ctx.Err() == nil {
-		if err := t.readOn(ctx); err != nil {
+		if err := t.readNext(ctx); err != nil {
 			t.log.Warn("Reading claims failed.", zap.Error(err))
 			sleep.For(ctx, delay)
 			delay = min(2*delay, maxBackoff)
@@ -49,118 +49,118 @@
 	}
 }
 
-// readOn reads a page and then waits until the next should be read.
-func (t *Table) readOn(ctx context.Context) error {
-	if !t.started {
-		if err := t.findStart(ctx); err != nil {
+// readNext reads a page and then waits until the next should be read.
+func (t *Table) readNext(ctx context.Context) error {
+	if !t.skippedOld {
+		if err := t.skipOldRecords(ctx); err != nil {
 			return err
 		}
-		t.started = true
+		t.skippedOld = true
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	wait := t.beginPoll(cancel)
-	atEnd, err := t.read(ctx, wait)
+	wait := t.startPoll(cancel)
+	atEnd, err := t.readPage(ctx, wait)
 	if err == nil && atEnd && wait > 0 {
-		t.pause(ctx)
+		t.waitForNextRead(ctx)
 	}
 	return err
 }
 
-// beginPoll tells how long the tail's next read may wait. The first reads don't
+// startPoll tells how long the tail's next read may wait. The first reads don't
 // wait: an agent is not ready before the end, and the stream of a quiet service
 // may stay empty for long. Nor do those after a reset, which also ends a poll
 // for an offset that the log will not reach for long.
-func (t *Table) beginPoll(cancel context.CancelFunc) time.Duration {
+func (t *Table) startPoll(cancel context.CancelFunc) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.polled = t.begins
-	t.endPoll = cancel
-	if !t.settled {
+	t.appendsAtPoll = t.appendsStarted
+	t.cancelPoll = cancel
+	if !t.caughtUpSinceReset {
 		return 0
 	}
-	return longPoll
+	return longPollWait
 }
 
-// pause waits until an own append needs a read, the read interval has passed,
+// waitForNextRead waits until an own append needs a read, the read interval has passed,
 // or ctx ends.
-func (t *Table) pause(ctx context.Context) {
+func (t *Table) waitForNextRead(ctx context.Context) {
 	half := t.cfg.ReadInterval / 2
 	timer := time.NewTimer(half + rand.N(half+1))
 	defer timer.Stop()
-	for !t.urgent() {
+	for !t.needsRead() {
 		select {
 		case <-ctx.Done():
 			return
 		case <-timer.C:
 			return
-		case <-t.hurry:
+		case <-t.readNow:
 		}
 	}
 }
 
-// urgent tells whether an own append stands in the log unread, or is on its way
+// needsRead tells whether an own append stands in the log unread, or is on its way
 // and no long poll has begun since: that poll has the record as soon as the log
 // does, unless others' come between.
-func (t *Table) urgent() bool {
+func (t *Table) needsRead() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.fold.Next() < t.readTo || t.landed < t.seq && t.polled < t.begins
+	return t.keys.Next() < t.readTarget || t.readBackSeq < t.lastSeq && t.appendsAtPoll < t.appendsStarted
 }
 
-// stands notes that an own batch was answered: it is read back at once.
-func (t *Table) stands(offset, seq uint64) {
+// recordAppended notes that an own batch was answered: it is read back at once.
+func (t *Table) recordAppended(offset, seq uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if offset < t.fold.Next() && t.landed < seq {
+	if offset < t.keys.Next() && t.readBackSeq < seq {
 		// Another record was read at that offset before. The tail's poll for a
 		// higher one would go on for longer than a claim may wait.
-		t.reset(0)
+		t.handleLogReset(0)
 	}
-	t.readTo = offset + 1
-	poke(t.hurry)
+	t.readTarget = offset + 1
+	notify(t.readNow)
 }
 
-// reset reads the stream anew from first on, after the log lost its records.
+// handleLogReset reads the stream anew from first on, after the log lost its records.
 // Unread claims may be among them, so that unclaimed keys which were issued
 // before the loss answer outcome_unknown. t.mu is held.
 //
 // An agent that starts after the loss finds a stream like that of a new
 // service and can't know: it takes such a key as free. A log that loses what it
 // acknowledged is outside of what first-record-wins can mend.
-func (t *Table) reset(first uint64) {
+func (t *Table) handleLogReset(first uint64) {
 	resets.Add(1)
-	t.log.Error("The log lost records that were read from it.", zap.Uint64("next", t.fold.Next()), zap.Uint64("first", first))
-	t.fold.HandleLogReset(first)
-	t.readTo = 0
-	t.settled = false
-	if t.endPoll != nil {
-		t.endPoll()
+	t.log.Error("The log lost records that were read from it.", zap.Uint64("next", t.keys.Next()), zap.Uint64("first", first))
+	t.keys.HandleLogReset(first)
+	t.readTarget = 0
+	t.caughtUpSinceReset = false
+	if t.cancelPoll != nil {
+		t.cancelPoll()
 	}
 }
 
-// read reads one page into the fold. atEnd tells that nothing was left to read
+// readPage reads one page into the fold. atEnd tells that nothing was left to readPage
 // when the log answered. Pages may overlap: the fold skips what it has seen.
-func (t *Table) read(ctx context.Context, wait time.Duration) (atEnd bool, _ error) {
+func (t *Table) readPage(ctx context.Context, wait time.Duration) (atEnd bool, _ error) {
 	t.mu.Lock()
-	from := t.fold.Next()
+	from := t.keys.Next()
 	t.mu.Unlock()
-	page, err := t.readLog(ctx, from, maxRecords, wait)
+	page, err := t.readLog(ctx, from, maxPageRecords, wait)
 	truncated := errors.Is(err, platform.ErrTruncated)
 	if err != nil && !truncated {
 		return false, err
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.fold.SetLimits(foldTerms(t.cfg.Terms()))
+	t.keys.SetLimits(foldLimits(t.cfg.Limits()))
 	if page.End < from {
-		if t.fold.Next() >= from { // else the other reader has seen it already
-			t.reset(page.First)
+		if t.keys.Next() >= from { // else the other reader has seen it already
+			t.handleLogReset(page.First)
 		}
 		return false, nil
 	}
 	if truncated {
-		t.fold.HandleTruncation(page.First)
+		t.keys.HandleTruncation(page.First)
 		return false, nil
 	}
 	for _, rec := range page.Records {
@@ -168,12 +168,12 @@
 	}
 	atEnd = page.Next >= page.End
 	if atEnd {
-		t.fold.HandleEmptyStream(time.Now())
-		t.caughtUp, t.settled = true, true
+		t.keys.HandleEmptyStream(time.Now())
+		t.caughtUp, t.caughtUpSinceReset = true, true
 	}
-	if now := time.Now(); now.After(t.sweepAt) {
-		t.sweepAt = now.Add(sweepEvery)
-		t.sweep()
+	if now := time.Now(); now.After(t.nextSweep) {
+		t.nextSweep = now.Add(sweepInterval)
+		t.dropExpiredRuns()
 	}
 	return atEnd, nil
 }
@@ -187,27 +187,27 @@
 
 // apply folds a record and wakes who waits for one of its keys. t.mu is held.
 func (t *Table) apply(rec platform.Record) {
-	applied := t.fold.Apply(rec)
+	applied := t.keys.Apply(rec)
 	if applied.Unreadable {
 		unreadable.Add(1)
 		t.log.Error("A record can't be read by this release; keys that it may hold are refused as unknown.", zap.Uint64("offset", rec.Offset))
 	}
 	if applied.Record.Owner == t.self {
-		t.landed = max(t.landed, applied.Record.Seq)
-		t.unconfirmed = time.Time{}
-		if t.landed < t.seq {
-			t.unconfirmed = time.Now() // a younger batch is under way
+		t.readBackSeq = max(t.readBackSeq, applied.Record.Seq)
+		t.unconfirmedSince = time.Time{}
+		if t.readBackSeq < t.lastSeq {
+			t.unconfirmedSince = time.Now() // a younger batch is under way
 		}
 	}
 	for _, c := range applied.Record.Claims {
-		if p := t.claims[c.Key]; p != nil {
-			delete(t.claims, c.Key)
+		if p := t.pendingClaims[c.Key]; p != nil {
+			delete(t.pendingClaims, c.Key)
 			close(p.done)
 		}
 	}
 }
 
-// findStart skips what a new agent has no use for. The log keeps a day of
+// skipOldRecords skips what a new agent has no use for. The log keeps a day of
 // claims (16 million at 190/s), the key window is some minutes. The last record
 // found that is older than the window by startSkews skews is read first; all
 // before it counts as lost. That floor lies two skews above the record's time
@@ -215,18 +215,18 @@
 // same clock: no key that may be asked for counts as lost, and none is free
 // whose claim was skipped, whatever record the search ends at. So neither
 // record times that jump back nor records truncated meanwhile can do harm.
-func (t *Table) findStart(ctx context.Context) error {
-	terms := t.cfg.Terms()
-	if terms.Window <= 0 {
+func (t *Table) skipOldRecords(ctx context.Context) error {
+	limits := t.cfg.Limits()
+	if limits.Window <= 0 {
 		return nil
 	}
-	cutoff := time.Now().Add(-terms.Window - startSkews*terms.Skew)
+	cutoff := time.Now().Add(-limits.Window - startSkews*limits.Skew)
 	page, err := t.readLog(ctx, 0, 1, 0)
 	if err != nil && !errors.Is(err, platform.ErrTruncated) {
 		return err
 	}
 	low, high := page.First, page.End
-	if high-min(low, high) <= maxRecords {
+	if high-min(low, high) <= maxPageRecords {
 		return nil
 	}
 	start, found := uint64(0), false
@@ -248,7 +248,7 @@
 	if found {
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		t.fold.HandleTruncation(start)
+		t.keys.HandleTruncation(start)
 	}
 	return nil
 }
--- a/agent/once/tail_test.go
+++ b/agent/once/tail_test.go
@@ -19,36 +19,36 @@
 // Thirty agents write claims all the time. If each append woke each agent, the
 // log would answer 30 reads an append. A caller must not pay for the pace: its
 // claim is read back as soon as its append is answered.
-func TestBusyStreamIsReadAtAPace(t *testing.T) {
+func TestBusyStreamReadsAreLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := newFakeLog()
 		alone, _ := start(t, log, "alone")
 		time.Sleep(time.Second) // it has caught up
 		for range 10 {
 			began := time.Now()
-			claim(t, alone, request()).Release()
+			claim(t, alone, newRequest()).Release()
 			require.Equal(t, latency, time.Since(began), "an append and no read more")
 			time.Sleep(100 * time.Millisecond)
 		}
-		before := log.count()
+		before := log.appendCount()
 		var wg sync.WaitGroup
-		const agents, each = 30, 50
+		const agents, claimsPerAgent = 30, 50
 		for i := range agents {
 			table, _ := start(t, log, string(rune('A'+i)))
 			wg.Go(func() {
-				for range each {
+				for range claimsPerAgent {
 					time.Sleep(time.Duration(rand.IntN(400)) * time.Millisecond)
 					began := time.Now()
-					claim(t, table, request()).Release()
-					require.LessOrEqual(t, time.Since(began), testTerms.MinInterval+3*latency)
+					claim(t, table, newRequest()).Release()
+					require.LessOrEqual(t, time.Since(began), testLimits.MinInterval+3*latency)
 				}
 			})
 		}
 		wg.Wait()
-		require.Equal(t, agents*each, log.count()-before)
+		require.Equal(t, agents*claimsPerAgent, log.appendCount()-before)
 		log.mu.Lock()
 		defer log.mu.Unlock()
-		require.Less(t, log.reads, 4*agents*each)
+		require.Less(t, log.reads, 4*agents*claimsPerAgent)
 	})
 }
 
@@ -56,31 +56,31 @@
 // one whose claim may be among what was lost is unknown, not run again. New
 // orders are taken as soon as their keys are younger than the loss, whether the
 // agent hears of it by its next read or by the offset of its next append.
-func TestLogThatLostItsRecords(t *testing.T) {
-	for name, quiet := range map[string]time.Duration{"read": longPoll + time.Second, "append": 0} {
+func TestLogLosesItsRecords(t *testing.T) {
+	for name, wait := range map[string]time.Duration{"read": longPollWait + time.Second, "append": 0} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				log := newFakeLog()
 				table, _ := start(t, log, "a")
-				ran := request()
+				ran := newRequest()
 				run := claim(t, table, ran)
 				run.Start()
 				run.Finish(answer)
 				for range 5 {
-					claim(t, table, request()).Release()
+					claim(t, table, newRequest()).Release()
 				}
 				time.Sleep(2 * time.Second) // the tail's long poll is open
-				before := request()
-				log.lose()
-				time.Sleep(quiet)
-				if quiet > 0 {
+				before := newRequest()
+				log.dropRecords()
+				time.Sleep(wait)
+				if wait > 0 {
 					_, err, _ := table.Lookup(t.Context(), before)
 					require.NotNil(t, err, "known without an append")
 				}
-				refusedWith(t, table, before, string(kinds.OutcomeUnknown), false)
-				time.Sleep(4 * testTerms.Skew)
-				claim(t, table, request()).Release()
-				refusedWith(t, table, before, string(kinds.OutcomeUnknown), false)
+				requireRefusal(t, table, before, string(kinds.OutcomeUnknown), false)
+				time.Sleep(4 * testLimits.Skew)
+				claim(t, table, newRequest()).Release()
+				requireRefusal(t, table, before, string(kinds.OutcomeUnknown), false)
 				_, a, err := table.Claim(t.Context(), ran)
 				require.Nil(t, err)
 				require.Same(t, answer, a)
@@ -92,15 +92,15 @@
 // agedLog holds a day of records and drops old ones while it is read.
 type agedLog struct {
 	platform.Log
-	records   []platform.Record
-	first     uint64
-	drop      func() uint64 // how many more are dropped before a read
-	delivered int
+	records        []platform.Record
+	first          uint64
+	dropBeforeRead func() uint64 // how many more are dropped before a read
+	delivered      int
 }
 
 func (l *agedLog) Read(_ context.Context, _ string, from uint64, limit int, _ time.Duration) (platform.Page, error) {
 	end := uint64(len(l.records))
-	l.first = min(end, l.first+l.drop())
+	l.first = min(end, l.first+l.dropBeforeRead())
 	if from < l.first {
 		return platform.Page{First: l.first, End: end}, platform.ErrTruncated
 	}
@@ -114,14 +114,14 @@
 // were one free here, its order would run again; were one lost, its caller
 // would hear "unknown" for nothing. Record times jump back, claims are late or
 // early within the bounds, and the log drops records meanwhile.
-func TestNewAgentKnowsTheWholeWindow(t *testing.T) {
+func TestNewAgentKnowsAllKeysOfTheWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		windows := rapid.Float64Range(0.1, 20).Draw(t, "windows kept")
-		count := rapid.IntRange(maxRecords+1, 2*maxRecords).Draw(t, "records")
-		skew := float64(testTerms.Skew)
+		count := rapid.IntRange(maxPageRecords+1, 2*maxPageRecords).Draw(t, "records")
+		skew := float64(testLimits.Skew)
 		now := time.Now()
-		kept := time.Duration(windows * float64(testTerms.Window))
+		kept := time.Duration(windows * float64(testLimits.Window))
 		var records []platform.Record
 		var keys []fold.Key
 		for i := range count {
@@ -141,7 +141,7 @@
 		drops := rapid.IntRange(0, 40).Draw(t, "drops")
 		atOnce := rapid.IntRange(0, count*3/4).Draw(t, "dropped at once")
 		reads := 0
-		log := &agedLog{records: records, drop: func() uint64 {
+		log := &agedLog{records: records, dropBeforeRead: func() uint64 {
 			switch reads++; reads {
 			case 1:
 				return 0
@@ -150,25 +150,25 @@
 			}
 			return uint64(rng.IntN(1 + drops))
 		}}
-		whole := &agedLog{records: records, drop: func() uint64 { return 0 }}
-		skipper, reader := newTable(log, "x"), newTable(whole, "y")
-		require.NoError(t, skipper.findStart(context.Background()))
+		completeLog := &agedLog{records: records, dropBeforeRead: func() uint64 { return 0 }}
+		skipper, reader := newTable(log, "x"), newTable(completeLog, "y")
+		require.NoError(t, skipper.skipOldRecords(context.Background()))
 		for _, table := range []*Table{skipper, reader} {
 			for !table.caughtUp {
-				_, err := table.read(context.Background(), 0)
+				_, err := table.readPage(context.Background(), 0)
 				require.NoError(t, err)
 			}
 		}
 		for range 100 {
 			keys = append(keys, newKey(now.Add(-time.Duration(rng.Float64()*float64(kept)))))
 		}
-		truncated := records[min(int(log.first), count-1)].Time.Add(3 * testTerms.Skew)
+		truncated := records[min(int(log.first), count-1)].Time.Add(3 * testLimits.Skew)
 		for _, key := range keys {
-			got, want := skipper.fold.Find(key), reader.fold.Find(key)
+			got, want := skipper.keys.Find(key), reader.keys.Find(key)
 			usable := skipper.checkAge(kinds.Hold(), key) == nil
 			kept := log.first == 0 || key.Issued().After(truncated)
-			says := got.Status == fold.Claimed || got.Status == fold.Free
-			if got != want && (says || usable && kept) {
+			findsState := got.Status == fold.Claimed || got.Status == fold.Free
+			if got != want && (findsState || usable && kept) {
 				require.Equal(t, want, got)
 			}
 		}
--- a/agent/server/build.go
+++ b/agent/server/build.go
@@ -145,7 +145,7 @@
 		Owner:        fold.Owner{Name: b.set.Process.Name, Incarnation: uuid.NewString()},
 		Service:      b.set.Backend.Serves,
 		Log:          b.platformLog,
-		Terms:        b.terms,
+		Limits:       b.terms,
 		MaxHeldBytes: int64(b.set.Once.HeldBytes),
 		ClaimTimeout: b.set.Once.ClaimTimeout,
 		Logger:       logs.Part(b.logger, "once"),
@@ -211,9 +211,9 @@
 }
 
 // terms are the bounds of idempotency keys in force.
-func (b *builder) terms() once.Terms {
+func (b *builder) terms() once.Limits {
 	view := b.keeper.View()
-	terms := once.Terms{MinInterval: b.set.Once.MinInterval}
+	terms := once.Limits{MinInterval: b.set.Once.MinInterval}
 	if view == nil || view.Manifest == nil {
 		return terms
 	}
--- a/capacity/log_test.go
+++ b/capacity/log_test.go
@@ -174,13 +174,13 @@
 	defer wg.Wait()
 	defer cancel()
 	// The manifest's defaults: 300 appends/s, half of them for claims.
-	terms := once.Terms{Window: 15 * time.Minute, Skew: 500 * time.Millisecond, MinInterval: 5 * time.Millisecond, AppendsPerS: 150}
+	terms := once.Limits{Window: 15 * time.Minute, Skew: 500 * time.Millisecond, MinInterval: 5 * time.Millisecond, AppendsPerS: 150}
 	var tables []*once.Table
 	for i := range agents {
 		log := httplog.New(url, agentName(i))
 		t := once.New(once.Config{
 			Owner: fold.Owner{Name: agentName(i), Incarnation: uuid.NewString()}, Service: "orders", Log: log,
-			Terms: func() once.Terms { return terms },
+			Limits: func() once.Limits { return terms },
 		})
 		tables = append(tables, t)
 		wg.Go(func() { t.Run(ctx); log.Close() })
@@ -201,7 +201,7 @@
 		claimed++
 		waited += time.Since(began)
 		run.Start()
-		run.Lose()
+		run.FinishUnknown()
 	}
 	feed := func(seconds int) {
 		tick := time.NewTicker(time.Duration(float64(time.Second) / claimsPS))
