--- a/agent/once/bench_test.go
+++ b/agent/once/bench_test.go
@@ -11,7 +11,7 @@
 	"dandelionsill.org/platform"
 )
 
-// benchLog answers at once, but for the given time per append.
+// benchLog is a fakeLog whose appends take appendTime and always succeed.
 type benchLog struct {
 	*fakeLog
 	appendTime time.Duration
@@ -28,8 +28,8 @@
 
 var _ platform.Log = benchLog{}
 
-// BenchmarkClaim gives claims per append by the number of callers at once, over
-// a log that takes 5 ms.
+// BenchmarkClaim reports claims per append by the number of concurrent callers,
+// with a log whose appends take 5 ms.
 func BenchmarkClaim(b *testing.B) {
 	for _, callers := range []int{1, 10, 100, 1000} {
 		b.Run(fmt.Sprintf("callers=%d", callers), func(b *testing.B) {
@@ -63,8 +63,8 @@
 	}
 }
 
-// BenchmarkHeld gives the memory of a finished key with a held answer of 300
-// bytes, by the number of keys.
+// BenchmarkHeld reports the memory per finished key with a held answer of 300 bytes,
+// by the number of keys.
 func BenchmarkHeld(b *testing.B) {
 	for _, keys := range []int{1000, 4000, 16000} {
 		b.Run(fmt.Sprintf("keys=%d", keys), func(b *testing.B) {
@@ -98,7 +98,7 @@
 	}
 }
 
-// clearData drops the records, which are not the table's memory.
+// clearData drops the data of all records, which must not count as the table's memory.
 func (l *fakeLog) clearData() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -107,7 +107,7 @@
 	}
 }
 
-// liveHeapBytes is the live liveHeapBytes in bytes after a collection.
+// liveHeapBytes returns the number of bytes on the heap after a garbage collection.
 func liveHeapBytes() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
--- a/agent/once/commit.go
+++ b/agent/once/commit.go
@@ -17,11 +17,12 @@
 	appendTimeout  = 2 * time.Second
 	minBackoff     = 20 * time.Millisecond
 	maxBackoff     = time.Second
-	// activeOwnerWindow is how long an owner counts as one that shares the append rate.
+	// activeOwnerWindow is how long after its last claim an owner counts as one
+	// that shares the append rate.
 	activeOwnerWindow = 10 * time.Second
 )
 
-// writeClaims appends waiting claims, one batch at a time, until ctx ends.
+// writeClaims appends the queued claims, one batch at a time, until ctx ends.
 func (t *Table) writeClaims(ctx context.Context) {
 	var lastAppend time.Time
 	for {
@@ -43,20 +44,21 @@
 	}
 }
 
-// appendInterval keeps all agents of the stream together within its share of the
-// log's append rate. Each counts the others from the stream itself, so that
-// nobody has to hand shares out.
+// appendInterval returns the minimum time between the starts of two appends. It
+// keeps all agents of the stream together within the stream's share of the log's
+// append rate. Each agent counts the active ones from the stream itself, so that
+// no process has to assign shares.
 //
-// So a claim's latency grows with the number n of agents that claim: with a
-// share of S appends/s each agent appends every n/S seconds, and a busy agent's
-// claim waits n/2S on average, n/S at most, besides the append and the read. At
-// S = 150: 13 ms for 4 agents, 67 ms for 20, 0.33 s for 100, 1 s for 300; there
-// n/S is the default claim timeout of 2 s, beyond which claims are refused. A
-// fleet of that size should send a service's keyed calls to few agents: to the
-// first k of an order that all entries share (rendezvous hashing of service and
-// agent), with k the least that carries the keyed calls and spans the failure
-// domains. k <= S/10 keeps the mean wait at 50 ms, and fewer, larger records
-// cost all readers less.
+// A claim's latency therefore grows with the number n of agents that claim: with
+// a share of S appends/s each agent appends every n/S seconds, and a claim at a
+// busy agent waits n/2S on average and n/S at most, in addition to the append and
+// the read. At S = 150 the mean wait is 13 ms for 4 agents, 67 ms for 20, 0.33 s
+// for 100 and 1 s for 300; at 300 the longest wait n/S is the default claim
+// timeout of 2 s, beyond which claims are refused. A fleet of that size should
+// send a service's keyed calls to few agents: to the first k of an order that all
+// entries share (rendezvous hashing of service and agent), with k the smallest
+// number that carries the keyed calls and spans the failure domains. k <= S/10
+// keeps the mean wait at 50 ms, and fewer, larger records cost all readers less.
 func (t *Table) appendInterval() time.Duration {
 	limits := t.cfg.Limits()
 	if limits.AppendsPerS <= 0 {
@@ -69,8 +71,8 @@
 	return max(limits.MinInterval, share)
 }
 
-// take removes the next batch from the queue, without claims that nobody waits
-// for any more.
+// take removes the next batch from the queue and skips claims that no request
+// waits for any more. more reports whether claims are left in the queue.
 func (t *Table) take() (batch []*pending, more bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -85,9 +87,10 @@
 	return batch, len(t.queue) > 0
 }
 
-// commitBatch writes one batch until it stands in the log or nobody waits for it.
-// Writing it again is safe, because the fold lets the first claim stand; but it
-// is done only after a read to the end has shown that it is not there.
+// commitBatch appends one batch and retries until the log contains it or no
+// request waits for it. Appending it twice would be safe, because the first claim
+// of a key wins; it is still retried only after a read to the end of the stream
+// has not found it.
 func (t *Table) commitBatch(ctx context.Context, batch []*pending) {
 	seq, data := t.encodeBatch(batch)
 	for delay := minBackoff; t.hasWaiters(batch) && ctx.Err() == nil; delay = min(2*delay, maxBackoff) {
@@ -98,14 +101,14 @@
 			t.recordAppended(offset, seq)
 			return
 		case errors.Is(err, platform.ErrLogUnavailable):
-			t.log.Warn("The log is down; claims are refused.", zap.Error(err))
+			t.log.Warn("The log is unavailable; claims are refused.", zap.Error(err))
 			t.refuseBatch(batch)
 			return
 		case errors.Is(err, platform.ErrRate):
-			t.log.Warn("The log's append rate is spent.")
+			t.log.Warn("The log's append rate limit is exceeded.")
 		default:
 			appendsLost.Add(1)
-			t.log.Warn("An append's answer was lost; reading back.", zap.Error(err))
+			t.log.Warn("The outcome of an append is unknown; reading back.", zap.Error(err))
 			if t.readBack(ctx, batch, seq) {
 				return
 			}
@@ -114,6 +117,7 @@
 	}
 }
 
+// append appends one record to the service's stream and returns its offset.
 func (t *Table) append(ctx context.Context, data []byte) (offset uint64, _ error) {
 	ctx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
@@ -121,6 +125,7 @@
 	return t.cfg.Log.Append(ctx, t.stream, data)
 }
 
+// encodeBatch assigns the batch its sequence number and encodes it as a record.
 func (t *Table) encodeBatch(batch []*pending) (seq uint64, data []byte) {
 	t.mu.Lock()
 	t.lastSeq++
@@ -134,8 +139,8 @@
 	return seq, fold.Encode(b)
 }
 
-// readBack tells whether a batch stands in the log. False means that it did
-// not when the read came to the end, or that nobody waits for it any more.
+// readBack reports whether the log contains a batch. False means that a read to
+// the end did not find it, or that no request waits for it any more.
 func (t *Table) readBack(ctx context.Context, batch []*pending, seq uint64) bool {
 	for delay := minBackoff; ctx.Err() == nil && t.hasWaiters(batch); {
 		atEnd, err := t.readPage(ctx, 0)
@@ -154,14 +159,16 @@
 	return false
 }
 
-// clearUnconfirmed notes that the log answers: what is not there was lost on its way.
+// clearUnconfirmed records that the log answers reads, so that a batch which was
+// not found did not reach it.
 func (t *Table) clearUnconfirmed() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.unconfirmedSince = time.Time{}
 }
 
-// recordAppendStart notes that a batch is on its way: the tail polls for it.
+// recordAppendStart records that an append has started and wakes the tail to read
+// its record.
 func (t *Table) recordAppendStart() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -172,13 +179,14 @@
 	notify(t.readNow)
 }
 
+// isReadBack reports whether the own batch seq has been read back.
 func (t *Table) isReadBack(seq uint64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.readBackSeq >= seq
 }
 
-// hasWaiters tells whether anybody still waits for a claim of the batch.
+// hasWaiters reports whether a request still waits for a claim of the batch.
 func (t *Table) hasWaiters(batch []*pending) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -190,8 +198,8 @@
 	return false
 }
 
-// refuseBatch refuses a batch that the log did not take, and for a moment every claim
-// that would follow it.
+// refuseBatch refuses the claims of a batch that the log rejected. New claims are
+// refused as well for logDownPause.
 func (t *Table) refuseBatch(batch []*pending) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/agent/once/fake_test.go
+++ b/agent/once/fake_test.go
@@ -15,26 +15,26 @@
 
 const latency = 2 * time.Millisecond
 
-// appendOutcome is what the fake log does with one append.
+// appendOutcome is how the fake log handles one append.
 type appendOutcome uint8
 
 const (
 	stored           appendOutcome = iota
-	storedUnanswered               // taken, answer lost
-	requestLost                    // not taken, looks like a lost answer
-	storedLate                     // taken a second after the client saw the lost answer
-	refused                        // outage
+	storedUnanswered               // stored, but the answer is lost
+	requestLost                    // not stored; looks like a lost answer
+	storedLate                     // stored one second after the agent got the error of a lost answer
+	refused                        // the log is unavailable
 	rateLimited
 )
 
-// fakeLog is one stream in memory, in the test's virtual time.
+// fakeLog is one stream in memory. Its latency passes in the test's virtual time.
 type fakeLog struct {
 	mu          sync.Mutex
 	records     []platform.Record
 	appends     int
 	reads       int
 	changed     chan struct{}
-	nextOutcome func() appendOutcome // nil: taken
+	nextOutcome func() appendOutcome // called for each append; nil: all are stored
 	failReads   bool
 }
 
@@ -109,7 +109,7 @@
 	}
 }
 
-// dropRecords forgets all records.
+// dropRecords removes all records, as a log that has lost its data.
 func (l *fakeLog) dropRecords() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -128,20 +128,21 @@
 	return l.appends
 }
 
-// alwaysOutcome returns one fate for every append.
+// alwaysOutcome returns a function that gives every append the same outcome.
 func alwaysOutcome(outcome appendOutcome) func() appendOutcome {
 	return func() appendOutcome { return outcome }
 }
 
 var testLimits = Limits{Window: 10 * time.Minute, Skew: time.Second, MinInterval: time.Millisecond}
 
-// start runs a table until the test's end or stop. Each call is another incarnation.
+// start runs a new table, which is a new incarnation of the agent, until the test
+// ends or stop is called.
 func start(t testing.TB, log platform.Log, name string) (table *Table, stop func()) {
 	table = newTable(log, name)
 	return table, run(t, table)
 }
 
-// run runs a table until the test's end or stop.
+// run runs a table until the test ends or stop is called.
 func run(t testing.TB, table *Table) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -164,7 +165,7 @@
 	})
 }
 
-// newKey makes a key issued at a time.
+// newKey returns a random key that was issued at the given time.
 func newKey(at time.Time) fold.Key {
 	var u uuid.UUID
 	for i := range u {
--- a/agent/once/history_test.go
+++ b/agent/once/history_test.go
@@ -16,16 +16,16 @@
 	"dandelionsill.org/kinds"
 )
 
-// attempt is the outcome of one attempt as its caller sees it, with the truth of the
-// backend server: value is what this attempt's own run made, "" for no run.
+// attempt is the outcome of one attempt as its caller sees it, and what the backend
+// server did: value is the result of this attempt's own run, "" if it did not run.
 type attempt struct {
 	notRun   bool
 	replayed string
 	value    string
 }
 
-// oneRunModel is the object that callers should see: a key that is empty until one
-// try sets it, and answers with that value ever after.
+// oneRunModel is the object that callers must see: a key that is empty until one
+// attempt sets it, and returns that value from then on.
 var oneRunModel = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		parts := make(map[int][]porcupine.Operation)
@@ -51,13 +51,14 @@
 	},
 }
 
-// agents is three agent names, each with its live incarnation and with older ones
-// that were only frozen and go on.
+// agents holds the tables of each agent name: the latest incarnation last, and
+// before it the replaced ones that were only suspended and have resumed.
 type agents struct {
 	mu     sync.Mutex
 	tables map[string][]*Table
 }
 
+// pickTable returns the latest incarnation of an agent, or sometimes any of them.
 func (f *agents) pickTable(rng *rand.Rand, name string) *Table {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -68,11 +69,11 @@
 	return tables[len(tables)-1]
 }
 
-// Callers repeat the same few orders through any entry and agent, while the
-// log loses answers, takes records late and goes down, agents are replaced
-// under their own names, and replaced ones that were only frozen go on. The
-// callers' history must be one of an object that runs once, and no "not run"
-// may be given for a run.
+// Callers repeat the same few orders through any agent while the log loses answers,
+// stores records late and becomes unavailable, agents are replaced under their own
+// names, and replaced agents that were only suspended resume. The callers' history
+// must be linearizable to an object that runs at most once per key, and no attempt
+// that ran may be answered "not run".
 func TestHistoryHasOneRunPerKey(t *testing.T) {
 	for seed := range uint64(25) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -150,7 +151,8 @@
 	require.True(t, porcupine.CheckOperations(oneRunModel, ops))
 }
 
-// runAttempt is what agent/calls does with one try, with stalls in between.
+// runAttempt does what agent/calls does for one attempt, with stalls between the
+// steps.
 func runAttempt(rng *rand.Rand, fleet *agents, name string, r Request, backend func() string) attempt {
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
@@ -180,7 +182,7 @@
 	return attempt{value: value}
 }
 
-// take looks up and claims until one of both decides.
+// take calls Lookup and Claim until one of them decides.
 func take(ctx context.Context, table *Table, r Request) (*Run, *Answer, *kinds.Error) {
 	for {
 		if a, err, known := table.Lookup(ctx, r); known {
@@ -192,7 +194,7 @@
 	}
 }
 
-// maybeStall freezes a tenth of the tries far beyond their deadline.
+// maybeStall suspends a tenth of the attempts far beyond their deadline.
 func maybeStall(rng *rand.Rand) {
 	if rng.IntN(10) == 0 {
 		time.Sleep(5 * time.Second)
--- a/agent/once/once.go
+++ b/agent/once/once.go
@@ -1,17 +1,20 @@
-// Package once gives each idempotency key at most one run: across entries that
-// die, agents that die, freeze or are replaced, lost answers and log outages.
+// Package once runs the request of an idempotency key at most once, even if
+// entries crash, agents crash, are suspended or are replaced, answers are lost or
+// the log is unavailable.
 //
 // An agent may run a key's request only after it has read its own claim in the
-// service's stream of the log and found it to be the first (fold/once). A won
-// claim belongs to this incarnation of this agent for ever, so that an agent
-// which was frozen and goes on is still the only one that may run it; no lease
-// is needed. What is not decided by then is answered "not run", which is true:
-// the request is still here. The claim may land later all the same. It is then ours and
-// unstarted, and a repeat runs it without a new claim.
+// service's stream of the log and found it to be the first for the key
+// (fold/once). A won claim belongs to this incarnation of this agent permanently:
+// an agent that was suspended and resumes is still the only one that may run the
+// request, so no lease is needed. A request whose claim is not decided within the
+// claim timeout is answered "not run", which is true because it has not left this
+// agent. Its claim may still reach the log later. The key then belongs to this
+// agent and is unstarted, and a repeat runs it without a new claim.
 //
-// Claims are group committed: one append carries all claims that wait, the next
-// starts when the last has ended. The stream's tail is paced (tail.go): an agent
-// reads its own claims at once, and those of others up to a second late.
+// Claims are group committed: one append carries all claims that wait, and the
+// next append starts when the previous one has ended. The rate of reads is limited
+// (tail.go): an agent reads its own claims at once, and those of other agents up
+// to a second late.
 package once
 
 import (
@@ -29,27 +32,27 @@
 	"dandelionsill.org/platform"
 )
 
-// Defaults.
+// Defaults of Config and fixed times.
 const (
 	defaultClaimTimeout = 2 * time.Second
 	defaultReadInterval = time.Second
 	defaultMaxHeld      = 16 << 20
-	// logDownPause is how long claims are refused at once after the log
-	// refused one: without it each would hold a slot of the backend server
-	// while the log is known to be down.
+	// logDownPause is how long claims are refused at once after the log refused
+	// an append as unavailable. Without it each claim would hold a slot of the
+	// backend server while the log is known to be down.
 	logDownPause = 500 * time.Millisecond
-	// logRetryAfter is the advice to callers during a log outage.
+	// logRetryAfter is the retry delay given to callers during a log outage.
 	logRetryAfter = 2 * time.Second
-	logInterval   = 10 * time.Second // of one message under failure
+	logInterval   = 10 * time.Second // minimum time between equal log messages
 )
 
-// Limits are the bounds of idempotency keys in force; all but MinInterval come
-// from the manifest.
+// Limits are the current bounds for idempotency keys and appends. All but
+// MinInterval come from the manifest.
 type Limits struct {
-	Window      time.Duration // how old a key may be
-	Skew        time.Duration // bound between any two clocks
-	MinInterval time.Duration // between the starts of two appends
-	AppendsPerS float64       // for all agents of this stream together; 0: no bound
+	Window      time.Duration // maximum age of a key
+	Skew        time.Duration // maximum difference between any two clocks
+	MinInterval time.Duration // minimum time between the starts of two appends
+	AppendsPerS float64       // appends per second of all agents of this stream together; 0: no limit
 }
 
 // Config is a table's configuration.
@@ -57,65 +60,66 @@
 	Owner   fold.Owner
 	Service string
 	Log     platform.Log
-	// Limits is called at each use.
+	// Limits returns the current limits; it is called at each use.
 	Limits func() Limits
-	// ReadInterval is the longest pause between two reads of a busy stream; 0:
-	// 1 s. Pauses are jittered down to half of it.
+	// ReadInterval is the longest pause between two reads of a busy stream; 0
+	// means 1 s. Each pause is chosen at random between half of it and all of it.
 	ReadInterval time.Duration
-	// MaxHeldBytes bounds the answers held for repeats; 0: 16 MiB.
+	// MaxHeldBytes bounds the memory of answers held for repeats; 0 means 16 MiB.
 	MaxHeldBytes int64
-	// ClaimTimeout bounds the wait for a claim, and with it the time for which
-	// a log outage may hold slots of the backend server; 0: 2 s.
+	// ClaimTimeout bounds the wait for a claim, and so the time for which a log
+	// outage may hold slots of the backend server; 0 means 2 s.
 	ClaimTimeout time.Duration
-	Logger       *zap.Logger // nil: none
+	Logger       *zap.Logger // nil disables logging
 }
 
-// Request is one try of a keyed request.
+// Request identifies one attempt of a keyed request: its key and the hash of its content.
 type Request struct {
 	Key  fold.Key
 	Hash fold.Hash
 }
 
-// Table is the agent's knowledge of its service's keys. It is safe for
-// concurrent use; Run must run.
+// Table holds the state of the service's keys as this agent has read it, and the
+// runs that this agent owns. It is safe for concurrent use. Run must be running
+// for claims to be written and read.
 type Table struct {
 	cfg          Config
 	stream       string
 	log          *zap.Logger
 	self         fold.OwnerDigest
-	claimsQueued chan struct{} // tells the writer that claims wait
-	readNow      chan struct{} // tells the tail that an own append is on its way or stands
+	claimsQueued chan struct{} // wakes writeClaims
+	readNow      chan struct{} // wakes the tail when an own append has started or has been acknowledged
 
 	mu            sync.Mutex
 	keys          *fold.State
 	runs          map[fold.Key]*Run
 	pendingClaims map[fold.Digest]*pending
 	queue         []*pending
-	lastSeq       uint64 // of the last batch
-	readBackSeq   uint64 // highest own seq read back
+	lastSeq       uint64 // sequence number of the last own batch
+	readBackSeq   uint64 // highest sequence number of an own batch that was read back
 	logDownUntil  time.Time
-	// unconfirmedSince is when the oldest own batch that has not been read back was
-	// begun; zero: none.
+	// unconfirmedSince is when the append of the oldest own batch that has not
+	// been read back started; zero if there is none.
 	unconfirmedSince   time.Time
-	readTarget         uint64             // offset behind the last own append that was answered
-	appendsStarted     uint64             // own appends begun
-	appendsAtPoll      uint64             // begins when the tail's last read began
-	caughtUp           bool               // the stream was read to its end once
-	caughtUpSinceReset bool               // so it was since the start or the last reset
-	cancelPoll         context.CancelFunc // of the tail's read
-	skippedOld         bool               // the tail's first offset was found; only the tail uses it
+	readTarget         uint64             // offset after the last own append that was acknowledged
+	appendsStarted     uint64             // number of own appends started
+	appendsAtPoll      uint64             // appendsStarted at the start of the tail's last read
+	caughtUp           bool               // the stream has been read to its end at least once
+	caughtUpSinceReset bool               // like caughtUp, but since the last log reset
+	cancelPoll         context.CancelFunc // cancels the tail's current read
+	skippedOld         bool               // skipOldRecords has succeeded; only the tail uses it
 	nextSweep          time.Time
 
-	heldRuns  list.List // *Run with an answer, last used first
+	heldRuns  list.List // elements are *Run with an answer, most recently used first
 	heldBytes int64
 }
 
-// pending is a key whose claim is to be written and read back.
+// pending is a claim that is to be written and read back.
 type pending struct {
 	claim   fold.Claim
-	digest  fold.Digest // of the claim
+	digest  fold.Digest // of claim.Key
 	waiters int
-	done    chan struct{} // closed once the stream or err decides
+	done    chan struct{} // closed once the claim was read back or err is set
 	err     *kinds.Error  // set before done is closed
 }
 
@@ -129,7 +133,7 @@
 	replays     = metrics.Counter("agent_once_replays")
 )
 
-// New returns a table that knows nothing yet.
+// New returns an empty table; Run fills it from the stream.
 func New(cfg Config) *Table {
 	if cfg.ClaimTimeout <= 0 {
 		cfg.ClaimTimeout = defaultClaimTimeout
@@ -160,7 +164,7 @@
 	return fold.Limits{Window: limits.Window, Skew: limits.Skew}
 }
 
-// Run tails the stream and writes claims until ctx ends.
+// Run reads the stream and writes claims until ctx ends.
 func (t *Table) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	wg.Go(func() { t.tail(ctx) })
@@ -168,31 +172,32 @@
 	wg.Wait()
 }
 
-// CaughtUp tells whether the stream has been read to its end once.
+// CaughtUp reports whether the stream has been read to its end at least once.
 func (t *Table) CaughtUp() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.caughtUp
 }
 
-// Stats is a moment's picture.
+// Stats is a snapshot of a table's counts.
 type Stats struct {
 	Keys      int // keys of the stream within the window
-	Runs      int // keys that this incarnation started or holds
+	Runs      int // keys that this incarnation has reserved or run
 	HeldBytes int64
-	Next      uint64 // offset to read from
+	Next      uint64 // offset of the next read
 }
 
-// Stats returns the counts of this moment.
+// Stats returns the current counts.
 func (t *Table) Stats() Stats {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return Stats{Keys: t.keys.Len(), Runs: len(t.runs), HeldBytes: t.heldBytes, Next: t.keys.Next()}
 }
 
-// Lookup answers a try of a key that needs no slot of the backend server: it
-// has ended, runs (Lookup waits for the same answer), belongs to another agent,
-// or can't be claimed now. known is false when the try has to go on to Claim.
+// Lookup answers an attempt that needs no slot of the backend server: its key's
+// run has ended, is in progress (Lookup waits for its answer), the key belongs to
+// another agent or can't be claimed now. If known is false, the attempt has to
+// continue with Claim.
 func (t *Table) Lookup(ctx context.Context, r Request) (answer *Answer, err *kinds.Error, known bool) {
 	for {
 		t.mu.Lock()
@@ -216,11 +221,11 @@
 	}
 }
 
-// Claim makes the caller the only one that may run the request (run), or
-// answers like Lookup. All three are nil when another try has the run: the
-// caller gives its slot back before it waits for that one (Lookup), as repeats
-// of one key would otherwise hold slots only to wait. The caller must end the
-// run: Release, Finish or Lose.
+// Claim returns the exclusive right to run the request (run), or answers like
+// Lookup. All three results are nil if another attempt has the run: the attempt
+// must then give back its slot before it waits with Lookup, as repeats of one key
+// would otherwise hold slots only to wait. A returned run must be ended with
+// Release, Finish or FinishUnknown.
 func (t *Table) Claim(ctx context.Context, r Request) (run *Run, answer *Answer, err *kinds.Error) {
 	claimCtx, cancel := context.WithTimeout(ctx, t.cfg.ClaimTimeout)
 	defer cancel()
@@ -245,10 +250,11 @@
 	}
 }
 
-// isLogDown tells whether a claim would wait in vain. While a batch stays
-// unconfirmed for longer than a claim may wait, one claim at a time may try, so that an outage can't
-// fill the backend server's slots with waiting claims. That a claim was given
-// up is no sign of it: its caller may just have had little time. t.mu is held.
+// isLogDown reports whether a new claim should be refused at once because the log
+// is unavailable. While a batch has been unconfirmed for longer than ClaimTimeout,
+// only one claim at a time may wait, so that an outage can't fill the backend
+// server's slots with waiting claims. A claim that timed out doesn't count as a
+// sign of an outage, as its request may have had a short deadline. t.mu is held.
 func (t *Table) isLogDown() bool {
 	if time.Now().Before(t.logDownUntil) {
 		return true
@@ -257,15 +263,16 @@
 	return stuck && len(t.pendingClaims) > 0
 }
 
-// keyState says what may be done with a key.
+// keyState is what an attempt may do with a key.
 type keyState uint8
 
 const (
 	decided   keyState = iota // found has an answer, an error or a run to wait for
-	unclaimed                 // nobody has claimed it
-	unstarted                 // ours, and no run of it was started
+	unclaimed                 // no claim of the key was read
+	unstarted                 // owned by this incarnation, which has not started a run
 )
 
+// found is the result of find: answer, err or run is set if state is decided.
 type found struct {
 	state  keyState
 	answer *Answer
@@ -273,7 +280,8 @@
 	run    *Run
 }
 
-// find tells what the stream and this incarnation know of a key. t.mu is held.
+// find returns the state of a key from the stream and this incarnation's runs.
+// t.mu is held.
 func (t *Table) find(r Request) found {
 	held := kinds.Hold()
 	if err := t.checkAge(held, r.Key); err != nil {
@@ -292,21 +300,22 @@
 	case f.Owner == t.self:
 		return t.findOwn(held, r)
 	case f.Owner.Name == t.self.Name:
-		// Another incarnation of this agent owns the key. What it did went with it.
+		// An earlier incarnation of this agent owns the key. Whether it ran the
+		// request is not stored anywhere.
 		return found{err: kinds.New(kinds.OutcomeUnknown, "the agent that took the request was restarted")}
 	}
 	return found{err: held.Refuse(kinds.ClaimedElsewhere, "agent %s owns the key", f.Owner.Name).WithHolder(f.Owner.Name)}
 }
 
-// findOwn tells of a key that this incarnation owns.
+// findOwn returns the state of a key that this incarnation owns. t.mu is held.
 func (t *Table) findOwn(held *kinds.Held, r Request) found {
 	run := t.runs[r.Key]
 	switch {
 	case run == nil:
 		return found{state: unstarted}
 	case run.hash != r.Hash:
-		// The stream's short hashes collide. Without the whole hash the caller
-		// would be given another request's answer.
+		// The short hashes in the stream are equal, but the full ones differ.
+		// Without this check the caller would get another request's answer.
 		return found{err: keyReused(held)}
 	case run.state == reserved || run.state == started:
 		return found{run: run}
@@ -320,12 +329,14 @@
 	return found{err: kinds.New(kinds.OutcomeUnknown, "the request was sent; its answer was lost")}
 }
 
+// keyReused returns the error for a key that was used with another request.
 func keyReused(held *kinds.Held) *kinds.Error {
 	return held.Refuse(kinds.KeyReused, "the key was used for another request")
 }
 
-// checkAge refuses keys that this agent can't judge. An agent whose clock is
-// within the skew refuses each key before any fold may have forgotten it.
+// checkAge refuses keys that are from the future or too old. An agent whose clock
+// is within the skew thus refuses each key before any agent may have dropped the
+// key's state.
 func (t *Table) checkAge(held *kinds.Held, key fold.Key) *kinds.Error {
 	terms := t.cfg.Limits()
 	age := time.Since(key.Issued())
@@ -338,7 +349,8 @@
 	return nil
 }
 
-// enqueue joins or makes the pending claim of a key. t.mu is held.
+// enqueue returns the pending claim of a key and queues one if there is none.
+// t.mu is held.
 func (t *Table) enqueue(r Request) *pending {
 	key := r.Key.Digest()
 	p := t.pendingClaims[key]
@@ -352,7 +364,7 @@
 	return p
 }
 
-// notify wakes the reader of a channel that holds one signal.
+// notify sends to a channel of capacity 1 unless a signal is already pending.
 func notify(signal chan<- struct{}) {
 	select {
 	case signal <- struct{}{}:
@@ -360,8 +372,9 @@
 	}
 }
 
-// awaitClaim waits until the stream decides on a claim. Whoever gives up has truly
-// not run the request: only a claim that was read back lets it run.
+// awaitClaim waits until a claim was read back or refused, or claimCtx ends. If no
+// other attempt waits for the claim, a timeout is proof that the request did not
+// run: only a claim that was read back lets it run.
 func (t *Table) awaitClaim(claimCtx, callerCtx context.Context, p *pending) *kinds.Error {
 	select {
 	case <-p.done:
@@ -383,6 +396,7 @@
 	return logUnavailable("the key's claim could not be confirmed in time")
 }
 
+// logUnavailable returns the error for a claim that failed because of the log.
 func logUnavailable(reason string) *kinds.Error {
 	return kinds.Hold().Refuse(kinds.LogUnavailable, "%s", reason).WithRetryAfter(logRetryAfter)
 }
--- a/agent/once/once_test.go
+++ b/agent/once/once_test.go
@@ -15,7 +15,7 @@
 
 var answer = &Answer{Status: 201, Body: []byte("order 7")}
 
-// claim expects the right to run.
+// claim claims a key and requires that it gets the right to run.
 func claim(t *testing.T, table *Table, r Request) *Run {
 	t.Helper()
 	run, a, err := table.Claim(t.Context(), r)
@@ -25,7 +25,7 @@
 	return run
 }
 
-// requireRefusal expects both ways to answer to refuse alike.
+// requireRefusal requires that Claim fails with the given kind and proof.
 func requireRefusal(t *testing.T, table *Table, r Request, kind string, notRun bool) *kinds.Error {
 	t.Helper()
 	run, a, err := table.Claim(t.Context(), r)
@@ -37,9 +37,9 @@
 	return err
 }
 
-// The order ran and the caller repeats it: it gets the same whole answer. With
-// another body under the same key it is told so, and a second caller's equal
-// key is another key.
+// A caller that repeats an order which has run gets the same complete answer. A
+// request with another body under the same key is refused, and the same key of
+// another caller is a different key.
 func TestRepeatGetsTheSameAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := newFakeLog()
@@ -56,8 +56,8 @@
 		require.Nil(t, err)
 		require.Same(t, answer, got)
 
-		// Later, after the table has cleaned up: the run must not be forgotten
-		// before its key is, or the order would run again.
+		// A sweep must not remove the run before its key is dropped, or the order
+		// would run again.
 		time.Sleep(2 * sweepInterval)
 		claim(t, table, newRequest()).Release()
 		_, got, err = table.Claim(t.Context(), r)
@@ -68,15 +68,15 @@
 		other.Hash = fold.Hash{2}
 		requireRefusal(t, table, other, string(kinds.KeyReused), true)
 		other.Hash = r.Hash
-		other.Hash[15]++ // collides in the stream, which holds short hashes
+		other.Hash[15]++ // the short hash in the stream is the same
 		requireRefusal(t, table, other, string(kinds.KeyReused), true)
 		other.Key.Caller = "clinic"
 		claim(t, table, other).Release()
 	})
 }
 
-// The caller's first try still runs when its second comes, through another
-// entry: the second waits and gets the first's answer. It holds no slot.
+// A caller's second attempt arrives through another entry while the first still
+// runs: it waits without a slot and gets the first one's answer.
 func TestSecondAttemptWaitsForTheRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table, _ := start(t, newFakeLog(), "a")
@@ -92,7 +92,7 @@
 		require.Nil(t, err)
 		require.Same(t, answer, got)
 
-		// A joiner whose time ends first must not hear "not run".
+		// A waiting attempt whose deadline passes first must not get "not run".
 		r = newRequest()
 		run = claim(t, table, r)
 		run.Start()
@@ -105,9 +105,9 @@
 	})
 }
 
-// The first try owned the key and was given up before it was sent (its entry
-// died, its deadline passed). "Not run" was true: the repeat runs, at this
-// agent, without a second claim. The waiting second try takes over.
+// The first attempt owned the key and was abandoned before it was sent (its entry
+// crashed or its deadline passed). The answer "not run" was true: the repeat runs
+// at this agent without a second claim. A second attempt that waits takes over.
 func TestUnstartedKeyRunsLater(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := newFakeLog()
@@ -129,8 +129,8 @@
 	})
 }
 
-// Two tries of a key wait for the same claim. The one whose time ends first
-// must not hear "not run": the other may yet run it.
+// Two attempts of a key wait for the same claim. The one whose deadline passes first
+// must not get "not run", because the other may still run the request.
 func TestSharedClaimTimeoutIsOutcomeUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table, _ := start(t, slowAppends{newFakeLog(), time.Second}, "a")
@@ -145,9 +145,9 @@
 	})
 }
 
-// The log takes the claim and its answer is lost. The agent reads back, finds
-// the claim and runs the request once; the log holds one record. Where the
-// request was lost instead, reading back shows so and it is written again.
+// The log stores the claim but its answer is lost. The agent reads back, finds the
+// claim and runs the request once; the log contains one record. If the append
+// itself was lost, reading back doesn't find the claim and it is appended again.
 func TestLostAppendAnswerIsReadBack(t *testing.T) {
 	for name, outcome := range map[string]appendOutcome{"answer lost": storedUnanswered, "request lost": requestLost} {
 		t.Run(name, func(t *testing.T) {
@@ -169,10 +169,10 @@
 	}
 }
 
-// The claim's answer is lost and reads fail too: the caller hears "not run,
-// log unavailable" in time. The claim stood in the log all along. Once reads
-// work again it is ours and unstarted: the repeat runs here without another
-// claim, and nowhere else.
+// The answer to the claim's append is lost and reads fail too: the caller gets "not
+// run, log unavailable" in time. The log has contained the claim all along. Once
+// reads work again, the key belongs to this agent and is unstarted: the repeat runs
+// here without another claim, and at no other agent.
 func TestAbandonedClaimThatIsStoredStaysUnstarted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := newFakeLog()
@@ -185,7 +185,8 @@
 		log.mu.Unlock()
 		r := newRequest()
 		began := time.Now()
-		// The tail's long poll was open before reads failed and would deliver.
+		// The tail's long poll was open before reads failed and would still return
+		// records; wait until it has ended.
 		time.Sleep(longPollWait + time.Second)
 		err := requireRefusal(t, a, r, string(kinds.LogUnavailable), true)
 		require.Positive(t, err.Answer().RetryAfter)
@@ -203,9 +204,9 @@
 	})
 }
 
-// The log is down. New keys are refused at once, "not run", and without taking
-// a slot (Lookup); keys that are known here are served as ever. When the log
-// is back, so are claims.
+// The log is unavailable. New keys are refused at once with "not run" and without
+// taking a slot (Lookup); keys that ran here are still answered. Claims work again
+// when the log is available again.
 func TestLogOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := newFakeLog()
@@ -235,8 +236,8 @@
 	})
 }
 
-// Agent a owns the key and is frozen before it sends. Meanwhile b must not run
-// it, and names a. When a goes on, the key is still its own.
+// Agent a owns the key and is suspended before it sends. Meanwhile b must not run
+// the request and must name a as the owner. When a resumes, it still owns the key.
 func TestSuspendedOwnerStaysTheOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := newFakeLog()
@@ -251,9 +252,10 @@
 	})
 }
 
-// The agent dies with a key of which nobody knows whether it ran, and is
-// started again under the same name. It must say so and not run it: the entry
-// would otherwise come back here for ever, or the order be doubled.
+// An agent crashes with a key whose request may have run, and is restarted under the
+// same name. It must answer outcome_unknown: with claimed_elsewhere the entry would
+// send the request back to this agent for ever, and a run could duplicate the
+// order.
 func TestRestartedAgentDoesNotRunItsOldKeys(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := newFakeLog()
@@ -266,8 +268,8 @@
 	})
 }
 
-// Keys that can't be judged: too old for the window, from the future, and
-// finished ones whose answer was evicted or whose window has passed.
+// Keys whose request must not run: those that are too old for the window or from the
+// future, and finished ones whose answer was evicted or whose window has passed.
 func TestKeysThatAreNeverRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := newFakeLog()
@@ -288,7 +290,7 @@
 
 		time.Sleep(testLimits.Window + time.Minute)
 		requireRefusal(t, table, first, string(kinds.KeyTooOld), true)
-		claim(t, table, newRequest()).Release() // moves the fold's clock
+		claim(t, table, newRequest()).Release() // advances the clock of the keys' state
 		time.Sleep(2 * sweepInterval)
 		claim(t, table, newRequest()).Release()
 		require.Zero(t, table.Stats().HeldBytes)
@@ -296,8 +298,8 @@
 	})
 }
 
-// A burst of orders comes at once. One append carries all claims that wait,
-// and the share of the log's rate is kept however many come.
+// A burst of orders arrives at once. One append carries all claims that wait, and
+// the agent stays within its share of the log's append rate however many arrive.
 func TestGroupCommitKeepsTheAppendRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := newFakeLog()
@@ -323,11 +325,12 @@
 	})
 }
 
-// The caller hears not_run: true for its key, takes a new one and renews twice.
-// Order: its first try holds the key and waits for the entry's go; its second,
-// through another entry, waits for the first until its own deadline and is told
-// deadline_too_short, "not run"; then the first gets its go and runs. The agent
-// knows that another try of the very key may still run.
+// Guards against a renewal that runs twice because the caller got "not run" for its
+// key and used a new one. How it came about: the first attempt has the key and waits
+// for the entry's go. The second, through another entry, waits for the first until
+// its own deadline and got deadline_too_short with "not run". Then the first gets its
+// go and runs. The agent knows that another attempt of the same key may still run, so
+// the answer must be outcome_unknown.
 func TestRepeatOfAKeyThatMayStillRunIsUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table, _ := start(t, newFakeLog(), "a")
@@ -338,7 +341,7 @@
 		_, err, known := table.Lookup(ctx, r)
 		require.True(t, known)
 		require.NotNil(t, err)
-		first.Start() // the go has come: the request runs
+		first.Start() // the go has arrived: the request runs
 		first.Finish(answer)
 		require.False(t, err.NotRun(), "%v", err)
 		require.Equal(t, string(kinds.OutcomeUnknown), err.Kind())
--- a/agent/once/outage_test.go
+++ b/agent/once/outage_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// slowAppends is a log that takes its time; each record is taken all the same.
+// slowAppends is a log whose appends take delay longer. It stores every record.
 type slowAppends struct {
 	*fakeLog
 	delay time.Duration
@@ -20,11 +20,11 @@
 	return l.fakeLog.Append(ctx, stream, data)
 }
 
-// Keyed writes are refused for as long as the log is slow, though each claim
-// would be won well within the claim timeout (2 s). Order: an append takes
-// 0.7 s; half a second after its start the log counts as down (stuckAfter), and
-// every other key's write is refused with log_unavailable until it has landed;
-// then the next batch begins and so on.
+// Guards against keyed writes that are refused while the log is only slow, although
+// each claim would be won well within the claim timeout (2 s). How it came about: an
+// append took 0.7 s. Half a second after its start the log counted as down, and the
+// writes of all other keys were refused with log_unavailable until the batch was read
+// back. The same happened with each following batch.
 func TestSlowLogIsNotAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table, _ := start(t, slowAppends{newFakeLog(), 700 * time.Millisecond}, "a")
@@ -48,11 +48,11 @@
 	})
 }
 
-// Other callers' renewals are refused with log_unavailable while the log is
-// well. Order: a caller gives its keyed request less time than the group
-// commit's interval and gives up; await takes that for a sign of an outage
-// (doubtful); until the next own batch has landed every new key but one is
-// refused. One caller with short deadlines thus refuses everybody's writes.
+// Guards against one caller with short deadlines causing the refusal of all other
+// callers' writes with log_unavailable while the log works. How it came about: the
+// caller gave its keyed request less time than the interval of the group commit and
+// timed out. The timeout was taken as a sign of an outage, and every new key but one
+// was refused until the next own batch was read back.
 func TestShortDeadlineOfOneCallerIsNotAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table, _ := start(t, newFakeLog(), "a")
--- a/agent/once/run.go
+++ b/agent/once/run.go
@@ -9,16 +9,18 @@
 	"dandelionsill.org/kinds"
 )
 
-// answerOverhead is counted for each held answer besides its bytes.
+// answerOverhead is the number of bytes counted for each held answer in addition to
+// its headers and body.
 const answerOverhead = 512
 
-// Answer is a backend server's whole answer. It is immutable.
+// Answer is a backend server's complete answer. It is immutable.
 type Answer struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
+// size returns the number of bytes counted for a held answer.
 func (a *Answer) size() int64 {
 	n := answerOverhead + len(a.Body)
 	for name, values := range a.Header {
@@ -29,47 +31,50 @@
 	return int64(n)
 }
 
+// runState is the state of a run.
 type runState uint8
 
 const (
-	reserved   runState = iota // owned, not sent
+	reserved   runState = iota // owned by this incarnation, not sent
 	started                    // may have been sent
-	finished                   // the whole answer came
-	answerLost                 // sent, and the answer did not come
+	finished                   // the complete answer was received
+	answerLost                 // sent, but no complete answer was received
 )
 
-// Run is the right to run one key's request, and later its result. It stays in
-// the table for the key window: a key without a Run counts as unstarted.
+// Run is the exclusive right to run one key's request, and later its result. Unless
+// it is released, it stays in the table for the key window, because an owned key
+// without a Run counts as unstarted.
 type Run struct {
 	table *Table
 	key   fold.Key
 	hash  fold.Hash
 
-	// Guarded by table.mu.
+	// Guarded by table.mu:
 	state       runState
 	answer      *Answer
-	heldElement *list.Element // in table.held while answer is held
+	heldElement *list.Element // in table.heldRuns while answer is held
 
-	done chan struct{} // closed when the run is released or over
+	done chan struct{} // closed when the run is released or has ended
 }
 
-// reserve makes the run of an unstarted key. t.mu is held.
+// reserve creates the run of an unstarted key. t.mu is held.
 func (t *Table) reserve(r Request) *Run {
 	run := &Run{table: t, key: r.Key, hash: r.Hash, done: make(chan struct{})}
 	t.runs[r.Key] = run
 	return run
 }
 
-// Start notes that the request goes to the backend server. It is called before
-// the first byte does: from here on only Release, with proof, undoes it.
+// Start records that the request is about to be sent. It must be called before the
+// first byte goes to the backend server. After Start, Release may be called only
+// with proof that nothing was sent.
 func (r *Run) Start() {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
 	r.state = started
 }
 
-// Release gives the key back as unstarted. The caller has proof that no byte
-// of the request went to the backend server.
+// Release returns the key to the unstarted state. It may be called only with proof
+// that no byte of the request was sent to the backend server.
 func (r *Run) Release() {
 	t := r.table
 	t.mu.Lock()
@@ -78,7 +83,7 @@
 	close(r.done)
 }
 
-// Finish ends the run with its whole answer, which is held for repeats.
+// Finish ends the run with its complete answer, which is held for repeats.
 func (r *Run) Finish(a *Answer) {
 	t := r.table
 	t.mu.Lock()
@@ -88,7 +93,8 @@
 	close(r.done)
 }
 
-// FinishUnknown ends the run without an answer: it may have run. Every repeat is told so.
+// FinishUnknown ends the run without an answer: the request may have run. Repeats
+// get outcome_unknown.
 func (r *Run) FinishUnknown() {
 	r.table.mu.Lock()
 	defer r.table.mu.Unlock()
@@ -96,7 +102,8 @@
 	close(r.done)
 }
 
-// holdAnswer keeps an answer and evicts the least recently used ones beyond the bound.
+// holdAnswer keeps an answer for repeats and evicts the least recently used answers
+// beyond MaxHeldBytes. t.mu is held.
 func (t *Table) holdAnswer(r *Run, a *Answer) {
 	r.answer = a
 	r.heldElement = t.heldRuns.PushFront(r)
@@ -106,15 +113,15 @@
 	}
 }
 
-// dropAnswer forgets a held answer, not the run.
+// dropAnswer removes a run's held answer but keeps the run. t.mu is held.
 func (t *Table) dropAnswer(r *Run) {
 	t.heldRuns.Remove(r.heldElement)
 	t.heldBytes -= r.answer.size()
 	r.answer, r.heldElement = nil, nil
 }
 
-// dropExpiredRuns forgets runs whose keys are too old to be asked for: the fold answers
-// for those before any run is looked for. t.mu is held.
+// dropExpiredRuns removes ended runs whose keys are older than the key window. find
+// refuses such keys before it looks for a run. t.mu is held.
 func (t *Table) dropExpiredRuns() {
 	for key, r := range t.runs {
 		ended := r.state == finished || r.state == answerLost
@@ -128,8 +135,8 @@
 	}
 }
 
-// wait waits for another try's run. Its error is never "not run": even if that
-// run has not started yet, it may, and the caller asked for the same request.
+// wait waits until another attempt's run is released or has ended. Its error is
+// never "not run": that run is of the same request and may still start.
 func wait(ctx context.Context, r *Run) *kinds.Error {
 	select {
 	case <-r.done:
--- a/agent/once/tail.go
+++ b/agent/once/tail.go
@@ -13,34 +13,35 @@
 )
 
 const (
-	maxPageRecords = 1000 // records in one read
+	maxPageRecords = 1000 // records per read
 	longPollWait   = 10 * time.Second
-	readTimeout    = 2 * time.Second // beyond the long poll
+	readTimeout    = 2 * time.Second // in addition to the wait of a long poll
 	sweepInterval  = time.Minute
-	// startSkews, in clock skews, is how much older than the key window the
-	// record is from which a new agent reads (findStart).
+	// startSkews is how much older than the key window, in multiples of the clock
+	// skew, a record must be for a new agent to start reading at it
+	// (skipOldRecords).
 	startSkews = 3
 )
 
-// tail reads the stream into the fold until ctx ends.
+// tail reads the stream and applies its records until ctx ends.
 //
-// A long poll alone would end at each append of each agent of the service: at
-// 100 agents 150 appends/s made 15,000 reads/s. So a busy stream is read once
-// per ReadInterval, and an own claim hurries the tail on. An idle stream is
-// long polled.
+// With long polls alone, each append of any agent would end the poll of every
+// agent of the service: with 100 agents, 150 appends/s caused 15,000 reads/s. A
+// busy stream is therefore read once per ReadInterval, and at once when an own
+// claim is appended. An idle stream is long polled.
 //
-// What it costs to hear of other agents' claims up to ReadInterval later: a
+// The cost is that other agents' claims are read up to ReadInterval later: a
 // repeat of a key that another agent has just claimed is claimed here as well
-// instead of being refused at once. That claim loses when it is read back, and
-// the answer is the same "claimed elsewhere", one append later (or "log
-// unavailable", if the log went down just then). Nothing runs on a claim that
-// was not read back, and no claim is read back without every record before it,
-// so that safety does not hang on the pace.
+// instead of being refused at once. That claim loses when it is read back, and the
+// answer is the same "claimed elsewhere", one append later (or "log unavailable",
+// if the log fails at that moment). Safety does not depend on the read rate: a
+// request runs only after its claim was read back, and no claim is read back
+// without all records before it.
 func (t *Table) tail(ctx context.Context) {
 	delay := minBackoff
 	for ctx.Err() == nil {
 		if err := t.readNext(ctx); err != nil {
-			t.log.Warn("Reading claims failed.", zap.Error(err))
+			t.log.Warn("Reading claims from the log failed.", zap.Error(err))
 			sleep.For(ctx, delay)
 			delay = min(2*delay, maxBackoff)
 			continue
@@ -49,7 +50,7 @@
 	}
 }
 
-// readNext reads a page and then waits until the next should be read.
+// readNext reads a page and waits until the next one should be read.
 func (t *Table) readNext(ctx context.Context) error {
 	if !t.skippedOld {
 		if err := t.skipOldRecords(ctx); err != nil {
@@ -67,10 +68,11 @@
 	return err
 }
 
-// startPoll tells how long the tail's next read may wait. The first reads don't
-// wait: an agent is not ready before the end, and the stream of a quiet service
-// may stay empty for long. Nor do those after a reset, which also ends a poll
-// for an offset that the log will not reach for long.
+// startPoll registers the tail's next read, which cancel ends, and returns how long
+// it may wait for records. Reads don't wait until the end of the stream has been
+// reached, as the agent is not ready before, and the stream of an idle service may
+// stay empty for a long time. The same holds after a log reset, which also cancels
+// the current poll: its offset may be far above the new end of the log.
 func (t *Table) startPoll(cancel context.CancelFunc) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -82,8 +84,8 @@
 	return longPollWait
 }
 
-// waitForNextRead waits until an own append needs a read, the read interval has passed,
-// or ctx ends.
+// waitForNextRead waits until an own append needs a read, the jittered read interval
+// has passed, or ctx ends.
 func (t *Table) waitForNextRead(ctx context.Context) {
 	half := t.cfg.ReadInterval / 2
 	timer := time.NewTimer(half + rand.N(half+1))
@@ -99,38 +101,41 @@
 	}
 }
 
-// needsRead tells whether an own append stands in the log unread, or is on its way
-// and no long poll has begun since: that poll has the record as soon as the log
-// does, unless others' come between.
+// needsRead reports whether an own append is in the log but not read yet, or has
+// started after the tail's last read. A read that starts after the append returns
+// the record as soon as the log has it, unless records of other agents come first.
 func (t *Table) needsRead() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.keys.Next() < t.readTarget || t.readBackSeq < t.lastSeq && t.appendsAtPoll < t.appendsStarted
 }
 
-// recordAppended notes that an own batch was answered: it is read back at once.
+// recordAppended records that the log has acknowledged an own batch, and wakes the
+// tail to read it back at once.
 func (t *Table) recordAppended(offset, seq uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if offset < t.keys.Next() && t.readBackSeq < seq {
-		// Another record was read at that offset before. The tail's poll for a
-		// higher one would go on for longer than a claim may wait.
+		// Another record was read at this offset before, so the log has lost
+		// records. The tail's poll for a higher offset would outlast the claim
+		// timeout.
 		t.handleLogReset(0)
 	}
 	t.readTarget = offset + 1
 	notify(t.readNow)
 }
 
-// handleLogReset reads the stream anew from first on, after the log lost its records.
-// Unread claims may be among them, so that unclaimed keys which were issued
-// before the loss answer outcome_unknown. t.mu is held.
+// handleLogReset makes the tail read the stream from offset first after the log has
+// lost records. Claims that were not read yet may be among them, so attempts with
+// unclaimed keys that were issued before the loss get outcome_unknown. t.mu is
+// held.
 //
-// An agent that starts after the loss finds a stream like that of a new
-// service and can't know: it takes such a key as free. A log that loses what it
-// acknowledged is outside of what first-record-wins can mend.
+// An agent that starts after the loss can't detect it, as the stream looks like
+// that of a new service, and treats such a key as unclaimed. First-record-wins
+// can't protect against a log that loses acknowledged records.
 func (t *Table) handleLogReset(first uint64) {
 	resets.Add(1)
-	t.log.Error("The log lost records that were read from it.", zap.Uint64("next", t.keys.Next()), zap.Uint64("first", first))
+	t.log.Error("The log has lost records that were read before.", zap.Uint64("next", t.keys.Next()), zap.Uint64("first", first))
 	t.keys.HandleLogReset(first)
 	t.readTarget = 0
 	t.caughtUpSinceReset = false
@@ -139,8 +144,9 @@
 	}
 }
 
-// readPage reads one page into the fold. atEnd tells that nothing was left to readPage
-// when the log answered. Pages may overlap: the fold skips what it has seen.
+// readPage reads one page from the log and applies its records. atEnd reports
+// whether the page reached the end of the stream. Pages of concurrent reads may
+// overlap: records that were applied already are skipped.
 func (t *Table) readPage(ctx context.Context, wait time.Duration) (atEnd bool, _ error) {
 	t.mu.Lock()
 	from := t.keys.Next()
@@ -154,7 +160,7 @@
 	defer t.mu.Unlock()
 	t.keys.SetLimits(foldLimits(t.cfg.Limits()))
 	if page.End < from {
-		if t.keys.Next() >= from { // else the other reader has seen it already
+		if t.keys.Next() >= from { // otherwise a concurrent read has handled the reset
 			t.handleLogReset(page.First)
 		}
 		return false, nil
@@ -178,6 +184,8 @@
 	return atEnd, nil
 }
 
+// readLog reads up to records records from offset from on and waits up to wait if
+// there are none.
 func (t *Table) readLog(ctx context.Context, from uint64, records int, wait time.Duration) (platform.Page, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+readTimeout)
 	defer cancel()
@@ -185,18 +193,19 @@
 	return t.cfg.Log.Read(ctx, t.stream, from, records, wait)
 }
 
-// apply folds a record and wakes who waits for one of its keys. t.mu is held.
+// apply applies a record to the keys' state and wakes the requests that wait for
+// one of its claims. t.mu is held.
 func (t *Table) apply(rec platform.Record) {
 	applied := t.keys.Apply(rec)
 	if applied.Unreadable {
 		unreadable.Add(1)
-		t.log.Error("A record can't be read by this release; keys that it may hold are refused as unknown.", zap.Uint64("offset", rec.Offset))
+		t.log.Error("A record can't be decoded; keys that it may contain are answered as unknown.", zap.Uint64("offset", rec.Offset))
 	}
 	if applied.Record.Owner == t.self {
 		t.readBackSeq = max(t.readBackSeq, applied.Record.Seq)
 		t.unconfirmedSince = time.Time{}
 		if t.readBackSeq < t.lastSeq {
-			t.unconfirmedSince = time.Now() // a younger batch is under way
+			t.unconfirmedSince = time.Now() // a newer batch is not read back yet
 		}
 	}
 	for _, c := range applied.Record.Claims {
@@ -207,14 +216,16 @@
 	}
 }
 
-// skipOldRecords skips what a new agent has no use for. The log keeps a day of
-// claims (16 million at 190/s), the key window is some minutes. The last record
-// found that is older than the window by startSkews skews is read first; all
-// before it counts as lost. That floor lies two skews above the record's time
-// (fold/once), so a skew below the oldest key that checkAge lets through by the
-// same clock: no key that may be asked for counts as lost, and none is free
-// whose claim was skipped, whatever record the search ends at. So neither
-// record times that jump back nor records truncated meanwhile can do harm.
+// skipOldRecords makes a new agent start reading near the beginning of the key
+// window: the log keeps a day of claims (16 million at 190/s), the window is a few
+// minutes. A binary search finds a record that is older than the window by
+// startSkews skews. It is read first, and the records before it are handled as
+// truncated, so that unclaimed keys count as lost if they were issued up to two
+// skews after that record (fold/once). This bound lies at least one skew below the
+// oldest key that checkAge accepts by the same clock. So no key that is accepted
+// counts as lost, and no key whose claim was skipped counts as unclaimed, whatever
+// record the search ends at. Record times that jump back and records that are
+// truncated during the search are therefore harmless.
 func (t *Table) skipOldRecords(ctx context.Context) error {
 	limits := t.cfg.Limits()
 	if limits.Window <= 0 {
--- a/agent/once/tail_test.go
+++ b/agent/once/tail_test.go
@@ -16,18 +16,18 @@
 	"dandelionsill.org/platform"
 )
 
-// Thirty agents write claims all the time. If each append woke each agent, the
-// log would answer 30 reads an append. A caller must not pay for the pace: its
-// claim is read back as soon as its append is answered.
+// Thirty agents append claims continuously. If each append woke each agent, the log
+// would have to answer 30 reads per append. Limiting reads must not delay callers: a
+// claim is read back as soon as its append is acknowledged.
 func TestBusyStreamReadsAreLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := newFakeLog()
 		alone, _ := start(t, log, "alone")
-		time.Sleep(time.Second) // it has caught up
+		time.Sleep(time.Second) // until it has caught up
 		for range 10 {
 			began := time.Now()
 			claim(t, alone, newRequest()).Release()
-			require.Equal(t, latency, time.Since(began), "an append and no read more")
+			require.Equal(t, latency, time.Since(began), "one append and no further read")
 			time.Sleep(100 * time.Millisecond)
 		}
 		before := log.appendCount()
@@ -52,10 +52,10 @@
 	})
 }
 
-// The log loses all that it held. An order that ran before is still answered;
-// one whose claim may be among what was lost is unknown, not run again. New
-// orders are taken as soon as their keys are younger than the loss, whether the
-// agent hears of it by its next read or by the offset of its next append.
+// The log loses all its records. An order that ran before is still answered; one
+// whose claim may have been lost gets outcome_unknown and is not run again. New
+// orders are accepted as soon as their keys are newer than the loss, whether the
+// agent detects it by its next read or by the offset of its next append.
 func TestLogLosesItsRecords(t *testing.T) {
 	for name, wait := range map[string]time.Duration{"read": longPollWait + time.Second, "append": 0} {
 		t.Run(name, func(t *testing.T) {
@@ -75,7 +75,7 @@
 				time.Sleep(wait)
 				if wait > 0 {
 					_, err, _ := table.Lookup(t.Context(), before)
-					require.NotNil(t, err, "known without an append")
+					require.NotNil(t, err, "answered without an append")
 				}
 				requireRefusal(t, table, before, string(kinds.OutcomeUnknown), false)
 				time.Sleep(4 * testLimits.Skew)
@@ -89,12 +89,12 @@
 	}
 }
 
-// agedLog holds a day of records and drops old ones while it is read.
+// agedLog contains old records and truncates some of them while it is read.
 type agedLog struct {
 	platform.Log
 	records        []platform.Record
 	first          uint64
-	dropBeforeRead func() uint64 // how many more are dropped before a read
+	dropBeforeRead func() uint64 // returns how many more records are truncated before a read
 	delivered      int
 }
 
@@ -109,11 +109,12 @@
 	return platform.Page{Records: l.records[from:to], Next: to, First: l.first, End: end}, nil
 }
 
-// A new agent skips the claims that are older than the key window. Of each key
-// that a caller may still use it must say what an agent says that read all:
-// were one free here, its order would run again; were one lost, its caller
-// would hear "unknown" for nothing. Record times jump back, claims are late or
-// early within the bounds, and the log drops records meanwhile.
+// A new agent skips the claims that are older than the key window. For each key that
+// a caller may still use it must return the same state as an agent that has read all
+// records: if a claimed key were unclaimed here, its order would run again; if an
+// unclaimed one were lost, its caller would get outcome_unknown without a reason.
+// Record times jump back, claims are late or early within the skew, and the log
+// truncates records during the search.
 func TestNewAgentKnowsAllKeysOfTheWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
