--- a/agent/calls/backend.go
+++ b/agent/calls/backend.go
@@ -22,18 +22,18 @@
 const (
 	dialTimeout    = time.Second
 	idleTimeout    = 30 * time.Second
-	maxIdle        = 64
+	maxIdleConns   = 64
 	maxHeaderBytes = 64 << 10
-	// defaultMaxAnswer bounds answers that are read whole where the manifest
+	// defaultMaxAnswerBytes bounds answers that are read whole where the manifest
 	// sets no bound for bodies.
-	defaultMaxAnswer = 8 << 20
+	defaultMaxAnswerBytes = 8 << 20
 )
 
 var (
-	errSwitched = errors.New("the server switched protocols, which nobody asked for")
-	errExpired  = errors.New("the deadline passed before the first byte")
-	errShut     = errors.New("the request was given up before the first byte")
-	errTooLarge = errors.New("the answer is larger than the bound for bodies")
+	errSwitched       = errors.New("the server switched protocols, which nobody asked for")
+	errDeadlinePassed = errors.New("the deadline passed before the first byte")
+	errAbandoned      = errors.New("the request was given up before the first byte")
+	errTooLarge       = errors.New("the answer is larger than the bound for bodies")
 	// errNoLength: only the end of the connection ends such an answer, and a
 	// crashed server's connection ends the same way.
 	errNoLength = errors.New("the answer has neither length nor chunks, so that it can't be told from a cut-off one")
@@ -48,24 +48,24 @@
 // which net/http has nothing to fall back from; that also removes the doubt
 // when a server closes an idle connection in the same moment.
 type backend struct {
-	addr   string
-	starts *starts
-	fresh  *http.Transport // one request per connection
-	pooled *http.Transport // kept-alive connections, for idempotent requests
+	addr         string
+	incarnations *incarnations
+	unpooled     *http.Transport // one request per connection
+	pooled       *http.Transport // kept-alive connections, for idempotent requests
 }
 
 func newBackend(name, addr string) *backend {
-	b := &backend{addr: addr, starts: newStarts(name)}
-	b.fresh = newTransport(func(ctx context.Context, network, addr string) (net.Conn, error) {
-		conn, err := b.starts.dial(ctx, network, addr)
+	b := &backend{addr: addr, incarnations: newIncarnations(name)}
+	b.unpooled = newTransport(func(ctx context.Context, network, addr string) (net.Conn, error) {
+		conn, err := b.incarnations.dial(ctx, network, addr)
 		if err != nil {
 			return nil, err
 		}
 		return &gatedConn{Conn: conn, gate: ctx.Value(gateKey{}).(*gate)}, nil
 	})
-	b.fresh.DisableKeepAlives = true
-	b.pooled = newTransport(b.starts.dial)
-	b.pooled.MaxIdleConnsPerHost = maxIdle
+	b.unpooled.DisableKeepAlives = true
+	b.pooled = newTransport(b.incarnations.dial)
+	b.pooled.MaxIdleConnsPerHost = maxIdleConns
 	b.pooled.IdleConnTimeout = idleTimeout
 	return b
 }
@@ -80,40 +80,40 @@
 }
 
 func (b *backend) close() {
-	b.fresh.CloseIdleConnections()
+	b.unpooled.CloseIdleConnections()
 	b.pooled.CloseIdleConnections()
 }
 
-// once sends a request that must not be repeated and reads its whole answer.
+// sendOnce sends a request that must not be repeated and reads its whole answer.
 // The error is "not run" only if the gate was still closed.
-func (b *backend) once(ctx context.Context, open *pb.CallOpen, g *gate, limit int64) (*once.Answer, *kinds.Error) {
+func (b *backend) sendOnce(ctx context.Context, open *pb.CallOpen, g *gate, limit int64) (*once.Answer, *kinds.Error) {
 	ctx = context.WithValue(ctx, gateKey{}, g)
-	req, refusal := b.request(ctx, open, g.held)
+	req, refusal := b.newRequest(ctx, open, g.held)
 	if refusal != nil {
 		return nil, refusal
 	}
 	ctx, span := trace.ToHTTP(req.Context(), req.Header, "backend "+open.Method)
 	defer span.End()
 	// RoundTrip, not a Client: a Client follows redirects, which sends again.
-	resp, err := roundTrip(b.fresh, req.WithContext(ctx))
+	resp, err := roundTrip(b.unpooled, req.WithContext(ctx))
 	if err != nil {
-		return nil, b.blame(ctx, g.failed(err))
+		return nil, b.withEndedIncarnation(ctx, g.fail(err))
 	}
 	defer resp.Body.Close()
-	answer, err := readWhole(resp, limit)
+	answer, err := readAnswer(resp, limit)
 	if err != nil {
-		return nil, b.blame(ctx, g.failed(err))
+		return nil, b.withEndedIncarnation(ctx, g.fail(err))
 	}
 	return answer, nil
 }
 
-// stream sends an idempotent request and returns when the answer begins.
-func (b *backend) stream(ctx context.Context, open *pb.CallOpen, held *kinds.Held) (*http.Response, *kinds.Error) {
+// sendIdempotent sends an idempotent request and returns when the answer begins.
+func (b *backend) sendIdempotent(ctx context.Context, open *pb.CallOpen, held *kinds.Held) (*http.Response, *kinds.Error) {
 	// GotConn comes before each first byte, on every connection tried.
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { held.Send() },
 	})
-	req, refusal := b.request(ctx, open, held)
+	req, refusal := b.newRequest(ctx, open, held)
 	if refusal != nil {
 		return nil, refusal
 	}
@@ -125,9 +125,9 @@
 	case err == nil:
 		return resp, nil
 	case held.Sent():
-		return nil, b.blame(ctx, broken(ctx, err))
+		return nil, b.withEndedIncarnation(ctx, incompleteAnswer(ctx, err))
 	}
-	return nil, unsent(held, err)
+	return nil, notSent(held, err)
 }
 
 // roundTrip refuses an answer that switches protocols. net/http hands the bare
@@ -142,9 +142,9 @@
 	return resp, err
 }
 
-// request builds the HTTP request. GetBody stays unset, so that nothing below
+// newRequest builds the HTTP newRequest. GetBody stays unset, so that nothing below
 // can send the body a second time.
-func (b *backend) request(ctx context.Context, open *pb.CallOpen, held *kinds.Held) (*http.Request, *kinds.Error) {
+func (b *backend) newRequest(ctx context.Context, open *pb.CallOpen, held *kinds.Held) (*http.Request, *kinds.Error) {
 	u, err := url.ParseRequestURI(open.Path)
 	if err != nil || u.Host != "" || u.Scheme != "" {
 		return nil, held.Refuse(kinds.BadRequest, "%q is no path", open.Path)
@@ -167,10 +167,10 @@
 	return req, nil
 }
 
-// readWhole reads an answer to its proven end.
-func readWhole(resp *http.Response, limit int64) (*once.Answer, error) {
+// readAnswer reads an answer to its proven end.
+func readAnswer(resp *http.Response, limit int64) (*once.Answer, error) {
 	if limit <= 0 {
-		limit = defaultMaxAnswer
+		limit = defaultMaxAnswerBytes
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, limit+1))
 	if err != nil {
@@ -179,15 +179,15 @@
 	if int64(len(body)) > limit {
 		return nil, errTooLarge
 	}
-	if err := checkWhole(resp); err != nil {
+	if err := checkComplete(resp); err != nil {
 		return nil, err
 	}
-	return &once.Answer{Status: resp.StatusCode, Header: stripped(resp.Header), Body: body}, nil
+	return &once.Answer{Status: resp.StatusCode, Header: withoutHopByHop(resp.Header), Body: body}, nil
 }
 
-// checkWhole tells whether the end of the body was proof of its wholeness.
+// checkComplete tells whether the end of the body was proof of its wholeness.
 // With a length or chunks net/http has checked it while reading.
-func checkWhole(resp *http.Response) error {
+func checkComplete(resp *http.Response) error {
 	chunked := len(resp.TransferEncoding) > 0
 	if resp.ContentLength >= 0 || chunked || resp.Body == http.NoBody {
 		return nil
@@ -195,8 +195,8 @@
 	return errNoLength
 }
 
-// broken is the error of an idempotent request that was sent.
-func broken(ctx context.Context, err error) *kinds.Error {
+// incompleteAnswer is the error of an idempotent request that was sent.
+func incompleteAnswer(ctx context.Context, err error) *kinds.Error {
 	switch ctx.Err() {
 	case context.DeadlineExceeded:
 		return kinds.New(kinds.DeadlineExceeded, "no whole answer before the deadline").WithCause(err)
@@ -206,9 +206,9 @@
 	return kinds.New(kinds.BackendFailed, "no whole answer").WithCause(err)
 }
 
-// unsent is the error of a request of which no byte went on.
-func unsent(held *kinds.Held, err error) *kinds.Error {
-	if errors.Is(err, errExpired) {
+// notSent is the error of a request of which no byte went on.
+func notSent(held *kinds.Held, err error) *kinds.Error {
+	if errors.Is(err, errDeadlinePassed) {
 		return held.Refuse(kinds.DeadlineTooShort, "%v", err)
 	}
 	return held.Refuse(kinds.NotReady, "the backend server takes no connection").WithCause(err)
@@ -227,23 +227,23 @@
 	onSend   func() // may be nil
 
 	mu     sync.Mutex
-	opened bool
-	isShut bool
+	sent   bool
+	closed bool
 }
 
-// pass is called before each write.
-func (g *gate) pass() error {
+// allowWrite is called before each write.
+func (g *gate) allowWrite() error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	switch {
-	case g.opened:
+	case g.sent:
 		return nil
-	case g.isShut:
-		return errShut
+	case g.closed:
+		return errAbandoned
 	case admit.Expired(g.now(), g.deadline):
-		return errExpired
+		return errDeadlinePassed
 	}
-	g.opened = true
+	g.sent = true
 	if g.onSend != nil {
 		g.onSend()
 	}
@@ -252,15 +252,15 @@
 	return nil
 }
 
-// failed shuts the gate and returns what can be said of the request.
-func (g *gate) failed(err error) *kinds.Error {
+// fail shuts the gate and returns what can be said of the request.
+func (g *gate) fail(err error) *kinds.Error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.isShut = true
-	if g.opened {
+	g.closed = true
+	if g.sent {
 		return kinds.New(kinds.OutcomeUnknown, "the request was sent; no whole answer came").WithCause(err)
 	}
-	return unsent(g.held, err)
+	return notSent(g.held, err)
 }
 
 // gatedConn passes the gate before each write.
@@ -270,7 +270,7 @@
 }
 
 func (c *gatedConn) Write(b []byte) (int, error) {
-	if err := c.gate.pass(); err != nil {
+	if err := c.gate.allowWrite(); err != nil {
 		return 0, err
 	}
 	return c.Conn.Write(b)
--- a/agent/calls/calls.go
+++ b/agent/calls/calls.go
@@ -30,7 +30,7 @@
 )
 
 const (
-	part = "calls"
+	explainPart = "calls"
 	// goTimeout bounds the wait for CallGo, which an entry sends at once: a
 	// dead entry must not hold a slot until its connection is found dead.
 	goTimeout = 3 * time.Second
@@ -89,7 +89,7 @@
 	}
 	c := &call{Handler: h, stream: stream, open: open, held: kinds.Hold()}
 	if err := c.serve(stream.Context()); err != nil {
-		return c.refuse(stream.Context(), err)
+		return c.sendRefusal(stream.Context(), err)
 	}
 	return nil
 }
@@ -141,11 +141,11 @@
 	if c.service.Timeout <= 0 {
 		c.service.Timeout = defaultTimeout
 	}
-	left := time.Duration(c.open.DeadlineMs) * time.Millisecond
-	if left <= 0 {
-		left = max(fleet.DefaultTimeout, c.service.Timeout)
+	remaining := time.Duration(c.open.DeadlineMs) * time.Millisecond
+	if remaining <= 0 {
+		remaining = max(fleet.DefaultTimeout, c.service.Timeout)
 	}
-	c.deadline = c.now().Add(left)
+	c.deadline = c.now().Add(remaining)
 	return c.checkRepeat()
 }
 
@@ -163,8 +163,8 @@
 	return nil
 }
 
-// acquire waits for a slot of the backend server.
-func (c *call) acquire(ctx context.Context) (release func(), _ *kinds.Error) {
+// acquireSlot waits for a slot of the backend server.
+func (c *call) acquireSlot(ctx context.Context) (release func(), _ *kinds.Error) {
 	return c.cfg.Queue.Acquire(ctx, admit.Ticket{
 		ID:       c.open.RequestId,
 		Caller:   c.open.Caller,
@@ -191,9 +191,9 @@
 			return refusal
 		}
 		if known {
-			return c.replay(ctx, answer)
+			return c.sendReplay(ctx, answer)
 		}
-		if again, refusal := c.serveOnce(ctx, r); !again {
+		if retry, refusal := c.serveOnce(ctx, r); !retry {
 			return refusal
 		}
 	}
@@ -201,8 +201,8 @@
 
 // serveOnce runs a request that must not be repeated; r is nil without a key.
 // again is set when another try of the key has the run.
-func (c *call) serveOnce(ctx context.Context, r *once.Request) (again bool, _ *kinds.Error) {
-	release, refusal := c.acquire(ctx)
+func (c *call) serveOnce(ctx context.Context, r *once.Request) (retry bool, _ *kinds.Error) {
+	release, refusal := c.acquireSlot(ctx)
 	if refusal != nil {
 		return false, refusal
 	}
@@ -213,7 +213,7 @@
 		if run == nil {
 			release()
 			if answer != nil {
-				refusal = c.replay(ctx, answer)
+				refusal = c.sendReplay(ctx, answer)
 			}
 			return answer == nil && refusal == nil, refusal
 		}
@@ -225,17 +225,17 @@
 		release()
 		return false, refusal
 	}
-	return false, c.await(ctx, c.launch(ctx, run, release))
+	return false, c.awaitAnswer(ctx, c.launch(ctx, run, release))
 }
 
-// await hands the run's answer over, or gives up waiting for it.
-func (c *call) await(ctx context.Context, done <-chan result) *kinds.Error {
+// awaitAnswer hands the run's answer over, or gives up waiting for it.
+func (c *call) awaitAnswer(ctx context.Context, done <-chan result) *kinds.Error {
 	select {
 	case res := <-done:
 		if res.err != nil {
 			return res.err
 		}
-		return c.answer(res.answer, false)
+		return c.sendAnswer(res.answer, false)
 	case <-ctx.Done():
 	}
 	if ctx.Err() == context.Canceled {
@@ -252,16 +252,16 @@
 	if err := c.stream.Send(ready); err != nil {
 		return c.held.Refuse(kinds.NotReady, "the entry went away before it said go")
 	}
-	got := make(chan bool, 1)
+	received := make(chan bool, 1)
 	go func() {
 		// Recv ends with the handler at the latest.
 		msg, err := c.stream.Recv()
-		got <- err == nil && msg.GetGo() != nil
+		received <- err == nil && msg.GetGo() != nil
 	}()
 	timer := time.NewTimer(goTimeout)
 	defer timer.Stop()
 	select {
-	case isGo := <-got:
+	case isGo := <-received:
 		if !isGo {
 			return c.held.Refuse(kinds.NotReady, "the entry gave the request up before it said go")
 		}
@@ -293,16 +293,16 @@
 	go func() {
 		defer release()
 		defer cancel()
-		answer, err := c.backend.once(ctx, c.open, gate, limit)
-		settle(run, answer, err)
+		answer, err := c.backend.sendOnce(ctx, c.open, gate, limit)
+		endRun(run, answer, err)
 		c.explainSent(ctx, err)
 		done <- result{answer, err}
 	}()
 	return done
 }
 
-// settle ends a key's run with what is known of it.
-func settle(run *once.Run, answer *once.Answer, err *kinds.Error) {
+// endRun ends a key's run with what is known of it.
+func endRun(run *once.Run, answer *once.Answer, err *kinds.Error) {
 	switch {
 	case run == nil:
 	case err == nil:
--- a/agent/calls/calls_test.go
+++ b/agent/calls/calls_test.go
@@ -23,9 +23,9 @@
 
 // A whole answer comes with its end mark. The backend server gets the caller's
 // path and headers and its ids, but none of the connection's own headers.
-func TestWholeAnswer(t *testing.T) {
+func TestCompleteAnswer(t *testing.T) {
 	var got *http.Request
-	r := newRig(t, http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+	r := newHarness(t, http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		got = req
 		w.Header().Set("X-Order", "7")
 		w.Header().Set("Connection", "X-Hop")
@@ -34,13 +34,13 @@
 		w.WriteHeader(http.StatusCreated)
 		fmt.Fprint(w, "order 7")
 	}))
-	for _, open := range []*pb.CallOpen{order(), keyed(), {
+	for _, open := range []*pb.CallOpen{newOrder(), newKeyedOrder(), {
 		Service: "orders", Method: http.MethodGet, Path: "/orders/7", Idempotent: true, RequestId: "r", DeadlineMs: 10_000, Revision: 1,
 	}} {
 		open.Headers = []*pb.Header{{Name: "X-Shop", Value: "a"}, {Name: "Connection", Value: "X-Secret"}, {Name: "X-Secret", Value: "b"}, {Name: "Upgrade", Value: "h2c"}}
 		out := r.call(t, open)
 		require.Nil(t, out.refusal)
-		require.True(t, out.whole)
+		require.True(t, out.complete)
 		require.Equal(t, !open.Idempotent, out.ready)
 		require.EqualValues(t, http.StatusCreated, out.head.Status)
 		require.Equal(t, "order 7", out.body)
@@ -60,7 +60,7 @@
 
 // The entry dies, or gives up, before it says go: it has told its caller "not
 // run", so nothing may reach the backend server. The key stays usable.
-func TestNoGoNoRun(t *testing.T) {
+func TestNothingRunsWithoutGo(t *testing.T) {
 	for name, giveUp := range map[string]func(stream pb.Agent_CallClient, cancel func()){
 		"entry dies":     func(_ pb.Agent_CallClient, cancel func()) { cancel() },
 		"entry gives up": func(stream pb.Agent_CallClient, _ func()) { _ = stream.CloseSend() },
@@ -70,8 +70,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			backend := service.New(service.Config{})
-			r := newRig(t, backend)
-			open := keyed()
+			r := newHarness(t, backend)
+			open := newKeyedOrder()
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
 			stream := r.open(t, ctx, open)
@@ -79,9 +79,9 @@
 			require.NoError(t, err)
 			require.NotNil(t, msg.GetReady())
 			giveUp(stream, cancel)
-			r.idle(t)
+			r.waitIdle(t)
 			require.Zero(t, backend.Truth(0, true).Runs)
-			require.True(t, r.call(t, open).whole)
+			require.True(t, r.call(t, open).complete)
 			require.Equal(t, 1, backend.Truth(0, true).Runs)
 		})
 	}
@@ -89,10 +89,10 @@
 
 // The entry dies after go, while the order runs. The run goes on to its end;
 // the caller repeats the order through another entry and gets that answer.
-func TestRunOutlivesItsEntry(t *testing.T) {
+func TestRunContinuesWithoutItsEntry(t *testing.T) {
 	running, release := make(chan struct{}), make(chan struct{})
 	var runs atomic.Int64
-	r := newRig(t, http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+	r := newHarness(t, http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		runs.Add(1)
 		close(running)
 		select {
@@ -101,19 +101,19 @@
 		case <-req.Context().Done(): // cut off
 		}
 	}))
-	open := keyed()
+	open := newKeyedOrder()
 	ctx, cancel := context.WithCancel(t.Context())
 	stream := r.open(t, ctx, open)
 	go finish(stream)
 	<-running
-	gone := callsAbandoned.Value()
+	abandoned := callsAbandoned.Value()
 	cancel()
-	require.Eventually(t, func() bool { return callsAbandoned.Value() > gone }, generous, time.Millisecond)
-	again := make(chan reply)
-	go func() { again <- r.call(t, open) }()
+	require.Eventually(t, func() bool { return callsAbandoned.Value() > abandoned }, testTimeout, time.Millisecond)
+	repeated := make(chan reply)
+	go func() { repeated <- r.call(t, open) }()
 	close(release)
-	out := <-again
-	require.True(t, out.whole)
+	out := <-repeated
+	require.True(t, out.complete)
 	require.True(t, out.head.Replayed)
 	require.Equal(t, "order 7", out.body)
 	require.EqualValues(t, 1, runs.Load())
@@ -128,11 +128,11 @@
 		for _, body := range []string{"", "one box"} {
 			t.Run(method+body, func(t *testing.T) {
 				backend := service.New(service.Config{})
-				r := newRig(t, backend)
+				r := newHarness(t, backend)
 				for range 3 {
-					require.True(t, r.call(t, keyed()).whole)
+					require.True(t, r.call(t, newKeyedOrder()).complete)
 				}
-				open := keyed()
+				open := newKeyedOrder()
 				open.Method, open.Body = method, []byte(body)
 				backend.Faults.Apply(service.Faults{DropAfter: 1, Times: 1})
 				r.call(t, open).requireRefusal(t, string(kinds.OutcomeUnknown), false)
@@ -146,9 +146,9 @@
 // The answer breaks off in the middle, or is one of which nobody can tell
 // whether it broke off. It must never get an end mark: the entry would hand
 // half an answer to the caller as a whole one.
-func TestBrokenAnswerHasNoEnd(t *testing.T) {
-	cut := service.New(service.Config{})
-	cut.Faults.Apply(service.Faults{CutBody: 1})
+func TestIncompleteAnswerHasNoEndMark(t *testing.T) {
+	truncated := service.New(service.Config{})
+	truncated.Faults.Apply(service.Faults{CutBody: 1})
 	noLength := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		conn, _, err := w.(http.Hijacker).Hijack()
 		if err == nil {
@@ -156,11 +156,11 @@
 			_ = conn.Close()
 		}
 	})
-	for name, backend := range map[string]http.Handler{"cut": cut, "no length": noLength} {
+	for name, backend := range map[string]http.Handler{"cut": truncated, "no length": noLength} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, backend)
-			r.call(t, order()).requireRefusal(t, string(kinds.OutcomeUnknown), false)
-			read := order()
+			r := newHarness(t, backend)
+			r.call(t, newOrder()).requireRefusal(t, string(kinds.OutcomeUnknown), false)
+			read := newOrder()
 			read.Idempotent = true
 			r.call(t, read).requireRefusal(t, string(kinds.BackendFailed), false)
 		})
@@ -174,11 +174,11 @@
 	require.NoError(t, err)
 	addr := lis.Addr().String()
 	require.NoError(t, lis.Close())
-	r := newRigAt(t, addr)
-	open := keyed()
-	read := order()
+	r := newHarnessAt(t, addr)
+	open := newKeyedOrder()
+	read := newOrder()
 	read.Idempotent = true
-	for _, o := range []*pb.CallOpen{open, order(), read} {
+	for _, o := range []*pb.CallOpen{open, newOrder(), read} {
 		r.call(t, o).requireRefusal(t, string(kinds.NotReady), true)
 	}
 	lis, err = net.Listen("tcp", addr)
@@ -187,16 +187,16 @@
 	server := &http.Server{Handler: backend}
 	go func() { _ = server.Serve(lis) }()
 	defer server.Close()
-	require.True(t, r.call(t, open).whole)
+	require.True(t, r.call(t, open).complete)
 	require.Equal(t, 1, backend.Truth(0, true).Runs)
 }
 
 // The agent is stopped after the entry said go and goes on a minute later (the
 // wall clock alone shows it, as after a VM suspension). The caller has long
 // gone on: nothing may be sent, and the key stays unstarted.
-func TestStoppedAgentSendsNothingLate(t *testing.T) {
+func TestResumedAgentSendsNothingLate(t *testing.T) {
 	backend := service.New(service.Config{})
-	r := newRig(t, backend)
+	r := newHarness(t, backend)
 	var readings atomic.Int64
 	r.handler.now = func() time.Time {
 		if readings.Add(1) == 1 { // at the arrival
@@ -204,11 +204,11 @@
 		}
 		return time.Now().Round(0).Add(time.Minute)
 	}
-	open := keyed()
+	open := newKeyedOrder()
 	r.call(t, open).requireRefusal(t, string(kinds.DeadlineTooShort), true)
 	require.Zero(t, backend.Truth(0, true).Runs)
 	r.handler.now = time.Now
-	require.True(t, r.call(t, open).whole)
+	require.True(t, r.call(t, open).complete)
 }
 
 // The backend server does not answer in time. After the send that is "outcome
@@ -216,16 +216,16 @@
 func TestNoAnswerInTime(t *testing.T) {
 	backend := service.New(service.Config{})
 	backend.Faults.Apply(service.Faults{Hang: true})
-	r := newRig(t, backend)
+	r := newHarness(t, backend)
 	r.viewer.V.Manifest.Services["orders"] = manifest.Service{Name: "orders", Timeout: 300 * time.Millisecond}
-	open := keyed()
+	open := newKeyedOrder()
 	open.DeadlineMs = 200
 	r.call(t, open).requireRefusal(t, string(kinds.OutcomeUnknown), false)
-	read := order()
+	read := newOrder()
 	read.Idempotent, read.DeadlineMs = true, 200
 	r.call(t, read).requireRefusal(t, string(kinds.DeadlineExceeded), false)
-	r.idle(t) // the service's timeout frees the slot
-	open.DeadlineMs = generous.Milliseconds()
+	r.waitIdle(t) // the service's timeout frees the slot
+	open.DeadlineMs = testTimeout.Milliseconds()
 	r.call(t, open).requireRefusal(t, string(kinds.OutcomeUnknown), false)
 	require.Equal(t, 1, backend.Truth(0, false).ByKey[open.IdempotencyKey])
 }
@@ -233,45 +233,45 @@
 // The run is given up (its timeout passed) while its connection is just being
 // made; the caller hears "not run". The connection's writer comes late and must
 // find the gate shut, or the order would run after all.
-func TestShutGateLetsNothingThrough(t *testing.T) {
+func TestClosedGateAllowsNoWrite(t *testing.T) {
 	g := &gate{held: kinds.Hold(), now: time.Now}
-	require.True(t, g.failed(context.DeadlineExceeded).NotRun())
-	require.ErrorIs(t, g.pass(), errShut)
+	require.True(t, g.fail(context.DeadlineExceeded).NotRun())
+	require.ErrorIs(t, g.allowWrite(), errAbandoned)
 	g = &gate{held: kinds.Hold(), now: time.Now}
-	require.NoError(t, g.pass())
-	require.Equal(t, string(kinds.OutcomeUnknown), g.failed(context.DeadlineExceeded).Kind())
-	require.NoError(t, g.pass(), "the rest of a request that was sent in part")
+	require.NoError(t, g.allowWrite())
+	require.Equal(t, string(kinds.OutcomeUnknown), g.fail(context.DeadlineExceeded).Kind())
+	require.NoError(t, g.allowWrite(), "the rest of a request that was sent in part")
 }
 
 // What must not reach the backend server at all.
-func TestRefusedBeforeTheSend(t *testing.T) {
+func TestRefusedBeforeSending(t *testing.T) {
 	backend := service.New(service.Config{})
-	r := newRig(t, backend)
-	with := func(change func(*pb.CallOpen)) *pb.CallOpen {
-		open := keyed()
+	r := newHarness(t, backend)
+	modified := func(change func(*pb.CallOpen)) *pb.CallOpen {
+		open := newKeyedOrder()
 		change(open)
 		return open
 	}
-	first := keyed()
-	require.True(t, r.call(t, first).whole)
+	first := newKeyedOrder()
+	require.True(t, r.call(t, first).complete)
 	for kind, open := range map[kinds.NotRunKind]*pb.CallOpen{
-		kinds.NotFound:   with(func(o *pb.CallOpen) { o.Service = "stock" }),
-		kinds.TooLarge:   with(func(o *pb.CallOpen) { o.Body = make([]byte, 1<<20+1) }),
-		kinds.BadRequest: with(func(o *pb.CallOpen) { o.IdempotencyKey = "7" }),
-		kinds.KeyReused:  with(func(o *pb.CallOpen) { o.IdempotencyKey, o.Body = first.IdempotencyKey, []byte("two boxes") }),
+		kinds.NotFound:   modified(func(o *pb.CallOpen) { o.Service = "stock" }),
+		kinds.TooLarge:   modified(func(o *pb.CallOpen) { o.Body = make([]byte, 1<<20+1) }),
+		kinds.BadRequest: modified(func(o *pb.CallOpen) { o.IdempotencyKey = "7" }),
+		kinds.KeyReused:  modified(func(o *pb.CallOpen) { o.IdempotencyKey, o.Body = first.IdempotencyKey, []byte("two boxes") }),
 	} {
 		r.call(t, open).requireRefusal(t, string(kind), true)
 	}
-	r.call(t, with(func(o *pb.CallOpen) { o.Path = "http://10.0.0.1/x" })).requireRefusal(t, string(kinds.BadRequest), true)
+	r.call(t, modified(func(o *pb.CallOpen) { o.Path = "http://10.0.0.1/x" })).requireRefusal(t, string(kinds.BadRequest), true)
 
 	r.log.Faults.Apply(logsvc.Faults{Down: true})
-	out := r.call(t, keyed())
+	out := r.call(t, newKeyedOrder())
 	out.requireRefusal(t, string(kinds.LogUnavailable), true)
 	require.Positive(t, out.refusal.RetryAfterMs)
 	require.True(t, r.call(t, first).head.Replayed, "an answer that is held needs no log")
 	r.queue.Leave()
 	require.True(t, r.call(t, first).head.Replayed, "nor does it need a slot")
-	r.call(t, order()).requireRefusal(t, string(kinds.Leaving), true)
+	r.call(t, newOrder()).requireRefusal(t, string(kinds.Leaving), true)
 	require.Equal(t, 1, backend.Truth(0, true).Runs)
 }
 
@@ -280,21 +280,21 @@
 // as one that may be repeated.
 func TestNewerRevisionForbidsRepeats(t *testing.T) {
 	backend := service.New(service.Config{})
-	r := newRig(t, backend)
+	r := newHarness(t, backend)
 	r.viewer.V.Number = 5
 	r.viewer.V.Manifest.Services["orders"] = manifest.Service{Routes: []manifest.Route{{Name: "write", Prefix: "/", Repeat: manifest.RepeatNever}}}
-	open := order()
+	open := newOrder()
 	open.Idempotent, open.Route, open.Revision = true, "write", 4
 	r.call(t, open).requireRefusal(t, string(kinds.NotReady), true)
 	open.Revision = 5
-	require.True(t, r.call(t, open).whole)
+	require.True(t, r.call(t, open).complete)
 }
 
 // An answer beyond the bound for bodies can't be held whole; a redirect is an
 // answer like any other and must not be followed, which would send again.
-func TestAnswersThatAreNotFollowedOrHeld(t *testing.T) {
+func TestRedirectsAndLargeAnswers(t *testing.T) {
 	var runs atomic.Int64
-	r := newRig(t, http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+	r := newHarness(t, http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		runs.Add(1)
 		if req.URL.Path == "/redirect" {
 			http.Redirect(w, req, "/again", http.StatusTemporaryRedirect)
@@ -302,11 +302,11 @@
 		}
 		_, _ = w.Write(make([]byte, 1<<20+1))
 	}))
-	r.call(t, order()).requireRefusal(t, string(kinds.OutcomeUnknown), false)
-	open := order()
+	r.call(t, newOrder()).requireRefusal(t, string(kinds.OutcomeUnknown), false)
+	open := newOrder()
 	open.Method, open.Body, open.Path = http.MethodGet, nil, "/redirect"
 	out := r.call(t, open)
-	require.True(t, out.whole)
+	require.True(t, out.complete)
 	require.EqualValues(t, http.StatusTemporaryRedirect, out.head.Status)
 	require.EqualValues(t, 2, runs.Load())
 }
--- a/agent/calls/rig_test.go
+++ b/agent/calls/harness_test.go
@@ -25,10 +25,10 @@
 	"dandelionsill.org/wire/pb"
 )
 
-const generous = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-// rig is one agent's call path between a real gRPC client and a backend server.
-type rig struct {
+// harness is one agent's call path between a real gRPC client and a backend server.
+type harness struct {
 	pb.UnimplementedAgentServer
 	handler *Handler
 	queue   *admission.Queue
@@ -39,21 +39,21 @@
 
 type viewer struct{ confsync.Static }
 
-func (r *rig) Call(stream pb.Agent_CallServer) error { return r.handler.Call(stream) }
+func (r *harness) Call(stream pb.Agent_CallServer) error { return r.handler.Call(stream) }
 
-func newRig(t *testing.T, backend http.Handler) *rig {
+func newHarness(t *testing.T, backend http.Handler) *harness {
 	srv := httptest.NewServer(backend)
 	t.Cleanup(srv.Close)
-	return newRigAt(t, strings.TrimPrefix(srv.URL, "http://"))
+	return newHarnessAt(t, strings.TrimPrefix(srv.URL, "http://"))
 }
 
-func newRigAt(t *testing.T, addr string) *rig {
-	r := &rig{log: logsvc.New(logsvc.Config{}), queue: admission.New(admission.Config{Slots: 4, MaxQueue: 16})}
+func newHarnessAt(t *testing.T, addr string) *harness {
+	r := &harness{log: logsvc.New(logsvc.Config{}), queue: admission.New(admission.Config{Slots: 4, MaxQueue: 16})}
 	logServer := httptest.NewServer(r.log)
 	t.Cleanup(logServer.Close)
 	r.viewer = &viewer{confsync.Static{V: &confsync.View{Number: 1, Manifest: &manifest.Manifest{
 		Fleet:    manifest.Fleet{MaxBodyBytes: 1 << 20, KeyWindow: time.Hour, ClockSkew: time.Second},
-		Services: map[string]manifest.Service{"orders": {Name: "orders", Timeout: generous}},
+		Services: map[string]manifest.Service{"orders": {Name: "orders", Timeout: testTimeout}},
 	}}}}
 	client := httplog.New(logServer.URL, "agent-1")
 	t.Cleanup(client.Close)
@@ -79,7 +79,7 @@
 }
 
 // serve puts the agent behind a gRPC server of its own, with a new client.
-func (r *rig) serve(t *testing.T, opts ...grpc.ServerOption) {
+func (r *harness) serve(t *testing.T, opts ...grpc.ServerOption) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	server := grpc.NewServer(opts...)
@@ -92,46 +92,46 @@
 	r.client = pb.NewAgentClient(conn)
 }
 
-// idle waits until no run is left.
-func (r *rig) idle(t *testing.T) {
+// waitIdle waits until no run is left.
+func (r *harness) waitIdle(t *testing.T) {
 	select {
 	case <-r.queue.Idle():
-	case <-time.After(generous):
+	case <-time.After(testTimeout):
 		t.Fatal("a run does not end")
 	}
 }
 
-func order() *pb.CallOpen {
+func newOrder() *pb.CallOpen {
 	return &pb.CallOpen{
 		RequestId: uuid.NewString(), Caller: "shop", Service: "orders", Method: http.MethodPost, Path: "/orders?box=3",
-		Body: []byte("one box"), DeadlineMs: generous.Milliseconds(), Weight: 1, Revision: 1,
+		Body: []byte("one box"), DeadlineMs: testTimeout.Milliseconds(), Weight: 1, Revision: 1,
 	}
 }
 
-func keyed() *pb.CallOpen {
-	open := order()
+func newKeyedOrder() *pb.CallOpen {
+	open := newOrder()
 	open.IdempotencyKey = uuid.Must(uuid.NewV7()).String()
 	return open
 }
 
 // reply is what an entry has got when the stream ended.
 type reply struct {
-	ready    bool
-	head     *pb.CallHead
-	body     string
-	whole    bool
-	refusal  *pb.Refusal
-	streamed error
+	ready     bool
+	head      *pb.CallHead
+	body      string
+	complete  bool
+	refusal   *pb.Refusal
+	streamErr error
 }
 
 // call plays an entry that says go.
-func (r *rig) call(t *testing.T, open *pb.CallOpen) reply {
+func (r *harness) call(t *testing.T, open *pb.CallOpen) reply {
 	t.Helper()
 	stream := r.open(t, t.Context(), open)
 	return finish(stream)
 }
 
-func (r *rig) open(t *testing.T, ctx context.Context, open *pb.CallOpen) pb.Agent_CallClient {
+func (r *harness) open(t *testing.T, ctx context.Context, open *pb.CallOpen) pb.Agent_CallClient {
 	t.Helper()
 	stream, err := r.client.Call(ctx)
 	require.NoError(t, err)
@@ -143,7 +143,7 @@
 	for {
 		msg, err := stream.Recv()
 		if err != nil {
-			out.streamed = err
+			out.streamErr = err
 			return out
 		}
 		switch p := msg.Part.(type) {
@@ -155,7 +155,7 @@
 		case *pb.CallReply_Body:
 			out.body += string(p.Body)
 		case *pb.CallReply_End:
-			out.whole = p.End.BodyBytes == int64(len(out.body))
+			out.complete = p.End.BodyBytes == int64(len(out.body))
 		case *pb.CallReply_Refusal:
 			out.refusal = p.Refusal
 		}
@@ -169,5 +169,5 @@
 	require.NotNil(t, o.refusal, "%+v", o)
 	require.Equal(t, kind, o.refusal.Kind, o.refusal.Message)
 	require.Equal(t, notRun, o.refusal.NotRun, o.refusal.Message)
-	require.False(t, o.whole)
+	require.False(t, o.complete)
 }
--- a/agent/calls/headers.go
+++ b/agent/calls/headers.go
@@ -17,34 +17,34 @@
 // requestHeader is what the backend server gets of the caller's headers.
 func requestHeader(open *pb.CallOpen) http.Header {
 	h := make(http.Header, len(open.Headers)+3)
-	for _, f := range open.Headers {
-		h.Add(f.Name, f.Value)
+	for _, field := range open.Headers {
+		h.Add(field.Name, field.Value)
 	}
-	strip(h)
+	deleteHopByHop(h)
 	h.Del("Content-Length")
 	h.Del("Host")
 	if _, ok := h["User-Agent"]; !ok {
 		h["User-Agent"] = nil // none, rather than net/http's own
 	}
-	set(h, "X-Request-Id", open.RequestId)
-	set(h, "Idempotency-Key", open.IdempotencyKey)
+	setIfNotEmpty(h, "X-Request-Id", open.RequestId)
+	setIfNotEmpty(h, "Idempotency-Key", open.IdempotencyKey)
 	return h
 }
 
-func set(h http.Header, name, value string) {
+func setIfNotEmpty(h http.Header, name, value string) {
 	if value != "" {
 		h.Set(name, value)
 	}
 }
 
-// stripped returns a copy without hop-by-hop headers.
-func stripped(h http.Header) http.Header {
+// withoutHopByHop returns a copy without hop-by-hop headers.
+func withoutHopByHop(h http.Header) http.Header {
 	h = h.Clone()
-	strip(h)
+	deleteHopByHop(h)
 	return h
 }
 
-func strip(h http.Header) {
+func deleteHopByHop(h http.Header) {
 	for _, list := range h["Connection"] {
 		for name := range strings.SplitSeq(list, ",") {
 			h.Del(textproto.TrimString(name))
@@ -55,7 +55,7 @@
 	}
 }
 
-func toWire(h http.Header) []*pb.Header {
+func encodeHeaders(h http.Header) []*pb.Header {
 	out := make([]*pb.Header, 0, len(h))
 	for name, values := range h {
 		for _, v := range values {
--- a/agent/calls/starts_test.go
+++ b/agent/calls/incarnations_test.go
@@ -13,28 +13,28 @@
 	"dandelionsill.org/kinds"
 )
 
-// mortal is a backend server whose process ends under each request, or only breaks its
+// crashingServer is a backend server whose process ends under each request, or only breaks its
 // connection off.
-type mortal struct {
-	addr  string
-	lis   net.Listener
-	ends  atomic.Bool
-	holds chan struct{} // nil: it ends at once
+type crashingServer struct {
+	addr        string
+	lis         net.Listener
+	endsProcess atomic.Bool
+	hold        chan struct{} // nil: it ends at once
 
 	arrived atomic.Int32 // requests that reached it
 }
 
-func (m *mortal) start(t *testing.T) {
-	lis, err := net.Listen("tcp", m.addr)
+func (s *crashingServer) start(t *testing.T) {
+	lis, err := net.Listen("tcp", s.addr)
 	require.NoError(t, err)
-	m.lis, m.addr = lis, lis.Addr().String()
+	s.lis, s.addr = lis, lis.Addr().String()
 	closeListener := sync.OnceFunc(func() { _ = lis.Close() }) // a second Close would return before the first is done
 	server := &http.Server{Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
-		m.arrived.Add(1)
-		if m.holds != nil {
-			<-m.holds
+		s.arrived.Add(1)
+		if s.hold != nil {
+			<-s.hold
 		}
-		if m.ends.Load() {
+		if s.endsProcess.Load() {
 			closeListener()
 		}
 		panic(http.ErrAbortHandler)
@@ -48,18 +48,18 @@
 // A backend server ends under a request, starts again at its address and ends under the
 // next. The entry is told which start of it ended each time, so that it can tell one end
 // that two requests saw from two. A connection that only breaks tells of no end.
-func TestEndOfTheBackendServerIsTold(t *testing.T) {
-	m := &mortal{addr: "127.0.0.1:0"}
-	m.start(t)
-	r := newRigAt(t, m.addr)
-	once, repeatable := order(), order()
+func TestEndOfBackendServerIsReported(t *testing.T) {
+	s := &crashingServer{addr: "127.0.0.1:0"}
+	s.start(t)
+	r := newHarnessAt(t, s.addr)
+	once, repeatable := newOrder(), newOrder()
 	repeatable.Idempotent = true
 
-	broken := r.call(t, repeatable)
-	broken.requireRefusal(t, string(kinds.BackendFailed), false)
-	require.Empty(t, broken.refusal.GetEnded())
+	incompleteAnswer := r.call(t, repeatable)
+	incompleteAnswer.requireRefusal(t, string(kinds.BackendFailed), false)
+	require.Empty(t, incompleteAnswer.refusal.GetEnded())
 
-	m.ends.Store(true)
+	s.endsProcess.Store(true)
 	first := r.call(t, repeatable)
 	first.requireRefusal(t, string(kinds.BackendFailed), false)
 	require.NotEmpty(t, first.refusal.GetEnded())
@@ -68,7 +68,7 @@
 	require.True(t, refused.refusal.GetNotRun())
 	require.Empty(t, refused.refusal.GetEnded(), "it ended under another request")
 
-	m.start(t)
+	s.start(t)
 	second := r.call(t, once)
 	second.requireRefusal(t, string(kinds.OutcomeUnknown), false)
 	require.NotEmpty(t, second.refusal.GetEnded())
@@ -76,20 +76,20 @@
 }
 
 // Two requests are at the backend server when it ends: both name the same end.
-func TestOneEndHasOneName(t *testing.T) {
-	m := &mortal{addr: "127.0.0.1:0", holds: make(chan struct{})}
-	m.ends.Store(true)
-	m.start(t)
-	r := newRigAt(t, m.addr)
+func TestRequestsOfOneEndReportOneIncarnation(t *testing.T) {
+	s := &crashingServer{addr: "127.0.0.1:0", hold: make(chan struct{})}
+	s.endsProcess.Store(true)
+	s.start(t)
+	r := newHarnessAt(t, s.addr)
 	replies := make(chan reply, 2)
 	for range 2 {
-		open := order()
+		open := newOrder()
 		open.Idempotent = true
 		stream := r.open(t, t.Context(), open)
 		go func() { replies <- finish(stream) }()
 	}
-	require.Eventually(t, func() bool { return m.arrived.Load() == 2 }, generous, time.Millisecond)
-	close(m.holds)
+	require.Eventually(t, func() bool { return s.arrived.Load() == 2 }, testTimeout, time.Millisecond)
+	close(s.hold)
 	one, two := <-replies, <-replies
 	require.NotEmpty(t, one.refusal.GetEnded())
 	require.Equal(t, one.refusal.GetEnded(), two.refusal.GetEnded())
--- a/agent/calls/repeat_test.go
+++ b/agent/calls/repeat_test.go
@@ -23,19 +23,19 @@
 // does not yet. The entry sends a renewal as one that it may repeat, by the
 // catch-all's name. checkRepeat looks that name up and not the path, lets it
 // run without go or key, and when the answer breaks the entry sends it again.
-func TestNewRouteForbidsRepeatsOfALateEntry(t *testing.T) {
+func TestNewRouteForbidsRepeatsOfOutdatedEntry(t *testing.T) {
 	var runs atomic.Int64
-	r := newRig(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { runs.Add(1) }))
+	r := newHarness(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { runs.Add(1) }))
 	next := *r.viewer.V
 	next.Number = 2
 	next.Manifest = &manifest.Manifest{Fleet: next.Manifest.Fleet, Services: map[string]manifest.Service{"orders": {
-		Name: "orders", Timeout: generous, Routes: []manifest.Route{
+		Name: "orders", Timeout: testTimeout, Routes: []manifest.Route{
 			{Name: "orders.renew", Prefix: "/renew", Repeat: manifest.RepeatNever},
 			{Name: "orders.any", Prefix: "/", Repeat: manifest.RepeatAlways},
 		},
 	}}}
 	r.viewer.Static = confsync.Static{V: &next}
-	open := order()
+	open := newOrder()
 	open.Idempotent, open.Route, open.Revision, open.Path = true, "orders.any", 1, "/renew/7"
 	out := r.call(t, open)
 	require.Zero(t, runs.Load(), "it ran without the entry's go")
@@ -46,12 +46,12 @@
 // server answers 101, which nobody asked for; net/http then hands the bare
 // connection over and no longer ends it with the context; the read of the
 // answer blocks as long as that connection lives, far beyond the deadline.
-func TestSwitchedProtocolHoldsNoSlot(t *testing.T) {
+func TestSwitchedProtocolFreesTheSlot(t *testing.T) {
 	for _, idempotent := range []bool{false, true} {
 		t.Run(fmt.Sprint("idempotent ", idempotent), func(t *testing.T) {
 			lis, err := net.Listen("tcp", "127.0.0.1:0")
 			require.NoError(t, err)
-			testOver := make(chan struct{})
+			testDone := make(chan struct{})
 			var serving sync.WaitGroup
 			serving.Go(func() {
 				for {
@@ -63,20 +63,20 @@
 						fmt.Fprint(conn, "HTTP/1.1 101 Switching Protocols\r\nConnection: Upgrade\r\nUpgrade: x\r\n\r\n")
 					}
 					serving.Go(func() {
-						<-testOver
+						<-testDone
 						_ = conn.Close()
 					})
 				}
 			})
 			// Before the rig's cleanups, which wait for the handlers.
 			defer serving.Wait()
-			defer close(testOver)
+			defer close(testDone)
 			defer lis.Close()
-			r := newRigAt(t, lis.Addr().String())
+			r := newHarnessAt(t, lis.Addr().String())
 			short := *r.viewer.V.Manifest
 			short.Services = map[string]manifest.Service{"orders": {Name: "orders", Timeout: 100 * time.Millisecond}}
 			r.viewer.V.Manifest = &short
-			open := order()
+			open := newOrder()
 			open.DeadlineMs, open.Idempotent = 200, idempotent
 			ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 			defer cancel()
@@ -97,7 +97,7 @@
 func TestRepeatsOfOneKeyHoldOneSlot(t *testing.T) {
 	hold, renewal := make(chan struct{}), make(chan struct{})
 	other := make(chan struct{})
-	r := newRig(t, http.HandlerFunc(func(_ http.ResponseWriter, req *http.Request) {
+	r := newHarness(t, http.HandlerFunc(func(_ http.ResponseWriter, req *http.Request) {
 		switch req.URL.Path {
 		case "/hold":
 			<-hold
@@ -109,28 +109,28 @@
 	}))
 	var wg sync.WaitGroup
 	send := func(open *pb.CallOpen) { wg.Go(func() { r.call(t, open) }) }
-	counts := func(running, queued int) {
+	waitForCounts := func(running, queued int) {
 		require.Eventually(t, func() bool {
 			s := r.queue.Stats()
 			return s.Running == running && s.Queued == queued
-		}, generous, time.Millisecond)
+		}, testTimeout, time.Millisecond)
 	}
 	for range 4 {
-		open := order()
+		open := newOrder()
 		open.Path = "/hold"
 		send(open)
 	}
-	counts(4, 0)
-	key := keyed()
+	waitForCounts(4, 0)
+	key := newKeyedOrder()
 	key.Path = "/renew"
 	for range 4 {
 		send(key)
 	}
-	counts(4, 4)
+	waitForCounts(4, 4)
 	close(hold)
-	open := order()
+	open := newOrder()
 	open.Path = "/other"
-	require.Eventually(t, func() bool { return r.queue.Stats().Queued == 0 }, generous, time.Millisecond)
+	require.Eventually(t, func() bool { return r.queue.Stats().Queued == 0 }, testTimeout, time.Millisecond)
 	send(open)
 	stuck := ""
 	select {
--- a/agent/calls/trace_test.go
+++ b/agent/calls/trace_test.go
@@ -28,13 +28,13 @@
 		otel.SetTextMapPropagator(propagator)
 	})
 	got := make(chan string, 1)
-	r := newRig(t, http.HandlerFunc(func(_ http.ResponseWriter, req *http.Request) { got <- req.Header.Get("traceparent") }))
+	r := newHarness(t, http.HandlerFunc(func(_ http.ResponseWriter, req *http.Request) { got <- req.Header.Get("traceparent") }))
 	r.serve(t, grpc.StreamInterceptor(trace.StreamServer))
-	read := order()
+	read := newOrder()
 	read.Idempotent = true
-	for _, open := range []*pb.CallOpen{read, order(), keyed()} {
+	for _, open := range []*pb.CallOpen{read, newOrder(), newKeyedOrder()} {
 		ctx, root := trace.Tracer("caller").Start(t.Context(), "root")
-		require.True(t, finish(r.open(t, ctx, open)).whole)
+		require.True(t, finish(r.open(t, ctx, open)).complete)
 		root.End()
 		hop := root.SpanContext()
 		for _, s := range recorder.Ended() {
