--- a/agent/calls/backend.go
+++ b/agent/calls/backend.go
@@ -24,36 +24,37 @@
 	idleTimeout    = 30 * time.Second
 	maxIdleConns   = 64
 	maxHeaderBytes = 64 << 10
-	// defaultMaxAnswerBytes bounds answers that are read whole where the manifest
-	// sets no bound for bodies.
+	// defaultMaxAnswerBytes limits answers that are read completely before they are
+	// sent on, if the manifest sets no limit for bodies.
 	defaultMaxAnswerBytes = 8 << 20
 )
 
 var (
-	errSwitched       = errors.New("the server switched protocols, which nobody asked for")
+	errSwitched       = errors.New("the server switched protocols without being asked")
 	errDeadlinePassed = errors.New("the deadline passed before the first byte")
-	errAbandoned      = errors.New("the request was given up before the first byte")
-	errTooLarge       = errors.New("the answer is larger than the bound for bodies")
-	// errNoLength: only the end of the connection ends such an answer, and a
-	// crashed server's connection ends the same way.
-	errNoLength = errors.New("the answer has neither length nor chunks, so that it can't be told from a cut-off one")
+	errAbandoned      = errors.New("the request was abandoned before the first byte")
+	errTooLarge       = errors.New("the answer is larger than the limit for bodies")
+	// errNoLength is returned for an answer whose end is marked only by the end of
+	// the connection: the connection of a crashed server ends the same way.
+	errNoLength = errors.New("the answer has neither a length nor chunks, so a truncated one can't be detected")
 )
 
-// backend speaks HTTP to the one backend server.
+// backend sends requests to the one backend server over HTTP.
 //
-// net/http repeats a request by itself when a kept-alive connection breaks and
-// the request looks repeatable to it (its method, a body that can be had
-// again, or just an Idempotency-Key header): the server may have run it
-// already. So requests that must not be repeated get a connection each, on
-// which net/http has nothing to fall back from; that also removes the doubt
-// when a server closes an idle connection in the same moment.
+// net/http repeats a request by itself if a kept-alive connection breaks and the
+// request looks repeatable (by its method, a body that can be read again, or just
+// an Idempotency-Key header), although the server may have run it already.
+// Requests that must not be repeated therefore get a new connection each, on which
+// net/http doesn't retry. This also avoids the doubtful case of a server that
+// closes an idle connection just when a request is sent on it.
 type backend struct {
 	addr         string
 	incarnations *incarnations
-	unpooled     *http.Transport // one request per connection
+	unpooled     *http.Transport // one connection per request, for requests that must not be repeated
 	pooled       *http.Transport // kept-alive connections, for idempotent requests
 }
 
+// newBackend returns a backend for the server at addr. name is this agent's name.
 func newBackend(name, addr string) *backend {
 	b := &backend{addr: addr, incarnations: newIncarnations(name)}
 	b.unpooled = newTransport(func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -70,6 +71,8 @@
 	return b
 }
 
+// newTransport returns a transport without a proxy and compression that connects
+// with dial.
 func newTransport(dial func(context.Context, string, string) (net.Conn, error)) *http.Transport {
 	return &http.Transport{
 		Proxy:                  nil,
@@ -79,13 +82,15 @@
 	}
 }
 
+// close closes idle connections.
 func (b *backend) close() {
 	b.unpooled.CloseIdleConnections()
 	b.pooled.CloseIdleConnections()
 }
 
-// sendOnce sends a request that must not be repeated and reads its whole answer.
-// The error is "not run" only if the gate was still closed.
+// sendOnce sends a request that must not be repeated and reads its complete answer
+// of at most limit bytes. The error is "not run" only if the gate has let nothing
+// through.
 func (b *backend) sendOnce(ctx context.Context, open *pb.CallOpen, g *gate, limit int64) (*once.Answer, *kinds.Error) {
 	ctx = context.WithValue(ctx, gateKey{}, g)
 	req, refusal := b.newRequest(ctx, open, g.held)
@@ -94,7 +99,7 @@
 	}
 	ctx, span := trace.ToHTTP(req.Context(), req.Header, "backend "+open.Method)
 	defer span.End()
-	// RoundTrip, not a Client: a Client follows redirects, which sends again.
+	// Not an http.Client, which follows redirects and so sends again.
 	resp, err := roundTrip(b.unpooled, req.WithContext(ctx))
 	if err != nil {
 		return nil, b.withEndedIncarnation(ctx, g.fail(err))
@@ -107,9 +112,10 @@
 	return answer, nil
 }
 
-// sendIdempotent sends an idempotent request and returns when the answer begins.
+// sendIdempotent sends an idempotent request and returns when the answer's header
+// has arrived.
 func (b *backend) sendIdempotent(ctx context.Context, open *pb.CallOpen, held *kinds.Held) (*http.Response, *kinds.Error) {
-	// GotConn comes before each first byte, on every connection tried.
+	// GotConn is called before the first byte on each connection that is used.
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { held.Send() },
 	})
@@ -130,9 +136,10 @@
 	return nil, notSent(held, err)
 }
 
-// roundTrip refuses an answer that switches protocols. net/http hands the bare
-// connection over then, which no longer ends with the context: reading it would
-// hold the slot for as long as the server likes.
+// roundTrip sends a request and refuses an answer that switches protocols. For such
+// an answer net/http returns the raw connection, which the context no longer
+// closes: reading it would hold the slot for as long as the server keeps the
+// connection open.
 func roundTrip(t *http.Transport, req *http.Request) (*http.Response, error) {
 	resp, err := t.RoundTrip(req)
 	if err == nil && resp.StatusCode == http.StatusSwitchingProtocols {
@@ -142,8 +149,8 @@
 	return resp, err
 }
 
-// newRequest builds the HTTP newRequest. GetBody stays unset, so that nothing below
-// can send the body a second time.
+// newRequest builds the HTTP request. GetBody stays unset, so that net/http can't
+// send the body a second time.
 func (b *backend) newRequest(ctx context.Context, open *pb.CallOpen, held *kinds.Held) (*http.Request, *kinds.Error) {
 	u, err := url.ParseRequestURI(open.Path)
 	if err != nil || u.Host != "" || u.Scheme != "" {
@@ -167,7 +174,8 @@
 	return req, nil
 }
 
-// readAnswer reads an answer to its proven end.
+// readAnswer reads an answer completely. It returns an error if the body has more
+// than limit bytes or its end can't be detected.
 func readAnswer(resp *http.Response, limit int64) (*once.Answer, error) {
 	if limit <= 0 {
 		limit = defaultMaxAnswerBytes
@@ -185,8 +193,9 @@
 	return &once.Answer{Status: resp.StatusCode, Header: withoutHopByHop(resp.Header), Body: body}, nil
 }
 
-// checkComplete tells whether the end of the body was proof of its wholeness.
-// With a length or chunks net/http has checked it while reading.
+// checkComplete returns an error if the end of a body that was read doesn't prove
+// that the body is complete. If it has a length or chunks, net/http has checked that
+// while reading.
 func checkComplete(resp *http.Response) error {
 	chunked := len(resp.TransferEncoding) > 0
 	if resp.ContentLength >= 0 || chunked || resp.Body == http.NoBody {
@@ -195,7 +204,8 @@
 	return errNoLength
 }
 
-// incompleteAnswer is the error of an idempotent request that was sent.
+// incompleteAnswer returns the error of an idempotent request that was sent but got
+// no complete answer.
 func incompleteAnswer(ctx context.Context, err error) *kinds.Error {
 	switch ctx.Err() {
 	case context.DeadlineExceeded:
@@ -206,7 +216,7 @@
 	return kinds.New(kinds.BackendFailed, "no whole answer").WithCause(err)
 }
 
-// notSent is the error of a request of which no byte went on.
+// notSent returns the error of a request of which no byte was sent.
 func notSent(held *kinds.Held, err error) *kinds.Error {
 	if errors.Is(err, errDeadlinePassed) {
 		return held.Refuse(kinds.DeadlineTooShort, "%v", err)
@@ -214,24 +224,27 @@
 	return held.Refuse(kinds.NotReady, "the backend server takes no connection").WithCause(err)
 }
 
+// gateKey is the context key of a request's gate.
 type gateKey struct{}
 
-// gate stands between a request and its connection. It gives the proof of "not
-// run" up right before the first byte, and is where a request that expired
-// while the process stood still is stopped. Once shut it lets nothing through:
-// RoundTrip may return while its connection is still about to be written to.
+// gate decides whether a request may be written to its connection. It gives up the
+// proof of "not run" right before the first byte, and stops a request whose deadline
+// passed while the process was suspended. After fail, a gate that has let nothing
+// through stays closed, because RoundTrip may return before its connection is
+// written to.
 type gate struct {
 	held     *kinds.Held
 	now      func() time.Time
 	deadline time.Time
-	onSend   func() // may be nil
+	onSend   func() // called before the first byte; may be nil
 
 	mu     sync.Mutex
-	sent   bool
-	closed bool
+	sent   bool // the first write was allowed
+	closed bool // fail was called
 }
 
-// allowWrite is called before each write.
+// allowWrite is called before each write and returns an error if the write must not
+// happen.
 func (g *gate) allowWrite() error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -252,7 +265,8 @@
 	return nil
 }
 
-// fail shuts the gate and returns what can be said of the request.
+// fail closes the gate and returns the request's error: outcome_unknown if it was
+// sent, otherwise "not run".
 func (g *gate) fail(err error) *kinds.Error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -263,12 +277,13 @@
 	return notSent(g.held, err)
 }
 
-// gatedConn passes the gate before each write.
+// gatedConn asks the gate before each write.
 type gatedConn struct {
 	net.Conn
 	gate *gate
 }
 
+// Write writes b if the gate allows it.
 func (c *gatedConn) Write(b []byte) (int, error) {
 	if err := c.gate.allowWrite(); err != nil {
 		return 0, err
--- a/agent/calls/calls.go
+++ b/agent/calls/calls.go
@@ -1,11 +1,11 @@
-// Package calls carries requests of plain services to the one backend server
-// beside this agent.
+// Package calls sends the requests of a service to the one backend server that this
+// agent is responsible for.
 //
-// A request that must not be repeated is sent once, and only after the entry
-// has said go: until then both sides can prove that it did not run. From the
-// first byte to the backend server on, the answer is the whole answer or
-// "outcome unknown", and the request runs to its end there whether or not its
-// caller still listens.
+// A request that must not be repeated is sent once, and only after the entry has
+// sent CallGo: until then both sides can prove that it did not run. After the first
+// byte was sent to the backend server, the entry gets either the complete answer or
+// "outcome unknown", and the request runs to its end whether or not its caller still
+// waits.
 package calls
 
 import (
@@ -31,10 +31,11 @@
 
 const (
 	explainPart = "calls"
-	// goTimeout bounds the wait for CallGo, which an entry sends at once: a
-	// dead entry must not hold a slot until its connection is found dead.
+	// goTimeout bounds the wait for CallGo, which an entry sends at once. Without
+	// it a crashed entry would hold a slot until its broken connection is
+	// detected.
 	goTimeout = 3 * time.Second
-	// defaultTimeout stands in where the manifest gives none.
+	// defaultTimeout is used if the manifest sets no timeout for the service.
 	defaultTimeout = 30 * time.Second
 )
 
@@ -48,24 +49,24 @@
 
 // Config is a handler's configuration.
 type Config struct {
-	Name    string // this agent's
+	Name    string // name of this agent
 	Service string
 	Backend string // IP:port of the backend server
 	Queue   *admission.Queue
 	Once    *once.Table
 	Viewer  confsync.Viewer
-	Explain *explain.Ring // nil: none
-	Logger  *zap.Logger   // nil: none
+	Explain *explain.Ring // nil disables explanations
+	Logger  *zap.Logger   // nil disables logging
 }
 
-// Handler serves pb.Agent's Call.
+// Handler implements Call of pb.Agent.
 type Handler struct {
 	cfg     Config
 	backend *backend
 	now     func() time.Time
 }
 
-// New returns a handler.
+// New returns a handler for the backend server at cfg.Backend.
 func New(cfg Config) *Handler {
 	if cfg.Logger == nil {
 		cfg.Logger = zap.NewNop()
@@ -76,7 +77,7 @@
 // Close closes idle connections to the backend server.
 func (h *Handler) Close() { h.backend.close() }
 
-// Call serves one request.
+// Call serves the request of one stream.
 func (h *Handler) Call(stream pb.Agent_CallServer) error {
 	callsTotal.Add(1)
 	first, err := stream.Recv()
@@ -94,7 +95,7 @@
 	return nil
 }
 
-// call is one request in the handler's hands.
+// call is one request that a Handler serves.
 type call struct {
 	*Handler
 	stream pb.Agent_CallServer
@@ -106,8 +107,8 @@
 	deadline time.Time
 }
 
-// serve returns nil once the whole answer has been handed to the stream, or
-// nobody reads it any more.
+// serve answers the request. It returns nil once the complete answer has been sent
+// to the stream, or the entry is gone.
 func (c *call) serve(ctx context.Context) *kinds.Error {
 	if err := c.prepare(); err != nil {
 		return err
@@ -149,9 +150,9 @@
 	return c.checkRepeat()
 }
 
-// checkRepeat refuses a request that its entry would repeat although a newer
-// manifest revision forbids it: the entry has yet to learn of the change. The
-// route is matched anew, as the newer revision may have another one for it.
+// checkRepeat refuses a request that its entry would repeat although a newer manifest
+// revision, which the entry does not have yet, forbids it. The route is matched
+// again, as the newer revision may have a different one for the request.
 func (c *call) checkRepeat() *kinds.Error {
 	if !c.open.Idempotent || c.view.Number <= c.open.Revision {
 		return nil
@@ -163,7 +164,7 @@
 	return nil
 }
 
-// acquireSlot waits for a slot of the backend server.
+// acquireSlot waits for a slot of the backend server. release gives it back.
 func (c *call) acquireSlot(ctx context.Context) (release func(), _ *kinds.Error) {
 	return c.cfg.Queue.Acquire(ctx, admit.Ticket{
 		ID:       c.open.RequestId,
@@ -175,7 +176,8 @@
 	})
 }
 
-// serveKeyed answers from an earlier try of the key or runs it as its owner.
+// serveKeyed answers from an earlier attempt of the key, or runs the request if this
+// agent is the key's owner.
 func (c *call) serveKeyed(ctx context.Context) *kinds.Error {
 	if c.cfg.Once == nil {
 		return c.held.Refuse(kinds.LogUnavailable, "this agent takes no keyed requests")
@@ -199,8 +201,9 @@
 	}
 }
 
-// serveOnce runs a request that must not be repeated; r is nil without a key.
-// again is set when another try of the key has the run.
+// serveOnce runs a request that must not be repeated; r is nil if it has no key.
+// retry is true if another attempt of the key has the run, so that the key must be
+// looked up again.
 func (c *call) serveOnce(ctx context.Context, r *once.Request) (retry bool, _ *kinds.Error) {
 	release, refusal := c.acquireSlot(ctx)
 	if refusal != nil {
@@ -228,7 +231,8 @@
 	return false, c.awaitAnswer(ctx, c.launch(ctx, run, release))
 }
 
-// awaitAnswer hands the run's answer over, or gives up waiting for it.
+// awaitAnswer sends the run's answer to the entry. It returns outcome_unknown if ctx
+// ends first; the run then continues.
 func (c *call) awaitAnswer(ctx context.Context, done <-chan result) *kinds.Error {
 	select {
 	case res := <-done:
@@ -245,8 +249,8 @@
 	return kinds.New(kinds.OutcomeUnknown, "no answer before the deadline")
 }
 
-// awaitGo tells the entry that the request is ready and waits for its go. Any
-// error is "not run": nothing has been launched.
+// awaitGo sends CallReady to the entry and waits for CallGo. Each error is "not run",
+// as nothing has been sent to the backend server.
 func (c *call) awaitGo(ctx context.Context) *kinds.Error {
 	ready := &pb.CallReply{Part: &pb.CallReply_Ready{Ready: &pb.CallReady{}}}
 	if err := c.stream.Send(ready); err != nil {
@@ -254,7 +258,7 @@
 	}
 	received := make(chan bool, 1)
 	go func() {
-		// Recv ends with the handler at the latest.
+		// Recv returns at the latest when the handler returns.
 		msg, err := c.stream.Recv()
 		received <- err == nil && msg.GetGo() != nil
 	}()
@@ -273,19 +277,21 @@
 	return nil
 }
 
+// result is the outcome of a launched request.
 type result struct {
 	answer *once.Answer
 	err    *kinds.Error
 }
 
-// launch sends the request and lets it run to its end at the backend server,
-// within the service's timeout, whatever becomes of the caller. From here on
-// the proof belongs to the run.
+// launch sends the request in a goroutine and lets it run to its end at the backend
+// server, within the service's timeout, even if the caller or the entry goes away.
+// After launch only the goroutine may use c.held, the proof of "not run".
 func (c *call) launch(ctx context.Context, run *once.Run, release func()) <-chan result {
 	done := make(chan result, 1)
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), c.service.Timeout)
 	limit := c.view.Manifest.Fleet.MaxBodyBytes
-	// This process may have been stopped since the go; the gate looks at the clock.
+	// This process may have been suspended since it received CallGo; the gate
+	// checks the deadline again.
 	gate := &gate{held: c.held, now: c.now, deadline: c.deadline}
 	if run != nil {
 		gate.onSend = run.Start
@@ -301,7 +307,8 @@
 	return done
 }
 
-// endRun ends a key's run with what is known of it.
+// endRun ends a key's run according to the request's outcome. run is nil if the
+// request has no key.
 func endRun(run *once.Run, answer *once.Answer, err *kinds.Error) {
 	switch {
 	case run == nil:
@@ -314,8 +321,8 @@
 	}
 }
 
-// requestHash identifies the request behind a key. Headers are left out: a
-// repeat carries other trace and request ids.
+// requestHash returns a hash of the content of a keyed request. Headers are left out
+// because a repeat has different trace and request ids.
 func requestHash(open *pb.CallOpen) fold.Hash {
 	h := sha256.New()
 	for _, s := range []string{open.Service, open.Method, open.Path} {
--- a/agent/calls/calls_test.go
+++ b/agent/calls/calls_test.go
@@ -21,8 +21,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// A whole answer comes with its end mark. The backend server gets the caller's
-// path and headers and its ids, but none of the connection's own headers.
+// A complete answer ends with the end mark. The backend server gets the caller's path,
+// headers and ids, but no hop-by-hop headers.
 func TestCompleteAnswer(t *testing.T) {
 	var got *http.Request
 	r := newHarness(t, http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
@@ -46,8 +46,8 @@
 		require.Equal(t, "order 7", out.body)
 		for _, h := range out.head.Headers {
 			require.NotContains(t, []string{"Connection", "Keep-Alive"}, h.Name)
-			// net/http's server drops its handler's Connection header where
-			// the connection closes, and so the word that X-Hop is such one.
+			// If the connection closes, net/http's server replaces its handler's
+			// Connection header, so that nothing marks X-Hop as hop-by-hop.
 			require.False(t, open.Idempotent && h.Name == "X-Hop")
 		}
 		require.Equal(t, open.Path, got.RequestURI)
@@ -58,8 +58,8 @@
 	}
 }
 
-// The entry dies, or gives up, before it says go: it has told its caller "not
-// run", so nothing may reach the backend server. The key stays usable.
+// The entry crashes or gives up before it sends CallGo and answers "not run" to its
+// caller, so nothing may reach the backend server. The key stays usable.
 func TestNothingRunsWithoutGo(t *testing.T) {
 	for name, giveUp := range map[string]func(stream pb.Agent_CallClient, cancel func()){
 		"entry dies":     func(_ pb.Agent_CallClient, cancel func()) { cancel() },
@@ -87,8 +87,8 @@
 	}
 }
 
-// The entry dies after go, while the order runs. The run goes on to its end;
-// the caller repeats the order through another entry and gets that answer.
+// The entry crashes after CallGo, while the order runs. The run continues to its end.
+// The caller repeats the order through another entry and gets the run's answer.
 func TestRunContinuesWithoutItsEntry(t *testing.T) {
 	running, release := make(chan struct{}), make(chan struct{})
 	var runs atomic.Int64
@@ -98,7 +98,7 @@
 		select {
 		case <-release:
 			fmt.Fprint(w, "order 7")
-		case <-req.Context().Done(): // cut off
+		case <-req.Context().Done(): // the agent cancelled the request
 		}
 	}))
 	open := newKeyedOrder()
@@ -119,10 +119,10 @@
 	require.EqualValues(t, 1, runs.Load())
 }
 
-// The backend server runs the order and closes the connection without an
-// answer, on a connection that has carried requests before. net/http repeats
-// such requests by itself if it can: the order would be doubled. The caller
-// hears "outcome unknown" and each repeat with the key hears it again.
+// The backend server runs the order and closes the connection without an answer. On a
+// connection that has carried requests before, net/http would repeat such a request
+// by itself, and the order would run twice. The caller must get outcome_unknown, and
+// so must each repeat with the key.
 func TestBrokenConnectionIsNotRepeated(t *testing.T) {
 	for _, method := range []string{http.MethodPost, http.MethodGet} {
 		for _, body := range []string{"", "one box"} {
@@ -143,9 +143,8 @@
 	}
 }
 
-// The answer breaks off in the middle, or is one of which nobody can tell
-// whether it broke off. It must never get an end mark: the entry would hand
-// half an answer to the caller as a whole one.
+// The answer ends in the middle, or its end can't be detected. It must not get an end
+// mark, or the entry would send half an answer to the caller as a complete one.
 func TestIncompleteAnswerHasNoEndMark(t *testing.T) {
 	truncated := service.New(service.Config{})
 	truncated.Faults.Apply(service.Faults{CutBody: 1})
@@ -167,8 +166,8 @@
 	}
 }
 
-// The backend server is down: no connection, so "not run" is proven for every
-// kind of request, and a keyed one runs when the server is back.
+// The backend server is down and refuses connections, which proves "not run" for every
+// kind of request. A keyed request runs when the server is up again.
 func TestRefusedConnectionIsNotRun(t *testing.T) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -191,15 +190,15 @@
 	require.Equal(t, 1, backend.Truth(0, true).Runs)
 }
 
-// The agent is stopped after the entry said go and goes on a minute later (the
-// wall clock alone shows it, as after a VM suspension). The caller has long
-// gone on: nothing may be sent, and the key stays unstarted.
+// The agent is suspended after the entry sent CallGo and resumes a minute later (only
+// the wall clock shows it, as after a VM suspension). The caller's deadline has passed:
+// nothing may be sent, and the key stays unstarted.
 func TestResumedAgentSendsNothingLate(t *testing.T) {
 	backend := service.New(service.Config{})
 	r := newHarness(t, backend)
 	var readings atomic.Int64
 	r.handler.now = func() time.Time {
-		if readings.Add(1) == 1 { // at the arrival
+		if readings.Add(1) == 1 { // when the request arrives
 			return time.Now()
 		}
 		return time.Now().Round(0).Add(time.Minute)
@@ -211,8 +210,8 @@
 	require.True(t, r.call(t, open).complete)
 }
 
-// The backend server does not answer in time. After the send that is "outcome
-// unknown", for an idempotent request "deadline exceeded"; never "not run".
+// The backend server does not answer in time. As the request was sent, the error is
+// outcome_unknown, or deadline_exceeded for an idempotent request, but never "not run".
 func TestNoAnswerInTime(t *testing.T) {
 	backend := service.New(service.Config{})
 	backend.Faults.Apply(service.Faults{Hang: true})
@@ -224,15 +223,15 @@
 	read := newOrder()
 	read.Idempotent, read.DeadlineMs = true, 200
 	r.call(t, read).requireRefusal(t, string(kinds.DeadlineExceeded), false)
-	r.waitIdle(t) // the service's timeout frees the slot
+	r.waitIdle(t) // until the service's timeout frees the slot
 	open.DeadlineMs = testTimeout.Milliseconds()
 	r.call(t, open).requireRefusal(t, string(kinds.OutcomeUnknown), false)
 	require.Equal(t, 1, backend.Truth(0, false).ByKey[open.IdempotencyKey])
 }
 
-// The run is given up (its timeout passed) while its connection is just being
-// made; the caller hears "not run". The connection's writer comes late and must
-// find the gate shut, or the order would run after all.
+// A run is abandoned (its timeout passed) while its connection is being opened, and the
+// caller gets "not run". net/http may write to the connection afterwards and must
+// find the gate closed, or the order would run after all.
 func TestClosedGateAllowsNoWrite(t *testing.T) {
 	g := &gate{held: kinds.Hold(), now: time.Now}
 	require.True(t, g.fail(context.DeadlineExceeded).NotRun())
@@ -243,7 +242,7 @@
 	require.NoError(t, g.allowWrite(), "the rest of a request that was sent in part")
 }
 
-// What must not reach the backend server at all.
+// Requests that must not reach the backend server.
 func TestRefusedBeforeSending(t *testing.T) {
 	backend := service.New(service.Config{})
 	r := newHarness(t, backend)
@@ -270,14 +269,13 @@
 	require.Positive(t, out.refusal.RetryAfterMs)
 	require.True(t, r.call(t, first).head.Replayed, "an answer that is held needs no log")
 	r.queue.Leave()
-	require.True(t, r.call(t, first).head.Replayed, "nor does it need a slot")
+	require.True(t, r.call(t, first).head.Replayed, "and no slot")
 	r.call(t, newOrder()).requireRefusal(t, string(kinds.Leaving), true)
 	require.Equal(t, 1, backend.Truth(0, true).Runs)
 }
 
-// A revision that forbids repeats has reached the agent but not the entry. The
-// entry would send the request again after a failure: it must not go through
-// as one that may be repeated.
+// A revision that forbids repeats has reached the agent but not the entry. As the entry
+// would send the request again after a failure, it must be refused.
 func TestNewerRevisionForbidsRepeats(t *testing.T) {
 	backend := service.New(service.Config{})
 	r := newHarness(t, backend)
@@ -290,8 +288,8 @@
 	require.True(t, r.call(t, open).complete)
 }
 
-// An answer beyond the bound for bodies can't be held whole; a redirect is an
-// answer like any other and must not be followed, which would send again.
+// An answer larger than the limit for bodies can't be held and is outcome_unknown. A
+// redirect is an answer like any other: following it would send the request again.
 func TestRedirectsAndLargeAnswers(t *testing.T) {
 	var runs atomic.Int64
 	r := newHarness(t, http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
--- a/agent/calls/harness_test.go
+++ b/agent/calls/harness_test.go
@@ -27,7 +27,7 @@
 
 const testTimeout = 20 * time.Second
 
-// harness is one agent's call path between a real gRPC client and a backend server.
+// harness is one agent's Handler with a gRPC client, a backend server and a log.
 type harness struct {
 	pb.UnimplementedAgentServer
 	handler *Handler
@@ -41,12 +41,14 @@
 
 func (r *harness) Call(stream pb.Agent_CallServer) error { return r.handler.Call(stream) }
 
+// newHarness returns a harness whose backend server has the given handler.
 func newHarness(t *testing.T, backend http.Handler) *harness {
 	srv := httptest.NewServer(backend)
 	t.Cleanup(srv.Close)
 	return newHarnessAt(t, strings.TrimPrefix(srv.URL, "http://"))
 }
 
+// newHarnessAt returns a harness whose backend server has the given address.
 func newHarnessAt(t *testing.T, addr string) *harness {
 	r := &harness{log: logsvc.New(logsvc.Config{}), queue: admission.New(admission.Config{Slots: 4, MaxQueue: 16})}
 	logServer := httptest.NewServer(r.log)
@@ -78,7 +80,7 @@
 	return r
 }
 
-// serve puts the agent behind a gRPC server of its own, with a new client.
+// serve starts a gRPC server for the agent and connects a new client to it.
 func (r *harness) serve(t *testing.T, opts ...grpc.ServerOption) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -92,15 +94,16 @@
 	r.client = pb.NewAgentClient(conn)
 }
 
-// waitIdle waits until no run is left.
+// waitIdle waits until nothing runs or waits in the queue.
 func (r *harness) waitIdle(t *testing.T) {
 	select {
 	case <-r.queue.Idle():
 	case <-time.After(testTimeout):
-		t.Fatal("a run does not end")
+		t.Fatal("the queue is not idle: a run does not end")
 	}
 }
 
+// newOrder returns a write without a key.
 func newOrder() *pb.CallOpen {
 	return &pb.CallOpen{
 		RequestId: uuid.NewString(), Caller: "shop", Service: "orders", Method: http.MethodPost, Path: "/orders?box=3",
@@ -108,13 +111,14 @@
 	}
 }
 
+// newKeyedOrder returns a write with a new idempotency key.
 func newKeyedOrder() *pb.CallOpen {
 	open := newOrder()
 	open.IdempotencyKey = uuid.Must(uuid.NewV7()).String()
 	return open
 }
 
-// reply is what an entry has got when the stream ended.
+// reply holds what an entry has received when the stream has ended.
 type reply struct {
 	ready     bool
 	head      *pb.CallHead
@@ -124,13 +128,14 @@
 	streamErr error
 }
 
-// call plays an entry that says go.
+// call sends a request as an entry that answers CallReady with CallGo.
 func (r *harness) call(t *testing.T, open *pb.CallOpen) reply {
 	t.Helper()
 	stream := r.open(t, t.Context(), open)
 	return finish(stream)
 }
 
+// open starts a stream and sends CallOpen.
 func (r *harness) open(t *testing.T, ctx context.Context, open *pb.CallOpen) pb.Agent_CallClient {
 	t.Helper()
 	stream, err := r.client.Call(ctx)
@@ -139,6 +144,7 @@
 	return stream
 }
 
+// finish receives until the stream ends and answers CallReady with CallGo.
 func finish(stream pb.Agent_CallClient) (out reply) {
 	for {
 		msg, err := stream.Recv()
@@ -164,6 +170,7 @@
 
 var goMessage = &pb.CallSend{Part: &pb.CallSend_Go{Go: &pb.CallGo{}}}
 
+// requireRefusal requires a refusal of the given kind and proof.
 func (o reply) requireRefusal(t *testing.T, kind string, notRun bool) {
 	t.Helper()
 	require.NotNil(t, o.refusal, "%+v", o)
--- a/agent/calls/incarnations.go
+++ b/agent/calls/incarnations.go
@@ -12,26 +12,29 @@
 	"dandelionsill.org/kinds"
 )
 
-// probeTimeout bounds the question whether the backend server has ended: a retry
-// elsewhere waits for it. It runs on this VM.
+// probeTimeout bounds the connection attempt that checks whether the backend server's
+// process has ended. It can be short because the server runs on this VM, and should
+// be because a retry at another server waits for the result.
 const probeTimeout = 100 * time.Millisecond
 
-// incarnations tells the incarnations of the backend server apart: one ends when it refuses
-// connections, and the next has begun when it takes one.
+// incarnations distinguishes the incarnations of the backend server: one has ended
+// when connections are refused, and the next has started when one is accepted again.
 type incarnations struct {
-	prefix string // this agent's, and that of its own start
+	prefix string // name of this agent and of its own incarnation
 	dialer net.Dialer
 
 	mu    sync.Mutex
-	count int
-	down  bool
+	count int  // incarnations that ended and were followed by another
+	down  bool // the last connection was refused
 }
 
+// newIncarnations returns the incarnations of the backend server of the agent name.
 func newIncarnations(name string) *incarnations {
 	return &incarnations{prefix: name + "#" + strconv.FormatInt(time.Now().UnixNano(), 36), dialer: net.Dialer{Timeout: dialTimeout}}
 }
 
-// dial connects to the backend server.
+// dial connects to the backend server and counts a new incarnation if the previous
+// one has ended.
 func (s *incarnations) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	conn, err := s.dialer.DialContext(ctx, network, addr)
 	if err != nil {
@@ -46,13 +49,14 @@
 	return conn, nil
 }
 
-// endedIncarnation names the start that has endedIncarnation; empty: the server runs, or can't be asked.
+// endedIncarnation returns the name of the backend server's incarnation that has
+// ended, or "" if the server runs or its state can't be determined.
 func (s *incarnations) endedIncarnation(ctx context.Context, addr string) string {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	conn, err := s.dial(ctx, "tcp", addr)
 	if err == nil {
-		_ = conn.Close() // it was opened only to ask
+		_ = conn.Close() // it was opened only as a probe
 		return ""
 	}
 	if !errors.Is(err, syscall.ECONNREFUSED) {
@@ -64,9 +68,9 @@
 	return s.prefix + "/" + strconv.Itoa(s.count)
 }
 
-// withEndedIncarnation names the backend server's start in the error of a request that was sent and
-// got no whole answer, if that start has ended. The entry that has the request keeps it
-// from ending the next one.
+// withEndedIncarnation adds the name of the backend server's incarnation to the error
+// of a request that was sent and got no complete answer, if that incarnation has
+// ended. With it the entry can keep the request from ending further servers.
 func (b *backend) withEndedIncarnation(ctx context.Context, err *kinds.Error) *kinds.Error {
 	if err.NotRun() || ctx.Err() != nil {
 		return err
--- a/agent/calls/incarnations_test.go
+++ b/agent/calls/incarnations_test.go
@@ -13,22 +13,23 @@
 	"dandelionsill.org/kinds"
 )
 
-// crashingServer is a backend server whose process ends under each request, or only breaks its
-// connection off.
+// crashingServer is a backend server that closes the connection of each request without
+// an answer and, if endsProcess is set, stops listening as a process that ended.
 type crashingServer struct {
 	addr        string
 	lis         net.Listener
 	endsProcess atomic.Bool
-	hold        chan struct{} // nil: it ends at once
+	hold        chan struct{} // if not nil, requests wait until it is closed
 
-	arrived atomic.Int32 // requests that reached it
+	arrived atomic.Int32 // number of requests received
 }
 
+// start listens at addr, or at a new address the first time, and serves.
 func (s *crashingServer) start(t *testing.T) {
 	lis, err := net.Listen("tcp", s.addr)
 	require.NoError(t, err)
 	s.lis, s.addr = lis, lis.Addr().String()
-	closeListener := sync.OnceFunc(func() { _ = lis.Close() }) // a second Close would return before the first is done
+	closeListener := sync.OnceFunc(func() { _ = lis.Close() }) // a second Close would return before the first has finished
 	server := &http.Server{Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		s.arrived.Add(1)
 		if s.hold != nil {
@@ -45,9 +46,10 @@
 	t.Cleanup(func() { _ = server.Close(); <-served })
 }
 
-// A backend server ends under a request, starts again at its address and ends under the
-// next. The entry is told which start of it ended each time, so that it can tell one end
-// that two requests saw from two. A connection that only breaks tells of no end.
+// A backend server ends during a request, is restarted at the same address and ends
+// during the next request. Each refusal names the incarnation that ended, so that the
+// entry can distinguish one end seen by two requests from two ends. A connection that
+// only breaks reports no end.
 func TestEndOfBackendServerIsReported(t *testing.T) {
 	s := &crashingServer{addr: "127.0.0.1:0"}
 	s.start(t)
@@ -66,7 +68,7 @@
 
 	refused := r.call(t, repeatable)
 	require.True(t, refused.refusal.GetNotRun())
-	require.Empty(t, refused.refusal.GetEnded(), "it ended under another request")
+	require.Empty(t, refused.refusal.GetEnded(), "it ended during another request")
 
 	s.start(t)
 	second := r.call(t, once)
@@ -75,7 +77,8 @@
 	require.NotEqual(t, first.refusal.GetEnded(), second.refusal.GetEnded())
 }
 
-// Two requests are at the backend server when it ends: both name the same end.
+// Two requests are at the backend server when it ends: both refusals name the same
+// incarnation.
 func TestRequestsOfOneEndReportOneIncarnation(t *testing.T) {
 	s := &crashingServer{addr: "127.0.0.1:0", hold: make(chan struct{})}
 	s.endsProcess.Store(true)
--- a/agent/calls/repeat_test.go
+++ b/agent/calls/repeat_test.go
@@ -18,11 +18,12 @@
 	"dandelionsill.org/wire/pb"
 )
 
-// A renewal runs twice. Order: revision 2 sets a new route /renew, which may
-// not be repeated, before the catch-all that may; this agent has it, an entry
-// does not yet. The entry sends a renewal as one that it may repeat, by the
-// catch-all's name. checkRepeat looks that name up and not the path, lets it
-// run without go or key, and when the answer breaks the entry sends it again.
+// Guards against a renewal that runs twice. How it came about: revision 2 adds a route
+// /renew, which must not be repeated, before the catch-all route, which may be. This
+// agent has the revision, an entry doesn't have it yet and sends a renewal as a
+// repeatable request with the catch-all's name. checkRepeat looked up that name
+// instead of matching the path and let the renewal run without CallGo or a key. When
+// its answer was lost, the entry sent it again.
 func TestNewRouteForbidsRepeatsOfOutdatedEntry(t *testing.T) {
 	var runs atomic.Int64
 	r := newHarness(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { runs.Add(1) }))
@@ -38,14 +39,14 @@
 	open := newOrder()
 	open.Idempotent, open.Route, open.Revision, open.Path = true, "orders.any", 1, "/renew/7"
 	out := r.call(t, open)
-	require.Zero(t, runs.Load(), "it ran without the entry's go")
+	require.Zero(t, runs.Load(), "it ran without the entry's CallGo")
 	out.requireRefusal(t, "not_ready", true)
 }
 
-// A slot is lost for good and the agent's drain never ends. Order: the backend
-// server answers 101, which nobody asked for; net/http then hands the bare
-// connection over and no longer ends it with the context; the read of the
-// answer blocks as long as that connection lives, far beyond the deadline.
+// Guards against a slot that is never freed, so that the agent's drain doesn't end. How
+// it came about: the backend server answers 101 without being asked. net/http then
+// returns the raw connection and no longer closes it with the context, so that reading
+// the answer blocked until the connection ended, far beyond the deadline.
 func TestSwitchedProtocolFreesTheSlot(t *testing.T) {
 	for _, idempotent := range []bool{false, true} {
 		t.Run(fmt.Sprint("idempotent ", idempotent), func(t *testing.T) {
@@ -68,7 +69,7 @@
 					})
 				}
 			})
-			// Before the rig's cleanups, which wait for the handlers.
+			// These run before the harness's cleanups, which wait for the handlers.
 			defer serving.Wait()
 			defer close(testDone)
 			defer lis.Close()
@@ -90,10 +91,11 @@
 	}
 }
 
-// Callers wait although the backend server has free capacity. Order: all slots
-// are busy; one caller sends the same key four times (it repeats on its own
-// short timeouts); all four queue, as nobody has claimed the key yet; each gets
-// a slot; one runs, and three hold theirs only to wait for that one's answer.
+// Guards against callers that wait although the backend server has free capacity. How
+// it came about: all slots were busy. A caller sent the same key four times, as its
+// own timeouts were short. All four were queued, because the key was not claimed yet,
+// and later got a slot each. One ran, and the other three held their slots only to
+// wait for its answer.
 func TestRepeatsOfOneKeyHoldOneSlot(t *testing.T) {
 	hold, renewal := make(chan struct{}), make(chan struct{})
 	other := make(chan struct{})
@@ -140,5 +142,5 @@
 	}
 	close(renewal)
 	wg.Wait()
-	require.Empty(t, stuck, "the order waits for slots in which nothing runs")
+	require.Empty(t, stuck, "the order waits although some slots run nothing")
 }
--- a/agent/calls/reply.go
+++ b/agent/calls/reply.go
@@ -14,10 +14,10 @@
 	"dandelionsill.org/wire/refusal"
 )
 
-// chunkBytes is the size of a body piece in the stream.
+// chunkBytes is the maximum size of a body chunk in the stream.
 const chunkBytes = 32 << 10
 
-// sendRefusal ends the stream with an error.
+// sendRefusal sends an error as the last message of the stream.
 func (c *call) sendRefusal(ctx context.Context, err *kinds.Error) error {
 	w := kinds.ToWire(err)
 	switch {
@@ -34,6 +34,8 @@
 	return c.stream.Send(&pb.CallReply{Part: &pb.CallReply_Refusal{Refusal: refusal.Encode(err)}})
 }
 
+// explainSent adds the outcome of a request that must not be repeated to the
+// explanations.
 func (c *call) explainSent(ctx context.Context, err *kinds.Error) {
 	reason := "whole answer"
 	if err != nil {
@@ -42,13 +44,14 @@
 	c.cfg.Explain.Add(ctx, explainPart, c.open.RequestId, "sent to the backend server", reason)
 }
 
-// sendReplay answers a repeat with the answer of the try that ran.
+// sendReplay answers a repeat with the answer of the attempt that ran.
 func (c *call) sendReplay(ctx context.Context, a *once.Answer) *kinds.Error {
 	c.cfg.Explain.Add(ctx, explainPart, c.open.RequestId, "answered from the earlier try", "key "+c.open.IdempotencyKey+" has run")
 	return c.sendAnswer(a, true)
 }
 
-// sendAnswer sends a whole sendAnswer. A failed send means that the entry is gone.
+// sendAnswer sends a complete answer. A failed send means that the entry is gone and
+// is not an error.
 func (c *call) sendAnswer(a *once.Answer, replayed bool) *kinds.Error {
 	if c.sendHead(a.Status, a.Header, replayed) != nil {
 		return nil
@@ -64,22 +67,26 @@
 	return nil
 }
 
+// sendHead sends the answer's status and headers.
 func (c *call) sendHead(status int, header http.Header, replayed bool) error {
 	return c.stream.Send(&pb.CallReply{Part: &pb.CallReply_Head{Head: &pb.CallHead{
 		Status: int32(status), Headers: encodeHeaders(header), Replayed: replayed,
 	}}})
 }
 
+// sendChunk sends a part of the answer's body.
 func (c *call) sendChunk(chunk []byte) error {
 	return c.stream.Send(&pb.CallReply{Part: &pb.CallReply_Body{Body: chunk}})
 }
 
+// sendEnd sends the end mark, which proves to the entry that the answer is complete.
 func (c *call) sendEnd(bodyBytes int64) error {
 	return c.stream.Send(&pb.CallReply{Part: &pb.CallReply_End{End: &pb.CallEnd{BodyBytes: bodyBytes}}})
 }
 
-// serveIdempotent streams an answer through as it comes. The backend server is
-// told to stop when the caller goes away.
+// serveIdempotent sends an idempotent request and streams the answer to the entry as
+// it arrives. If the caller goes away, the request to the backend server is
+// cancelled.
 func (c *call) serveIdempotent(ctx context.Context) *kinds.Error {
 	release, refusal := c.acquireSlot(ctx)
 	if refusal != nil {
@@ -111,13 +118,14 @@
 	return nil
 }
 
-// copyBody streams a body; sent is false when the entry is gone.
+// copyBody streams a body of n bytes to the entry. delivered is false if the entry is
+// gone; otherwise the error is that of reading the body.
 func (c *call) copyBody(body io.Reader) (n int64, delivered bool, _ error) {
 	buf := make([]byte, chunkBytes)
 	for {
 		k, err := body.Read(buf)
 		if k > 0 {
-			// gRPC has encoded the piece when Send returns.
+			// buf can be reused, as gRPC has encoded the chunk when Send returns.
 			if c.sendChunk(buf[:k]) != nil {
 				return n, false, nil
 			}
@@ -132,6 +140,7 @@
 	}
 }
 
+// describeOutcome returns the text that explains how reading an answer ended.
 func describeOutcome(err error) string {
 	if err != nil {
 		return err.Error()
--- a/agent/calls/trace_test.go
+++ b/agent/calls/trace_test.go
@@ -15,9 +15,9 @@
 	"dandelionsill.org/wire/pb"
 )
 
-// A backend server that writes spans of its own continues the caller's trace,
-// for a read, an unkeyed write and a keyed one: the traceparent that it gets is
-// the agent's span of this very hop.
+// A backend server with spans of its own must be able to continue the caller's trace:
+// for a read, an unkeyed write and a keyed write it gets a traceparent with the agent's
+// span of this hop.
 func TestTraceReachesTheBackend(t *testing.T) {
 	recorder := tracetest.NewSpanRecorder()
 	provider, propagator := otel.GetTracerProvider(), otel.GetTextMapPropagator()
