--- a/agent/admission/admission.go
+++ b/agent/admission/admission.go
@@ -30,11 +30,11 @@
 type Queue struct {
 	now func() time.Time
 
-	mu      sync.Mutex
-	queue   *admit.Queue
-	idle    chan struct{} // closed while nothing runs or waits
-	busy    bool
-	changed func()
+	mu       sync.Mutex
+	queue    *admit.Queue
+	idle     chan struct{} // closed while nothing runs or waits
+	busy     bool
+	onChange func()
 }
 
 // New returns an empty queue.
@@ -50,75 +50,75 @@
 
 // OnChange sets a function that is called, without locks held, after each
 // change of the Stats' counts. Set it before the first Acquire.
-func (q *Queue) OnChange(f func()) { q.changed = f }
+func (q *Queue) OnChange(f func()) { q.onChange = f }
 
 // waiter is one goroutine in Acquire.
 type waiter struct {
-	// verdict gets nil (the slot is held) or the refusal, once.
-	verdict chan *admit.Refusal
+	// decision gets nil (the slot is held) or the refusal, once.
+	decision chan *admit.Refusal
 }
 
 // Acquire waits for a slot. The release function is safe to call more than
 // once. Every error proves that the request did not start, but for Cancelled
 // (the caller went away), which nobody hears.
 func (q *Queue) Acquire(ctx context.Context, t admit.Ticket) (release func(), _ *kinds.Error) {
-	w := &waiter{verdict: make(chan *admit.Refusal, 1)}
+	w := &waiter{decision: make(chan *admit.Refusal, 1)}
 	q.mu.Lock()
-	it, refusal, displaced := q.queue.Offer(q.now(), t, w)
-	tell(displaced)
-	q.mark()
-	waits := it != nil && it.Waiting()
+	item, refusal, displaced := q.queue.Offer(q.now(), t, w)
+	sendRefusals(displaced)
+	q.updateIdle()
+	mustWait := item != nil && item.Waiting()
 	q.mu.Unlock()
 	defer q.notify()
 	if refusal != nil {
 		return nil, refused(*refusal)
 	}
-	if waits {
-		if err := q.wait(ctx, it, w); err != nil {
+	if mustWait {
+		if err := q.wait(ctx, item, w); err != nil {
 			return nil, err
 		}
 	}
 	// The goroutine, or the whole VM, may have stood still between the
 	// decision and here.
 	if admit.Expired(q.now(), t.Deadline) {
-		q.done(it)
+		q.done(item)
 		return nil, refused(admit.Refusal{Reason: admit.DeadlineTooShort})
 	}
 	var once atomic.Bool
 	return func() {
 		if once.CompareAndSwap(false, true) {
-			q.done(it)
+			q.done(item)
 		}
 	}, nil
 }
 
 // wait returns nil once it holds the slot.
-func (q *Queue) wait(ctx context.Context, it *admit.Item, w *waiter) *kinds.Error {
-	var late <-chan time.Time
-	if !it.Deadline.IsZero() {
-		timer := time.NewTimer(it.Deadline.Sub(q.now()))
+func (q *Queue) wait(ctx context.Context, item *admit.Item, w *waiter) *kinds.Error {
+	var deadlinePassed <-chan time.Time
+	if !item.Deadline.IsZero() {
+		timer := time.NewTimer(item.Deadline.Sub(q.now()))
 		defer timer.Stop()
-		late = timer.C
+		deadlinePassed = timer.C
 	}
 	select {
-	case r := <-w.verdict:
+	case r := <-w.decision:
 		if r != nil {
 			return refused(*r)
 		}
 		return nil
 	case <-ctx.Done():
-	case <-late:
+	case <-deadlinePassed:
 	}
 	q.mu.Lock()
-	left := q.queue.Cancel(it)
-	q.mark()
+	removed := q.queue.Cancel(item)
+	q.updateIdle()
 	q.mu.Unlock()
-	if !left {
+	if !removed {
 		// The verdict came in the meantime; a slot that was won is given back.
-		if r := <-w.verdict; r != nil {
+		if r := <-w.decision; r != nil {
 			return refused(*r)
 		}
-		q.done(it)
+		q.done(item)
 	}
 	if ctx.Err() == context.Canceled {
 		return kinds.New(kinds.Cancelled, "the caller went away while the request waited")
@@ -127,33 +127,33 @@
 }
 
 // done frees a slot and starts who is next.
-func (q *Queue) done(it *admit.Item) {
+func (q *Queue) done(item *admit.Item) {
 	q.mu.Lock()
 	now := q.now()
-	q.queue.Done(now, it)
-	q.advance(now)
-	q.mark()
+	q.queue.Done(now, item)
+	q.startWaiting(now)
+	q.updateIdle()
 	q.mu.Unlock()
 	q.notify()
 }
 
-// advance starts waiting items while slots are free.
-func (q *Queue) advance(now time.Time) {
+// startWaiting starts waiting items while slots are free.
+func (q *Queue) startWaiting(now time.Time) {
 	for {
-		it, expired := q.queue.Next(now)
-		tell(expired)
-		if it == nil {
+		item, expired := q.queue.Next(now)
+		sendRefusals(expired)
+		if item == nil {
 			return
 		}
-		it.Tag.(*waiter).verdict <- nil
+		item.Tag.(*waiter).decision <- nil
 	}
 }
 
 // Leave refuses all new work and all that still waits. What runs goes on.
 func (q *Queue) Leave() {
 	q.mu.Lock()
-	tell(q.queue.Leave())
-	q.mark()
+	sendRefusals(q.queue.Leave())
+	q.updateIdle()
 	q.mu.Unlock()
 	q.notify()
 }
@@ -190,7 +190,7 @@
 func (q *Queue) SetSlots(n int) {
 	q.mu.Lock()
 	q.queue.SetSlots(n)
-	q.advance(q.now())
+	q.startWaiting(q.now())
 	q.mu.Unlock()
 	q.notify()
 }
@@ -202,8 +202,8 @@
 	q.queue.SetMaxQueue(n)
 }
 
-// mark keeps the idle channel in step with the counts.
-func (q *Queue) mark() {
+// updateIdle keeps the idle channel in step with the counts.
+func (q *Queue) updateIdle() {
 	busy := q.queue.Running()+q.queue.Waiting() > 0
 	if busy == q.busy {
 		return
@@ -217,15 +217,15 @@
 }
 
 func (q *Queue) notify() {
-	if q.changed != nil {
-		q.changed()
+	if q.onChange != nil {
+		q.onChange()
 	}
 }
 
-func tell(out []admit.Refused) {
-	for _, r := range out {
+func sendRefusals(refusals []admit.Refused) {
+	for _, r := range refusals {
 		refusal := r.Refusal
-		r.Item.Tag.(*waiter).verdict <- &refusal
+		r.Item.Tag.(*waiter).decision <- &refusal
 	}
 }
 
--- a/agent/admission/admission_test.go
+++ b/agent/admission/admission_test.go
@@ -16,14 +16,14 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const generous = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 // Many callers race for two slots, some give up, then the server leaves. Never
 // may more than two run, and what was refused must not have run: the callers
 // repeat it elsewhere.
-func TestNeverMoreThanSlotsAndLeaveRefusesTheRest(t *testing.T) {
+func TestSlotsBoundRunningAndLeaveRefusesTheRest(t *testing.T) {
 	q := New(Config{Slots: 2, MaxQueue: 1000})
-	var running, most, started, refused atomic.Int64
+	var running, maxRunning, started, refused atomic.Int64
 	var wg sync.WaitGroup
 	hold := make(chan struct{})
 	for i := range 200 {
@@ -40,7 +40,7 @@
 			}
 			started.Add(1)
 			n := running.Add(1)
-			for m := most.Load(); n > m && !most.CompareAndSwap(m, n); m = most.Load() {
+			for m := maxRunning.Load(); n > m && !maxRunning.CompareAndSwap(m, n); m = maxRunning.Load() {
 			}
 			if i%5 == 0 {
 				<-hold
@@ -50,7 +50,7 @@
 			release()
 		})
 	}
-	require.Eventually(t, func() bool { return q.Stats().Running == 2 && started.Load()+refused.Load() >= 20 }, generous, time.Millisecond)
+	require.Eventually(t, func() bool { return q.Stats().Running == 2 && started.Load()+refused.Load() >= 20 }, testTimeout, time.Millisecond)
 	q.Leave()
 	_, err := q.Acquire(t.Context(), admit.Ticket{})
 	require.Equal(t, string(kinds.Leaving), kinds.Of(err))
@@ -59,7 +59,7 @@
 	close(hold)
 	<-q.Idle()
 	wg.Wait()
-	require.LessOrEqual(t, most.Load(), int64(2))
+	require.LessOrEqual(t, maxRunning.Load(), int64(2))
 	require.Equal(t, int64(200), started.Load()+refused.Load())
 }
 
@@ -79,14 +79,14 @@
 				release()
 			}
 		}()
-		require.Eventually(t, func() bool { return q.Stats().Queued == 1 }, generous, 10*time.Microsecond)
+		require.Eventually(t, func() bool { return q.Stats().Queued == 1 }, testTimeout, 10*time.Microsecond)
 		// The waiter wakes up to the cancel and finds the lock held; the slot
 		// becomes its own before it can leave the queue.
 		q.mu.Lock()
 		cancel()
 		time.Sleep(100 * time.Microsecond)
 		q.queue.SetSlots(2)
-		q.advance(time.Now())
+		q.startWaiting(time.Now())
 		q.queue.SetSlots(1)
 		q.mu.Unlock()
 		<-done
@@ -97,7 +97,7 @@
 
 // The agent is stopped between the decision and the start, the deadline passes
 // in the meantime. When it goes on it must refuse: the caller has gone on too.
-func TestStoppedAgentDoesNotStartWhatExpired(t *testing.T) {
+func TestResumedAgentDoesNotStartExpiredRequest(t *testing.T) {
 	q := New(Config{Slots: 1, MaxQueue: 10})
 	start := time.Now()
 	var calls atomic.Int64
