--- a/agent/admission/admission.go
+++ b/agent/admission/admission.go
@@ -1,5 +1,5 @@
-// Package admission is the concurrent shell of decide/admit: goroutines wait
-// in it for one of the backend server's slots.
+// Package admission makes the queue of decide/admit usable by concurrent goroutines,
+// which wait in it for one of the backend server's slots.
 package admission
 
 import (
@@ -12,21 +12,21 @@
 	"dandelionsill.org/kinds"
 )
 
-// Config sets the bounds.
+// Config sets the limits of a Queue.
 type Config struct {
-	Slots    int // requests running at once at the backend server
-	MaxQueue int // requests waiting at most
+	Slots    int // maximum number of requests running at the backend server
+	MaxQueue int // maximum number of waiting requests
 }
 
-// Stats is a moment's picture.
+// Stats is a snapshot of a Queue.
 type Stats struct {
 	Slots, Running, Queued int
-	// WaitEstimate is what a request of the default class that comes now
-	// would wait.
+	// WaitEstimate is the estimated wait of a request of weight 1 and default
+	// priority that arrives now.
 	WaitEstimate time.Duration
 }
 
-// Queue hands out the slots. It is safe for concurrent use.
+// Queue assigns the backend server's slots to requests. It is safe for concurrent use.
 type Queue struct {
 	now func() time.Time
 
@@ -48,19 +48,19 @@
 	return q
 }
 
-// OnChange sets a function that is called, without locks held, after each
-// change of the Stats' counts. Set it before the first Acquire.
+// OnChange sets a function that is called, without locks held, after operations that
+// may change the counts of Stats. It must be called before the first Acquire.
 func (q *Queue) OnChange(f func()) { q.onChange = f }
 
 // waiter is one goroutine in Acquire.
 type waiter struct {
-	// decision gets nil (the slot is held) or the refusal, once.
+	// decision receives nil (the slot is held) or the refusal, once.
 	decision chan *admit.Refusal
 }
 
-// Acquire waits for a slot. The release function is safe to call more than
-// once. Every error proves that the request did not start, but for Cancelled
-// (the caller went away), which nobody hears.
+// Acquire waits for a slot. The release function may be called more than once.
+// Every error proves that the request did not start, except Cancelled: the caller
+// went away and does not get it.
 func (q *Queue) Acquire(ctx context.Context, t admit.Ticket) (release func(), _ *kinds.Error) {
 	w := &waiter{decision: make(chan *admit.Refusal, 1)}
 	q.mu.Lock()
@@ -78,8 +78,7 @@
 			return nil, err
 		}
 	}
-	// The goroutine, or the whole VM, may have stood still between the
-	// decision and here.
+	// The goroutine, or the whole VM, may have been suspended since the decision.
 	if admit.Expired(q.now(), t.Deadline) {
 		q.done(item)
 		return nil, refused(admit.Refusal{Reason: admit.DeadlineTooShort})
@@ -92,7 +91,8 @@
 	}, nil
 }
 
-// wait returns nil once it holds the slot.
+// wait waits for the decision on a waiting item. It returns nil if the item got its
+// slot.
 func (q *Queue) wait(ctx context.Context, item *admit.Item, w *waiter) *kinds.Error {
 	var deadlinePassed <-chan time.Time
 	if !item.Deadline.IsZero() {
@@ -114,7 +114,8 @@
 	q.updateIdle()
 	q.mu.Unlock()
 	if !removed {
-		// The verdict came in the meantime; a slot that was won is given back.
+		// The decision was made in the meantime. If the item got a slot, it is
+		// released again.
 		if r := <-w.decision; r != nil {
 			return refused(*r)
 		}
@@ -126,7 +127,7 @@
 	return refused(admit.Refusal{Reason: admit.DeadlineTooShort})
 }
 
-// done frees a slot and starts who is next.
+// done frees the item's slot and starts waiting items.
 func (q *Queue) done(item *admit.Item) {
 	q.mu.Lock()
 	now := q.now()
@@ -137,7 +138,8 @@
 	q.notify()
 }
 
-// startWaiting starts waiting items while slots are free.
+// startWaiting starts waiting items while slots are free, and refuses expired ones.
+// q.mu is held.
 func (q *Queue) startWaiting(now time.Time) {
 	for {
 		item, expired := q.queue.Next(now)
@@ -149,7 +151,7 @@
 	}
 }
 
-// Leave refuses all new work and all that still waits. What runs goes on.
+// Leave refuses all new and waiting requests. Running requests continue.
 func (q *Queue) Leave() {
 	q.mu.Lock()
 	sendRefusals(q.queue.Leave())
@@ -158,7 +160,7 @@
 	q.notify()
 }
 
-// Rejoin takes new work again after Leave.
+// Rejoin accepts new requests again after Leave.
 func (q *Queue) Rejoin() {
 	q.mu.Lock()
 	q.queue.Rejoin()
@@ -166,15 +168,15 @@
 	q.notify()
 }
 
-// Idle returns a channel that is closed once nothing runs and nothing waits.
-// After Leave that stays true until Rejoin.
+// Idle returns a channel that is closed once no request runs or waits. After Leave
+// the queue then stays idle until Rejoin.
 func (q *Queue) Idle() <-chan struct{} {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.idle
 }
 
-// Stats returns the counts of this moment.
+// Stats returns the current counts.
 func (q *Queue) Stats() Stats {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -186,7 +188,7 @@
 	}
 }
 
-// SetSlots changes the number of slots; nothing that runs is cut off.
+// SetSlots changes the number of slots. Running requests are not interrupted.
 func (q *Queue) SetSlots(n int) {
 	q.mu.Lock()
 	q.queue.SetSlots(n)
@@ -195,14 +197,16 @@
 	q.notify()
 }
 
-// SetMaxQueue changes how many requests may wait; what waits already stays.
+// SetMaxQueue changes the maximum number of waiting requests. Requests that already
+// wait stay in the queue.
 func (q *Queue) SetMaxQueue(n int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.queue.SetMaxQueue(n)
 }
 
-// updateIdle keeps the idle channel in step with the counts.
+// updateIdle closes or replaces the idle channel according to the counts. q.mu is
+// held.
 func (q *Queue) updateIdle() {
 	busy := q.queue.Running()+q.queue.Waiting() > 0
 	if busy == q.busy {
@@ -216,12 +220,14 @@
 	close(q.idle)
 }
 
+// notify calls the OnChange function. q.mu is not held.
 func (q *Queue) notify() {
 	if q.onChange != nil {
 		q.onChange()
 	}
 }
 
+// sendRefusals sends each refusal to the waiter of its item.
 func sendRefusals(refusals []admit.Refused) {
 	for _, r := range refusals {
 		refusal := r.Refusal
@@ -229,8 +235,9 @@
 	}
 }
 
-// refused makes the error. The proof of "not run" is fresh because a refused
-// request has not been given a slot, and only the holder of one sends.
+// refused returns the error for a refusal. It may create a new proof of "not run",
+// because a refused request did not get a slot and only requests with a slot are
+// sent.
 func refused(r admit.Refusal) *kinds.Error {
 	held := kinds.Hold()
 	switch r.Reason {
--- a/agent/admission/admission_test.go
+++ b/agent/admission/admission_test.go
@@ -18,9 +18,9 @@
 
 const testTimeout = 20 * time.Second
 
-// Many callers race for two slots, some give up, then the server leaves. Never
-// may more than two run, and what was refused must not have run: the callers
-// repeat it elsewhere.
+// Many callers compete for two slots, some give up, and then the server leaves. At most
+// two requests may run at once, and refused requests must not have run, because their
+// callers repeat them at another server.
 func TestSlotsBoundRunningAndLeaveRefusesTheRest(t *testing.T) {
 	q := New(Config{Slots: 2, MaxQueue: 1000})
 	var running, maxRunning, started, refused atomic.Int64
@@ -55,7 +55,7 @@
 	_, err := q.Acquire(t.Context(), admit.Ticket{})
 	require.Equal(t, string(kinds.Leaving), kinds.Of(err))
 	require.True(t, err.NotRun())
-	require.Zero(t, q.Stats().Queued, "all that waited was refused")
+	require.Zero(t, q.Stats().Queued, "all waiting requests were refused")
 	close(hold)
 	<-q.Idle()
 	wg.Wait()
@@ -63,9 +63,9 @@
 	require.Equal(t, int64(200), started.Load()+refused.Load())
 }
 
-// The caller goes away while its request waits: it must leave the queue at
-// once, and a slot that it won in the same moment must not be lost, or the
-// backend server's slots dwindle to nothing.
+// The caller goes away while its request waits: the request must leave the queue at
+// once. A slot that it gets at the same moment must be released, or the backend
+// server would run out of slots over time.
 func TestCancelledWaiterLeavesAtOnce(t *testing.T) {
 	q := New(Config{Slots: 1, MaxQueue: 10})
 	for range 50 {
@@ -80,8 +80,8 @@
 			}
 		}()
 		require.Eventually(t, func() bool { return q.Stats().Queued == 1 }, testTimeout, 10*time.Microsecond)
-		// The waiter wakes up to the cancel and finds the lock held; the slot
-		// becomes its own before it can leave the queue.
+		// The waiter sees the cancellation but can't get the lock; it gets a slot
+		// before it can leave the queue.
 		q.mu.Lock()
 		cancel()
 		time.Sleep(100 * time.Microsecond)
@@ -95,8 +95,9 @@
 	}
 }
 
-// The agent is stopped between the decision and the start, the deadline passes
-// in the meantime. When it goes on it must refuse: the caller has gone on too.
+// The agent is suspended between the decision and the start, and the deadline passes in
+// the meantime. When it resumes it must refuse the request, as its caller no longer
+// waits.
 func TestResumedAgentDoesNotStartExpiredRequest(t *testing.T) {
 	q := New(Config{Slots: 1, MaxQueue: 10})
 	start := time.Now()
