--- a/agent/once/once.go
+++ b/agent/once/once.go
@@ -338,13 +338,13 @@
 // is within the skew thus refuses each key before any agent may have dropped the
 // key's state.
 func (t *Table) checkAge(held *kinds.Held, key fold.Key) *kinds.Error {
-	terms := t.cfg.Limits()
+	limits := t.cfg.Limits()
 	age := time.Since(key.Issued())
-	if age < -terms.Skew {
+	if age < -limits.Skew {
 		return held.Refuse(kinds.BadRequest, "the idempotency key is from %v in the future", -age.Round(time.Millisecond))
 	}
-	if age > terms.Window-terms.Skew {
-		return held.Refuse(kinds.KeyTooOld, "the idempotency key is %v old, the window is %v", age.Round(time.Second), terms.Window)
+	if age > limits.Window-limits.Skew {
+		return held.Refuse(kinds.KeyTooOld, "the idempotency key is %v old, the window is %v", age.Round(time.Second), limits.Window)
 	}
 	return nil
 }
--- a/agent/once/once_test.go
+++ b/agent/once/once_test.go
@@ -305,9 +305,9 @@
 		log := newFakeLog()
 		table := newTable(log, "a")
 		table.cfg.Limits = func() Limits {
-			terms := testLimits
-			terms.AppendsPerS = 10
-			return terms
+			limits := testLimits
+			limits.AppendsPerS = 10
+			return limits
 		}
 		run(t, table)
 		var wg sync.WaitGroup
