--- a/agent/once/once.go
+++ b/agent/once/once.go
@@ -300,7 +300,7 @@
 	case f.Owner == t.self:
 		return t.findOwn(held, r)
 	case f.Owner.Name == t.self.Name:
-		// An earlier incarnation of this agent owns the key. Whether it ran the
+		// Another incarnation of this agent owns the key. Whether it ran the
 		// request is not stored anywhere.
 		return found{err: kinds.New(kinds.OutcomeUnknown, "the agent that took the request was restarted")}
 	}
