--- a/agent/admission/admission_test.go
+++ b/agent/admission/admission_test.go
@@ -16,14 +16,14 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const generous = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-// Many callers race for two slots, some give up, then the server leaves. Never
-// may more than two run, and what was refused must not have run: the callers
-// repeat it elsewhere.
-func TestNeverMoreThanSlotsAndLeaveRefusesTheRest(t *testing.T) {
+// Many callers compete for two slots, some give up, and then the server leaves. At most
+// two requests may run at once, and refused requests must not have run, because their
+// callers repeat them at another server.
+func TestSlotsBoundRunningAndLeaveRefusesTheRest(t *testing.T) {
 	q := New(Config{Slots: 2, MaxQueue: 1000})
-	var running, most, started, refused atomic.Int64
+	var running, maxRunning, started, refused atomic.Int64
 	var wg sync.WaitGroup
 	hold := make(chan struct{})
 	for i := range 200 {
@@ -40,7 +40,7 @@
 			}
 			started.Add(1)
 			n := running.Add(1)
-			for m := most.Load(); n > m && !most.CompareAndSwap(m, n); m = most.Load() {
+			for m := maxRunning.Load(); n > m && !maxRunning.CompareAndSwap(m, n); m = maxRunning.Load() {
 			}
 			if i%5 == 0 {
 				<-hold
@@ -50,22 +50,22 @@
 			release()
 		})
 	}
-	require.Eventually(t, func() bool { return q.Stats().Running == 2 && started.Load()+refused.Load() >= 20 }, generous, time.Millisecond)
+	require.Eventually(t, func() bool { return q.Stats().Running == 2 && started.Load()+refused.Load() >= 20 }, testTimeout, time.Millisecond)
 	q.Leave()
 	_, err := q.Acquire(t.Context(), admit.Ticket{})
 	require.Equal(t, string(kinds.Leaving), kinds.Of(err))
 	require.True(t, err.NotRun())
-	require.Zero(t, q.Stats().Queued, "all that waited was refused")
+	require.Zero(t, q.Stats().Queued, "all waiting requests were refused")
 	close(hold)
 	<-q.Idle()
 	wg.Wait()
-	require.LessOrEqual(t, most.Load(), int64(2))
+	require.LessOrEqual(t, maxRunning.Load(), int64(2))
 	require.Equal(t, int64(200), started.Load()+refused.Load())
 }
 
-// The caller goes away while its request waits: it must leave the queue at
-// once, and a slot that it won in the same moment must not be lost, or the
-// backend server's slots dwindle to nothing.
+// The caller goes away while its request waits: the request must leave the queue at
+// once. A slot that it gets at the same moment must be released, or the backend
+// server would run out of slots over time.
 func TestCancelledWaiterLeavesAtOnce(t *testing.T) {
 	q := New(Config{Slots: 1, MaxQueue: 10})
 	for range 50 {
@@ -79,14 +79,14 @@
 				release()
 			}
 		}()
-		require.Eventually(t, func() bool { return q.Stats().Queued == 1 }, generous, 10*time.Microsecond)
-		// The waiter wakes up to the cancel and finds the lock held; the slot
-		// becomes its own before it can leave the queue.
+		require.Eventually(t, func() bool { return q.Stats().Queued == 1 }, testTimeout, 10*time.Microsecond)
+		// The waiter sees the cancellation but can't get the lock; it gets a slot
+		// before it can leave the queue.
 		q.mu.Lock()
 		cancel()
 		time.Sleep(100 * time.Microsecond)
 		q.queue.SetSlots(2)
-		q.advance(time.Now())
+		q.startWaiting(time.Now())
 		q.queue.SetSlots(1)
 		q.mu.Unlock()
 		<-done
@@ -95,9 +95,10 @@
 	}
 }
 
-// The agent is stopped between the decision and the start, the deadline passes
-// in the meantime. When it goes on it must refuse: the caller has gone on too.
-func TestStoppedAgentDoesNotStartWhatExpired(t *testing.T) {
+// The agent is suspended between the decision and the start, and the deadline passes in
+// the meantime. When it resumes it must refuse the request, as its caller no longer
+// waits.
+func TestResumedAgentDoesNotStartExpiredRequest(t *testing.T) {
 	q := New(Config{Slots: 1, MaxQueue: 10})
 	start := time.Now()
 	var calls atomic.Int64
--- a/agent/calls/rig_test.go
+++ b/agent/calls/harness_test.go
@@ -25,10 +25,10 @@
 	"dandelionsill.org/wire/pb"
 )
 
-const generous = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-// rig is one agent's call path between a real gRPC client and a backend server.
-type rig struct {
+// harness is one agent's Handler with a gRPC client, a backend server and a log.
+type harness struct {
 	pb.UnimplementedAgentServer
 	handler *Handler
 	queue   *admission.Queue
@@ -39,28 +39,30 @@
 
 type viewer struct{ confsync.Static }
 
-func (r *rig) Call(stream pb.Agent_CallServer) error { return r.handler.Call(stream) }
+func (r *harness) Call(stream pb.Agent_CallServer) error { return r.handler.Call(stream) }
 
-func newRig(t *testing.T, backend http.Handler) *rig {
+// newHarness returns a harness whose backend server has the given handler.
+func newHarness(t *testing.T, backend http.Handler) *harness {
 	srv := httptest.NewServer(backend)
 	t.Cleanup(srv.Close)
-	return newRigAt(t, strings.TrimPrefix(srv.URL, "http://"))
+	return newHarnessAt(t, strings.TrimPrefix(srv.URL, "http://"))
 }
 
-func newRigAt(t *testing.T, addr string) *rig {
-	r := &rig{log: logsvc.New(logsvc.Config{}), queue: admission.New(admission.Config{Slots: 4, MaxQueue: 16})}
+// newHarnessAt returns a harness whose backend server has the given address.
+func newHarnessAt(t *testing.T, addr string) *harness {
+	r := &harness{log: logsvc.New(logsvc.Config{}), queue: admission.New(admission.Config{Slots: 4, MaxQueue: 16})}
 	logServer := httptest.NewServer(r.log)
 	t.Cleanup(logServer.Close)
 	r.viewer = &viewer{confsync.Static{V: &confsync.View{Number: 1, Manifest: &manifest.Manifest{
 		Fleet:    manifest.Fleet{MaxBodyBytes: 1 << 20, KeyWindow: time.Hour, ClockSkew: time.Second},
-		Services: map[string]manifest.Service{"orders": {Name: "orders", Timeout: generous}},
+		Services: map[string]manifest.Service{"orders": {Name: "orders", Timeout: testTimeout}},
 	}}}}
 	client := httplog.New(logServer.URL, "agent-1")
 	t.Cleanup(client.Close)
 	table := once.New(once.Config{
 		Owner:   fold.Owner{Name: "agent-1", Incarnation: uuid.NewString()},
 		Service: "orders", Log: client,
-		Terms: func() once.Terms { return once.Terms{Window: time.Hour, Skew: time.Second} },
+		Limits: func() once.Limits { return once.Limits{Window: time.Hour, Skew: time.Second} },
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -78,8 +80,8 @@
 	return r
 }
 
-// serve puts the agent behind a gRPC server of its own, with a new client.
-func (r *rig) serve(t *testing.T, opts ...grpc.ServerOption) {
+// serve starts a gRPC server for the agent and connects a new client to it.
+func (r *harness) serve(t *testing.T, opts ...grpc.ServerOption) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	server := grpc.NewServer(opts...)
@@ -92,46 +94,49 @@
 	r.client = pb.NewAgentClient(conn)
 }
 
-// idle waits until no run is left.
-func (r *rig) idle(t *testing.T) {
+// waitIdle waits until nothing runs or waits in the queue.
+func (r *harness) waitIdle(t *testing.T) {
 	select {
 	case <-r.queue.Idle():
-	case <-time.After(generous):
-		t.Fatal("a run does not end")
+	case <-time.After(testTimeout):
+		t.Fatal("the queue is not idle: a run does not end")
 	}
 }
 
-func order() *pb.CallOpen {
+// newOrder returns a write without a key.
+func newOrder() *pb.CallOpen {
 	return &pb.CallOpen{
 		RequestId: uuid.NewString(), Caller: "shop", Service: "orders", Method: http.MethodPost, Path: "/orders?box=3",
-		Body: []byte("one box"), DeadlineMs: generous.Milliseconds(), Weight: 1, Revision: 1,
+		Body: []byte("one box"), DeadlineMs: testTimeout.Milliseconds(), Weight: 1, Revision: 1,
 	}
 }
 
-func keyed() *pb.CallOpen {
-	open := order()
+// newKeyedOrder returns a write with a new idempotency key.
+func newKeyedOrder() *pb.CallOpen {
+	open := newOrder()
 	open.IdempotencyKey = uuid.Must(uuid.NewV7()).String()
 	return open
 }
 
-// reply is what an entry has got when the stream ended.
+// reply holds what an entry has received when the stream has ended.
 type reply struct {
-	ready    bool
-	head     *pb.CallHead
-	body     string
-	whole    bool
-	refusal  *pb.Refusal
-	streamed error
+	ready     bool
+	head      *pb.CallHead
+	body      string
+	complete  bool
+	refusal   *pb.Refusal
+	streamErr error
 }
 
-// call plays an entry that says go.
-func (r *rig) call(t *testing.T, open *pb.CallOpen) reply {
+// call sends a request as an entry that answers CallReady with CallGo.
+func (r *harness) call(t *testing.T, open *pb.CallOpen) reply {
 	t.Helper()
 	stream := r.open(t, t.Context(), open)
 	return finish(stream)
 }
 
-func (r *rig) open(t *testing.T, ctx context.Context, open *pb.CallOpen) pb.Agent_CallClient {
+// open starts a stream and sends CallOpen.
+func (r *harness) open(t *testing.T, ctx context.Context, open *pb.CallOpen) pb.Agent_CallClient {
 	t.Helper()
 	stream, err := r.client.Call(ctx)
 	require.NoError(t, err)
@@ -139,11 +144,12 @@
 	return stream
 }
 
+// finish receives until the stream ends and answers CallReady with CallGo.
 func finish(stream pb.Agent_CallClient) (out reply) {
 	for {
 		msg, err := stream.Recv()
 		if err != nil {
-			out.streamed = err
+			out.streamErr = err
 			return out
 		}
 		switch p := msg.Part.(type) {
@@ -155,7 +161,7 @@
 		case *pb.CallReply_Body:
 			out.body += string(p.Body)
 		case *pb.CallReply_End:
-			out.whole = p.End.BodyBytes == int64(len(out.body))
+			out.complete = p.End.BodyBytes == int64(len(out.body))
 		case *pb.CallReply_Refusal:
 			out.refusal = p.Refusal
 		}
@@ -164,10 +170,11 @@
 
 var goMessage = &pb.CallSend{Part: &pb.CallSend_Go{Go: &pb.CallGo{}}}
 
+// requireRefusal requires a refusal of the given kind and proof.
 func (o reply) requireRefusal(t *testing.T, kind string, notRun bool) {
 	t.Helper()
 	require.NotNil(t, o.refusal, "%+v", o)
 	require.Equal(t, kind, o.refusal.Kind, o.refusal.Message)
 	require.Equal(t, notRun, o.refusal.NotRun, o.refusal.Message)
-	require.False(t, o.whole)
+	require.False(t, o.complete)
 }
--- a/agent/calls/repeat_test.go
+++ b/agent/calls/repeat_test.go
@@ -18,40 +18,41 @@
 	"dandelionsill.org/wire/pb"
 )
 
-// A renewal runs twice. Order: revision 2 sets a new route /renew, which may
-// not be repeated, before the catch-all that may; this agent has it, an entry
-// does not yet. The entry sends a renewal as one that it may repeat, by the
-// catch-all's name. checkRepeat looks that name up and not the path, lets it
-// run without go or key, and when the answer breaks the entry sends it again.
-func TestNewRouteForbidsRepeatsOfALateEntry(t *testing.T) {
+// Guards against a renewal that runs twice. How it came about: revision 2 adds a route
+// /renew, which must not be repeated, before the catch-all route, which may be. This
+// agent has the revision, an entry doesn't have it yet and sends a renewal as a
+// repeatable request with the catch-all's name. checkRepeat looked up that name
+// instead of matching the path and let the renewal run without CallGo or a key. When
+// its answer was lost, the entry sent it again.
+func TestNewRouteForbidsRepeatsOfOutdatedEntry(t *testing.T) {
 	var runs atomic.Int64
-	r := newRig(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { runs.Add(1) }))
+	r := newHarness(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { runs.Add(1) }))
 	next := *r.viewer.V
 	next.Number = 2
 	next.Manifest = &manifest.Manifest{Fleet: next.Manifest.Fleet, Services: map[string]manifest.Service{"orders": {
-		Name: "orders", Timeout: generous, Routes: []manifest.Route{
+		Name: "orders", Timeout: testTimeout, Routes: []manifest.Route{
 			{Name: "orders.renew", Prefix: "/renew", Repeat: manifest.RepeatNever},
 			{Name: "orders.any", Prefix: "/", Repeat: manifest.RepeatAlways},
 		},
 	}}}
 	r.viewer.Static = confsync.Static{V: &next}
-	open := order()
+	open := newOrder()
 	open.Idempotent, open.Route, open.Revision, open.Path = true, "orders.any", 1, "/renew/7"
 	out := r.call(t, open)
-	require.Zero(t, runs.Load(), "it ran without the entry's go")
+	require.Zero(t, runs.Load(), "it ran without the entry's CallGo")
 	out.requireRefusal(t, "not_ready", true)
 }
 
-// A slot is lost for good and the agent's drain never ends. Order: the backend
-// server answers 101, which nobody asked for; net/http then hands the bare
-// connection over and no longer ends it with the context; the read of the
-// answer blocks as long as that connection lives, far beyond the deadline.
-func TestSwitchedProtocolHoldsNoSlot(t *testing.T) {
+// Guards against a slot that is never freed, so that the agent's drain doesn't end. How
+// it came about: the backend server answers 101 without being asked. net/http then
+// returns the raw connection and no longer closes it with the context, so that reading
+// the answer blocked until the connection ended, far beyond the deadline.
+func TestSwitchedProtocolFreesTheSlot(t *testing.T) {
 	for _, idempotent := range []bool{false, true} {
 		t.Run(fmt.Sprint("idempotent ", idempotent), func(t *testing.T) {
 			lis, err := net.Listen("tcp", "127.0.0.1:0")
 			require.NoError(t, err)
-			testOver := make(chan struct{})
+			testDone := make(chan struct{})
 			var serving sync.WaitGroup
 			serving.Go(func() {
 				for {
@@ -63,20 +64,20 @@
 						fmt.Fprint(conn, "HTTP/1.1 101 Switching Protocols\r\nConnection: Upgrade\r\nUpgrade: x\r\n\r\n")
 					}
 					serving.Go(func() {
-						<-testOver
+						<-testDone
 						_ = conn.Close()
 					})
 				}
 			})
-			// Before the rig's cleanups, which wait for the handlers.
+			// These run before the harness's cleanups, which wait for the handlers.
 			defer serving.Wait()
-			defer close(testOver)
+			defer close(testDone)
 			defer lis.Close()
-			r := newRigAt(t, lis.Addr().String())
+			r := newHarnessAt(t, lis.Addr().String())
 			short := *r.viewer.V.Manifest
 			short.Services = map[string]manifest.Service{"orders": {Name: "orders", Timeout: 100 * time.Millisecond}}
 			r.viewer.V.Manifest = &short
-			open := order()
+			open := newOrder()
 			open.DeadlineMs, open.Idempotent = 200, idempotent
 			ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 			defer cancel()
@@ -90,14 +91,15 @@
 	}
 }
 
-// Callers wait although the backend server has free capacity. Order: all slots
-// are busy; one caller sends the same key four times (it repeats on its own
-// short timeouts); all four queue, as nobody has claimed the key yet; each gets
-// a slot; one runs, and three hold theirs only to wait for that one's answer.
+// Guards against callers that wait although the backend server has free capacity. How
+// it came about: all slots were busy. A caller sent the same key four times, as its
+// own timeouts were short. All four were queued, because the key was not claimed yet,
+// and later got a slot each. One ran, and the other three held their slots only to
+// wait for its answer.
 func TestRepeatsOfOneKeyHoldOneSlot(t *testing.T) {
 	hold, renewal := make(chan struct{}), make(chan struct{})
 	other := make(chan struct{})
-	r := newRig(t, http.HandlerFunc(func(_ http.ResponseWriter, req *http.Request) {
+	r := newHarness(t, http.HandlerFunc(func(_ http.ResponseWriter, req *http.Request) {
 		switch req.URL.Path {
 		case "/hold":
 			<-hold
@@ -109,28 +111,28 @@
 	}))
 	var wg sync.WaitGroup
 	send := func(open *pb.CallOpen) { wg.Go(func() { r.call(t, open) }) }
-	counts := func(running, queued int) {
+	waitForCounts := func(running, queued int) {
 		require.Eventually(t, func() bool {
 			s := r.queue.Stats()
 			return s.Running == running && s.Queued == queued
-		}, generous, time.Millisecond)
+		}, testTimeout, time.Millisecond)
 	}
 	for range 4 {
-		open := order()
+		open := newOrder()
 		open.Path = "/hold"
 		send(open)
 	}
-	counts(4, 0)
-	key := keyed()
+	waitForCounts(4, 0)
+	key := newKeyedOrder()
 	key.Path = "/renew"
 	for range 4 {
 		send(key)
 	}
-	counts(4, 4)
+	waitForCounts(4, 4)
 	close(hold)
-	open := order()
+	open := newOrder()
 	open.Path = "/other"
-	require.Eventually(t, func() bool { return r.queue.Stats().Queued == 0 }, generous, time.Millisecond)
+	require.Eventually(t, func() bool { return r.queue.Stats().Queued == 0 }, testTimeout, time.Millisecond)
 	send(open)
 	stuck := ""
 	select {
@@ -140,5 +142,5 @@
 	}
 	close(renewal)
 	wg.Wait()
-	require.Empty(t, stuck, "the order waits for slots in which nothing runs")
+	require.Empty(t, stuck, "the order waits although some slots run nothing")
 }
--- a/agent/calls/trace_test.go
+++ b/agent/calls/trace_test.go
@@ -15,9 +15,9 @@
 	"dandelionsill.org/wire/pb"
 )
 
-// A backend server that writes spans of its own continues the caller's trace,
-// for a read, an unkeyed write and a keyed one: the traceparent that it gets is
-// the agent's span of this very hop.
+// A backend server with spans of its own must be able to continue the caller's trace:
+// for a read, an unkeyed write and a keyed write it gets a traceparent with the agent's
+// span of this hop.
 func TestTraceReachesTheBackend(t *testing.T) {
 	recorder := tracetest.NewSpanRecorder()
 	provider, propagator := otel.GetTracerProvider(), otel.GetTextMapPropagator()
@@ -28,13 +28,13 @@
 		otel.SetTextMapPropagator(propagator)
 	})
 	got := make(chan string, 1)
-	r := newRig(t, http.HandlerFunc(func(_ http.ResponseWriter, req *http.Request) { got <- req.Header.Get("traceparent") }))
+	r := newHarness(t, http.HandlerFunc(func(_ http.ResponseWriter, req *http.Request) { got <- req.Header.Get("traceparent") }))
 	r.serve(t, grpc.StreamInterceptor(trace.StreamServer))
-	read := order()
+	read := newOrder()
 	read.Idempotent = true
-	for _, open := range []*pb.CallOpen{read, order(), keyed()} {
+	for _, open := range []*pb.CallOpen{read, newOrder(), newKeyedOrder()} {
 		ctx, root := trace.Tracer("caller").Start(t.Context(), "root")
-		require.True(t, finish(r.open(t, ctx, open)).whole)
+		require.True(t, finish(r.open(t, ctx, open)).complete)
 		root.End()
 		hop := root.SpanContext()
 		for _, s := range recorder.Ended() {
--- a/agent/once/bench_test.go
+++ b/agent/once/bench_test.go
@@ -11,25 +11,25 @@
 	"dandelionsill.org/platform"
 )
 
-// benchLog answers at once, but for the given time per append.
+// benchLog is a fakeLog whose appends take appendTime and always succeed.
 type benchLog struct {
 	*fakeLog
-	took time.Duration
+	appendTime time.Duration
 }
 
 func (l benchLog) Append(_ context.Context, _ string, data []byte) (uint64, error) {
-	time.Sleep(l.took)
+	time.Sleep(l.appendTime)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.appends++
-	l.add(data)
+	l.addRecord(data)
 	return uint64(len(l.records) - 1), nil
 }
 
 var _ platform.Log = benchLog{}
 
-// BenchmarkClaim gives claims per append by the number of callers at once, over
-// a log that takes 5 ms.
+// BenchmarkClaim reports claims per append by the number of concurrent callers,
+// with a log whose appends take 5 ms.
 func BenchmarkClaim(b *testing.B) {
 	for _, callers := range []int{1, 10, 100, 1000} {
 		b.Run(fmt.Sprintf("callers=%d", callers), func(b *testing.B) {
@@ -42,7 +42,7 @@
 			for range callers {
 				wg.Go(func() {
 					for range jobs {
-						run, _, err := table.Claim(ctx, request())
+						run, _, err := table.Claim(ctx, newRequest())
 						if err != nil {
 							b.Error(err)
 							return
@@ -58,13 +58,13 @@
 			}
 			close(jobs)
 			wg.Wait()
-			b.ReportMetric(float64(claims)/float64(log.count()), "claims/append")
+			b.ReportMetric(float64(claims)/float64(log.appendCount()), "claims/append")
 		})
 	}
 }
 
-// BenchmarkHeld gives the memory of a finished key with a held answer of 300
-// bytes, by the number of keys.
+// BenchmarkHeld reports the memory per finished key with a held answer of 300 bytes,
+// by the number of keys.
 func BenchmarkHeld(b *testing.B) {
 	for _, keys := range []int{1000, 4000, 16000} {
 		b.Run(fmt.Sprintf("keys=%d", keys), func(b *testing.B) {
@@ -72,11 +72,11 @@
 			for b.Loop() {
 				table, stop := start(b, newFakeLog(), "a")
 				table.cfg.ClaimTimeout = time.Minute
-				before := heap()
+				before := liveHeapBytes()
 				var wg sync.WaitGroup
 				for range keys {
 					wg.Go(func() {
-						run, _, err := table.Claim(context.Background(), request())
+						run, _, err := table.Claim(context.Background(), newRequest())
 						if err != nil {
 							b.Error(err)
 							return
@@ -86,8 +86,8 @@
 					})
 				}
 				wg.Wait()
-				table.cfg.Log.(*fakeLog).forget()
-				bytes = heap() - before
+				table.cfg.Log.(*fakeLog).clearData()
+				bytes = liveHeapBytes() - before
 				if n := table.Stats().Runs; n != keys {
 					b.Fatal(n)
 				}
@@ -98,8 +98,8 @@
 	}
 }
 
-// forget drops the records, which are not the table's memory.
-func (l *fakeLog) forget() {
+// clearData drops the data of all records, which must not count as the table's memory.
+func (l *fakeLog) clearData() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for i := range l.records {
@@ -107,8 +107,8 @@
 	}
 }
 
-// heap is the live heap in bytes after a collection.
-func heap() uint64 {
+// liveHeapBytes returns the number of bytes on the heap after a garbage collection.
+func liveHeapBytes() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/agent/once/history_test.go
+++ b/agent/once/history_test.go
@@ -16,17 +16,17 @@
 	"dandelionsill.org/kinds"
 )
 
-// try is the outcome of one try as its caller sees it, with the truth of the
-// backend server: value is what this try's own run made, "" for no run.
-type try struct {
+// attempt is the outcome of one attempt as its caller sees it, and what the backend
+// server did: value is the result of this attempt's own run, "" if it did not run.
+type attempt struct {
 	notRun   bool
 	replayed string
 	value    string
 }
 
-// oneRun is the object that callers should see: a key that is empty until one
-// try sets it, and answers with that value ever after.
-var oneRun = porcupine.Model{
+// oneRunModel is the object that callers must see: a key that is empty until one
+// attempt sets it, and returns that value from then on.
+var oneRunModel = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		parts := make(map[int][]porcupine.Operation)
 		for _, op := range history {
@@ -40,7 +40,7 @@
 	},
 	Init: func() any { return "" },
 	Step: func(state, _, output any) (bool, any) {
-		value, out := state.(string), output.(try)
+		value, out := state.(string), output.(attempt)
 		switch {
 		case out.value != "":
 			return !out.notRun && value == "", out.value
@@ -51,14 +51,15 @@
 	},
 }
 
-// fleet is three agent names, each with its live incarnation and with older ones
-// that were only frozen and go on.
-type fleet struct {
+// agents holds the tables of each agent name: the latest incarnation last, and
+// before it the replaced ones that were only suspended and have resumed.
+type agents struct {
 	mu     sync.Mutex
 	tables map[string][]*Table
 }
 
-func (f *fleet) pick(rng *rand.Rand, name string) *Table {
+// pickTable returns the latest incarnation of an agent, or sometimes any of them.
+func (f *agents) pickTable(rng *rand.Rand, name string) *Table {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	tables := f.tables[name]
@@ -68,12 +69,12 @@
 	return tables[len(tables)-1]
 }
 
-// Callers repeat the same few orders through any entry and agent, while the
-// log loses answers, takes records late and goes down, agents are replaced
-// under their own names, and replaced ones that were only frozen go on. The
-// callers' history must be one of an object that runs once, and no "not run"
-// may be given for a run.
-func TestHistoryOfOneRunPerKey(t *testing.T) {
+// Callers repeat the same few orders through any agent while the log loses answers,
+// stores records late and becomes unavailable, agents are replaced under their own
+// names, and replaced agents that were only suspended resume. The callers' history
+// must be linearizable to an object that runs at most once per key, and no attempt
+// that ran may be answered "not run".
+func TestHistoryHasOneRunPerKey(t *testing.T) {
 	for seed := range uint64(25) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) { history(t, seed) })
@@ -84,22 +85,22 @@
 func history(t *testing.T, seed uint64) {
 	log := newFakeLog()
 	logRNG := rand.New(rand.NewPCG(seed, 1))
-	log.set(func() fate { // under the log's lock
+	log.setOutcomes(func() appendOutcome { // under the log's lock
 		if logRNG.IntN(2) == 0 {
-			return taken
+			return stored
 		}
-		return fate(logRNG.IntN(int(rated) + 1))
+		return appendOutcome(logRNG.IntN(int(rateLimited) + 1))
 	})
 	names := []string{"a", "b", "c"}
-	f := &fleet{tables: make(map[string][]*Table)}
+	fleet := &agents{tables: make(map[string][]*Table)}
 	for _, name := range names {
 		table, _ := start(t, log, name)
-		f.tables[name] = []*Table{table}
+		fleet.tables[name] = []*Table{table}
 	}
 	const keys = 4
 	requests := make([]Request, keys)
 	for i := range requests {
-		requests[i] = request()
+		requests[i] = newRequest()
 	}
 	var (
 		mu      sync.Mutex
@@ -116,7 +117,7 @@
 				time.Sleep(time.Duration(rng.IntN(400)) * time.Millisecond)
 				key := rng.IntN(keys)
 				op := porcupine.Operation{ClientId: c, Input: key, Call: clock.Add(1)}
-				out := attempt(rng, f, names[rng.IntN(len(names))], requests[key], func() string {
+				out := runAttempt(rng, fleet, names[rng.IntN(len(names))], requests[key], func() string {
 					mu.Lock()
 					defer mu.Unlock()
 					runs[key]++
@@ -136,9 +137,9 @@
 			time.Sleep(time.Duration(rng.IntN(2000)) * time.Millisecond)
 			name := names[rng.IntN(len(names))]
 			table, _ := start(t, log, name)
-			f.mu.Lock()
-			f.tables[name] = append(f.tables[name], table)
-			f.mu.Unlock()
+			fleet.mu.Lock()
+			fleet.tables[name] = append(fleet.tables[name], table)
+			fleet.mu.Unlock()
 		}
 	})
 	callers.Wait()
@@ -147,40 +148,41 @@
 	for key, n := range runs {
 		require.LessOrEqual(t, n, 1, "key %d ran %d times", key, n)
 	}
-	require.True(t, porcupine.CheckOperations(oneRun, ops))
+	require.True(t, porcupine.CheckOperations(oneRunModel, ops))
 }
 
-// attempt is what agent/calls does with one try, with stalls in between.
-func attempt(rng *rand.Rand, f *fleet, name string, r Request, backend func() string) try {
+// runAttempt does what agent/calls does for one attempt, with stalls between the
+// steps.
+func runAttempt(rng *rand.Rand, fleet *agents, name string, r Request, backend func() string) attempt {
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
-	run, a, err := take(ctx, f.pick(rng, name), r)
+	run, a, err := take(ctx, fleet.pickTable(rng, name), r)
 	if err != nil && err.Kind() == string(kinds.ClaimedElsewhere) {
-		run, a, err = take(ctx, f.pick(rng, err.Holder()), r)
+		run, a, err = take(ctx, fleet.pickTable(rng, err.Holder()), r)
 	}
 	switch {
 	case err != nil:
-		return try{notRun: err.NotRun()}
+		return attempt{notRun: err.NotRun()}
 	case a != nil:
-		return try{replayed: string(a.Body)}
+		return attempt{replayed: string(a.Body)}
 	}
-	stall(rng)
+	maybeStall(rng)
 	if rng.IntN(4) == 0 {
 		run.Release()
-		return try{notRun: true}
+		return attempt{notRun: true}
 	}
 	run.Start()
-	stall(rng)
+	maybeStall(rng)
 	value := backend()
 	if rng.IntN(4) == 0 {
-		run.Lose()
-		return try{value: value}
+		run.FinishUnknown()
+		return attempt{value: value}
 	}
 	run.Finish(&Answer{Body: []byte(value)})
-	return try{value: value}
+	return attempt{value: value}
 }
 
-// take looks up and claims until one of both decides.
+// take calls Lookup and Claim until one of them decides.
 func take(ctx context.Context, table *Table, r Request) (*Run, *Answer, *kinds.Error) {
 	for {
 		if a, err, known := table.Lookup(ctx, r); known {
@@ -192,8 +194,8 @@
 	}
 }
 
-// stall freezes a tenth of the tries far beyond their deadline.
-func stall(rng *rand.Rand) {
+// maybeStall suspends a tenth of the attempts far beyond their deadline.
+func maybeStall(rng *rand.Rand) {
 	if rng.IntN(10) == 0 {
 		time.Sleep(5 * time.Second)
 	}
--- a/agent/once/once_test.go
+++ b/agent/once/once_test.go
@@ -15,7 +15,7 @@
 
 var answer = &Answer{Status: 201, Body: []byte("order 7")}
 
-// claim expects the right to run.
+// claim claims a key and requires that it gets the right to run.
 func claim(t *testing.T, table *Table, r Request) *Run {
 	t.Helper()
 	run, a, err := table.Claim(t.Context(), r)
@@ -25,8 +25,8 @@
 	return run
 }
 
-// refusedWith expects both ways to answer to refuse alike.
-func refusedWith(t *testing.T, table *Table, r Request, kind string, notRun bool) *kinds.Error {
+// requireRefusal requires that Claim fails with the given kind and proof.
+func requireRefusal(t *testing.T, table *Table, r Request, kind string, notRun bool) *kinds.Error {
 	t.Helper()
 	run, a, err := table.Claim(t.Context(), r)
 	require.Nil(t, run)
@@ -37,14 +37,14 @@
 	return err
 }
 
-// The order ran and the caller repeats it: it gets the same whole answer. With
-// another body under the same key it is told so, and a second caller's equal
-// key is another key.
+// A caller that repeats an order which has run gets the same complete answer. A
+// request with another body under the same key is refused, and the same key of
+// another caller is a different key.
 func TestRepeatGetsTheSameAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := newFakeLog()
 		table, _ := start(t, log, "a")
-		r := request()
+		r := newRequest()
 		run := claim(t, table, r)
 		run.Start()
 		run.Finish(answer)
@@ -56,31 +56,31 @@
 		require.Nil(t, err)
 		require.Same(t, answer, got)
 
-		// Later, after the table has cleaned up: the run must not be forgotten
-		// before its key is, or the order would run again.
-		time.Sleep(2 * sweepEvery)
-		claim(t, table, request()).Release()
+		// A sweep must not remove the run before its key is dropped, or the order
+		// would run again.
+		time.Sleep(2 * sweepInterval)
+		claim(t, table, newRequest()).Release()
 		_, got, err = table.Claim(t.Context(), r)
 		require.Nil(t, err)
 		require.Same(t, answer, got)
 
 		other := r
 		other.Hash = fold.Hash{2}
-		refusedWith(t, table, other, string(kinds.KeyReused), true)
+		requireRefusal(t, table, other, string(kinds.KeyReused), true)
 		other.Hash = r.Hash
-		other.Hash[15]++ // collides in the stream, which holds short hashes
-		refusedWith(t, table, other, string(kinds.KeyReused), true)
+		other.Hash[15]++ // the short hash in the stream is the same
+		requireRefusal(t, table, other, string(kinds.KeyReused), true)
 		other.Key.Caller = "clinic"
 		claim(t, table, other).Release()
 	})
 }
 
-// The caller's first try still runs when its second comes, through another
-// entry: the second waits and gets the first's answer. It holds no slot.
-func TestSecondTryJoinsTheRun(t *testing.T) {
+// A caller's second attempt arrives through another entry while the first still
+// runs: it waits without a slot and gets the first one's answer.
+func TestSecondAttemptWaitsForTheRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table, _ := start(t, newFakeLog(), "a")
-		r := request()
+		r := newRequest()
 		run := claim(t, table, r)
 		run.Start()
 		go func() {
@@ -92,49 +92,49 @@
 		require.Nil(t, err)
 		require.Same(t, answer, got)
 
-		// A joiner whose time ends first must not hear "not run".
-		r = request()
+		// A waiting attempt whose deadline passes first must not get "not run".
+		r = newRequest()
 		run = claim(t, table, r)
 		run.Start()
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		_, err, _ = table.Lookup(ctx, r)
 		require.Equal(t, string(kinds.OutcomeUnknown), err.Kind())
-		run.Lose()
-		refusedWith(t, table, r, string(kinds.OutcomeUnknown), false)
+		run.FinishUnknown()
+		requireRefusal(t, table, r, string(kinds.OutcomeUnknown), false)
 	})
 }
 
-// The first try owned the key and was given up before it was sent (its entry
-// died, its deadline passed). "Not run" was true: the repeat runs, at this
-// agent, without a second claim. The waiting second try takes over.
+// The first attempt owned the key and was abandoned before it was sent (its entry
+// crashed or its deadline passed). The answer "not run" was true: the repeat runs
+// at this agent without a second claim. A second attempt that waits takes over.
 func TestUnstartedKeyRunsLater(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := newFakeLog()
 		table, _ := start(t, log, "a")
-		r := request()
+		r := newRequest()
 		run := claim(t, table, r)
 		second, a, err := table.Claim(t.Context(), r)
 		require.True(t, second == nil && a == nil && err == nil, "it must wait without a slot")
-		goesOn := make(chan bool)
+		canClaim := make(chan bool)
 		go func() {
 			_, _, known := table.Lookup(t.Context(), r)
-			goesOn <- !known
+			canClaim <- !known
 		}()
 		synctest.Wait()
 		run.Release()
-		require.True(t, <-goesOn)
+		require.True(t, <-canClaim)
 		claim(t, table, r).Release()
-		require.Equal(t, 1, log.count())
+		require.Equal(t, 1, log.appendCount())
 	})
 }
 
-// Two tries of a key wait for the same claim. The one whose time ends first
-// must not hear "not run": the other may yet run it.
-func TestSharedClaimIsNotGivenUpAsNotRun(t *testing.T) {
+// Two attempts of a key wait for the same claim. The one whose deadline passes first
+// must not get "not run", because the other may still run the request.
+func TestSharedClaimTimeoutIsOutcomeUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table, _ := start(t, slowAppends{newFakeLog(), time.Second}, "a")
-		r := request()
+		r := newRequest()
 		go func() { claim(t, table, r).Release() }()
 		synctest.Wait()
 		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
@@ -145,167 +145,169 @@
 	})
 }
 
-// The log takes the claim and its answer is lost. The agent reads back, finds
-// the claim and runs the request once; the log holds one record. Where the
-// request was lost instead, reading back shows so and it is written again.
+// The log stores the claim but its answer is lost. The agent reads back, finds the
+// claim and runs the request once; the log contains one record. If the append
+// itself was lost, reading back doesn't find the claim and it is appended again.
 func TestLostAppendAnswerIsReadBack(t *testing.T) {
-	for name, f := range map[string]fate{"answer lost": answered, "request lost": dropped} {
+	for name, outcome := range map[string]appendOutcome{"answer lost": storedUnanswered, "request lost": requestLost} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				log := newFakeLog()
 				first := true
-				log.set(func() fate {
+				log.setOutcomes(func() appendOutcome {
 					if first {
 						first = false
-						return f
+						return outcome
 					}
-					return taken
+					return stored
 				})
 				table, _ := start(t, log, "a")
-				claim(t, table, request()).Release()
+				claim(t, table, newRequest()).Release()
 				require.Len(t, log.records, 1)
 			})
 		})
 	}
 }
 
-// The claim's answer is lost and reads fail too: the caller hears "not run,
-// log unavailable" in time. The claim stood in the log all along. Once reads
-// work again it is ours and unstarted: the repeat runs here without another
-// claim, and nowhere else.
-func TestAbandonedClaimThatLandsIsOursAndUnstarted(t *testing.T) {
+// The answer to the claim's append is lost and reads fail too: the caller gets "not
+// run, log unavailable" in time. The log has contained the claim all along. Once
+// reads work again, the key belongs to this agent and is unstarted: the repeat runs
+// here without another claim, and at no other agent.
+func TestAbandonedClaimThatIsStoredStaysUnstarted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := newFakeLog()
-		log.set(always(answered))
+		log.setOutcomes(alwaysOutcome(storedUnanswered))
 		a, _ := start(t, log, "a")
 		b, _ := start(t, log, "b")
 		synctest.Wait()
 		log.mu.Lock()
-		log.readDown = true
+		log.failReads = true
 		log.mu.Unlock()
-		r := request()
+		r := newRequest()
 		began := time.Now()
-		// The tail's long poll was open before reads failed and would deliver.
-		time.Sleep(longPoll + time.Second)
-		err := refusedWith(t, a, r, string(kinds.LogUnavailable), true)
+		// The tail's long poll was open before reads failed and would still return
+		// records; wait until it has ended.
+		time.Sleep(longPollWait + time.Second)
+		err := requireRefusal(t, a, r, string(kinds.LogUnavailable), true)
 		require.Positive(t, err.Answer().RetryAfter)
-		require.Less(t, time.Since(began), longPoll+2*time.Second+defaultClaimTimeout)
+		require.Less(t, time.Since(began), longPollWait+2*time.Second+defaultClaimTimeout)
 
 		log.mu.Lock()
-		log.readDown = false
+		log.failReads = false
 		log.mu.Unlock()
 		time.Sleep(2 * maxBackoff)
-		before := log.count()
-		held := refusedWith(t, b, r, string(kinds.ClaimedElsewhere), true)
+		before := log.appendCount()
+		held := requireRefusal(t, b, r, string(kinds.ClaimedElsewhere), true)
 		require.Equal(t, "a", held.Holder())
 		claim(t, a, r).Release()
-		require.Equal(t, before, log.count())
+		require.Equal(t, before, log.appendCount())
 	})
 }
 
-// The log is down. New keys are refused at once, "not run", and without taking
-// a slot (Lookup); keys that are known here are served as ever. When the log
-// is back, so are claims.
+// The log is unavailable. New keys are refused at once with "not run" and without
+// taking a slot (Lookup); keys that ran here are still answered. Claims work again
+// when the log is available again.
 func TestLogOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := newFakeLog()
 		table, _ := start(t, log, "a")
-		known := request()
+		known := newRequest()
 		run := claim(t, table, known)
 		run.Start()
 		run.Finish(answer)
 
-		log.set(always(refused))
-		fresh := request()
+		log.setOutcomes(alwaysOutcome(refused))
+		newKeyRequest := newRequest()
 		began := time.Now()
-		refusedWith(t, table, fresh, string(kinds.LogUnavailable), true)
+		requireRefusal(t, table, newKeyRequest, string(kinds.LogUnavailable), true)
 		require.Less(t, time.Since(began), 100*time.Millisecond)
-		_, err, isKnown := table.Lookup(t.Context(), fresh)
+		_, err, isKnown := table.Lookup(t.Context(), newKeyRequest)
 		require.True(t, isKnown, "refused without a slot")
 		require.Equal(t, string(kinds.LogUnavailable), err.Kind())
 		got, err, _ := table.Lookup(t.Context(), known)
 		require.Nil(t, err)
 		require.Same(t, answer, got)
 
-		log.set(nil)
+		log.setOutcomes(nil)
 		time.Sleep(logDownPause)
-		_, _, isKnown = table.Lookup(t.Context(), fresh)
+		_, _, isKnown = table.Lookup(t.Context(), newKeyRequest)
 		require.False(t, isKnown)
-		claim(t, table, fresh).Release()
+		claim(t, table, newKeyRequest).Release()
 	})
 }
 
-// Agent a owns the key and is frozen before it sends. Meanwhile b must not run
-// it, and names a. When a goes on, the key is still its own.
-func TestFrozenOwnerStaysTheOwner(t *testing.T) {
+// Agent a owns the key and is suspended before it sends. Meanwhile b must not run
+// the request and must name a as the owner. When a resumes, it still owns the key.
+func TestSuspendedOwnerStaysTheOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := newFakeLog()
 		a, _ := start(t, log, "a")
 		b, _ := start(t, log, "b")
-		r := request()
+		r := newRequest()
 		run := claim(t, a, r)
 		time.Sleep(5 * time.Minute)
-		require.Equal(t, "a", refusedWith(t, b, r, string(kinds.ClaimedElsewhere), true).Holder())
+		require.Equal(t, "a", requireRefusal(t, b, r, string(kinds.ClaimedElsewhere), true).Holder())
 		run.Start()
 		run.Finish(answer)
 	})
 }
 
-// The agent dies with a key of which nobody knows whether it ran, and is
-// started again under the same name. It must say so and not run it: the entry
-// would otherwise come back here for ever, or the order be doubled.
+// An agent crashes with a key whose request may have run, and is restarted under the
+// same name. It must answer outcome_unknown: with claimed_elsewhere the entry would
+// send the request back to this agent for ever, and a run could duplicate the
+// order.
 func TestRestartedAgentDoesNotRunItsOldKeys(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := newFakeLog()
 		first, stop := start(t, log, "a")
-		r := request()
+		r := newRequest()
 		claim(t, first, r).Start()
 		stop()
 		second, _ := start(t, log, "a")
-		refusedWith(t, second, r, string(kinds.OutcomeUnknown), false)
+		requireRefusal(t, second, r, string(kinds.OutcomeUnknown), false)
 	})
 }
 
-// Keys that can't be judged: too old for the window, from the future, and
-// finished ones whose answer was evicted or whose window has passed.
-func TestKeysThatCantBeJudged(t *testing.T) {
+// Keys whose request must not run: those that are too old for the window or from the
+// future, and finished ones whose answer was evicted or whose window has passed.
+func TestKeysThatAreNeverRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := newFakeLog()
 		table, _ := start(t, log, "a")
-		table.cfg.MaxHeldBytes = 2 * answer.bytes()
+		table.cfg.MaxHeldBytes = 2 * answer.size()
 		at := func(d time.Duration) Request { return Request{Key: newKey(time.Now().Add(d))} }
-		refusedWith(t, table, at(-testTerms.Window), string(kinds.KeyTooOld), true)
-		refusedWith(t, table, at(2*testTerms.Skew), string(kinds.BadRequest), true)
+		requireRefusal(t, table, at(-testLimits.Window), string(kinds.KeyTooOld), true)
+		requireRefusal(t, table, at(2*testLimits.Skew), string(kinds.BadRequest), true)
 
-		first := request()
-		for i, r := range []Request{first, request(), request()} {
+		first := newRequest()
+		for i, r := range []Request{first, newRequest(), newRequest()} {
 			run := claim(t, table, r)
 			run.Start()
 			run.Finish(answer)
-			require.LessOrEqual(t, table.Stats().HeldBytes, 2*answer.bytes(), i)
+			require.LessOrEqual(t, table.Stats().HeldBytes, 2*answer.size(), i)
 		}
-		refusedWith(t, table, first, string(kinds.OutcomeUnknown), false)
+		requireRefusal(t, table, first, string(kinds.OutcomeUnknown), false)
 
-		time.Sleep(testTerms.Window + time.Minute)
-		refusedWith(t, table, first, string(kinds.KeyTooOld), true)
-		claim(t, table, request()).Release() // moves the fold's clock
-		time.Sleep(2 * sweepEvery)
-		claim(t, table, request()).Release()
+		time.Sleep(testLimits.Window + time.Minute)
+		requireRefusal(t, table, first, string(kinds.KeyTooOld), true)
+		claim(t, table, newRequest()).Release() // advances the clock of the keys' state
+		time.Sleep(2 * sweepInterval)
+		claim(t, table, newRequest()).Release()
 		require.Zero(t, table.Stats().HeldBytes)
 		require.Zero(t, table.Stats().Runs)
 	})
 }
 
-// A burst of orders comes at once. One append carries all claims that wait,
-// and the share of the log's rate is kept however many come.
+// A burst of orders arrives at once. One append carries all claims that wait, and
+// the agent stays within its share of the log's append rate however many arrive.
 func TestGroupCommitKeepsTheAppendRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := newFakeLog()
 		table := newTable(log, "a")
-		table.cfg.Terms = func() Terms {
-			terms := testTerms
-			terms.AppendsPerS = 10
-			return terms
+		table.cfg.Limits = func() Limits {
+			limits := testLimits
+			limits.AppendsPerS = 10
+			return limits
 		}
 		run(t, table)
 		var wg sync.WaitGroup
@@ -313,32 +315,33 @@
 		for i := range burst {
 			wg.Go(func() {
 				time.Sleep(time.Duration(i) * time.Millisecond)
-				run, _, err := table.Claim(t.Context(), request())
+				run, _, err := table.Claim(t.Context(), newRequest())
 				require.Nil(t, err)
 				run.Release()
 			})
 		}
 		wg.Wait()
-		require.LessOrEqual(t, log.count(), 7)
+		require.LessOrEqual(t, log.appendCount(), 7)
 	})
 }
 
-// The caller hears not_run: true for its key, takes a new one and renews twice.
-// Order: its first try holds the key and waits for the entry's go; its second,
-// through another entry, waits for the first until its own deadline and is told
-// deadline_too_short, "not run"; then the first gets its go and runs. The agent
-// knows that another try of the very key may still run.
-func TestRepeatOfAKeyThatMayYetRunIsUnknown(t *testing.T) {
+// Guards against a renewal that runs twice because the caller got "not run" for its
+// key and used a new one. How it came about: the first attempt has the key and waits
+// for the entry's go. The second, through another entry, waits for the first until
+// its own deadline and got deadline_too_short with "not run". Then the first gets its
+// go and runs. The agent knows that another attempt of the same key may still run, so
+// the answer must be outcome_unknown.
+func TestRepeatOfAKeyThatMayStillRunIsUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table, _ := start(t, newFakeLog(), "a")
-		r := request()
+		r := newRequest()
 		first := claim(t, table, r)
 		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 		defer cancel()
 		_, err, known := table.Lookup(ctx, r)
 		require.True(t, known)
 		require.NotNil(t, err)
-		first.Start() // the go has come: the request runs
+		first.Start() // the go has arrived: the request runs
 		first.Finish(answer)
 		require.False(t, err.NotRun(), "%v", err)
 		require.Equal(t, string(kinds.OutcomeUnknown), err.Kind())
