--- a/capacity/steps_test.go
+++ b/capacity/steps_test.go
@@ -46,14 +46,14 @@
 
 func newStepFleet(servers, slots int, engine pb.AgentClient) *stepFleet {
 	f := &stepFleet{
-		snap:   &fleet.Snapshot{By: map[string][]*fleet.Server{}, ByName: map[string]*fleet.Server{}},
+		snap:   &fleet.Snapshot{ByPool: map[string][]*fleet.Server{}, ByName: map[string]*fleet.Server{}},
 		flying: map[string]*atomic.Int64{}, changed: make(chan struct{}),
 	}
 	for i := range servers {
 		state := agentState(agentName(i), 0)
 		state.Version, state.Slots, state.Running, state.Queued = sampleVersion, int32(slots), 0, 0
 		sv := &fleet.Server{Name: state.Name, FailureDomain: domainOf(i), Kind: "engine", Serves: "model-0", State: state, Client: engine}
-		f.snap.By["model/model-0"] = append(f.snap.By["model/model-0"], sv)
+		f.snap.ByPool["model/model-0"] = append(f.snap.ByPool["model/model-0"], sv)
 		f.snap.ByName[sv.Name], f.flying[sv.Name] = sv, &atomic.Int64{}
 	}
 	return f
--- a/entry/calls/calls_test.go
+++ b/entry/calls/calls_test.go
@@ -343,7 +343,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := start(t, Config{}, refuses(claimed), answers)
-			s.fleet.snap.By[fleet.ServicePool("orders")] = s.fleet.snap.By[fleet.ServicePool("orders")][:1]
+			s.fleet.snap.ByPool[fleet.ServicePool("orders")] = s.fleet.snap.ByPool[fleet.ServicePool("orders")][:1]
 			setup(s)
 			got := s.send(t, "POST", "/svc/orders/renew", newKey()).failure(t)
 			require.Equal(t, "outcome_unknown", got.Kind)
--- a/entry/calls/fake_test.go
+++ b/entry/calls/fake_test.go
@@ -165,7 +165,7 @@
 // domain i. The first agent has the least load and is picked first.
 func start(t *testing.T, cfg Config, scripts ...func(*fakeAgent, *pb.CallOpen, stream) error) *site {
 	s := &site{fleet: &fakeFleet{
-		snap: &fleet.Snapshot{By: map[string][]*fleet.Server{}, ByName: map[string]*fleet.Server{}},
+		snap: &fleet.Snapshot{ByPool: map[string][]*fleet.Server{}, ByName: map[string]*fleet.Server{}},
 		own:  map[string]int{}, ends: map[string][]fleet.Outcome{}, outside: map[string]*fakeAgent{},
 	}}
 	for i, script := range scripts {
@@ -178,7 +178,7 @@
 			State:  &pb.AgentState{Name: name, Ready: true, Slots: 100, Running: int32(10 * i)},
 		}
 		s.fleet.snap.ByName[name] = server
-		s.fleet.snap.By[fleet.ServicePool("orders")] = append(s.fleet.snap.By[fleet.ServicePool("orders")], server)
+		s.fleet.snap.ByPool[fleet.ServicePool("orders")] = append(s.fleet.snap.ByPool[fleet.ServicePool("orders")], server)
 	}
 	cfg.Agents = s.fleet
 	s.handler = New(cfg)
--- a/entry/completions/completions_test.go
+++ b/entry/completions/completions_test.go
@@ -138,7 +138,7 @@
 // start makes an entry before fake engines' agents. The first is warm for
 // every prompt "p" and gets it until it has been tried.
 func start(t *testing.T, scripts ...script) *site {
-	s := &site{fleet: &fakeFleet{snap: &fleet.Snapshot{By: map[string][]*fleet.Server{}, ByName: map[string]*fleet.Server{}}}}
+	s := &site{fleet: &fakeFleet{snap: &fleet.Snapshot{ByPool: map[string][]*fleet.Server{}, ByName: map[string]*fleet.Server{}}}}
 	for i, run := range scripts {
 		s.add(t, fmt.Sprintf("vm-%d", i), run)
 	}
@@ -170,7 +170,7 @@
 	s.agents = append(s.agents, f)
 	s.fleet.snap.ByName[name] = server
 	pool := fleet.ModelPool("drafter")
-	s.fleet.snap.By[pool] = append(s.fleet.snap.By[pool], server)
+	s.fleet.snap.ByPool[pool] = append(s.fleet.snap.ByPool[pool], server)
 }
 
 func (s *site) post(t *testing.T, body string) *http.Response {
--- a/entry/fleet/agents.go
+++ b/entry/fleet/agents.go
@@ -19,19 +19,19 @@
 
 // Times of the picture.
 const (
-	// DefaultSilent is how long an agent may say nothing before it counts as
+	// DefaultReportTimeout is how long an agent may say nothing before it counts as
 	// not ready: three of the reports that it owes each second.
-	DefaultSilent = 3 * time.Second
+	DefaultReportTimeout = 3 * time.Second
 	// publishInterval coalesces load reports; a change of readiness is
 	// published at once.
 	publishInterval = 20 * time.Millisecond
-	// upkeepInterval is how often outliers are judged and, while the pools of
+	// maintenanceInterval is how often outliers are judged and, while the pools of
 	// new agents are being learnt, the subset is chosen again.
-	upkeepInterval = time.Second
-	// retireGrace is the shortest time for which a retired connection stays.
-	retireGrace = 2 * time.Second
-	// quietLog limits lines about one failing agent.
-	quietLog = 10 * time.Second
+	maintenanceInterval = time.Second
+	// retireGracePeriod is the shortest time for which a retired connection stays.
+	retireGracePeriod = 2 * time.Second
+	// logInterval limits lines about one failing agent.
+	logInterval = 10 * time.Second
 )
 
 // The windows of a connection, for answers on their way. They are fixed: where
@@ -44,7 +44,7 @@
 
 // Buffers of a connection. The defaults of grpc-go (32 KB each way) would
 // cost more than all else that is kept of an agent.
-const connBuffer = 8 << 10
+const connBufferSize = 8 << 10
 
 // VMs is the platform's VM list as last heard (confsync.VMWatcher).
 type VMs interface {
@@ -61,44 +61,44 @@
 	Viewer        confsync.Viewer
 	Subset        subset.Config
 	Eject         eject.Config
-	// Owned lists the models whose steps this entry owns now, each of which
+	// OwnedModels lists the models whose steps this entry owns now, each of which
 	// needs a wider subset; nil: none ever.
-	Owned func() []string
-	// Silent overrides DefaultSilent.
-	Silent time.Duration
-	Logger *zap.Logger
+	OwnedModels func() []string
+	// ReportTimeout overrides DefaultSilent.
+	ReportTimeout time.Duration
+	Logger        *zap.Logger
 }
 
 // Agents watches this entry's subset of the agents. It implements Watcher.
 type Agents struct {
 	cfg Config
 	log *zap.Logger
-	// limited is for lines under failure: each message once per quietLog.
-	limited *zap.Logger
-	snap    atomic.Pointer[Snapshot]
-	load    *loads
-	tell    broadcast
-	pace    atomic.Int64 // the interval asked of agents, in ns
+	// limitedLog is for lines under failure: each message once per quietLog.
+	limitedLog     *zap.Logger
+	snap           atomic.Pointer[Snapshot]
+	work           *workTracker
+	changed        broadcast
+	reportInterval atomic.Int64 // the interval asked of agents, in ns
 
 	mu     sync.Mutex // guards what follows
 	agents map[string]*agent
 	// retired are no longer in the picture; each closes with its last work.
 	retired []*agent
 	// pools remembers what agents serve, also of those not watched.
-	pools   map[string]string
-	learnt  bool // pools changed since the subset was chosen
-	dirty   bool // a load report waits to be published
-	wide    subset.RaisedPicks
-	closing bool
-	watches sync.WaitGroup
+	pools        map[string]string
+	poolsChanged bool // pools changed since the subset was chosen
+	dirty        bool // a load report waits to be published
+	raisedPicks  subset.RaisedPicks
+	closing      bool
+	watches      sync.WaitGroup
 }
 
 var _ Watcher = (*Agents)(nil)
 
 // New returns a picture without servers; Run fills it.
 func New(cfg Config) *Agents {
-	if cfg.Silent <= 0 {
-		cfg.Silent = DefaultSilent
+	if cfg.ReportTimeout <= 0 {
+		cfg.ReportTimeout = DefaultReportTimeout
 	}
 	if cfg.Logger == nil {
 		cfg.Logger = zap.NewNop()
@@ -106,12 +106,12 @@
 	log := logs.Part(cfg.Logger, "fleet")
 	a := &Agents{
 		cfg: cfg,
-		log: log, limited: logs.Limited(log, quietLog),
-		load:   newLoads(cfg.Eject),
+		log: log, limitedLog: logs.Limited(log, logInterval),
+		work:   newWorkTracker(cfg.Eject),
 		agents: map[string]*agent{},
 		pools:  map[string]string{},
 	}
-	a.snap.Store(&Snapshot{By: map[string][]*Server{}, ByName: map[string]*Server{}})
+	a.snap.Store(&Snapshot{ByPool: map[string][]*Server{}, ByName: map[string]*Server{}})
 	return a
 }
 
@@ -119,13 +119,13 @@
 func (a *Agents) Snapshot() *Snapshot { return a.snap.Load() }
 
 // Changed returns a channel closed at the next change.
-func (a *Agents) Changed() <-chan struct{} { return a.tell.wait() }
+func (a *Agents) Changed() <-chan struct{} { return a.changed.wait() }
 
 // Run keeps the picture until ctx ends, and then closes all connections.
 func (a *Agents) Run(ctx context.Context) {
 	defer a.close()
-	upkeep := time.NewTicker(upkeepInterval)
-	defer upkeep.Stop()
+	maintenance := time.NewTicker(maintenanceInterval)
+	defer maintenance.Stop()
 	publish := time.NewTicker(publishInterval)
 	defer publish.Stop()
 	for {
@@ -142,8 +142,8 @@
 				break wait
 			case <-publish.C:
 				a.publishDirty()
-			case now := <-upkeep.C:
-				if a.upkeep(now) {
+			case now := <-maintenance.C:
+				if a.maintain(now) {
 					break wait
 				}
 			}
@@ -154,19 +154,19 @@
 // reconcile makes the watched agents those of the subset.
 func (a *Agents) reconcile(ctx context.Context) {
 	vms := a.cfg.VMs.VMs()
-	entries, agents := a.members(vms)
+	entries, agents := a.subsetMembers(vms)
 	self := subset.Member{Name: a.cfg.Name, FailureDomain: a.cfg.FailureDomain}
 	wanted := map[string]bool{}
-	for _, name := range subset.Choose(self, entries, agents, a.subsetNow()) {
+	for _, name := range subset.Choose(self, entries, agents, a.subsetConfig()) {
 		wanted[name] = true
 	}
-	a.pace.Store(int64(paceFor(len(wanted))))
+	a.reportInterval.Store(int64(reportIntervalFor(len(wanted))))
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.learnt = false
+	a.poolsChanged = false
 	for _, vm := range vms {
 		if vm.Role == platform.RoleAgent && wanted[vm.Name] {
-			a.keepAgent(ctx, vm)
+			a.ensureWatched(ctx, vm)
 		}
 	}
 	for name, g := range a.agents {
@@ -177,7 +177,7 @@
 	a.publish()
 }
 
-func (a *Agents) members(vms []platform.VM) (entries, agents []subset.Member) {
+func (a *Agents) subsetMembers(vms []platform.VM) (entries, agents []subset.Member) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, vm := range vms {
@@ -193,37 +193,37 @@
 	return entries, agents
 }
 
-// subsetNow is the configured subset, wider where steps are owned.
-func (a *Agents) subsetNow() subset.Config {
+// subsetConfig is the configured subset, wider where steps are owned.
+func (a *Agents) subsetConfig() subset.Config {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	cfg := a.cfg.Subset
-	cfg.MinPicks = a.wide.MinPicks()
+	cfg.MinPicks = a.raisedPicks.MinPicks()
 	return cfg
 }
 
-// widen follows the steps that this entry owns; true: the subset should be
+// updateRaisedPicks follows the steps that this entry owns; true: the subset should be
 // chosen again.
-func (a *Agents) widen(now time.Time) bool {
-	if a.cfg.Owned == nil {
+func (a *Agents) updateRaisedPicks(now time.Time) bool {
+	if a.cfg.OwnedModels == nil {
 		return false
 	}
-	widths := map[string]int{}
-	if models := a.cfg.Owned(); len(models) > 0 { // not under a.mu: it takes locks of its own
-		_, agents := a.members(a.cfg.VMs.VMs())
+	picks := map[string]int{}
+	if models := a.cfg.OwnedModels(); len(models) > 0 { // not under a.mu: it takes locks of its own
+		_, agents := a.subsetMembers(a.cfg.VMs.VMs())
 		self := subset.Member{Name: a.cfg.Name, FailureDomain: a.cfg.FailureDomain}
 		for _, model := range models {
 			pool := ModelPool(model)
-			widths[pool] = subset.PicksForSteps(self, agents, pool, a.trainers(model), a.cfg.Subset)
+			picks[pool] = subset.PicksForSteps(self, agents, pool, a.countTrainers(model), a.cfg.Subset)
 		}
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.wide.Update(now, widths)
+	return a.raisedPicks.Update(now, picks)
 }
 
-// trainers counts the trainers of a model.
-func (a *Agents) trainers(model string) int {
+// countTrainers counts the countTrainers of a model.
+func (a *Agents) countTrainers(model string) int {
 	view := a.cfg.Viewer.View()
 	if view == nil || view.Manifest == nil {
 		return 0
@@ -237,8 +237,8 @@
 	return n
 }
 
-// keepAgent starts watching a VM, or follows what the list says of it now.
-func (a *Agents) keepAgent(ctx context.Context, vm platform.VM) {
+// ensureWatched starts watching a VM, or follows what the list says of it now.
+func (a *Agents) ensureWatched(ctx context.Context, vm platform.VM) {
 	g := a.agents[vm.Name]
 	if g != nil && g.vm.Addr == vm.Addr {
 		g.vm = vm
@@ -249,12 +249,12 @@
 	}
 	g, err := a.dialAgent(vm)
 	if err != nil {
-		a.limited.Error("An agent's address is unusable.", zap.String("vm", vm.Name), zap.Error(err))
+		a.limitedLog.Error("An agent's address is unusable.", zap.String("vm", vm.Name), zap.Error(err))
 		return
 	}
 	a.agents[vm.Name] = g
 	watchCtx, stop := context.WithCancel(ctx)
-	g.stop = stop
+	g.stopWatch = stop
 	a.watches.Add(1)
 	go func() {
 		defer a.watches.Done()
@@ -267,17 +267,17 @@
 // reports are read, as that work must learn of its silence.
 func (a *Agents) retire(g *agent) {
 	g.retired = true
-	g.closeAfter = time.Now().Add(retireGrace)
+	g.closeAfter = time.Now().Add(retireGracePeriod)
 	delete(a.agents, g.vm.Name)
-	a.load.remove(g.vm.Name)
+	a.work.remove(g.vm.Name)
 	a.retired = append(a.retired, g)
 }
 
-// closeIdle closes the retired agents that carry no work any more. The grace
+// closeRetired closes the retired agents that carry no work any more. The grace
 // is for requests that have picked the server and not yet opened their stream.
-func (a *Agents) closeIdle(now time.Time) {
+func (a *Agents) closeRetired(now time.Time) {
 	a.retired = slices.DeleteFunc(a.retired, func(g *agent) bool {
-		if now.Before(g.closeAfter) || g.counter.value.Load() > 0 || g.conn.open.Load() > 0 {
+		if now.Before(g.closeAfter) || g.counter.value.Load() > 0 || g.conn.openCalls.Load() > 0 {
 			return false
 		}
 		g.close()
@@ -285,19 +285,19 @@
 	})
 }
 
-// upkeep judges outliers, closes what is retired, and tells whether the
+// maintain judges outliers, closes what is retired, and tells whether the
 // subset should be chosen again.
-func (a *Agents) upkeep(now time.Time) bool {
-	widened := a.widen(now)
+func (a *Agents) maintain(now time.Time) bool {
+	picksChanged := a.updateRaisedPicks(now)
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.closeIdle(now)
-	ejected, readmitted := a.load.judge(now, a.poolMembers())
+	a.closeRetired(now)
+	ejected, readmitted := a.work.evaluate(now, a.poolMembers())
 	a.logEjections(ejected, readmitted)
 	if len(ejected)+len(readmitted) > 0 {
 		a.publish()
 	}
-	return a.learnt || widened
+	return a.poolsChanged || picksChanged
 }
 
 // logEjections writes one line a change. They are not limited: a line names its
@@ -324,15 +324,15 @@
 	a.watches.Wait()
 }
 
-// Settle waits until every agent of the subset has sent its first report, at
+// WaitForReports waits until every agent of the subset has sent its first report, at
 // most for limit. An entry that takes requests before would refuse them for
 // want of servers that are there.
-func (a *Agents) Settle(ctx context.Context, limit time.Duration) {
-	ctx, cancel := context.WithTimeout(ctx, limit)
+func (a *Agents) WaitForReports(ctx context.Context, timeout time.Duration) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	for {
 		changed := a.Changed()
-		if a.settled() {
+		if a.allReported() {
 			return
 		}
 		select {
@@ -343,7 +343,7 @@
 	}
 }
 
-func (a *Agents) settled() bool {
+func (a *Agents) allReported() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, g := range a.agents {
@@ -354,15 +354,15 @@
 	return len(a.agents) > 0
 }
 
-// Watched is how many agents this entry watches.
-func (a *Agents) Watched() int {
+// CountWatched is how many agents this entry watches.
+func (a *Agents) CountWatched() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return len(a.agents)
 }
 
-// Ejected is how many watched agents are ejected as outliers now.
-func (a *Agents) Ejected() int {
+// CountEjected is how many watched agents are ejected as outliers now.
+func (a *Agents) CountEjected() int {
 	n := 0
 	for _, server := range a.Snapshot().ByName {
 		if server.Ejected {
@@ -372,8 +372,8 @@
 	return n
 }
 
-// Entries is how many live entries the VM list holds, this one included.
-func (a *Agents) Entries() int {
+// CountEntries is how many live entries the VM list holds, this one included.
+func (a *Agents) CountEntries() int {
 	n := 0
 	for _, vm := range a.cfg.VMs.VMs() {
 		if vm.Role == platform.RoleEntry && vm.State == platform.VMLive && vm.Name != a.cfg.Name {
--- a/entry/fleet/agents_test.go
+++ b/entry/fleet/agents_test.go
@@ -24,7 +24,7 @@
 	"dandelionsill.org/wire/pb"
 )
 
-const generous = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
@@ -33,18 +33,18 @@
 	pb.UnimplementedAgentServer
 	reports chan *pb.AgentState
 	end     chan struct{} // one receive ends one Watch
-	// first, where set, is what each Watch begins with.
-	first *pb.AgentState
-	asked chan *pb.WatchRequest
+	// initial, where set, is what each Watch begins with.
+	initial  *pb.AgentState
+	requests chan *pb.WatchRequest
 }
 
 func (f *fakeAgent) Watch(req *pb.WatchRequest, stream pb.Agent_WatchServer) error {
 	select {
-	case f.asked <- req:
+	case f.requests <- req:
 	default:
 	}
-	if f.first != nil {
-		if err := stream.Send(f.first); err != nil {
+	if f.initial != nil {
+		if err := stream.Send(f.initial); err != nil {
 			return err
 		}
 	}
@@ -92,7 +92,7 @@
 func startAgent(t testing.TB, name string) (*fakeAgent, platform.VM) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	f := &fakeAgent{reports: make(chan *pb.AgentState, 100), end: make(chan struct{}), asked: make(chan *pb.WatchRequest, 100)}
+	f := &fakeAgent{reports: make(chan *pb.AgentState, 100), end: make(chan struct{}), requests: make(chan *pb.WatchRequest, 100)}
 	srv := grpc.NewServer()
 	pb.RegisterAgentServer(srv, f)
 	served := make(chan struct{})
@@ -105,7 +105,7 @@
 	return &pb.AgentState{Name: name, Kind: "service", Serves: "orders", Ready: true, Slots: 4, Incarnation: 1}
 }
 
-func startPicture(t testing.TB, list *vmList, change func(*Config)) *Agents {
+func startFleet(t testing.TB, list *vmList, change func(*Config)) *Agents {
 	view := &confsync.View{Manifest: &manifest.Manifest{}}
 	cfg := Config{Name: "e1", FailureDomain: "a", Region: "r", VMs: list, Viewer: confsync.Static{V: view}, Subset: subset.Default, Eject: eject.Default}
 	if change != nil {
@@ -122,24 +122,24 @@
 // startReady starts agent vm-1 and a picture in which it is ready.
 func startReady(t testing.TB, change func(*Config)) (*fakeAgent, *vmList, *Agents) {
 	f, vm := startAgent(t, "vm-1")
-	list, a := listed(t, vm, change)
+	list, a := startWithVM(t, vm, change)
 	f.reports <- report("vm-1")
-	await(t, a, "ready", ready("vm-1"))
+	waitFor(t, a, "ready", ready("vm-1"))
 	return f, list, a
 }
 
-// listed starts a picture of a list that holds one VM.
-func listed(t testing.TB, vm platform.VM, change func(*Config)) (*vmList, *Agents) {
+// startWithVM starts a picture of a list that holds one VM.
+func startWithVM(t testing.TB, vm platform.VM, change func(*Config)) (*vmList, *Agents) {
 	list := &vmList{}
 	list.set(vm)
-	return list, startPicture(t, list, change)
+	return list, startFleet(t, list, change)
 }
 
-// patient never takes an agent's silence for its end.
-func patient(c *Config) { c.Silent = time.Hour }
+// withLongReportTimeout never takes an agent's silence for its end.
+func withLongReportTimeout(c *Config) { c.ReportTimeout = time.Hour }
 
-func await(t testing.TB, a *Agents, what string, ok func(*Snapshot) bool) {
-	limit := time.After(generous)
+func waitFor(t testing.TB, a *Agents, what string, ok func(*Snapshot) bool) {
+	limit := time.After(testTimeout)
 	for {
 		changed := a.Changed()
 		if ok(a.Snapshot()) {
@@ -164,29 +164,29 @@
 // An agent's process dies while the VM list, which lags, still shows its VM
 // as live. Callers must not be sent there: the end of the Watch alone makes
 // the server not ready. When the process is back, its first report makes it ready.
-func TestEndedWatchIsNotReadyAtOnce(t *testing.T) {
-	f, _, a := startReady(t, patient)
+func TestEndedWatchMarksServerNotReady(t *testing.T) {
+	f, _, a := startReady(t, withLongReportTimeout)
 	lost := a.Lost("vm-1")
 	f.end <- struct{}{}
 	<-lost
-	await(t, a, "not ready", notReady("vm-1"))
+	waitFor(t, a, "not ready", notReady("vm-1"))
 	f.reports <- report("vm-1")
-	await(t, a, "ready again", ready("vm-1"))
+	waitFor(t, a, "ready again", ready("vm-1"))
 }
 
 // An agent is frozen (SIGSTOP): the kernel keeps its connection alive and no
 // error ever comes. Only its silence tells; without that watch callers would
 // be sent there until the connection's keepalive gives up.
-func TestSilentAgentIsNotReady(t *testing.T) {
-	f, _, a := startReady(t, func(c *Config) { c.Silent = 100 * time.Millisecond })
-	await(t, a, "not ready", notReady("vm-1"))
+func TestReportTimeoutMarksServerNotReady(t *testing.T) {
+	f, _, a := startReady(t, func(c *Config) { c.ReportTimeout = 100 * time.Millisecond })
+	waitFor(t, a, "not ready", notReady("vm-1"))
 	f.reports <- report("vm-1")
-	await(t, a, "ready again", ready("vm-1"))
+	waitFor(t, a, "ready again", ready("vm-1"))
 }
 
 // A VM leaves. Its agent says so itself, or the manifest or the lagging list
 // does; each of them alone ends new work there.
-func TestLeavingByAnyWord(t *testing.T) {
+func TestLeavingFromAnySource(t *testing.T) {
 	cases := map[string]func(f *fakeAgent, list *vmList, vm platform.VM){
 		"agent": func(f *fakeAgent, _ *vmList, _ platform.VM) {
 			w := report("vm-1")
@@ -202,20 +202,20 @@
 	for name, leave := range cases {
 		t.Run(name, func(t *testing.T) {
 			f, vm := startAgent(t, "vm-1")
-			list, a := listed(t, vm, nil)
+			list, a := startWithVM(t, vm, nil)
 			f.reports <- report("vm-1")
-			await(t, a, "ready", ready("vm-1"))
+			waitFor(t, a, "ready", ready("vm-1"))
 			leave(f, list, vm)
-			await(t, a, "not ready", notReady("vm-1"))
+			waitFor(t, a, "not ready", notReady("vm-1"))
 		})
 	}
 	t.Run("manifest", func(t *testing.T) {
 		f, vm := startAgent(t, "vm-1")
-		_, a := listed(t, vm, func(c *Config) {
+		_, a := startWithVM(t, vm, func(c *Config) {
 			c.Viewer = confsync.Static{V: &confsync.View{Manifest: &manifest.Manifest{Leaving: map[string]bool{"vm-1": true}}}}
 		})
 		f.reports <- report("vm-1")
-		await(t, a, "known", func(s *Snapshot) bool { return s.ByName["vm-1"] != nil })
+		waitFor(t, a, "known", func(s *Snapshot) bool { return s.ByName["vm-1"] != nil })
 		require.False(t, a.Snapshot().ByName["vm-1"].Ready())
 	})
 }
@@ -223,39 +223,39 @@
 // A VM was replaced and another one got its address, while the list still
 // shows the old name. A request meant for the old VM must not reach the new one.
 func TestAddressOfAnotherVM(t *testing.T) {
-	f, _, a := startReady(t, patient)
+	f, _, a := startReady(t, withLongReportTimeout)
 	f.reports <- report("vm-2")
-	await(t, a, "not ready", notReady("vm-1"))
+	waitFor(t, a, "not ready", notReady("vm-1"))
 }
 
 // The list drops a VM while an answer from it is still on its way. The
 // connection must stay until that work has ended, or the answer is cut off.
-func TestRetiredConnectionEndsWithItsWork(t *testing.T) {
+func TestRetiredConnectionClosesAfterItsCalls(t *testing.T) {
 	_, list, a := startReady(t, nil)
 	end := a.Begin("vm-1")
 	g := a.agents["vm-1"]
 	list.set()
-	await(t, a, "gone", func(s *Snapshot) bool { return s.ByName["vm-1"] == nil })
-	late := time.Now().Add(2 * retireGrace)
-	a.upkeep(late)
+	waitFor(t, a, "gone", func(s *Snapshot) bool { return s.ByName["vm-1"] == nil })
+	afterGrace := time.Now().Add(2 * retireGracePeriod)
+	a.maintain(afterGrace)
 	require.NotEqual(t, "SHUTDOWN", g.conn.GetState().String())
 	end(OK)
 	// Work that began from an older snapshot counts only on the connection.
 	ctx, cancel := context.WithCancel(context.Background())
 	_, err := g.client.Watch(ctx, &pb.WatchRequest{})
 	require.NoError(t, err)
-	a.upkeep(late)
+	a.maintain(afterGrace)
 	require.NotEqual(t, "SHUTDOWN", g.conn.GetState().String())
 	cancel()
-	require.Eventually(t, func() bool { return g.conn.open.Load() == 0 }, generous, time.Millisecond)
-	a.upkeep(late.Add(-2 * retireGrace))
+	require.Eventually(t, func() bool { return g.conn.openCalls.Load() == 0 }, testTimeout, time.Millisecond)
+	a.maintain(afterGrace.Add(-2 * retireGracePeriod))
 	require.NotEqual(t, "SHUTDOWN", g.conn.GetState().String())
-	require.Eventually(t, func() bool { a.upkeep(late); return g.conn.GetState().String() == "SHUTDOWN" }, generous, time.Millisecond)
+	require.Eventually(t, func() bool { a.maintain(afterGrace); return g.conn.GetState().String() == "SHUTDOWN" }, testTimeout, time.Millisecond)
 }
 
 // One server of four fails each request. It is ejected while the others are
 // not; when all four fail, the floor keeps most of the pool in use.
-func TestFailingServerIsEjectedButTheFloorIsKept(t *testing.T) {
+func TestFailingServersAreEjectedUpToMaxShare(t *testing.T) {
 	list, vms := &vmList{}, []platform.VM{}
 	for i := range 4 {
 		f, vm := startAgent(t, fmt.Sprintf("vm-%d", i))
@@ -263,14 +263,14 @@
 		vms = append(vms, vm)
 	}
 	list.set(vms...)
-	a := startPicture(t, list, nil)
-	await(t, a, "all", func(s *Snapshot) bool { return len(s.By[ServicePool("orders")]) == 4 })
-	fail := func(name string) {
+	a := startFleet(t, list, nil)
+	waitFor(t, a, "all", func(s *Snapshot) bool { return len(s.ByPool[ServicePool("orders")]) == 4 })
+	failRequests := func(name string) {
 		for range 5 {
 			a.Begin(name)(Failed)
 		}
 	}
-	ejected := func(s *Snapshot) (n int) {
+	countEjected := func(s *Snapshot) (n int) {
 		for _, server := range s.ByName {
 			if server.Ejected {
 				n++
@@ -278,24 +278,24 @@
 		}
 		return n
 	}
-	fail("vm-2")
-	await(t, a, "ejected", func(s *Snapshot) bool { return s.ByName["vm-2"].Ejected })
+	failRequests("vm-2")
+	waitFor(t, a, "ejected", func(s *Snapshot) bool { return s.ByName["vm-2"].Ejected })
 	for _, vm := range vms {
-		fail(vm.Name)
+		failRequests(vm.Name)
 	}
-	a.upkeep(time.Now())
-	require.Equal(t, 1, ejected(a.Snapshot()))
+	a.maintain(time.Now())
+	require.Equal(t, 1, countEjected(a.Snapshot()))
 }
 
 // Operators ask why a server got no work for a while. One line tells when it
 // is ejected, one when it is back: its time is over, or its agent restarted.
 func TestEjectionIsLogged(t *testing.T) {
-	for name, comeBack := range map[string]func(*Agents, *fakeAgent){
-		"in time": func(a *Agents, _ *fakeAgent) { a.upkeep(time.Now().Add(time.Hour)) },
+	for name, readmit := range map[string]func(*Agents, *fakeAgent){
+		"in time": func(a *Agents, _ *fakeAgent) { a.maintain(time.Now().Add(time.Hour)) },
 		"restarted": func(_ *Agents, f *fakeAgent) {
-			anew := report("vm-2")
-			anew.Incarnation++
-			f.reports <- anew
+			restarted := report("vm-2")
+			restarted.Incarnation++
+			f.reports <- restarted
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -307,19 +307,19 @@
 			}
 			list.set(vms...)
 			core, lines := observer.New(zap.InfoLevel)
-			a := startPicture(t, list, func(c *Config) { c.Logger = zap.New(core) })
-			await(t, a, "all", func(s *Snapshot) bool { return len(s.By[ServicePool("orders")]) == 4 })
+			a := startFleet(t, list, func(c *Config) { c.Logger = zap.New(core) })
+			waitFor(t, a, "all", func(s *Snapshot) bool { return len(s.ByPool[ServicePool("orders")]) == 4 })
 			for range 5 {
 				a.Begin("vm-2")(Failed)
 			}
-			await(t, a, "ejected", func(s *Snapshot) bool { return s.ByName["vm-2"].Ejected })
-			comeBack(a, agents["vm-2"])
-			await(t, a, "back", func(s *Snapshot) bool { return !s.ByName["vm-2"].Ejected })
-			var said []string
+			waitFor(t, a, "ejected", func(s *Snapshot) bool { return s.ByName["vm-2"].Ejected })
+			readmit(a, agents["vm-2"])
+			waitFor(t, a, "back", func(s *Snapshot) bool { return !s.ByName["vm-2"].Ejected })
+			var messages []string
 			for _, line := range lines.FilterField(zap.String("vm", "vm-2")).All() {
-				said = append(said, line.Message)
+				messages = append(messages, line.Message)
 			}
-			require.Equal(t, []string{"fleet: An outlier is ejected from its pool.", "fleet: An ejected server is back in its pool."}, said)
+			require.Equal(t, []string{"fleet: An outlier is ejected from its pool.", "fleet: An ejected server is back in its pool."}, messages)
 		})
 	}
 }
@@ -328,50 +328,50 @@
 // request it gets would be a straggler; it is ejected by its time alone. An
 // engine's answers differ in length, so that its stream rate is judged.
 func TestSlowServerIsEjected(t *testing.T) {
-	for kind, feed := range map[string]func(l *loads, s *Server, slow bool){
-		"service": func(l *loads, s *Server, slow bool) {
-			took := 50 * time.Millisecond
+	for kind, addSample := range map[string]func(l *workTracker, s *Server, slow bool){
+		"service": func(l *workTracker, s *Server, slow bool) {
+			duration := 50 * time.Millisecond
 			if slow {
-				took = time.Second
+				duration = time.Second
 			}
-			l.ended(s, OK, took)
+			l.recordOutcome(s, OK, duration)
 		},
-		kindEngine: func(l *loads, s *Server, slow bool) {
+		kindEngine: func(l *workTracker, s *Server, slow bool) {
 			w := report(s.Name)
 			w.Kind, w.Running, w.StreamTokensPerS = kindEngine, 1, 40
 			if slow {
 				w.StreamTokensPerS = 2
 			}
-			l.ended(s, OK, time.Minute)
-			l.heard(w)
-			delete(l.sampled, s.Name)
+			l.recordOutcome(s, OK, time.Minute)
+			l.recordStreamRate(w)
+			delete(l.sampledAt, s.Name)
 		},
 	} {
 		t.Run(kind, func(t *testing.T) {
-			l, members := newLoads(eject.Default), []string{"vm-0", "vm-1", "vm-2", "vm-3"}
+			l, members := newWorkTracker(eject.Default), []string{"vm-0", "vm-1", "vm-2", "vm-3"}
 			for range 5 {
 				for _, name := range members {
 					w := report(name)
 					w.Kind = kind
-					feed(l, &Server{Name: name, Kind: kind, State: w}, name == "vm-2")
+					addSample(l, &Server{Name: name, Kind: kind, State: w}, name == "vm-2")
 				}
 			}
-			out, back := l.judge(time.Now(), map[string][]string{poolOf(&pb.AgentState{Kind: kind, Serves: "orders"}): members})
-			require.Equal(t, []string{"vm-2"}, out)
-			require.Empty(t, back)
-			require.Equal(t, map[string]bool{"vm-2": true}, l.out)
+			ejected, readmitted := l.evaluate(time.Now(), map[string][]string{poolOf(&pb.AgentState{Kind: kind, Serves: "orders"}): members})
+			require.Equal(t, []string{"vm-2"}, ejected)
+			require.Empty(t, readmitted)
+			require.Equal(t, map[string]bool{"vm-2": true}, l.ejected)
 		})
 	}
 }
 
 // A report says that a server is idle and stays the last one while this
 // entry sends it a burst. The candidates must carry the burst.
-func TestCandidatesCarryOwnWork(t *testing.T) {
+func TestCandidatesIncludeOwnLoad(t *testing.T) {
 	_, _, a := startReady(t, nil)
 	for range 3 {
 		defer a.Begin("vm-1")(Abandoned)
 	}
-	pool := a.Snapshot().By[ServicePool("orders")]
+	pool := a.Snapshot().ByPool[ServicePool("orders")]
 	candidates := Candidates(a, pool, "r", nil)
 	require.Equal(t, 3, candidates[0].Load())
 	require.Equal(t, route.SameDomain, candidates[0].Distance)
@@ -393,20 +393,20 @@
 		for i, f := range fakes {
 			f.reports <- report(vms[i].Name)
 		}
-		before := inUse()
+		before := memoryInUse()
 		list.set(vms...)
 		a := New(Config{Name: "e1", VMs: list, Viewer: confsync.Static{V: &confsync.View{}}, Subset: subset.Config{FullBelow: agents}, Eject: eject.Default})
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
 		go func() { defer close(done); a.Run(ctx) }()
-		await(b, a, "all", func(s *Snapshot) bool { return len(s.ByName) == agents })
-		b.ReportMetric(float64(inUse()-before)/agents/1024, "KB/agent")
+		waitFor(b, a, "all", func(s *Snapshot) bool { return len(s.ByName) == agents })
+		b.ReportMetric(float64(memoryInUse()-before)/agents/1024, "KB/agent")
 		cancel()
 		<-done
 	}
 }
 
-func inUse() int64 {
+func memoryInUse() int64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
@@ -415,20 +415,20 @@
 
 // An entry has just started: the list names an agent that has said nothing
 // yet. Were the entry ready now, its first callers would hear "no server".
-func TestSettleWaitsForFirstWords(t *testing.T) {
+func TestWaitForReports(t *testing.T) {
 	f, vm := startAgent(t, "vm-1")
 	list := &vmList{}
-	a := startPicture(t, list, nil)
-	settled := make(chan struct{})
-	go func() { defer close(settled); a.Settle(context.Background(), generous) }()
+	a := startFleet(t, list, nil)
+	done := make(chan struct{})
+	go func() { defer close(done); a.WaitForReports(context.Background(), testTimeout) }()
 	list.set(vm)
-	require.Eventually(t, func() bool { return a.Watched() == 1 }, generous, time.Millisecond)
+	require.Eventually(t, func() bool { return a.CountWatched() == 1 }, testTimeout, time.Millisecond)
 	select {
-	case <-settled:
+	case <-done:
 		require.Fail(t, "settled before the first report")
 	default:
 	}
 	f.reports <- report("vm-1")
-	<-settled
+	<-done
 	require.True(t, ready("vm-1")(a.Snapshot()))
 }
--- a/entry/fleet/api.go
+++ b/entry/fleet/api.go
@@ -17,9 +17,9 @@
 	Serves        string // model or service
 	State         *pb.AgentState
 	Client        pb.AgentClient
-	// InFlight is what this entry has sent and not yet seen end, at the time
+	// InFlightAtReport is what this entry has sent and not yet seen end, at the time
 	// of the snapshot; InFlightNow on the Fleet reads the live counter.
-	InFlight int
+	InFlightAtReport int
 	// Ejected: too slow or failing; used only when the floor demands it.
 	Ejected bool
 	// Local: in this entry's own failure domain.
@@ -33,8 +33,8 @@
 
 // Snapshot is the picture at one moment. Immutable.
 type Snapshot struct {
-	// By maps "model/NAME" and "service/NAME" to that pool's servers, by name order.
-	By map[string][]*Server
+	// ByPool maps "model/NAME" and "service/NAME" to that pool's servers, by name order.
+	ByPool map[string][]*Server
 	// ByName maps a VM's name to its server.
 	ByName map[string]*Server
 }
--- a/entry/fleet/candidates.go
+++ b/entry/fleet/candidates.go
@@ -30,7 +30,7 @@
 		Version:         state.GetVersion(),
 		Slots:           int(state.GetSlots()),
 		ReportedLoad:    int(state.GetRunning() + state.GetQueued()),
-		OwnLoadAtReport: s.InFlight,
+		OwnLoadAtReport: s.InFlightAtReport,
 		OwnLoad:         f.InFlightNow(s.Name),
 		StreamRate:      state.GetStreamTokensPerS(),
 		QueueWait:       time.Duration(state.GetQueueWaitMs()) * time.Millisecond,
--- a/entry/fleet/chooser.go
+++ b/entry/fleet/chooser.go
@@ -41,7 +41,7 @@
 // Pick chooses a server of a pool. policy is made per pick, as it may hang on
 // the candidates. server is nil when nobody is left.
 func (c *Chooser) Pick(pool string, r *route.Request, policy func([]route.Candidate) *route.Policy) (server *Server, choice route.Choice) {
-	servers := c.fleet.Snapshot().By[pool]
+	servers := c.fleet.Snapshot().ByPool[pool]
 	s := c.scratch.Get().(*scratch)
 	defer c.scratch.Put(s)
 	s.candidates = Candidates(c.fleet, servers, c.region, s.candidates)
@@ -52,9 +52,9 @@
 	return servers[choice.Index], choice
 }
 
-// deadlineAdvice tells a caller whose deadline no queue can meet when to come
+// deadlineRetryAfter tells a caller whose deadline no queue can meet when to come
 // back: queues change within seconds.
-const deadlineAdvice = 2 * time.Second
+const deadlineRetryAfter = 2 * time.Second
 
 // Refuse says why nobody of a pool was left. The request is still held.
 func Refuse(held *kinds.Held, pool string, choice route.Choice) *kinds.Error {
@@ -63,14 +63,14 @@
 	case route.StageFresh:
 		return held.Refuse(kinds.StaleWeights, "no server of %s is fresh enough yet", pool)
 	case route.StageDeadline:
-		return held.Refuse(kinds.DeadlineTooShort, "the queues of %s outlast the deadline", pool).WithRetryAfter(deadlineAdvice)
+		return held.Refuse(kinds.DeadlineTooShort, "the queues of %s outlast the deadline", pool).WithRetryAfter(deadlineRetryAfter)
 	default:
-		return held.Refuse(kinds.NoServer, "no server of %s takes work now: %s", pool, emptied(choice.EmptiedBy))
+		return held.Refuse(kinds.NoServer, "no server of %s takes work now: %s", pool, emptiedReason(choice.EmptiedBy))
 	}
 }
 
-// emptied says in a caller's words which filter left nobody.
-func emptied(stage string) string {
+// emptiedReason says in a caller's words which filter left nobody.
+func emptiedReason(stage string) string {
 	switch stage {
 	case route.StageMembers:
 		return "none is known here"
--- a/entry/fleet/conn.go
+++ b/entry/fleet/conn.go
@@ -16,7 +16,7 @@
 // the server was retired, or replaced under its name.
 type countedConn struct {
 	*grpc.ClientConn
-	open atomic.Int64
+	openCalls atomic.Int64
 }
 
 func dial(addr string) (*countedConn, error) {
@@ -24,8 +24,8 @@
 		grpc.WithDisableRetry(),
 		grpc.WithStaticStreamWindowSize(streamWindow),
 		grpc.WithStaticConnWindowSize(connWindow),
-		grpc.WithReadBufferSize(connBuffer),
-		grpc.WithWriteBufferSize(connBuffer))
+		grpc.WithReadBufferSize(connBufferSize),
+		grpc.WithWriteBufferSize(connBufferSize))
 	if err != nil {
 		return nil, err
 	}
@@ -34,38 +34,38 @@
 
 // Invoke carries a unary call.
 func (c *countedConn) Invoke(ctx context.Context, method string, args, reply any, opts ...grpc.CallOption) error {
-	c.open.Add(1)
-	defer c.open.Add(-1)
+	c.openCalls.Add(1)
+	defer c.openCalls.Add(-1)
 	return c.ClientConn.Invoke(ctx, method, args, reply, opts...)
 }
 
 // NewStream opens a stream that counts until it has ended or its context has.
 func (c *countedConn) NewStream(ctx context.Context, desc *grpc.StreamDesc, method string, opts ...grpc.CallOption) (grpc.ClientStream, error) {
-	c.open.Add(1)
+	c.openCalls.Add(1)
 	stream, err := c.ClientConn.NewStream(ctx, desc, method, opts...)
 	if err != nil {
-		c.open.Add(-1)
+		c.openCalls.Add(-1)
 		return nil, err
 	}
 	counted := &countedStream{ClientStream: stream, conn: c}
-	counted.forget = context.AfterFunc(ctx, counted.end)
+	counted.stopHook = context.AfterFunc(ctx, counted.end)
 	return counted, nil
 }
 
 type countedStream struct {
 	grpc.ClientStream
-	conn   *countedConn
-	once   sync.Once
-	forget func() bool // releases the hook on the context
+	conn     *countedConn
+	once     sync.Once
+	stopHook func() bool // releases the hook on the context
 }
 
 func (s *countedStream) RecvMsg(m any) error {
 	err := s.ClientStream.RecvMsg(m)
 	if err != nil {
 		s.end()
-		s.forget()
+		s.stopHook()
 	}
 	return err
 }
 
-func (s *countedStream) end() { s.once.Do(func() { s.conn.open.Add(-1) }) }
+func (s *countedStream) end() { s.once.Do(func() { s.conn.openCalls.Add(-1) }) }
--- a/entry/fleet/pace.go
+++ b/entry/fleet/interval.go
@@ -10,44 +10,44 @@
 
 // What all watched agents together may send to this entry for their reports.
 const (
-	watchBudget = 8 << 10 // B/s
+	reportBudget = 8 << 10 // B/s
 	// reportBytes is what one report under load costs on the connection:
 	// some 60 B and a 32nd of 64 warm prefixes (BenchmarkWatch).
 	reportBytes = 80
-	// An agent makes no more states than one each minPace. At maxPace load is
+	// An agent makes no more states than one each minReportInterval. At maxPace load is
 	// corrected by this entry's own work alone; the agents' heartbeat, each
 	// second, doesn't hang on the pace, so that silence is noticed alike.
-	minPace = 50 * time.Millisecond
-	maxPace = 2 * time.Second
+	minReportInterval = 50 * time.Millisecond
+	maxReportInterval = 2 * time.Second
 	// A stream is opened anew where its pace is off by more than this factor.
-	paceSlack = 1.5
+	maxIntervalRatio = 1.5
 )
 
 var (
-	errPace  = errors.New("the stream's pace is no longer the entry's")
-	errFirst = errors.New("the first state of a stream is partial")
+	errIntervalChanged = errors.New("the stream's pace is no longer the entry's")
+	errPartialFirst    = errors.New("the first state of a stream is partial")
 )
 
-// paceFor is how often an entry that watches n agents wants their load.
-func paceFor(n int) time.Duration {
-	pace := time.Duration(n) * reportBytes * time.Second / watchBudget
-	return min(max(pace, minPace), maxPace)
+// reportIntervalFor is how often an entry that watches n agents wants their load.
+func reportIntervalFor(n int) time.Duration {
+	interval := time.Duration(n) * reportBytes * time.Second / reportBudget
+	return min(max(interval, minReportInterval), maxReportInterval)
 }
 
-func offPace(asked, wanted time.Duration) bool {
-	a, w := float64(asked), float64(wanted)
-	return a > w*paceSlack || w > a*paceSlack
+func intervalDiffers(requested, wanted time.Duration) bool {
+	r, w := float64(requested), float64(wanted)
+	return r > w*maxIntervalRatio || w > r*maxIntervalRatio
 }
 
-// whole returns what a message of a stream says, given the stream's state
+// mergeState returns what a message of a stream says, given the stream's state
 // before it: last itself after a heartbeat. Agents of older releases send
-// whole states only.
-func whole(last, msg *pb.AgentState) (*pb.AgentState, error) {
+// mergeState states only.
+func mergeState(last, msg *pb.AgentState) (*pb.AgentState, error) {
 	switch {
 	case !msg.Partial:
 		return msg, nil
 	case last == nil:
-		return nil, errFirst
+		return nil, errPartialFirst
 	case msg.Seq == 0: // real states count from 1
 		return last, nil
 	}
--- a/entry/fleet/retire_test.go
+++ b/entry/fleet/retire_test.go
@@ -55,15 +55,15 @@
 // told ready and says go; X ends; upkeep sees zero work and closes the
 // connection under T. T waits in Lost for the lock that reconcile holds, so
 // each request picked during a reconcile meets this.
-func TestWorkBegunFromAnOlderSnapshotIsNotCutOff(t *testing.T) {
+func TestCallOnRetiredAgentIsNotInterrupted(t *testing.T) {
 	f, vm := startCallAgent(t, "vm-1")
-	list, a := listed(t, vm, patient)
+	list, a := startWithVM(t, vm, withLongReportTimeout)
 	f.reports <- report("vm-1")
-	await(t, a, "ready", ready("vm-1"))
+	waitFor(t, a, "ready", ready("vm-1"))
 	endX := a.Begin("vm-1")
 	picked := a.Snapshot().ByName["vm-1"]
 	list.set()
-	await(t, a, "gone", func(s *Snapshot) bool { return s.ByName["vm-1"] == nil })
+	waitFor(t, a, "gone", func(s *Snapshot) bool { return s.ByName["vm-1"] == nil })
 
 	endT := a.Begin(picked.Name)
 	defer endT(OK)
@@ -76,7 +76,7 @@
 	require.NoError(t, stream.Send(&pb.CallSend{Part: &pb.CallSend_Go{Go: &pb.CallGo{}}}))
 
 	endX(OK)
-	a.upkeep(time.Now())
+	a.maintain(time.Now())
 	close(f.finish)
 	msg, err = stream.Recv()
 	require.NoError(t, err, "the answer was cut off by this entry itself")
@@ -88,11 +88,11 @@
 // vm-1; the list, or a new choice of the subset, drops vm-1, so that its Watch
 // is stopped; the VM loses its power, or its agent is frozen. Nobody listens
 // for its silence any more, and the channel that the read took never closes.
-func TestSilenceOfARetiredAgentIsNoticed(t *testing.T) {
+func TestRetiredAgentReportTimeout(t *testing.T) {
 	f, vm := startCallAgent(t, "vm-1")
-	list, a := listed(t, vm, func(c *Config) { c.Silent = 100 * time.Millisecond })
+	list, a := startWithVM(t, vm, func(c *Config) { c.ReportTimeout = 100 * time.Millisecond })
 	f.reports <- report("vm-1")
-	await(t, a, "ready", ready("vm-1"))
+	waitFor(t, a, "ready", ready("vm-1"))
 	lost := a.Lost("vm-1")
 	picked := a.Snapshot().ByName["vm-1"]
 	end := a.Begin("vm-1")
@@ -100,7 +100,7 @@
 	_, err := picked.Client.Call(t.Context()) // in flight until the test ends
 	require.NoError(t, err)
 	list.set()
-	await(t, a, "gone", func(s *Snapshot) bool { return s.ByName["vm-1"] == nil })
+	waitFor(t, a, "gone", func(s *Snapshot) bool { return s.ByName["vm-1"] == nil })
 	select {
 	case <-lost:
 	case <-time.After(3 * time.Second):
--- a/entry/fleet/snapshot.go
+++ b/entry/fleet/snapshot.go
@@ -12,8 +12,8 @@
 
 // Reasons for which an agent's reports count as stopped.
 var (
-	errSilent  = errors.New("the agent is silent")
-	errOtherVM = errors.New("the address answers for another VM")
+	errReportTimeout = errors.New("the agent is silent")
+	errWrongVM       = errors.New("the address answers for another VM")
 )
 
 // Pool names, as they stand in Snapshot.By.
@@ -49,8 +49,8 @@
 // keep the one that they hold. a.mu is held.
 func (a *Agents) publish() {
 	a.dirty = false
-	snap := &Snapshot{By: map[string][]*Server{}, ByName: make(map[string]*Server, len(a.agents))}
-	leaving := a.leaving()
+	snap := &Snapshot{ByPool: map[string][]*Server{}, ByName: make(map[string]*Server, len(a.agents))}
+	leaving := a.leavingVMs()
 	for name, g := range a.agents {
 		server := a.serverOf(g, leaving)
 		if server == nil {
@@ -58,16 +58,16 @@
 		}
 		snap.ByName[name] = server
 		pool := poolOf(server.State)
-		snap.By[pool] = append(snap.By[pool], server)
+		snap.ByPool[pool] = append(snap.ByPool[pool], server)
 	}
-	for _, servers := range snap.By {
+	for _, servers := range snap.ByPool {
 		slices.SortFunc(servers, func(x, y *Server) int { return cmp.Compare(x.Name, y.Name) })
 	}
 	a.snap.Store(snap)
-	a.tell.send()
+	a.changed.notify()
 }
 
-func (a *Agents) leaving() map[string]bool {
+func (a *Agents) leavingVMs() map[string]bool {
 	if view := a.cfg.Viewer.View(); view != nil && view.Manifest != nil {
 		return view.Manifest.Leaving
 	}
@@ -76,26 +76,26 @@
 
 // serverOf returns the agent's server, the same one while nothing changed.
 func (a *Agents) serverOf(g *agent, leaving map[string]bool) *Server {
-	state := a.state(g, leaving)
+	state := a.currentState(g, leaving)
 	if state == nil {
 		return nil
 	}
-	ejected := a.load.ejected(g.vm.Name)
+	ejected := a.work.isEjected(g.vm.Name)
 	if last := g.server; last != nil && last.State == state && last.Ejected == ejected {
 		return last
 	}
 	g.server = &Server{
-		Name:          g.vm.Name,
-		Addr:          g.vm.Addr,
-		FailureDomain: g.vm.FailureDomain,
-		Region:        g.vm.Region,
-		Kind:          state.Kind,
-		Serves:        state.Serves,
-		State:         state,
-		Client:        g.client,
-		InFlight:      g.ownAt,
-		Ejected:       ejected,
-		Local:         g.vm.FailureDomain == a.cfg.FailureDomain,
+		Name:             g.vm.Name,
+		Addr:             g.vm.Addr,
+		FailureDomain:    g.vm.FailureDomain,
+		Region:           g.vm.Region,
+		Kind:             state.Kind,
+		Serves:           state.Serves,
+		State:            state,
+		Client:           g.client,
+		InFlightAtReport: g.inFlightAtReport,
+		Ejected:          ejected,
+		Local:            g.vm.FailureDomain == a.cfg.FailureDomain,
 	}
 	return g.server
 }
@@ -127,7 +127,7 @@
 	return b.ch
 }
 
-func (b *broadcast) send() {
+func (b *broadcast) notify() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.ch != nil {
--- a/entry/fleet/watch.go
+++ b/entry/fleet/watch.go
@@ -14,26 +14,26 @@
 
 // Waits between two tries to watch an agent.
 const (
-	rewatchFirst  = 100 * time.Millisecond
-	rewatchMost   = 3 * time.Second
-	rewatchGrowth = 2
+	minRewatchDelay = 100 * time.Millisecond
+	maxRewatchDelay = 3 * time.Second
+	rewatchBackoff  = 2
 )
 
 // agent is one watched agent. Its fields are guarded by Agents.mu, but for
 // those that never change.
 type agent struct {
-	conn    *countedConn
-	client  pb.AgentClient
-	counter *counter
-	stop    context.CancelFunc
-
-	vm      platform.VM
-	report  *pb.AgentState // the agent's last; nil: none yet
-	ownAt   int            // own work in flight when it came
-	lost    chan struct{}  // closed while no reports come
-	isLost  bool
-	retired bool // out of the picture
-	closed  bool
+	conn      *countedConn
+	client    pb.AgentClient
+	counter   *counter
+	stopWatch context.CancelFunc
+
+	vm               platform.VM
+	report           *pb.AgentState // the agent's last; nil: none yet
+	inFlightAtReport int            // own work in flight when it came
+	lost             chan struct{}  // closed while no reports come
+	isLost           bool
+	retired          bool // out of the picture
+	closed           bool
 	// closeAfter is the earliest time at which a retired connection closes.
 	closeAfter time.Time
 	server     *Server
@@ -42,7 +42,7 @@
 // close ends the watch and the connection; a.mu is held.
 func (g *agent) close() {
 	g.closed = true
-	g.stop()
+	g.stopWatch()
 	_ = g.conn.Close()
 }
 
@@ -54,7 +54,7 @@
 	g := &agent{
 		conn:    conn,
 		client:  pb.NewAgentClient(conn),
-		counter: a.load.counter(vm.Name),
+		counter: a.work.counter(vm.Name),
 		vm:      vm,
 		lost:    make(chan struct{}),
 		isLost:  true,
@@ -65,59 +65,59 @@
 
 // watch reads an agent's reports until ctx ends, over as many streams as needed.
 func (a *Agents) watch(ctx context.Context, g *agent) {
-	wait := rewatchFirst
+	delay := minRewatchDelay
 	for ctx.Err() == nil {
-		heard, err := a.watchOnce(ctx, g)
-		if err == errPace {
+		received, err := a.watchOnce(ctx, g)
+		if err == errIntervalChanged {
 			continue
 		}
-		a.lose(g, err)
-		if heard {
-			wait = rewatchFirst
+		a.markLost(g, err)
+		if received {
+			delay = minRewatchDelay
 		}
-		if !sleep.For(ctx, sleep.Jitter(wait)) {
+		if !sleep.For(ctx, sleep.Jitter(delay)) {
 			return
 		}
-		wait = min(wait*rewatchGrowth, rewatchMost)
+		delay = min(delay*rewatchBackoff, maxRewatchDelay)
 	}
 }
 
 // watchOnce reads one stream to its end.
-func (a *Agents) watchOnce(ctx context.Context, g *agent) (heard bool, err error) {
+func (a *Agents) watchOnce(ctx context.Context, g *agent) (received bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	// Not counted: the watch is no work that keeps a connection open.
 	watcher := pb.NewAgentClient(g.conn.ClientConn)
-	pace := time.Duration(a.pace.Load())
-	stream, err := watcher.Watch(ctx, &pb.WatchRequest{Watcher: a.cfg.Name, MinIntervalMs: uint32(pace.Milliseconds())})
+	interval := time.Duration(a.reportInterval.Load())
+	stream, err := watcher.Watch(ctx, &pb.WatchRequest{Watcher: a.cfg.Name, MinIntervalMs: uint32(interval.Milliseconds())})
 	if err != nil {
 		return false, err
 	}
 	// A frozen agent keeps its connection: the kernel answers for it. Only
-	// its silence tells, and work must not wait for the connection to break.
-	silence := time.AfterFunc(a.cfg.Silent, func() { a.lose(g, errSilent) })
-	defer silence.Stop()
+	// its timeout tells, and work must not wait for the connection to break.
+	timeout := time.AfterFunc(a.cfg.ReportTimeout, func() { a.markLost(g, errReportTimeout) })
+	defer timeout.Stop()
 	var report *pb.AgentState
 	for {
 		msg, err := stream.Recv()
 		if err != nil {
-			return heard, err
+			return received, err
 		}
-		if report, err = whole(report, msg); err != nil {
-			return heard, err
+		if report, err = mergeState(report, msg); err != nil {
+			return received, err
 		}
-		silence.Reset(a.cfg.Silent)
-		heard = true
-		a.hear(g, report)
-		if offPace(pace, time.Duration(a.pace.Load())) {
-			return heard, errPace
+		timeout.Reset(a.cfg.ReportTimeout)
+		received = true
+		a.handleReport(g, report)
+		if intervalDiffers(interval, time.Duration(a.reportInterval.Load())) {
+			return received, errIntervalChanged
 		}
 	}
 }
 
-// hear takes an agent's report into the picture; the same one again is a
+// handleReport takes an agent's report into the picture; the same one again is a
 // heartbeat.
-func (a *Agents) hear(g *agent, report *pb.AgentState) {
+func (a *Agents) handleReport(g *agent, report *pb.AgentState) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if g.closed {
@@ -126,23 +126,23 @@
 	if report.Name != g.vm.Name {
 		// The list lags: another VM has got this address. Its answers would
 		// count as those of the VM that was asked for.
-		a.limited.Warn("An address answers for another VM.", zap.String("vm", g.vm.Name), zap.String("answers", report.Name))
-		a.loseLocked(g, errOtherVM)
+		a.limitedLog.Warn("An address answers for another VM.", zap.String("vm", g.vm.Name), zap.String("answers", report.Name))
+		a.markLostLocked(g, errWrongVM)
 		return
 	}
 	last := g.report
 	if last == report && !g.isLost {
-		a.load.heard(report)
+		a.work.recordStreamRate(report)
 		return
 	}
 	urgent := g.isLost || last == nil || last.Ready != report.Ready || last.Leaving != report.Leaving || last.Version != report.Version
 	if last != nil && last.Incarnation != report.Incarnation {
-		if a.load.forget(poolOf(last), g.vm.Name) {
+		if a.work.forget(poolOf(last), g.vm.Name) {
 			a.logEjections(nil, []string{g.vm.Name})
 		}
 	}
 	if last != report { // a heartbeat's load is as old as the report
-		g.report, g.ownAt = report, int(g.counter.value.Load())
+		g.report, g.inFlightAtReport = report, int(g.counter.value.Load())
 	}
 	if g.isLost {
 		g.isLost, g.lost = false, make(chan struct{})
@@ -150,8 +150,8 @@
 	if g.retired {
 		return
 	}
-	a.learn(g.vm.Name, poolOf(report))
-	a.load.heard(report)
+	a.recordPool(g.vm.Name, poolOf(report))
+	a.work.recordStreamRate(report)
 	if urgent {
 		a.publish()
 		return
@@ -159,26 +159,26 @@
 	a.dirty = true
 }
 
-// learn remembers what an agent serves; upkeep then chooses the subset anew.
-func (a *Agents) learn(name, pool string) {
+// recordPool remembers what an agent serves; upkeep then chooses the subset anew.
+func (a *Agents) recordPool(name, pool string) {
 	if a.pools[name] != pool {
 		a.pools[name] = pool
-		a.learnt = true
+		a.poolsChanged = true
 	}
 }
 
-// lose marks an agent as not ready at once: its reports have stopped.
-func (a *Agents) lose(g *agent, err error) {
+// markLost marks an agent as not ready at once: its reports have stopped.
+func (a *Agents) markLost(g *agent, err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.loseLocked(g, err)
+	a.markLostLocked(g, err)
 }
 
-func (a *Agents) loseLocked(g *agent, err error) {
+func (a *Agents) markLostLocked(g *agent, err error) {
 	if g.isLost || g.closed || a.closing {
 		return
 	}
-	a.limited.Info("An agent's reports have stopped.", zap.String("vm", g.vm.Name), zap.Error(err))
+	a.limitedLog.Info("An agent's reports have stopped.", zap.String("vm", g.vm.Name), zap.Error(err))
 	g.isLost = true
 	close(g.lost)
 	a.publish()
@@ -195,17 +195,17 @@
 	return nil
 }
 
-// state is the agent's last report with what the lists say and what we know better.
-func (a *Agents) state(g *agent, leaving map[string]bool) *pb.AgentState {
+// currentState is the agent's last report with what the lists say and what we know better.
+func (a *Agents) currentState(g *agent, leaving map[string]bool) *pb.AgentState {
 	if g.report == nil {
 		return nil
 	}
-	leaves := g.vm.State == platform.VMLeaving || leaving[g.vm.Name]
-	if !g.isLost && (!leaves || g.report.Leaving) {
+	isLeaving := g.vm.State == platform.VMLeaving || leaving[g.vm.Name]
+	if !g.isLost && (!isLeaving || g.report.Leaving) {
 		return g.report
 	}
-	known := proto.CloneOf(g.report)
-	known.Ready = known.Ready && !g.isLost
-	known.Leaving = known.Leaving || leaves
-	return known
+	state := proto.CloneOf(g.report)
+	state.Ready = state.Ready && !g.isLost
+	state.Leaving = state.Leaving || isLeaving
+	return state
 }
--- a/entry/server/build.go
+++ b/entry/server/build.go
@@ -35,18 +35,18 @@
 	"dandelionsill.org/wire/pb"
 )
 
-const part = "entry"
+const component = "entry"
 
-// traceFlush bounds the wait for the last spans at a stop.
-const traceFlush = time.Second
+// traceFlushTimeout bounds the wait for the last spans at a stop.
+const traceFlushTimeout = time.Second
 
-// settleLimit bounds the wait for the agents' first words at a start. Some
+// firstReportsTimeout bounds the wait for the agents' first words at a start. Some
 // agents of the list may be down for good.
-const settleLimit = 10 * time.Second
+const firstReportsTimeout = 10 * time.Second
 
 // entry is the process's parts.
 type entry struct {
-	set         Settings
+	settings    Settings
 	logger      *zap.Logger
 	ring        *explain.Ring
 	platformLog platform.Log
@@ -59,7 +59,7 @@
 	entryPeers  *entryPeers
 	front       *front.Front
 	steps       *steps.Steps
-	start       time.Time
+	startedAt   time.Time
 }
 
 // Build makes the entry's process from its settings. What runs beside the
@@ -80,16 +80,16 @@
 	wait := e.run(ctx)
 	return &run.Process{
 		Servers:      []transport.Server{e.grpc(), e.http()},
-		Ready:        e.ready(ctx),
+		Ready:        e.setReadyFunc(ctx),
 		StopDelay:    set.Process.StopDelay,
 		Drain:        e.drain,
 		DrainTimeout: set.Process.DrainTimeout,
 		Close: func() {
 			e.steps.Close()
 			wait()
-			flush, cancel := context.WithTimeout(context.Background(), traceFlush)
+			flushCtx, cancel := context.WithTimeout(context.Background(), traceFlushTimeout)
 			defer cancel()
-			_ = stopTrace(flush)
+			_ = stopTrace(flushCtx)
 		},
 		Logger: e.logger,
 	}, nil
@@ -97,8 +97,8 @@
 
 func newEntry(set Settings, keys manifest.Keys) (*entry, error) {
 	name := set.Process.Name
-	e := &entry{set: set, logger: logs.New(part, set.Process.LogLevel), start: time.Now()}
-	e.ring = explain.New(name, set.Entry.Explain)
+	e := &entry{settings: set, logger: logs.New(component, set.Process.LogLevel), startedAt: time.Now()}
+	e.ring = explain.New(name, set.Entry.ExplainRecords)
 	e.platformLog = httplog.New(set.Platform.Log, name)
 	if set.Platform.Weights != "" {
 		e.store = httpstore.New(set.Platform.Weights, name)
@@ -118,13 +118,13 @@
 	e.keeper, e.viewer = keeper, keeper
 	e.quarantine = quarantine.New(logs.Part(e.logger, "quarantine"))
 	e.entryPeers = newEntryPeers(name, e.vms)
-	e.quarantine.EnableSharing(quarantine.NewLogStore(e.platformLog), e.entryPeers, logReadsPerS)
+	e.quarantine.EnableSharing(quarantine.NewLogStore(e.platformLog), e.entryPeers, logReadsPerSecond)
 	e.agents = e.newAgents()
-	metrics.Gauge("entry_agents_watched", func() any { return e.agents.Watched() })
-	metrics.Gauge("entry_agents_ejected", func() any { return e.agents.Ejected() })
+	metrics.Gauge("entry_agents_watched", func() any { return e.agents.CountWatched() })
+	metrics.Gauge("entry_agents_ejected", func() any { return e.agents.CountEjected() })
 	e.front = front.New(front.Config{
 		Viewer:     keeper,
-		Entries:    e.sharers(),
+		Entries:    e.limitSharers(),
 		MaxBody:    int64(set.Entry.MaxBody),
 		MaxTimeout: set.Entry.MaxTimeout,
 		Ring:       e.ring,
@@ -137,15 +137,15 @@
 // once it runs, when e.steps is there.
 func (e *entry) newAgents() *fleet.Agents {
 	return fleet.New(fleet.Config{
-		Name:          e.set.Process.Name,
-		FailureDomain: e.set.Process.FailureDomain,
-		Region:        e.set.Process.Region,
+		Name:          e.settings.Process.Name,
+		FailureDomain: e.settings.Process.FailureDomain,
+		Region:        e.settings.Process.Region,
 		VMs:           e.vms,
 		Viewer:        e.keeper,
-		Subset:        e.set.Subset.config(),
-		Eject:         e.set.Eject.config(),
-		Owned:         func() []string { return e.steps.Models() },
-		Silent:        e.set.Entry.Silent,
+		Subset:        e.settings.Subset.config(),
+		Eject:         e.settings.Eject.config(),
+		OwnedModels:   func() []string { return e.steps.Models() },
+		ReportTimeout: e.settings.Entry.ReportTimeout,
 		Logger:        e.logger,
 	})
 }
@@ -153,25 +153,25 @@
 // newSteps makes what serves trainers' steps.
 func (e *entry) newSteps() *steps.Steps {
 	return steps.New(steps.Config{
-		Name:    e.set.Process.Name,
+		Name:    e.settings.Process.Name,
 		Fleet:   e.agents,
 		View:    e.keeper,
 		Log:     e.platformLog,
 		Explain: e.ring,
 		Logger:  logs.Part(e.logger, "steps"),
-		Policy:  e.set.Steps,
+		Policy:  e.settings.Steps,
 
 		Quarantine: e.quarantine,
-		MaxBody:    int64(e.set.Entry.MaxStepBody),
+		MaxBody:    int64(e.settings.Entry.MaxStepBody),
 	})
 }
 
-// sharers tells among how many entries callers' limits are shared.
-func (e *entry) sharers() func() int {
-	if !e.set.Entry.ShareLimits {
+// limitSharers tells among how many entries callers' limits are shared.
+func (e *entry) limitSharers() func() int {
+	if !e.settings.Entry.ShareLimits {
 		return nil
 	}
-	return e.agents.Entries
+	return e.agents.CountEntries
 }
 
 // run starts what runs beside the servers; the returned function waits for
@@ -189,35 +189,35 @@
 }
 
 func (e *entry) grpc() transport.Server {
-	server := run.NewGRPC(e.set.Process.Listen)
+	server := run.NewGRPC(e.settings.Process.Listen)
 	pb.RegisterPeerServer(server.Server, &peerServer{e.keeper, e.quarantine})
 	return server
 }
 
 func (e *entry) http() *khttp.Server {
-	server := run.NewHTTP(e.set.Process.HTTP, khttp.NotFoundHandler(http.HandlerFunc(unknownPath)),
-		khttp.MethodNotAllowedHandler(http.HandlerFunc(wrongMethod)))
-	toServices := calls.New(calls.Config{
+	server := run.NewHTTP(e.settings.Process.HTTP, khttp.NotFoundHandler(http.HandlerFunc(notFound)),
+		khttp.MethodNotAllowedHandler(http.HandlerFunc(methodNotAllowed)))
+	callHandler := calls.New(calls.Config{
 		Agents:      e.agents,
-		Region:      e.set.Process.Region,
-		MaxAttempts: e.set.Entry.MaxAttempts,
-		MaxBuffer:   e.set.Entry.MaxBuffer,
+		Region:      e.settings.Process.Region,
+		MaxAttempts: e.settings.Entry.MaxAttempts,
+		MaxBuffer:   e.settings.Entry.MaxBuffer,
 		Seed:        rand.Uint64(),
 		Ring:        e.ring,
 		Logger:      e.logger,
 		Quarantine:  e.quarantine,
 	})
-	toModels := completions.New(completions.Config{
+	completionHandler := completions.New(completions.Config{
 		Agents:      e.agents,
-		Region:      e.set.Process.Region,
-		MaxAttempts: e.set.Entry.MaxAttempts,
+		Region:      e.settings.Process.Region,
+		MaxAttempts: e.settings.Entry.MaxAttempts,
 		Seed:        rand.Uint64(),
 		Ring:        e.ring,
 		Logger:      e.logger,
 		Quarantine:  e.quarantine,
 	})
-	services := e.front.Handle("entry /svc", toServices.Serve)
-	server.Handle(completions.Path, e.front.Handle("entry "+completions.Path, toModels.Serve))
+	services := e.front.Handle("entry /svc", callHandler.Serve)
+	server.Handle(completions.Path, e.front.Handle("entry "+completions.Path, completionHandler.Serve))
 	server.HandleFunc("/v1/status", e.serveStatus)
 	server.HandleFunc("/v1/versions", e.serveVersions)
 	e.steps.Register(server)
@@ -225,18 +225,18 @@
 	return server
 }
 
-// ready returns what run calls with true once all listen. The entry counts as
-// ready only once it holds a manifest revision and knows its agents: until
+// setReadyFunc returns what run calls with true once all listen. The entry counts as
+// setReadyFunc only once it holds a manifest revision and knows its agents: until
 // then it could only refuse.
-func (e *entry) ready(ctx context.Context) func(bool) {
-	return func(is bool) {
-		if !is {
+func (e *entry) setReadyFunc(ctx context.Context) func(bool) {
+	return func(ready bool) {
+		if !ready {
 			run.SetReady(false)
 			return
 		}
 		go func() {
 			if e.awaitManifest(ctx) {
-				e.agents.Settle(ctx, settleLimit)
+				e.agents.WaitForReports(ctx, firstReportsTimeout)
 				e.awaitQuarantine(ctx)
 				run.SetReady(true)
 			}
@@ -246,8 +246,8 @@
 
 // awaitQuarantine waits until the log was asked for what other entries saw.
 func (e *entry) awaitQuarantine(ctx context.Context) {
-	const look = 10 * time.Millisecond
-	for !e.quarantine.Initialized() && sleep.For(ctx, look) {
+	const pollInterval = 10 * time.Millisecond
+	for !e.quarantine.Initialized() && sleep.For(ctx, pollInterval) {
 	}
 }
 
@@ -267,10 +267,10 @@
 
 // drain returns once no request is in flight and no step is owned.
 func (e *entry) drain(ctx context.Context) error {
-	stepsEnd := make(chan error, 1)
-	go func() { stepsEnd <- e.steps.Drain(ctx) }()
+	stepsDone := make(chan error, 1)
+	go func() { stepsDone <- e.steps.Drain(ctx) }()
 	err := e.front.Drain(ctx)
-	if stepsErr := <-stepsEnd; err == nil {
+	if stepsErr := <-stepsDone; err == nil {
 		err = stepsErr
 	}
 	return err
@@ -280,7 +280,7 @@
 func (e *entry) peers() []string {
 	var addrs []string
 	for _, vm := range e.vms.VMs() {
-		if vm.Name != e.set.Process.Name && vm.Addr != "" {
+		if vm.Name != e.settings.Process.Name && vm.Addr != "" {
 			addrs = append(addrs, vm.Addr)
 		}
 	}
--- a/entry/server/crashes.go
+++ b/entry/server/crashes.go
@@ -13,9 +13,9 @@
 	"dandelionsill.org/wire/pb"
 )
 
-// logReadsPerS is what the quarantines of all entries may ask of the log is counted
+// logReadsPerSecond is what the quarantines of all entries may ask of the log is counted
 // against: it takes several hundred appends a second, and more reads.
-const logReadsPerS = 1000
+const logReadsPerSecond = 1000
 
 // entryPeers tells other entries of servers that ended under requests. It implements
 // quarantine.Peers.
@@ -25,12 +25,12 @@
 	conns *confsync.Conns
 }
 
-// peerConns bounds the connections to other entries: several times the calls that the
+// maxPeerConns bounds the connections to other entries: several times the calls that the
 // quarantine has open at a time.
-const peerConns = 512
+const maxPeerConns = 512
 
 func newEntryPeers(self string, vms *confsync.VMWatcher) *entryPeers {
-	return &entryPeers{self: self, vms: vms, conns: confsync.NewConns(peerConns)}
+	return &entryPeers{self: self, vms: vms, conns: confsync.NewConns(maxPeerConns)}
 }
 
 // Addrs implements quarantine.Peers.
--- a/entry/server/crashes_test.go
+++ b/entry/server/crashes_test.go
@@ -23,7 +23,7 @@
 
 // One entry tells another of servers that ended under a request, and later that they
 // are no longer attributed to it. Agents and the entry itself are not told.
-func TestEntriesTellEachOtherOfEnds(t *testing.T) {
+func TestEntriesShareCrashes(t *testing.T) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	other := quarantine.New(zap.NewNop())
--- a/entry/server/fuzz_test.go
+++ b/entry/server/fuzz_test.go
@@ -37,18 +37,18 @@
 allow = drafter, orders
 `
 
-// fuzzEntry is an entry under fuzzManifest without any agent. Tokens: "p" is
+// newTestEntry is an entry under fuzzManifest without any agent. Tokens: "p" is
 // the caller's, "t" the trainer's, "o" the operator's.
-func fuzzEntry(tb testing.TB) *entry {
+func newTestEntry(tb testing.TB) *entry {
 	m, err := manifest.Parse("test", []byte(fuzzManifest))
 	require.NoError(tb, err)
 	static := confsync.Static{V: &confsync.View{Number: 1, Manifest: m}}
-	set := Settings{Entry: Entry{MaxBody: 4096, MaxStepBody: 4096, MaxAttempts: 2, Explain: 64}}
+	set := Settings{Entry: Entry{MaxBody: 4096, MaxStepBody: 4096, MaxAttempts: 2, ExplainRecords: 64}}
 	set.Process = settings.Process{Name: "e", Listen: "127.0.0.1:0", HTTP: "127.0.0.1:0", LogLevel: "error"}
 	set.Platform = settings.Platform{Log: "http://127.0.0.1:1", VMs: "http://127.0.0.1:1"}
 	e, err := newEntry(set, manifest.Keys{"k": make([]byte, 32)})
 	require.NoError(tb, err)
-	e.viewer = viewer{static, map[string]uint64{}}
+	e.viewer = fakeViewer{static, map[string]uint64{}}
 	e.front = front.New(front.Config{Viewer: static, MaxBody: 4096, Ring: e.ring})
 	e.steps.Close()
 	e.steps = steps.New(steps.Config{Name: "e", Fleet: e.agents, View: static, Log: e.platformLog, Logger: e.logger, MaxBody: 4096})
@@ -81,7 +81,7 @@
 		f.Add(s[0], s[1], s[2], s[3], s[4], s[5], []byte(s[6]))
 	}
 	otel.SetTextMapPropagator(propagation.TraceContext{})
-	e := fuzzEntry(f)
+	e := newTestEntry(f)
 	handler := e.http().Handler
 	f.Fuzz(func(t *testing.T, method, target, token, key, timeout, traceparent string, body []byte) {
 		raw := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\nIdempotency-Key: %s\r\nDandelion-Timeout-Ms: %s\r\ntraceparent: %s\r\nContent-Length: %d\r\n\r\n%s",
--- a/entry/server/input_test.go
+++ b/entry/server/input_test.go
@@ -61,7 +61,7 @@
 		"explain by a caller":     {"GET /v1/explain/r", "p", "", "", "forbidden", "no operator's"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			e := fuzzEntry(t)
+			e := newTestEntry(t)
 			method, target, _ := strings.Cut(c.request, " ")
 			r := httptest.NewRequest(method, target, strings.NewReader(c.body))
 			if c.token != "" {
@@ -79,7 +79,7 @@
 			require.True(t, got.Error.NotRun)
 			require.NotEmpty(t, got.Error.RequestID)
 			require.Equal(t, got.Error.RequestID, w.Header().Get(answer.HeaderRequestID))
-			require.Empty(t, e.viewer.(viewer).announced)
+			require.Empty(t, e.viewer.(fakeViewer).announced)
 		})
 	}
 }
--- a/entry/server/operators.go
+++ b/entry/server/operators.go
@@ -24,8 +24,8 @@
 	// explainTimeout bounds the wait for the agents; one that is down must not
 	// keep an operator from the records of the others.
 	explainTimeout = time.Second
-	// explainParallel bounds the agents asked at once.
-	explainParallel = 32
+	// maxExplainCalls bounds the agents asked at once.
+	maxExplainCalls = 32
 )
 
 // Status is the answer to GET /v1/status.
@@ -49,14 +49,14 @@
 }
 
 func (e *entry) serveStatus(w http.ResponseWriter, r *http.Request) {
-	if !only(w, r, http.MethodGet) {
+	if !allowMethod(w, r, http.MethodGet) {
 		return
 	}
 	status := Status{
 		Status: run.Status{
-			Name:        e.set.Process.Name,
+			Name:        e.settings.Process.Name,
 			Role:        platform.RoleEntry,
-			Incarnation: uint64(e.start.UnixMilli()),
+			Incarnation: uint64(e.startedAt.UnixMilli()),
 			Ready:       run.IsReady(),
 			Leaving:     e.leaving(),
 			Peers:       e.peers(),
@@ -71,12 +71,12 @@
 
 func (e *entry) leaving() bool {
 	view := e.viewer.View()
-	return view != nil && view.Manifest != nil && view.Manifest.Leaving[e.set.Process.Name]
+	return view != nil && view.Manifest != nil && view.Manifest.Leaving[e.settings.Process.Name]
 }
 
 func (e *entry) agentStatus() []AgentStatus {
 	var all []AgentStatus
-	for pool, servers := range e.agents.Snapshot().By {
+	for pool, servers := range e.agents.Snapshot().ByPool {
 		for _, s := range servers {
 			all = append(all, statusOf(pool, s, e.agents.InFlightNow(s.Name)))
 		}
@@ -114,13 +114,13 @@
 type Explanation struct {
 	ID        string     `json:"id"`
 	Decisions []Decision `json:"decisions"`
-	// Silent names agents that did not answer: their records are missing.
-	Silent []string `json:"silent"`
+	// Unresponsive names agents that did not answer: their records are missing.
+	Unresponsive []string `json:"silent"`
 }
 
 func explainHandler(e *entry) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if !only(w, r, http.MethodGet) {
+		if !allowMethod(w, r, http.MethodGet) {
 			return
 		}
 		requestID, err := front.RequestID(r)
@@ -145,12 +145,12 @@
 	if id == "" {
 		return Explanation{}, kinds.Hold().Refuse(kinds.BadRequest, "the path ends with the id to explain")
 	}
-	return gather(r.Context(), id, e.ring.Find(id), e.agents.Snapshot().ByName), nil
+	return collectDecisions(r.Context(), id, e.ring.Find(id), e.agents.Snapshot().ByName), nil
 }
 
-// gather adds the records of the agents that this entry watches to its own.
-func gather(ctx context.Context, id string, own []*pb.Decision, servers map[string]*fleet.Server) Explanation {
-	out := Explanation{ID: id, Decisions: decisions(own), Silent: []string{}}
+// collectDecisions adds the records of the agents that this entry watches to its own.
+func collectDecisions(ctx context.Context, id string, own []*pb.Decision, servers map[string]*fleet.Server) Explanation {
+	out := Explanation{ID: id, Decisions: convertDecisions(own), Unresponsive: []string{}}
 	ctx, cancel := context.WithTimeout(ctx, explainTimeout)
 	defer cancel()
 	type reply struct {
@@ -159,7 +159,7 @@
 		err   error
 	}
 	replies := make(chan reply, len(servers))
-	slots := make(chan struct{}, explainParallel)
+	slots := make(chan struct{}, maxExplainCalls)
 	for name, server := range servers {
 		go func() {
 			slots <- struct{}{}
@@ -171,16 +171,16 @@
 	for range servers {
 		got := <-replies
 		if got.err != nil {
-			out.Silent = append(out.Silent, got.name)
+			out.Unresponsive = append(out.Unresponsive, got.name)
 		}
-		out.Decisions = append(out.Decisions, decisions(got.found)...)
+		out.Decisions = append(out.Decisions, convertDecisions(got.found)...)
 	}
-	slices.Sort(out.Silent)
+	slices.Sort(out.Unresponsive)
 	slices.SortStableFunc(out.Decisions, func(a, b Decision) int { return cmp.Compare(a.AtMS, b.AtMS) })
 	return out
 }
 
-func decisions(from []*pb.Decision) []Decision {
+func convertDecisions(from []*pb.Decision) []Decision {
 	out := make([]Decision, 0, len(from))
 	for _, d := range from {
 		out = append(out, Decision{d.AtMs, d.Process, d.Part, d.Id, d.What, d.Why, d.TraceId})
@@ -216,23 +216,23 @@
 	})
 }
 
-// only answers 405 to other methods.
-func only(w http.ResponseWriter, r *http.Request, method string) bool {
+// allowMethod answers 405 to other methods.
+func allowMethod(w http.ResponseWriter, r *http.Request, method string) bool {
 	if r.Method == method {
 		return true
 	}
 	w.Header().Set("Allow", method)
-	wrongMethod(w, r)
+	methodNotAllowed(w, r)
 	return false
 }
 
-// unknownPath and wrongMethod answer in the form of all refusals: a caller's
+// notFound and wrongMethod answer in the form of all refusals: a caller's
 // client that reads "not_run" must not trip over a plain text.
-func unknownPath(w http.ResponseWriter, r *http.Request) {
+func notFound(w http.ResponseWriter, r *http.Request) {
 	refuse(w, r, http.StatusNotFound, "there is no path %s", r.URL.Path)
 }
 
-func wrongMethod(w http.ResponseWriter, r *http.Request) {
+func methodNotAllowed(w http.ResponseWriter, r *http.Request) {
 	refuse(w, r, http.StatusMethodNotAllowed, "%s does not take %s", r.URL.Path, r.Method)
 }
 
--- a/entry/server/server_test.go
+++ b/entry/server/server_test.go
@@ -40,20 +40,20 @@
 staleness_bound = 1
 `
 
-type viewer struct {
+type fakeViewer struct {
 	confsync.Static
 	announced map[string]uint64
 }
 
-func (v viewer) Announce(model string, version uint64) { v.announced[model] = version }
+func (v fakeViewer) Announce(model string, version uint64) { v.announced[model] = version }
 
-type store struct {
+type fakeStore struct {
 	platform.WeightStore
 	latest uint64
 	err    error
 }
 
-func (s store) Latest(context.Context, string) (platform.WeightInfo, error) {
+func (s fakeStore) Latest(context.Context, string) (platform.WeightInfo, error) {
 	return platform.WeightInfo{Version: s.latest}, s.err
 }
 
@@ -65,20 +65,20 @@
 	require.NoError(t, err)
 	cases := map[string]struct {
 		token, body string
-		store       store
+		store       fakeStore
 		status      int
 		want        uint64
 	}{
-		"new":           {"t", `{"version":5}`, store{latest: 5}, 200, 5},
-		"store is down": {"t", `{"version":5}`, store{err: errors.New("down")}, 200, 5},
-		"not stored":    {"t", `{"version":6}`, store{latest: 5}, 400, 0},
-		"no version":    {"t", `{}`, store{latest: 5}, 400, 0},
-		"malformed":     {"t", `{"version":`, store{latest: 5}, 400, 0},
-		"not a trainer": {"x", `{"version":5}`, store{latest: 5}, 401, 0},
+		"new":           {"t", `{"version":5}`, fakeStore{latest: 5}, 200, 5},
+		"store is down": {"t", `{"version":5}`, fakeStore{err: errors.New("down")}, 200, 5},
+		"not stored":    {"t", `{"version":6}`, fakeStore{latest: 5}, 400, 0},
+		"no version":    {"t", `{}`, fakeStore{latest: 5}, 400, 0},
+		"malformed":     {"t", `{"version":`, fakeStore{latest: 5}, 400, 0},
+		"not a trainer": {"x", `{"version":5}`, fakeStore{latest: 5}, 401, 0},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			v := viewer{confsync.Static{V: &confsync.View{Manifest: m}}, map[string]uint64{}}
+			v := fakeViewer{confsync.Static{V: &confsync.View{Manifest: m}}, map[string]uint64{}}
 			e := &entry{viewer: v, store: c.store, logger: zap.NewNop()}
 			r := httptest.NewRequest("POST", "/v1/versions", strings.NewReader(c.body))
 			r.Header.Set("Authorization", "Bearer "+c.token)
@@ -112,29 +112,29 @@
 	require.Equal(t, 200, resp.StatusCode)
 }
 
-// explainer answers from a ring as an agent does.
-type explainer struct {
+// fakeExplainAgent answers from a ring as an agent does.
+type fakeExplainAgent struct {
 	pb.AgentClient
 	ring *explain.Ring
 	err  error
 }
 
-func (x explainer) Explain(_ context.Context, r *pb.ExplainRequest, _ ...grpc.CallOption) (*pb.ExplainReply, error) {
+func (x fakeExplainAgent) Explain(_ context.Context, r *pb.ExplainRequest, _ ...grpc.CallOption) (*pb.ExplainReply, error) {
 	return &pb.ExplainReply{Decisions: x.ring.Find(r.Id)}, x.err
 }
 
 // An operator asks why a completion was slow. The agents know it by the ids of
 // its tries; an agent that is down is named, and the others' records come all
 // the same, in the order of their times, and none of another request's.
-func TestExplainAsksAgentsForTheTries(t *testing.T) {
+func TestExplainCollectsAgentDecisions(t *testing.T) {
 	ring := explain.New("vm-1", 64)
 	for _, id := range []string{"r", "r.abc-1", "rs"} {
 		ring.Add(context.Background(), "generate", id, "got "+id, "")
 	}
 	own := []*pb.Decision{{AtMs: 1, Id: "r", What: "sent to vm-1"}}
-	servers := map[string]*fleet.Server{"vm-1": {Client: explainer{ring: ring}}, "vm-2": {Client: explainer{err: io.EOF}}}
-	got := gather(context.Background(), "r", own, servers)
-	require.Equal(t, []string{"vm-2"}, got.Silent)
+	servers := map[string]*fleet.Server{"vm-1": {Client: fakeExplainAgent{ring: ring}}, "vm-2": {Client: fakeExplainAgent{err: io.EOF}}}
+	got := collectDecisions(context.Background(), "r", own, servers)
+	require.Equal(t, []string{"vm-2"}, got.Unresponsive)
 	var what []string
 	for _, d := range got.Decisions {
 		what = append(what, d.What)
@@ -145,8 +145,8 @@
 
 // Trainers choose groups' ids and callers request ids. Whatever they hold, the
 // operator gets the records of just that id.
-func TestExplainTakesAnyID(t *testing.T) {
-	e := fuzzEntry(t)
+func TestExplainAcceptsAnyID(t *testing.T) {
+	e := newTestEntry(t)
 	for _, id := range []string{"a//b", "a/../b", "./a", "t/1/g x/0", "t/1/é%/0", "t/1/?#/0"} {
 		e.ring.Add(context.Background(), "steps", id, "what", "why")
 		r := httptest.NewRequest("GET", explainPrefix+url.PathEscape(id), nil)
@@ -178,7 +178,7 @@
 // An entry is built, started against a platform that is down, and stopped. It
 // is never ready, refuses callers as not ready, and leaves nothing running.
 func TestBuildWithoutAPlatform(t *testing.T) {
-	set := Settings{Entry: Entry{MaxBody: 10, MaxAttempts: 1, Explain: 16}}
+	set := Settings{Entry: Entry{MaxBody: 10, MaxAttempts: 1, ExplainRecords: 16}}
 	set.Process = settings.Process{Name: "e", Listen: "127.0.0.1:0", HTTP: "127.0.0.1:0", LogLevel: "error"}
 	set.Platform = settings.Platform{Log: "http://127.0.0.1:1", VMs: "http://127.0.0.1:1"}
 	public, _, err := ed25519.GenerateKey(nil)
--- a/entry/server/settings.go
+++ b/entry/server/settings.go
@@ -23,14 +23,14 @@
 
 // Entry bounds what callers may send and get.
 type Entry struct {
-	MaxBody     int           `ini:"entry.max_body" default:"1048576" min:"1" help:"largest request body in bytes; a lower bound of the manifest goes first"`
-	MaxStepBody int           `ini:"entry.max_step_body" default:"67108864" min:"1" help:"largest step that a trainer posts, in bytes"`
-	MaxTimeout  time.Duration `ini:"entry.max_timeout" default:"1h" min:"1s" max:"24h" help:"longest deadline that a caller may ask for"`
-	MaxBuffer   int           `ini:"entry.max_buffer" default:"8388608" min:"1024" help:"bytes of an answer that are held back until it is whole"`
-	MaxAttempts int           `ini:"entry.max_attempts" default:"4" min:"1" max:"16" help:"servers that one request is tried on"`
-	ShareLimits bool          `ini:"entry.share_limits" default:"true" help:"share callers' limits among the live entries; false: each entry enforces them whole"`
-	Explain     int           `ini:"entry.explain" default:"8192" min:"16" max:"1000000" help:"decision records kept for dandelionctl explain"`
-	Silent      time.Duration `ini:"entry.silent" default:"3s" min:"100ms" max:"1m" help:"an agent that says nothing for so long counts as not ready"`
+	MaxBody        int           `ini:"entry.max_body" default:"1048576" min:"1" help:"largest request body in bytes; a lower bound of the manifest goes first"`
+	MaxStepBody    int           `ini:"entry.max_step_body" default:"67108864" min:"1" help:"largest step that a trainer posts, in bytes"`
+	MaxTimeout     time.Duration `ini:"entry.max_timeout" default:"1h" min:"1s" max:"24h" help:"longest deadline that a caller may ask for"`
+	MaxBuffer      int           `ini:"entry.max_buffer" default:"8388608" min:"1024" help:"bytes of an answer that are held back until it is whole"`
+	MaxAttempts    int           `ini:"entry.max_attempts" default:"4" min:"1" max:"16" help:"servers that one request is tried on"`
+	ShareLimits    bool          `ini:"entry.share_limits" default:"true" help:"share callers' limits among the live entries; false: each entry enforces them whole"`
+	ExplainRecords int           `ini:"entry.explain" default:"8192" min:"16" max:"1000000" help:"decision records kept for dandelionctl explain"`
+	ReportTimeout  time.Duration `ini:"entry.silent" default:"3s" min:"100ms" max:"1m" help:"an agent that says nothing for so long counts as not ready"`
 }
 
 // Subset sizes the part of the agents that this entry watches.
--- a/entry/server/versions.go
+++ b/entry/server/versions.go
@@ -30,7 +30,7 @@
 }
 
 func (e *entry) serveVersions(w http.ResponseWriter, r *http.Request) {
-	if !only(w, r, http.MethodPost) {
+	if !allowMethod(w, r, http.MethodPost) {
 		return
 	}
 	id, err := front.RequestID(r)
@@ -71,7 +71,7 @@
 	if e.store == nil {
 		return nil
 	}
-	latest, err := e.latest(ctx, model)
+	latest, err := e.latestVersion(ctx, model)
 	if err != nil {
 		e.logger.Warn("The weight store can't be asked about an announced version.", zap.String("model", model), zap.Error(err))
 		return nil
@@ -82,7 +82,7 @@
 	return nil
 }
 
-func (e *entry) latest(ctx context.Context, model string) (platform.WeightInfo, error) {
+func (e *entry) latestVersion(ctx context.Context, model string) (platform.WeightInfo, error) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	return e.store.Latest(ctx, model)
--- a/entry/steps/fakes_test.go
+++ b/entry/steps/fakes_test.go
@@ -407,10 +407,10 @@
 }
 
 func (f *fakeFleet) Snapshot() *fleet.Snapshot {
-	snap := &fleet.Snapshot{By: map[string][]*fleet.Server{}, ByName: map[string]*fleet.Server{}}
+	snap := &fleet.Snapshot{ByPool: map[string][]*fleet.Server{}, ByName: map[string]*fleet.Server{}}
 	add := func(pool string, a *fakeAgent) {
-		s := &fleet.Server{Name: a.name, State: a.state(), Client: a, InFlight: f.InFlightNow(a.name)}
-		snap.By[pool] = append(snap.By[pool], s)
+		s := &fleet.Server{Name: a.name, State: a.state(), Client: a, InFlightAtReport: f.InFlightNow(a.name)}
+		snap.ByPool[pool] = append(snap.ByPool[pool], s)
 		snap.ByName[a.name] = s
 	}
 	for _, a := range f.agents {
--- a/entry/steps/held.go
+++ b/entry/steps/held.go
@@ -30,7 +30,7 @@
 	timer := time.AfterFunc(s.cfg.MaxHeldWait, startGenerating)
 	defer timer.Stop()
 	var wg sync.WaitGroup
-	for _, sv := range s.cfg.Fleet.Snapshot().By["model/"+st.trainer.Model] {
+	for _, sv := range s.cfg.Fleet.Snapshot().ByPool["model/"+st.trainer.Model] {
 		wg.Go(func() { s.collectHeldFrom(ctx, st, sv) })
 	}
 	wg.Wait()
--- a/entry/steps/schedule.go
+++ b/entry/steps/schedule.go
@@ -212,7 +212,7 @@
 		leaving = v.Manifest.Leaving
 	}
 	var eligible, ejected []straggle.Server // eligible includes leaving servers, to move their runs
-	for _, sv := range snap.By["model/"+st.trainer.Model] {
+	for _, sv := range snap.ByPool["model/"+st.trainer.Model] {
 		state := sv.State
 		if leaving[sv.Name] || state.GetLeaving() {
 			eligible = append(eligible, straggle.Server{Name: sv.Name, Leaving: true})
@@ -243,7 +243,7 @@
 func (s *Steps) view(sv *fleet.Server, deepQueue bool) straggle.Server {
 	state := sv.State
 	ownInFlight := s.cfg.Fleet.InFlightNow(sv.Name)
-	others := max(0, int(state.GetRunning()+state.GetQueued())-sv.InFlight)
+	others := max(0, int(state.GetRunning()+state.GetQueued())-sv.InFlightAtReport)
 	free := slots(state) - others - ownInFlight
 	full := free <= 0
 	if full && (others > 0 || deepQueue) && s.unstartedRuns[sv.Name] < 1+slots(state)/slotsPerQueuedRun {
--- a/entry/steps/score.go
+++ b/entry/steps/score.go
@@ -116,7 +116,7 @@
 func (s *Steps) leastLoadedScorer(service string) *fleet.Server {
 	var best *fleet.Server
 	least := 0
-	for _, sv := range s.cfg.Fleet.Snapshot().By["service/"+service] {
+	for _, sv := range s.cfg.Fleet.Snapshot().ByPool["service/"+service] {
 		if !sv.Ready() {
 			continue
 		}
