--- a/entry/fleet/agents.go
+++ b/entry/fleet/agents.go
@@ -17,36 +17,41 @@
 	"dandelionsill.org/wire/pb"
 )
 
-// Times of the picture.
+// Intervals and timeouts of Agents.
 const (
-	// DefaultReportTimeout is how long an agent may say nothing before it counts as
-	// not ready: three of the reports that it owes each second.
+	// DefaultReportTimeout is how long an agent may send nothing before it
+	// counts as not ready. Agents send a heartbeat each second, so this is
+	// three missed heartbeats.
 	DefaultReportTimeout = 3 * time.Second
-	// publishInterval coalesces load reports; a change of readiness is
-	// published at once.
+	// publishInterval is how often collected load reports are published in a
+	// new snapshot. A change of readiness is published at once.
 	publishInterval = 20 * time.Millisecond
-	// maintenanceInterval is how often outliers are judged and, while the pools of
-	// new agents are being learnt, the subset is chosen again.
+	// maintenanceInterval is how often outliers are evaluated, retired
+	// connections are closed and, if an agent reported a new pool, the subset
+	// is chosen again.
 	maintenanceInterval = time.Second
-	// retireGracePeriod is the shortest time for which a retired connection stays.
+	// retireGracePeriod is the shortest time for which a retired connection stays open.
 	retireGracePeriod = 2 * time.Second
-	// logInterval limits lines about one failing agent.
+	// logInterval is the shortest time between two log lines with the same
+	// message about failing agents.
 	logInterval = 10 * time.Second
 )
 
-// The windows of a connection, for answers on their way. They are fixed: where
-// grpc-go tunes them itself it answers each report with a ping, which costs
-// more than the report.
+// Flow control windows of a stream and of a connection, in bytes. They are
+// fixed because grpc-go's automatic tuning answers each report with a ping,
+// which costs more than the report.
 const (
 	streamWindow = 1 << 20
 	connWindow   = 4 << 20
 )
 
-// Buffers of a connection. The defaults of grpc-go (32 KB each way) would
-// cost more than all else that is kept of an agent.
+// connBufferSize is the size of a connection's read buffer and of its write
+// buffer, in bytes. The defaults of grpc-go (32 KB each) would take more memory
+// than everything else that is kept for an agent.
 const connBufferSize = 8 << 10
 
-// VMs is the platform's VM list as last heard (confsync.VMWatcher).
+// VMs returns the platform's VM list as last received, and a channel that is
+// closed at its next change. confsync.VMWatcher implements it.
 type VMs interface {
 	VMs() []platform.VM
 	Changed() <-chan struct{}
@@ -61,32 +66,35 @@
 	Viewer        confsync.Viewer
 	Subset        subset.Config
 	Eject         eject.Config
-	// OwnedModels lists the models whose steps this entry owns now, each of which
-	// needs a wider subset; nil: none ever.
+	// OwnedModels lists the models whose steps this entry owns now. Each of
+	// them needs a larger subset. If it is nil, the entry never owns steps.
 	OwnedModels func() []string
-	// ReportTimeout overrides DefaultSilent.
+	// ReportTimeout is DefaultReportTimeout if it is 0 or less.
 	ReportTimeout time.Duration
 	Logger        *zap.Logger
 }
 
-// Agents watches this entry's subset of the agents. It implements Watcher.
+// Agents watches this entry's subset of the agents and publishes their state as
+// snapshots. It implements Watcher.
 type Agents struct {
 	cfg Config
 	log *zap.Logger
-	// limitedLog is for lines under failure: each message once per quietLog.
+	// limitedLog logs failures, each message at most once per logInterval.
 	limitedLog     *zap.Logger
 	snap           atomic.Pointer[Snapshot]
 	work           *workTracker
 	changed        broadcast
 	reportInterval atomic.Int64 // the interval asked of agents, in ns
 
-	mu     sync.Mutex // guards what follows
+	mu     sync.Mutex // guards the fields below
 	agents map[string]*agent
-	// retired are no longer in the picture; each closes with its last work.
+	// retired are agents that are no longer in the snapshot. Each connection
+	// is closed when its last work has ended.
 	retired []*agent
-	// pools remembers what agents serve, also of those not watched.
+	// pools maps a VM's name to the pool that it last reported, also for
+	// agents that are no longer watched.
 	pools        map[string]string
-	poolsChanged bool // pools changed since the subset was chosen
+	poolsChanged bool // pools changed after the subset was chosen
 	dirty        bool // a load report waits to be published
 	raisedPicks  subset.RaisedPicks
 	closing      bool
@@ -95,7 +103,7 @@
 
 var _ Watcher = (*Agents)(nil)
 
-// New returns a picture without servers; Run fills it.
+// New returns Agents with an empty snapshot. Run fills it.
 func New(cfg Config) *Agents {
 	if cfg.ReportTimeout <= 0 {
 		cfg.ReportTimeout = DefaultReportTimeout
@@ -115,13 +123,15 @@
 	return a
 }
 
-// Snapshot returns the picture of this moment.
+// Snapshot returns the current snapshot.
 func (a *Agents) Snapshot() *Snapshot { return a.snap.Load() }
 
-// Changed returns a channel closed at the next change.
+// Changed returns a channel that is closed at the next change of the snapshot
+// or when this entry's work at a server ends.
 func (a *Agents) Changed() <-chan struct{} { return a.changed.wait() }
 
-// Run keeps the picture until ctx ends, and then closes all connections.
+// Run keeps the snapshot up to date until ctx ends, and then closes all
+// connections.
 func (a *Agents) Run(ctx context.Context) {
 	defer a.close()
 	maintenance := time.NewTicker(maintenanceInterval)
@@ -151,7 +161,8 @@
 	}
 }
 
-// reconcile makes the watched agents those of the subset.
+// reconcile chooses the subset, starts watching the agents that are new in it
+// and retires those that are no longer in it.
 func (a *Agents) reconcile(ctx context.Context) {
 	vms := a.cfg.VMs.VMs()
 	entries, agents := a.subsetMembers(vms)
@@ -177,6 +188,8 @@
 	a.publish()
 }
 
+// subsetMembers splits vms into entries and agents. An agent whose pool is not
+// known yet has an empty pool.
 func (a *Agents) subsetMembers(vms []platform.VM) (entries, agents []subset.Member) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -193,7 +206,8 @@
 	return entries, agents
 }
 
-// subsetConfig is the configured subset, wider where steps are owned.
+// subsetConfig returns the configured subset sizes, raised for the pools whose
+// steps this entry owns.
 func (a *Agents) subsetConfig() subset.Config {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -202,14 +216,14 @@
 	return cfg
 }
 
-// updateRaisedPicks follows the steps that this entry owns; true: the subset should be
-// chosen again.
+// updateRaisedPicks raises the subset size of the pools whose steps this entry
+// owns. It reports whether the subset must be chosen again.
 func (a *Agents) updateRaisedPicks(now time.Time) bool {
 	if a.cfg.OwnedModels == nil {
 		return false
 	}
 	picks := map[string]int{}
-	if models := a.cfg.OwnedModels(); len(models) > 0 { // not under a.mu: it takes locks of its own
+	if models := a.cfg.OwnedModels(); len(models) > 0 { // called without a.mu, as it takes other locks
 		_, agents := a.subsetMembers(a.cfg.VMs.VMs())
 		self := subset.Member{Name: a.cfg.Name, FailureDomain: a.cfg.FailureDomain}
 		for _, model := range models {
@@ -222,7 +236,7 @@
 	return a.raisedPicks.Update(now, picks)
 }
 
-// countTrainers counts the countTrainers of a model.
+// countTrainers returns the number of trainers of a model in the manifest.
 func (a *Agents) countTrainers(model string) int {
 	view := a.cfg.Viewer.View()
 	if view == nil || view.Manifest == nil {
@@ -237,7 +251,8 @@
 	return n
 }
 
-// ensureWatched starts watching a VM, or follows what the list says of it now.
+// ensureWatched starts watching a VM that is not watched yet, or stores its
+// current entry of the VM list. a.mu is held.
 func (a *Agents) ensureWatched(ctx context.Context, vm platform.VM) {
 	g := a.agents[vm.Name]
 	if g != nil && g.vm.Addr == vm.Addr {
@@ -245,7 +260,7 @@
 		return
 	}
 	if g != nil {
-		a.retire(g) // replaced under its name
+		a.retire(g) // another VM with the same name replaced it
 	}
 	g, err := a.dialAgent(vm)
 	if err != nil {
@@ -262,9 +277,10 @@
 	}()
 }
 
-// retire takes an agent out of the picture. Its connection closes with the
-// last work in flight there, so that no answer is cut off; until then its
-// reports are read, as that work must learn of its silence.
+// retire removes an agent from the snapshot. Its connection stays open until
+// the last work in flight there has ended, so that no answer is lost. Until
+// then its reports are still read, as that work must be notified if they stop.
+// a.mu is held.
 func (a *Agents) retire(g *agent) {
 	g.retired = true
 	g.closeAfter = time.Now().Add(retireGracePeriod)
@@ -273,8 +289,9 @@
 	a.retired = append(a.retired, g)
 }
 
-// closeRetired closes the retired agents that carry no work any more. The grace
-// is for requests that have picked the server and not yet opened their stream.
+// closeRetired closes the retired agents that have no work in flight. The grace
+// period is for requests that have picked the server but not yet opened their
+// stream. a.mu is held.
 func (a *Agents) closeRetired(now time.Time) {
 	a.retired = slices.DeleteFunc(a.retired, func(g *agent) bool {
 		if now.Before(g.closeAfter) || g.counter.value.Load() > 0 || g.conn.openCalls.Load() > 0 {
@@ -285,8 +302,8 @@
 	})
 }
 
-// maintain judges outliers, closes what is retired, and tells whether the
-// subset should be chosen again.
+// maintain evaluates outliers and closes retired agents. It reports whether the
+// subset must be chosen again.
 func (a *Agents) maintain(now time.Time) bool {
 	picksChanged := a.updateRaisedPicks(now)
 	a.mu.Lock()
@@ -300,8 +317,9 @@
 	return a.poolsChanged || picksChanged
 }
 
-// logEjections writes one line a change. They are not limited: a line names its
-// server, and ejections of one are spaced by their growing length.
+// logEjections writes one line for each change. The lines are not rate limited,
+// as each names its server and each ejection of a server lasts longer than the
+// one before.
 func (a *Agents) logEjections(ejected, readmitted []string) {
 	for _, name := range ejected {
 		a.log.Warn("An outlier is ejected from its pool.", zap.String("vm", name))
@@ -311,6 +329,7 @@
 	}
 }
 
+// close closes all connections and waits for the watches to end.
 func (a *Agents) close() {
 	a.mu.Lock()
 	a.closing = true
@@ -324,9 +343,9 @@
 	a.watches.Wait()
 }
 
-// WaitForReports waits until every agent of the subset has sent its first report, at
-// most for limit. An entry that takes requests before would refuse them for
-// want of servers that are there.
+// WaitForReports waits until every agent of the subset has sent its first
+// report, until timeout has passed or ctx ends. An entry that accepts requests
+// earlier would refuse them although there are servers for them.
 func (a *Agents) WaitForReports(ctx context.Context, timeout time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -343,6 +362,8 @@
 	}
 }
 
+// allReported reports whether at least one agent is watched and every watched
+// agent has sent a report.
 func (a *Agents) allReported() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -354,14 +375,15 @@
 	return len(a.agents) > 0
 }
 
-// CountWatched is how many agents this entry watches.
+// CountWatched returns the number of agents that this entry watches.
 func (a *Agents) CountWatched() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return len(a.agents)
 }
 
-// CountEjected is how many watched agents are ejected as outliers now.
+// CountEjected returns the number of watched agents that are ejected as
+// outliers now.
 func (a *Agents) CountEjected() int {
 	n := 0
 	for _, server := range a.Snapshot().ByName {
@@ -372,7 +394,8 @@
 	return n
 }
 
-// CountEntries is how many live entries the VM list holds, this one included.
+// CountEntries returns the number of live entries in the VM list. It always
+// includes this one.
 func (a *Agents) CountEntries() int {
 	n := 0
 	for _, vm := range a.cfg.VMs.VMs() {
@@ -383,8 +406,9 @@
 	return n + 1
 }
 
-// Dial connects to an agent that is not watched, by the VM list. release
-// closes the connection.
+// Dial connects to an agent that need not be watched, at its address in the VM
+// list. release closes the connection. ok is false if the list has no such agent
+// or its address is unusable.
 func (a *Agents) Dial(name string) (client pb.AgentClient, release func(), ok bool) {
 	for _, vm := range a.cfg.VMs.VMs() {
 		if vm.Name != name || vm.Role != platform.RoleAgent {
--- a/entry/fleet/agents_test.go
+++ b/entry/fleet/agents_test.go
@@ -28,12 +28,12 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// fakeAgent says what its test tells it to.
+// fakeAgent sends the reports that its test puts in a channel.
 type fakeAgent struct {
 	pb.UnimplementedAgentServer
 	reports chan *pb.AgentState
 	end     chan struct{} // one receive ends one Watch
-	// initial, where set, is what each Watch begins with.
+	// initial, if set, is the first message of each Watch.
 	initial  *pb.AgentState
 	requests chan *pb.WatchRequest
 }
@@ -62,7 +62,7 @@
 	}
 }
 
-// vmList is a VM list in the test's hand.
+// vmList is a VM list that the test sets.
 type vmList struct {
 	mu  sync.Mutex
 	vms []platform.VM
@@ -119,7 +119,7 @@
 	return a
 }
 
-// startReady starts agent vm-1 and a picture in which it is ready.
+// startReady starts agent vm-1 and Agents, and waits until the agent is ready.
 func startReady(t testing.TB, change func(*Config)) (*fakeAgent, *vmList, *Agents) {
 	f, vm := startAgent(t, "vm-1")
 	list, a := startWithVM(t, vm, change)
@@ -128,16 +128,17 @@
 	return f, list, a
 }
 
-// startWithVM starts a picture of a list that holds one VM.
+// startWithVM starts Agents with a VM list that holds one VM.
 func startWithVM(t testing.TB, vm platform.VM, change func(*Config)) (*vmList, *Agents) {
 	list := &vmList{}
 	list.set(vm)
 	return list, startFleet(t, list, change)
 }
 
-// withLongReportTimeout never takes an agent's silence for its end.
+// withLongReportTimeout sets a report timeout that no test reaches.
 func withLongReportTimeout(c *Config) { c.ReportTimeout = time.Hour }
 
+// waitFor waits until ok is true for the current snapshot.
 func waitFor(t testing.TB, a *Agents, what string, ok func(*Snapshot) bool) {
 	limit := time.After(testTimeout)
 	for {
@@ -148,22 +149,25 @@
 		select {
 		case <-changed:
 		case <-limit:
-			require.Fail(t, "never: "+what)
+			require.Fail(t, "timed out waiting for: "+what)
 		}
 	}
 }
 
+// ready returns a condition that is true once the server is ready.
 func ready(name string) func(*Snapshot) bool {
 	return func(s *Snapshot) bool { return s.ByName[name] != nil && s.ByName[name].Ready() }
 }
 
+// notReady returns a condition that is true once the server is missing or not
+// ready.
 func notReady(name string) func(*Snapshot) bool {
 	return func(s *Snapshot) bool { return s.ByName[name] == nil || !s.ByName[name].Ready() }
 }
 
-// An agent's process dies while the VM list, which lags, still shows its VM
-// as live. Callers must not be sent there: the end of the Watch alone makes
-// the server not ready. When the process is back, its first report makes it ready.
+// An agent's process crashes while the VM list, which lags behind, still shows
+// its VM as live. No request may be sent there, so the end of the Watch alone
+// makes the server not ready. After a restart the first report makes it ready.
 func TestEndedWatchMarksServerNotReady(t *testing.T) {
 	f, _, a := startReady(t, withLongReportTimeout)
 	lost := a.Lost("vm-1")
@@ -174,9 +178,9 @@
 	waitFor(t, a, "ready again", ready("vm-1"))
 }
 
-// An agent is frozen (SIGSTOP): the kernel keeps its connection alive and no
-// error ever comes. Only its silence tells; without that watch callers would
-// be sent there until the connection's keepalive gives up.
+// An agent is frozen (SIGSTOP): the kernel keeps its connection alive and there
+// is no error. Without the report timeout, requests would be sent there until
+// the connection's keepalive fails.
 func TestReportTimeoutMarksServerNotReady(t *testing.T) {
 	f, _, a := startReady(t, func(c *Config) { c.ReportTimeout = 100 * time.Millisecond })
 	waitFor(t, a, "not ready", notReady("vm-1"))
@@ -184,8 +188,8 @@
 	waitFor(t, a, "ready again", ready("vm-1"))
 }
 
-// A VM leaves. Its agent says so itself, or the manifest or the lagging list
-// does; each of them alone ends new work there.
+// A VM leaves. Its agent, the manifest or the VM list, which lags behind, reports
+// it. Each of them alone must stop new work there.
 func TestLeavingFromAnySource(t *testing.T) {
 	cases := map[string]func(f *fakeAgent, list *vmList, vm platform.VM){
 		"agent": func(f *fakeAgent, _ *vmList, _ platform.VM) {
@@ -220,16 +224,16 @@
 	})
 }
 
-// A VM was replaced and another one got its address, while the list still
-// shows the old name. A request meant for the old VM must not reach the new one.
+// A VM was replaced and another one got its address, while the VM list still
+// shows the old name. A request for the old VM must not reach the new one.
 func TestAddressOfAnotherVM(t *testing.T) {
 	f, _, a := startReady(t, withLongReportTimeout)
 	f.reports <- report("vm-2")
 	waitFor(t, a, "not ready", notReady("vm-1"))
 }
 
-// The list drops a VM while an answer from it is still on its way. The
-// connection must stay until that work has ended, or the answer is cut off.
+// A VM is removed from the list while it still sends an answer. The connection
+// must stay open until that work has ended, or the answer is lost.
 func TestRetiredConnectionClosesAfterItsCalls(t *testing.T) {
 	_, list, a := startReady(t, nil)
 	end := a.Begin("vm-1")
@@ -240,7 +244,7 @@
 	a.maintain(afterGrace)
 	require.NotEqual(t, "SHUTDOWN", g.conn.GetState().String())
 	end(OK)
-	// Work that began from an older snapshot counts only on the connection.
+	// Work that started from an older snapshot is counted only by the connection.
 	ctx, cancel := context.WithCancel(context.Background())
 	_, err := g.client.Watch(ctx, &pb.WatchRequest{})
 	require.NoError(t, err)
@@ -253,8 +257,8 @@
 	require.Eventually(t, func() bool { a.maintain(afterGrace); return g.conn.GetState().String() == "SHUTDOWN" }, testTimeout, time.Millisecond)
 }
 
-// One server of four fails each request. It is ejected while the others are
-// not; when all four fail, the floor keeps most of the pool in use.
+// One server of four fails each request and is ejected. When all four fail, the
+// largest share that may be ejected keeps most of the pool in use.
 func TestFailingServersAreEjectedUpToMaxShare(t *testing.T) {
 	list, vms := &vmList{}, []platform.VM{}
 	for i := range 4 {
@@ -287,11 +291,12 @@
 	require.Equal(t, 1, countEjected(a.Snapshot()))
 }
 
-// Operators ask why a server got no work for a while. One line tells when it
-// is ejected, one when it is back: its time is over, or its agent restarted.
+// Operators must be able to see why a server got no work for a while. One line
+// is logged when it is ejected and one when it is readmitted, as its ejection
+// ended or its agent restarted.
 func TestEjectionIsLogged(t *testing.T) {
 	for name, readmit := range map[string]func(*Agents, *fakeAgent){
-		"in time": func(a *Agents, _ *fakeAgent) { a.maintain(time.Now().Add(time.Hour)) },
+		"ejection ended": func(a *Agents, _ *fakeAgent) { a.maintain(time.Now().Add(time.Hour)) },
 		"restarted": func(_ *Agents, f *fakeAgent) {
 			restarted := report("vm-2")
 			restarted.Incarnation++
@@ -324,9 +329,9 @@
 	}
 }
 
-// One server of four answers, but twenty times slower than the rest. Each
-// request it gets would be a straggler; it is ejected by its time alone. An
-// engine's answers differ in length, so that its stream rate is judged.
+// One server of four answers twenty times slower than the others. Each request
+// there would be a straggler, so its time alone gets it ejected. An engine's
+// answers differ in length, so its stream rate is evaluated instead.
 func TestSlowServerIsEjected(t *testing.T) {
 	for kind, addSample := range map[string]func(l *workTracker, s *Server, slow bool){
 		"service": func(l *workTracker, s *Server, slow bool) {
@@ -364,8 +369,8 @@
 	}
 }
 
-// A report says that a server is idle and stays the last one while this
-// entry sends it a burst. The candidates must carry the burst.
+// The last report of a server shows it as idle, and then this entry sends it a
+// burst of requests. The candidate's load must include the burst.
 func TestCandidatesIncludeOwnLoad(t *testing.T) {
 	_, _, a := startReady(t, nil)
 	for range 3 {
@@ -377,9 +382,9 @@
 	require.Equal(t, route.SameDomain, candidates[0].Distance)
 }
 
-// BenchmarkWatchedAgent reports the memory of one watched agent at the entry;
-// the fake agents' side of the same process is in it too, so that the figure
-// is an upper bound.
+// BenchmarkWatchedAgent reports the entry's memory for one watched agent. The
+// fake agents run in the same process and are included, so the result is an
+// upper bound.
 func BenchmarkWatchedAgent(b *testing.B) {
 	const agents = 120
 	list, vms := &vmList{}, []platform.VM{}
@@ -413,8 +418,9 @@
 	return int64(m.HeapInuse + m.StackInuse)
 }
 
-// An entry has just started: the list names an agent that has said nothing
-// yet. Were the entry ready now, its first callers would hear "no server".
+// An entry has just started and the VM list contains an agent that has not
+// reported yet. If the entry were ready now, it would refuse its first requests
+// with no_server.
 func TestWaitForReports(t *testing.T) {
 	f, vm := startAgent(t, "vm-1")
 	list := &vmList{}
--- a/entry/fleet/candidates.go
+++ b/entry/fleet/candidates.go
@@ -6,9 +6,9 @@
 	"dandelionsill.org/decide/route"
 )
 
-// Candidates writes a pool's servers as candidates into buf, which is
-// returned grown; index i is pool[i]. f tells the work in flight at this
-// moment, region is the entry's own.
+// Candidates overwrites buf with the candidates of a pool's servers and returns
+// it, grown if needed. Index i is the candidate of pool[i]. f supplies the
+// current work in flight; region is the entry's own region.
 func Candidates(f Fleet, pool []*Server, region string, buf []route.Candidate) []route.Candidate {
 	buf = buf[:0]
 	for _, s := range pool {
--- a/entry/fleet/chooser.go
+++ b/entry/fleet/chooser.go
@@ -10,7 +10,7 @@
 	"dandelionsill.org/kinds"
 )
 
-// Chooser runs a routing policy over a pool of the current snapshot. It is
+// Chooser applies a routing policy to a pool of the current snapshot. It is
 // safe for concurrent use.
 type Chooser struct {
 	fleet   Fleet
@@ -24,8 +24,8 @@
 	rng        *rand.Rand
 }
 
-// NewChooser returns a chooser for an entry in region; seed makes its random
-// choices repeatable in tests.
+// NewChooser returns a chooser for an entry in region. seed makes its random
+// choices reproducible in tests.
 func NewChooser(f Fleet, region string, seed uint64) *Chooser {
 	c := &Chooser{fleet: f, region: region}
 	var mu sync.Mutex
@@ -38,8 +38,8 @@
 	return c
 }
 
-// Pick chooses a server of a pool. policy is made per pick, as it may hang on
-// the candidates. server is nil when nobody is left.
+// Pick chooses a server of a pool. policy is called for each pick, as the policy
+// may depend on the candidates. server is nil if no candidate is eligible.
 func (c *Chooser) Pick(pool string, r *route.Request, policy func([]route.Candidate) *route.Policy) (server *Server, choice route.Choice) {
 	servers := c.fleet.Snapshot().ByPool[pool]
 	s := c.scratch.Get().(*scratch)
@@ -52,13 +52,14 @@
 	return servers[choice.Index], choice
 }
 
-// deadlineRetryAfter tells a caller whose deadline no queue can meet when to come
-// back: queues change within seconds.
+// deadlineRetryAfter is the time after which a caller whose deadline no queue
+// can meet should retry. Queues change within seconds.
 const deadlineRetryAfter = 2 * time.Second
 
-// Refuse says why nobody of a pool was left. The request is still held.
+// Refuse returns the error for a pick in which no server of the pool was
+// eligible. The request must still be held, so that it has not run.
 func Refuse(held *kinds.Held, pool string, choice route.Choice) *kinds.Error {
-	pool = strings.Replace(pool, "/", " ", 1) // "model/NAME" in a caller's words
+	pool = strings.Replace(pool, "/", " ", 1) // shown to callers as "model NAME"
 	switch choice.EmptiedBy {
 	case route.StageFresh:
 		return held.Refuse(kinds.StaleWeights, "no server of %s is fresh enough yet", pool)
@@ -69,7 +70,8 @@
 	}
 }
 
-// emptiedReason says in a caller's words which filter left nobody.
+// emptiedReason returns the part of the answer to the caller that says which
+// filter left no server.
 func emptiedReason(stage string) string {
 	switch stage {
 	case route.StageMembers:
--- a/entry/fleet/conn.go
+++ b/entry/fleet/conn.go
@@ -10,10 +10,10 @@
 	"dandelionsill.org/base/run"
 )
 
-// countedConn is a connection that knows how many calls it carries. A retired
-// connection must not close under a call, and only the connection itself sees
-// them all: a request may pick a server from an older snapshot and begin after
-// the server was retired, or replaced under its name.
+// countedConn is a connection that counts its open calls. A retired connection
+// must not be closed during a call, and only the connection itself sees all of
+// them: a request may pick a server from an older snapshot and start after the
+// server was retired, or after a VM with the same name replaced it.
 type countedConn struct {
 	*grpc.ClientConn
 	openCalls atomic.Int64
@@ -32,14 +32,15 @@
 	return &countedConn{ClientConn: conn}, nil
 }
 
-// Invoke carries a unary call.
+// Invoke makes a unary call, which counts as open until it returns.
 func (c *countedConn) Invoke(ctx context.Context, method string, args, reply any, opts ...grpc.CallOption) error {
 	c.openCalls.Add(1)
 	defer c.openCalls.Add(-1)
 	return c.ClientConn.Invoke(ctx, method, args, reply, opts...)
 }
 
-// NewStream opens a stream that counts until it has ended or its context has.
+// NewStream opens a stream, which counts as open until it or its context has
+// ended.
 func (c *countedConn) NewStream(ctx context.Context, desc *grpc.StreamDesc, method string, opts ...grpc.CallOption) (grpc.ClientStream, error) {
 	c.openCalls.Add(1)
 	stream, err := c.ClientConn.NewStream(ctx, desc, method, opts...)
@@ -56,7 +57,7 @@
 	grpc.ClientStream
 	conn     *countedConn
 	once     sync.Once
-	stopHook func() bool // releases the hook on the context
+	stopHook func() bool // unregisters end from the context
 }
 
 func (s *countedStream) RecvMsg(m any) error {
--- a/entry/fleet/interval_test.go
+++ b/entry/fleet/interval_test.go
@@ -12,19 +12,22 @@
 	"dandelionsill.org/wire/pb"
 )
 
-// partialReport is a report's changing partialReport.
+// partialReport returns a state that holds only the fields that change often.
 func partialReport(seq uint64, running int32) *pb.AgentState {
 	return &pb.AgentState{Partial: true, Seq: seq, Ready: true, Running: running}
 }
 
+// hasRunning returns a condition that is true once vm-1 is ready and has n
+// requests running.
 func hasRunning(n int32) func(*Snapshot) bool {
 	return func(s *Snapshot) bool { return ready("vm-1")(s) && s.ByName["vm-1"].State.Running == n }
 }
 
-// Agents send what changed only. If the entry took such a part for the whole,
-// the server would lose its pool, and callers would hear no_server although it
-// is there. Its heartbeat is older than the entry's newest work: were it taken
-// for a report, that work would count as not the entry's own ever after.
+// Agents send only the fields that changed. If the entry took a partial state for
+// a complete one, the server would lose its pool and callers would get no_server
+// although there is one. A heartbeat carries a load that is older than the
+// entry's newest work. If it counted as a report, that work would be counted as
+// another entry's until the next report.
 func TestPartialReportsAreMerged(t *testing.T) {
 	f, vm := startAgent(t, "vm-1")
 	_, a := startWithVM(t, vm, withLongReportTimeout)
@@ -46,19 +49,20 @@
 	waitFor(t, a, "leaving", notReady("vm-1"))
 	server = a.Snapshot().ByName["vm-1"]
 	require.Equal(t, []uint64{8, 9}, server.State.WarmPrefixes)
-	require.Equal(t, 1, server.InFlightAtReport, "the report holds the work that was begun before it")
+	require.Equal(t, 1, server.InFlightAtReport, "the report includes the work that was started before it")
 	defer a.Begin("vm-1")(Abandoned)
 	g := a.agents["vm-1"]
 	a.handleReport(g, g.report)
-	require.Equal(t, 1, g.inFlightAtReport, "a heartbeat is no report")
+	require.Equal(t, 1, g.inFlightAtReport, "a heartbeat must not count as a report")
 
-	// Another release's bug: a stream that begins with a part says nothing.
+	// A faulty agent of another release may start a stream with a partial
+	// state. It must be ignored.
 	f.end <- struct{}{}
 	waitFor(t, a, "lost", func(*Snapshot) bool { return isClosed(a.Lost("vm-1")) })
 	f.reports <- partialReport(1, 1)
 	require.Eventually(t, func() bool {
 		require.False(t, hasRunning(1)(a.Snapshot()))
-		f.reports <- report("vm-1") // in whichever stream
+		f.reports <- report("vm-1") // read by the old or the new stream
 		return hasRunning(0)(a.Snapshot())
 	}, testTimeout, 10*time.Millisecond)
 }
@@ -72,9 +76,10 @@
 	}
 }
 
-// A frozen agent thaws: the heartbeat that it sends first makes it ready again,
-// as nothing else may come for long. On a stream whose address answers for
-// another VM a heartbeat makes nobody ready: it is that other VM's.
+// A frozen agent resumes. The heartbeat that it sends first must make it ready
+// again, as the next report may be a long time away. On a stream whose address
+// answers for another VM, a heartbeat is that VM's and must not make this one
+// ready.
 func TestHeartbeatRestoresOnlyItsOwnVM(t *testing.T) {
 	f, _, a := startReady(t, withLongReportTimeout)
 	a.markLost(a.agents["vm-1"], errReportTimeout)
@@ -82,7 +87,7 @@
 	defer a.Begin("vm-1")(Abandoned)
 	f.reports <- &pb.AgentState{Partial: true}
 	waitFor(t, a, "ready again", ready("vm-1"))
-	require.Zero(t, a.Snapshot().ByName["vm-1"].InFlightAtReport, "the report is older than this work")
+	require.Zero(t, a.Snapshot().ByName["vm-1"].InFlightAtReport, "the last report is older than this work")
 	f.reports <- report("vm-2")
 	waitFor(t, a, "not ready", notReady("vm-1"))
 	otherVMState, err := mergeState(report("vm-2"), &pb.AgentState{Partial: true})
@@ -91,8 +96,9 @@
 	require.True(t, notReady("vm-1")(a.Snapshot()))
 }
 
-// At full size an entry watches 46 to 342 agents. Their reports together stay
-// within its budget, and each still tells its load every 2 s at least.
+// At full size an entry watches 46 to 342 agents. Their reports together must
+// stay within the budget, and each agent must still report its load at least
+// every 2 s.
 func TestReportIntervalKeepsTheBudget(t *testing.T) {
 	for n := range 400 {
 		interval := reportIntervalFor(n)
@@ -105,9 +111,9 @@
 	require.Equal(t, maxReportInterval, reportIntervalFor(342))
 }
 
-// An entry that watched 46 agents comes to watch 146: streams that kept the old
-// pace would send three times the budget. They are opened anew, and while that
-// is under way the server stays ready: callers would hear no_server otherwise.
+// An entry that watched 46 agents now watches 146. Streams with the old report
+// interval would send three times the budget, so they are opened again. Meanwhile
+// the server must stay ready, or callers would get no_server.
 func TestNewIntervalReopensStreamWithoutLoss(t *testing.T) {
 	f, vm := startAgent(t, "vm-1")
 	f.initial = report("vm-1")
@@ -120,17 +126,17 @@
 	require.EqualValues(t, 1000, (<-f.requests).MinIntervalMs)
 	a.reportInterval.Store(int64(time.Second * 5 / 4))
 	require.Eventually(t, func() bool {
-		f.reports <- partialReport(2, 2) // in whichever stream
+		f.reports <- partialReport(2, 2) // read by the old or the new stream
 		return hasRunning(2)(a.Snapshot())
 	}, testTimeout, 10*time.Millisecond)
 	require.False(t, isClosed(lost))
-	require.Empty(t, f.requests, "a little off is no reason")
+	require.Empty(t, f.requests, "a small difference must not open the stream again")
 }
 
-// A trainer's step takes 326 s in place of 240 while engines stand idle that
-// its owner doesn't watch. The owner widens its subset to the trainers' share;
-// no server that it had stops being ready for that, and its streams stay. It
-// narrows only long after the step's end.
+// A trainer's step took 326 s instead of 240 s, as engines that its owner did not
+// watch were idle. The owner must enlarge its subset to the trainer's share of the
+// engines. Its servers must stay ready and keep their streams meanwhile. The
+// subset shrinks only long after the end of the step.
 func TestStepOwnerWatchesMoreAgents(t *testing.T) {
 	const agents = 5
 	list, vms := &vmList{}, []platform.VM{}
@@ -148,23 +154,24 @@
 		c.Subset = subset.Config{Local: 2, Remote: 1}
 		c.OwnedModels = func() []string { models := <-owned; owned <- models; return models }
 	})
-	// Of pools that are not known yet two agents are watched at a time.
-	waitFor(t, a, "all pools learnt", func(*Snapshot) bool { _, known := a.subsetMembers(vms); return allInPool(known, ModelPool("m")) })
-	waitFor(t, a, "narrow", func(s *Snapshot) bool { return len(s.ByName) == 2 })
+	// While agents' pools are unknown, two agents are watched at a time.
+	waitFor(t, a, "all pools known", func(*Snapshot) bool { _, known := a.subsetMembers(vms); return allInPool(known, ModelPool("m")) })
+	waitFor(t, a, "small subset", func(s *Snapshot) bool { return len(s.ByName) == 2 })
 	before := a.Snapshot().ByPool[ModelPool("m")]
 	<-owned
 	owned <- []string{"m"}
-	waitFor(t, a, "wide", func(s *Snapshot) bool { return len(s.ByName) == agents })
+	waitFor(t, a, "enlarged subset", func(s *Snapshot) bool { return len(s.ByName) == agents })
 	for _, server := range before {
-		require.Same(t, server, a.Snapshot().ByName[server.Name], "a stream moved")
+		require.Same(t, server, a.Snapshot().ByName[server.Name], "the stream was opened again")
 	}
 	<-owned
 	owned <- nil
-	require.False(t, a.updateRaisedPicks(time.Now()), "narrows at once")
+	require.False(t, a.updateRaisedPicks(time.Now()), "the subset must not shrink at once")
 	require.True(t, a.updateRaisedPicks(time.Now().Add(time.Hour)))
 	require.Empty(t, a.subsetConfig().MinPicks)
 }
 
+// allInPool reports whether all members are in pool.
 func allInPool(members []subset.Member, pool string) bool {
 	for _, m := range members {
 		if m.Pool != pool {
--- a/entry/fleet/retire_test.go
+++ b/entry/fleet/retire_test.go
@@ -12,7 +12,8 @@
 	"dandelionsill.org/wire/pb"
 )
 
-// callAgent also takes calls; each runs until the test lets it end.
+// callAgent is a fakeAgent that also accepts calls. Each runs until the test
+// closes finish.
 type callAgent struct {
 	fakeAgent
 	finish chan struct{}
@@ -48,13 +49,13 @@
 	return f, platform.VM{Name: name, Role: "agent", Addr: lis.Addr().String(), FailureDomain: "a", Region: "r", State: platform.VMLive}
 }
 
-// The caller's renewal ran, and it hears outcome_unknown (a stream: it breaks)
-// although no server failed. Order: request X is in flight at vm-1; request T
-// picks vm-1 from the snapshot; the subset or list changes and vm-1 is retired;
-// T's Begin counts on a new counter, as the retired one was taken out; T is
-// told ready and says go; X ends; upkeep sees zero work and closes the
-// connection under T. T waits in Lost for the lock that reconcile holds, so
-// each request picked during a reconcile meets this.
+// Guards against outcome_unknown (or a broken stream) for a request that ran at a
+// server which did not fail. Request X is in flight at vm-1 and request T picks
+// vm-1 from the snapshot. The subset or the VM list changes and vm-1 is retired.
+// T's Begin counts on a new counter, as the retired one was removed. T receives
+// ready and sends go, and X ends. If maintain looked at the counter only, it would
+// see no work and close the connection during T. T waits in Lost for the lock that
+// reconcile holds, so every request picked during a reconcile was affected.
 func TestCallOnRetiredAgentIsNotInterrupted(t *testing.T) {
 	f, vm := startCallAgent(t, "vm-1")
 	list, a := startWithVM(t, vm, withLongReportTimeout)
@@ -79,15 +80,16 @@
 	a.maintain(time.Now())
 	close(f.finish)
 	msg, err = stream.Recv()
-	require.NoError(t, err, "the answer was cut off by this entry itself")
+	require.NoError(t, err, "the entry closed the connection before the answer was complete")
 	require.NotNil(t, msg.GetEnd())
 }
 
-// A read waits 15 s (the connection's keepalive), or until its deadline, where
-// 3 s of silence would have sent it elsewhere. Order: a read is in flight at
-// vm-1; the list, or a new choice of the subset, drops vm-1, so that its Watch
-// is stopped; the VM loses its power, or its agent is frozen. Nobody listens
-// for its silence any more, and the channel that the read took never closes.
+// Guards against a read that waits 15 s (the connection's keepalive) or until its
+// deadline, although a report timeout of 3 s would have sent it to another server.
+// A read is in flight at vm-1. The VM list or a new choice of the subset removes
+// vm-1. Then the VM loses power or its agent freezes. If the Watch had been stopped
+// when vm-1 was retired, the channel of Lost that the read waits on would never be
+// closed.
 func TestRetiredAgentReportTimeout(t *testing.T) {
 	f, vm := startCallAgent(t, "vm-1")
 	list, a := startWithVM(t, vm, func(c *Config) { c.ReportTimeout = 100 * time.Millisecond })
@@ -104,6 +106,6 @@
 	select {
 	case <-lost:
 	case <-time.After(3 * time.Second):
-		require.Fail(t, "the silence of an agent with work in flight went unnoticed")
+		require.Fail(t, "the report timeout of a retired agent with work in flight was not noticed")
 	}
 }
--- a/entry/fleet/snapshot.go
+++ b/entry/fleet/snapshot.go
@@ -12,21 +12,21 @@
 
 // Reasons for which an agent's reports count as stopped.
 var (
-	errReportTimeout = errors.New("the agent is silent")
+	errReportTimeout = errors.New("no report arrived within the report timeout")
 	errWrongVM       = errors.New("the address answers for another VM")
 )
 
-// Pool names, as they stand in Snapshot.By.
+// Prefixes of the pool names in Snapshot.ByPool, and the kind of an engine.
 const (
 	modelPool   = "model/"
 	servicePool = "service/"
 	kindEngine  = "engine"
 )
 
-// ModelPool is the name of a model's pool.
+// ModelPool returns the name of a model's pool.
 func ModelPool(model string) string { return modelPool + model }
 
-// ServicePool is the name of a service's pool.
+// ServicePool returns the name of a service's pool.
 func ServicePool(service string) string { return servicePool + service }
 
 func poolOf(report *pb.AgentState) string {
@@ -36,7 +36,7 @@
 	return ServicePool(report.Serves)
 }
 
-// publishDirty publishes load reports that came since the last time.
+// publishDirty publishes the load reports that arrived since the last snapshot.
 func (a *Agents) publishDirty() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -45,8 +45,8 @@
 	}
 }
 
-// publish makes a new snapshot of all agents that have reported. Readers
-// keep the one that they hold. a.mu is held.
+// publish stores a new snapshot of all agents that have reported and notifies
+// the waiters. Readers of an older snapshot keep it unchanged. a.mu is held.
 func (a *Agents) publish() {
 	a.dirty = false
 	snap := &Snapshot{ByPool: map[string][]*Server{}, ByName: make(map[string]*Server, len(a.agents))}
@@ -67,6 +67,7 @@
 	a.changed.notify()
 }
 
+// leavingVMs returns the names of the VMs that the manifest marks as leaving.
 func (a *Agents) leavingVMs() map[string]bool {
 	if view := a.cfg.Viewer.View(); view != nil && view.Manifest != nil {
 		return view.Manifest.Leaving
@@ -74,7 +75,8 @@
 	return nil
 }
 
-// serverOf returns the agent's server, the same one while nothing changed.
+// serverOf returns the agent's Server, or nil if it has not reported yet. It is
+// the same pointer until the state or the ejection changes. a.mu is held.
 func (a *Agents) serverOf(g *agent, leaving map[string]bool) *Server {
 	state := a.currentState(g, leaving)
 	if state == nil {
@@ -100,7 +102,8 @@
 	return g.server
 }
 
-// poolMembers lists each pool's ready members, for the judgement of outliers.
+// poolMembers maps each pool to the watched agents that have reported, for the
+// evaluation of outliers. a.mu is held.
 func (a *Agents) poolMembers() map[string][]string {
 	members := map[string][]string{}
 	for name, g := range a.agents {
@@ -112,12 +115,13 @@
 	return members
 }
 
-// broadcast wakes all waiters at once.
+// broadcast notifies all waiters at once by closing a channel.
 type broadcast struct {
 	mu sync.Mutex
 	ch chan struct{}
 }
 
+// wait returns a channel that is closed at the next notify.
 func (b *broadcast) wait() <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/entry/fleet/watch.go
+++ b/entry/fleet/watch.go
@@ -12,14 +12,14 @@
 	"dandelionsill.org/wire/pb"
 )
 
-// Waits between two tries to watch an agent.
+// Delays between two attempts to watch an agent.
 const (
 	minRewatchDelay = 100 * time.Millisecond
 	maxRewatchDelay = 3 * time.Second
 	rewatchBackoff  = 2
 )
 
-// agent is one watched agent. Its fields are guarded by Agents.mu, but for
+// agent is one watched or retired agent. Agents.mu guards its fields, except
 // those that never change.
 type agent struct {
 	conn      *countedConn
@@ -28,11 +28,11 @@
 	stopWatch context.CancelFunc
 
 	vm               platform.VM
-	report           *pb.AgentState // the agent's last; nil: none yet
-	inFlightAtReport int            // own work in flight when it came
-	lost             chan struct{}  // closed while no reports come
-	isLost           bool
-	retired          bool // out of the picture
+	report           *pb.AgentState // the last report; nil if there is none yet
+	inFlightAtReport int            // own work in flight when report arrived
+	lost             chan struct{}  // closed while isLost is true
+	isLost           bool           // the reports have stopped or not started
+	retired          bool           // no longer in the snapshot
 	closed           bool
 	// closeAfter is the earliest time at which a retired connection closes.
 	closeAfter time.Time
@@ -63,7 +63,8 @@
 	return g, nil
 }
 
-// watch reads an agent's reports until ctx ends, over as many streams as needed.
+// watch reads an agent's reports until ctx ends, and opens a new stream when one
+// has ended.
 func (a *Agents) watch(ctx context.Context, g *agent) {
 	delay := minRewatchDelay
 	for ctx.Err() == nil {
@@ -82,19 +83,22 @@
 	}
 }
 
-// watchOnce reads one stream to its end.
+// watchOnce reads the reports of one stream until it ends. received is true if
+// at least one report or heartbeat arrived.
 func (a *Agents) watchOnce(ctx context.Context, g *agent) (received bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	// Not counted: the watch is no work that keeps a connection open.
+	// The uncounted connection is used, as a watch must not keep a retired
+	// connection open.
 	watcher := pb.NewAgentClient(g.conn.ClientConn)
 	interval := time.Duration(a.reportInterval.Load())
 	stream, err := watcher.Watch(ctx, &pb.WatchRequest{Watcher: a.cfg.Name, MinIntervalMs: uint32(interval.Milliseconds())})
 	if err != nil {
 		return false, err
 	}
-	// A frozen agent keeps its connection: the kernel answers for it. Only
-	// its timeout tells, and work must not wait for the connection to break.
+	// A frozen agent's connection stays up, as the kernel acknowledges for it.
+	// Only a timeout detects this, and work must not wait until the
+	// connection breaks.
 	timeout := time.AfterFunc(a.cfg.ReportTimeout, func() { a.markLost(g, errReportTimeout) })
 	defer timeout.Stop()
 	var report *pb.AgentState
@@ -115,7 +119,7 @@
 	}
 }
 
-// handleReport takes an agent's report into the picture; the same one again is a
+// handleReport stores an agent's report. The same pointer as last time is a
 // heartbeat.
 func (a *Agents) handleReport(g *agent, report *pb.AgentState) {
 	a.mu.Lock()
@@ -124,8 +128,8 @@
 		return
 	}
 	if report.Name != g.vm.Name {
-		// The list lags: another VM has got this address. Its answers would
-		// count as those of the VM that was asked for.
+		// The VM list is outdated and another VM has this address now. Its
+		// answers would be taken for those of the VM in the list.
 		a.limitedLog.Warn("An address answers for another VM.", zap.String("vm", g.vm.Name), zap.String("answers", report.Name))
 		a.markLostLocked(g, errWrongVM)
 		return
@@ -141,7 +145,7 @@
 			a.logEjections(nil, []string{g.vm.Name})
 		}
 	}
-	if last != report { // a heartbeat's load is as old as the report
+	if last != report { // a heartbeat carries no newer load than the last report
 		g.report, g.inFlightAtReport = report, int(g.counter.value.Load())
 	}
 	if g.isLost {
@@ -159,7 +163,8 @@
 	a.dirty = true
 }
 
-// recordPool remembers what an agent serves; upkeep then chooses the subset anew.
+// recordPool stores the pool that an agent serves. If it changed, the next
+// maintain has the subset chosen again. a.mu is held.
 func (a *Agents) recordPool(name, pool string) {
 	if a.pools[name] != pool {
 		a.pools[name] = pool
@@ -167,13 +172,15 @@
 	}
 }
 
-// markLost marks an agent as not ready at once: its reports have stopped.
+// markLost marks an agent whose reports have stopped as not ready, and publishes
+// that at once.
 func (a *Agents) markLost(g *agent, err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.markLostLocked(g, err)
 }
 
+// markLostLocked is markLost with a.mu held.
 func (a *Agents) markLostLocked(g *agent, err error) {
 	if g.isLost || g.closed || a.closing {
 		return
@@ -184,8 +191,9 @@
 	a.publish()
 }
 
-// Lost returns a channel that is closed once the agent's reports stop: it died,
-// froze, or the link is cut. Work there may never be answered.
+// Lost returns a channel that is closed once the agent's reports stop, as it
+// crashed, froze or cannot be reached. Work there may never be answered. It
+// returns nil if the agent is not watched.
 func (a *Agents) Lost(name string) <-chan struct{} {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -195,7 +203,9 @@
 	return nil
 }
 
-// currentState is the agent's last report with what the lists say and what we know better.
+// currentState returns the agent's last report, or nil if there is none. The
+// report is corrected where the VM list or the manifest marks the VM as leaving,
+// or where the reports have stopped. a.mu is held.
 func (a *Agents) currentState(g *agent, leaving map[string]bool) *pb.AgentState {
 	if g.report == nil {
 		return nil
--- a/entry/fleet/work.go
+++ b/entry/fleet/work.go
@@ -10,21 +10,23 @@
 	"dandelionsill.org/wire/pb"
 )
 
-// rateSampleInterval spaces the samples of an engine's stream rate: reports come
-// many times a second and would count as independent samples.
+// rateSampleInterval is the shortest time between two samples of an engine's
+// stream rate. Reports arrive many times a second and would otherwise count as
+// independent samples.
 const rateSampleInterval = time.Second
 
-// counter counts this entry's work at one server.
+// counter counts this entry's work in flight at one server.
 type counter struct{ value atomic.Int64 }
 
-// workTracker counts work in flight and keeps how servers do.
+// workTracker counts the work in flight at each server and evaluates which
+// servers are outliers of their pool.
 type workTracker struct {
 	cfg      eject.Config
 	counters sync.Map // VM name -> *counter
 
-	mu        sync.Mutex // guards what follows
+	mu        sync.Mutex // guards the fields below
 	pools     map[string]*eject.Pool
-	ejected   map[string]bool // ejected at the last judgement
+	ejected   map[string]bool // ejected at the last evaluation
 	sampledAt map[string]time.Time
 }
 
@@ -40,7 +42,8 @@
 	return c.(*counter)
 }
 
-// Begin counts a piece of work at a server.
+// Begin counts a piece of work at a server as in flight. The returned function
+// ends it; calls after the first do nothing.
 func (a *Agents) Begin(name string) (end func(Outcome)) {
 	c := a.work.counter(name)
 	c.value.Add(1)
@@ -57,13 +60,15 @@
 	}
 }
 
-// InFlightNow reads the live count of this entry's work at a server.
+// InFlightNow returns the current number of pieces of work that this entry has
+// in flight at a server.
 func (a *Agents) InFlightNow(name string) int {
 	return int(a.work.counter(name).value.Load())
 }
 
-// recordOutcome feeds ejection. A refusal and a cancelled piece of work say nothing
-// of a server's health.
+// recordOutcome records the outcome of a piece of work for the evaluation of
+// outliers. It ignores refused and abandoned work, which gives no evidence of a
+// server's health.
 func (t *workTracker) recordOutcome(server *Server, outcome Outcome, duration time.Duration) {
 	if outcome != OK && outcome != Failed {
 		return
@@ -72,14 +77,15 @@
 	defer t.mu.Unlock()
 	pool := t.pool(poolOf(server.State))
 	pool.AddResult(server.Name, outcome == Failed)
-	// An engine's answers differ in length, so that its time per answer says
-	// little; its stream rate is judged instead (heard).
+	// An engine's answers differ in length, so its time per answer is a poor
+	// measure. Its stream rate is evaluated instead (recordStreamRate).
 	if outcome == OK && server.Kind != kindEngine {
 		pool.AddCost(server.Name, duration.Seconds())
 	}
 }
 
-// recordStreamRate takes the stream rate out of an engine's report.
+// recordStreamRate records the stream rate of an engine's report, at most one
+// sample per rateSampleInterval.
 func (t *workTracker) recordStreamRate(report *pb.AgentState) {
 	if report.Kind != kindEngine || report.StreamTokensPerS <= 0 || report.Running == 0 {
 		return
@@ -103,8 +109,9 @@
 	return p
 }
 
-// evaluate judges all pools and returns the names of the servers that it ejected
-// and of those whose ejection is over.
+// evaluate evaluates the outliers of all pools. It returns the names of the
+// servers that are newly ejected and of those whose ejection has ended. members
+// maps a pool to its servers.
 func (t *workTracker) evaluate(now time.Time, members map[string][]string) (ejected, readmitted []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -125,7 +132,7 @@
 	return t.ejected[name]
 }
 
-// forget drops what is known of a server that was started anew, and tells
+// forget deletes the results of a server that was restarted, and reports
 // whether that ended an ejection.
 func (t *workTracker) forget(pool, name string) (readmitted bool) {
 	t.mu.Lock()
@@ -137,8 +144,8 @@
 	return readmitted
 }
 
-// remove drops what is kept of a server that is no longer watched. Work that
-// is still in flight there ends on the counter that it began on.
+// remove deletes the state of a server that is no longer watched. Work that is
+// still in flight there ends on the counter on which it started.
 func (t *workTracker) remove(name string) {
 	t.counters.Delete(name)
 	t.mu.Lock()
@@ -147,7 +154,7 @@
 	delete(t.ejected, name)
 }
 
-// onlyIn lists the names of set that are not in other, in order.
+// onlyIn returns the names in set that are not in other, sorted.
 func onlyIn(set, other map[string]bool) []string {
 	var names []string
 	for name := range set {
