--- a/entry/server/build.go
+++ b/entry/server/build.go
@@ -1,5 +1,6 @@
-// Package server is the entry process: it puts the parts together, serves
-// operators, and stops without cutting off what is in flight.
+// Package server builds the entry process from its components, serves the
+// operators' paths, and stops the process without interrupting requests in
+// flight.
 package server
 
 import (
@@ -35,25 +36,26 @@
 	"dandelionsill.org/wire/pb"
 )
 
+// component is the name of this process in its log lines.
 const component = "entry"
 
-// traceFlushTimeout bounds the wait for the last spans at a stop.
+// traceFlushTimeout bounds the wait for the last spans to be sent at a stop.
 const traceFlushTimeout = time.Second
 
-// firstReportsTimeout bounds the wait for the agents' first words at a start. Some
-// agents of the list may be down for good.
+// firstReportsTimeout bounds the wait for the agents' first reports at a start.
+// Some agents of the VM list may be down permanently.
 const firstReportsTimeout = 10 * time.Second
 
-// entry is the process's parts.
+// entry holds the components of the process.
 type entry struct {
 	settings    Settings
 	logger      *zap.Logger
 	ring        *explain.Ring
 	platformLog platform.Log
-	store       platform.WeightStore // nil: none is set
+	store       platform.WeightStore // nil if none is configured
 	vms         *confsync.VMWatcher
 	keeper      *confsync.Keeper
-	viewer      confsync.Viewer // the keeper
+	viewer      confsync.Viewer // keeper, except in tests
 	agents      *fleet.Agents
 	quarantine  *quarantine.Quarantine
 	entryPeers  *entryPeers
@@ -62,8 +64,8 @@
 	startedAt   time.Time
 }
 
-// Build makes the entry's process from its settings. What runs beside the
-// servers ends with ctx; the process's Close waits for it.
+// Build returns the entry process for its settings, with its background tasks
+// started. They end with ctx; the process's Close waits for them.
 func Build(ctx context.Context, set Settings) (*run.Process, error) {
 	keys, err := manifest.ParseKeys(set.Keys.ManifestPublic)
 	if err != nil {
@@ -95,6 +97,7 @@
 	}, nil
 }
 
+// newEntry creates the components without starting them.
 func newEntry(set Settings, keys manifest.Keys) (*entry, error) {
 	name := set.Process.Name
 	e := &entry{settings: set, logger: logs.New(component, set.Process.LogLevel), startedAt: time.Now()}
@@ -133,8 +136,8 @@
 	return e, nil
 }
 
-// newAgents makes the picture of the agents. It asks for the steps' models only
-// once it runs, when e.steps is there.
+// newAgents creates the watcher of the agents. It calls OwnedModels only once it
+// runs, when e.steps is set.
 func (e *entry) newAgents() *fleet.Agents {
 	return fleet.New(fleet.Config{
 		Name:          e.settings.Process.Name,
@@ -150,7 +153,7 @@
 	})
 }
 
-// newSteps makes what serves trainers' steps.
+// newSteps creates the component that serves trainers' steps.
 func (e *entry) newSteps() *steps.Steps {
 	return steps.New(steps.Config{
 		Name:    e.settings.Process.Name,
@@ -166,7 +169,8 @@
 	})
 }
 
-// limitSharers tells among how many entries callers' limits are shared.
+// limitSharers returns a function for the number of entries that share callers'
+// limits, or nil if each entry enforces the whole limits.
 func (e *entry) limitSharers() func() int {
 	if !e.settings.Entry.ShareLimits {
 		return nil
@@ -174,8 +178,8 @@
 	return e.agents.CountEntries
 }
 
-// run starts what runs beside the servers; the returned function waits for
-// its end.
+// run starts the background tasks, which end with ctx. The returned function
+// waits until they have ended.
 func (e *entry) run(ctx context.Context) (wait func()) {
 	var wg sync.WaitGroup
 	wg.Go(func() { e.vms.Run(ctx) })
@@ -225,9 +229,10 @@
 	return server
 }
 
-// setReadyFunc returns what run calls with true once all listen. The entry counts as
-// setReadyFunc only once it holds a manifest revision and knows its agents: until
-// then it could only refuse.
+// setReadyFunc returns the function that the process calls with true once all its
+// servers listen. The entry becomes ready only after that, once it has a manifest
+// revision, its agents' first reports and the quarantine's records. Until then it
+// could only refuse requests.
 func (e *entry) setReadyFunc(ctx context.Context) func(bool) {
 	return func(ready bool) {
 		if !ready {
@@ -244,13 +249,16 @@
 	}
 }
 
-// awaitQuarantine waits until the log was asked for what other entries saw.
+// awaitQuarantine waits until the quarantine has read from the log which crashes
+// other entries recorded, or until ctx ends.
 func (e *entry) awaitQuarantine(ctx context.Context) {
 	const pollInterval = 10 * time.Millisecond
 	for !e.quarantine.Initialized() && sleep.For(ctx, pollInterval) {
 	}
 }
 
+// awaitManifest waits for the first manifest revision. It reports false if ctx
+// ended before.
 func (e *entry) awaitManifest(ctx context.Context) bool {
 	for {
 		changed := e.keeper.Changed()
@@ -265,7 +273,8 @@
 	}
 }
 
-// drain returns once no request is in flight and no step is owned.
+// drain returns once no request is in flight and this entry owns no step. It
+// returns the first error of the two.
 func (e *entry) drain(ctx context.Context) error {
 	stepsDone := make(chan error, 1)
 	go func() { stepsDone <- e.steps.Drain(ctx) }()
@@ -276,7 +285,7 @@
 	return err
 }
 
-// peers lists the gRPC addresses of all other processes.
+// peers returns the gRPC addresses of all other processes in the VM list.
 func (e *entry) peers() []string {
 	var addrs []string
 	for _, vm := range e.vms.VMs() {
--- a/entry/server/crashes.go
+++ b/entry/server/crashes.go
@@ -13,27 +13,29 @@
 	"dandelionsill.org/wire/pb"
 )
 
-// logReadsPerSecond is what the quarantines of all entries may ask of the log is counted
-// against: it takes several hundred appends a second, and more reads.
+// logReadsPerSecond is how many reads per second the log is assumed to accept from
+// all entries together; the quarantines use a share of it. The log handles several
+// hundred appends per second, and more reads.
 const logReadsPerSecond = 1000
 
-// entryPeers tells other entries of servers that ended under requests. It implements
-// quarantine.Peers.
+// entryPeers sends other entries the records of servers that crashed while they
+// ran a request. It implements quarantine.Peers.
 type entryPeers struct {
 	self  string
 	vms   *confsync.VMWatcher
 	conns *confsync.Conns
 }
 
-// maxPeerConns bounds the connections to other entries: several times the calls that the
-// quarantine has open at a time.
+// maxPeerConns bounds the connections to other entries. It is several times the
+// number of calls that the quarantine has open at a time.
 const maxPeerConns = 512
 
 func newEntryPeers(self string, vms *confsync.VMWatcher) *entryPeers {
 	return &entryPeers{self: self, vms: vms, conns: confsync.NewConns(maxPeerConns)}
 }
 
-// Addrs implements quarantine.Peers.
+// Addrs returns the gRPC addresses of the other entries. It implements
+// quarantine.Peers.
 func (p *entryPeers) Addrs() []string {
 	var addrs []string
 	for _, vm := range p.vms.VMs() {
@@ -44,7 +46,7 @@
 	return addrs
 }
 
-// Send implements quarantine.Peers.
+// Send sends changes to the entry at addr. It implements quarantine.Peers.
 func (p *entryPeers) Send(ctx context.Context, addr string, changes []quarantine.Change) error {
 	conn, err := p.conns.Get(addr)
 	if err != nil {
@@ -58,18 +60,18 @@
 	return errors.Trace(err)
 }
 
-// peerServer serves what other processes ask of an entry.
+// peerServer serves the calls of other processes to an entry.
 type peerServer struct {
-	pb.PeerServer // the keeper's part
+	pb.PeerServer // the keeper, for all methods except Tell
 	quarantine    *quarantine.Quarantine
 }
 
-// Tell takes what another entry saw.
+// Tell applies the crash records of another entry.
 func (s *peerServer) Tell(_ context.Context, req *pb.TellRequest) (*pb.TellReply, error) {
 	changes := make([]quarantine.Change, 0, len(req.GetEnds()))
 	for _, e := range req.GetEnds() {
 		if e.GetRequest() == "" || e.GetServer() == "" {
-			continue // of another release
+			continue // from an entry of another release
 		}
 		crash := poison.Crash{Request: poison.Fingerprint(e.GetRequest()), Server: e.GetServer(), At: time.UnixMilli(e.GetAtMs())}
 		changes = append(changes, quarantine.Change{Crash: crash, Gone: e.GetGone()})
--- a/entry/server/crashes_test.go
+++ b/entry/server/crashes_test.go
@@ -17,12 +17,14 @@
 	"dandelionsill.org/wire/pb"
 )
 
+// vmList is a platform that lists fixed VMs.
 type vmList []platform.VM
 
 func (l vmList) List(context.Context) ([]platform.VM, error) { return l, nil }
 
-// One entry tells another of servers that ended under a request, and later that they
-// are no longer attributed to it. Agents and the entry itself are not told.
+// An entry sends another one the servers that crashed while they ran a request, and
+// later that a crash is no longer attributed to it. It sends nothing to agents or
+// to itself.
 func TestEntriesShareCrashes(t *testing.T) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/entry/server/fuzz_test.go
+++ b/entry/server/fuzz_test.go
@@ -37,8 +37,8 @@
 allow = drafter, orders
 `
 
-// newTestEntry is an entry under fuzzManifest without any agent. Tokens: "p" is
-// the caller's, "t" the trainer's, "o" the operator's.
+// newTestEntry returns an entry with fuzzManifest and no agents. Its tokens are
+// "p" for the caller, "t" for the trainer and "o" for the operator.
 func newTestEntry(tb testing.TB) *entry {
 	m, err := manifest.Parse("test", []byte(fuzzManifest))
 	require.NoError(tb, err)
@@ -56,9 +56,9 @@
 	return e
 }
 
-// FuzzRequest: whatever comes over HTTP is answered without a panic. As there
-// is no agent, nothing can have run: each answer of the callers' paths is an
-// error in the one JSON form, with a known kind and the proof "not run".
+// FuzzRequest checks that any HTTP request is answered without a panic. As there
+// are no agents, nothing can have run. So each answer on the callers' paths must
+// be a JSON error with not_run set and a kind other than internal.
 func FuzzRequest(f *testing.F) {
 	const key = "018bcfe5-6800-7000-8000-000000000001"
 	for _, s := range [][7]string{
@@ -91,7 +91,7 @@
 			return
 		}
 		ctx, cancel := context.WithCancel(context.Background())
-		cancel() // no long poll, no step outlives its request
+		cancel() // so that no long poll and no step outlives its request
 		w := httptest.NewRecorder()
 		handler.ServeHTTP(w, r.WithContext(ctx))
 		if p := r.URL.Path; p != "/v1/completions" && !bytes.HasPrefix([]byte(p), []byte("/svc/")) {
--- a/entry/server/input_test.go
+++ b/entry/server/input_test.go
@@ -11,9 +11,9 @@
 	"dandelionsill.org/entry/answer"
 )
 
-// Callers, trainers and operators send what can't be right. Each gets one error
-// that names the mistake, under its own request id, with the proof that nothing
-// ran; no step is begun and no version announced by it.
+// Callers, trainers and operators send invalid requests. Each must get one error
+// that names the mistake, has the request's id and sets not_run. None may start a
+// step or announce a version.
 func TestBadInput(t *testing.T) {
 	const key = "018bcfe5-6800-7000-8000-000000000001"
 	const completion = `{"model":"drafter","prompt":"x","max_tokens":5}`
@@ -24,41 +24,41 @@
 		request, token, header, body string
 		kind, message                string
 	}{
-		"no token":                {"POST /v1/completions", "", "", completion, "unauthenticated", "Authorization is missing"},
-		"wrong token":             {"POST /v1/completions", "x", "", completion, "unauthenticated", "in no caller or trainer"},
-		"a trainer's token":       {"POST /v1/completions", "t", "", completion, "forbidden", "is a trainer's"},
-		"a caller's token":        {"POST /v1/steps", "p", "", group(`"samples":1`), "forbidden", "is a caller's"},
-		"unknown model":           {"POST /v1/completions", "p", "", `{"model":"draftr","prompt":"x"}`, "not_found", `no model "draftr"`},
-		"unknown field":           {"POST /v1/completions", "p", "", `{"model":"drafter","prompt":"x","max_token":5}`, "bad_request", `"max_token"`},
-		"malformed completion":    {"POST /v1/completions", "p", "", `{"model":`, "bad_request", "not the JSON"},
-		"two completions":         {"POST /v1/completions", "p", "", completion + completion, "bad_request", "behind its JSON value"},
-		"no prompt":               {"POST /v1/completions", "p", "", `{"model":"drafter"}`, "bad_request", "prompt is empty"},
-		"too many tokens":         {"POST /v1/completions", "p", "", `{"model":"drafter","prompt":"x","max_tokens":99999}`, "bad_request", "takes 1 to 4096"},
-		"GET completion":          {"GET /v1/completions", "p", "", "", "not_found", "POST only"},
-		"body over the limit":     {"POST /v1/completions", "p", "", strings.Repeat("x", 5000), "too_large", "4096 bytes"},
-		"no deadline":             {"POST /v1/completions", "p", "Dandelion-Timeout-Ms: 0", completion, "bad_request", "Dandelion-Timeout-Ms"},
-		"deadline in words":       {"POST /v1/completions", "p", "Dandelion-Timeout-Ms: 1s", completion, "bad_request", `"1s"`},
-		"bad request id":          {"POST /v1/completions", "p", "X-Request-Id: a b", completion, "bad_request", "X-Request-Id"},
-		"unknown service":         {"GET /svc/ordrs/status", "p", "", "", "not_found", `no service "ordrs"`},
-		"no service":              {"GET /svc/", "p", "", "", "not_found", `no service ""`},
-		"unknown route":           {"GET /svc/orders/x", "p", "", "", "not_found", "no route for GET /x"},
-		"path of two readings":    {"GET /svc/orders/status/%2e%2e/orders", "p", "", "", "not_found", "no route"},
-		"key is missing":          {"POST /svc/orders/orders", "p", "", "", "bad_request", "Idempotency-Key"},
-		"key is no UUIDv7":        {"POST /svc/orders/orders", "p", "Idempotency-Key: " + key[:14] + "4" + key[15:], "", "bad_request", "UUIDv7"},
-		"malformed step":          {"POST /v1/steps", "t", "", `{"step":`, "bad_request", "body"},
-		"step without samples":    {"POST /v1/steps", "t", "", group(`"samples":0`), "bad_request", "samples"},
-		"step without attempt":    {"POST /v1/steps", "t", "", `{"step":1,"groups":[]}`, "bad_request", "attempt"},
-		"step too large":          {"POST /v1/steps", "t", "", strings.Repeat("x", 5000), "too_large", "4096 bytes"},
-		"step's tokens":           {"POST /v1/steps", "t", "", group(`"samples":1,"max_tokens":99999`), "bad_request", "limit is 4096"},
-		"cursor in words":         {"GET /v1/steps/1/groups?attempt=1&cursor=x", "t", "", "", "bad_request", "cursor"},
-		"version in words":        {"POST /v1/versions", "t", "", `{"version":"5"}`, "bad_request", `{"version": N}`},
-		"two versions":            {"POST /v1/versions", "t", "", `{"version":5}{"version":6}`, "bad_request", `{"version": N}`},
-		"a caller's version":      {"POST /v1/versions", "p", "", `{"version":5}`, "forbidden", "is a caller's"},
-		"unknown path":            {"POST /v1/completion", "p", "", completion, "not_found", "no path /v1/completion"},
-		"wrong method":            {"DELETE /v1/versions", "t", "", "", "not_found", "does not take DELETE"},
-		"explain without an id":   {"GET /v1/explain/", "o", "", "", "bad_request", "id to explain"},
-		"explain without a token": {"GET /v1/explain/r", "", "", "", "unauthenticated", "Authorization"},
-		"explain by a caller":     {"GET /v1/explain/r", "p", "", "", "forbidden", "no operator's"},
+		"no token":                  {"POST /v1/completions", "", "", completion, "unauthenticated", "Authorization is missing"},
+		"wrong token":               {"POST /v1/completions", "x", "", completion, "unauthenticated", "in no caller or trainer"},
+		"a trainer's token":         {"POST /v1/completions", "t", "", completion, "forbidden", "is a trainer's"},
+		"a caller's token":          {"POST /v1/steps", "p", "", group(`"samples":1`), "forbidden", "is a caller's"},
+		"unknown model":             {"POST /v1/completions", "p", "", `{"model":"draftr","prompt":"x"}`, "not_found", `no model "draftr"`},
+		"unknown field":             {"POST /v1/completions", "p", "", `{"model":"drafter","prompt":"x","max_token":5}`, "bad_request", `"max_token"`},
+		"malformed completion":      {"POST /v1/completions", "p", "", `{"model":`, "bad_request", "not the JSON"},
+		"two completions":           {"POST /v1/completions", "p", "", completion + completion, "bad_request", "behind its JSON value"},
+		"no prompt":                 {"POST /v1/completions", "p", "", `{"model":"drafter"}`, "bad_request", "prompt is empty"},
+		"too many tokens":           {"POST /v1/completions", "p", "", `{"model":"drafter","prompt":"x","max_tokens":99999}`, "bad_request", "takes 1 to 4096"},
+		"GET completion":            {"GET /v1/completions", "p", "", "", "not_found", "POST only"},
+		"body over the limit":       {"POST /v1/completions", "p", "", strings.Repeat("x", 5000), "too_large", "4096 bytes"},
+		"zero deadline":             {"POST /v1/completions", "p", "Dandelion-Timeout-Ms: 0", completion, "bad_request", "Dandelion-Timeout-Ms"},
+		"deadline with a unit":      {"POST /v1/completions", "p", "Dandelion-Timeout-Ms: 1s", completion, "bad_request", `"1s"`},
+		"bad request id":            {"POST /v1/completions", "p", "X-Request-Id: a b", completion, "bad_request", "X-Request-Id"},
+		"unknown service":           {"GET /svc/ordrs/status", "p", "", "", "not_found", `no service "ordrs"`},
+		"no service":                {"GET /svc/", "p", "", "", "not_found", `no service ""`},
+		"unknown route":             {"GET /svc/orders/x", "p", "", "", "not_found", "no route for GET /x"},
+		"ambiguous path":            {"GET /svc/orders/status/%2e%2e/orders", "p", "", "", "not_found", "no route"},
+		"key is missing":            {"POST /svc/orders/orders", "p", "", "", "bad_request", "Idempotency-Key"},
+		"key is no UUIDv7":          {"POST /svc/orders/orders", "p", "Idempotency-Key: " + key[:14] + "4" + key[15:], "", "bad_request", "UUIDv7"},
+		"malformed step":            {"POST /v1/steps", "t", "", `{"step":`, "bad_request", "body"},
+		"step without samples":      {"POST /v1/steps", "t", "", group(`"samples":0`), "bad_request", "samples"},
+		"step without attempt":      {"POST /v1/steps", "t", "", `{"step":1,"groups":[]}`, "bad_request", "attempt"},
+		"step too large":            {"POST /v1/steps", "t", "", strings.Repeat("x", 5000), "too_large", "4096 bytes"},
+		"too many tokens in a step": {"POST /v1/steps", "t", "", group(`"samples":1,"max_tokens":99999`), "bad_request", "limit is 4096"},
+		"cursor is no number":       {"GET /v1/steps/1/groups?attempt=1&cursor=x", "t", "", "", "bad_request", "cursor"},
+		"version is a string":       {"POST /v1/versions", "t", "", `{"version":"5"}`, "bad_request", `{"version": N}`},
+		"two versions":              {"POST /v1/versions", "t", "", `{"version":5}{"version":6}`, "bad_request", `{"version": N}`},
+		"a caller's version":        {"POST /v1/versions", "p", "", `{"version":5}`, "forbidden", "is a caller's"},
+		"unknown path":              {"POST /v1/completion", "p", "", completion, "not_found", "no path /v1/completion"},
+		"wrong method":              {"DELETE /v1/versions", "t", "", "", "not_found", "does not take DELETE"},
+		"explain without an id":     {"GET /v1/explain/", "o", "", "", "bad_request", "id to explain"},
+		"explain without a token":   {"GET /v1/explain/r", "", "", "", "unauthenticated", "Authorization"},
+		"explain by a caller":       {"GET /v1/explain/r", "p", "", "", "forbidden", "no operator's"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := newTestEntry(t)
--- a/entry/server/operators.go
+++ b/entry/server/operators.go
@@ -21,17 +21,17 @@
 
 const (
 	explainPrefix = "/v1/explain/"
-	// explainTimeout bounds the wait for the agents; one that is down must not
-	// keep an operator from the records of the others.
+	// explainTimeout bounds the wait for the agents' records. An agent that is
+	// down must not hold up the records of the others.
 	explainTimeout = time.Second
-	// maxExplainCalls bounds the agents asked at once.
+	// maxExplainCalls bounds the number of agents that are asked concurrently.
 	maxExplainCalls = 32
 )
 
-// Status is the answer to GET /v1/status.
+// Status is the body of the answer to GET /v1/status.
 type Status struct {
 	run.Status
-	// Agents are the agents that this entry watches, by name.
+	// Agents are the agents that this entry watches, sorted by name.
 	Agents []AgentStatus `json:"agents"`
 }
 
@@ -45,7 +45,7 @@
 	Version  uint64 `json:"version"`
 	Running  int32  `json:"running"`
 	Queued   int32  `json:"queued"`
-	InFlight int    `json:"in_flight"` // of this entry
+	InFlight int    `json:"in_flight"` // this entry's work in flight there
 }
 
 func (e *entry) serveStatus(w http.ResponseWriter, r *http.Request) {
@@ -69,6 +69,7 @@
 	answer.JSON(w, r.Header.Get(answer.HeaderRequestID), http.StatusOK, status)
 }
 
+// leaving reports whether the manifest marks this VM as leaving.
 func (e *entry) leaving() bool {
 	view := e.viewer.View()
 	return view != nil && view.Manifest != nil && view.Manifest.Leaving[e.settings.Process.Name]
@@ -99,7 +100,7 @@
 	}
 }
 
-// Decision is one decision record.
+// Decision is one decision record of a process.
 type Decision struct {
 	AtMS    int64  `json:"at_ms"`
 	Process string `json:"process"`
@@ -110,11 +111,12 @@
 	TraceID string `json:"trace_id,omitempty"`
 }
 
-// Explanation is the answer to GET /v1/explain/{id}.
+// Explanation is the body of the answer to GET /v1/explain/{id}.
 type Explanation struct {
 	ID        string     `json:"id"`
 	Decisions []Decision `json:"decisions"`
-	// Unresponsive names agents that did not answer: their records are missing.
+	// Unresponsive contains the names of the agents that did not answer. Their
+	// records are missing.
 	Unresponsive []string `json:"silent"`
 }
 
@@ -136,7 +138,8 @@
 	})
 }
 
-// explain answers operators only: the records tell of all callers' requests.
+// explain answers operators only, as the records cover the requests of all
+// callers.
 func (e *entry) explain(r *http.Request) (Explanation, error) {
 	if refusal := auth.Operator(e.viewer.View(), r); refusal != nil {
 		return Explanation{}, refusal
@@ -148,7 +151,8 @@
 	return collectDecisions(r.Context(), id, e.ring.Find(id), e.agents.Snapshot().ByName), nil
 }
 
-// collectDecisions adds the records of the agents that this entry watches to its own.
+// collectDecisions returns this entry's records and those of the agents that it
+// watches, sorted by time.
 func collectDecisions(ctx context.Context, id string, own []*pb.Decision, servers map[string]*fleet.Server) Explanation {
 	out := Explanation{ID: id, Decisions: convertDecisions(own), Unresponsive: []string{}}
 	ctx, cancel := context.WithTimeout(ctx, explainTimeout)
@@ -188,13 +192,13 @@
 	return out
 }
 
-// withServices serves calls to plain services ahead of the router, which
-// would clean their paths and redirect: a redirected POST becomes a GET, and
-// a cleaned path may be another one to the backend server.
+// withServices passes calls to services to their handler instead of the router.
+// The router would clean their paths and redirect: a redirected POST becomes a
+// GET, and a cleaned path may mean something else to the backend server.
 func withServices(services, rest http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		// A caller's write deadline stays on its connection, which a balancer
-		// may use for a trainer's long poll next.
+		// Clear the write deadline of an earlier request. It stays on the
+		// connection, which a balancer may use for a trainer's long poll next.
 		_ = http.NewResponseController(w).SetWriteDeadline(time.Time{})
 		if strings.HasPrefix(r.URL.Path, calls.Prefix) {
 			services.ServeHTTP(w, r)
@@ -204,8 +208,9 @@
 	})
 }
 
-// withExplain serves explain ahead of the router as well: an id may hold "//"
-// or a dot segment, by the caller's or trainer's choice.
+// withExplain passes explain requests to their handler instead of the router,
+// which would clean their paths: callers and trainers may choose ids with "//" or
+// a dot segment.
 func withExplain(explain, rest http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if strings.HasPrefix(r.URL.Path, explainPrefix) {
@@ -216,7 +221,8 @@
 	})
 }
 
-// allowMethod answers 405 to other methods.
+// allowMethod reports whether the request has the given method. If not, it
+// answers 405.
 func allowMethod(w http.ResponseWriter, r *http.Request, method string) bool {
 	if r.Method == method {
 		return true
@@ -226,8 +232,8 @@
 	return false
 }
 
-// notFound and wrongMethod answer in the form of all refusals: a caller's
-// client that reads "not_run" must not trip over a plain text.
+// notFound and methodNotAllowed answer in the JSON form of all refusals, as a
+// caller that reads "not_run" must not have to handle a plain text.
 func notFound(w http.ResponseWriter, r *http.Request) {
 	refuse(w, r, http.StatusNotFound, "there is no path %s", r.URL.Path)
 }
@@ -236,8 +242,9 @@
 	refuse(w, r, http.StatusMethodNotAllowed, "%s does not take %s", r.URL.Path, r.Method)
 }
 
+// refuse answers with a not_found error and the given HTTP status.
 func refuse(w http.ResponseWriter, r *http.Request, status int, format string, args ...any) {
-	id, _ := front.RequestID(r) // a bad id is replaced; the path is the greater mistake
+	id, _ := front.RequestID(r) // an invalid id is replaced, as the error is about the path
 	body, _ := answer.Body(id, kinds.Hold().Refuse(kinds.NotFound, format, args...))
 	answer.JSON(w, id, status, body)
 }
--- a/entry/server/server_test.go
+++ b/entry/server/server_test.go
@@ -40,6 +40,7 @@
 staleness_bound = 1
 `
 
+// fakeViewer records announced versions by model.
 type fakeViewer struct {
 	confsync.Static
 	announced map[string]uint64
@@ -47,6 +48,7 @@
 
 func (v fakeViewer) Announce(model string, version uint64) { v.announced[model] = version }
 
+// fakeStore is a weight store with one newest version, or an error.
 type fakeStore struct {
 	platform.WeightStore
 	latest uint64
@@ -57,9 +59,9 @@
 	return platform.WeightInfo{Version: s.latest}, s.err
 }
 
-// A trainer announces weights. Its word counts at once, also while the store
-// can't be asked; but a version that the store lacks would hold every engine
-// up for good, since versions never go back, and is refused.
+// A trainer announces weights. The version must apply at once, also while the
+// store is unavailable. A version that the store does not have must be refused,
+// as it would block every engine permanently: versions never decrease.
 func TestAnnouncedVersionMustBeInTheStore(t *testing.T) {
 	m, err := manifest.Parse("test", []byte(manifestText))
 	require.NoError(t, err)
@@ -90,9 +92,9 @@
 	}
 }
 
-// A path with a double slash or a dot segment comes to the service handler as
-// it was sent. The router would redirect it, and clients turn a redirected
-// POST into a GET.
+// A path with a double slash or a dot segment must reach the service handler
+// unchanged. The router would redirect it, and HTTP clients turn a redirected POST
+// into a GET.
 func TestServicePathsAreNotCleaned(t *testing.T) {
 	var seen string
 	services := http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { seen = r.Method + " " + r.URL.EscapedPath() })
@@ -112,7 +114,7 @@
 	require.Equal(t, 200, resp.StatusCode)
 }
 
-// fakeExplainAgent answers from a ring as an agent does.
+// fakeExplainAgent answers from a ring, as an agent does.
 type fakeExplainAgent struct {
 	pb.AgentClient
 	ring *explain.Ring
@@ -123,9 +125,9 @@
 	return &pb.ExplainReply{Decisions: x.ring.Find(r.Id)}, x.err
 }
 
-// An operator asks why a completion was slow. The agents know it by the ids of
-// its tries; an agent that is down is named, and the others' records come all
-// the same, in the order of their times, and none of another request's.
+// An operator asks why a completion was slow. The agents have records under the
+// ids of its attempts. The answer must name the agent that is down, and contain the
+// records of the others, sorted by time, and none of other requests.
 func TestExplainCollectsAgentDecisions(t *testing.T) {
 	ring := explain.New("vm-1", 64)
 	for _, id := range []string{"r", "r.abc-1", "rs"} {
@@ -143,8 +145,8 @@
 	require.Equal(t, "sent to vm-1", what[0])
 }
 
-// Trainers choose groups' ids and callers request ids. Whatever they hold, the
-// operator gets the records of just that id.
+// Trainers choose the ids of groups and callers those of requests. Whatever
+// characters an id contains, the operator must get the records of exactly that id.
 func TestExplainAcceptsAnyID(t *testing.T) {
 	e := newTestEntry(t)
 	for _, id := range []string{"a//b", "a/../b", "./a", "t/1/g x/0", "t/1/é%/0", "t/1/?#/0"} {
@@ -175,8 +177,9 @@
 	require.Equal(t, set.Subset.Local, set.Subset.config().Local)
 }
 
-// An entry is built, started against a platform that is down, and stopped. It
-// is never ready, refuses callers as not ready, and leaves nothing running.
+// An entry is built, started while its platform is down, and stopped. It must
+// never become ready, must refuse callers with not_ready, and must leave no
+// goroutine running.
 func TestBuildWithoutAPlatform(t *testing.T) {
 	set := Settings{Entry: Entry{MaxBody: 10, MaxAttempts: 1, ExplainRecords: 16}}
 	set.Process = settings.Process{Name: "e", Listen: "127.0.0.1:0", HTTP: "127.0.0.1:0", LogLevel: "error"}
--- a/entry/server/settings.go
+++ b/entry/server/settings.go
@@ -12,7 +12,7 @@
 	"dandelionsill.org/manifest"
 )
 
-// Settings of an entry.
+// Settings are the settings of an entry process.
 type Settings struct {
 	settings.Common
 	Entry  Entry
@@ -21,7 +21,8 @@
 	Steps  steps.Policy
 }
 
-// Entry bounds what callers may send and get.
+// Entry holds the limits for requests and answers, and other settings of the
+// entry itself.
 type Entry struct {
 	MaxBody        int           `ini:"entry.max_body" default:"1048576" min:"1" help:"largest request body in bytes; a lower bound of the manifest goes first"`
 	MaxStepBody    int           `ini:"entry.max_step_body" default:"67108864" min:"1" help:"largest step that a trainer posts, in bytes"`
@@ -33,7 +34,7 @@
 	ReportTimeout  time.Duration `ini:"entry.silent" default:"3s" min:"100ms" max:"1m" help:"an agent that says nothing for so long counts as not ready"`
 }
 
-// Subset sizes the part of the agents that this entry watches.
+// Subset sizes the subset of the agents that an entry watches.
 type Subset struct {
 	FullBelow   int `ini:"subset.full_below" default:"48" min:"0" max:"10000" help:"with no more agents than this the entry watches all of them"`
 	Local       int `ini:"subset.local" default:"12" min:"1" max:"10000" help:"agents of each pool in the entry's own failure domain"`
@@ -42,7 +43,7 @@
 	CoverRemote int `ini:"subset.cover_remote" default:"1" min:"0" max:"1000" help:"entries that each agent is given elsewhere"`
 }
 
-// Eject tunes the ejection of outliers.
+// Eject holds the settings for the ejection of outliers.
 type Eject struct {
 	Factor      float64       `ini:"eject.factor" default:"3" min:"1.1" max:"1000" help:"a server slower than this many times the pool's median is ejected"`
 	FailureRate float64       `ini:"eject.failure_rate" default:"0.5" min:"0.01" max:"1" help:"a server that fails this share of its requests is ejected"`
@@ -66,7 +67,7 @@
 	return cfg
 }
 
-// Validate checks what the fields alone can't tell.
+// Validate checks what the struct tags of the fields can't express.
 func (s Settings) Validate() error {
 	if s.Process.Listen == "" || s.Process.HTTP == "" {
 		return errors.New("process.listen and process.http must be set")
--- a/entry/server/versions.go
+++ b/entry/server/versions.go
@@ -18,13 +18,15 @@
 )
 
 const (
+	// maxVersionBody is the largest body of an announcement, in bytes.
 	maxVersionBody = 1 << 10
-	// storeTimeout bounds the look into the weight store, which may be slow
-	// for long: an announcement must not hang on it.
+	// storeTimeout bounds the query of the weight store, which may be slow for
+	// a long time. An announcement must not wait for it.
 	storeTimeout = 2 * time.Second
 )
 
-// VersionBody is what a trainer posts when newer weights stand in the store.
+// VersionBody is the body that a trainer posts once newer weights are in the
+// store.
 type VersionBody struct {
 	Version uint64 `json:"version"`
 }
@@ -45,6 +47,8 @@
 	answer.JSON(w, id, http.StatusOK, body)
 }
 
+// announce announces the posted version to the configuration keeper, and returns
+// it as the body of the answer.
 func (e *entry) announce(r *http.Request) (*VersionBody, error) {
 	trainer, refusal := auth.Trainer(e.viewer.View(), r)
 	if refusal != nil {
@@ -64,16 +68,17 @@
 	return &body, nil
 }
 
-// checkStore refuses a version that the store does not have. Versions only
-// rise: a mistyped one would keep every engine waiting for weights that never
-// come. While the store can't be asked, the trainer's word is taken.
+// checkStore refuses a version that is newer than the newest in the store.
+// Versions only increase, so a mistyped one would make every engine wait for
+// weights that never arrive. While the store is unavailable, any announced version
+// is accepted.
 func (e *entry) checkStore(ctx context.Context, model string, version uint64) error {
 	if e.store == nil {
 		return nil
 	}
 	latest, err := e.latestVersion(ctx, model)
 	if err != nil {
-		e.logger.Warn("The weight store can't be asked about an announced version.", zap.String("model", model), zap.Error(err))
+		e.logger.Warn("An announced version was not checked, as the weight store is unavailable.", zap.String("model", model), zap.Error(err))
 		return nil
 	}
 	if version > latest.Version {
