--- a/entry/fleet/snapshot.go
+++ b/entry/fleet/snapshot.go
@@ -12,21 +12,21 @@
 
 // Reasons for which an agent's reports count as stopped.
 var (
-	errSilent  = errors.New("the agent is silent")
-	errOtherVM = errors.New("the address answers for another VM")
+	errReportTimeout = errors.New("no report arrived within the report timeout")
+	errWrongVM       = errors.New("the address answers for another VM")
 )
 
-// Pool names, as they stand in Snapshot.By.
+// Prefixes of the pool names in Snapshot.ByPool, and the kind of an engine.
 const (
 	modelPool   = "model/"
 	servicePool = "service/"
 	kindEngine  = "engine"
 )
 
-// ModelPool is the name of a model's pool.
+// ModelPool returns the name of a model's pool.
 func ModelPool(model string) string { return modelPool + model }
 
-// ServicePool is the name of a service's pool.
+// ServicePool returns the name of a service's pool.
 func ServicePool(service string) string { return servicePool + service }
 
 func poolOf(report *pb.AgentState) string {
@@ -36,7 +36,7 @@
 	return ServicePool(report.Serves)
 }
 
-// publishDirty publishes load reports that came since the last time.
+// publishDirty publishes the load reports that arrived since the last snapshot.
 func (a *Agents) publishDirty() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -45,12 +45,12 @@
 	}
 }
 
-// publish makes a new snapshot of all agents that have reported. Readers
-// keep the one that they hold. a.mu is held.
+// publish stores a new snapshot of all agents that have reported and notifies
+// the waiters. Readers of an older snapshot keep it unchanged. a.mu is held.
 func (a *Agents) publish() {
 	a.dirty = false
-	snap := &Snapshot{By: map[string][]*Server{}, ByName: make(map[string]*Server, len(a.agents))}
-	leaving := a.leaving()
+	snap := &Snapshot{ByPool: map[string][]*Server{}, ByName: make(map[string]*Server, len(a.agents))}
+	leaving := a.leavingVMs()
 	for name, g := range a.agents {
 		server := a.serverOf(g, leaving)
 		if server == nil {
@@ -58,49 +58,52 @@
 		}
 		snap.ByName[name] = server
 		pool := poolOf(server.State)
-		snap.By[pool] = append(snap.By[pool], server)
+		snap.ByPool[pool] = append(snap.ByPool[pool], server)
 	}
-	for _, servers := range snap.By {
+	for _, servers := range snap.ByPool {
 		slices.SortFunc(servers, func(x, y *Server) int { return cmp.Compare(x.Name, y.Name) })
 	}
 	a.snap.Store(snap)
-	a.tell.send()
+	a.changed.notify()
 }
 
-func (a *Agents) leaving() map[string]bool {
+// leavingVMs returns the names of the VMs that the manifest marks as leaving.
+func (a *Agents) leavingVMs() map[string]bool {
 	if view := a.cfg.Viewer.View(); view != nil && view.Manifest != nil {
 		return view.Manifest.Leaving
 	}
 	return nil
 }
 
-// serverOf returns the agent's server, the same one while nothing changed.
+// serverOf returns the agent's Server, or nil if it has not reported yet. It is
+// the same pointer until the state or the ejection changes. a.mu is held.
 func (a *Agents) serverOf(g *agent, leaving map[string]bool) *Server {
-	state := a.state(g, leaving)
+	state := a.currentState(g, leaving)
 	if state == nil {
 		return nil
 	}
-	ejected := a.load.ejected(g.vm.Name)
+	ejected := a.work.isEjected(g.vm.Name)
 	if last := g.server; last != nil && last.State == state && last.Ejected == ejected {
 		return last
 	}
 	g.server = &Server{
-		Name:          g.vm.Name,
-		Addr:          g.vm.Addr,
-		FailureDomain: g.vm.FailureDomain,
-		Region:        g.vm.Region,
-		Kind:          state.Kind,
-		Serves:        state.Serves,
-		State:         state,
-		Client:        g.client,
-		InFlight:      g.ownAt,
-		Ejected:       ejected,
-		Local:         g.vm.FailureDomain == a.cfg.FailureDomain,
+		Name:             g.vm.Name,
+		Addr:             g.vm.Addr,
+		FailureDomain:    g.vm.FailureDomain,
+		Region:           g.vm.Region,
+		Kind:             state.Kind,
+		Serves:           state.Serves,
+		State:            state,
+		Client:           g.client,
+		InFlightAtReport: g.inFlightAtReport,
+		Ejected:          ejected,
+		Local:            g.vm.FailureDomain == a.cfg.FailureDomain,
 	}
 	return g.server
 }
 
-// poolMembers lists each pool's ready members, for the judgement of outliers.
+// poolMembers maps each pool to the watched agents that have reported, for the
+// evaluation of outliers. a.mu is held.
 func (a *Agents) poolMembers() map[string][]string {
 	members := map[string][]string{}
 	for name, g := range a.agents {
@@ -112,12 +115,13 @@
 	return members
 }
 
-// broadcast wakes all waiters at once.
+// broadcast notifies all waiters at once by closing a channel.
 type broadcast struct {
 	mu sync.Mutex
 	ch chan struct{}
 }
 
+// wait returns a channel that is closed at the next notify.
 func (b *broadcast) wait() <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -127,7 +131,7 @@
 	return b.ch
 }
 
-func (b *broadcast) send() {
+func (b *broadcast) notify() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.ch != nil {
--- a/entry/server/fuzz_test.go
+++ b/entry/server/fuzz_test.go
@@ -37,18 +37,18 @@
 allow = drafter, orders
 `
 
-// fuzzEntry is an entry under fuzzManifest without any agent. Tokens: "p" is
-// the caller's, "t" the trainer's, "o" the operator's.
-func fuzzEntry(tb testing.TB) *entry {
+// newTestEntry returns an entry with fuzzManifest and no agents. Its tokens are
+// "p" for the caller, "t" for the trainer and "o" for the operator.
+func newTestEntry(tb testing.TB) *entry {
 	m, err := manifest.Parse("test", []byte(fuzzManifest))
 	require.NoError(tb, err)
 	static := confsync.Static{V: &confsync.View{Number: 1, Manifest: m}}
-	set := Settings{Entry: Entry{MaxBody: 4096, MaxStepBody: 4096, MaxAttempts: 2, Explain: 64}}
+	set := Settings{Entry: Entry{MaxBody: 4096, MaxStepBody: 4096, MaxAttempts: 2, ExplainRecords: 64}}
 	set.Process = settings.Process{Name: "e", Listen: "127.0.0.1:0", HTTP: "127.0.0.1:0", LogLevel: "error"}
 	set.Platform = settings.Platform{Log: "http://127.0.0.1:1", VMs: "http://127.0.0.1:1"}
 	e, err := newEntry(set, manifest.Keys{"k": make([]byte, 32)})
 	require.NoError(tb, err)
-	e.viewer = viewer{static, map[string]uint64{}}
+	e.viewer = fakeViewer{static, map[string]uint64{}}
 	e.front = front.New(front.Config{Viewer: static, MaxBody: 4096, Ring: e.ring})
 	e.steps.Close()
 	e.steps = steps.New(steps.Config{Name: "e", Fleet: e.agents, View: static, Log: e.platformLog, Logger: e.logger, MaxBody: 4096})
@@ -56,9 +56,9 @@
 	return e
 }
 
-// FuzzRequest: whatever comes over HTTP is answered without a panic. As there
-// is no agent, nothing can have run: each answer of the callers' paths is an
-// error in the one JSON form, with a known kind and the proof "not run".
+// FuzzRequest checks that any HTTP request is answered without a panic. As there
+// are no agents, nothing can have run. So each answer on the callers' paths must
+// be a JSON error with not_run set and a kind other than internal.
 func FuzzRequest(f *testing.F) {
 	const key = "018bcfe5-6800-7000-8000-000000000001"
 	for _, s := range [][7]string{
@@ -81,7 +81,7 @@
 		f.Add(s[0], s[1], s[2], s[3], s[4], s[5], []byte(s[6]))
 	}
 	otel.SetTextMapPropagator(propagation.TraceContext{})
-	e := fuzzEntry(f)
+	e := newTestEntry(f)
 	handler := e.http().Handler
 	f.Fuzz(func(t *testing.T, method, target, token, key, timeout, traceparent string, body []byte) {
 		raw := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\nIdempotency-Key: %s\r\nDandelion-Timeout-Ms: %s\r\ntraceparent: %s\r\nContent-Length: %d\r\n\r\n%s",
@@ -91,7 +91,7 @@
 			return
 		}
 		ctx, cancel := context.WithCancel(context.Background())
-		cancel() // no long poll, no step outlives its request
+		cancel() // so that no long poll and no step outlives its request
 		w := httptest.NewRecorder()
 		handler.ServeHTTP(w, r.WithContext(ctx))
 		if p := r.URL.Path; p != "/v1/completions" && !bytes.HasPrefix([]byte(p), []byte("/svc/")) {
--- a/entry/server/operators.go
+++ b/entry/server/operators.go
@@ -21,17 +21,17 @@
 
 const (
 	explainPrefix = "/v1/explain/"
-	// explainTimeout bounds the wait for the agents; one that is down must not
-	// keep an operator from the records of the others.
+	// explainTimeout bounds the wait for the agents' records. An agent that is
+	// down must not hold up the records of the others.
 	explainTimeout = time.Second
-	// explainParallel bounds the agents asked at once.
-	explainParallel = 32
+	// maxExplainCalls bounds the number of agents that are asked concurrently.
+	maxExplainCalls = 32
 )
 
-// Status is the answer to GET /v1/status.
+// Status is the body of the answer to GET /v1/status.
 type Status struct {
 	run.Status
-	// Agents are the agents that this entry watches, by name.
+	// Agents are the agents that this entry watches, sorted by name.
 	Agents []AgentStatus `json:"agents"`
 }
 
@@ -45,18 +45,18 @@
 	Version  uint64 `json:"version"`
 	Running  int32  `json:"running"`
 	Queued   int32  `json:"queued"`
-	InFlight int    `json:"in_flight"` // of this entry
+	InFlight int    `json:"in_flight"` // this entry's work in flight there
 }
 
 func (e *entry) serveStatus(w http.ResponseWriter, r *http.Request) {
-	if !only(w, r, http.MethodGet) {
+	if !allowMethod(w, r, http.MethodGet) {
 		return
 	}
 	status := Status{
 		Status: run.Status{
-			Name:        e.set.Process.Name,
+			Name:        e.settings.Process.Name,
 			Role:        platform.RoleEntry,
-			Incarnation: uint64(e.start.UnixMilli()),
+			Incarnation: uint64(e.startedAt.UnixMilli()),
 			Ready:       run.IsReady(),
 			Leaving:     e.leaving(),
 			Peers:       e.peers(),
@@ -69,14 +69,15 @@
 	answer.JSON(w, r.Header.Get(answer.HeaderRequestID), http.StatusOK, status)
 }
 
+// leaving reports whether the manifest marks this VM as leaving.
 func (e *entry) leaving() bool {
 	view := e.viewer.View()
-	return view != nil && view.Manifest != nil && view.Manifest.Leaving[e.set.Process.Name]
+	return view != nil && view.Manifest != nil && view.Manifest.Leaving[e.settings.Process.Name]
 }
 
 func (e *entry) agentStatus() []AgentStatus {
 	var all []AgentStatus
-	for pool, servers := range e.agents.Snapshot().By {
+	for pool, servers := range e.agents.Snapshot().ByPool {
 		for _, s := range servers {
 			all = append(all, statusOf(pool, s, e.agents.InFlightNow(s.Name)))
 		}
@@ -99,7 +100,7 @@
 	}
 }
 
-// Decision is one decision record.
+// Decision is one decision record of a process.
 type Decision struct {
 	AtMS    int64  `json:"at_ms"`
 	Process string `json:"process"`
@@ -110,17 +111,18 @@
 	TraceID string `json:"trace_id,omitempty"`
 }
 
-// Explanation is the answer to GET /v1/explain/{id}.
+// Explanation is the body of the answer to GET /v1/explain/{id}.
 type Explanation struct {
 	ID        string     `json:"id"`
 	Decisions []Decision `json:"decisions"`
-	// Silent names agents that did not answer: their records are missing.
-	Silent []string `json:"silent"`
+	// Unresponsive contains the names of the agents that did not answer. Their
+	// records are missing.
+	Unresponsive []string `json:"silent"`
 }
 
 func explainHandler(e *entry) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if !only(w, r, http.MethodGet) {
+		if !allowMethod(w, r, http.MethodGet) {
 			return
 		}
 		requestID, err := front.RequestID(r)
@@ -136,7 +138,8 @@
 	})
 }
 
-// explain answers operators only: the records tell of all callers' requests.
+// explain answers operators only, as the records cover the requests of all
+// callers.
 func (e *entry) explain(r *http.Request) (Explanation, error) {
 	if refusal := auth.Operator(e.viewer.View(), r); refusal != nil {
 		return Explanation{}, refusal
@@ -145,12 +148,13 @@
 	if id == "" {
 		return Explanation{}, kinds.Hold().Refuse(kinds.BadRequest, "the path ends with the id to explain")
 	}
-	return gather(r.Context(), id, e.ring.Find(id), e.agents.Snapshot().ByName), nil
+	return collectDecisions(r.Context(), id, e.ring.Find(id), e.agents.Snapshot().ByName), nil
 }
 
-// gather adds the records of the agents that this entry watches to its own.
-func gather(ctx context.Context, id string, own []*pb.Decision, servers map[string]*fleet.Server) Explanation {
-	out := Explanation{ID: id, Decisions: decisions(own), Silent: []string{}}
+// collectDecisions returns this entry's records and those of the agents that it
+// watches, sorted by time.
+func collectDecisions(ctx context.Context, id string, own []*pb.Decision, servers map[string]*fleet.Server) Explanation {
+	out := Explanation{ID: id, Decisions: convertDecisions(own), Unresponsive: []string{}}
 	ctx, cancel := context.WithTimeout(ctx, explainTimeout)
 	defer cancel()
 	type reply struct {
@@ -159,7 +163,7 @@
 		err   error
 	}
 	replies := make(chan reply, len(servers))
-	slots := make(chan struct{}, explainParallel)
+	slots := make(chan struct{}, maxExplainCalls)
 	for name, server := range servers {
 		go func() {
 			slots <- struct{}{}
@@ -171,16 +175,16 @@
 	for range servers {
 		got := <-replies
 		if got.err != nil {
-			out.Silent = append(out.Silent, got.name)
+			out.Unresponsive = append(out.Unresponsive, got.name)
 		}
-		out.Decisions = append(out.Decisions, decisions(got.found)...)
+		out.Decisions = append(out.Decisions, convertDecisions(got.found)...)
 	}
-	slices.Sort(out.Silent)
+	slices.Sort(out.Unresponsive)
 	slices.SortStableFunc(out.Decisions, func(a, b Decision) int { return cmp.Compare(a.AtMS, b.AtMS) })
 	return out
 }
 
-func decisions(from []*pb.Decision) []Decision {
+func convertDecisions(from []*pb.Decision) []Decision {
 	out := make([]Decision, 0, len(from))
 	for _, d := range from {
 		out = append(out, Decision{d.AtMs, d.Process, d.Part, d.Id, d.What, d.Why, d.TraceId})
@@ -188,13 +192,13 @@
 	return out
 }
 
-// withServices serves calls to plain services ahead of the router, which
-// would clean their paths and redirect: a redirected POST becomes a GET, and
-// a cleaned path may be another one to the backend server.
+// withServices passes calls to services to their handler instead of the router.
+// The router would clean their paths and redirect: a redirected POST becomes a
+// GET, and a cleaned path may mean something else to the backend server.
 func withServices(services, rest http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		// A caller's write deadline stays on its connection, which a balancer
-		// may use for a trainer's long poll next.
+		// Clear the write deadline of an earlier request. It stays on the
+		// connection, which a balancer may use for a trainer's long poll next.
 		_ = http.NewResponseController(w).SetWriteDeadline(time.Time{})
 		if strings.HasPrefix(r.URL.Path, calls.Prefix) {
 			services.ServeHTTP(w, r)
@@ -204,8 +208,9 @@
 	})
 }
 
-// withExplain serves explain ahead of the router as well: an id may hold "//"
-// or a dot segment, by the caller's or trainer's choice.
+// withExplain passes explain requests to their handler instead of the router,
+// which would clean their paths: callers and trainers may choose ids with "//" or
+// a dot segment.
 func withExplain(explain, rest http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if strings.HasPrefix(r.URL.Path, explainPrefix) {
@@ -216,28 +221,30 @@
 	})
 }
 
-// only answers 405 to other methods.
-func only(w http.ResponseWriter, r *http.Request, method string) bool {
+// allowMethod reports whether the request has the given method. If not, it
+// answers 405.
+func allowMethod(w http.ResponseWriter, r *http.Request, method string) bool {
 	if r.Method == method {
 		return true
 	}
 	w.Header().Set("Allow", method)
-	wrongMethod(w, r)
+	methodNotAllowed(w, r)
 	return false
 }
 
-// unknownPath and wrongMethod answer in the form of all refusals: a caller's
-// client that reads "not_run" must not trip over a plain text.
-func unknownPath(w http.ResponseWriter, r *http.Request) {
+// notFound and methodNotAllowed answer in the JSON form of all refusals, as a
+// caller that reads "not_run" must not have to handle a plain text.
+func notFound(w http.ResponseWriter, r *http.Request) {
 	refuse(w, r, http.StatusNotFound, "there is no path %s", r.URL.Path)
 }
 
-func wrongMethod(w http.ResponseWriter, r *http.Request) {
+func methodNotAllowed(w http.ResponseWriter, r *http.Request) {
 	refuse(w, r, http.StatusMethodNotAllowed, "%s does not take %s", r.URL.Path, r.Method)
 }
 
+// refuse answers with a not_found error and the given HTTP status.
 func refuse(w http.ResponseWriter, r *http.Request, status int, format string, args ...any) {
-	id, _ := front.RequestID(r) // a bad id is replaced; the path is the greater mistake
+	id, _ := front.RequestID(r) // an invalid id is replaced, as the error is about the path
 	body, _ := answer.Body(id, kinds.Hold().Refuse(kinds.NotFound, format, args...))
 	answer.JSON(w, id, status, body)
 }
