--- a/entry/calls/calls.go
+++ b/entry/calls/calls.go
@@ -33,8 +33,8 @@
 // Prefix is the path under which services are called.
 const Prefix = "/svc/"
 
-// HeaderKey carries the idempotency key, a UUIDv7.
-const HeaderKey = "Idempotency-Key"
+// HeaderIdempotencyKey carries the idempotency key, a UUIDv7.
+const HeaderIdempotencyKey = "Idempotency-Key"
 
 // Defaults of Config.
 const (
@@ -43,9 +43,9 @@
 )
 
 var (
-	retriesTotal  = metrics.Counter("entry_call_retries_total")
-	forwardsTotal = metrics.Counter("entry_call_forwards_total")
-	unknownTotal  = metrics.Counter("entry_call_outcome_unknown_total")
+	retriesTotal        = metrics.Counter("entry_call_retries_total")
+	forwardsTotal       = metrics.Counter("entry_call_forwards_total")
+	outcomeUnknownTotal = metrics.Counter("entry_call_outcome_unknown_total")
 )
 
 // Agents is the picture of the agents that calls go to.
@@ -74,7 +74,7 @@
 type Handler struct {
 	cfg      Config
 	log      *zap.Logger
-	choose   *fleet.Chooser
+	chooser  *fleet.Chooser
 	beforeGo func(*attempt) // for tests: runs after CallReady, before CallGo
 }
 
@@ -95,14 +95,14 @@
 	return &Handler{
 		cfg:      cfg,
 		log:      logs.Part(cfg.Logger, "calls"),
-		choose:   fleet.NewChooser(cfg.Agents, cfg.Region, cfg.Seed),
+		chooser:  fleet.NewChooser(cfg.Agents, cfg.Region, cfg.Seed),
 		beforeGo: func(*attempt) {},
 	}
 }
 
 // call is one request on its way.
 type call struct {
-	*front.Tries
+	*front.Attempts
 	service manifest.Service
 	route   manifest.Route
 	path    string // path and query as the backend server gets it
@@ -118,10 +118,10 @@
 		return refusal
 	}
 	answer, err := h.run(ctx, c)
-	c.Judge(err == nil && answer.whole && answer.head.Status < http.StatusInternalServerError)
+	c.RecordResult(err == nil && answer.complete && answer.head.Status < http.StatusInternalServerError)
 	if err != nil {
 		if kinds.Of(err) == string(kinds.OutcomeUnknown) {
-			unknownTotal.Add(1)
+			outcomeUnknownTotal.Add(1)
 			h.log.Warn("The outcome of a write is unknown.", zap.String("request_id", c.ID), zap.String("caller", c.Caller.Name),
 				zap.String("service", c.service.Name), zap.String("why", err.Error()), logs.Trace(ctx))
 		}
@@ -133,7 +133,7 @@
 
 // parse finds the service and route and checks the caller's right to them.
 func (h *Handler) parse(r *front.Request) (*call, *kinds.Error) {
-	name, path := split(r.HTTP)
+	name, path := splitPath(r.HTTP)
 	service, known := r.View.Manifest.Services[name]
 	if !known {
 		return nil, r.Held.Refuse(kinds.NotFound, "there is no service %q", name)
@@ -145,13 +145,13 @@
 	if !ok {
 		return nil, r.Held.Refuse(kinds.NotFound, "service %s has no route for %s %s", name, r.HTTP.Method, path)
 	}
-	tries := front.NewTries(r, matched.Repeat == manifest.RepeatAlways, h.cfg.MaxAttempts)
-	c := &call{Tries: tries, service: service, route: matched, path: path}
+	tries := front.NewAttempts(r, matched.Repeat == manifest.RepeatAlways, h.cfg.MaxAttempts)
+	c := &call{Attempts: tries, service: service, route: matched, path: path}
 	if query := r.HTTP.URL.RawQuery; query != "" {
 		c.path += "?" + query
 	}
-	c.Guard(h.cfg.Quarantine, c.content)
-	return c, c.readKey()
+	c.UseQuarantine(h.cfg.Quarantine, c.content)
+	return c, c.parseKey()
 }
 
 // content is what makes two requests of a caller the same one.
@@ -159,37 +159,37 @@
 	return poison.Content{Caller: c.Caller.Name, Method: c.HTTP.Method, Host: c.service.Name, URI: c.path, Body: c.Body}
 }
 
-// split cuts /svc/{service}/{path…}; the path keeps its escapes, so that the
+// splitPath cuts /svc/{service}/{path…}; the path keeps its escapes, so that the
 // backend server gets what the caller sent.
-func split(r *http.Request) (service, path string) {
+func splitPath(r *http.Request) (service, path string) {
 	rest := strings.TrimPrefix(r.URL.EscapedPath(), Prefix)
 	service, path, _ = strings.Cut(rest, "/")
 	return service, "/" + path
 }
 
-// readKey checks the idempotency key. On a repeatable route a key means
+// parseKey checks the idempotency key. On a repeatable route a key means
 // nothing and is left to the backend server.
-func (c *call) readKey() *kinds.Error {
+func (c *call) parseKey() *kinds.Error {
 	if c.Repeatable {
 		return nil
 	}
-	key := c.HTTP.Header.Get(HeaderKey)
+	key := c.HTTP.Header.Get(HeaderIdempotencyKey)
 	if key == "" {
 		if c.route.RequireKey {
-			return c.Held.Refuse(kinds.BadRequest, "route %s needs header %s, a UUIDv7", c.route.Name, HeaderKey)
+			return c.Held.Refuse(kinds.BadRequest, "route %s needs header %s, a UUIDv7", c.route.Name, HeaderIdempotencyKey)
 		}
 		return nil
 	}
 	id, err := uuid.Parse(key)
 	if err != nil || id.Version() != 7 {
-		return c.Held.Refuse(kinds.BadRequest, "header %s is no UUIDv7", HeaderKey)
+		return c.Held.Refuse(kinds.BadRequest, "header %s is no UUIDv7", HeaderIdempotencyKey)
 	}
 	c.key = id.String()
 	return nil
 }
 
-// open is the first message to an agent.
-func (c *call) open(number uint64) *pb.CallOpen {
+// openMessage is the first message to an agent.
+func (c *call) openMessage(number uint64) *pb.CallOpen {
 	return &pb.CallOpen{
 		RequestId:      c.ID,
 		Caller:         c.Caller.Name,
@@ -197,11 +197,11 @@
 		Route:          c.route.Name,
 		Method:         c.HTTP.Method,
 		Path:           c.path,
-		Headers:        forward(c.HTTP.Header),
+		Headers:        requestHeaders(c.HTTP.Header),
 		Body:           c.Body,
 		Idempotent:     c.Repeatable,
 		IdempotencyKey: c.key,
-		DeadlineMs:     max(1, c.Left().Milliseconds()),
+		DeadlineMs:     max(1, c.Remaining().Milliseconds()),
 		Priority:       int32(c.Caller.Priority + c.route.Priority),
 		Revision:       number,
 		Weight:         c.Caller.Weight,
--- a/entry/calls/calls_test.go
+++ b/entry/calls/calls_test.go
@@ -44,18 +44,20 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func (r reply1) failure(t *testing.T) answer.ErrorDetail {
+func (r httpReply) failure(t *testing.T) answer.ErrorDetail {
 	require.NoError(t, r.err)
 	var body answer.ErrorBody
 	require.NoError(t, json.Unmarshal([]byte(r.body), &body), r.body)
 	return body.Error
 }
 
-func newKey() func(*http.Request) { return with(HeaderKey, uuid.Must(uuid.NewV7()).String()) }
+func withNewKey() func(*http.Request) {
+	return withHeader(HeaderIdempotencyKey, uuid.Must(uuid.NewV7()).String())
+}
 
-func TestPlainCall(t *testing.T) {
-	s := start(t, Config{}, answers)
-	got := s.send(t, "GET", "/svc/orders/a%2Fb/c?x=1&y=%20", with("X-Request-Id", "r-1"))
+func TestCallIsForwarded(t *testing.T) {
+	s := startEntry(t, Config{}, answerRequest)
+	got := s.send(t, "GET", "/svc/orders/a%2Fb/c?x=1&y=%20", withHeader("X-Request-Id", "r-1"))
 	require.Equal(t, 200, got.status)
 	require.Equal(t, "vm-0 /a%2Fb/c?x=1&y=%20", got.body)
 	require.Equal(t, "r-1", got.header.Get("X-Request-Id"))
@@ -63,23 +65,23 @@
 	require.Equal(t, 200, s.send(t, "POST", "/svc/orders/x").status)
 }
 
-func TestBadInputs(t *testing.T) {
-	s := start(t, Config{}, answers)
+func TestInvalidRequestsAreRefused(t *testing.T) {
+	s := startEntry(t, Config{}, answerRequest)
 	cases := []struct {
 		name, method, path string
 		change             func(*http.Request)
 		status             int
 		kind               string
 	}{
-		{"no token", "GET", "/svc/orders/x", with("Authorization", ""), 401, "unauthenticated"},
-		{"wrong token", "GET", "/svc/orders/x", with("Authorization", "Bearer no"), 401, "unauthenticated"},
-		{"unknown service", "GET", "/svc/nope/x", with("A", "b"), 404, "not_found"},
-		{"open to a second reading", "GET", "/svc/orders/%2e%2e/x", with("A", "b"), 404, "not_found"},
-		{"bad timeout", "GET", "/svc/orders/x", with(front.HeaderTimeout, "soon"), 400, "bad_request"},
-		{"no time at all", "GET", "/svc/orders/x", with(front.HeaderTimeout, "0"), 400, "bad_request"},
-		{"bad request id", "GET", "/svc/orders/x", with("X-Request-Id", "a b"), 400, "bad_request"},
-		{"no key", "POST", "/svc/orders/renew", with("A", "b"), 400, "bad_request"},
-		{"key without a time", "POST", "/svc/orders/x", with(HeaderKey, uuid.NewString()), 400, "bad_request"},
+		{"no token", "GET", "/svc/orders/x", withHeader("Authorization", ""), 401, "unauthenticated"},
+		{"wrong token", "GET", "/svc/orders/x", withHeader("Authorization", "Bearer no"), 401, "unauthenticated"},
+		{"unknown service", "GET", "/svc/nope/x", withHeader("A", "b"), 404, "not_found"},
+		{"open to a second reading", "GET", "/svc/orders/%2e%2e/x", withHeader("A", "b"), 404, "not_found"},
+		{"bad timeout", "GET", "/svc/orders/x", withHeader(front.HeaderTimeout, "soon"), 400, "bad_request"},
+		{"no time at all", "GET", "/svc/orders/x", withHeader(front.HeaderTimeout, "0"), 400, "bad_request"},
+		{"bad request id", "GET", "/svc/orders/x", withHeader("X-Request-Id", "a b"), 400, "bad_request"},
+		{"no key", "POST", "/svc/orders/renew", withHeader("A", "b"), 400, "bad_request"},
+		{"key without a time", "POST", "/svc/orders/x", withHeader(HeaderIdempotencyKey, uuid.NewString()), 400, "bad_request"},
 		{"body too large", "POST", "/svc/orders/x", func(r *http.Request) {
 			r.Body, r.ContentLength = io.NopCloser(strings.NewReader(strings.Repeat("x", 1<<21))), 1<<21
 		}, 413, "too_large"},
@@ -98,23 +100,23 @@
 // A clerk's write meets a server whose process dies while it waits for a
 // slot: the entry has not said go, so nothing ran. The entry proves that to
 // itself and sends the write to another server; the clerk sees one answer.
-func TestWriteGoesElsewhereWhenTheAgentDiesBeforeReady(t *testing.T) {
-	s := start(t, Config{}, func(f *fakeAgent, _ *pb.CallOpen, st stream) error {
-		f.dies()
+func TestWriteIsRetriedWhenTheAgentDiesBeforeReady(t *testing.T) {
+	s := startEntry(t, Config{}, func(f *fakeAgent, _ *pb.CallOpen, st stream) error {
+		f.crash()
 		<-st.Context().Done()
 		return nil
-	}, answers)
+	}, answerRequest)
 	got := s.send(t, "POST", "/svc/orders/x")
 	require.Equal(t, "vm-1 /x", got.body)
 	require.EqualValues(t, 1, s.agents[1].ran.Load())
-	require.Equal(t, []fleet.Outcome{fleet.Failed}, s.fleet.ends["vm-0"])
+	require.Equal(t, []fleet.Outcome{fleet.Failed}, s.fleet.outcomes["vm-0"])
 }
 
 // A switch of one failure domain dies with a server behind it. The retry goes
 // to another domain, though a less loaded server stands in the first.
 func TestRetryPrefersAnotherFailureDomain(t *testing.T) {
-	dies := func(*fakeAgent, *pb.CallOpen, stream) error { return io.ErrUnexpectedEOF }
-	s := start(t, Config{}, dies, dies, answers)
+	crashes := func(*fakeAgent, *pb.CallOpen, stream) error { return io.ErrUnexpectedEOF }
+	s := startEntry(t, Config{}, crashes, crashes, answerRequest)
 	s.fleet.snap.ByName["vm-1"].FailureDomain = s.fleet.snap.ByName["vm-0"].FailureDomain
 	require.Equal(t, "vm-2 /x", s.send(t, "GET", "/svc/orders/x").body)
 	require.Zero(t, s.agents[1].opened.Load())
@@ -123,13 +125,13 @@
 // The agent offers to run the write and dies before the entry says go. The
 // entry notices while it still holds the request, does not send go into the
 // dead connection, and goes elsewhere: still one run.
-func TestWriteGoesElsewhereWhenTheAgentDiesBeforeGo(t *testing.T) {
-	s := start(t, Config{}, func(f *fakeAgent, _ *pb.CallOpen, st stream) error {
+func TestWriteIsRetriedWhenTheAgentDiesBeforeGo(t *testing.T) {
+	s := startEntry(t, Config{}, func(f *fakeAgent, _ *pb.CallOpen, st stream) error {
 		_ = st.Send(&pb.CallReply{Part: &pb.CallReply_Ready{Ready: &pb.CallReady{}}})
 		return io.ErrUnexpectedEOF
-	}, answers)
+	}, answerRequest)
 	s.handler.beforeGo = func(a *attempt) {
-		require.Eventually(t, func() bool { return a.to.name != "vm-0" || len(a.replies) > 0 }, 20*time.Second, time.Millisecond)
+		require.Eventually(t, func() bool { return a.server.name != "vm-0" || len(a.replies) > 0 }, 20*time.Second, time.Millisecond)
 	}
 	got := s.send(t, "POST", "/svc/orders/x")
 	require.Equal(t, "vm-1 /x", got.body)
@@ -139,20 +141,20 @@
 // The write runs and the agent dies before it answers. Nobody can tell
 // whether the order was taken: a repeat would double it, "not run" would be a
 // lie. The caller is told "outcome unknown" and no other server is asked.
-func TestWriteIsUnknownWhenTheAgentDiesAfterGo(t *testing.T) {
+func TestWriteOutcomeIsUnknownWhenTheAgentDiesAfterGo(t *testing.T) {
 	for name, started := range map[string]bool{"before the answer": false, "mid-answer": true} {
 		t.Run(name, func(t *testing.T) {
-			s := start(t, Config{}, func(f *fakeAgent, _ *pb.CallOpen, st stream) error {
-				require.True(t, f.ready(st))
+			s := startEntry(t, Config{}, func(f *fakeAgent, _ *pb.CallOpen, st stream) error {
+				require.True(t, f.offerToRun(st))
 				f.ran.Add(1)
 				if started {
-					head(st, false)
-					body(st, "half of the ans")
+					sendHead(st, false)
+					sendBody(st, "half of the ans")
 				}
-				f.dies()
+				f.crash()
 				<-st.Context().Done()
 				return nil
-			}, answers)
+			}, answerRequest)
 			got := s.send(t, "POST", "/svc/orders/x")
 			require.Equal(t, 502, got.status)
 			require.Equal(t, "outcome_unknown", got.failure(t).Kind)
@@ -164,30 +166,30 @@
 
 // A read that breaks off mid-answer is repeated on another server. The caller
 // sees only the second, whole answer and no byte of the first.
-func TestReadIsRepeatedWhenTheAgentDiesMidAnswer(t *testing.T) {
-	s := start(t, Config{}, func(f *fakeAgent, _ *pb.CallOpen, st stream) error {
+func TestReadIsRetriedWhenTheAgentDiesMidAnswer(t *testing.T) {
+	s := startEntry(t, Config{}, func(f *fakeAgent, _ *pb.CallOpen, st stream) error {
 		// The stream breaks behind its parts, so that they surely arrive.
-		head(st, false)
-		body(st, "half of the ans")
+		sendHead(st, false)
+		sendBody(st, "half of the ans")
 		return io.ErrUnexpectedEOF
-	}, answers)
+	}, answerRequest)
 	require.Equal(t, "vm-1 /x", s.send(t, "GET", "/svc/orders/x").body)
 }
 
 // The agent's link drops the answer's last part, and the stream then ends as
 // if all were well. The length in CallEnd gives it away: the answer is not
 // passed off as whole.
-func TestShortAnswerIsNotWhole(t *testing.T) {
+func TestShortAnswerIsRejected(t *testing.T) {
 	short := func(f *fakeAgent, open *pb.CallOpen, st stream) error {
-		if !open.Idempotent && !f.ready(st) {
+		if !open.Idempotent && !f.offerToRun(st) {
 			return nil
 		}
-		head(st, false)
-		body(st, "short")
-		end(st, 500)
+		sendHead(st, false)
+		sendBody(st, "short")
+		sendEnd(st, 500)
 		return nil
 	}
-	s := start(t, Config{}, short, answers)
+	s := startEntry(t, Config{}, short, answerRequest)
 	require.Equal(t, "vm-1 /x", s.send(t, "GET", "/svc/orders/x").body)
 	require.Equal(t, "outcome_unknown", s.send(t, "POST", "/svc/orders/x").failure(t).Kind)
 }
@@ -196,61 +198,61 @@
 // off. The caller's connection breaks too, so that no client takes the part
 // for the whole.
 func TestLargeAnswerThatBreaksOffBreaksTheConnection(t *testing.T) {
-	s := start(t, Config{MaxBuffer: 10}, func(f *fakeAgent, _ *pb.CallOpen, st stream) error {
-		head(st, false)
-		body(st, strings.Repeat("x", 100))
-		end(st, 500)
+	s := startEntry(t, Config{MaxBuffer: 10}, func(f *fakeAgent, _ *pb.CallOpen, st stream) error {
+		sendHead(st, false)
+		sendBody(st, strings.Repeat("x", 100))
+		sendEnd(st, 500)
 		return nil
 	})
 	require.Error(t, s.send(t, "GET", "/svc/orders/x").err)
 	s.agents[0].script = func(f *fakeAgent, _ *pb.CallOpen, st stream) error {
-		head(st, false)
+		sendHead(st, false)
 		for range 10 {
-			body(st, strings.Repeat("x", 100))
+			sendBody(st, strings.Repeat("x", 100))
 		}
-		end(st, 1000)
+		sendEnd(st, 1000)
 		return nil
 	}
-	whole := s.send(t, "GET", "/svc/orders/x")
-	require.NoError(t, whole.err)
-	require.Len(t, whole.body, 1000)
+	complete := s.send(t, "GET", "/svc/orders/x")
+	require.NoError(t, complete.err)
+	require.Len(t, complete.body, 1000)
 }
 
 // Servers leave (a planned stop) and refuse with proof, one of them after go.
 // The write goes on to a server that stays; the retry budget, which is for
 // failures, is not touched.
-func TestLeavingServersCostNoBudget(t *testing.T) {
+func TestLeavingServersUseNoRetryBudget(t *testing.T) {
 	leaving := &pb.Refusal{Kind: "leaving", NotRun: true}
-	s := start(t, Config{MaxAttempts: 1}, refuses(leaving), func(f *fakeAgent, _ *pb.CallOpen, st stream) error {
-		f.ready(st)
-		return refuse(st, leaving)
-	}, answers)
-	got := s.send(t, "POST", "/svc/orders/x", with("Authorization", "Bearer p"))
+	s := startEntry(t, Config{MaxAttempts: 1}, refuseWith(leaving), func(f *fakeAgent, _ *pb.CallOpen, st stream) error {
+		f.offerToRun(st)
+		return sendRefusal(st, leaving)
+	}, answerRequest)
+	got := s.send(t, "POST", "/svc/orders/x", withHeader("Authorization", "Bearer p"))
 	require.Equal(t, "vm-2 /x", got.body)
-	require.Equal(t, []fleet.Outcome{fleet.Refused}, s.fleet.ends["vm-0"])
+	require.Equal(t, []fleet.Outcome{fleet.Refused}, s.fleet.outcomes["vm-0"])
 }
 
 // Two servers have stopped and the entry still has them in its picture: the
 // connection is refused. Nothing of the request went on, so reads and writes go
 // to the server that stays, though the caller has no retry budget; they used to
 // end in backend_failed for as long as the picture was old.
-func TestServersThatAreGoneCostNoBudget(t *testing.T) {
-	s := start(t, Config{MaxAttempts: 1}, answers, answers, answers)
+func TestStoppedServersUseNoRetryBudget(t *testing.T) {
+	s := startEntry(t, Config{MaxAttempts: 1}, answerRequest, answerRequest, answerRequest)
 	s.agents[0].server.Stop()
 	s.agents[1].server.Stop()
 	for _, method := range []string{"GET", "POST"} {
-		got := s.send(t, method, "/svc/orders/x", with("Authorization", "Bearer p"))
+		got := s.send(t, method, "/svc/orders/x", withHeader("Authorization", "Bearer p"))
 		require.Equal(t, "vm-2 /x", got.body, method)
 	}
-	require.Equal(t, []fleet.Outcome{fleet.Failed, fleet.Failed}, s.fleet.ends["vm-0"])
+	require.Equal(t, []fleet.Outcome{fleet.Failed, fleet.Failed}, s.fleet.outcomes["vm-0"])
 }
 
 // Every server fails. A caller without a retry budget costs one try a
 // request; one with a budget a bounded number more. The servers' load does
 // not multiply just when they are short.
-func TestSpentBudgetEndsRetries(t *testing.T) {
-	fails := func(f *fakeAgent, _ *pb.CallOpen, _ stream) error { return io.ErrUnexpectedEOF }
-	s := start(t, Config{}, fails, fails, fails, fails)
+func TestExhaustedBudgetStopsRetries(t *testing.T) {
+	crashes := func(f *fakeAgent, _ *pb.CallOpen, _ stream) error { return io.ErrUnexpectedEOF }
+	s := startEntry(t, Config{}, crashes, crashes, crashes, crashes)
 	opened := func() (n int64) {
 		for _, a := range s.agents {
 			n += a.opened.Load()
@@ -258,7 +260,7 @@
 		return n
 	}
 	for range 20 {
-		got := s.send(t, "GET", "/svc/orders/x", with("Authorization", "Bearer p"))
+		got := s.send(t, "GET", "/svc/orders/x", withHeader("Authorization", "Bearer p"))
 		require.Equal(t, "backend_failed", got.failure(t).Kind)
 	}
 	require.EqualValues(t, 20, opened())
@@ -271,9 +273,9 @@
 // A read was sent to a server that died with it, and the next server refuses
 // as "not run". That proof is the second server's; the read may have run on
 // the first, so that the caller must not be told "not run".
-func TestNotRunOfOneServerDoesNotCoverAnother(t *testing.T) {
-	s := start(t, Config{}, func(f *fakeAgent, _ *pb.CallOpen, _ stream) error { return io.ErrUnexpectedEOF },
-		refuses(&pb.Refusal{Kind: "overloaded", NotRun: true}))
+func TestNotRunAppliesToOneServerOnly(t *testing.T) {
+	s := startEntry(t, Config{}, func(f *fakeAgent, _ *pb.CallOpen, _ stream) error { return io.ErrUnexpectedEOF },
+		refuseWith(&pb.Refusal{Kind: "overloaded", NotRun: true}))
 	got := s.send(t, "GET", "/svc/orders/x").failure(t)
 	require.Equal(t, "backend_failed", got.Kind)
 	require.False(t, got.NotRun)
@@ -281,31 +283,31 @@
 
 // A frozen agent answers neither yes nor no and its connection stays up. The
 // picture loses its word, and a read goes elsewhere long before the deadline.
-func TestReadLeavesAFrozenAgent(t *testing.T) {
-	s := start(t, Config{}, func(f *fakeAgent, _ *pb.CallOpen, st stream) error {
+func TestReadIsRetriedWhenTheAgentFreezes(t *testing.T) {
+	s := startEntry(t, Config{}, func(f *fakeAgent, _ *pb.CallOpen, st stream) error {
 		close(f.lost)
 		<-st.Context().Done()
 		return nil
-	}, answers)
+	}, answerRequest)
 	require.Equal(t, "vm-1 /x", s.send(t, "GET", "/svc/orders/x").body)
 }
 
 // Queues outlast the deadline, or the deadline passes while the write waits
 // for a slot. Either way it did not run, and the caller is told so.
-func TestDeadlines(t *testing.T) {
-	s := start(t, Config{}, func(f *fakeAgent, _ *pb.CallOpen, st stream) error {
+func TestExpiredDeadlines(t *testing.T) {
+	s := startEntry(t, Config{}, func(f *fakeAgent, _ *pb.CallOpen, st stream) error {
 		<-st.Context().Done()
 		return nil
 	})
-	got := s.send(t, "POST", "/svc/orders/x", with(front.HeaderTimeout, "100")).failure(t)
+	got := s.send(t, "POST", "/svc/orders/x", withHeader(front.HeaderTimeout, "100")).failure(t)
 	require.Equal(t, "deadline_too_short", got.Kind)
 	require.True(t, got.NotRun)
-	got = s.send(t, "GET", "/svc/orders/x", with(front.HeaderTimeout, "100")).failure(t)
+	got = s.send(t, "GET", "/svc/orders/x", withHeader(front.HeaderTimeout, "100")).failure(t)
 	require.Equal(t, "deadline_exceeded", got.Kind)
 	require.False(t, got.NotRun)
 	before := s.agents[0].opened.Load()
 	s.fleet.snap.ByName["vm-0"].State.QueueWaitMs = 60_000
-	refused := s.send(t, "GET", "/svc/orders/x", with(front.HeaderTimeout, "1000"))
+	refused := s.send(t, "GET", "/svc/orders/x", withHeader(front.HeaderTimeout, "1000"))
 	require.Equal(t, "deadline_too_short", refused.failure(t).Kind)
 	require.NotEmpty(t, refused.header.Get("Retry-After"))
 	require.Equal(t, before, s.agents[0].opened.Load())
@@ -314,17 +316,17 @@
 // A caller repeats a renewal through another entry. The key's owner holds the
 // first answer: the entry is told so, asks the owner once, and passes the
 // first answer on, marked as a replay. Nothing runs twice.
-func TestKeyedCallIsForwardedToItsHolder(t *testing.T) {
+func TestKeyedCallIsForwardedToItsOwner(t *testing.T) {
 	replays := func(f *fakeAgent, open *pb.CallOpen, st stream) error {
-		head(st, true)
-		body(st, "first")
-		end(st, 5)
+		sendHead(st, true)
+		sendBody(st, "first")
+		sendEnd(st, 5)
 		return nil
 	}
 	claimed := &pb.Refusal{Kind: "claimed_elsewhere", NotRun: true, Holder: "holder"}
-	s := start(t, Config{}, refuses(claimed))
-	s.fleet.outside["holder"] = startAgent(t, "holder", replays)
-	got := s.send(t, "POST", "/svc/orders/renew", newKey())
+	s := startEntry(t, Config{}, refuseWith(claimed))
+	s.fleet.unlisted["holder"] = startAgent(t, "holder", replays)
+	got := s.send(t, "POST", "/svc/orders/renew", withNewKey())
 	require.Equal(t, "first", got.body)
 	require.Equal(t, "true", got.header.Get("Dandelion-Replayed"))
 	require.Equal(t, "holder", got.header.Get("Dandelion-Server"))
@@ -332,20 +334,20 @@
 
 // The owner of the key is gone. Its run may have happened, and only it could
 // tell: the caller hears "outcome unknown", and no other server runs the write.
-func TestKeyWhoseHolderIsGoneIsUnknown(t *testing.T) {
+func TestOutcomeIsUnknownWhenTheKeyOwnerIsGone(t *testing.T) {
 	claimed := &pb.Refusal{Kind: "claimed_elsewhere", NotRun: true, Holder: "holder"}
-	for name, setup := range map[string]func(*site){
-		"not in the list": func(*site) {},
-		"dead": func(s *site) {
-			s.fleet.outside["holder"] = startAgent(t, "holder", answers)
-			s.fleet.outside["holder"].server.Stop()
+	for name, setup := range map[string]func(*testEntry){
+		"not in the list": func(*testEntry) {},
+		"dead": func(s *testEntry) {
+			s.fleet.unlisted["holder"] = startAgent(t, "holder", answerRequest)
+			s.fleet.unlisted["holder"].server.Stop()
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := start(t, Config{}, refuses(claimed), answers)
+			s := startEntry(t, Config{}, refuseWith(claimed), answerRequest)
 			s.fleet.snap.By[fleet.ServicePool("orders")] = s.fleet.snap.By[fleet.ServicePool("orders")][:1]
 			setup(s)
-			got := s.send(t, "POST", "/svc/orders/renew", newKey()).failure(t)
+			got := s.send(t, "POST", "/svc/orders/renew", withNewKey()).failure(t)
 			require.Equal(t, "outcome_unknown", got.Kind)
 			require.Zero(t, s.agents[1].opened.Load())
 		})
@@ -356,21 +358,21 @@
 // agent that ran it, now frozen. The entry holds the repeat and could prove
 // that it did not run; told so, the caller would take a new key and renew
 // twice. It hears "outcome unknown".
-func TestRepeatedKeyAtAFrozenAgentIsUnknown(t *testing.T) {
-	s := start(t, Config{}, func(_ *fakeAgent, _ *pb.CallOpen, st stream) error {
+func TestOutcomeIsUnknownWhenTheKeyOwnerIsFrozen(t *testing.T) {
+	s := startEntry(t, Config{}, func(_ *fakeAgent, _ *pb.CallOpen, st stream) error {
 		<-st.Context().Done()
 		return nil
 	})
-	got := s.send(t, "POST", "/svc/orders/renew", newKey(), with(front.HeaderTimeout, "200")).failure(t)
+	got := s.send(t, "POST", "/svc/orders/renew", withNewKey(), withHeader(front.HeaderTimeout, "200")).failure(t)
 	require.Equal(t, "outcome_unknown", got.Kind)
 	require.False(t, got.NotRun)
 	// Nor does a later server's proof cover what the first one did.
-	dies := func(f *fakeAgent, _ *pb.CallOpen, _ stream) error { return io.ErrUnexpectedEOF }
-	full := refuses(&pb.Refusal{Kind: "overloaded", NotRun: true})
-	s = start(t, Config{MaxAttempts: 2}, dies, full, full, full)
+	crashes := func(f *fakeAgent, _ *pb.CallOpen, _ stream) error { return io.ErrUnexpectedEOF }
+	overloaded := refuseWith(&pb.Refusal{Kind: "overloaded", NotRun: true})
+	s = startEntry(t, Config{MaxAttempts: 2}, crashes, overloaded, overloaded, overloaded)
 	for range 20 {
 		before := s.agents[0].opened.Load()
-		got = s.send(t, "POST", "/svc/orders/renew", newKey()).failure(t)
+		got = s.send(t, "POST", "/svc/orders/renew", withNewKey()).failure(t)
 		reached := s.agents[0].opened.Load() > before
 		require.Equal(t, reached, got.Kind == "outcome_unknown")
 		require.Equal(t, !reached, got.NotRun)
@@ -394,14 +396,14 @@
 		arrived.Done()
 		<-turn[i+1]
 		defer close(turn[i])
-		return answers(f, open, st)
+		return answerRequest(f, open, st)
 	}
-	s := start(t, Config{}, late, late)
+	s := startEntry(t, Config{}, late, late)
 	go func() { arrived.Wait(); close(turn[n]) }()
 	var all sync.WaitGroup
 	for i := range n {
 		all.Go(func() {
-			got := s.send(t, "GET", fmt.Sprintf("/svc/orders/%d", i), with("X-Request-Id", "same"))
+			got := s.send(t, "GET", fmt.Sprintf("/svc/orders/%d", i), withHeader("X-Request-Id", "same"))
 			if !strings.HasSuffix(got.body, fmt.Sprintf(" /%d", i)) {
 				t.Errorf("request %d got %q", i, got.body)
 			}
@@ -410,10 +412,10 @@
 	all.Wait()
 }
 
-func TestTokensAndHopsStayHere(t *testing.T) {
+func TestTokensAndHopByHopHeadersAreNotForwarded(t *testing.T) {
 	in := http.Header{"Authorization": {"Bearer t"}, "Connection": {"X-Hop"}, "X-Hop": {"1"}, "Accept": {"a", "b"}}
 	names := map[string]int{}
-	for _, h := range forward(in) {
+	for _, h := range requestHeaders(in) {
 		names[h.Name]++
 	}
 	require.Equal(t, map[string]int{"Accept": 2}, names)
@@ -422,10 +424,10 @@
 // A write was sent and the budget of time ends: broken must never make a
 // refusal of it, whatever the try died of.
 func TestSentWriteIsNeverNotRun(t *testing.T) {
-	c := &call{Tries: front.NewTries(&front.Request{Held: kinds.Hold()}, false, 1)}
+	c := &call{Attempts: front.NewAttempts(&front.Request{Held: kinds.Hold()}, false, 1)}
 	c.Held.Send()
 	for _, ctx := range []context.Context{context.Background(), cancelled()} {
-		e, ok := kinds.As((&attempt{c: c, ctx: ctx}).broken(io.EOF))
+		e, ok := kinds.As((&attempt{request: c, ctx: ctx}).noReplyError(io.EOF))
 		require.True(t, ok)
 		require.False(t, e.NotRun())
 		require.Equal(t, string(kinds.OutcomeUnknown), e.Kind())
@@ -434,10 +436,10 @@
 
 // The deadline passes between two tries of a keyed call, of which the first
 // gave no word.
-func TestDeadlineBetweenTriesOfAKeyIsUnknown(t *testing.T) {
-	s := start(t, Config{}, answers)
-	tries := front.NewTries(&front.Request{Held: kinds.Hold(), View: view()}, false, 1)
-	_, err := s.handler.run(context.Background(), &call{Tries: tries, key: "k", unanswered: true})
+func TestOutcomeIsUnknownWhenTheDeadlinePassesBetweenKeyedAttempts(t *testing.T) {
+	s := startEntry(t, Config{}, answerRequest)
+	attempts := front.NewAttempts(&front.Request{Held: kinds.Hold(), View: testView()}, false, 1)
+	_, err := s.handler.run(context.Background(), &call{Attempts: attempts, key: "k", unanswered: true})
 	require.Equal(t, string(kinds.OutcomeUnknown), kinds.Of(err))
 }
 
@@ -453,14 +455,14 @@
 // names vm-1 as the holder; vm-1 lies outside of this entry's subset, so that
 // nothing tells that its word is lost; the deadline passes before its ready.
 // forward turns not_ready into outcome_unknown, but not deadline_too_short.
-func TestFrozenHolderOutsideTheSubsetIsUnknown(t *testing.T) {
+func TestOutcomeIsUnknownWhenAFrozenOwnerIsOutsideTheSubset(t *testing.T) {
 	claimed := &pb.Refusal{Kind: "claimed_elsewhere", NotRun: true, Holder: "holder"}
-	s := start(t, Config{}, refuses(claimed))
-	s.fleet.outside["holder"] = startAgent(t, "holder", func(_ *fakeAgent, _ *pb.CallOpen, st stream) error {
+	s := startEntry(t, Config{}, refuseWith(claimed))
+	s.fleet.unlisted["holder"] = startAgent(t, "holder", func(_ *fakeAgent, _ *pb.CallOpen, st stream) error {
 		<-st.Context().Done() // frozen: the kernel holds the connection
 		return st.Context().Err()
 	})
-	got := s.send(t, "POST", "/svc/orders/renew", newKey(), with(front.HeaderTimeout, "300")).failure(t)
+	got := s.send(t, "POST", "/svc/orders/renew", withNewKey(), withHeader(front.HeaderTimeout, "300")).failure(t)
 	require.Equal(t, "outcome_unknown", got.Kind, got.Message)
 	require.False(t, got.NotRun)
 }
--- a/entry/calls/fake_test.go
+++ b/entry/calls/fake_test.go
@@ -44,8 +44,8 @@
 	return f.script(f, first.GetOpen(), s)
 }
 
-// ready offers to run; it reports whether the entry said go.
-func (f *fakeAgent) ready(s stream) bool {
+// offerToRun offers to run; it reports whether the entry said go.
+func (f *fakeAgent) offerToRun(s stream) bool {
 	if s.Send(&pb.CallReply{Part: &pb.CallReply_Ready{Ready: &pb.CallReady{}}}) != nil {
 		return false
 	}
@@ -53,51 +53,51 @@
 	return err == nil && next.GetGo() != nil
 }
 
-func head(s stream, replayed bool) {
+func sendHead(s stream, replayed bool) {
 	_ = s.Send(&pb.CallReply{Part: &pb.CallReply_Head{Head: &pb.CallHead{Status: 200, Replayed: replayed}}})
 }
 
-func body(s stream, text string) {
+func sendBody(s stream, text string) {
 	_ = s.Send(&pb.CallReply{Part: &pb.CallReply_Body{Body: []byte(text)}})
 }
 
-func end(s stream, n int) {
+func sendEnd(s stream, n int) {
 	_ = s.Send(&pb.CallReply{Part: &pb.CallReply_End{End: &pb.CallEnd{BodyBytes: int64(n)}}})
 }
 
-func refuse(s stream, r *pb.Refusal) error {
+func sendRefusal(s stream, r *pb.Refusal) error {
 	return s.Send(&pb.CallReply{Part: &pb.CallReply_Refusal{Refusal: r}})
 }
 
-// answers runs the request and answers with the agent's name and the path.
-func answers(f *fakeAgent, open *pb.CallOpen, s stream) error {
-	if !open.Idempotent && !f.ready(s) {
+// answerRequest runs the request and answerRequest with the agent's name and the path.
+func answerRequest(f *fakeAgent, open *pb.CallOpen, s stream) error {
+	if !open.Idempotent && !f.offerToRun(s) {
 		return io.ErrUnexpectedEOF
 	}
 	f.ran.Add(1)
 	text := f.name + " " + open.Path
-	head(s, false)
-	body(s, text)
-	end(s, len(text))
+	sendHead(s, false)
+	sendBody(s, text)
+	sendEnd(s, len(text))
 	return nil
 }
 
-func refuses(r *pb.Refusal) func(*fakeAgent, *pb.CallOpen, stream) error {
-	return func(_ *fakeAgent, _ *pb.CallOpen, s stream) error { return refuse(s, r) }
+func refuseWith(r *pb.Refusal) func(*fakeAgent, *pb.CallOpen, stream) error {
+	return func(_ *fakeAgent, _ *pb.CallOpen, s stream) error { return sendRefusal(s, r) }
 }
 
-// dies ends the agent's process: all its connections break.
-func (f *fakeAgent) dies() {
+// crash ends the agent's process: all its connections break.
+func (f *fakeAgent) crash() {
 	go f.server.Stop()
 }
 
 // fakeFleet is a fixed picture of fake agents.
 type fakeFleet struct {
-	snap    *fleet.Snapshot
-	outside map[string]*fakeAgent
-	mu      sync.Mutex
-	own     map[string]int
-	ends    map[string][]fleet.Outcome
+	snap     *fleet.Snapshot
+	unlisted map[string]*fakeAgent
+	mu       sync.Mutex
+	inFlight map[string]int
+	outcomes map[string][]fleet.Outcome
 }
 
 func (f *fakeFleet) Snapshot() *fleet.Snapshot { return f.snap }
@@ -105,19 +105,19 @@
 func (f *fakeFleet) Begin(name string) func(fleet.Outcome) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.own[name]++
+	f.inFlight[name]++
 	return func(o fleet.Outcome) {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		f.own[name]--
-		f.ends[name] = append(f.ends[name], o)
+		f.inFlight[name]--
+		f.outcomes[name] = append(f.outcomes[name], o)
 	}
 }
 
 func (f *fakeFleet) InFlightNow(name string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.own[name]
+	return f.inFlight[name]
 }
 func (f *fakeFleet) Lost(name string) <-chan struct{} {
 	if s := f.snap.ByName[name]; s != nil {
@@ -127,7 +127,7 @@
 }
 
 func (f *fakeFleet) Dial(name string) (pb.AgentClient, func(), bool) {
-	a := f.outside[name]
+	a := f.unlisted[name]
 	if a == nil {
 		return nil, nil, false
 	}
@@ -139,8 +139,8 @@
 	lost chan struct{}
 }
 
-// site is an entry before fake agents, over real HTTP and gRPC.
-type site struct {
+// testEntry is an entry before fake agents, over real HTTP and gRPC.
+type testEntry struct {
 	fleet   *fakeFleet
 	handler *Handler
 	url     string
@@ -161,12 +161,12 @@
 	return f
 }
 
-// start makes a site; agent i of the pool is named vm-i and has failure
+// startEntry makes a site; agent i of the pool is named vm-i and has failure
 // domain i. The first agent has the least load and is picked first.
-func start(t *testing.T, cfg Config, scripts ...func(*fakeAgent, *pb.CallOpen, stream) error) *site {
-	s := &site{fleet: &fakeFleet{
-		snap: &fleet.Snapshot{By: map[string][]*fleet.Server{}, ByName: map[string]*fleet.Server{}},
-		own:  map[string]int{}, ends: map[string][]fleet.Outcome{}, outside: map[string]*fakeAgent{},
+func startEntry(t *testing.T, cfg Config, scripts ...func(*fakeAgent, *pb.CallOpen, stream) error) *testEntry {
+	s := &testEntry{fleet: &fakeFleet{
+		snap:     &fleet.Snapshot{By: map[string][]*fleet.Server{}, ByName: map[string]*fleet.Server{}},
+		inFlight: map[string]int{}, outcomes: map[string][]fleet.Outcome{}, unlisted: map[string]*fakeAgent{},
 	}}
 	for i, script := range scripts {
 		name := "vm-" + string(rune('0'+i))
@@ -182,16 +182,16 @@
 	}
 	cfg.Agents = s.fleet
 	s.handler = New(cfg)
-	gate := front.New(front.Config{Viewer: confsync.Static{V: view()}, MaxBody: 1 << 20})
-	web := httptest.NewServer(gate.Handle("svc", s.handler.Serve))
+	requestFront := front.New(front.Config{Viewer: confsync.Static{V: testView()}, MaxBody: 1 << 20})
+	web := httptest.NewServer(requestFront.Handle("svc", s.handler.Serve))
 	t.Cleanup(web.Close)
 	s.url = web.URL
 	return s
 }
 
-// view is a manifest with caller "shop" (token "t", retry budget) and caller
+// testView is a manifest with caller "shop" (token "t", retry budget) and caller
 // "poor" (token "p", none).
-func view() *confsync.View {
+func testView() *confsync.View {
 	m, err := manifest.Parse("test", []byte(manifestText))
 	if err != nil {
 		panic(err)
@@ -199,14 +199,14 @@
 	return &confsync.View{Number: 1, Manifest: m}
 }
 
-type reply1 struct {
+type httpReply struct {
 	status int
 	body   string
 	header http.Header
 	err    error
 }
 
-func (s *site) send(t *testing.T, method, path string, change ...func(*http.Request)) reply1 {
+func (s *testEntry) send(t *testing.T, method, path string, change ...func(*http.Request)) httpReply {
 	req, err := http.NewRequest(method, s.url+path, strings.NewReader("x"))
 	require.NoError(t, err)
 	req.Header.Set("Authorization", "Bearer t")
@@ -215,13 +215,13 @@
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return reply1{err: err}
+		return httpReply{err: err}
 	}
 	defer resp.Body.Close()
 	data, err := io.ReadAll(resp.Body)
-	return reply1{resp.StatusCode, string(data), resp.Header, err}
+	return httpReply{resp.StatusCode, string(data), resp.Header, err}
 }
 
-func with(name, value string) func(*http.Request) {
+func withHeader(name, value string) func(*http.Request) {
 	return func(r *http.Request) { r.Header.Set(name, value) }
 }
--- a/entry/calls/headers.go
+++ b/entry/calls/headers.go
@@ -9,20 +9,20 @@
 	"dandelionsill.org/wire/pb"
 )
 
-// hopByHop are headers that belong to one connection (RFC 9110, 7.6.1).
-var hopByHop = []string{
+// hopByHopHeaders are headers that belong to one connection (RFC 9110, 7.6.1).
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// ours are headers between callers and entries. A token that went on would
+// strippedHeaders are headers between callers and entries. A token that went on would
 // let a backend server act as the caller.
-var ours = []string{"Authorization", front.HeaderTimeout, "Content-Length", "Traceparent", "Tracestate"}
+var strippedHeaders = []string{"Authorization", front.HeaderTimeout, "Content-Length", "Traceparent", "Tracestate"}
 
-// forward returns the caller's headers as the backend server gets them.
-func forward(from http.Header) []*pb.Header {
-	kept := withoutHops(from)
-	for _, name := range ours {
+// requestHeaders returns the caller's headers as the backend server gets them.
+func requestHeaders(from http.Header) []*pb.Header {
+	kept := withoutHopByHop(from)
+	for _, name := range strippedHeaders {
 		kept.Del(name)
 	}
 	var out []*pb.Header
@@ -34,13 +34,13 @@
 	return out
 }
 
-// backward writes the backend server's headers to the caller.
-func backward(to http.Header, from []*pb.Header) {
+// setResponseHeaders writes the backend server's headers to the caller.
+func setResponseHeaders(to http.Header, from []*pb.Header) {
 	received := http.Header{}
 	for _, h := range from {
 		received.Add(h.Name, h.Value)
 	}
-	kept := withoutHops(received)
+	kept := withoutHopByHop(received)
 	kept.Del("Content-Length") // set from what came, not from what was promised
 	for _, name := range []string{answer.HeaderRequestID, answer.HeaderServer, answer.HeaderReplayed} {
 		kept.Del(name)
@@ -50,14 +50,14 @@
 	}
 }
 
-func withoutHops(from http.Header) http.Header {
+func withoutHopByHop(from http.Header) http.Header {
 	kept := from.Clone()
 	for _, listed := range from.Values("Connection") {
 		for name := range strings.SplitSeq(listed, ",") {
 			kept.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hopByHop {
+	for _, name := range hopByHopHeaders {
 		kept.Del(name)
 	}
 	return kept
--- a/entry/calls/http10_test.go
+++ b/entry/calls/http10_test.go
@@ -20,13 +20,13 @@
 // with the process. Order: it asks in HTTP/1.0 for a long answer without a
 // length; so that no part looks whole the entry holds all of it back, and no
 // bound ends that. 64 MB stand for any size here; MaxBuffer is 64 KB.
-func TestHeldBackAnswerIsBoundedForHTTP10(t *testing.T) {
+func TestBufferedAnswerIsBoundedForHTTP10(t *testing.T) {
 	const piece, pieces = 1 << 20, 64
 	var sent atomic.Int64
-	over := make(chan struct{})
-	s := start(t, Config{MaxBuffer: 64 << 10}, func(_ *fakeAgent, _ *pb.CallOpen, st stream) error {
-		defer close(over)
-		head(st, false)
+	agentDone := make(chan struct{})
+	s := startEntry(t, Config{MaxBuffer: 64 << 10}, func(_ *fakeAgent, _ *pb.CallOpen, st stream) error {
+		defer close(agentDone)
+		sendHead(st, false)
 		for range pieces {
 			msg := &pb.CallReply{Part: &pb.CallReply_Body{Body: []byte(strings.Repeat("a", piece))}}
 			if err := st.Send(msg); err != nil {
@@ -34,7 +34,7 @@
 			}
 			sent.Add(piece)
 		}
-		end(st, pieces*piece)
+		sendEnd(st, pieces*piece)
 		return nil
 	})
 	conn, err := net.Dial("tcp", strings.TrimPrefix(s.url, "http://"))
@@ -44,7 +44,7 @@
 	require.NoError(t, err)
 	go func() { _, _ = io.Copy(io.Discard, conn) }()
 	select {
-	case <-over:
+	case <-agentDone:
 	case <-time.After(20 * time.Second):
 	}
 	require.Less(t, sent.Load(), int64(pieces*piece), "all of it was held in memory")
@@ -55,12 +55,12 @@
 // larger than the entry holds back; the entry passes its first part on; the
 // backend server dies. The entry breaks the connection off, but in HTTP/1.0 the
 // end of the connection is the end of the answer.
-func TestBrokenAnswerIsNoWholeOneForHTTP10(t *testing.T) {
-	const part = 64 << 10
-	s := start(t, Config{MaxBuffer: part / 2}, func(f *fakeAgent, _ *pb.CallOpen, st stream) error {
-		head(st, false)
-		body(st, strings.Repeat("a", part))
-		return refuse(st, &pb.Refusal{Kind: "backend_failed", Message: "it died"})
+func TestBrokenAnswerIsNotCompleteForHTTP10(t *testing.T) {
+	const partSize = 64 << 10
+	s := startEntry(t, Config{MaxBuffer: partSize / 2}, func(f *fakeAgent, _ *pb.CallOpen, st stream) error {
+		sendHead(st, false)
+		sendBody(st, strings.Repeat("a", partSize))
+		return sendRefusal(st, &pb.Refusal{Kind: "backend_failed", Message: "it died"})
 	})
 	conn, err := net.Dial("tcp", strings.TrimPrefix(s.url, "http://"))
 	require.NoError(t, err)
@@ -75,7 +75,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return // so is an error
 	}
-	buf := make([]byte, part)
+	buf := make([]byte, partSize)
 	n, readErr := 0, error(nil)
 	for readErr == nil {
 		var k int
--- a/entry/calls/result.go
+++ b/entry/calls/result.go
@@ -13,24 +13,24 @@
 )
 
 var (
-	errLost  = errors.New("its reports have stopped")
-	errShort = errors.New("the answer is short")
+	errReportsStopped = errors.New("its reports have stopped")
+	errShortAnswer    = errors.New("the answer is short")
 )
 
 // result is an answer: whole, or its first part with the attempt that goes on.
 type result struct {
-	attempt *attempt
-	head    *pb.CallHead
-	body    []byte
-	passed  int64 // bytes already passed on to the caller
-	whole   bool
+	attempt        *attempt
+	head           *pb.CallHead
+	body           []byte
+	forwardedBytes int64 // bytes already passed on to the caller
+	complete       bool
 }
 
 func (res *result) close() {
 	switch {
-	case res.whole:
+	case res.complete:
 		res.attempt.close(fleet.OK)
-	case res.attempt.broke:
+	case res.attempt.noReply:
 		res.attempt.close(res.attempt.outcome())
 	default:
 		res.attempt.close(fleet.Abandoned) // the caller went away
@@ -43,7 +43,7 @@
 	if res.head.Replayed {
 		text += ", the answer of an earlier try of the key"
 	}
-	if !res.whole {
+	if !res.complete {
 		text += ", passed on in parts"
 	}
 	return text
@@ -54,13 +54,13 @@
 // so that a part can't be taken for the whole.
 func (res *result) deliver(ctx context.Context, w http.ResponseWriter, c *call) error {
 	header := w.Header()
-	backward(header, res.head.Headers)
+	setResponseHeaders(header, res.head.Headers)
 	header.Set(answer.HeaderRequestID, c.ID)
-	header.Set(answer.HeaderServer, res.attempt.to.name)
+	header.Set(answer.HeaderServer, res.attempt.server.name)
 	if res.head.Replayed {
 		header.Set(answer.HeaderReplayed, "true")
 	}
-	if length, ok := res.length(c); ok {
+	if length, ok := res.contentLength(c); ok {
 		header.Set("Content-Length", length)
 	}
 	w.WriteHeader(int(res.head.Status))
@@ -68,32 +68,32 @@
 		if _, err := w.Write(res.body); err != nil {
 			return nil // the caller is gone
 		}
-		if res.whole {
+		if res.complete {
 			return nil
 		}
-		if err := res.more(); err != nil {
+		if err := res.readMore(); err != nil {
 			panic(http.ErrAbortHandler)
 		}
 	}
 }
 
-// more waits for the next part of the answer.
-func (res *result) more() error {
-	res.passed += int64(len(res.body))
+// readMore waits for the next part of the answer.
+func (res *result) readMore() error {
+	res.forwardedBytes += int64(len(res.body))
 	res.body = res.body[:0]
-	msg, err := res.attempt.next()
+	msg, err := res.attempt.nextReply()
 	if err != nil {
 		return err
 	}
-	res.whole, err = res.take(msg)
+	res.complete, err = res.addReply(msg)
 	return err
 }
 
-// length is the answer's length where it is known. An answer to HEAD, and one
+// contentLength is the answer's contentLength where it is known. An answer to HEAD, and one
 // that has no body by its status, keeps the backend server's own.
-func (res *result) length(c *call) (string, bool) {
+func (res *result) contentLength(c *call) (string, bool) {
 	bodyless := c.HTTP.Method == http.MethodHead || res.head.Status == http.StatusNoContent || res.head.Status == http.StatusNotModified
-	if res.whole && !bodyless {
+	if res.complete && !bodyless {
 		return strconv.Itoa(len(res.body)), true
 	}
 	for _, h := range res.head.Headers {
--- a/entry/calls/slowreader_test.go
+++ b/entry/calls/slowreader_test.go
@@ -18,14 +18,14 @@
 // timeout. Order: a caller asks with a deadline, freezes (or its link is cut)
 // and reads nothing; the answer is larger than the socket's buffers; the write
 // blocks, as neither the deadline's context nor the server bounds it.
-func TestCallerThatDoesNotReadEndsWithItsDeadline(t *testing.T) {
-	const piece, pieces = 1 << 20, 32
-	s := start(t, Config{MaxBuffer: 2 * pieces * piece}, func(f *fakeAgent, _ *pb.CallOpen, st stream) error {
-		head(st, false)
+func TestRequestOfANonReadingCallerEndsAtItsDeadline(t *testing.T) {
+	const pieceSize, pieces = 1 << 20, 32
+	s := startEntry(t, Config{MaxBuffer: 2 * pieces * pieceSize}, func(f *fakeAgent, _ *pb.CallOpen, st stream) error {
+		sendHead(st, false)
 		for range pieces {
-			body(st, strings.Repeat("a", piece))
+			sendBody(st, strings.Repeat("a", pieceSize))
 		}
-		end(st, pieces*piece)
+		sendEnd(st, pieces*pieceSize)
 		f.ran.Add(1)
 		return nil
 	})
@@ -35,6 +35,6 @@
 	_, err = fmt.Fprintf(conn, "GET /svc/orders/x HTTP/1.1\r\nHost: e\r\nAuthorization: Bearer t\r\n%s: 2000\r\n\r\n", front.HeaderTimeout)
 	require.NoError(t, err)
 	require.Eventually(t, func() bool { return s.agents[0].ran.Load() == 1 }, 20*time.Second, time.Millisecond)
-	ended := func() bool { return s.fleet.InFlightNow("vm-0") == 0 }
-	require.Eventually(t, ended, 15*time.Second, 10*time.Millisecond, "still held 13 s after the deadline")
+	requestEnded := func() bool { return s.fleet.InFlightNow("vm-0") == 0 }
+	require.Eventually(t, requestEnded, 15*time.Second, 10*time.Millisecond, "still held 13 s after the deadline")
 }
--- a/entry/completions/completions.go
+++ b/entry/completions/completions.go
@@ -55,9 +55,9 @@
 
 // Handler serves completions.
 type Handler struct {
-	cfg    Config
-	log    *zap.Logger
-	choose *fleet.Chooser
+	cfg     Config
+	log     *zap.Logger
+	chooser *fleet.Chooser
 }
 
 // New returns a Handler.
@@ -72,9 +72,9 @@
 		cfg.Quarantine = quarantine.New(cfg.Logger)
 	}
 	return &Handler{
-		cfg:    cfg,
-		log:    logs.Part(cfg.Logger, "completions"),
-		choose: fleet.NewChooser(cfg.Agents, cfg.Region, cfg.Seed),
+		cfg:     cfg,
+		log:     logs.Part(cfg.Logger, "completions"),
+		chooser: fleet.NewChooser(cfg.Agents, cfg.Region, cfg.Seed),
 	}
 }
 
@@ -92,15 +92,15 @@
 
 // completion is one request on its way.
 type completion struct {
-	*front.Tries
+	*front.Attempts
 	model     string
 	prompt    string
 	maxTokens int
 	seed      uint64
 	stream    bool
-	// job is what agents and engines know the request by. Two callers may
+	// jobID is what agents and engines know the request by. Two callers may
 	// choose one request id; their jobs must not meet at an engine.
-	job string
+	jobID string
 }
 
 // Serve is the front.Handler of Path.
@@ -111,11 +111,11 @@
 	}
 	out := &output{w: w, c: c}
 	err := h.run(ctx, c, out)
-	c.Judge(err == nil)
+	c.RecordResult(err == nil)
 	if err == nil {
 		return out.finish()
 	}
-	if !out.begun {
+	if !out.started {
 		return err
 	}
 	out.fail(err)
@@ -126,7 +126,7 @@
 	if r.HTTP.Method != http.MethodPost {
 		return nil, r.Held.Refuse(kinds.NotFound, "%s takes POST only", Path)
 	}
-	body, refusal := decode(r)
+	body, refusal := decodeBody(r)
 	if refusal != nil {
 		return nil, refusal
 	}
@@ -138,13 +138,13 @@
 		return nil, r.Held.Refuse(kinds.Forbidden, "caller %s is not allowed to use model %s", r.Caller.Name, body.Model)
 	}
 	c := &completion{
-		Tries:     front.NewTries(r, true, h.cfg.MaxAttempts),
+		Attempts:  front.NewAttempts(r, true, h.cfg.MaxAttempts),
 		model:     body.Model,
 		prompt:    body.Prompt,
 		maxTokens: model.MaxTokens,
 		seed:      rand.Uint64(),
 		stream:    body.Stream,
-		job:       r.ID + "." + uuid.NewString()[:8],
+		jobID:     r.ID + "." + uuid.NewString()[:8],
 	}
 	if body.MaxTokens != nil {
 		c.maxTokens = *body.MaxTokens
@@ -155,7 +155,7 @@
 	if body.Seed != nil {
 		c.seed = *body.Seed
 	}
-	c.Guard(h.cfg.Quarantine, c.content)
+	c.UseQuarantine(h.cfg.Quarantine, c.content)
 	return c, nil
 }
 
@@ -165,9 +165,9 @@
 	return poison.Content{Caller: c.Caller.Name, Method: http.MethodPost, Host: c.model, URI: Path, Body: []byte(c.prompt)}
 }
 
-// decode reads the body. Unknown fields are refused: a sampling parameter that
+// decodeBody reads the body. Unknown fields are refused: a sampling parameter that
 // is silently left out changes the answer.
-func decode(r *front.Request) (Body, *kinds.Error) {
+func decodeBody(r *front.Request) (Body, *kinds.Error) {
 	var body Body
 	decoder := json.NewDecoder(bytes.NewReader(r.Body))
 	decoder.DisallowUnknownFields()
--- a/entry/completions/completions_test.go
+++ b/entry/completions/completions_test.go
@@ -47,16 +47,16 @@
 // fakeAgent generates as its script says and keeps what it was asked.
 type fakeAgent struct {
 	pb.UnimplementedAgentServer
-	name   string
-	lost   chan struct{}
-	script script
-	mu     sync.Mutex
-	asked  []*pb.GenerateRequest
+	name     string
+	lost     chan struct{}
+	script   script
+	mu       sync.Mutex
+	received []*pb.GenerateRequest
 }
 
 func (f *fakeAgent) Generate(req *pb.GenerateRequest, s stream) error {
 	f.mu.Lock()
-	f.asked = append(f.asked, req)
+	f.received = append(f.received, req)
 	f.mu.Unlock()
 	return f.script(f, req, s)
 }
@@ -64,60 +64,60 @@
 func (f *fakeAgent) requests() []*pb.GenerateRequest {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.asked
+	return f.received
 }
 
-func chunk(s stream, text string, tokens uint32, version uint64) {
+func sendChunk(s stream, text string, tokens uint32, version uint64) {
 	_ = s.Send(&pb.GenerateReply{Part: &pb.GenerateReply_Chunk{Chunk: &pb.GenerateChunk{Text: text, Tokens: tokens, Version: version}}})
 }
 
-func done(s stream, tokens uint32) error {
+func sendDone(s stream, tokens uint32) error {
 	return s.Send(&pb.GenerateReply{Part: &pb.GenerateReply_Done{Done: &pb.GenerateDone{FinishReason: "stop", Tokens: tokens}}})
 }
 
-// says answers with ten tokens that tell the prompt and seed, from wherever it
+// generateAt answers with ten tokens that tell the prompt and seed, from wherever it
 // is asked to go on.
-func says(version uint64) script {
+func generateAt(version uint64) script {
 	return func(_ *fakeAgent, req *pb.GenerateRequest, s stream) error {
-		for i := tokensOf(req.Resume); i < 10; i++ {
-			chunk(s, word(req, i), 1, version)
+		for i := resumedTokens(req.Resume); i < 10; i++ {
+			sendChunk(s, tokenText(req, i), 1, version)
 		}
-		return done(s, 10)
+		return sendDone(s, 10)
 	}
 }
 
-func word(req *pb.GenerateRequest, i uint32) string {
+func tokenText(req *pb.GenerateRequest, i uint32) string {
 	return fmt.Sprintf("%s/%d/%d ", req.Prompt, req.Seed, i)
 }
 
-func tokensOf(r *pb.Resume) uint32 {
+func resumedTokens(r *pb.Resume) uint32 {
 	if r == nil || len(r.Spans) == 0 {
 		return 0
 	}
 	return r.Spans[len(r.Spans)-1].To
 }
 
-// breaksAt makes n tokens of version v and then loses the connection.
-func breaksAt(n uint32, v uint64) script {
+// breakAfter makes n tokens of version v and then loses the connection.
+func breakAfter(n uint32, v uint64) script {
 	return func(_ *fakeAgent, req *pb.GenerateRequest, s stream) error {
 		for i := range n {
-			chunk(s, word(req, i), 1, v)
+			sendChunk(s, tokenText(req, i), 1, v)
 		}
 		return io.ErrUnexpectedEOF
 	}
 }
 
 type fakeFleet struct {
-	snap *fleet.Snapshot
-	mu   sync.Mutex
-	ends []fleet.Outcome
+	snap     *fleet.Snapshot
+	mu       sync.Mutex
+	outcomes []fleet.Outcome
 }
 
 func (f *fakeFleet) Snapshot() *fleet.Snapshot   { return f.snap }
 func (f *fakeFleet) Changed() <-chan struct{}    { return nil }
 func (f *fakeFleet) InFlightNow(name string) int { return 0 }
 func (f *fakeFleet) Begin(string) func(fleet.Outcome) {
-	return func(o fleet.Outcome) { f.mu.Lock(); defer f.mu.Unlock(); f.ends = append(f.ends, o) }
+	return func(o fleet.Outcome) { f.mu.Lock(); defer f.mu.Unlock(); f.outcomes = append(f.outcomes, o) }
 }
 
 type lostClient struct {
@@ -129,30 +129,30 @@
 	return f.snap.ByName[name].Client.(lostClient).lost
 }
 
-type site struct {
+type testEntry struct {
 	fleet  *fakeFleet
 	agents []*fakeAgent
 	url    string
 }
 
-// start makes an entry before fake engines' agents. The first is warm for
+// startEntry makes an entry before fake engines' agents. The first is warm for
 // every prompt "p" and gets it until it has been tried.
-func start(t *testing.T, scripts ...script) *site {
-	s := &site{fleet: &fakeFleet{snap: &fleet.Snapshot{By: map[string][]*fleet.Server{}, ByName: map[string]*fleet.Server{}}}}
+func startEntry(t *testing.T, scripts ...script) *testEntry {
+	s := &testEntry{fleet: &fakeFleet{snap: &fleet.Snapshot{By: map[string][]*fleet.Server{}, ByName: map[string]*fleet.Server{}}}}
 	for i, run := range scripts {
-		s.add(t, fmt.Sprintf("vm-%d", i), run)
+		s.addAgent(t, fmt.Sprintf("vm-%d", i), run)
 	}
 	s.fleet.snap.ByName["vm-0"].State.WarmPrefixes = []uint64{platform.PrefixHash("p")}
 	m, err := manifest.Parse("test", []byte(manifestText))
 	require.NoError(t, err)
-	gate := front.New(front.Config{Viewer: confsync.Static{V: &confsync.View{Number: 1, Manifest: m}}})
-	web := httptest.NewServer(gate.Handle("completions", New(Config{Agents: s.fleet, Quarantine: quarantine.New(zap.NewNop())}).Serve))
+	requestFront := front.New(front.Config{Viewer: confsync.Static{V: &confsync.View{Number: 1, Manifest: m}}})
+	web := httptest.NewServer(requestFront.Handle("completions", New(Config{Agents: s.fleet, Quarantine: quarantine.New(zap.NewNop())}).Serve))
 	t.Cleanup(web.Close)
 	s.url = web.URL
 	return s
 }
 
-func (s *site) add(t *testing.T, name string, run script) {
+func (s *testEntry) addAgent(t *testing.T, name string, run script) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	f := &fakeAgent{name: name, lost: make(chan struct{}), script: run}
@@ -173,7 +173,7 @@
 	s.fleet.snap.By[pool] = append(s.fleet.snap.By[pool], server)
 }
 
-func (s *site) post(t *testing.T, body string) *http.Response {
+func (s *testEntry) post(t *testing.T, body string) *http.Response {
 	req, err := http.NewRequest("POST", s.url+Path, strings.NewReader(body))
 	require.NoError(t, err)
 	req.Header.Set("Authorization", "Bearer t")
@@ -184,7 +184,7 @@
 	return resp
 }
 
-func (s *site) whole(t *testing.T, body string) (int, Answer, answer.ErrorDetail) {
+func (s *testEntry) postDecoded(t *testing.T, body string) (int, Answer, answer.ErrorDetail) {
 	resp := s.post(t, body)
 	var got struct {
 		Answer
@@ -194,8 +194,8 @@
 	return resp.StatusCode, got.Answer, got.Error
 }
 
-// events reads a streamed answer; finish is "" where it broke off.
-func events(t *testing.T, resp *http.Response) (text, finish string, extra *Extra, failure *answer.ErrorDetail, closed bool) {
+// readEvents reads a streamed answer; finish is "" where it broke off.
+func readEvents(t *testing.T, resp *http.Response) (text, finish string, extra *Extra, failure *answer.ErrorDetail, gotDone bool) {
 	require.Equal(t, "text/event-stream", resp.Header.Get("Content-Type"))
 	lines := bufio.NewScanner(resp.Body)
 	for lines.Scan() {
@@ -204,7 +204,7 @@
 			continue
 		}
 		if data == "[DONE]" {
-			closed = true
+			gotDone = true
 			continue
 		}
 		var e struct {
@@ -221,37 +221,37 @@
 			finish, extra = *e.Choices[0].FinishReason, e.Dandelion
 		}
 	}
-	return text, finish, extra, failure, closed
+	return text, finish, extra, failure, gotDone
 }
 
 func expected(prompt string, seed uint64) string {
 	var b strings.Builder
 	for i := range uint32(10) {
-		b.WriteString(word(&pb.GenerateRequest{Prompt: prompt, Seed: seed}, i))
+		b.WriteString(tokenText(&pb.GenerateRequest{Prompt: prompt, Seed: seed}, i))
 	}
 	return b.String()
 }
 
-const ask = `{"model":"drafter","prompt":"p","max_tokens":50,"seed":5}`
-const askStream = `{"model":"drafter","prompt":"p","max_tokens":50,"seed":5,"stream":true}`
+const requestJSON = `{"model":"drafter","prompt":"p","max_tokens":50,"seed":5}`
+const streamRequestJSON = `{"model":"drafter","prompt":"p","max_tokens":50,"seed":5,"stream":true}`
 
-func TestWholeAndStreamed(t *testing.T) {
-	s := start(t, says(7))
-	status, got, _ := s.whole(t, ask)
+func TestCompleteAndStreamedAnswers(t *testing.T) {
+	s := startEntry(t, generateAt(7))
+	status, got, _ := s.postDecoded(t, requestJSON)
 	require.Equal(t, 200, status)
 	require.Equal(t, expected("p", 5), got.Choices[0].Text)
 	require.Equal(t, "stop", *got.Choices[0].FinishReason)
 	require.Equal(t, &Extra{Spans: []Span{{7, 0, 10}}, Server: "vm-0"}, got.Dandelion)
 	require.EqualValues(t, 10, got.Usage.CompletionTokens)
-	text, finish, extra, _, closed := events(t, s.post(t, askStream))
+	text, finish, extra, _, closed := readEvents(t, s.post(t, streamRequestJSON))
 	require.Equal(t, expected("p", 5), text)
 	require.Equal(t, "stop", finish)
 	require.Equal(t, []Span{{7, 0, 10}}, extra.Spans)
 	require.True(t, closed)
 }
 
-func TestBadInputs(t *testing.T) {
-	s := start(t, says(7))
+func TestInvalidRequestsAreRefused(t *testing.T) {
+	s := startEntry(t, generateAt(7))
 	cases := map[string]struct {
 		body   string
 		status int
@@ -260,7 +260,7 @@
 		"not JSON":           {`{"model":`, 400, "bad_request"},
 		"wrong type":         {`{"model":"drafter","prompt":7}`, 400, "bad_request"},
 		"unknown parameter":  {`{"model":"drafter","prompt":"p","temperature":2}`, 400, "bad_request"},
-		"two values":         {ask + ask, 400, "bad_request"},
+		"two values":         {requestJSON + requestJSON, 400, "bad_request"},
 		"no prompt":          {`{"model":"drafter"}`, 400, "bad_request"},
 		"too many tokens":    {`{"model":"drafter","prompt":"p","max_tokens":101}`, 400, "bad_request"},
 		"no tokens":          {`{"model":"drafter","prompt":"p","max_tokens":0}`, 400, "bad_request"},
@@ -272,7 +272,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			s.fleet.snap.ByName["vm-0"].State.Ready = name != "nobody serves it"
-			status, _, failure := s.whole(t, c.body)
+			status, _, failure := s.postDecoded(t, c.body)
 			require.Equal(t, c.status, status)
 			require.Equal(t, c.kind, failure.Kind)
 			require.True(t, failure.NotRun)
@@ -284,9 +284,9 @@
 // A caller reads a stream when its engine dies after four tokens. Another
 // engine, on newer weights, goes on behind them with the same seed: the
 // caller sees one whole answer, and its spans name both versions truly.
-func TestStreamGoesOnAtAnotherEngine(t *testing.T) {
-	s := start(t, breaksAt(4, 7), says(8))
-	text, finish, extra, _, closed := events(t, s.post(t, askStream))
+func TestStreamResumesAtAnotherEngine(t *testing.T) {
+	s := startEntry(t, breakAfter(4, 7), generateAt(8))
+	text, finish, extra, _, closed := readEvents(t, s.post(t, streamRequestJSON))
 	require.Equal(t, expected("p", 5), text)
 	require.Equal(t, "stop", finish)
 	require.Equal(t, []Span{{7, 0, 4}, {8, 4, 10}}, extra.Spans)
@@ -299,9 +299,9 @@
 // The engine dies and no other serves the model. Part of the text is already
 // with the caller: the stream ends with an error event, without a finish
 // reason and without [DONE], so that the part is not taken for the whole.
-func TestStreamThatCannotGoOnEndsWithAnError(t *testing.T) {
-	s := start(t, breaksAt(4, 7))
-	_, finish, _, failure, closed := events(t, s.post(t, askStream))
+func TestStreamThatCannotResumeEndsWithAnError(t *testing.T) {
+	s := startEntry(t, breakAfter(4, 7))
+	_, finish, _, failure, closed := readEvents(t, s.post(t, streamRequestJSON))
 	require.Empty(t, finish)
 	require.False(t, closed)
 	require.Equal(t, "backend_failed", failure.Kind)
@@ -310,58 +310,58 @@
 
 // A chunk came without a version, so that how far the text goes can't be told
 // to another engine. While nothing is passed on, the answer is made anew.
-func TestUnprovedTextIsMadeAnew(t *testing.T) {
-	s := start(t, breaksAt(4, 0), says(8))
-	_, got, _ := s.whole(t, ask)
+func TestUnversionedTextIsGeneratedAgain(t *testing.T) {
+	s := startEntry(t, breakAfter(4, 0), generateAt(8))
+	_, got, _ := s.postDecoded(t, requestJSON)
 	require.Equal(t, expected("p", 5), got.Choices[0].Text)
 	require.Nil(t, s.agents[1].requests()[0].Resume)
-	s = start(t, breaksAt(4, 0), says(8))
-	_, finish, _, failure, _ := events(t, s.post(t, askStream))
+	s = startEntry(t, breakAfter(4, 0), generateAt(8))
+	_, finish, _, failure, _ := readEvents(t, s.post(t, streamRequestJSON))
 	require.Empty(t, finish)
 	require.NotNil(t, failure)
 }
 
 // The stream ends as if all were well, but tokens are missing in the middle.
 // The count gives it away: the answer is not passed off as whole.
-func TestShortAnswerIsNotWhole(t *testing.T) {
-	s := start(t, func(_ *fakeAgent, req *pb.GenerateRequest, st stream) error {
-		chunk(st, word(req, 0), 1, 7)
-		return done(st, 10)
-	}, says(7))
-	_, got, _ := s.whole(t, ask)
+func TestShortAnswerIsRejected(t *testing.T) {
+	s := startEntry(t, func(_ *fakeAgent, req *pb.GenerateRequest, st stream) error {
+		sendChunk(st, tokenText(req, 0), 1, 7)
+		return sendDone(st, 10)
+	}, generateAt(7))
+	_, got, _ := s.postDecoded(t, requestJSON)
 	require.Equal(t, expected("p", 5), got.Choices[0].Text)
 }
 
 // An agent freezes in the middle of a stream; its connection stays up. The
 // picture loses its word and the stream goes on elsewhere.
-func TestStreamLeavesAFrozenAgent(t *testing.T) {
-	s := start(t, func(f *fakeAgent, req *pb.GenerateRequest, st stream) error {
-		chunk(st, word(req, 0), 1, 7)
+func TestStreamResumesWhenTheAgentFreezes(t *testing.T) {
+	s := startEntry(t, func(f *fakeAgent, req *pb.GenerateRequest, st stream) error {
+		sendChunk(st, tokenText(req, 0), 1, 7)
 		close(f.lost)
 		<-st.Context().Done()
 		return nil
-	}, says(7))
-	text, finish, _, _, _ := events(t, s.post(t, askStream))
+	}, generateAt(7))
+	text, finish, _, _, _ := readEvents(t, s.post(t, streamRequestJSON))
 	require.Equal(t, expected("p", 5), text)
 	require.Equal(t, "stop", finish)
 }
 
 // Many callers stream at once through one entry, with the same request id,
 // while engines break off at different places. Each must get exactly its own.
-func TestEachCallerGetsItsOwn(t *testing.T) {
+func TestEachCallerGetsItsOwnAnswer(t *testing.T) {
 	flaky := func(f *fakeAgent, req *pb.GenerateRequest, st stream) error {
 		if req.Resume == nil && req.Seed%2 == 0 {
-			return breaksAt(uint32(1+req.Seed%9), 7)(f, req, st)
+			return breakAfter(uint32(1+req.Seed%9), 7)(f, req, st)
 		}
-		return says(7)(f, req, st)
+		return generateAt(7)(f, req, st)
 	}
-	s := start(t, flaky, flaky, flaky)
+	s := startEntry(t, flaky, flaky, flaky)
 	var all sync.WaitGroup
 	for i := range 18 {
 		all.Go(func() {
 			prompt, seed := fmt.Sprintf("p%d", i), uint64(i)
 			resp := s.post(t, fmt.Sprintf(`{"model":"drafter","prompt":%q,"seed":%d,"stream":true}`, prompt, seed))
-			text, finish, _, _, _ := events(t, resp)
+			text, finish, _, _, _ := readEvents(t, resp)
 			if finish != "stop" || text != expected(prompt, seed) {
 				t.Errorf("request %d got %q", i, text)
 			}
@@ -380,9 +380,9 @@
 
 // An engine makes all tokens that were asked for and dies before it says so.
 // Nothing is missing: the answer is whole without another engine.
-func TestAllTokensAreWhole(t *testing.T) {
-	s := start(t, breaksAt(10, 7))
-	text, finish, _, _, closed := events(t, s.post(t, `{"model":"drafter","prompt":"p","max_tokens":10,"seed":5,"stream":true}`))
+func TestAllTokensAreACompleteAnswer(t *testing.T) {
+	s := startEntry(t, breakAfter(10, 7))
+	text, finish, _, _, closed := readEvents(t, s.post(t, `{"model":"drafter","prompt":"p","max_tokens":10,"seed":5,"stream":true}`))
 	require.Equal(t, expected("p", 5), text)
 	require.Equal(t, "length", finish)
 	require.True(t, closed)
@@ -390,9 +390,9 @@
 
 // A caller names no seed. A retry on another engine must not draw another
 // one: the first engine's tokens would be continued as if by chance.
-func TestSeedIsDrawnOnce(t *testing.T) {
-	s := start(t, breaksAt(4, 7), says(8))
-	_, _, _ = s.whole(t, `{"model":"drafter","prompt":"p"}`)
+func TestSeedIsChosenOnce(t *testing.T) {
+	s := startEntry(t, breakAfter(4, 7), generateAt(8))
+	_, _, _ = s.postDecoded(t, `{"model":"drafter","prompt":"p"}`)
 	require.Equal(t, s.agents[0].requests()[0].Seed, s.agents[1].requests()[0].Seed)
 	require.EqualValues(t, 100, s.agents[0].requests()[0].MaxTokens)
 }
--- a/entry/completions/output.go
+++ b/entry/completions/output.go
@@ -51,37 +51,37 @@
 // output is one caller's answer. It belongs to its request's goroutine alone,
 // so that no other request's tokens can get into it.
 type output struct {
-	w     http.ResponseWriter
-	c     *completion
-	made  made
-	begun bool // the status line and some text are out
+	w         http.ResponseWriter
+	c         *completion
+	generated generated
+	started   bool // the status line and some text are out
 }
 
-// chunk takes a chunk in and, for a streaming caller, passes it on.
-func (o *output) chunk(chunk *pb.GenerateChunk) error {
-	o.made.add(chunk)
+// addChunk takes a addChunk in and, for a streaming caller, passes it on.
+func (o *output) addChunk(chunk *pb.GenerateChunk) error {
+	o.generated.add(chunk)
 	if !o.c.stream || chunk.Text == "" {
 		return nil
 	}
-	return o.event(o.answer(chunk.Text, nil))
+	return o.writeEvent(o.newAnswer(chunk.Text, nil))
 }
 
 // finish completes the answer.
 func (o *output) finish() error {
-	extra := &Extra{Spans: spans(o.made.spans), Server: o.made.server}
-	usage := &Usage{CompletionTokens: o.made.tokens}
+	extra := &Extra{Spans: answerSpans(o.generated.spans), Server: o.generated.server}
+	usage := &Usage{CompletionTokens: o.generated.tokens}
 	if o.c.stream {
-		last := o.answer("", &o.made.finish)
+		last := o.newAnswer("", &o.generated.finishReason)
 		last.Usage, last.Dandelion = usage, extra
-		if o.event(last) == nil {
-			o.data([]byte("[DONE]"))
+		if o.writeEvent(last) == nil {
+			o.writeData([]byte("[DONE]"))
 		}
 		return nil
 	}
-	whole := o.answer(o.made.text.String(), &o.made.finish)
-	whole.Usage, whole.Dandelion = usage, extra
-	o.w.Header().Set(answer.HeaderServer, o.made.server)
-	answer.JSON(o.w, o.c.ID, http.StatusOK, whole)
+	complete := o.newAnswer(o.generated.text.String(), &o.generated.finishReason)
+	complete.Usage, complete.Dandelion = usage, extra
+	o.w.Header().Set(answer.HeaderServer, o.generated.server)
+	answer.JSON(o.w, o.c.ID, http.StatusOK, complete)
 	return nil
 }
 
@@ -90,11 +90,11 @@
 func (o *output) fail(err error) {
 	body, _ := answer.Body(o.c.ID, err)
 	if data, err := json.Marshal(body); err == nil {
-		o.data(data)
+		o.writeData(data)
 	}
 }
 
-func (o *output) answer(text string, finish *string) Answer {
+func (o *output) newAnswer(text string, finish *string) Answer {
 	return Answer{
 		ID:      o.c.ID,
 		Object:  "text_completion",
@@ -104,28 +104,28 @@
 	}
 }
 
-func (o *output) event(a Answer) error {
+func (o *output) writeEvent(a Answer) error {
 	data, err := json.Marshal(a)
 	if err != nil {
 		return err
 	}
-	if !o.begun {
-		o.begin()
+	if !o.started {
+		o.writeHeader()
 	}
-	return o.data(data)
+	return o.writeData(data)
 }
 
-func (o *output) begin() {
-	o.begun = true
+func (o *output) writeHeader() {
+	o.started = true
 	header := o.w.Header()
 	header.Set("Content-Type", "text/event-stream")
 	header.Set("Cache-Control", "no-store")
 	header.Set(answer.HeaderRequestID, o.c.ID)
-	header.Set(answer.HeaderServer, o.made.server)
+	header.Set(answer.HeaderServer, o.generated.server)
 	o.w.WriteHeader(http.StatusOK)
 }
 
-func (o *output) data(data []byte) error {
+func (o *output) writeData(data []byte) error {
 	event := append(append([]byte("data: "), data...), "\n\n"...)
 	if _, err := o.w.Write(event); err != nil {
 		return err
@@ -133,7 +133,7 @@
 	return http.NewResponseController(o.w).Flush()
 }
 
-func spans(from []*pb.Span) []Span {
+func answerSpans(from []*pb.Span) []Span {
 	out := make([]Span, len(from))
 	for i, s := range from {
 		out[i] = Span{Version: s.Version, From: s.From, To: s.To}
--- a/entry/completions/poison_test.go
+++ b/entry/completions/poison_test.go
@@ -16,28 +16,28 @@
 // A prompt ends each engine that begins it, after a token or two. It was carried on by
 // one engine after the other, and its caller then asked for it again. Now the fourth
 // engine never sees it: the caller is told that it did not run and when to come back.
-func TestCompletionThatEndsEnginesIsStopped(t *testing.T) {
-	var ended atomic.Int64
-	mortal := func(f *fakeAgent, req *pb.GenerateRequest, s stream) error {
+func TestCrashingPromptIsQuarantined(t *testing.T) {
+	var crashes atomic.Int64
+	crashingAgent := func(f *fakeAgent, req *pb.GenerateRequest, s stream) error {
 		if req.Prompt != "deadly" {
-			return says(7)(f, req, s)
+			return generateAt(7)(f, req, s)
 		}
-		ended.Add(1)
-		chunk(s, word(req, tokensOf(req.Resume)), 1, 7)
+		crashes.Add(1)
+		sendChunk(s, tokenText(req, resumedTokens(req.Resume)), 1, 7)
 		err := kinds.New(kinds.BackendFailed, "the engine's stream broke off").WithEnded(f.name + "/" + req.RequestId)
 		return s.Send(&pb.GenerateReply{Part: &pb.GenerateReply_Refusal{Refusal: refusal.Encode(err)}})
 	}
-	s := start(t, mortal, mortal, mortal, mortal, mortal)
+	s := startEntry(t, crashingAgent, crashingAgent, crashingAgent, crashingAgent, crashingAgent)
 	const deadly = `{"model":"drafter","prompt":"deadly"}`
-	status, _, failure := s.whole(t, deadly)
+	status, _, failure := s.postDecoded(t, deadly)
 	require.Equal(t, http.StatusBadGateway, status)
 	require.False(t, failure.NotRun)
-	require.EqualValues(t, poison.QuarantineThreshold, ended.Load())
-	_, _, failure = s.whole(t, deadly)
+	require.EqualValues(t, poison.QuarantineThreshold, crashes.Load())
+	_, _, failure = s.postDecoded(t, deadly)
 	require.Equal(t, string(kinds.Quarantined), failure.Kind)
 	require.True(t, failure.NotRun)
 	require.Positive(t, failure.RetryAfterMS)
-	require.EqualValues(t, poison.QuarantineThreshold, ended.Load())
-	status, _, _ = s.whole(t, `{"model":"drafter","prompt":"p"}`)
+	require.EqualValues(t, poison.QuarantineThreshold, crashes.Load())
+	status, _, _ = s.postDecoded(t, `{"model":"drafter","prompt":"p"}`)
 	require.Equal(t, http.StatusOK, status)
 }
--- a/entry/completions/run.go
+++ b/entry/completions/run.go
@@ -19,100 +19,100 @@
 )
 
 var (
-	errLost  = errors.New("its reports have stopped")
-	errShort = errors.New("tokens are missing from the answer")
+	errReportsStopped = errors.New("its reports have stopped")
+	errMissingTokens  = errors.New("tokens are missing from the answer")
 )
 
 // finishLength is the finish reason of an answer with all tokens asked for.
 const finishLength = "length"
 
-// made is the answer so far, over all engines that worked on it.
-type made struct {
-	text    strings.Builder
-	tokens  uint32
-	spans   []*pb.Span
-	unnamed bool // a chunk came without a version
-	finish  string
-	server  string
+// generated is the answer so far, over all engines that worked on it.
+type generated struct {
+	text           strings.Builder
+	tokens         uint32
+	spans          []*pb.Span
+	hasUnversioned bool // a chunk came without a version
+	finishReason   string
+	server         string
 }
 
 // add appends a chunk and extends the spans.
-func (m *made) add(chunk *pb.GenerateChunk) {
-	m.text.WriteString(chunk.Text)
-	from := m.tokens
-	m.tokens += chunk.Tokens
+func (g *generated) add(chunk *pb.GenerateChunk) {
+	g.text.WriteString(chunk.Text)
+	from := g.tokens
+	g.tokens += chunk.Tokens
 	if chunk.Tokens == 0 {
 		return
 	}
 	if chunk.Version == 0 {
-		m.unnamed = true
+		g.hasUnversioned = true
 		return
 	}
-	if n := len(m.spans); n > 0 && m.spans[n-1].Version == chunk.Version && m.spans[n-1].To == from {
-		m.spans[n-1].To = m.tokens
+	if n := len(g.spans); n > 0 && g.spans[n-1].Version == chunk.Version && g.spans[n-1].To == from {
+		g.spans[n-1].To = g.tokens
 		return
 	}
-	m.spans = append(m.spans, &pb.Span{Version: chunk.Version, From: from, To: m.tokens})
+	g.spans = append(g.spans, &pb.Span{Version: chunk.Version, From: from, To: g.tokens})
 }
 
-// newest is the version of the last token made; 0: none yet.
-func (m *made) newest() uint64 {
-	if n := len(m.spans); n > 0 {
-		return m.spans[n-1].Version
+// lastVersion is the version of the last token made; 0: none yet.
+func (g *generated) lastVersion() uint64 {
+	if n := len(g.spans); n > 0 {
+		return g.spans[n-1].Version
 	}
 	return 0
 }
 
-// resume is what the next engine goes on from; nil: it begins anew.
-func (m *made) resume() *pb.Resume {
-	if m.tokens == 0 {
+// resumePoint is what the next engine goes on from; nil: it begins anew.
+func (g *generated) resumePoint() *pb.Resume {
+	if g.tokens == 0 {
 		return nil
 	}
-	return &pb.Resume{Text: m.text.String(), Spans: m.spans}
+	return &pb.Resume{Text: g.text.String(), Spans: g.spans}
 }
 
 // run generates at engines until the answer is whole, or nothing more may be
 // tried. out gets the text as it is made.
 func (h *Handler) run(ctx context.Context, c *completion, out *output) error {
 	pool := fleet.ModelPool(c.model)
-	prefix, warm := route.PrefixHash(c.prompt), platform.PrefixHash(c.prompt)
-	var last error
+	prefix, enginePrefix := route.PrefixHash(c.prompt), platform.PrefixHash(c.prompt)
+	var lastErr error
 	for {
-		if out.made.unnamed {
+		if out.generated.hasUnversioned {
 			// How many tokens stand can't be proved to the next engine.
-			if out.begun {
-				return c.Final(ctx, last)
+			if out.started {
+				return c.FinalError(ctx, lastErr)
 			}
-			out.made = made{}
+			out.generated = generated{}
 		}
-		if out.made.tokens >= uint32(c.maxTokens) {
+		if out.generated.tokens >= uint32(c.maxTokens) {
 			// Only the end mark was lost.
-			out.made.finish = finishLength
+			out.generated.finishReason = finishLength
 			return nil
 		}
-		if stopped := c.Stopped(); stopped != nil {
-			return c.Final(ctx, stopped)
+		if quarantined := c.CheckQuarantine(); quarantined != nil {
+			return c.FinalError(ctx, quarantined)
 		}
-		r := c.Route()
-		r.Prefix, r.EnginePrefix, r.Floor = prefix, warm, out.made.newest()
-		if r.Remaining <= 0 {
-			return c.OutOfTime(last)
+		req := c.Route()
+		req.Prefix, req.EnginePrefix, req.Floor = prefix, enginePrefix, out.generated.lastVersion()
+		if req.Remaining <= 0 {
+			return c.DeadlineError(lastErr)
 		}
-		server, choice := h.choose.Pick(pool, r, policy)
-		if server == nil && last == nil {
+		server, choice := h.chooser.Pick(pool, req, policy)
+		if server == nil && lastErr == nil {
 			return fleet.Refuse(c.Held, pool, choice)
 		}
 		if server == nil {
-			return c.Final(ctx, last)
+			return c.FinalError(ctx, lastErr)
 		}
-		if last = h.traced(ctx, c, out, server, choice); last == nil {
+		if lastErr = h.tracedAttempt(ctx, c, out, server, choice); lastErr == nil {
 			return nil
 		}
-		if !c.Again(ctx, last, server.Name, server.FailureDomain) {
-			return c.Final(ctx, last)
+		if !c.ShouldRetry(ctx, lastErr, server.Name, server.FailureDomain) {
+			return c.FinalError(ctx, lastErr)
 		}
 		retriesTotal.Add(1)
-		if out.made.tokens > 0 {
+		if out.generated.tokens > 0 {
 			resumedTotal.Add(1)
 		}
 	}
@@ -122,22 +122,22 @@
 	return route.ForModels(route.MeanStreamRate(candidates))
 }
 
-// traced is try with its span and its decision records.
-func (h *Handler) traced(ctx context.Context, c *completion, out *output, server *fleet.Server, choice route.Choice) error {
-	job := c.job + "-" + strconv.Itoa(c.Count()+1)
-	hop := front.Hop{
+// tracedAttempt is try with its span and its decision records.
+func (h *Handler) tracedAttempt(ctx context.Context, c *completion, out *output, server *fleet.Server, choice route.Choice) error {
+	jobID := c.jobID + "-" + strconv.Itoa(c.Count()+1)
+	info := front.AttemptInfo{
 		Part: part, Span: "entry completion", Server: server.Name, Choice: choice, Ring: h.cfg.Ring,
-		Attributes: []attribute.KeyValue{attribute.String("job", job), attribute.Int("resumed.tokens", int(out.made.tokens))},
+		Attributes: []attribute.KeyValue{attribute.String("job", jobID), attribute.Int("resumed.tokens", int(out.generated.tokens))},
 	}
-	return c.Traced(ctx, hop, func(ctx context.Context) (string, error) {
-		err := h.try(ctx, c, out, server, job)
-		return fmt.Sprintf("%d tokens, finish reason %s", out.made.tokens, out.made.finish), err
+	return c.TraceAttempt(ctx, info, func(ctx context.Context) (string, error) {
+		err := h.runAttempt(ctx, c, out, server, jobID)
+		return fmt.Sprintf("%d tokens, finish reason %s", out.generated.tokens, out.generated.finishReason), err
 	})
 }
 
-// try generates at one engine.
-func (h *Handler) try(ctx context.Context, c *completion, out *output, server *fleet.Server, job string) error {
-	end := h.cfg.Agents.Begin(server.Name)
+// runAttempt generates at one engine.
+func (h *Handler) runAttempt(ctx context.Context, c *completion, out *output, server *fleet.Server, jobID string) error {
+	reportOutcome := h.cfg.Agents.Begin(server.Name)
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	// A frozen agent's stream would neither go on nor break.
@@ -145,72 +145,72 @@
 	go func() {
 		select {
 		case <-lost:
-			cancel(errLost)
+			cancel(errReportsStopped)
 		case <-ctx.Done():
 		}
 	}()
-	c.Begin()
-	outcome, err := h.read(ctx, c, out, server, job)
-	end(outcome)
+	c.StartAttempt()
+	outcome, err := h.readStream(ctx, c, out, server, jobID)
+	reportOutcome(outcome)
 	return err
 }
 
-// read passes one stream on until it is whole, refused or broken.
-func (h *Handler) read(ctx context.Context, c *completion, out *output, server *fleet.Server, job string) (fleet.Outcome, error) {
-	stream, err := server.Client.Generate(ctx, c.request(out.made.resume(), job))
+// readStream passes one stream on until it is whole, refused or broken.
+func (h *Handler) readStream(ctx context.Context, c *completion, out *output, server *fleet.Server, jobID string) (fleet.Outcome, error) {
+	stream, err := server.Client.Generate(ctx, c.generateRequest(out.generated.resumePoint(), jobID))
 	if err != nil {
-		return broken(ctx, c, server, err)
+		return noReplyOutcome(ctx, c, server, err)
 	}
-	out.made.server = server.Name
+	out.generated.server = server.Name
 	for {
 		reply, err := stream.Recv()
 		if err != nil {
-			return broken(ctx, c, server, err)
+			return noReplyOutcome(ctx, c, server, err)
 		}
 		switch p := reply.Part.(type) {
 		case *pb.GenerateReply_Chunk:
 			tokensTotal.Add(int64(p.Chunk.Tokens))
-			if err := out.chunk(p.Chunk); err != nil {
+			if err := out.addChunk(p.Chunk); err != nil {
 				return fleet.Abandoned, kinds.New(kinds.Cancelled, "the caller went away").WithCause(err)
 			}
 		case *pb.GenerateReply_Done:
 			// An answer without all of its tokens looks whole to a caller.
-			if p.Done.Tokens != out.made.tokens {
-				return broken(ctx, c, server, errShort)
+			if p.Done.Tokens != out.generated.tokens {
+				return noReplyOutcome(ctx, c, server, errMissingTokens)
 			}
-			out.made.finish = p.Done.FinishReason
+			out.generated.finishReason = p.Done.FinishReason
 			return fleet.OK, nil
 		case *pb.GenerateReply_Refusal:
-			return refused(c, p.Refusal)
+			return refusalOutcome(c, p.Refusal)
 		}
 	}
 }
 
-// refused decodes an agent's refusal. One without proof speaks of a stream
+// refusalOutcome decodes an agent's refusal. One without proof speaks of a stream
 // that ran: it counts as failed.
-func refused(c *completion, r *pb.Refusal) (fleet.Outcome, error) {
+func refusalOutcome(c *completion, r *pb.Refusal) (fleet.Outcome, error) {
 	err := refusal.Decode(r)
-	c.Refused(err)
+	c.RecordRefusal(err)
 	if r.NotRun {
 		return fleet.Refused, err
 	}
-	c.Broke()
+	c.RecordMayHaveRun()
 	return fleet.Failed, err
 }
 
-// broken is the error of a stream that ended without the agent's reply.
-func broken(ctx context.Context, c *completion, server *fleet.Server, cause error) (fleet.Outcome, error) {
-	c.Broke()
+// noReplyOutcome is the error of a stream that ended without the agent's reply.
+func noReplyOutcome(ctx context.Context, c *completion, server *fleet.Server, cause error) (fleet.Outcome, error) {
+	c.RecordMayHaveRun()
 	outcome := fleet.Failed
-	if ctx.Err() != nil && context.Cause(ctx) != errLost {
+	if ctx.Err() != nil && context.Cause(ctx) != errReportsStopped {
 		outcome = fleet.Abandoned
 	}
 	return outcome, kinds.New(kinds.BackendFailed, "%s gave no whole answer", server.Name).WithCause(cause)
 }
 
-func (c *completion) request(resume *pb.Resume, job string) *pb.GenerateRequest {
+func (c *completion) generateRequest(resume *pb.Resume, jobID string) *pb.GenerateRequest {
 	return &pb.GenerateRequest{
-		RequestId:  job,
+		RequestId:  jobID,
 		Caller:     c.Caller.Name,
 		Model:      c.model,
 		Prompt:     c.prompt,
@@ -218,7 +218,7 @@
 		Seed:       c.seed,
 		Priority:   int32(c.Caller.Priority),
 		Weight:     c.Caller.Weight,
-		DeadlineMs: max(1, c.Left().Milliseconds()),
+		DeadlineMs: max(1, c.Remaining().Milliseconds()),
 		// An application's answer may span weight versions; its spans tell.
 		AllowMixed: true,
 		Resume:     resume,
--- a/entry/front/explain.go
+++ b/entry/front/explain.go
@@ -7,10 +7,10 @@
 	"dandelionsill.org/kinds"
 )
 
-// chosenWords and passedWords say for operators what decide/route says in
+// choiceTexts and skippedStageTexts say for operators what decide/route says in
 // short: how the picker chose, and which soft filter left nobody.
 var (
-	chosenWords = map[string]string{
+	choiceTexts = map[string]string{
 		"two choices":                 "the less loaded of two at random",
 		"lowest score":                "the best score",
 		"prefix":                      "first for prompts that begin so",
@@ -20,36 +20,36 @@
 		"key":                         "first for this idempotency key",
 		"holder of the key":           "holds this idempotency key",
 	}
-	passedWords = map[string]string{
+	skippedStageTexts = map[string]string{
 		route.StageEjected:  "only outliers were left",
 		route.StageDomain:   "only failure domains that failed before were left",
 		route.StageCapacity: "no server had a free slot",
 	}
 )
 
-// chosen words a routing decision for the decision record.
-func chosen(c route.Choice) string {
-	why := word(chosenWords, c.Reason)
+// describeChoice words a routing decision for the decision record.
+func describeChoice(c route.Choice) string {
+	text := textFor(choiceTexts, c.Reason)
 	if c.Eligible == 0 { // no routing: the holder of a key
-		return why
+		return text
 	}
-	why += fmt.Sprintf("; load %d; servers to choose from: %d", c.Load, c.Eligible)
+	text += fmt.Sprintf("; load %d; servers to choose from: %d", c.Load, c.Eligible)
 	if c.SkippedStage != "" {
-		why += "; " + word(passedWords, c.SkippedStage)
+		text += "; " + textFor(skippedStageTexts, c.SkippedStage)
 	}
-	return why
+	return text
 }
 
-func word(words map[string]string, short string) string {
-	if long, ok := words[short]; ok {
-		return long
+func textFor(texts map[string]string, reason string) string {
+	if text, ok := texts[reason]; ok {
+		return text
 	}
-	return short
+	return reason
 }
 
-// failed words a try's error for the decision record: a refusal with proof
+// describeFailure words a try's error for the decision record: a refusal with proof
 // reads otherwise than a try that may have run.
-func failed(server string, err error) string {
+func describeFailure(server string, err error) string {
 	if e, ok := kinds.As(err); ok && e.NotRun() {
 		return "refused by " + server + ", not run"
 	}
--- a/entry/front/front.go
+++ b/entry/front/front.go
@@ -57,8 +57,8 @@
 
 // Front admits callers' requests.
 type Front struct {
-	cfg     Config
-	callers sync.Map // caller name -> *limit.Caller
+	cfg      Config
+	limiters sync.Map // caller name -> *limit.Caller
 
 	mu       sync.Mutex // guards what follows
 	inFlight int
@@ -78,12 +78,12 @@
 	Deadline time.Time
 	// Held is the proof that no byte of the request went on.
 	Held *kinds.Held
-	// Retry takes a retry from the caller's budget.
-	Retry func() bool
+	// TakeRetry takes a retry from the caller's budget.
+	TakeRetry func() bool
 }
 
-// Left is the time until the deadline.
-func (r *Request) Left() time.Duration { return time.Until(r.Deadline) }
+// Remaining is the time until the deadline.
+func (r *Request) Remaining() time.Duration { return time.Until(r.Deadline) }
 
 // Handler serves an admitted request. An error that it returns is the answer;
 // it may return one only while it has written nothing.
@@ -119,7 +119,7 @@
 			err = f.serve(ctx, span, w, hr, id, h)
 		}
 		if err != nil {
-			f.refuse(ctx, span, w, id, err)
+			f.answerError(ctx, span, w, id, err)
 		}
 	})
 }
@@ -127,11 +127,11 @@
 // serve takes a request through all checks in the order of their cost.
 func (f *Front) serve(ctx context.Context, span oteltrace.Span, w http.ResponseWriter, hr *http.Request, id string, h Handler) error {
 	r := &Request{ID: id, HTTP: hr, View: f.cfg.Viewer.View(), Held: kinds.Hold()}
-	if !f.begin() {
+	if !f.startRequest() {
 		w.Header().Set("Connection", "close")
 		return r.Held.Refuse(kinds.Leaving, "this entry is stopping")
 	}
-	defer f.end()
+	defer f.endRequest()
 	caller, refusal := auth.Caller(r.View, hr)
 	if refusal != nil {
 		return refusal
@@ -146,12 +146,12 @@
 	// A caller that reads nothing would hold its answer, its place and a
 	// planned stop for ever: no context ends a blocked write.
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(timeout + WriteSlack))
-	use := f.use(caller)
-	if refusal := use.Admit(f.cfg.Now(), r.Held); refusal != nil {
+	limiter := f.limiter(caller)
+	if refusal := limiter.Admit(f.cfg.Now(), r.Held); refusal != nil {
 		return refusal
 	}
-	defer use.Release()
-	r.Retry = use.TakeRetry
+	defer limiter.Release()
+	r.TakeRetry = limiter.TakeRetry
 	if refusal := f.readBody(w, r); refusal != nil {
 		return refusal
 	}
@@ -160,8 +160,8 @@
 	return h(ctx, w, r)
 }
 
-// use returns what the caller uses, held to the limits in force.
-func (f *Front) use(caller manifest.Caller) *limit.Limiter {
+// limiter returns what the caller uses, held to the limits in force.
+func (f *Front) limiter(caller manifest.Caller) *limit.Limiter {
 	limits := limit.Limits{
 		Rate:          caller.Rate,
 		Burst:         caller.Burst,
@@ -169,17 +169,17 @@
 		RetryPercent:  caller.RetryPercent,
 	}.Share(f.cfg.Entries())
 	now := f.cfg.Now()
-	used, ok := f.callers.Load(caller.Name)
+	loaded, ok := f.limiters.Load(caller.Name)
 	if !ok {
-		used, _ = f.callers.LoadOrStore(caller.Name, limit.New(limits, now))
+		loaded, _ = f.limiters.LoadOrStore(caller.Name, limit.New(limits, now))
 	}
-	use := used.(*limit.Limiter)
-	use.SetLimits(limits, now)
-	return use
+	limiter := loaded.(*limit.Limiter)
+	limiter.SetLimits(limits, now)
+	return limiter
 }
 
-// refuse answers an error and keeps it for explain.
-func (f *Front) refuse(ctx context.Context, span oteltrace.Span, w http.ResponseWriter, id string, err error) {
+// answerError answers an error and keeps it for explain.
+func (f *Front) answerError(ctx context.Context, span oteltrace.Span, w http.ResponseWriter, id string, err error) {
 	kind := kinds.Of(err)
 	if e, ok := kinds.As(err); ok && e.NotRun() {
 		refusedTotal.Add(1)
@@ -192,8 +192,8 @@
 	answer.Error(w, id, err)
 }
 
-// begin counts a request in, unless the entry is stopping.
-func (f *Front) begin() bool {
+// startRequest counts a request in, unless the entry is stopping.
+func (f *Front) startRequest() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.draining {
@@ -204,7 +204,7 @@
 	return true
 }
 
-func (f *Front) end() {
+func (f *Front) endRequest() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.inFlight--
--- a/entry/front/front_test.go
+++ b/entry/front/front_test.go
@@ -36,19 +36,19 @@
 concurrent = 2
 `
 
-func view(t *testing.T) confsync.Static {
+func testView(t *testing.T) confsync.Static {
 	m, err := manifest.Parse("test", []byte(manifestText))
 	require.NoError(t, err)
 	return confsync.Static{V: &confsync.View{Number: 3, Manifest: m}}
 }
 
-func ok(_ context.Context, w http.ResponseWriter, r *Request) error {
+func echoBody(_ context.Context, w http.ResponseWriter, r *Request) error {
 	answer.JSON(w, r.ID, http.StatusOK, string(r.Body))
 	return nil
 }
 
 func start(t *testing.T, cfg Config, h Handler) (*Front, string) {
-	cfg.Viewer = view(t)
+	cfg.Viewer = testView(t)
 	f := New(cfg)
 	web := httptest.NewServer(f.Handle("test", h))
 	t.Cleanup(web.Close)
@@ -67,8 +67,8 @@
 	return resp, got.Error
 }
 
-func TestRateIsRefusedWithAdvice(t *testing.T) {
-	_, url := start(t, Config{Now: func() time.Time { return time.Unix(1, 0) }}, ok)
+func TestRateLimitRefusalHasRetryAfter(t *testing.T) {
+	_, url := start(t, Config{Now: func() time.Time { return time.Unix(1, 0) }}, echoBody)
 	for range 2 {
 		resp, _ := send(t, url, "x")
 		require.Equal(t, 200, resp.StatusCode)
@@ -80,8 +80,8 @@
 	require.NotEmpty(t, resp.Header.Get("Retry-After"))
 }
 
-func TestBodyBounds(t *testing.T) {
-	_, url := start(t, Config{MaxBody: 1 << 20}, ok)
+func TestBodySizeLimit(t *testing.T) {
+	_, url := start(t, Config{MaxBody: 1 << 20}, echoBody)
 	resp, failure := send(t, url, strings.Repeat("x", 2000))
 	require.Equal(t, 413, resp.StatusCode)
 	require.True(t, failure.NotRun)
@@ -113,19 +113,19 @@
 // The entry is told to stop while a caller waits for its answer. That answer
 // still comes whole; a new request is refused with proof, so that the
 // balancer or caller may send it elsewhere; and the stop waits for the answer.
-func TestDrainLetsAnswersOut(t *testing.T) {
-	inside, let := make(chan struct{}), make(chan struct{})
+func TestDrainWaitsForRequestsInFlight(t *testing.T) {
+	handling, release := make(chan struct{}), make(chan struct{})
 	f, url := start(t, Config{}, func(ctx context.Context, w http.ResponseWriter, r *Request) error {
-		close(inside)
-		<-let
-		return ok(ctx, w, r)
+		close(handling)
+		<-release
+		return echoBody(ctx, w, r)
 	})
 	first := make(chan int)
 	go func() {
 		resp, _ := send(t, url, "x")
 		first <- resp.StatusCode
 	}()
-	<-inside
+	<-handling
 	drained := make(chan error, 1)
 	go func() { drained <- f.Drain(context.Background()) }()
 	require.Eventually(t, func() bool { f.mu.Lock(); defer f.mu.Unlock(); return f.draining }, 20*time.Second, time.Millisecond)
@@ -134,46 +134,46 @@
 	require.Equal(t, "leaving", failure.Kind)
 	require.True(t, failure.NotRun)
 	require.Empty(t, drained)
-	close(let)
+	close(release)
 	require.Equal(t, 200, <-first)
 	require.NoError(t, <-drained)
 	require.NoError(t, f.Drain(context.Background()))
 }
 
 // After a try that may have run, no server's later proof may reach the caller.
-func TestFinalKeepsTheWholeTruth(t *testing.T) {
+func TestFinalErrorReportsPossibleExecution(t *testing.T) {
 	ctx := context.Background()
 	overloaded := kinds.Hold().Refuse(kinds.Overloaded, "x")
 	request := func() *Request {
-		return &Request{Held: kinds.Hold(), Deadline: time.Now().Add(time.Hour), Retry: func() bool { return true }}
+		return &Request{Held: kinds.Hold(), Deadline: time.Now().Add(time.Hour), TakeRetry: func() bool { return true }}
 	}
-	clean := NewTries(request(), true, 3)
-	clean.Begin()
-	clean.Refused(overloaded)
-	require.True(t, clean.Again(ctx, overloaded, "a", "d"))
-	require.Equal(t, error(overloaded), clean.Final(ctx, overloaded))
-	require.Equal(t, "deadline_too_short", kinds.Of(clean.OutOfTime(nil)))
-
-	dirty := NewTries(request(), true, 3)
-	dirty.Begin()
-	dirty.Broke()
-	dirty.Begin()
-	dirty.Refused(overloaded)
-	require.Equal(t, "backend_failed", kinds.Of(dirty.Final(ctx, overloaded)))
-	require.Equal(t, "deadline_exceeded", kinds.Of(dirty.OutOfTime(nil)))
-	require.Equal(t, "outcome_unknown", kinds.Of(dirty.Held.Refuse(kinds.Overloaded, "x")))
-
-	write := NewTries(request(), false, 3)
-	require.False(t, write.Again(ctx, kinds.New(kinds.BackendFailed, "x"), "a", "d"))
-	require.True(t, write.Again(ctx, overloaded, "a", "d"))
-	write.Max = 0
-	require.False(t, write.Again(ctx, overloaded, "a", "d"))
+	notRun := NewAttempts(request(), true, 3)
+	notRun.StartAttempt()
+	notRun.RecordRefusal(overloaded)
+	require.True(t, notRun.ShouldRetry(ctx, overloaded, "a", "d"))
+	require.Equal(t, error(overloaded), notRun.FinalError(ctx, overloaded))
+	require.Equal(t, "deadline_too_short", kinds.Of(notRun.DeadlineError(nil)))
+
+	mayHaveRun := NewAttempts(request(), true, 3)
+	mayHaveRun.StartAttempt()
+	mayHaveRun.RecordMayHaveRun()
+	mayHaveRun.StartAttempt()
+	mayHaveRun.RecordRefusal(overloaded)
+	require.Equal(t, "backend_failed", kinds.Of(mayHaveRun.FinalError(ctx, overloaded)))
+	require.Equal(t, "deadline_exceeded", kinds.Of(mayHaveRun.DeadlineError(nil)))
+	require.Equal(t, "outcome_unknown", kinds.Of(mayHaveRun.Held.Refuse(kinds.Overloaded, "x")))
+
+	write := NewAttempts(request(), false, 3)
+	require.False(t, write.ShouldRetry(ctx, kinds.New(kinds.BackendFailed, "x"), "a", "d"))
+	require.True(t, write.ShouldRetry(ctx, overloaded, "a", "d"))
+	write.MaxAttempts = 0
+	require.False(t, write.ShouldRetry(ctx, overloaded, "a", "d"))
 }
 
-func TestDecisionRecordsReadAsSentences(t *testing.T) {
+func TestDecisionRecordTexts(t *testing.T) {
 	require.Equal(t, "the less loaded of two at random; load 3; servers to choose from: 2; only outliers were left",
-		chosen(route.Choice{Reason: "two choices", Load: 3, Eligible: 2, SkippedStage: route.StageEjected}))
-	require.Equal(t, "holds this idempotency key", chosen(route.Choice{Reason: "holder of the key"}))
-	require.Equal(t, "refused by vm-1, not run", failed("vm-1", kinds.Hold().Refuse(kinds.Leaving, "x")))
-	require.Equal(t, "no whole answer from vm-1", failed("vm-1", kinds.New(kinds.BackendFailed, "x")))
+		describeChoice(route.Choice{Reason: "two choices", Load: 3, Eligible: 2, SkippedStage: route.StageEjected}))
+	require.Equal(t, "holds this idempotency key", describeChoice(route.Choice{Reason: "holder of the key"}))
+	require.Equal(t, "refused by vm-1, not run", describeFailure("vm-1", kinds.Hold().Refuse(kinds.Leaving, "x")))
+	require.Equal(t, "no whole answer from vm-1", describeFailure("vm-1", kinds.New(kinds.BackendFailed, "x")))
 }
--- a/entry/front/request.go
+++ b/entry/front/request.go
@@ -25,7 +25,7 @@
 	if id == "" {
 		return newID(), nil
 	}
-	if len(id) > maxIDLength || !plainASCII(id) {
+	if len(id) > maxIDLength || !isValidID(id) {
 		return newID(), kinds.Hold().Refuse(kinds.BadRequest, "header %s: up to %d letters, digits and -_.:/ are allowed", answer.HeaderRequestID, maxIDLength)
 	}
 	return id, nil
@@ -39,10 +39,10 @@
 	return id.String()
 }
 
-func plainASCII(s string) bool {
+func isValidID(s string) bool {
 	for _, c := range []byte(s) {
-		letter := c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9'
-		if !letter && c != '-' && c != '_' && c != '.' && c != ':' && c != '/' {
+		alphanumeric := c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9'
+		if !alphanumeric && c != '-' && c != '_' && c != '.' && c != ':' && c != '/' {
 			return false
 		}
 	}
@@ -84,7 +84,7 @@
 	body := r.HTTP.Body
 	if bound > 0 {
 		if r.HTTP.ContentLength > bound {
-			return tooLarge(r, bound)
+			return tooLargeError(r, bound)
 		}
 		body = http.MaxBytesReader(w, body, bound)
 	}
@@ -92,9 +92,9 @@
 	_ = control.SetReadDeadline(r.Deadline)
 	data, err := io.ReadAll(body)
 	_ = control.SetReadDeadline(time.Time{})
-	var over *http.MaxBytesError
-	if errors.As(err, &over) {
-		return tooLarge(r, bound)
+	var maxBytesErr *http.MaxBytesError
+	if errors.As(err, &maxBytesErr) {
+		return tooLargeError(r, bound)
 	}
 	if err != nil {
 		return r.Held.Refuse(kinds.BadRequest, "the body did not come whole").WithCause(err)
@@ -103,6 +103,6 @@
 	return nil
 }
 
-func tooLarge(r *Request, bound int64) *kinds.Error {
+func tooLargeError(r *Request, bound int64) *kinds.Error {
 	return r.Held.Refuse(kinds.TooLarge, "the body has more than %d bytes", bound)
 }
