--- a/entry/calls/attempt.go
+++ b/entry/calls/attempt.go
@@ -11,23 +11,24 @@
 	"dandelionsill.org/wire/refusal"
 )
 
-// target is a server that a try goes to.
+// target is a server that an attempt is sent to.
 type target struct {
 	name   string
 	client pb.AgentClient
 	lost   <-chan struct{} // closed when the server's reports stop
-	// release ends a connection made for this try; nil: there is none.
+	// release closes a connection that was opened for this attempt; nil if there is
+	// none.
 	release func()
 }
 
-// reply is a message of the agent, or the stream's end.
+// reply is a message from the agent, or the error that ended the stream.
 type reply struct {
 	msg *pb.CallReply
 	err error
 }
 
-// attempt is one try of a call at one server. It owns its stream: nothing of
-// another try or request can reach it.
+// attempt is one attempt of a call at one server. It is the only user of its stream, so
+// that no reply to another attempt or request can get into it.
 type attempt struct {
 	request       *call
 	server        target
@@ -36,11 +37,11 @@
 	stream        grpc.BidiStreamingClient[pb.CallSend, pb.CallReply]
 	replies       chan reply
 	ctx           context.Context
-	// noReply: the try ended without the agent's reply.
+	// noReply reports that the attempt ended without a reply from the agent.
 	noReply bool
 }
 
-// runAttempt runs one attempt up to a whole answer, or one too large to be held back.
+// runAttempt runs one attempt until its answer is complete, or too large to be buffered.
 func (h *Handler) runAttempt(ctx context.Context, c *call, to target) (*result, error) {
 	a := &attempt{request: c, server: to, reportOutcome: h.cfg.Agents.Begin(to.name), replies: make(chan reply, 1)}
 	a.ctx, a.cancel = context.WithCancel(ctx)
@@ -60,9 +61,9 @@
 	}
 }
 
-// outcome tells how the try speaks for its server. One that the deadline or
-// the caller ended says nothing: a caller's short deadlines must not eject a
-// healthy server.
+// outcome returns the attempt's outcome for the server's health record. An attempt that
+// ended because of the deadline or the caller counts as abandoned: a caller's short
+// deadlines must not eject a healthy server.
 func (a *attempt) outcome() fleet.Outcome {
 	switch {
 	case !a.noReply:
@@ -83,7 +84,7 @@
 	a.stream = stream
 	go a.receive()
 	openMsg := &pb.CallSend{Part: &pb.CallSend_Open{Open: a.request.openMessage(a.request.View.Number)}}
-	// The error of a failed Send comes with the next reply.
+	// If Send fails, the next Recv returns the error.
 	_ = stream.Send(openMsg)
 	if a.request.Repeatable {
 		return a.readAnswer(h.cfg.MaxBuffer, nil)
@@ -91,7 +92,7 @@
 	return h.handshake(a)
 }
 
-// receive hands replies over one by one until the stream or attempt ends.
+// receive passes on replies one by one until the stream or the attempt ends.
 func (a *attempt) receive() {
 	for {
 		msg, err := a.stream.Recv()
@@ -106,30 +107,30 @@
 	}
 }
 
-// handshake waits for CallReady and sends CallGo. Up to CallGo every failure
-// is proof that the request did not run.
+// handshake waits for CallReady and then sends CallGo. Any failure before CallGo proves
+// that the request did not run.
 func (h *Handler) handshake(a *attempt) (*result, error) {
 	first, err := a.nextReply()
 	if err != nil {
 		return nil, err
 	}
 	if first.GetReady() == nil {
-		// A held answer of the key's first run, or a refusal.
+		// Either the recorded answer of the key's first run, or a refusal.
 		return a.readAnswer(h.cfg.MaxBuffer, first)
 	}
 	h.beforeGo(a)
 	if err := a.checkBeforeGo(); err != nil {
 		return nil, err
 	}
-	// Given up before the send, not after: a process that fails in between
-	// must answer "outcome unknown".
+	// The proof is given up before the send, not after it: a process that fails in
+	// between must answer "outcome unknown".
 	a.request.Held.Send()
 	_ = a.stream.Send(&pb.CallSend{Part: &pb.CallSend_Go{Go: &pb.CallGo{}}})
 	return a.readAnswer(h.cfg.MaxBuffer, nil)
 }
 
-// checkBeforeGo tells what came between CallReady and CallGo: a lost connection,
-// a refusal, the deadline, the caller's end.
+// checkBeforeGo returns an error if, between CallReady and CallGo, the connection was
+// lost, the agent refused, the deadline passed or the caller went away.
 func (a *attempt) checkBeforeGo() error {
 	if a.ctx.Err() != nil {
 		return a.noReplyError(a.ctx.Err())
@@ -148,11 +149,13 @@
 	}
 }
 
-// nextReply waits for a reply.
+// nextReply waits for the next reply. It returns an error if the server is lost, the
+// agent refuses or the context ends.
 func (a *attempt) nextReply() (*pb.CallReply, error) {
 	lost := a.server.lost
 	if a.request.Held.Sent() && !a.request.Repeatable {
-		// Sent and not repeatable: only its own answer can tell the outcome.
+		// The request was sent and must not be repeated: only its own answer can tell
+		// the outcome, so a lost server does not end the wait.
 		lost = nil
 	}
 	select {
@@ -165,7 +168,7 @@
 	}
 }
 
-// checkReply turns a refusal or a broken stream into an error.
+// checkReply returns the reply's message, or an error for a refusal or a broken stream.
 func (a *attempt) checkReply(r reply) (*pb.CallReply, error) {
 	if r.err != nil {
 		return nil, a.noReplyError(r.err)
@@ -179,7 +182,8 @@
 	return nil, err
 }
 
-// noReplyError is the error of a try that ended without the agent's reply.
+// noReplyError returns the error for an attempt that ended without a reply from the
+// agent.
 func (a *attempt) noReplyError(cause error) error {
 	a.noReply, a.request.unanswered = true, true
 	switch {
@@ -195,9 +199,10 @@
 	}
 }
 
-// unreachableError is the error of a try for which no stream could be opened. grpc
-// opens it on a ready connection only, and the request is sent after it. With a
-// key that proves little: an earlier try may have run at this very server.
+// unreachableError returns the error for an attempt whose stream could not be opened.
+// grpc opens a stream only on a ready connection, and the request is sent after that, so
+// this attempt did not run. If the call has an idempotency key, this proves little: an
+// earlier attempt may have run at the same server.
 func (a *attempt) unreachableError(cause error) error {
 	if a.ctx.Err() != nil || a.request.key != "" {
 		return a.noReplyError(cause)
@@ -206,7 +211,7 @@
 	return a.request.RecordUnreachable(a.server.name, cause)
 }
 
-// readAnswer reads the answer until it is whole, or holds more than max bytes.
+// readAnswer reads the answer until it is complete or has more than maxBytes bytes.
 func (a *attempt) readAnswer(maxBytes int, first *pb.CallReply) (*result, error) {
 	res := &result{attempt: a}
 	for msg, err := first, error(nil); ; msg = nil {
@@ -226,9 +231,9 @@
 	}
 }
 
-// checkStreamable refuses to pass a long answer on in parts where the caller could not
-// tell a part from the whole: in HTTP/1.0 an answer without a length ends with
-// its connection.
+// checkStreamable returns an error if a long answer can't be forwarded in parts because
+// the caller could not distinguish a part from the complete answer: in HTTP/1.0 an
+// answer without a length ends when its connection is closed.
 func (a *attempt) checkStreamable(res *result) error {
 	if _, known := res.contentLength(a.request); known || res.complete || a.request.HTTP.ProtoAtLeast(1, 1) {
 		return nil
@@ -241,7 +246,7 @@
 	return kinds.New(kinds.OutcomeUnknown, "the request ran at %s; %s", a.server.name, tooLong)
 }
 
-// addReply adds a reply; true: the answer is whole.
+// addReply adds a reply to the answer. It returns true once the answer is complete.
 func (res *result) addReply(msg *pb.CallReply) (bool, error) {
 	switch p := msg.Part.(type) {
 	case *pb.CallReply_Head:
@@ -254,8 +259,8 @@
 	return false, nil
 }
 
-// checkLength compares the length that the agent passed on with what came. A
-// short answer looks whole to a caller; it must never get one.
+// checkLength compares the length that the agent reported with the bytes received. To a
+// caller, a truncated answer looks complete, so it must never receive one.
 func (res *result) checkLength(sent int64) error {
 	got := res.forwardedBytes + int64(len(res.body))
 	if res.head != nil && got == sent {
--- a/entry/calls/calls.go
+++ b/entry/calls/calls.go
@@ -1,10 +1,10 @@
-// Package calls carries callers' requests to plain services: it finds the
-// route in the manifest, picks a server, and repeats elsewhere what may be
-// repeated.
+// Package calls forwards callers' requests to ordinary services (those that aren't
+// models). It finds the route in the manifest, picks a server, and retries on another
+// server the requests that may be repeated.
 //
-// Two promises are kept here. A request that may not be repeated goes on only
-// with proof that no try of it ran; and an answer reaches the caller whole or
-// not at all.
+// It guarantees two things. A request that must not be repeated is sent to another
+// server only with proof that no earlier attempt ran. And the caller receives either the
+// complete answer or an error, never a truncated answer that looks complete.
 package calls
 
 import (
@@ -30,13 +30,13 @@
 
 const part = "entry: calls"
 
-// Prefix is the path under which services are called.
+// Prefix is the path prefix of calls to services.
 const Prefix = "/svc/"
 
-// HeaderIdempotencyKey carries the idempotency key, a UUIDv7.
+// HeaderIdempotencyKey is the header with the idempotency key, a UUIDv7.
 const HeaderIdempotencyKey = "Idempotency-Key"
 
-// Defaults of Config.
+// Default values of Config.
 const (
 	DefaultMaxAttempts = 4
 	DefaultMaxBuffer   = 8 << 20
@@ -48,25 +48,25 @@
 	outcomeUnknownTotal = metrics.Counter("entry_call_outcome_unknown_total")
 )
 
-// Agents is the picture of the agents that calls go to.
+// Agents is the list of agents that calls are sent to.
 type Agents interface {
 	fleet.Watcher
-	// Dial connects to an agent outside of the picture.
+	// Dial connects to an agent that is not in the list.
 	Dial(name string) (client pb.AgentClient, release func(), ok bool)
 }
 
 // Config configures a Handler.
 type Config struct {
 	Agents Agents
-	// Region is this entry's own.
+	// Region is the region of this entry.
 	Region      string
 	MaxAttempts int    // 0: DefaultMaxAttempts
-	MaxBuffer   int    // bytes of an answer that are held back until it is whole; 0: DefaultMaxBuffer
-	Seed        uint64 // of the routing's random choices
+	MaxBuffer   int    // bytes of an answer that are buffered until it is complete; 0: DefaultMaxBuffer
+	Seed        uint64 // seeds the random choices of routing
 	Ring        *explain.Ring
 	Logger      *zap.Logger
-	// Quarantine keeps requests that crash servers from reaching any; nil: one of this
-	// handler's own.
+	// Quarantine stops requests that crash servers from being sent to more of them. If
+	// nil, the handler creates one of its own.
 	Quarantine *quarantine.Quarantine
 }
 
@@ -75,7 +75,7 @@
 	cfg      Config
 	log      *zap.Logger
 	chooser  *fleet.Chooser
-	beforeGo func(*attempt) // for tests: runs after CallReady, before CallGo
+	beforeGo func(*attempt) // set by tests; runs between CallReady and CallGo
 }
 
 // New returns a Handler.
@@ -100,18 +100,18 @@
 	}
 }
 
-// call is one request on its way.
+// call is one request that is being served.
 type call struct {
 	*front.Attempts
 	service manifest.Service
 	route   manifest.Route
-	path    string // path and query as the backend server gets it
+	path    string // path and query as sent to the backend server
 	key     string
-	// unanswered: a try ended without the agent's reply.
+	// unanswered reports that an attempt ended without a reply from the agent.
 	unanswered bool
 }
 
-// Serve is the front.Handler of Prefix.
+// Serve is the front.Handler for Prefix.
 func (h *Handler) Serve(ctx context.Context, w http.ResponseWriter, r *front.Request) error {
 	c, refusal := h.parse(r)
 	if refusal != nil {
@@ -131,7 +131,7 @@
 	return answer.deliver(ctx, w, c)
 }
 
-// parse finds the service and route and checks the caller's right to them.
+// parse finds the service and the route, and checks that the caller may use them.
 func (h *Handler) parse(r *front.Request) (*call, *kinds.Error) {
 	name, path := splitPath(r.HTTP)
 	service, known := r.View.Manifest.Services[name]
@@ -154,21 +154,21 @@
 	return c, c.parseKey()
 }
 
-// content is what makes two requests of a caller the same one.
+// content returns what identifies a request that its caller sends again.
 func (c *call) content() poison.Content {
 	return poison.Content{Caller: c.Caller.Name, Method: c.HTTP.Method, Host: c.service.Name, URI: c.path, Body: c.Body}
 }
 
-// splitPath cuts /svc/{service}/{path…}; the path keeps its escapes, so that the
-// backend server gets what the caller sent.
+// splitPath splits /svc/{service}/{path…}. The path keeps its escapes, so that the
+// backend server receives it as the caller sent it.
 func splitPath(r *http.Request) (service, path string) {
 	rest := strings.TrimPrefix(r.URL.EscapedPath(), Prefix)
 	service, path, _ = strings.Cut(rest, "/")
 	return service, "/" + path
 }
 
-// parseKey checks the idempotency key. On a repeatable route a key means
-// nothing and is left to the backend server.
+// parseKey checks and stores the idempotency key. On a repeatable route the header has
+// no meaning here and is only forwarded to the backend server.
 func (c *call) parseKey() *kinds.Error {
 	if c.Repeatable {
 		return nil
@@ -188,7 +188,7 @@
 	return nil
 }
 
-// openMessage is the first message to an agent.
+// openMessage returns the first message of the stream to an agent.
 func (c *call) openMessage(number uint64) *pb.CallOpen {
 	return &pb.CallOpen{
 		RequestId:      c.ID,
@@ -208,7 +208,8 @@
 	}
 }
 
-// policy chooses servers: a key's own where there is one.
+// policy returns the routing policy. A call with an idempotency key goes to the server
+// that its key maps to.
 func (c *call) policy([]route.Candidate) *route.Policy {
 	if c.key != "" {
 		return keyedPolicy
--- a/entry/calls/calls_test.go
+++ b/entry/calls/calls_test.go
@@ -76,12 +76,12 @@
 		{"no token", "GET", "/svc/orders/x", withHeader("Authorization", ""), 401, "unauthenticated"},
 		{"wrong token", "GET", "/svc/orders/x", withHeader("Authorization", "Bearer no"), 401, "unauthenticated"},
 		{"unknown service", "GET", "/svc/nope/x", withHeader("A", "b"), 404, "not_found"},
-		{"open to a second reading", "GET", "/svc/orders/%2e%2e/x", withHeader("A", "b"), 404, "not_found"},
+		{"path with escaped dots", "GET", "/svc/orders/%2e%2e/x", withHeader("A", "b"), 404, "not_found"},
 		{"bad timeout", "GET", "/svc/orders/x", withHeader(front.HeaderTimeout, "soon"), 400, "bad_request"},
-		{"no time at all", "GET", "/svc/orders/x", withHeader(front.HeaderTimeout, "0"), 400, "bad_request"},
+		{"timeout of 0", "GET", "/svc/orders/x", withHeader(front.HeaderTimeout, "0"), 400, "bad_request"},
 		{"bad request id", "GET", "/svc/orders/x", withHeader("X-Request-Id", "a b"), 400, "bad_request"},
 		{"no key", "POST", "/svc/orders/renew", withHeader("A", "b"), 400, "bad_request"},
-		{"key without a time", "POST", "/svc/orders/x", withHeader(HeaderIdempotencyKey, uuid.NewString()), 400, "bad_request"},
+		{"key is not a UUIDv7", "POST", "/svc/orders/x", withHeader(HeaderIdempotencyKey, uuid.NewString()), 400, "bad_request"},
 		{"body too large", "POST", "/svc/orders/x", func(r *http.Request) {
 			r.Body, r.ContentLength = io.NopCloser(strings.NewReader(strings.Repeat("x", 1<<21))), 1<<21
 		}, 413, "too_large"},
@@ -97,9 +97,9 @@
 	require.Zero(t, s.agents[0].opened.Load())
 }
 
-// A clerk's write meets a server whose process dies while it waits for a
-// slot: the entry has not said go, so nothing ran. The entry proves that to
-// itself and sends the write to another server; the clerk sees one answer.
+// A server's process dies while a write waits there for a slot. The entry has not sent
+// CallGo, so the write is proven not to have run. The entry sends it to another server,
+// and the caller receives one answer.
 func TestWriteIsRetriedWhenTheAgentDiesBeforeReady(t *testing.T) {
 	s := startEntry(t, Config{}, func(f *fakeAgent, _ *pb.CallOpen, st stream) error {
 		f.crash()
@@ -112,8 +112,8 @@
 	require.Equal(t, []fleet.Outcome{fleet.Failed}, s.fleet.outcomes["vm-0"])
 }
 
-// A switch of one failure domain dies with a server behind it. The retry goes
-// to another domain, though a less loaded server stands in the first.
+// A server fails, for example because a switch of its failure domain does. The retry
+// goes to another failure domain, although the first one has a less loaded server.
 func TestRetryPrefersAnotherFailureDomain(t *testing.T) {
 	crashes := func(*fakeAgent, *pb.CallOpen, stream) error { return io.ErrUnexpectedEOF }
 	s := startEntry(t, Config{}, crashes, crashes, answerRequest)
@@ -122,9 +122,9 @@
 	require.Zero(t, s.agents[1].opened.Load())
 }
 
-// The agent offers to run the write and dies before the entry says go. The
-// entry notices while it still holds the request, does not send go into the
-// dead connection, and goes elsewhere: still one run.
+// The agent sends CallReady for a write and dies before CallGo. The entry notices the
+// lost connection before it sends CallGo, and sends the write to another server: it
+// still runs once.
 func TestWriteIsRetriedWhenTheAgentDiesBeforeGo(t *testing.T) {
 	s := startEntry(t, Config{}, func(f *fakeAgent, _ *pb.CallOpen, st stream) error {
 		_ = st.Send(&pb.CallReply{Part: &pb.CallReply_Ready{Ready: &pb.CallReady{}}})
@@ -138,9 +138,9 @@
 	require.EqualValues(t, 1, s.agents[1].ran.Load())
 }
 
-// The write runs and the agent dies before it answers. Nobody can tell
-// whether the order was taken: a repeat would double it, "not run" would be a
-// lie. The caller is told "outcome unknown" and no other server is asked.
+// The write runs and the agent dies before it answers. The entry can't know the outcome:
+// a retry could run the write twice, and "not run" would be wrong. The caller receives
+// "outcome unknown" and no other server is asked.
 func TestWriteOutcomeIsUnknownWhenTheAgentDiesAfterGo(t *testing.T) {
 	for name, started := range map[string]bool{"before the answer": false, "mid-answer": true} {
 		t.Run(name, func(t *testing.T) {
@@ -164,11 +164,11 @@
 	}
 }
 
-// A read that breaks off mid-answer is repeated on another server. The caller
-// sees only the second, whole answer and no byte of the first.
+// The answer to a read breaks off in the middle, and the read is retried on another
+// server. The caller receives only the second, complete answer and no byte of the first.
 func TestReadIsRetriedWhenTheAgentDiesMidAnswer(t *testing.T) {
 	s := startEntry(t, Config{}, func(f *fakeAgent, _ *pb.CallOpen, st stream) error {
-		// The stream breaks behind its parts, so that they surely arrive.
+		// The stream breaks only after its parts, so that they are certain to arrive.
 		sendHead(st, false)
 		sendBody(st, "half of the ans")
 		return io.ErrUnexpectedEOF
@@ -176,9 +176,9 @@
 	require.Equal(t, "vm-1 /x", s.send(t, "GET", "/svc/orders/x").body)
 }
 
-// The agent's link drops the answer's last part, and the stream then ends as
-// if all were well. The length in CallEnd gives it away: the answer is not
-// passed off as whole.
+// The last part of an answer is lost, and the stream then ends without an error. The
+// length in CallEnd does not match the bytes received, so that the answer is not
+// delivered as complete.
 func TestShortAnswerIsRejected(t *testing.T) {
 	short := func(f *fakeAgent, open *pb.CallOpen, st stream) error {
 		if !open.Idempotent && !f.offerToRun(st) {
@@ -194,9 +194,9 @@
 	require.Equal(t, "outcome_unknown", s.send(t, "POST", "/svc/orders/x").failure(t).Kind)
 }
 
-// An answer too large to be held back is passed on in parts and then breaks
-// off. The caller's connection breaks too, so that no client takes the part
-// for the whole.
+// An answer that is too large to be buffered is forwarded in parts and then breaks off.
+// The entry aborts the caller's connection too, so that no client takes the part for the
+// complete answer.
 func TestLargeAnswerThatBreaksOffBreaksTheConnection(t *testing.T) {
 	s := startEntry(t, Config{MaxBuffer: 10}, func(f *fakeAgent, _ *pb.CallOpen, st stream) error {
 		sendHead(st, false)
@@ -218,9 +218,9 @@
 	require.Len(t, complete.body, 1000)
 }
 
-// Servers leave (a planned stop) and refuse with proof, one of them after go.
-// The write goes on to a server that stays; the retry budget, which is for
-// failures, is not touched.
+// Servers leave (a planned stop) and refuse with proof that the request did not run, one
+// of them after CallGo. The write is sent to a server that stays. The retry budget,
+// which is for failures, is not used.
 func TestLeavingServersUseNoRetryBudget(t *testing.T) {
 	leaving := &pb.Refusal{Kind: "leaving", NotRun: true}
 	s := startEntry(t, Config{MaxAttempts: 1}, refuseWith(leaving), func(f *fakeAgent, _ *pb.CallOpen, st stream) error {
@@ -232,10 +232,10 @@
 	require.Equal(t, []fleet.Outcome{fleet.Refused}, s.fleet.outcomes["vm-0"])
 }
 
-// Two servers have stopped and the entry still has them in its picture: the
-// connection is refused. Nothing of the request went on, so reads and writes go
-// to the server that stays, though the caller has no retry budget; they used to
-// end in backend_failed for as long as the picture was old.
+// Two servers have stopped but are still in the entry's list, so that their connections
+// are refused. No byte of the request was sent. Reads and writes must therefore go to
+// the remaining server, even for a caller without a retry budget, instead of failing
+// with backend_failed until the list is updated.
 func TestStoppedServersUseNoRetryBudget(t *testing.T) {
 	s := startEntry(t, Config{MaxAttempts: 1}, answerRequest, answerRequest, answerRequest)
 	s.agents[0].server.Stop()
@@ -247,9 +247,9 @@
 	require.Equal(t, []fleet.Outcome{fleet.Failed, fleet.Failed}, s.fleet.outcomes["vm-0"])
 }
 
-// Every server fails. A caller without a retry budget costs one try a
-// request; one with a budget a bounded number more. The servers' load does
-// not multiply just when they are short.
+// Every server fails. Without a retry budget, each request makes one attempt; with one,
+// the number of additional attempts is bounded. The load on the servers must not
+// multiply while they fail.
 func TestExhaustedBudgetStopsRetries(t *testing.T) {
 	crashes := func(f *fakeAgent, _ *pb.CallOpen, _ stream) error { return io.ErrUnexpectedEOF }
 	s := startEntry(t, Config{}, crashes, crashes, crashes, crashes)
@@ -270,9 +270,9 @@
 	require.LessOrEqual(t, opened(), int64(20+50+10+5))
 }
 
-// A read was sent to a server that died with it, and the next server refuses
-// as "not run". That proof is the second server's; the read may have run on
-// the first, so that the caller must not be told "not run".
+// A read was sent to a server that died, and the next server refuses with "not run".
+// That proof covers only the second server. The read may have run on the first, so the
+// caller must not receive "not run".
 func TestNotRunAppliesToOneServerOnly(t *testing.T) {
 	s := startEntry(t, Config{}, func(f *fakeAgent, _ *pb.CallOpen, _ stream) error { return io.ErrUnexpectedEOF },
 		refuseWith(&pb.Refusal{Kind: "overloaded", NotRun: true}))
@@ -281,8 +281,8 @@
 	require.False(t, got.NotRun)
 }
 
-// A frozen agent answers neither yes nor no and its connection stays up. The
-// picture loses its word, and a read goes elsewhere long before the deadline.
+// A frozen agent does not reply, and its connection stays open. Its reports stop, and a
+// read is retried elsewhere long before the deadline.
 func TestReadIsRetriedWhenTheAgentFreezes(t *testing.T) {
 	s := startEntry(t, Config{}, func(f *fakeAgent, _ *pb.CallOpen, st stream) error {
 		close(f.lost)
@@ -292,8 +292,9 @@
 	require.Equal(t, "vm-1 /x", s.send(t, "GET", "/svc/orders/x").body)
 }
 
-// Queues outlast the deadline, or the deadline passes while the write waits
-// for a slot. Either way it did not run, and the caller is told so.
+// Either the deadline passes while the write waits for a slot, or the queues are longer
+// than the deadline. In both cases the request did not run, and the caller is told so. A
+// read that was sent may have run.
 func TestExpiredDeadlines(t *testing.T) {
 	s := startEntry(t, Config{}, func(f *fakeAgent, _ *pb.CallOpen, st stream) error {
 		<-st.Context().Done()
@@ -313,9 +314,10 @@
 	require.Equal(t, before, s.agents[0].opened.Load())
 }
 
-// A caller repeats a renewal through another entry. The key's owner holds the
-// first answer: the entry is told so, asks the owner once, and passes the
-// first answer on, marked as a replay. Nothing runs twice.
+// A caller repeats a keyed request through another entry. The agent that owns the key
+// has the first answer. Another agent names that owner in its refusal; the entry then
+// asks the owner once and forwards the first answer, marked as replayed. Nothing runs
+// twice.
 func TestKeyedCallIsForwardedToItsOwner(t *testing.T) {
 	replays := func(f *fakeAgent, open *pb.CallOpen, st stream) error {
 		sendHead(st, true)
@@ -332,8 +334,8 @@
 	require.Equal(t, "holder", got.header.Get("Dandelion-Server"))
 }
 
-// The owner of the key is gone. Its run may have happened, and only it could
-// tell: the caller hears "outcome unknown", and no other server runs the write.
+// The owner of the key is gone. It may have run the request, and only it knows. The
+// caller receives "outcome unknown", and no other server runs the write.
 func TestOutcomeIsUnknownWhenTheKeyOwnerIsGone(t *testing.T) {
 	claimed := &pb.Refusal{Kind: "claimed_elsewhere", NotRun: true, Holder: "holder"}
 	for name, setup := range map[string]func(*testEntry){
@@ -354,10 +356,10 @@
 	}
 }
 
-// A caller repeats a renewal whose first answer was lost, and lands on the
-// agent that ran it, now frozen. The entry holds the repeat and could prove
-// that it did not run; told so, the caller would take a new key and renew
-// twice. It hears "outcome unknown".
+// A caller repeats a keyed request whose first answer was lost, at the agent that ran
+// it, which is now frozen. The entry could prove that this attempt did not run. But a
+// caller that received "not run" would choose a new key and the request would run twice.
+// It must receive "outcome unknown".
 func TestOutcomeIsUnknownWhenTheKeyOwnerIsFrozen(t *testing.T) {
 	s := startEntry(t, Config{}, func(_ *fakeAgent, _ *pb.CallOpen, st stream) error {
 		<-st.Context().Done()
@@ -366,7 +368,8 @@
 	got := s.send(t, "POST", "/svc/orders/renew", withNewKey(), withHeader(front.HeaderTimeout, "200")).failure(t)
 	require.Equal(t, "outcome_unknown", got.Kind)
 	require.False(t, got.NotRun)
-	// Nor does a later server's proof cover what the first one did.
+	// A refusal by a later server does not prove that the first one did not run the
+	// request.
 	crashes := func(f *fakeAgent, _ *pb.CallOpen, _ stream) error { return io.ErrUnexpectedEOF }
 	overloaded := refuseWith(&pb.Refusal{Kind: "overloaded", NotRun: true})
 	s = startEntry(t, Config{MaxAttempts: 2}, crashes, overloaded, overloaded, overloaded)
@@ -379,9 +382,9 @@
 	}
 }
 
-// Answers come late and out of order: each request's server answers only once
-// all others have been asked, the last one first. Every caller must get the
-// answer to its own request.
+// Answers come late and in reverse order: each server answers only after all requests
+// have been received, the last request first. Each caller must receive the answer to its
+// own request.
 func TestLateAnswersReachTheirOwnCaller(t *testing.T) {
 	const n = 20
 	turn := make([]chan struct{}, n+1)
@@ -421,8 +424,8 @@
 	require.Equal(t, map[string]int{"Accept": 2}, names)
 }
 
-// A write was sent and the budget of time ends: broken must never make a
-// refusal of it, whatever the try died of.
+// A write was sent and its attempt fails, with and without an expired context.
+// noReplyError must never return "not run" for it.
 func TestSentWriteIsNeverNotRun(t *testing.T) {
 	c := &call{Attempts: front.NewAttempts(&front.Request{Held: kinds.Hold()}, false, 1)}
 	c.Held.Send()
@@ -434,8 +437,8 @@
 	}
 }
 
-// The deadline passes between two tries of a keyed call, of which the first
-// gave no word.
+// The deadline passes between two attempts of a keyed call, of which the first got no
+// reply.
 func TestOutcomeIsUnknownWhenTheDeadlinePassesBetweenKeyedAttempts(t *testing.T) {
 	s := startEntry(t, Config{}, answerRequest)
 	attempts := front.NewAttempts(&front.Request{Held: kinds.Hold(), View: testView()}, false, 1)
@@ -449,17 +452,18 @@
 	return ctx
 }
 
-// The caller hears not_run: true for a renewal that ran, takes a new key and
-// renews twice. Order: vm-1 runs the key's request and is frozen (SIGSTOP)
-// before it answers; the caller repeats the key with a short deadline; vm-0
-// names vm-1 as the holder; vm-1 lies outside of this entry's subset, so that
-// nothing tells that its word is lost; the deadline passes before its ready.
-// forward turns not_ready into outcome_unknown, but not deadline_too_short.
+// A caller must not receive not_run: true for a keyed request that ran: it would choose
+// a new key and the request would run twice. vm-1 runs the request and is frozen
+// (SIGSTOP) before it answers. The caller repeats the key with a short deadline. vm-0
+// names vm-1 as the owner. vm-1 is outside this entry's subset, so that nothing reports
+// it as lost, and the deadline passes before its CallReady. The error was
+// deadline_too_short, which forwardToOwner did not turn into outcome_unknown as it did
+// not_ready.
 func TestOutcomeIsUnknownWhenAFrozenOwnerIsOutsideTheSubset(t *testing.T) {
 	claimed := &pb.Refusal{Kind: "claimed_elsewhere", NotRun: true, Holder: "holder"}
 	s := startEntry(t, Config{}, refuseWith(claimed))
 	s.fleet.unlisted["holder"] = startAgent(t, "holder", func(_ *fakeAgent, _ *pb.CallOpen, st stream) error {
-		<-st.Context().Done() // frozen: the kernel holds the connection
+		<-st.Context().Done() // frozen: the kernel keeps the connection open
 		return st.Context().Err()
 	})
 	got := s.send(t, "POST", "/svc/orders/renew", withNewKey(), withHeader(front.HeaderTimeout, "300")).failure(t)
--- a/entry/calls/fake_test.go
+++ b/entry/calls/fake_test.go
@@ -23,7 +23,7 @@
 
 type stream = grpc.BidiStreamingServer[pb.CallSend, pb.CallReply]
 
-// fakeAgent answers calls as its script says and counts what ran.
+// fakeAgent answers calls as its script defines and counts the runs.
 type fakeAgent struct {
 	pb.UnimplementedAgentServer
 	name   string
@@ -44,7 +44,7 @@
 	return f.script(f, first.GetOpen(), s)
 }
 
-// offerToRun offers to run; it reports whether the entry said go.
+// offerToRun sends CallReady and reports whether the entry answered with CallGo.
 func (f *fakeAgent) offerToRun(s stream) bool {
 	if s.Send(&pb.CallReply{Part: &pb.CallReply_Ready{Ready: &pb.CallReady{}}}) != nil {
 		return false
@@ -69,7 +69,7 @@
 	return s.Send(&pb.CallReply{Part: &pb.CallReply_Refusal{Refusal: r}})
 }
 
-// answerRequest runs the request and answerRequest with the agent's name and the path.
+// answerRequest runs the request and answers with the agent's name and the path.
 func answerRequest(f *fakeAgent, open *pb.CallOpen, s stream) error {
 	if !open.Idempotent && !f.offerToRun(s) {
 		return io.ErrUnexpectedEOF
@@ -91,7 +91,7 @@
 	go f.server.Stop()
 }
 
-// fakeFleet is a fixed picture of fake agents.
+// fakeFleet is a fixed list of fake agents.
 type fakeFleet struct {
 	snap     *fleet.Snapshot
 	unlisted map[string]*fakeAgent
@@ -139,7 +139,7 @@
 	lost chan struct{}
 }
 
-// testEntry is an entry before fake agents, over real HTTP and gRPC.
+// testEntry is an entry that is connected to fake agents by real HTTP and gRPC.
 type testEntry struct {
 	fleet   *fakeFleet
 	handler *Handler
@@ -161,8 +161,8 @@
 	return f
 }
 
-// startEntry makes a site; agent i of the pool is named vm-i and has failure
-// domain i. The first agent has the least load and is picked first.
+// startEntry starts an entry and its agents. Agent i of the pool is named vm-i and has a
+// failure domain of its own. The first agent has the least load and is picked first.
 func startEntry(t *testing.T, cfg Config, scripts ...func(*fakeAgent, *pb.CallOpen, stream) error) *testEntry {
 	s := &testEntry{fleet: &fakeFleet{
 		snap:     &fleet.Snapshot{By: map[string][]*fleet.Server{}, ByName: map[string]*fleet.Server{}},
@@ -189,8 +189,8 @@
 	return s
 }
 
-// testView is a manifest with caller "shop" (token "t", retry budget) and caller
-// "poor" (token "p", none).
+// testView returns a manifest with caller "shop" (token "t", with a retry budget) and
+// caller "poor" (token "p", without one).
 func testView() *confsync.View {
 	m, err := manifest.Parse("test", []byte(manifestText))
 	if err != nil {
--- a/entry/calls/headers.go
+++ b/entry/calls/headers.go
@@ -9,17 +9,17 @@
 	"dandelionsill.org/wire/pb"
 )
 
-// hopByHopHeaders are headers that belong to one connection (RFC 9110, 7.6.1).
+// hopByHopHeaders are the headers that apply to a single connection (RFC 9110, 7.6.1).
 var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// strippedHeaders are headers between callers and entries. A token that went on would
-// let a backend server act as the caller.
+// strippedHeaders are headers between callers and entries, which are not forwarded. With
+// a forwarded token, a backend server could act as the caller.
 var strippedHeaders = []string{"Authorization", front.HeaderTimeout, "Content-Length", "Traceparent", "Tracestate"}
 
-// requestHeaders returns the caller's headers as the backend server gets them.
+// requestHeaders returns the caller's headers that are forwarded to the backend server.
 func requestHeaders(from http.Header) []*pb.Header {
 	kept := withoutHopByHop(from)
 	for _, name := range strippedHeaders {
@@ -34,14 +34,14 @@
 	return out
 }
 
-// setResponseHeaders writes the backend server's headers to the caller.
+// setResponseHeaders copies the backend server's headers to the response to the caller.
 func setResponseHeaders(to http.Header, from []*pb.Header) {
 	received := http.Header{}
 	for _, h := range from {
 		received.Add(h.Name, h.Value)
 	}
 	kept := withoutHopByHop(received)
-	kept.Del("Content-Length") // set from what came, not from what was promised
+	kept.Del("Content-Length") // set later, from the bytes received
 	for _, name := range []string{answer.HeaderRequestID, answer.HeaderServer, answer.HeaderReplayed} {
 		kept.Del(name)
 	}
--- a/entry/calls/http10_test.go
+++ b/entry/calls/http10_test.go
@@ -16,10 +16,10 @@
 	"dandelionsill.org/wire/pb"
 )
 
-// One caller takes the entry's memory, and every request in flight there dies
-// with the process. Order: it asks in HTTP/1.0 for a long answer without a
-// length; so that no part looks whole the entry holds all of it back, and no
-// bound ends that. 64 MB stand for any size here; MaxBuffer is 64 KB.
+// Guards against a single caller exhausting the entry's memory, which ends every request
+// in flight. The caller uses HTTP/1.0 and asks for a long answer without a length. The
+// entry can't forward it in parts that might look complete, and would buffer all of it
+// without a bound. 64 MB stand for any size here; MaxBuffer is 64 KB.
 func TestBufferedAnswerIsBoundedForHTTP10(t *testing.T) {
 	const piece, pieces = 1 << 20, 64
 	var sent atomic.Int64
@@ -47,14 +47,14 @@
 	case <-agentDone:
 	case <-time.After(20 * time.Second):
 	}
-	require.Less(t, sent.Load(), int64(pieces*piece), "all of it was held in memory")
+	require.Less(t, sent.Load(), int64(pieces*piece), "the complete answer was buffered in memory")
 }
 
-// A caller that speaks HTTP/1.0 (many proxies do towards their backends) takes
-// a part of the answer for the whole. Order: the answer has no length and is
-// larger than the entry holds back; the entry passes its first part on; the
-// backend server dies. The entry breaks the connection off, but in HTTP/1.0 the
-// end of the connection is the end of the answer.
+// Guards against an HTTP/1.0 caller (many proxies use it towards their backends) that
+// takes a part of an answer for the complete one. The answer has no length and is larger
+// than MaxBuffer; the entry would forward its first part; then the backend server
+// crashes. The entry would abort the connection, but in HTTP/1.0 the end of the
+// connection is the end of the answer.
 func TestBrokenAnswerIsNotCompleteForHTTP10(t *testing.T) {
 	const partSize = 64 << 10
 	s := startEntry(t, Config{MaxBuffer: partSize / 2}, func(f *fakeAgent, _ *pb.CallOpen, st stream) error {
@@ -69,11 +69,11 @@
 	require.NoError(t, err)
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
-		return // no answer at all is honest
+		return // no answer at all is correct
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return // so is an error
+		return // an error is correct too
 	}
 	buf := make([]byte, partSize)
 	n, readErr := 0, error(nil)
@@ -82,5 +82,5 @@
 		k, readErr = resp.Body.Read(buf)
 		n += k
 	}
-	require.NotEqual(t, "EOF", readErr.Error(), "200 OK, %d bytes and a clean end of a cut answer", n)
+	require.NotEqual(t, "EOF", readErr.Error(), "200 OK, %d bytes and a clean end of a truncated answer", n)
 }
--- a/entry/calls/poison_test.go
+++ b/entry/calls/poison_test.go
@@ -17,15 +17,15 @@
 	"dandelionsill.org/wire/refusal"
 )
 
-// crashingAgent plays agents whose backend servers end under paths with "deadly" in them and
-// are back for the next request.
+// crashingAgent returns the script of an agent whose backend server crashes on paths
+// that contain "deadly" and is running again for the next request.
 func crashingAgent(crashes *atomic.Int64) func(*fakeAgent, *pb.CallOpen, stream) error {
 	return func(f *fakeAgent, open *pb.CallOpen, s stream) error {
 		if !strings.Contains(open.Path, "deadly") {
 			return answerRequest(f, open, s)
 		}
 		if !open.Idempotent && !f.offerToRun(s) {
-			return errors.New("no go")
+			return errors.New("the entry did not send CallGo")
 		}
 		crashes.Add(1)
 		err := kinds.New(kinds.BackendFailed, "no whole answer")
@@ -41,10 +41,10 @@
 	return Config{Quarantine: quarantine.New(zap.NewNop())}, []func(*fakeAgent, *pb.CallOpen, stream) error{script, script, script, script, script}
 }
 
-// A request ends the backend server of each agent that runs it. Its tries went on to
-// four agents, and each time its caller asked again to four more. Now three servers end;
-// then its caller is told at once that it did not run and when to come back, and other
-// callers' requests are served.
+// A request crashes the backend server of each agent that runs it. It must not be
+// retried on all four agents, and again on four more each time its caller repeats it.
+// After three crashes the caller is told at once that the request did not run and when
+// to retry, and requests of other callers are served.
 func TestCrashingRequestIsQuarantined(t *testing.T) {
 	var crashes atomic.Int64
 	cfg, agents := crashingAgents(&crashes)
@@ -62,8 +62,8 @@
 	require.Equal(t, http.StatusOK, s.send(t, http.MethodGet, "/svc/orders/other").status)
 }
 
-// A write that must run once ends a backend server each time its caller sends it anew.
-// The fourth time it is refused, which is true: this try has not run.
+// A write that must run only once crashes a backend server each time its caller sends it
+// again. The fourth time it is refused as "not run", which is true for this attempt.
 func TestCrashingWriteIsQuarantined(t *testing.T) {
 	var crashes atomic.Int64
 	cfg, agents := crashingAgents(&crashes)
@@ -77,8 +77,8 @@
 	require.EqualValues(t, poison.QuarantineThreshold, crashes.Load())
 }
 
-// A backend server ends while it has a request that another one then answers, over and
-// over. The request is a bystander and is served each time.
+// A backend server crashes repeatedly while it has a request that another server then
+// answers. The request did not cause the crashes and must be served each time.
 func TestBystanderIsServed(t *testing.T) {
 	var crashes atomic.Int64
 	cfg := Config{Quarantine: quarantine.New(zap.NewNop())}
--- a/entry/calls/result.go
+++ b/entry/calls/result.go
@@ -17,12 +17,12 @@
 	errShortAnswer    = errors.New("the answer is short")
 )
 
-// result is an answer: whole, or its first part with the attempt that goes on.
+// result is a complete answer, or the first part of one whose attempt is still running.
 type result struct {
 	attempt        *attempt
 	head           *pb.CallHead
 	body           []byte
-	forwardedBytes int64 // bytes already passed on to the caller
+	forwardedBytes int64 // bytes that were already written to the caller
 	complete       bool
 }
 
@@ -37,7 +37,7 @@
 	}
 }
 
-// summary tells an operator what came.
+// summary describes the answer in the decision record for operators.
 func (res *result) summary() string {
 	text := "status " + strconv.Itoa(int(res.head.Status))
 	if res.head.Replayed {
@@ -49,9 +49,9 @@
 	return text
 }
 
-// deliver passes the answer on. One that was too large to be held back goes
-// in parts; where it then breaks off, the caller's connection is broken too,
-// so that a part can't be taken for the whole.
+// deliver writes the answer to the caller. An answer that was too large to be buffered
+// is written in parts. If it then breaks off, deliver also aborts the caller's
+// connection, so that the caller can't take a part for the complete answer.
 func (res *result) deliver(ctx context.Context, w http.ResponseWriter, c *call) error {
 	header := w.Header()
 	setResponseHeaders(header, res.head.Headers)
@@ -89,8 +89,9 @@
 	return err
 }
 
-// contentLength is the answer's contentLength where it is known. An answer to HEAD, and one
-// that has no body by its status, keeps the backend server's own.
+// contentLength returns the Content-Length of the answer, if it is known. For an answer
+// to HEAD, and for one that has no body because of its status, it is the value that the
+// backend server sent.
 func (res *result) contentLength(c *call) (string, bool) {
 	bodyless := c.HTTP.Method == http.MethodHead || res.head.Status == http.StatusNoContent || res.head.Status == http.StatusNotModified
 	if res.complete && !bodyless {
--- a/entry/calls/run.go
+++ b/entry/calls/run.go
@@ -11,7 +11,8 @@
 	"dandelionsill.org/kinds"
 )
 
-// run sends a call to servers until one answers, or nothing more may be tried.
+// run sends a call to one server after another until one answers or no further attempt
+// is allowed.
 func (h *Handler) run(ctx context.Context, c *call) (*result, error) {
 	pool := fleet.ServicePool(c.service.Name)
 	var lastErr error
@@ -49,9 +50,10 @@
 	}
 }
 
-// finalError is what the caller is told. Our proof that a keyed request did not
-// run covers this try alone: an agent that did not reply may have run an earlier
-// one, and a caller told "not run" would take a new key and run it twice.
+// finalError returns the error that the caller receives. For a request with a key, the
+// entry's proof of "not run" covers only the current attempt: an agent that did not
+// reply may have run an earlier one. A caller that received "not run" would choose a new
+// key, and the request would run twice.
 func (h *Handler) finalError(ctx context.Context, c *call, server string, err error) error {
 	if c.key != "" && c.unanswered {
 		return ownerUnreachable(server, err)
@@ -59,7 +61,7 @@
 	return c.FinalError(ctx, err)
 }
 
-// ownerFromError names the agent that owns the call's key, when err says so.
+// ownerFromError returns the agent that owns the call's key if err names it, or "".
 func ownerFromError(err error) string {
 	if e, ok := kinds.As(err); ok && kinds.NotRunKind(e.Kind()) == kinds.ClaimedElsewhere {
 		return e.Holder()
@@ -67,7 +69,7 @@
 	return ""
 }
 
-// forwardToOwner sends a keyed call once to the agent that owns the key: it holds
+// forwardToOwner sends a keyed call once to the agent that owns the key: that agent has
 // the answer, or knows that there is none.
 func (h *Handler) forwardToOwner(ctx context.Context, c *call, owner string) (*result, error) {
 	forwardsTotal.Add(1)
@@ -89,8 +91,8 @@
 	return res, nil
 }
 
-// ownerUnreachable is the answer when the key's owner can't be asked: its first run
-// may have happened, and only the owner could tell.
+// ownerUnreachable returns the error for a key whose owner can't be asked: the first run
+// may have happened, and only the owner knows.
 func ownerUnreachable(owner string, cause error) error {
 	err := kinds.New(kinds.OutcomeUnknown, "the key may have run at %s, which does not answer", owner)
 	if cause != nil {
@@ -99,7 +101,7 @@
 	return err
 }
 
-// tracedAttempt is try with its span and its decision records.
+// tracedAttempt runs an attempt in a span of its own and adds its decision records.
 func (h *Handler) tracedAttempt(ctx context.Context, c *call, to target, choice route.Choice) (res *result, err error) {
 	info := front.AttemptInfo{
 		Part: part, Span: "entry call", Server: to.name, Choice: choice, Ring: h.cfg.Ring,
--- a/entry/calls/slowreader_test.go
+++ b/entry/calls/slowreader_test.go
@@ -13,11 +13,11 @@
 	"dandelionsill.org/wire/pb"
 )
 
-// An entry keeps a request, its answer in memory and its caller's place among
-// the concurrent ones for ever, and a planned stop then runs into its drain
-// timeout. Order: a caller asks with a deadline, freezes (or its link is cut)
-// and reads nothing; the answer is larger than the socket's buffers; the write
-// blocks, as neither the deadline's context nor the server bounds it.
+// Guards against a request that is kept forever, with its buffered answer and its slot
+// among the caller's concurrent requests; a planned stop would then run into its drain
+// timeout. A caller sends a deadline and then freezes, or its link is partitioned, so
+// that it reads nothing. The answer is larger than the socket's buffers. The write then
+// blocks, and neither the deadline's context nor the server ends it.
 func TestRequestOfANonReadingCallerEndsAtItsDeadline(t *testing.T) {
 	const pieceSize, pieces = 1 << 20, 32
 	s := startEntry(t, Config{MaxBuffer: 2 * pieces * pieceSize}, func(f *fakeAgent, _ *pb.CallOpen, st stream) error {
@@ -36,5 +36,5 @@
 	require.NoError(t, err)
 	require.Eventually(t, func() bool { return s.agents[0].ran.Load() == 1 }, 20*time.Second, time.Millisecond)
 	requestEnded := func() bool { return s.fleet.InFlightNow("vm-0") == 0 }
-	require.Eventually(t, requestEnded, 15*time.Second, 10*time.Millisecond, "still held 13 s after the deadline")
+	require.Eventually(t, requestEnded, 15*time.Second, 10*time.Millisecond, "still in flight 13 s after the deadline")
 }
