--- a/entry/calls/calls.go
+++ b/entry/calls/calls.go
@@ -145,8 +145,8 @@
 	if !ok {
 		return nil, r.Held.Refuse(kinds.NotFound, "service %s has no route for %s %s", name, r.HTTP.Method, path)
 	}
-	tries := front.NewAttempts(r, matched.Repeat == manifest.RepeatAlways, h.cfg.MaxAttempts)
-	c := &call{Attempts: tries, service: service, route: matched, path: path}
+	attempts := front.NewAttempts(r, matched.Repeat == manifest.RepeatAlways, h.cfg.MaxAttempts)
+	c := &call{Attempts: attempts, service: service, route: matched, path: path}
 	if query := r.HTTP.URL.RawQuery; query != "" {
 		c.path += "?" + query
 	}
