--- a/entry/completions/completions.go
+++ b/entry/completions/completions.go
@@ -1,7 +1,7 @@
-// Package completions serves POST /v1/completions for application callers: it
-// picks an engine, passes its tokens on as they come or whole, and goes on at
-// another engine when one fails in the middle, so that the caller still gets
-// the whole answer to its own request.
+// Package completions serves POST /v1/completions for callers that are applications. It
+// picks an engine and forwards its tokens, as a stream or as one complete answer. If the
+// engine fails in the middle, it resumes at another engine, so that the caller still
+// receives a complete answer.
 package completions
 
 import (
@@ -28,10 +28,10 @@
 
 const part = "entry: completions"
 
-// Path is where completions are asked for.
+// Path is the path of the completions endpoint.
 const Path = "/v1/completions"
 
-// DefaultMaxAttempts bounds the engines that one request is tried on.
+// DefaultMaxAttempts is the default number of attempts that one request may make.
 const DefaultMaxAttempts = 4
 
 var (
@@ -43,13 +43,13 @@
 // Config configures a Handler.
 type Config struct {
 	Agents      fleet.Watcher
-	Region      string // this entry's own
+	Region      string // the region of this entry
 	MaxAttempts int    // 0: DefaultMaxAttempts
-	Seed        uint64 // of the routing's random choices
+	Seed        uint64 // seeds the random choices of routing
 	Ring        *explain.Ring
 	Logger      *zap.Logger
-	// Quarantine keeps requests that crash engines from reaching any; nil: one of this
-	// handler's own.
+	// Quarantine stops requests that crash engines from being sent to more of them. If
+	// nil, the handler creates one of its own.
 	Quarantine *quarantine.Quarantine
 }
 
@@ -78,19 +78,19 @@
 	}
 }
 
-// Body is what a caller sends.
+// Body is the body of a request.
 type Body struct {
 	Model  string `json:"model"`
 	Prompt string `json:"prompt"`
-	// MaxTokens defaults to the manifest's bound for the model.
+	// MaxTokens defaults to the manifest's maximum for the model.
 	MaxTokens *int `json:"max_tokens"`
 	Stream    bool `json:"stream"`
-	// Seed defaults to a random one. It stays the same over all engines that
-	// the request is tried on.
+	// Seed defaults to a random value. All engines that the request is sent to get the
+	// same seed.
 	Seed *uint64 `json:"seed"`
 }
 
-// completion is one request on its way.
+// completion is one request that is being served.
 type completion struct {
 	*front.Attempts
 	model     string
@@ -98,12 +98,12 @@
 	maxTokens int
 	seed      uint64
 	stream    bool
-	// jobID is what agents and engines know the request by. Two callers may
-	// choose one request id; their jobs must not meet at an engine.
+	// jobID is the id that agents and engines know the request by. Two callers may
+	// choose the same request id, but their requests must not be mixed up at an engine.
 	jobID string
 }
 
-// Serve is the front.Handler of Path.
+// Serve is the front.Handler for Path.
 func (h *Handler) Serve(ctx context.Context, w http.ResponseWriter, r *front.Request) error {
 	c, refusal := h.parse(r)
 	if refusal != nil {
@@ -159,14 +159,14 @@
 	return c, nil
 }
 
-// content is what makes two requests of a caller the same one. The seed is left out:
-// most callers leave it to us.
+// content returns what identifies a request that its caller sends again. It does not
+// include the seed, since most callers don't set one and it is then random.
 func (c *completion) content() poison.Content {
 	return poison.Content{Caller: c.Caller.Name, Method: http.MethodPost, Host: c.model, URI: Path, Body: []byte(c.prompt)}
 }
 
-// decodeBody reads the body. Unknown fields are refused: a sampling parameter that
-// is silently left out changes the answer.
+// decodeBody decodes the body. Unknown fields are refused: ignoring a sampling parameter
+// silently would change the answer.
 func decodeBody(r *front.Request) (Body, *kinds.Error) {
 	var body Body
 	decoder := json.NewDecoder(bytes.NewReader(r.Body))
--- a/entry/completions/completions_test.go
+++ b/entry/completions/completions_test.go
@@ -44,7 +44,7 @@
 type stream = grpc.ServerStreamingServer[pb.GenerateReply]
 type script = func(f *fakeAgent, req *pb.GenerateRequest, s stream) error
 
-// fakeAgent generates as its script says and keeps what it was asked.
+// fakeAgent generates as its script defines and records the requests that it receives.
 type fakeAgent struct {
 	pb.UnimplementedAgentServer
 	name     string
@@ -75,8 +75,8 @@
 	return s.Send(&pb.GenerateReply{Part: &pb.GenerateReply_Done{Done: &pb.GenerateDone{FinishReason: "stop", Tokens: tokens}}})
 }
 
-// generateAt answers with ten tokens that tell the prompt and seed, from wherever it
-// is asked to go on.
+// generateAt returns a script that generates ten tokens of a version, starting from the
+// request's resume point. Each token contains the prompt and the seed.
 func generateAt(version uint64) script {
 	return func(_ *fakeAgent, req *pb.GenerateRequest, s stream) error {
 		for i := resumedTokens(req.Resume); i < 10; i++ {
@@ -97,7 +97,8 @@
 	return r.Spans[len(r.Spans)-1].To
 }
 
-// breakAfter makes n tokens of version v and then loses the connection.
+// breakAfter returns a script that generates n tokens of version v and then loses the
+// connection.
 func breakAfter(n uint32, v uint64) script {
 	return func(_ *fakeAgent, req *pb.GenerateRequest, s stream) error {
 		for i := range n {
@@ -135,8 +136,8 @@
 	url    string
 }
 
-// startEntry makes an entry before fake engines' agents. The first is warm for
-// every prompt "p" and gets it until it has been tried.
+// startEntry starts an entry and the fake agents of its engines. The first engine has a
+// warm prefix for prompt "p", so that such requests are sent to it first.
 func startEntry(t *testing.T, scripts ...script) *testEntry {
 	s := &testEntry{fleet: &fakeFleet{snap: &fleet.Snapshot{By: map[string][]*fleet.Server{}, ByName: map[string]*fleet.Server{}}}}
 	for i, run := range scripts {
@@ -194,7 +195,7 @@
 	return resp.StatusCode, got.Answer, got.Error
 }
 
-// readEvents reads a streamed answer; finish is "" where it broke off.
+// readEvents reads a streamed answer. finish is "" if the stream broke off.
 func readEvents(t *testing.T, resp *http.Response) (text, finish string, extra *Extra, failure *answer.ErrorDetail, gotDone bool) {
 	require.Equal(t, "text/event-stream", resp.Header.Get("Content-Type"))
 	lines := bufio.NewScanner(resp.Body)
@@ -265,13 +266,13 @@
 		"too many tokens":    {`{"model":"drafter","prompt":"p","max_tokens":101}`, 400, "bad_request"},
 		"no tokens":          {`{"model":"drafter","prompt":"p","max_tokens":0}`, 400, "bad_request"},
 		"unknown model":      {`{"model":"nope","prompt":"p"}`, 404, "not_found"},
-		"someone else's":     {`{"model":"other","prompt":"p"}`, 403, "forbidden"},
-		"nobody serves it":   {`{"model":"drafter","prompt":"p"}`, 503, "no_server"},
+		"other's model":      {`{"model":"other","prompt":"p"}`, 403, "forbidden"},
+		"no server is ready": {`{"model":"drafter","prompt":"p"}`, 503, "no_server"},
 		"negative max token": {`{"model":"drafter","prompt":"p","max_tokens":-1}`, 400, "bad_request"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			s.fleet.snap.ByName["vm-0"].State.Ready = name != "nobody serves it"
+			s.fleet.snap.ByName["vm-0"].State.Ready = name != "no server is ready"
 			status, _, failure := s.postDecoded(t, c.body)
 			require.Equal(t, c.status, status)
 			require.Equal(t, c.kind, failure.Kind)
@@ -281,9 +282,9 @@
 	require.Empty(t, s.agents[0].requests())
 }
 
-// A caller reads a stream when its engine dies after four tokens. Another
-// engine, on newer weights, goes on behind them with the same seed: the
-// caller sees one whole answer, and its spans name both versions truly.
+// An engine dies after four tokens of a streamed answer. Another engine, with newer
+// weights, resumes after them with the same seed. The caller receives one complete
+// answer, and its spans list both versions correctly.
 func TestStreamResumesAtAnotherEngine(t *testing.T) {
 	s := startEntry(t, breakAfter(4, 7), generateAt(8))
 	text, finish, extra, _, closed := readEvents(t, s.post(t, streamRequestJSON))
@@ -296,9 +297,9 @@
 	require.NotEqual(t, s.agents[0].requests()[0].RequestId, resumed.RequestId)
 }
 
-// The engine dies and no other serves the model. Part of the text is already
-// with the caller: the stream ends with an error event, without a finish
-// reason and without [DONE], so that the part is not taken for the whole.
+// The engine dies and no other serves the model. The caller already has part of the
+// text. The stream ends with an error event, without a finish reason and without [DONE],
+// so that the part is not taken for a complete answer.
 func TestStreamThatCannotResumeEndsWithAnError(t *testing.T) {
 	s := startEntry(t, breakAfter(4, 7))
 	_, finish, _, failure, closed := readEvents(t, s.post(t, streamRequestJSON))
@@ -308,8 +309,9 @@
 	require.False(t, failure.NotRun)
 }
 
-// A chunk came without a version, so that how far the text goes can't be told
-// to another engine. While nothing is passed on, the answer is made anew.
+// A chunk had no version, so that another engine can't be told which version generated
+// the text. If no text was sent to the caller, the answer is generated again from the
+// start; otherwise the stream ends with an error.
 func TestUnversionedTextIsGeneratedAgain(t *testing.T) {
 	s := startEntry(t, breakAfter(4, 0), generateAt(8))
 	_, got, _ := s.postDecoded(t, requestJSON)
@@ -321,8 +323,9 @@
 	require.NotNil(t, failure)
 }
 
-// The stream ends as if all were well, but tokens are missing in the middle.
-// The count gives it away: the answer is not passed off as whole.
+// The stream ends without an error, but tokens are missing in the middle. The token
+// count in the final message does not match, so that the answer is not delivered as
+// complete.
 func TestShortAnswerIsRejected(t *testing.T) {
 	s := startEntry(t, func(_ *fakeAgent, req *pb.GenerateRequest, st stream) error {
 		sendChunk(st, tokenText(req, 0), 1, 7)
@@ -332,8 +335,8 @@
 	require.Equal(t, expected("p", 5), got.Choices[0].Text)
 }
 
-// An agent freezes in the middle of a stream; its connection stays up. The
-// picture loses its word and the stream goes on elsewhere.
+// An agent freezes in the middle of a stream, and its connection stays open. Its reports
+// stop, and the stream resumes elsewhere.
 func TestStreamResumesWhenTheAgentFreezes(t *testing.T) {
 	s := startEntry(t, func(f *fakeAgent, req *pb.GenerateRequest, st stream) error {
 		sendChunk(st, tokenText(req, 0), 1, 7)
@@ -346,8 +349,8 @@
 	require.Equal(t, "stop", finish)
 }
 
-// Many callers stream at once through one entry, with the same request id,
-// while engines break off at different places. Each must get exactly its own.
+// Many callers with the same request id stream at once through one entry, while engines
+// break off at different tokens. Each caller must receive exactly its own answer.
 func TestEachCallerGetsItsOwnAnswer(t *testing.T) {
 	flaky := func(f *fakeAgent, req *pb.GenerateRequest, st stream) error {
 		if req.Resume == nil && req.Seed%2 == 0 {
@@ -368,7 +371,7 @@
 		})
 	}
 	all.Wait()
-	// Two jobs of one name would cancel each other at an engine.
+	// Two jobs with the same id would cancel each other at an engine.
 	jobs := map[string]bool{}
 	for _, a := range s.agents {
 		for _, r := range a.requests() {
@@ -378,8 +381,8 @@
 	}
 }
 
-// An engine makes all tokens that were asked for and dies before it says so.
-// Nothing is missing: the answer is whole without another engine.
+// An engine generates all tokens that were asked for and dies before its final message.
+// No token is missing: the answer is complete and needs no other engine.
 func TestAllTokensAreACompleteAnswer(t *testing.T) {
 	s := startEntry(t, breakAfter(10, 7))
 	text, finish, _, _, closed := readEvents(t, s.post(t, `{"model":"drafter","prompt":"p","max_tokens":10,"seed":5,"stream":true}`))
@@ -388,8 +391,9 @@
 	require.True(t, closed)
 }
 
-// A caller names no seed. A retry on another engine must not draw another
-// one: the first engine's tokens would be continued as if by chance.
+// A caller sets no seed. A retry on another engine must use the seed of the first
+// attempt: otherwise the second engine would continue the first one's tokens with other
+// random choices.
 func TestSeedIsChosenOnce(t *testing.T) {
 	s := startEntry(t, breakAfter(4, 7), generateAt(8))
 	_, _, _ = s.postDecoded(t, `{"model":"drafter","prompt":"p"}`)
--- a/entry/completions/output.go
+++ b/entry/completions/output.go
@@ -9,15 +9,15 @@
 	"dandelionsill.org/wire/pb"
 )
 
-// Answer is a whole answer, or one event of a streamed one.
+// Answer is a complete answer, or one event of a streamed answer.
 type Answer struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
-	Created int64    `json:"created"` // seconds since 1970
+	Created int64    `json:"created"` // Unix time in seconds
 	Model   string   `json:"model"`
 	Choices []Choice `json:"choices"`
 	Usage   *Usage   `json:"usage,omitempty"`
-	// Dandelion stands in the whole answer and in the last event.
+	// Dandelion is set in a complete answer and in the last event of a streamed one.
 	Dandelion *Extra `json:"dandelion,omitempty"`
 }
 
@@ -29,35 +29,35 @@
 	FinishReason *string `json:"finish_reason"`
 }
 
-// Usage counts tokens.
+// Usage is the number of tokens generated.
 type Usage struct {
 	CompletionTokens uint32 `json:"completion_tokens"`
 }
 
-// Extra is what this system adds to the usual form.
+// Extra holds the fields that this system adds to the usual format.
 type Extra struct {
-	// Spans tell which weight version made which tokens.
+	// Spans lists which weight version generated which tokens.
 	Spans  []Span `json:"spans"`
 	Server string `json:"server"`
 }
 
-// Span says that tokens [From, To) were made by a weight version.
+// Span is the token range [From, To) that a weight version generated.
 type Span struct {
 	Version uint64 `json:"version"`
 	From    uint32 `json:"from"`
 	To      uint32 `json:"to"`
 }
 
-// output is one caller's answer. It belongs to its request's goroutine alone,
-// so that no other request's tokens can get into it.
+// output is the answer to one caller. Only its request's goroutine uses it, so that no
+// other request's tokens can get into it.
 type output struct {
 	w         http.ResponseWriter
 	c         *completion
 	generated generated
-	started   bool // the status line and some text are out
+	started   bool // the status line and some text were written
 }
 
-// addChunk takes a addChunk in and, for a streaming caller, passes it on.
+// addChunk adds a chunk to the answer and writes it to a streaming caller.
 func (o *output) addChunk(chunk *pb.GenerateChunk) error {
 	o.generated.add(chunk)
 	if !o.c.stream || chunk.Text == "" {
@@ -66,7 +66,7 @@
 	return o.writeEvent(o.newAnswer(chunk.Text, nil))
 }
 
-// finish completes the answer.
+// finish writes the complete answer, or the last event of a streamed one.
 func (o *output) finish() error {
 	extra := &Extra{Spans: answerSpans(o.generated.spans), Server: o.generated.server}
 	usage := &Usage{CompletionTokens: o.generated.tokens}
@@ -85,8 +85,8 @@
 	return nil
 }
 
-// fail ends a stream that has begun with the error as its last event. Without
-// [DONE] and a finish reason no caller takes the text for whole.
+// fail ends a started stream with the error as its last event. There is no [DONE] and no
+// finish reason, so that the caller can't take the text for a complete answer.
 func (o *output) fail(err error) {
 	body, _ := answer.Body(o.c.ID, err)
 	if data, err := json.Marshal(body); err == nil {
--- a/entry/completions/poison_test.go
+++ b/entry/completions/poison_test.go
@@ -13,9 +13,9 @@
 	"dandelionsill.org/wire/refusal"
 )
 
-// A prompt ends each engine that begins it, after a token or two. It was carried on by
-// one engine after the other, and its caller then asked for it again. Now the fourth
-// engine never sees it: the caller is told that it did not run and when to come back.
+// A prompt crashes each engine that starts it, after a token or two. It must not be
+// resumed at one engine after another, and again when its caller repeats it. A fourth
+// engine never receives it: the caller is told that it did not run and when to retry.
 func TestCrashingPromptIsQuarantined(t *testing.T) {
 	var crashes atomic.Int64
 	crashingAgent := func(f *fakeAgent, req *pb.GenerateRequest, s stream) error {
--- a/entry/completions/run.go
+++ b/entry/completions/run.go
@@ -23,15 +23,15 @@
 	errMissingTokens  = errors.New("tokens are missing from the answer")
 )
 
-// finishLength is the finish reason of an answer with all tokens asked for.
+// finishLength is the finish reason of an answer that has all the tokens asked for.
 const finishLength = "length"
 
-// generated is the answer so far, over all engines that worked on it.
+// generated is the answer so far, from all engines that worked on it.
 type generated struct {
 	text           strings.Builder
 	tokens         uint32
 	spans          []*pb.Span
-	hasUnversioned bool // a chunk came without a version
+	hasUnversioned bool // a chunk had no version
 	finishReason   string
 	server         string
 }
@@ -55,7 +55,8 @@
 	g.spans = append(g.spans, &pb.Span{Version: chunk.Version, From: from, To: g.tokens})
 }
 
-// lastVersion is the version of the last token made; 0: none yet.
+// lastVersion returns the version that generated the last token, or 0 if there is none
+// yet.
 func (g *generated) lastVersion() uint64 {
 	if n := len(g.spans); n > 0 {
 		return g.spans[n-1].Version
@@ -63,7 +64,8 @@
 	return 0
 }
 
-// resumePoint is what the next engine goes on from; nil: it begins anew.
+// resumePoint returns where the next engine resumes, or nil if it starts from the
+// beginning.
 func (g *generated) resumePoint() *pb.Resume {
 	if g.tokens == 0 {
 		return nil
@@ -71,22 +73,23 @@
 	return &pb.Resume{Text: g.text.String(), Spans: g.spans}
 }
 
-// run generates at engines until the answer is whole, or nothing more may be
-// tried. out gets the text as it is made.
+// run sends the request to one engine after another until the answer is complete or no
+// further attempt is allowed. out receives the text as it is generated.
 func (h *Handler) run(ctx context.Context, c *completion, out *output) error {
 	pool := fleet.ModelPool(c.model)
 	prefix, enginePrefix := route.PrefixHash(c.prompt), platform.PrefixHash(c.prompt)
 	var lastErr error
 	for {
 		if out.generated.hasUnversioned {
-			// How many tokens stand can't be proved to the next engine.
+			// The next engine can't be given proof of which version generated the
+			// tokens.
 			if out.started {
 				return c.FinalError(ctx, lastErr)
 			}
 			out.generated = generated{}
 		}
 		if out.generated.tokens >= uint32(c.maxTokens) {
-			// Only the end mark was lost.
+			// All tokens were received; only the final message was lost.
 			out.generated.finishReason = finishLength
 			return nil
 		}
@@ -122,7 +125,7 @@
 	return route.ForModels(route.MeanStreamRate(candidates))
 }
 
-// tracedAttempt is try with its span and its decision records.
+// tracedAttempt runs an attempt in a span of its own and adds its decision records.
 func (h *Handler) tracedAttempt(ctx context.Context, c *completion, out *output, server *fleet.Server, choice route.Choice) error {
 	jobID := c.jobID + "-" + strconv.Itoa(c.Count()+1)
 	info := front.AttemptInfo{
@@ -135,12 +138,12 @@
 	})
 }
 
-// runAttempt generates at one engine.
+// runAttempt generates at one engine and reports the outcome.
 func (h *Handler) runAttempt(ctx context.Context, c *completion, out *output, server *fleet.Server, jobID string) error {
 	reportOutcome := h.cfg.Agents.Begin(server.Name)
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	// A frozen agent's stream would neither go on nor break.
+	// The stream of a frozen agent would neither continue nor break.
 	lost := h.cfg.Agents.Lost(server.Name)
 	go func() {
 		select {
@@ -155,7 +158,7 @@
 	return err
 }
 
-// readStream passes one stream on until it is whole, refused or broken.
+// readStream forwards one stream until it is complete, refused or broken.
 func (h *Handler) readStream(ctx context.Context, c *completion, out *output, server *fleet.Server, jobID string) (fleet.Outcome, error) {
 	stream, err := server.Client.Generate(ctx, c.generateRequest(out.generated.resumePoint(), jobID))
 	if err != nil {
@@ -174,7 +177,7 @@
 				return fleet.Abandoned, kinds.New(kinds.Cancelled, "the caller went away").WithCause(err)
 			}
 		case *pb.GenerateReply_Done:
-			// An answer without all of its tokens looks whole to a caller.
+			// An answer with missing tokens would look complete to the caller.
 			if p.Done.Tokens != out.generated.tokens {
 				return noReplyOutcome(ctx, c, server, errMissingTokens)
 			}
@@ -186,8 +189,8 @@
 	}
 }
 
-// refusalOutcome decodes an agent's refusal. One without proof speaks of a stream
-// that ran: it counts as failed.
+// refusalOutcome decodes an agent's refusal and returns its outcome. A refusal without
+// proof of "not run" ended a stream that ran, so it counts as a failure.
 func refusalOutcome(c *completion, r *pb.Refusal) (fleet.Outcome, error) {
 	err := refusal.Decode(r)
 	c.RecordRefusal(err)
@@ -198,7 +201,8 @@
 	return fleet.Failed, err
 }
 
-// noReplyOutcome is the error of a stream that ended without the agent's reply.
+// noReplyOutcome returns the outcome and the error of a stream that ended without a
+// final reply from the agent.
 func noReplyOutcome(ctx context.Context, c *completion, server *fleet.Server, cause error) (fleet.Outcome, error) {
 	c.RecordMayHaveRun()
 	outcome := fleet.Failed
@@ -219,7 +223,7 @@
 		Priority:   int32(c.Caller.Priority),
 		Weight:     c.Caller.Weight,
 		DeadlineMs: max(1, c.Remaining().Milliseconds()),
-		// An application's answer may span weight versions; its spans tell.
+		// The answer to an application may mix weight versions; its spans list them.
 		AllowMixed: true,
 		Resume:     resume,
 		Revision:   c.View.Number,
