--- a/entry/front/attempt_info.go
+++ b/entry/front/attempt_info.go
@@ -13,20 +13,20 @@
 	"dandelionsill.org/kinds"
 )
 
-// AttemptInfo is one try of a request at one server, as traces and decision records
-// show it.
+// AttemptInfo describes one attempt of a request at one server for traces and decision
+// records.
 type AttemptInfo struct {
-	Part       string // of the entry, in both
-	Span       string // the span's name
+	Part       string // the part of the entry: tracer name, and part in decision records
+	Span       string // name of the span
 	Server     string
 	Choice     route.Choice
-	Attributes []attribute.KeyValue // of the span, beside those of every hop
+	Attributes []attribute.KeyValue // added to the span's common attributes
 	Ring       *explain.Ring
 }
 
-// TraceAttempt makes a try within the hop's span and leaves its two decision records:
-// that it was sent, and how it ended. try returns what the second says of an
-// answer.
+// TraceAttempt runs an attempt in a span of its own and adds two decision records: that
+// the request was sent, and how the attempt ended. If run succeeds, it returns the
+// summary of the answer for the second record.
 func (a *Attempts) TraceAttempt(ctx context.Context, info AttemptInfo, run func(context.Context) (summary string, err error)) error {
 	ctx, span := trace.Tracer(info.Part).Start(ctx, info.Span, oteltrace.WithAttributes(
 		attribute.String("server", info.Server),
--- a/entry/front/attempts.go
+++ b/entry/front/attempts.go
@@ -8,37 +8,37 @@
 	"dandelionsill.org/quarantine"
 )
 
-// Attempts decides whether a request may go to another server, and what its
-// caller is told when it may not.
+// Attempts counts the attempts of a request. It decides whether the request may be sent
+// to another server, and which error the caller receives if not.
 type Attempts struct {
 	*Request
-	// Repeatable: the request may run more than once.
+	// Repeatable reports that the request may run more than once.
 	Repeatable bool
-	// MaxAttempts bounds the tries.
+	// MaxAttempts is the maximum number of attempts.
 	MaxAttempts int
 
 	count           int
 	mayHaveRun      bool
-	lastUnreachable bool // the last try reached no server
+	lastUnreachable bool // the last attempt reached no server
 	triedServers    map[string]bool
 	failedDomains   map[string]bool
-	tracked         *quarantine.TrackedRequest // set by Guard
+	tracked         *quarantine.TrackedRequest // set by UseQuarantine
 }
 
-// NewAttempts returns the tries of a request, none made yet.
+// NewAttempts returns the Attempts of a request that has made none yet.
 func NewAttempts(r *Request, repeatable bool, maxAttempts int) *Attempts {
 	return &Attempts{Request: r, Repeatable: repeatable, MaxAttempts: maxAttempts, triedServers: map[string]bool{}, failedDomains: map[string]bool{}}
 }
 
-// Count is the number of tries that have begun.
+// Count returns the number of attempts started.
 func (a *Attempts) Count() int { return a.count }
 
-// Route is what routing must know of the request.
+// Route returns the request as routing needs it.
 func (a *Attempts) Route() *route.Request {
 	return &route.Request{Remaining: a.Remaining(), Tried: a.triedServers, TriedDomains: a.failedDomains}
 }
 
-// StartAttempt counts a try at a server.
+// StartAttempt counts an attempt at a server.
 func (a *Attempts) StartAttempt() {
 	a.count++
 	if a.Repeatable {
@@ -46,12 +46,13 @@
 	}
 }
 
-// RecordMayHaveRun says that a try ended without the server's reply. From here on no
-// later server's "not run" may reach the caller: it speaks for that server only.
+// RecordMayHaveRun records that an attempt may have run: it ended without proof that it
+// did not. From now on, the caller must not receive a later server's "not run", which
+// covers only that server.
 func (a *Attempts) RecordMayHaveRun() { a.mayHaveRun = true }
 
-// RecordUnreachable says that no connection to the server could carry the try: nothing
-// of it went on. It returns the proof.
+// RecordUnreachable records that the server could not be connected to, so that no byte
+// of the request was sent. It returns the error with that proof.
 func (a *Attempts) RecordUnreachable(server string, cause error) *kinds.Error {
 	a.lastUnreachable = true
 	err := kinds.Hold().Refuse(kinds.NotReady, "%s can't be reached", server).WithCause(cause)
@@ -59,14 +60,15 @@
 	return err
 }
 
-// RecordRefusal takes a server's refusal in; one with proof gives the custody back.
+// RecordRefusal records a server's refusal. If the refusal proves "not run", the entry
+// has the proof for the request again.
 func (a *Attempts) RecordRefusal(err *kinds.Error) {
 	if !a.mayHaveRun {
 		a.Held.Return(err)
 	}
 }
 
-// ShouldRetry tells whether the request may go to another server after err.
+// ShouldRetry reports whether the request may be sent to another server after err.
 func (a *Attempts) ShouldRetry(ctx context.Context, err error, server, domain string) bool {
 	a.triedServers[server] = true
 	e, ok := kinds.As(err)
@@ -85,9 +87,10 @@
 		a.failedDomains[domain] = true
 	}
 	if e.NotRun() && (unreachable || kinds.NotRunKind(e.Kind()) == kinds.Leaving) {
-		// Free: a planned stop must not use up the budget for failures, neither
-		// while the agent refuses nor once it has gone and its connections are
-		// refused. It costs no server anything, and each is tried once at most.
+		// This attempt is not counted. A planned stop must not use up the retry budget,
+		// which is for failures: neither while the agent refuses, nor after it has
+		// stopped and its connections are refused. Such an attempt costs no server
+		// anything, and each server is tried at most once.
 		a.count--
 		return true
 	}
@@ -97,13 +100,13 @@
 	return a.count < a.MaxAttempts && isRetryableElsewhere(e) && a.TakeRetry()
 }
 
-// isServerFailure tells whether a server failed, rather than refused: its failure
-// domain may be failing too.
+// isServerFailure reports whether the server failed, rather than refused. In that case
+// its failure domain may be failing too.
 func isServerFailure(e *kinds.Error) bool {
 	return e.Kind() == string(kinds.BackendFailed) || e.Kind() == string(kinds.NotReady)
 }
 
-// isRetryableElsewhere tells whether another server may do better.
+// isRetryableElsewhere reports whether the request may succeed at another server.
 func isRetryableElsewhere(e *kinds.Error) bool {
 	switch kinds.Kind(e.Kind()) {
 	case kinds.BackendFailed, kinds.DeadlineExceeded:
@@ -112,7 +115,8 @@
 	return e.Answer().Retry == kinds.Entry
 }
 
-// FinalError is what the caller is told after the last try's error.
+// FinalError returns the error that the caller receives after err, the error of the last
+// attempt.
 func (a *Attempts) FinalError(ctx context.Context, err error) error {
 	if !a.mayHaveRun {
 		return err
@@ -129,8 +133,8 @@
 	return err
 }
 
-// DeadlineError is the answer when the deadline passes between two tries; last is
-// the last try's error, nil where there was none.
+// DeadlineError returns the error for a deadline that passes between two attempts.
+// lastErr is the error of the last attempt, or nil if there was none.
 func (a *Attempts) DeadlineError(lastErr error) error {
 	if a.mayHaveRun {
 		return kinds.New(kinds.DeadlineExceeded, "the deadline passed").WithCause(lastErr)
--- a/entry/front/explain.go
+++ b/entry/front/explain.go
@@ -7,8 +7,9 @@
 	"dandelionsill.org/kinds"
 )
 
-// choiceTexts and skippedStageTexts say for operators what decide/route says in
-// short: how the picker chose, and which soft filter left nobody.
+// choiceTexts and skippedStageTexts are the texts for operators of the short reasons of
+// decide/route: how the server was picked, and which optional filter was skipped because
+// it left no server.
 var (
 	choiceTexts = map[string]string{
 		"two choices":                 "the less loaded of two at random",
@@ -27,10 +28,10 @@
 	}
 )
 
-// describeChoice words a routing decision for the decision record.
+// describeChoice describes a routing decision for the decision record.
 func describeChoice(c route.Choice) string {
 	text := textFor(choiceTexts, c.Reason)
-	if c.Eligible == 0 { // no routing: the holder of a key
+	if c.Eligible == 0 { // not routed: the call was forwarded to the owner of its key
 		return text
 	}
 	text += fmt.Sprintf("; load %d; servers to choose from: %d", c.Load, c.Eligible)
@@ -47,8 +48,8 @@
 	return reason
 }
 
-// describeFailure words a try's error for the decision record: a refusal with proof
-// reads otherwise than a try that may have run.
+// describeFailure describes an attempt's error for the decision record. It distinguishes
+// a refusal with proof of "not run" from an attempt that may have run.
 func describeFailure(server string, err error) string {
 	if e, ok := kinds.As(err); ok && e.NotRun() {
 		return "refused by " + server + ", not run"
--- a/entry/front/front.go
+++ b/entry/front/front.go
@@ -1,6 +1,6 @@
-// Package front is what every request of an application caller passes first:
-// its id, who asks, its limits, its deadline and its body. What can be refused
-// is refused here, at once and with the reason.
+// Package front is the first stage of every request of an application caller. It checks
+// the request id, the caller, its limits, its deadline and the body. A request that can
+// be refused here is refused at once, with the reason.
 package front
 
 import (
@@ -27,13 +27,14 @@
 
 const part = "entry: front"
 
-// DefaultMaxTimeout bounds the deadline that a caller may ask for.
+// DefaultMaxTimeout is the default maximum of the timeout that a caller may ask for.
 const DefaultMaxTimeout = time.Hour
 
-// WriteSlack is how long after its deadline a caller may still read its answer.
+// WriteSlack is the time after its deadline during which a caller may still read its
+// answer.
 const WriteSlack = 5 * time.Second
 
-// fallbackTimeout is used when the manifest names none.
+// fallbackTimeout is used if neither the request nor the manifest sets a timeout.
 const fallbackTimeout = 30 * time.Second
 
 var (
@@ -45,10 +46,11 @@
 // Config configures a Front.
 type Config struct {
 	Viewer confsync.Viewer
-	// Entries is the number of live entries among which a caller's limits are
-	// shared; nil: this one enforces them whole.
+	// Entries returns the number of live entries among which a caller's limits are
+	// shared. If nil, this entry enforces the full limits.
 	Entries func() int
-	// MaxBody bounds bodies, in bytes, with the manifest's own bound; 0: only that.
+	// MaxBody is the maximum body size in bytes; the manifest's maximum applies too. 0
+	// means that only the manifest's applies.
 	MaxBody    int64
 	MaxTimeout time.Duration
 	Ring       *explain.Ring
@@ -58,9 +60,9 @@
 // Front admits callers' requests.
 type Front struct {
 	cfg      Config
-	limiters sync.Map // caller name -> *limit.Caller
+	limiters sync.Map // caller name -> *limit.Limiter
 
-	mu       sync.Mutex // guards what follows
+	mu       sync.Mutex // guards inFlight, draining and idle
 	inFlight int
 	draining bool
 	idle     chan struct{}
@@ -68,7 +70,7 @@
 	inFlightGauge atomic.Int64
 }
 
-// Request is an admitted request.
+// Request is a request of a caller. When a Handler receives it, it was admitted.
 type Request struct {
 	ID       string
 	HTTP     *http.Request
@@ -76,17 +78,18 @@
 	Caller   manifest.Caller
 	Body     []byte
 	Deadline time.Time
-	// Held is the proof that no byte of the request went on.
+	// Held proves that no byte of the request was sent on.
 	Held *kinds.Held
-	// TakeRetry takes a retry from the caller's budget.
+	// TakeRetry takes a retry from the caller's budget. It returns false if the budget
+	// is exhausted.
 	TakeRetry func() bool
 }
 
-// Remaining is the time until the deadline.
+// Remaining returns the time until the deadline.
 func (r *Request) Remaining() time.Duration { return time.Until(r.Deadline) }
 
-// Handler serves an admitted request. An error that it returns is the answer;
-// it may return one only while it has written nothing.
+// Handler serves an admitted request. A returned error is sent as the answer, so a
+// Handler may return one only if it has written nothing.
 type Handler func(ctx context.Context, w http.ResponseWriter, r *Request) error
 
 // New returns a Front.
@@ -105,11 +108,11 @@
 	return f
 }
 
-// Handle wraps a handler; name is that of its span.
+// Handle wraps a Handler; name is the name of its span.
 func (f *Front) Handle(name string, h Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, hr *http.Request) {
 		requestsTotal.Add(1)
-		// The last request's write deadline still stands on the connection.
+		// The connection still has the write deadline of the previous request.
 		_ = http.NewResponseController(w).SetWriteDeadline(time.Time{})
 		ctx, span := trace.FromHTTP(hr, name)
 		defer span.End()
@@ -124,7 +127,7 @@
 	})
 }
 
-// serve takes a request through all checks in the order of their cost.
+// serve runs all checks, the cheapest first, and then the handler.
 func (f *Front) serve(ctx context.Context, span oteltrace.Span, w http.ResponseWriter, hr *http.Request, id string, h Handler) error {
 	r := &Request{ID: id, HTTP: hr, View: f.cfg.Viewer.View(), Held: kinds.Hold()}
 	if !f.startRequest() {
@@ -143,8 +146,9 @@
 		return refusal
 	}
 	r.Deadline = f.cfg.Now().Add(timeout)
-	// A caller that reads nothing would hold its answer, its place and a
-	// planned stop for ever: no context ends a blocked write.
+	// Without a write deadline, a caller that reads nothing would keep its answer and
+	// its slot, and block a planned stop, forever: a context does not end a blocked
+	// write.
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(timeout + WriteSlack))
 	limiter := f.limiter(caller)
 	if refusal := limiter.Admit(f.cfg.Now(), r.Held); refusal != nil {
@@ -160,7 +164,7 @@
 	return h(ctx, w, r)
 }
 
-// limiter returns what the caller uses, held to the limits in force.
+// limiter returns the caller's limiter with the current limits.
 func (f *Front) limiter(caller manifest.Caller) *limit.Limiter {
 	limits := limit.Limits{
 		Rate:          caller.Rate,
@@ -178,7 +182,7 @@
 	return limiter
 }
 
-// answerError answers an error and keeps it for explain.
+// answerError sends an error as the answer and adds a decision record.
 func (f *Front) answerError(ctx context.Context, span oteltrace.Span, w http.ResponseWriter, id string, err error) {
 	kind := kinds.Of(err)
 	if e, ok := kinds.As(err); ok && e.NotRun() {
@@ -192,7 +196,7 @@
 	answer.Error(w, id, err)
 }
 
-// startRequest counts a request in, unless the entry is stopping.
+// startRequest counts a request as in flight. It returns false if the entry is stopping.
 func (f *Front) startRequest() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -214,8 +218,8 @@
 	}
 }
 
-// Drain refuses new requests ("not run", so that the caller may go elsewhere)
-// and returns when those in flight, open streams included, have ended.
+// Drain refuses new requests (with "not run", so that the caller may send them
+// elsewhere) and returns once those in flight, including open streams, have ended.
 func (f *Front) Drain(ctx context.Context) error {
 	f.mu.Lock()
 	if !f.draining {
--- a/entry/front/front_test.go
+++ b/entry/front/front_test.go
@@ -88,8 +88,8 @@
 	require.Equal(t, "too_large", failure.Kind)
 }
 
-// A caller's connection breaks while it sends its body. What came must not be
-// taken for the whole body: a truncated order is another order.
+// A caller's connection breaks while it sends its body. The part received must not be
+// taken for the complete body: a truncated order is a different order.
 func TestTruncatedBodyIsNotServed(t *testing.T) {
 	served := make(chan struct{}, 1)
 	f, url := start(t, Config{}, func(context.Context, http.ResponseWriter, *Request) error {
@@ -110,9 +110,10 @@
 	require.NoError(t, f.Drain(context.Background()))
 }
 
-// The entry is told to stop while a caller waits for its answer. That answer
-// still comes whole; a new request is refused with proof, so that the
-// balancer or caller may send it elsewhere; and the stop waits for the answer.
+// The entry is told to stop while a caller waits for its answer. The caller still
+// receives the complete answer. A new request is refused as "not run", so that the
+// balancer or the caller may send it elsewhere. Drain returns only after the answer was
+// sent.
 func TestDrainWaitsForRequestsInFlight(t *testing.T) {
 	handling, release := make(chan struct{}), make(chan struct{})
 	f, url := start(t, Config{}, func(ctx context.Context, w http.ResponseWriter, r *Request) error {
@@ -140,7 +141,8 @@
 	require.NoError(t, f.Drain(context.Background()))
 }
 
-// After a try that may have run, no server's later proof may reach the caller.
+// After an attempt that may have run, the caller must not receive a later server's "not
+// run".
 func TestFinalErrorReportsPossibleExecution(t *testing.T) {
 	ctx := context.Background()
 	overloaded := kinds.Hold().Refuse(kinds.Overloaded, "x")
--- a/entry/front/quarantine.go
+++ b/entry/front/quarantine.go
@@ -6,14 +6,14 @@
 	"dandelionsill.org/quarantine"
 )
 
-// UseQuarantine has the tries stop where servers end under the request. content is what makes
-// it the same one when its caller asks again.
+// UseQuarantine stops further attempts if the request crashes servers. content returns
+// what identifies the request when its caller sends it again.
 func (a *Attempts) UseQuarantine(q *quarantine.Quarantine, content func() poison.Content) {
 	a.tracked = q.Track(content)
 }
 
-// CheckQuarantine tells why the request may go to no server, or to no further one; nil: it
-// may.
+// CheckQuarantine returns an error if the request must not be sent to a server, or to
+// another one, because it crashes them; nil otherwise.
 func (a *Attempts) CheckQuarantine() *kinds.Error {
 	if a.tracked.Verdict() != poison.Quarantined {
 		return nil
@@ -26,7 +26,8 @@
 	return a.Held.Refuse(kinds.Quarantined, "%s", reason).WithRetryAfter(retryAfter)
 }
 
-// RecordResult takes in how the request ended: answered by a server that ran it, or given up.
+// RecordResult records how the request ended: answered by a server that ran it, or
+// without such an answer.
 func (a *Attempts) RecordResult(answered bool) {
 	if answered {
 		a.tracked.RecordCompletion()
--- a/entry/front/request.go
+++ b/entry/front/request.go
@@ -13,13 +13,13 @@
 	"dandelionsill.org/kinds"
 )
 
-// HeaderTimeout is the time that a caller gives its request, in ms.
+// HeaderTimeout is the header with the caller's timeout for a request, in ms.
 const HeaderTimeout = "Dandelion-Timeout-Ms"
 
 const maxIDLength = 128
 
-// RequestID returns the sender's request id, or a new one. A bad id is refused
-// under a new one.
+// RequestID returns the request id that the caller sent, or a new one if there is none.
+// For an invalid id it returns a new one and an error.
 func RequestID(r *http.Request) (string, error) {
 	id := r.Header.Get(answer.HeaderRequestID)
 	if id == "" {
@@ -49,7 +49,7 @@
 	return true
 }
 
-// timeout is the time that the request has: the caller's, or the manifest's.
+// timeout returns the timeout of the request: the caller's, or the default.
 func (f *Front) timeout(r *Request) (time.Duration, *kinds.Error) {
 	header := r.HTTP.Header.Get(HeaderTimeout)
 	if header == "" {
@@ -68,7 +68,8 @@
 	return time.Duration(ms) * time.Millisecond, nil
 }
 
-// maxBody is the lower of this entry's bound and the manifest's; 0: none.
+// maxBody returns the maximum body size in bytes: the lower one of this entry's and the
+// manifest's; 0 means none.
 func (f *Front) maxBody(r *Request) int64 {
 	bound, fleet := f.cfg.MaxBody, r.View.Manifest.Fleet.MaxBodyBytes
 	if bound <= 0 || fleet > 0 && fleet < bound {
@@ -77,8 +78,8 @@
 	return bound
 }
 
-// readBody reads the whole body, so that a retry can send it again and a slow
-// caller holds no backend server.
+// readBody reads the complete body, so that a retry can send it again and a slow caller
+// does not occupy a backend server.
 func (f *Front) readBody(w http.ResponseWriter, r *Request) *kinds.Error {
 	bound := f.maxBody(r)
 	body := r.HTTP.Body
