--- a/entry/calls/calls.go
+++ b/entry/calls/calls.go
@@ -1,10 +1,10 @@
-// Package calls carries callers' requests to plain services: it finds the
-// route in the manifest, picks a server, and repeats elsewhere what may be
-// repeated.
+// Package calls forwards callers' requests to ordinary services (those that aren't
+// models). It finds the route in the manifest, picks a server, and retries on another
+// server the requests that may be repeated.
 //
-// Two promises are kept here. A request that may not be repeated goes on only
-// with proof that no try of it ran; and an answer reaches the caller whole or
-// not at all.
+// It guarantees two things. A request that must not be repeated is sent to another
+// server only with proof that no earlier attempt ran. And the caller receives either the
+// complete answer or an error, never a truncated answer that looks complete.
 package calls
 
 import (
@@ -30,43 +30,43 @@
 
 const part = "entry: calls"
 
-// Prefix is the path under which services are called.
+// Prefix is the path prefix of calls to services.
 const Prefix = "/svc/"
 
-// HeaderKey carries the idempotency key, a UUIDv7.
-const HeaderKey = "Idempotency-Key"
+// HeaderIdempotencyKey is the header with the idempotency key, a UUIDv7.
+const HeaderIdempotencyKey = "Idempotency-Key"
 
-// Defaults of Config.
+// Default values of Config.
 const (
 	DefaultMaxAttempts = 4
 	DefaultMaxBuffer   = 8 << 20
 )
 
 var (
-	retriesTotal  = metrics.Counter("entry_call_retries_total")
-	forwardsTotal = metrics.Counter("entry_call_forwards_total")
-	unknownTotal  = metrics.Counter("entry_call_outcome_unknown_total")
+	retriesTotal        = metrics.Counter("entry_call_retries_total")
+	forwardsTotal       = metrics.Counter("entry_call_forwards_total")
+	outcomeUnknownTotal = metrics.Counter("entry_call_outcome_unknown_total")
 )
 
-// Agents is the picture of the agents that calls go to.
+// Agents is the list of agents that calls are sent to.
 type Agents interface {
 	fleet.Watcher
-	// Dial connects to an agent outside of the picture.
+	// Dial connects to an agent that is not in the list.
 	Dial(name string) (client pb.AgentClient, release func(), ok bool)
 }
 
 // Config configures a Handler.
 type Config struct {
 	Agents Agents
-	// Region is this entry's own.
+	// Region is the region of this entry.
 	Region      string
 	MaxAttempts int    // 0: DefaultMaxAttempts
-	MaxBuffer   int    // bytes of an answer that are held back until it is whole; 0: DefaultMaxBuffer
-	Seed        uint64 // of the routing's random choices
+	MaxBuffer   int    // bytes of an answer that are buffered until it is complete; 0: DefaultMaxBuffer
+	Seed        uint64 // seeds the random choices of routing
 	Ring        *explain.Ring
 	Logger      *zap.Logger
-	// Quarantine keeps requests that crash servers from reaching any; nil: one of this
-	// handler's own.
+	// Quarantine stops requests that crash servers from being sent to more of them. If
+	// nil, the handler creates one of its own.
 	Quarantine *quarantine.Quarantine
 }
 
@@ -74,8 +74,8 @@
 type Handler struct {
 	cfg      Config
 	log      *zap.Logger
-	choose   *fleet.Chooser
-	beforeGo func(*attempt) // for tests: runs after CallReady, before CallGo
+	chooser  *fleet.Chooser
+	beforeGo func(*attempt) // set by tests; runs between CallReady and CallGo
 }
 
 // New returns a Handler.
@@ -95,33 +95,33 @@
 	return &Handler{
 		cfg:      cfg,
 		log:      logs.Part(cfg.Logger, "calls"),
-		choose:   fleet.NewChooser(cfg.Agents, cfg.Region, cfg.Seed),
+		chooser:  fleet.NewChooser(cfg.Agents, cfg.Region, cfg.Seed),
 		beforeGo: func(*attempt) {},
 	}
 }
 
-// call is one request on its way.
+// call is one request that is being served.
 type call struct {
-	*front.Tries
+	*front.Attempts
 	service manifest.Service
 	route   manifest.Route
-	path    string // path and query as the backend server gets it
+	path    string // path and query as sent to the backend server
 	key     string
-	// unanswered: a try ended without the agent's reply.
+	// unanswered reports that an attempt ended without a reply from the agent.
 	unanswered bool
 }
 
-// Serve is the front.Handler of Prefix.
+// Serve is the front.Handler for Prefix.
 func (h *Handler) Serve(ctx context.Context, w http.ResponseWriter, r *front.Request) error {
 	c, refusal := h.parse(r)
 	if refusal != nil {
 		return refusal
 	}
 	answer, err := h.run(ctx, c)
-	c.Judge(err == nil && answer.whole && answer.head.Status < http.StatusInternalServerError)
+	c.RecordResult(err == nil && answer.complete && answer.head.Status < http.StatusInternalServerError)
 	if err != nil {
 		if kinds.Of(err) == string(kinds.OutcomeUnknown) {
-			unknownTotal.Add(1)
+			outcomeUnknownTotal.Add(1)
 			h.log.Warn("The outcome of a write is unknown.", zap.String("request_id", c.ID), zap.String("caller", c.Caller.Name),
 				zap.String("service", c.service.Name), zap.String("why", err.Error()), logs.Trace(ctx))
 		}
@@ -131,9 +131,9 @@
 	return answer.deliver(ctx, w, c)
 }
 
-// parse finds the service and route and checks the caller's right to them.
+// parse finds the service and the route, and checks that the caller may use them.
 func (h *Handler) parse(r *front.Request) (*call, *kinds.Error) {
-	name, path := split(r.HTTP)
+	name, path := splitPath(r.HTTP)
 	service, known := r.View.Manifest.Services[name]
 	if !known {
 		return nil, r.Held.Refuse(kinds.NotFound, "there is no service %q", name)
@@ -145,51 +145,51 @@
 	if !ok {
 		return nil, r.Held.Refuse(kinds.NotFound, "service %s has no route for %s %s", name, r.HTTP.Method, path)
 	}
-	tries := front.NewTries(r, matched.Repeat == manifest.RepeatAlways, h.cfg.MaxAttempts)
-	c := &call{Tries: tries, service: service, route: matched, path: path}
+	attempts := front.NewAttempts(r, matched.Repeat == manifest.RepeatAlways, h.cfg.MaxAttempts)
+	c := &call{Attempts: attempts, service: service, route: matched, path: path}
 	if query := r.HTTP.URL.RawQuery; query != "" {
 		c.path += "?" + query
 	}
-	c.Guard(h.cfg.Quarantine, c.content)
-	return c, c.readKey()
+	c.UseQuarantine(h.cfg.Quarantine, c.content)
+	return c, c.parseKey()
 }
 
-// content is what makes two requests of a caller the same one.
+// content returns what identifies a request that its caller sends again.
 func (c *call) content() poison.Content {
 	return poison.Content{Caller: c.Caller.Name, Method: c.HTTP.Method, Host: c.service.Name, URI: c.path, Body: c.Body}
 }
 
-// split cuts /svc/{service}/{path…}; the path keeps its escapes, so that the
-// backend server gets what the caller sent.
-func split(r *http.Request) (service, path string) {
+// splitPath splits /svc/{service}/{path…}. The path keeps its escapes, so that the
+// backend server receives it as the caller sent it.
+func splitPath(r *http.Request) (service, path string) {
 	rest := strings.TrimPrefix(r.URL.EscapedPath(), Prefix)
 	service, path, _ = strings.Cut(rest, "/")
 	return service, "/" + path
 }
 
-// readKey checks the idempotency key. On a repeatable route a key means
-// nothing and is left to the backend server.
-func (c *call) readKey() *kinds.Error {
+// parseKey checks and stores the idempotency key. On a repeatable route the header has
+// no meaning here and is only forwarded to the backend server.
+func (c *call) parseKey() *kinds.Error {
 	if c.Repeatable {
 		return nil
 	}
-	key := c.HTTP.Header.Get(HeaderKey)
+	key := c.HTTP.Header.Get(HeaderIdempotencyKey)
 	if key == "" {
 		if c.route.RequireKey {
-			return c.Held.Refuse(kinds.BadRequest, "route %s needs header %s, a UUIDv7", c.route.Name, HeaderKey)
+			return c.Held.Refuse(kinds.BadRequest, "route %s needs header %s, a UUIDv7", c.route.Name, HeaderIdempotencyKey)
 		}
 		return nil
 	}
 	id, err := uuid.Parse(key)
 	if err != nil || id.Version() != 7 {
-		return c.Held.Refuse(kinds.BadRequest, "header %s is no UUIDv7", HeaderKey)
+		return c.Held.Refuse(kinds.BadRequest, "header %s is no UUIDv7", HeaderIdempotencyKey)
 	}
 	c.key = id.String()
 	return nil
 }
 
-// open is the first message to an agent.
-func (c *call) open(number uint64) *pb.CallOpen {
+// openMessage returns the first message of the stream to an agent.
+func (c *call) openMessage(number uint64) *pb.CallOpen {
 	return &pb.CallOpen{
 		RequestId:      c.ID,
 		Caller:         c.Caller.Name,
@@ -197,18 +197,19 @@
 		Route:          c.route.Name,
 		Method:         c.HTTP.Method,
 		Path:           c.path,
-		Headers:        forward(c.HTTP.Header),
+		Headers:        requestHeaders(c.HTTP.Header),
 		Body:           c.Body,
 		Idempotent:     c.Repeatable,
 		IdempotencyKey: c.key,
-		DeadlineMs:     max(1, c.Left().Milliseconds()),
+		DeadlineMs:     max(1, c.Remaining().Milliseconds()),
 		Priority:       int32(c.Caller.Priority + c.route.Priority),
 		Revision:       number,
 		Weight:         c.Caller.Weight,
 	}
 }
 
-// policy chooses servers: a key's own where there is one.
+// policy returns the routing policy. A call with an idempotency key goes to the server
+// that its key maps to.
 func (c *call) policy([]route.Candidate) *route.Policy {
 	if c.key != "" {
 		return keyedPolicy
--- a/entry/calls/headers.go
+++ b/entry/calls/headers.go
@@ -9,20 +9,20 @@
 	"dandelionsill.org/wire/pb"
 )
 
-// hopByHop are headers that belong to one connection (RFC 9110, 7.6.1).
-var hopByHop = []string{
+// hopByHopHeaders are the headers that apply to a single connection (RFC 9110, 7.6.1).
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// ours are headers between callers and entries. A token that went on would
-// let a backend server act as the caller.
-var ours = []string{"Authorization", front.HeaderTimeout, "Content-Length", "Traceparent", "Tracestate"}
+// strippedHeaders are headers between callers and entries, which are not forwarded. With
+// a forwarded token, a backend server could act as the caller.
+var strippedHeaders = []string{"Authorization", front.HeaderTimeout, "Content-Length", "Traceparent", "Tracestate"}
 
-// forward returns the caller's headers as the backend server gets them.
-func forward(from http.Header) []*pb.Header {
-	kept := withoutHops(from)
-	for _, name := range ours {
+// requestHeaders returns the caller's headers that are forwarded to the backend server.
+func requestHeaders(from http.Header) []*pb.Header {
+	kept := withoutHopByHop(from)
+	for _, name := range strippedHeaders {
 		kept.Del(name)
 	}
 	var out []*pb.Header
@@ -34,14 +34,14 @@
 	return out
 }
 
-// backward writes the backend server's headers to the caller.
-func backward(to http.Header, from []*pb.Header) {
+// setResponseHeaders copies the backend server's headers to the response to the caller.
+func setResponseHeaders(to http.Header, from []*pb.Header) {
 	received := http.Header{}
 	for _, h := range from {
 		received.Add(h.Name, h.Value)
 	}
-	kept := withoutHops(received)
-	kept.Del("Content-Length") // set from what came, not from what was promised
+	kept := withoutHopByHop(received)
+	kept.Del("Content-Length") // set later, from the bytes received
 	for _, name := range []string{answer.HeaderRequestID, answer.HeaderServer, answer.HeaderReplayed} {
 		kept.Del(name)
 	}
@@ -50,14 +50,14 @@
 	}
 }
 
-func withoutHops(from http.Header) http.Header {
+func withoutHopByHop(from http.Header) http.Header {
 	kept := from.Clone()
 	for _, listed := range from.Values("Connection") {
 		for name := range strings.SplitSeq(listed, ",") {
 			kept.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hopByHop {
+	for _, name := range hopByHopHeaders {
 		kept.Del(name)
 	}
 	return kept
--- a/entry/front/front.go
+++ b/entry/front/front.go
@@ -1,6 +1,6 @@
-// Package front is what every request of an application caller passes first:
-// its id, who asks, its limits, its deadline and its body. What can be refused
-// is refused here, at once and with the reason.
+// Package front is the first stage of every request of an application caller. It checks
+// the request id, the caller, its limits, its deadline and the body. A request that can
+// be refused here is refused at once, with the reason.
 package front
 
 import (
@@ -27,13 +27,14 @@
 
 const part = "entry: front"
 
-// DefaultMaxTimeout bounds the deadline that a caller may ask for.
+// DefaultMaxTimeout is the default maximum of the timeout that a caller may ask for.
 const DefaultMaxTimeout = time.Hour
 
-// WriteSlack is how long after its deadline a caller may still read its answer.
+// WriteSlack is the time after its deadline during which a caller may still read its
+// answer.
 const WriteSlack = 5 * time.Second
 
-// fallbackTimeout is used when the manifest names none.
+// fallbackTimeout is used if neither the request nor the manifest sets a timeout.
 const fallbackTimeout = 30 * time.Second
 
 var (
@@ -45,10 +46,11 @@
 // Config configures a Front.
 type Config struct {
 	Viewer confsync.Viewer
-	// Entries is the number of live entries among which a caller's limits are
-	// shared; nil: this one enforces them whole.
+	// Entries returns the number of live entries among which a caller's limits are
+	// shared. If nil, this entry enforces the full limits.
 	Entries func() int
-	// MaxBody bounds bodies, in bytes, with the manifest's own bound; 0: only that.
+	// MaxBody is the maximum body size in bytes; the manifest's maximum applies too. 0
+	// means that only the manifest's applies.
 	MaxBody    int64
 	MaxTimeout time.Duration
 	Ring       *explain.Ring
@@ -57,10 +59,10 @@
 
 // Front admits callers' requests.
 type Front struct {
-	cfg     Config
-	callers sync.Map // caller name -> *limit.Caller
+	cfg      Config
+	limiters sync.Map // caller name -> *limit.Limiter
 
-	mu       sync.Mutex // guards what follows
+	mu       sync.Mutex // guards inFlight, draining and idle
 	inFlight int
 	draining bool
 	idle     chan struct{}
@@ -68,7 +70,7 @@
 	inFlightGauge atomic.Int64
 }
 
-// Request is an admitted request.
+// Request is a request of a caller. When a Handler receives it, it was admitted.
 type Request struct {
 	ID       string
 	HTTP     *http.Request
@@ -76,17 +78,18 @@
 	Caller   manifest.Caller
 	Body     []byte
 	Deadline time.Time
-	// Held is the proof that no byte of the request went on.
+	// Held proves that no byte of the request was sent on.
 	Held *kinds.Held
-	// Retry takes a retry from the caller's budget.
-	Retry func() bool
+	// TakeRetry takes a retry from the caller's budget. It returns false if the budget
+	// is exhausted.
+	TakeRetry func() bool
 }
 
-// Left is the time until the deadline.
-func (r *Request) Left() time.Duration { return time.Until(r.Deadline) }
+// Remaining returns the time until the deadline.
+func (r *Request) Remaining() time.Duration { return time.Until(r.Deadline) }
 
-// Handler serves an admitted request. An error that it returns is the answer;
-// it may return one only while it has written nothing.
+// Handler serves an admitted request. A returned error is sent as the answer, so a
+// Handler may return one only if it has written nothing.
 type Handler func(ctx context.Context, w http.ResponseWriter, r *Request) error
 
 // New returns a Front.
@@ -105,11 +108,11 @@
 	return f
 }
 
-// Handle wraps a handler; name is that of its span.
+// Handle wraps a Handler; name is the name of its span.
 func (f *Front) Handle(name string, h Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, hr *http.Request) {
 		requestsTotal.Add(1)
-		// The last request's write deadline still stands on the connection.
+		// The connection still has the write deadline of the previous request.
 		_ = http.NewResponseController(w).SetWriteDeadline(time.Time{})
 		ctx, span := trace.FromHTTP(hr, name)
 		defer span.End()
@@ -119,19 +122,19 @@
 			err = f.serve(ctx, span, w, hr, id, h)
 		}
 		if err != nil {
-			f.refuse(ctx, span, w, id, err)
+			f.answerError(ctx, span, w, id, err)
 		}
 	})
 }
 
-// serve takes a request through all checks in the order of their cost.
+// serve runs all checks, the cheapest first, and then the handler.
 func (f *Front) serve(ctx context.Context, span oteltrace.Span, w http.ResponseWriter, hr *http.Request, id string, h Handler) error {
 	r := &Request{ID: id, HTTP: hr, View: f.cfg.Viewer.View(), Held: kinds.Hold()}
-	if !f.begin() {
+	if !f.startRequest() {
 		w.Header().Set("Connection", "close")
 		return r.Held.Refuse(kinds.Leaving, "this entry is stopping")
 	}
-	defer f.end()
+	defer f.endRequest()
 	caller, refusal := auth.Caller(r.View, hr)
 	if refusal != nil {
 		return refusal
@@ -143,15 +146,16 @@
 		return refusal
 	}
 	r.Deadline = f.cfg.Now().Add(timeout)
-	// A caller that reads nothing would hold its answer, its place and a
-	// planned stop for ever: no context ends a blocked write.
+	// Without a write deadline, a caller that reads nothing would keep its answer and
+	// its slot, and block a planned stop, forever: a context does not end a blocked
+	// write.
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(timeout + WriteSlack))
-	use := f.use(caller)
-	if refusal := use.Admit(f.cfg.Now(), r.Held); refusal != nil {
+	limiter := f.limiter(caller)
+	if refusal := limiter.Admit(f.cfg.Now(), r.Held); refusal != nil {
 		return refusal
 	}
-	defer use.Release()
-	r.Retry = use.TakeRetry
+	defer limiter.Release()
+	r.TakeRetry = limiter.TakeRetry
 	if refusal := f.readBody(w, r); refusal != nil {
 		return refusal
 	}
@@ -160,8 +164,8 @@
 	return h(ctx, w, r)
 }
 
-// use returns what the caller uses, held to the limits in force.
-func (f *Front) use(caller manifest.Caller) *limit.Limiter {
+// limiter returns the caller's limiter with the current limits.
+func (f *Front) limiter(caller manifest.Caller) *limit.Limiter {
 	limits := limit.Limits{
 		Rate:          caller.Rate,
 		Burst:         caller.Burst,
@@ -169,17 +173,17 @@
 		RetryPercent:  caller.RetryPercent,
 	}.Share(f.cfg.Entries())
 	now := f.cfg.Now()
-	used, ok := f.callers.Load(caller.Name)
+	loaded, ok := f.limiters.Load(caller.Name)
 	if !ok {
-		used, _ = f.callers.LoadOrStore(caller.Name, limit.New(limits, now))
+		loaded, _ = f.limiters.LoadOrStore(caller.Name, limit.New(limits, now))
 	}
-	use := used.(*limit.Limiter)
-	use.SetLimits(limits, now)
-	return use
+	limiter := loaded.(*limit.Limiter)
+	limiter.SetLimits(limits, now)
+	return limiter
 }
 
-// refuse answers an error and keeps it for explain.
-func (f *Front) refuse(ctx context.Context, span oteltrace.Span, w http.ResponseWriter, id string, err error) {
+// answerError sends an error as the answer and adds a decision record.
+func (f *Front) answerError(ctx context.Context, span oteltrace.Span, w http.ResponseWriter, id string, err error) {
 	kind := kinds.Of(err)
 	if e, ok := kinds.As(err); ok && e.NotRun() {
 		refusedTotal.Add(1)
@@ -192,8 +196,8 @@
 	answer.Error(w, id, err)
 }
 
-// begin counts a request in, unless the entry is stopping.
-func (f *Front) begin() bool {
+// startRequest counts a request as in flight. It returns false if the entry is stopping.
+func (f *Front) startRequest() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.draining {
@@ -204,7 +208,7 @@
 	return true
 }
 
-func (f *Front) end() {
+func (f *Front) endRequest() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.inFlight--
@@ -214,8 +218,8 @@
 	}
 }
 
-// Drain refuses new requests ("not run", so that the caller may go elsewhere)
-// and returns when those in flight, open streams included, have ended.
+// Drain refuses new requests (with "not run", so that the caller may send them
+// elsewhere) and returns once those in flight, including open streams, have ended.
 func (f *Front) Drain(ctx context.Context) error {
 	f.mu.Lock()
 	if !f.draining {
--- a/entry/front/request.go
+++ b/entry/front/request.go
@@ -13,19 +13,19 @@
 	"dandelionsill.org/kinds"
 )
 
-// HeaderTimeout is the time that a caller gives its request, in ms.
+// HeaderTimeout is the header with the caller's timeout for a request, in ms.
 const HeaderTimeout = "Dandelion-Timeout-Ms"
 
 const maxIDLength = 128
 
-// RequestID returns the sender's request id, or a new one. A bad id is refused
-// under a new one.
+// RequestID returns the request id that the caller sent, or a new one if there is none.
+// For an invalid id it returns a new one and an error.
 func RequestID(r *http.Request) (string, error) {
 	id := r.Header.Get(answer.HeaderRequestID)
 	if id == "" {
 		return newID(), nil
 	}
-	if len(id) > maxIDLength || !plainASCII(id) {
+	if len(id) > maxIDLength || !isValidID(id) {
 		return newID(), kinds.Hold().Refuse(kinds.BadRequest, "header %s: up to %d letters, digits and -_.:/ are allowed", answer.HeaderRequestID, maxIDLength)
 	}
 	return id, nil
@@ -39,17 +39,17 @@
 	return id.String()
 }
 
-func plainASCII(s string) bool {
+func isValidID(s string) bool {
 	for _, c := range []byte(s) {
-		letter := c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9'
-		if !letter && c != '-' && c != '_' && c != '.' && c != ':' && c != '/' {
+		alphanumeric := c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9'
+		if !alphanumeric && c != '-' && c != '_' && c != '.' && c != ':' && c != '/' {
 			return false
 		}
 	}
 	return true
 }
 
-// timeout is the time that the request has: the caller's, or the manifest's.
+// timeout returns the timeout of the request: the caller's, or the default.
 func (f *Front) timeout(r *Request) (time.Duration, *kinds.Error) {
 	header := r.HTTP.Header.Get(HeaderTimeout)
 	if header == "" {
@@ -68,7 +68,8 @@
 	return time.Duration(ms) * time.Millisecond, nil
 }
 
-// maxBody is the lower of this entry's bound and the manifest's; 0: none.
+// maxBody returns the maximum body size in bytes: the lower one of this entry's and the
+// manifest's; 0 means none.
 func (f *Front) maxBody(r *Request) int64 {
 	bound, fleet := f.cfg.MaxBody, r.View.Manifest.Fleet.MaxBodyBytes
 	if bound <= 0 || fleet > 0 && fleet < bound {
@@ -77,14 +78,14 @@
 	return bound
 }
 
-// readBody reads the whole body, so that a retry can send it again and a slow
-// caller holds no backend server.
+// readBody reads the complete body, so that a retry can send it again and a slow caller
+// does not occupy a backend server.
 func (f *Front) readBody(w http.ResponseWriter, r *Request) *kinds.Error {
 	bound := f.maxBody(r)
 	body := r.HTTP.Body
 	if bound > 0 {
 		if r.HTTP.ContentLength > bound {
-			return tooLarge(r, bound)
+			return tooLargeError(r, bound)
 		}
 		body = http.MaxBytesReader(w, body, bound)
 	}
@@ -92,9 +93,9 @@
 	_ = control.SetReadDeadline(r.Deadline)
 	data, err := io.ReadAll(body)
 	_ = control.SetReadDeadline(time.Time{})
-	var over *http.MaxBytesError
-	if errors.As(err, &over) {
-		return tooLarge(r, bound)
+	var maxBytesErr *http.MaxBytesError
+	if errors.As(err, &maxBytesErr) {
+		return tooLargeError(r, bound)
 	}
 	if err != nil {
 		return r.Held.Refuse(kinds.BadRequest, "the body did not come whole").WithCause(err)
@@ -103,6 +104,6 @@
 	return nil
 }
 
-func tooLarge(r *Request, bound int64) *kinds.Error {
+func tooLargeError(r *Request, bound int64) *kinds.Error {
 	return r.Held.Refuse(kinds.TooLarge, "the body has more than %d bytes", bound)
 }
