--- a/agent/generate/fakes_test.go
+++ b/agent/generate/fakes_test.go
@@ -177,7 +177,7 @@
 	})
 	b.keeper = weights.New(weights.Config{
 		Server: "vm1", Model: "m", Engine: b.engine, Store: fakeStore{}, Log: &fakeLog{}, View: b.view,
-		ReadBack: time.Millisecond, Slot: time.Millisecond,
+		ReadBackInterval: time.Millisecond, SlotLength: time.Millisecond,
 		Now: func() time.Time { return time.Now().Add(time.Duration(b.ahead.Load())) },
 	})
 	b.Handler = New(Config{
--- a/agent/generate/handler.go
+++ b/agent/generate/handler.go
@@ -82,7 +82,7 @@
 		cfg.SwapWait = DefaultSwapWait
 	}
 	h := &Handler{cfg: cfg, held: cfg.Held, table: newTable(), counts: newCounts()}
-	cfg.Weights.Guard(h)
+	cfg.Weights.SetStreams(h)
 	return h
 }
 
--- a/agent/generate/produce.go
+++ b/agent/generate/produce.go
@@ -173,13 +173,13 @@
 // explained holds the chunk until an order under way is settled and then asks
 // whether it fits. A sample's chunk that does not fit ends the stream.
 func (h *Handler) explained(ctx context.Context, r *run, p *product, c platform.Chunk) error {
-	verdict := h.cfg.Weights.Explains(p.start, c.Version, c.Boot)
+	verdict := h.cfg.Weights.CheckChunk(p.start, c.Version, c.Boot)
 	for verdict == weights.Undecided {
-		_ = h.cfg.Weights.Settled(ctx)
+		_ = h.cfg.Weights.WaitOrderDone(ctx)
 		if err := context.Cause(ctx); err != nil {
 			return err
 		}
-		verdict = h.cfg.Weights.Explains(p.start, c.Version, c.Boot)
+		verdict = h.cfg.Weights.CheckChunk(p.start, c.Version, c.Boot)
 	}
 	if verdict == weights.Contradicts && r.sample != nil {
 		return errUntrusted
--- a/agent/generate/standin_test.go
+++ b/agent/generate/standin_test.go
@@ -38,7 +38,7 @@
 	})
 	keeper := weights.New(weights.Config{
 		Server: "vm1", Model: "m", Engine: adapter, Store: fakeStore{}, Log: &fakeLog{}, View: view,
-		ReadBack: 5 * time.Millisecond, Slot: time.Millisecond, IgnoresFencing: true,
+		ReadBackInterval: 5 * time.Millisecond, SlotLength: time.Millisecond, IgnoresFencing: true,
 	})
 	h := New(Config{
 		Name: "vm1", Engine: adapter, View: view, Weights: keeper,
--- a/agent/generate/swaps_bench_test.go
+++ b/agent/generate/swaps_bench_test.go
@@ -139,15 +139,15 @@
 	e := engine.New(cfg)
 	server := httptest.NewServer(e)
 	adapter := httpengine.New(server.URL, fmt.Sprint("vm", i))
-	var fellows []weights.Fellow
+	var fellows []weights.Peer
 	for j := range swapEngines {
 		if j != i {
-			fellows = append(fellows, weights.Fellow{Name: fmt.Sprint("vm", j)})
+			fellows = append(fellows, weights.Peer{Name: fmt.Sprint("vm", j)})
 		}
 	}
 	keeper := weights.New(weights.Config{
 		Server: fmt.Sprint("vm", i), Model: "m", Engine: adapter, Store: fakeStore{}, Log: &fakeLog{}, View: view,
-		ReadBack: 100 * time.Millisecond, Slot: swapLoad, Fellows: func() []weights.Fellow { return fellows },
+		ReadBackInterval: 100 * time.Millisecond, SlotLength: swapLoad, Peers: func() []weights.Peer { return fellows },
 	})
 	h := New(Config{
 		Name: fmt.Sprint("vm", i), Engine: adapter, View: view, Weights: keeper,
--- a/agent/generate/table.go
+++ b/agent/generate/table.go
@@ -354,8 +354,8 @@
 	return out
 }
 
-// SwapPending tells when the next swap comes; the zero time: none.
-func (h *Handler) SwapPending(at time.Time) {
+// SetPendingSwap tells when the next swap comes; the zero time: none.
+func (h *Handler) SetPendingSwap(at time.Time) {
 	h.table.mu.Lock()
 	defer h.table.mu.Unlock()
 	h.table.swapAt = at
--- a/agent/server/roster.go
+++ b/agent/server/roster.go
@@ -31,19 +31,19 @@
 	self, model string
 	vms         VMs
 	dial        func(addr string) (pb.AgentClient, func(), error)
-	fellows     atomic.Pointer[[]weights.Fellow]
+	fellows     atomic.Pointer[[]weights.Peer]
 	known       map[platform.VM]bool // row -> serves the same model
 	unanswered  bool
 }
 
 func newRoster(self, model string, vms VMs) *roster {
 	r := &roster{self: self, model: model, vms: vms, dial: dialAgent, known: make(map[platform.VM]bool)}
-	r.fellows.Store(new([]weights.Fellow))
+	r.fellows.Store(new([]weights.Peer))
 	return r
 }
 
 // Fellows returns the agents known to serve the same model, by name.
-func (r *roster) Fellows() []weights.Fellow { return *r.fellows.Load() }
+func (r *roster) Fellows() []weights.Peer { return *r.fellows.Load() }
 
 func (r *roster) run(ctx context.Context) {
 	for {
@@ -91,13 +91,13 @@
 }
 
 func (r *roster) publish() {
-	var fellows []weights.Fellow
+	var fellows []weights.Peer
 	for vm, same := range r.known {
 		if same {
-			fellows = append(fellows, weights.Fellow{Name: vm.Name, Addr: vm.Addr, FailureDomain: vm.FailureDomain})
+			fellows = append(fellows, weights.Peer{Name: vm.Name, Addr: vm.Addr, FailureDomain: vm.FailureDomain})
 		}
 	}
-	slices.SortFunc(fellows, func(a, b weights.Fellow) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(fellows, func(a, b weights.Peer) int { return strings.Compare(a.Name, b.Name) })
 	r.fellows.Store(&fellows)
 }
 
--- a/agent/server/roster_test.go
+++ b/agent/server/roster_test.go
@@ -72,7 +72,7 @@
 	require.Equal(t, map[string]int{"a:1": 1, "b:1": 2, "other:1": 1, "plain:1": 1}, asked)
 	sites.set(nil, vm("b"))
 	r.learn(t.Context())
-	require.Equal(t, []weights.Fellow{{Name: "b", Addr: "b:1"}}, r.Fellows())
+	require.Equal(t, []weights.Peer{{Name: "b", Addr: "b:1"}}, r.Fellows())
 
 	known := &peers{self: "self", vms: sites}
 	require.Equal(t, []string{"b:1"}, known.list())
--- a/agent/weights/claim.go
+++ b/agent/weights/claim.go
@@ -18,16 +18,16 @@
 
 // Errors of a claim.
 var (
-	errLost    = errors.New("weights: a newer agent holds this backend server")
-	errNoClaim = errors.New("weights: no fencing token yet")
+	errSuperseded = errors.New("weights: a newer agent holds this backend server")
+	errNoClaim    = errors.New("weights: no fencing token yet")
 )
 
 const (
-	readPage       = 512
-	tryTimeout     = 10 * time.Second
-	claimRetryMin  = 200 * time.Millisecond
-	claimRetryMax  = 10 * time.Second
-	claimReadEvery = 30 * time.Second // 1,500 agents: 50 reads/s of a short tail
+	maxReadRecords     = 512
+	attemptTimeout     = 10 * time.Second
+	minClaimRetryDelay = 200 * time.Millisecond
+	maxClaimRetryDelay = 10 * time.Second
+	claimReadInterval  = 30 * time.Second // 1,500 agents: 50 reads/s of a short tail
 )
 
 // claim is this agent's claim of its backend server in the log.
@@ -36,55 +36,55 @@
 	log *zap.Logger // each message once per logInterval
 	id  string      // the reader's, but for try before the claim stands
 
-	reader chan struct{} // holds one token; who reads the stream takes it
-	state  *agents.State // the reader's
-	whole  bool          // the reader's: the stream was read from its very first record
+	readLock    chan struct{} // holds one token; who reads the stream takes it
+	state       *agents.State // the reader's
+	fullHistory bool          // the reader's: the stream was read from its very first record
 
-	token       atomic.Uint64
-	predecessor atomic.Bool               // another agent may hold or have held the server
-	claimedAt   atomic.Pointer[time.Time] // when the newest append ended
-	lost        chan struct{}             // closed when a newer claim is seen
-	once        sync.Once
+	token              atomic.Uint64
+	mayHavePredecessor atomic.Bool               // another agent may hold or have held the server
+	claimedAt          atomic.Pointer[time.Time] // when the newest append ended
+	superseded         chan struct{}             // closed when a newer claim is seen
+	closeOnce          sync.Once
 }
 
 func newClaim(cfg Config) *claim {
 	c := &claim{
 		cfg: cfg, log: logs.Limited(cfg.Logger, logInterval), id: cfg.Server + "/" + uuid.NewString(),
-		state: agents.New(cfg.Server), whole: true,
-		reader: make(chan struct{}, 1), lost: make(chan struct{}),
+		state: agents.New(cfg.Server), fullHistory: true,
+		readLock: make(chan struct{}, 1), superseded: make(chan struct{}),
 	}
-	c.reader <- struct{}{}
+	c.readLock <- struct{}{}
 	return c
 }
 
 // run claims the server and then looks for newer claims now and then.
 func (c *claim) run(ctx context.Context) {
-	wait := claimRetryMin
+	wait := minClaimRetryDelay
 	for {
-		err := c.try(ctx)
-		next := claimReadEvery
+		err := c.attempt(ctx)
+		next := claimReadInterval
 		if c.token.Load() == 0 {
 			next = wait/2 + rand.N(wait)
-			wait = min(2*wait, claimRetryMax)
+			wait = min(2*wait, maxClaimRetryDelay)
 		}
-		if err != nil && !errors.Is(err, errLost) {
+		if err != nil && !errors.Is(err, errSuperseded) {
 			c.log.Info("The claim of the backend server is not settled.", zap.Error(err), zap.Duration("retry_in", next))
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-c.lost:
+		case <-c.superseded:
 			return
 		case <-time.After(next):
 		}
 	}
 }
 
-// try makes one step: read the stream to its end, append the claim where it
+// attempt makes one step: read the stream to its end, append the claim where it
 // does not stand yet. A lost append answer is settled by the next read; the
 // record's id makes a repeated append harmless.
-func (c *claim) try(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, tryTimeout)
+func (c *claim) attempt(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	if err := c.read(ctx); err != nil {
 		return err
@@ -109,15 +109,15 @@
 // the server stands there or can't be ruled out.
 func (c *claim) read(ctx context.Context) error {
 	select {
-	case <-c.reader:
-		defer func() { c.reader <- struct{}{} }()
+	case <-c.readLock:
+		defer func() { c.readLock <- struct{}{} }()
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 	for {
-		page, err := c.cfg.Log.Read(ctx, platform.StreamAgents, c.state.Next(), readPage, 0)
+		page, err := c.cfg.Log.Read(ctx, platform.StreamAgents, c.state.Next(), maxReadRecords, 0)
 		if errors.Is(err, platform.ErrTruncated) {
-			if err := c.gap(page.First); err != nil {
+			if err := c.handleTruncation(page.First); err != nil {
 				return err
 			}
 			continue
@@ -130,19 +130,19 @@
 		}
 		c.state.SkipTo(page.Next)
 		if len(page.Records) == 0 || page.Next >= page.End {
-			return c.settle()
+			return c.evaluateNewest()
 		}
 	}
 }
 
-// gap skips records that are no longer kept. An agent that holds a claim gives
+// handleTruncation skips records that are no longer kept. An agent that holds a claim gives
 // it up: a newer claim may have stood among them, as after a pause longer than
 // the log's retention. Claiming anew would take the server from its live agent.
-func (c *claim) gap(first uint64) error {
-	c.whole = false
+func (c *claim) handleTruncation(first uint64) error {
+	c.fullHistory = false
 	if c.token.Load() != 0 {
 		c.stepDown()
-		return errLost
+		return errSuperseded
 	}
 	if first <= c.state.Next() {
 		return platform.ErrTruncated // the log contradicts itself; ask again later
@@ -151,18 +151,18 @@
 	return nil
 }
 
-// settle runs with the reader's token held.
-func (c *claim) settle() error {
+// evaluateNewest runs with the reader's token held.
+func (c *claim) evaluateNewest() error {
 	newest, _ := c.state.Newest(c.cfg.Server)
 	if newest.ID == c.id {
-		c.predecessor.Store(!c.whole || c.state.HasEarlier(newest))
+		c.mayHavePredecessor.Store(!c.fullHistory || c.state.HasEarlier(newest))
 		c.token.Store(newest.Token())
 		return nil
 	}
-	_, stands := c.state.Find(c.cfg.Server, c.id)
-	if token := c.token.Load(); stands || (token != 0 && newest.Token() > token) {
+	_, appended := c.state.Find(c.cfg.Server, c.id)
+	if token := c.token.Load(); appended || (token != 0 && newest.Token() > token) {
 		c.stepDown()
-		return errLost
+		return errSuperseded
 	}
 	return nil
 }
@@ -172,7 +172,7 @@
 // can't tell it from later ones that carry the same token. The old token stays
 // good until the new claim stands.
 func (c *claim) renew(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, stateTimeout)
+	ctx, cancel := context.WithTimeout(ctx, stateReadTimeout)
 	defer cancel()
 	if err := c.read(ctx); err != nil {
 		return err
@@ -197,40 +197,40 @@
 // another agent's when it lands.
 func (c *claim) nextID(ctx context.Context) (string, error) {
 	select {
-	case <-c.reader:
-		defer func() { c.reader <- struct{}{} }()
+	case <-c.readLock:
+		defer func() { c.readLock <- struct{}{} }()
 	case <-ctx.Done():
 		return "", ctx.Err()
 	}
-	if _, stands := c.state.Find(c.cfg.Server, c.id); stands {
+	if _, appended := c.state.Find(c.cfg.Server, c.id); appended {
 		c.id = c.cfg.Server + "/" + uuid.NewString()
 	}
 	return c.id, nil
 }
 
-func (c *claim) stepDown() { c.once.Do(func() { close(c.lost) }) }
+func (c *claim) stepDown() { c.closeOnce.Do(func() { close(c.superseded) }) }
 
-func (c *claim) isLost() bool {
+func (c *claim) isSuperseded() bool {
 	select {
-	case <-c.lost:
+	case <-c.superseded:
 		return true
 	default:
 		return false
 	}
 }
 
-// mayOrder returns the token, or why no order may be given now.
-func (c *claim) mayOrder(now time.Time) (token uint64, wait time.Duration, err error) {
-	if c.isLost() {
-		return 0, 0, errLost
+// orderToken returns the token, or why no order may be given now.
+func (c *claim) orderToken(now time.Time) (token uint64, wait time.Duration, err error) {
+	if c.isSuperseded() {
+		return 0, 0, errSuperseded
 	}
 	token = c.token.Load()
 	if token == 0 {
 		return 0, 0, errNoClaim
 	}
-	if !c.cfg.IgnoresFencing || !c.predecessor.Load() {
+	if !c.cfg.IgnoresFencing || !c.mayHavePredecessor.Load() {
 		return token, 0, nil
 	}
-	free := c.claimedAt.Load().Add(c.cfg.Lease + c.cfg.LongestOrder)
-	return token, max(0, free.Sub(now)), nil
+	freeAt := c.claimedAt.Load().Add(c.cfg.Lease + c.cfg.MaxOrderTime)
+	return token, max(0, freeAt.Sub(now)), nil
 }
--- a/agent/weights/claim_test.go
+++ b/agent/weights/claim_test.go
@@ -12,16 +12,16 @@
 // slowLog keeps its first append on its way and is down for the others.
 type slowLog struct {
 	*fakeLog
-	slow     bool
-	underway [][]byte
+	slow    bool
+	delayed [][]byte
 }
 
 func (l *slowLog) Append(ctx context.Context, stream string, data []byte) (uint64, error) {
 	switch {
 	case !l.slow:
 		return l.fakeLog.Append(ctx, stream, data)
-	case len(l.underway) == 0:
-		l.underway = append(l.underway, data)
+	case len(l.delayed) == 0:
+		l.delayed = append(l.delayed, data)
 		return 0, platform.ErrAppendUnknown
 	}
 	return 0, platform.ErrLogUnavailable
@@ -32,25 +32,25 @@
 // When the first lands, the agent has another id in mind and takes its own claim
 // for a newer agent's: it steps down, and a well server serves nothing until its
 // agent is started again.
-func TestOwnLateClaimIsNoOtherAgent(t *testing.T) {
+func TestOwnDelayedClaimIsNotAnotherAgents(t *testing.T) {
 	var log *slowLog
-	b := settled(t, func(c *Config) {
+	b := newServingKeeper(t, func(c *Config) {
 		log = &slowLog{fakeLog: c.Log.(*fakeLog)}
 		c.Log = log
 	})
 	log.slow = true
-	b.engine.obey = func(e *fakeEngine, info platform.WeightInfo, token uint64) error {
+	b.engine.onOrder = func(e *fakeEngine, info platform.WeightInfo, token uint64) error {
 		if len(e.tokens) <= 2 {
 			return platform.ErrOrderUnknown
 		}
-		return obeys(e, info, token)
+		return obeyOrder(e, info, token)
 	}
 	b.view.Versions["m"] = 8
-	b.settle(func() bool { return b.serves() == 8 })
-	for _, data := range log.underway {
+	b.stepUntil(func() bool { return b.servingVersion() == 8 })
+	for _, data := range log.delayed {
 		_, err := log.fakeLog.Append(t.Context(), platform.StreamAgents, data)
 		require.NoError(t, err)
 	}
 	require.NoError(t, b.claim.read(t.Context()))
-	require.EqualValues(t, 8, b.serves())
+	require.EqualValues(t, 8, b.servingVersion())
 }
--- a/agent/weights/copies.go
+++ b/agent/weights/copies.go
@@ -26,23 +26,23 @@
 	maxRelays  = 2 * waves.FanOut
 	// A source that sends nothing for so long is given up. There is no limit to
 	// the whole: a slow store that delivers must not be begun anew for ever.
-	storeStall = 30 * time.Second
-	// keepCopy is how long a copy that the own engine serves is kept for agents
+	storeStallTimeout = 30 * time.Second
+	// copyRetention is how long a copy that the own engine serves is kept for agents
 	// that relay from this one and have not come: several times what the spread
 	// over a whole fleet takes.
-	keepCopy = time.Minute
-	// maxOlder is how many versions back an engine that serves nothing goes
+	copyRetention = time.Minute
+	// maxVersionsBack is how many versions back an engine that serves nothing goes
 	// while the newest can't be fetched.
-	maxOlder = 3
+	maxVersionsBack = 3
 )
 
-// copyOf is this agent's copy of one version. data is nil where the version is
+// versionCopy is this agent's copy of one version. data is nil where the version is
 // larger than Config.MaxCopyBytes: it then streams from the store into the
 // engine and is not relayed.
-type copyOf struct {
-	info platform.WeightInfo
-	data []byte
-	at   time.Time // when it was whole
+type versionCopy struct {
+	info        platform.WeightInfo
+	data        []byte
+	completedAt time.Time // when it was whole
 }
 
 // copies fetches the newest version, keeps it while it is of use, and relays it.
@@ -55,98 +55,98 @@
 // keepCopy; in a fleet without a relay tree that is at once. An engine that
 // restarts later has its weights fetched again.
 type copies struct {
-	cfg    Config
-	log    *zap.Logger // each message once per logInterval
-	wake   func()
-	relays chan struct{}
-	rates  rates
-
-	mu       sync.Mutex
-	have     *copyOf
-	served   int    // relays of have that were whole
-	newest   uint64 // newest version that was here
-	fetching uint64
-	arriving *arrival      // of the version fetching
-	failures int           // fetches failed in a row
-	retry    time.Duration // after the next failed fetch
-	retryAt  time.Time
-	changed  chan struct{}
+	cfg        Config
+	log        *zap.Logger // each message once per logInterval
+	wake       func()
+	relaySlots chan struct{}
+	rates      storeRates
+
+	mu              sync.Mutex
+	current         *versionCopy
+	completedRelays int    // relays of have that were whole
+	newest          uint64 // newest version that was here
+	fetchingVersion uint64
+	incoming        *incomingCopy // of the version fetching
+	failures        int           // fetches failed in a row
+	retryDelay      time.Duration // after the next failed fetch
+	retryAt         time.Time
+	changed         chan struct{}
 }
 
 func newCopies(cfg Config, wake func()) *copies {
 	return &copies{
 		cfg: cfg, log: logs.Limited(cfg.Logger, logInterval), wake: wake,
-		rates:  rates{view: cfg.View, now: cfg.Now},
-		relays: make(chan struct{}, maxRelays), changed: make(chan struct{}),
+		rates:      storeRates{view: cfg.View, now: cfg.Now},
+		relaySlots: make(chan struct{}, maxRelays), changed: make(chan struct{}),
 	}
 }
 
 // get returns the copy of a version or nil.
-func (c *copies) get(version uint64) *copyOf {
+func (c *copies) get(version uint64) *versionCopy {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.have != nil && c.have.info.Version == version {
-		return c.have
+	if c.current != nil && c.current.info.Version == version {
+		return c.current
 	}
 	return nil
 }
 
-// best returns the copy to load where target is wanted: its own or, while that
+// bestToLoad returns the copy to load where target is wanted: its own or, while that
 // is on its way, one of an older version that is newer than the served one.
 // Where versions come faster than they are fetched the newest is never here.
-func (c *copies) best(target, serving uint64) *copyOf {
+func (c *copies) bestToLoad(target, serving uint64) *versionCopy {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.have == nil {
+	if c.current == nil {
 		return nil
 	}
-	have := c.have.info.Version
+	have := c.current.info.Version
 	if have == target || (serving != 0 && serving < have && have < target) {
-		return c.have
+		return c.current
 	}
 	return nil
 }
 
-// want starts to fetch a version in the background unless a fetch runs. needed
+// startFetch starts to fetch a version in the background unless a fetch runs. needed
 // tells that an older copy here is still to be loaded: two that don't fit into
 // memory together are then loaded and fetched one after the other.
-func (c *copies) want(ctx context.Context, version uint64, needed func(*copyOf) bool) {
+func (c *copies) startFetch(ctx context.Context, version uint64, stillNeeded func(*versionCopy) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.fetching != 0 || c.cfg.Now().Before(c.retryAt) || (c.have != nil && c.have.info.Version == version) {
+	if c.fetchingVersion != 0 || c.cfg.Now().Before(c.retryAt) || (c.current != nil && c.current.info.Version == version) {
 		return
 	}
-	if old := c.have; old != nil && 2*int64(len(old.data)) > c.cfg.MaxCopyBytes {
-		if needed(old) {
+	if old := c.current; old != nil && 2*int64(len(old.data)) > c.cfg.MaxCopyBytes {
+		if stillNeeded(old) {
 			return
 		}
-		c.have = nil
+		c.current = nil
 	}
-	c.fetching = version
+	c.fetchingVersion = version
 	go c.fetch(ctx, version)
 }
 
-// release drops a copy that nobody needs any more.
-func (c *copies) release(serving uint64) {
+// dropUnneeded drops a copy that nobody needs any more.
+func (c *copies) dropUnneeded(serving uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.have == nil || serving < c.have.info.Version {
+	if c.current == nil || serving < c.current.info.Version {
 		return
 	}
-	plan, _ := c.plan(c.have.info.Version)
-	if c.served >= plan.Role(c.cfg.Server).Children || c.cfg.Now().Sub(c.have.at) >= keepCopy {
-		c.have = nil
+	plan, _ := c.plan(c.current.info.Version)
+	if c.completedRelays >= plan.Role(c.cfg.Server).Children || c.cfg.Now().Sub(c.current.completedAt) >= copyRetention {
+		c.current = nil
 	}
 }
 
 func (c *copies) fetch(ctx context.Context, version uint64) {
 	got, err := c.obtain(ctx, version)
 	c.mu.Lock()
-	c.arriving.wake()
-	c.fetching, c.arriving = 0, nil
+	c.incoming.wake()
+	c.fetchingVersion, c.incoming = 0, nil
 	if err == nil {
-		got.at = c.cfg.Now()
-		c.have, c.served, c.retry, c.failures = got, 0, 0, 0
+		got.completedAt = c.cfg.Now()
+		c.current, c.completedRelays, c.retryDelay, c.failures = got, 0, 0, 0
 		c.newest = max(c.newest, version)
 	} else {
 		c.failures++
@@ -162,54 +162,54 @@
 	c.wake()
 }
 
-// older returns the version to fetch for an engine that serves nothing: any
+// fallbackVersion returns the version to fetch for an engine that serves nothing: any
 // whole version is better than none, and the floors guard the trainers.
-func (c *copies) older(version uint64) uint64 {
+func (c *copies) fallbackVersion(version uint64) uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	back := uint64(c.failures) % (maxOlder + 1)
-	if back > 0 && c.have != nil && c.have.info.Version < version {
-		return c.have.info.Version
+	versionsBack := uint64(c.failures) % (maxVersionsBack + 1)
+	if versionsBack > 0 && c.current != nil && c.current.info.Version < version {
+		return c.current.info.Version
 	}
-	if back >= version {
+	if versionsBack >= version {
 		return version
 	}
-	return version - back
+	return version - versionsBack
 }
 
 // backOff keeps a whole fleet from asking a store that is down every second.
 func (c *copies) backOff() {
-	c.retry = min(max(2*c.retry, retryMin), retryMax)
-	c.retryAt = c.cfg.Now().Add(c.retry/2 + rand.N(c.retry))
+	c.retryDelay = min(max(2*c.retryDelay, minRetryDelay), maxRetryDelay)
+	c.retryAt = c.cfg.Now().Add(c.retryDelay/2 + rand.N(c.retryDelay))
 }
 
 // plan lays the version's spread out from the fellows known now.
 func (c *copies) plan(version uint64) (*waves.Plan, map[string]string) {
 	servers := []waves.Server{{Name: c.cfg.Server, FailureDomain: c.cfg.FailureDomain}}
 	addrs := map[string]string{}
-	for _, f := range c.cfg.Fellows() {
-		servers = append(servers, waves.Server{Name: f.Name, FailureDomain: f.FailureDomain})
-		addrs[f.Name] = f.Addr
+	for _, peer := range c.cfg.Peers() {
+		servers = append(servers, waves.Server{Name: peer.Name, FailureDomain: peer.FailureDomain})
+		addrs[peer.Name] = peer.Addr
 	}
 	return waves.New(c.cfg.Model, version, servers), addrs
 }
 
 // obtain tries the parents in order and then the store.
-func (c *copies) obtain(ctx context.Context, version uint64) (*copyOf, error) {
+func (c *copies) obtain(ctx context.Context, version uint64) (*versionCopy, error) {
 	plan, addrs := c.plan(version)
 	role := plan.Role(c.cfg.Server)
 	if c.cfg.NoWaves {
-		return c.fromStore(ctx, version, plan.Servers)
+		return c.fetchFromStore(ctx, version, plan.Servers)
 	}
-	if got := c.fromParents(ctx, version, role.Parents, addrs); got != nil {
+	if got := c.fetchFromParents(ctx, version, role.Parents, addrs); got != nil {
 		return got, nil
 	}
-	return c.fromStore(ctx, version, c.rates.fetchers(c.cfg.Model, plan.StoreFetchers))
+	return c.fetchFromStore(ctx, version, c.rates.activeFetchers(c.cfg.Model, plan.StoreFetchers))
 }
 
-// fromParents tries the parents in order; nil: none could relay the version. The
+// fetchFromParents tries the parents in order; nil: none could relay the version. The
 // digest comes from the store, never from the one who sends the bytes.
-func (c *copies) fromParents(ctx context.Context, version uint64, parents []string, addrs map[string]string) *copyOf {
+func (c *copies) fetchFromParents(ctx context.Context, version uint64, parents []string, addrs map[string]string) *versionCopy {
 	if len(parents) == 0 {
 		return nil
 	}
@@ -218,7 +218,7 @@
 		return nil
 	}
 	for _, parent := range parents {
-		got, err := c.fromAgent(ctx, addrs[parent], info)
+		got, err := c.fetchFromAgent(ctx, addrs[parent], info)
 		if err == nil {
 			return got
 		}
@@ -227,12 +227,12 @@
 	return nil
 }
 
-func (c *copies) fromStore(ctx context.Context, version uint64, fetchers int) (*copyOf, error) {
+func (c *copies) fetchFromStore(ctx context.Context, version uint64, fetchers int) (*versionCopy, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	opening := time.AfterFunc(storeStall, cancel)
+	stallTimer := time.AfterFunc(storeStallTimeout, cancel)
 	body, info, err := c.cfg.Store.Fetch(ctx, c.cfg.Model, version)
-	opening.Stop()
+	stallTimer.Stop()
 	if err != nil {
 		return nil, errors.Annotate(err, "weight store")
 	}
@@ -241,150 +241,150 @@
 		return nil, errors.Errorf("weight store sent version %d for %d", info.Version, version)
 	}
 	if info.Bytes > c.cfg.MaxCopyBytes {
-		return &copyOf{info: info}, nil
+		return &versionCopy{info: info}, nil
 	}
-	return c.readCopy(info, c.share(ctx, &watched{body, cancel, storeStall}, fetchers))
+	return c.readCopy(info, c.limitRate(ctx, &stallReader{body, cancel, storeStallTimeout}, fetchers))
 }
 
-// share slows a reader down to this agent's share of the store's rate.
-func (c *copies) share(ctx context.Context, r io.Reader, fetchers int) io.Reader {
-	return &paced{ctx: ctx, r: r, perSecond: func() float64 { return c.sharePS(fetchers) }, limit: rate.NewLimiter(rate.Inf, pieceBytes)}
+// limitRate slows a reader down to this agent's limitRate of the store's rate.
+func (c *copies) limitRate(ctx context.Context, r io.Reader, fetchers int) io.Reader {
+	return &pacedReader{ctx: ctx, source: r, bytesPerSecond: func() float64 { return c.shareBytesPerSecond(fetchers) }, limiter: rate.NewLimiter(rate.Inf, pieceBytes)}
 }
 
-// sharePS returns this agent's share of the store's rate, 0: no limit known.
-func (c *copies) sharePS(fetchers int) float64 {
-	return c.rates.storePS(c.cfg.Model) / float64(max(1, fetchers))
+// shareBytesPerSecond returns this agent's share of the store's rate, 0: no limit known.
+func (c *copies) shareBytesPerSecond(fetchers int) float64 {
+	return c.rates.modelBytesPerSecond(c.cfg.Model) / float64(max(1, fetchers))
 }
 
 // readCopy reads a whole version and checks its digest. What has come so far is
 // there to relay.
-func (c *copies) readCopy(info platform.WeightInfo, r io.Reader) (*copyOf, error) {
-	a := newArrival(info)
-	c.arrives(a)
-	if _, err := io.Copy(a, newChecked(r, info)); err != nil {
+func (c *copies) readCopy(info platform.WeightInfo, r io.Reader) (*versionCopy, error) {
+	incoming := newIncomingCopy(info)
+	c.setIncoming(incoming)
+	if _, err := io.Copy(incoming, newVerifyingReader(r, info)); err != nil {
 		return nil, errors.Trace(err)
 	}
-	return &copyOf{info: info, data: a.data}, nil
+	return &versionCopy{info: info, data: incoming.data}, nil
 }
 
-func (c *copies) arrives(a *arrival) {
+func (c *copies) setIncoming(incoming *incomingCopy) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.arriving.wake()
-	c.arriving = a
+	c.incoming.wake()
+	c.incoming = incoming
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
 
-// inTime tells whether a version can stream into the engine within an order's
+// fitsOrderTime tells whether a version can stream into the engine within an order's
 // time. An order that is cut off would take the engine out of service for
 // nothing.
-func (c *copies) inTime(w *copyOf) bool {
+func (c *copies) fitsOrderTime(w *versionCopy) bool {
 	if w.data != nil {
 		return true
 	}
 	plan, _ := c.plan(w.info.Version)
-	ps := c.sharePS(plan.Servers)
-	return ps <= 0 || float64(w.info.Bytes)/ps < c.cfg.LongestOrder.Seconds()
+	bytesPerSecond := c.shareBytesPerSecond(plan.Servers)
+	return bytesPerSecond <= 0 || float64(w.info.Bytes)/bytesPerSecond < c.cfg.MaxOrderTime.Seconds()
 }
 
 // open returns the bytes for the engine. Every read of it is checked again:
 // the engine is told of a wrong digest by a read error, not by an end of file.
-func (c *copies) open(ctx context.Context, w *copyOf) (*body, error) {
+func (c *copies) open(ctx context.Context, w *versionCopy) (*orderBody, error) {
 	if w.data != nil || w.info.Bytes == 0 {
-		return &body{Reader: bytes.NewReader(w.data), Closer: io.NopCloser(nil), size: w.info.Bytes}, nil
+		return &orderBody{Reader: bytes.NewReader(w.data), Closer: io.NopCloser(nil), size: w.info.Bytes}, nil
 	}
 	plan, _ := c.plan(w.info.Version)
 	stream, info, err := c.cfg.Store.Fetch(ctx, c.cfg.Model, w.info.Version)
 	if err != nil {
 		return nil, errors.Annotate(err, "weight store")
 	}
-	return &body{Reader: newChecked(c.share(ctx, stream, plan.Servers), info), Closer: stream, size: w.info.Bytes}, nil
+	return &orderBody{Reader: newVerifyingReader(c.limitRate(ctx, stream, plan.Servers), info), Closer: stream, size: w.info.Bytes}, nil
 }
 
-// watched cancels a source that stalls in a read.
-type watched struct {
-	r      io.Reader
-	cancel context.CancelFunc
-	limit  time.Duration
+// stallReader cancels a source that stalls in a read.
+type stallReader struct {
+	source  io.Reader
+	cancel  context.CancelFunc
+	timeout time.Duration
 }
 
-func (w *watched) Read(p []byte) (int, error) {
-	stall := time.AfterFunc(w.limit, w.cancel)
-	defer stall.Stop()
-	return w.r.Read(p)
+func (w *stallReader) Read(p []byte) (int, error) {
+	timer := time.AfterFunc(w.timeout, w.cancel)
+	defer timer.Stop()
+	return w.source.Read(p)
 }
 
-// body is what an order sends.
-type body struct {
+// orderBody is what an order sends.
+type orderBody struct {
 	io.Reader
 	io.Closer
-	size int64
-	read atomic.Int64
+	size      int64
+	bytesRead atomic.Int64
 }
 
-// whole tells whether the engine can have had all of it. Bytes count, not the
+// isComplete tells whether the engine can have had all of it. Bytes count, not the
 // end of file: a client that knows the size may stop before it.
-func (b *body) whole() bool { return b.read.Load() >= b.size }
+func (b *orderBody) isComplete() bool { return b.bytesRead.Load() >= b.size }
 
-func (b *body) Read(p []byte) (int, error) {
+func (b *orderBody) Read(p []byte) (int, error) {
 	n, err := b.Reader.Read(p)
-	b.read.Add(int64(n))
+	b.bytesRead.Add(int64(n))
 	return n, err
 }
 
-// checked turns the end of a copy with a wrong length or digest into an error.
-type checked struct {
-	r    io.Reader
-	info platform.WeightInfo
-	sum  hash.Hash
-	n    int64
+// verifyingReader turns the end of a copy with a wrong length or digest into an error.
+type verifyingReader struct {
+	source    io.Reader
+	info      platform.WeightInfo
+	digest    hash.Hash
+	bytesRead int64
 }
 
-func newChecked(r io.Reader, info platform.WeightInfo) *checked {
-	return &checked{r: r, info: info, sum: sha256.New()}
+func newVerifyingReader(r io.Reader, info platform.WeightInfo) *verifyingReader {
+	return &verifyingReader{source: r, info: info, digest: sha256.New()}
 }
 
-func (c *checked) Read(p []byte) (int, error) {
-	n, err := c.r.Read(p)
-	c.sum.Write(p[:n])
-	c.n += int64(n)
+func (c *verifyingReader) Read(p []byte) (int, error) {
+	n, err := c.source.Read(p)
+	c.digest.Write(p[:n])
+	c.bytesRead += int64(n)
 	if err != io.EOF {
 		return n, err
 	}
-	if c.n != c.info.Bytes {
-		return n, errors.Errorf("weights have %d bytes, should have %d", c.n, c.info.Bytes)
+	if c.bytesRead != c.info.Bytes {
+		return n, errors.Errorf("weights have %d bytes, should have %d", c.bytesRead, c.info.Bytes)
 	}
-	if got := hex.EncodeToString(c.sum.Sum(nil)); got != c.info.Digest {
+	if got := hex.EncodeToString(c.digest.Sum(nil)); got != c.info.Digest {
 		return n, errors.Errorf("weights have digest %s, should have %s", got, c.info.Digest)
 	}
 	return n, io.EOF
 }
 
-// paced reads no faster than perSecond, which may change; 0: as fast as it goes.
-type paced struct {
-	ctx       context.Context
-	r         io.Reader
-	perSecond func() float64
-	limit     *rate.Limiter
+// pacedReader reads no faster than perSecond, which may change; 0: as fast as it goes.
+type pacedReader struct {
+	ctx            context.Context
+	source         io.Reader
+	bytesPerSecond func() float64
+	limiter        *rate.Limiter
 }
 
-func (p *paced) Read(b []byte) (int, error) {
-	n, err := p.r.Read(b[:min(len(b), pieceBytes)])
-	if limit := limitOf(p.perSecond()); limit != p.limit.Limit() {
-		p.limit.SetLimit(limit)
+func (p *pacedReader) Read(b []byte) (int, error) {
+	n, err := p.source.Read(b[:min(len(b), pieceBytes)])
+	if limit := rateLimit(p.bytesPerSecond()); limit != p.limiter.Limit() {
+		p.limiter.SetLimit(limit)
 	}
 	if n > 0 {
-		if werr := p.limit.WaitN(p.ctx, n); werr != nil {
-			return n, werr
+		if waitErr := p.limiter.WaitN(p.ctx, n); waitErr != nil {
+			return n, waitErr
 		}
 	}
 	return n, err
 }
 
-func limitOf(perSecond float64) rate.Limit {
-	if perSecond <= 0 {
+func rateLimit(bytesPerSecond float64) rate.Limit {
+	if bytesPerSecond <= 0 {
 		return rate.Inf
 	}
-	return rate.Limit(perSecond)
+	return rate.Limit(bytesPerSecond)
 }
--- a/agent/weights/copies_test.go
+++ b/agent/weights/copies_test.go
@@ -18,23 +18,23 @@
 	"dandelionsill.org/wire/pb"
 )
 
-// relayed serves FetchWeights from memory.
-type relayed struct {
+// fakeRelay serves FetchWeights from memory.
+type fakeRelay struct {
 	pb.AgentClient
 	data []byte
 	err  error
 }
 
-func (r *relayed) FetchWeights(context.Context, *pb.FetchWeightsRequest, ...grpc.CallOption) (grpc.ServerStreamingClient[pb.WeightsPiece], error) {
-	return &pieceStream{rest: r.data}, r.err
+func (r *fakeRelay) FetchWeights(context.Context, *pb.FetchWeightsRequest, ...grpc.CallOption) (grpc.ServerStreamingClient[pb.WeightsPiece], error) {
+	return &fakePieceStream{rest: r.data}, r.err
 }
 
-type pieceStream struct {
+type fakePieceStream struct {
 	grpc.ServerStreamingClient[pb.WeightsPiece]
 	rest []byte
 }
 
-func (p *pieceStream) Recv() (*pb.WeightsPiece, error) {
+func (p *fakePieceStream) Recv() (*pb.WeightsPiece, error) {
 	if len(p.rest) == 0 {
 		return nil, io.EOF
 	}
@@ -44,16 +44,16 @@
 	return piece, nil
 }
 
-// child is an agent of a fleet large enough to relay, placed two hops down in the middle.
-func child(t *testing.T, asked *[]string, answer func(addr string) (*relayed, error)) *bench {
-	var fellows []Fellow
+// newChildKeeper is an agent of a fleet large enough to relay, placed two hops down in the middle.
+func newChildKeeper(t *testing.T, asked *[]string, answer func(addr string) (*fakeRelay, error)) *testKeeper {
+	var peers []Peer
 	for i := range 60 {
-		fellows = append(fellows, Fellow{Name: fmt.Sprint("f", i), Addr: fmt.Sprint("addr", i)})
+		peers = append(peers, Peer{Name: fmt.Sprint("f", i), Addr: fmt.Sprint("addr", i)})
 	}
 	for i := range 200 {
 		name := fmt.Sprint("child", i)
-		b := newBench(t, func(c *Config) {
-			c.Server, c.Fellows = name, func() []Fellow { return fellows }
+		b := newTestKeeper(t, func(c *Config) {
+			c.Server, c.Peers = name, func() []Peer { return peers }
 			c.Dial = func(addr string) (pb.AgentClient, func(), error) {
 				*asked = append(*asked, addr)
 				r, err := answer(addr)
@@ -73,7 +73,7 @@
 func TestRelayFromParent(t *testing.T) {
 	data, _ := weightsOf(8)
 	var asked []string
-	b := child(t, &asked, func(string) (*relayed, error) { return &relayed{data: data}, nil })
+	b := newChildKeeper(t, &asked, func(string) (*fakeRelay, error) { return &fakeRelay{data: data}, nil })
 	got, err := b.copies.obtain(t.Context(), 8)
 	require.NoError(t, err)
 	require.Equal(t, data, got.data)
@@ -87,11 +87,11 @@
 	data, _ := weightsOf(8)
 	wrong, _ := weightsOf(9)
 	var asked []string
-	b := child(t, &asked, func(string) (*relayed, error) {
+	b := newChildKeeper(t, &asked, func(string) (*fakeRelay, error) {
 		if len(asked) == 1 {
-			return &relayed{err: errors.New("no answer")}, nil
+			return &fakeRelay{err: errors.New("no answer")}, nil
 		}
-		return &relayed{data: wrong}, nil
+		return &fakeRelay{data: wrong}, nil
 	})
 	got, err := b.copies.obtain(t.Context(), 8)
 	require.NoError(t, err)
@@ -117,7 +117,7 @@
 // longer: 256 MB of each VM would be taken for good. Who comes later is sent on
 // at once.
 func TestRelayAndDrop(t *testing.T) {
-	b := child(t, new([]string), func(string) (*relayed, error) { return nil, errors.New("no answer") })
+	b := newChildKeeper(t, new([]string), func(string) (*fakeRelay, error) { return nil, errors.New("no answer") })
 	plan, _ := b.copies.plan(8)
 	children := plan.Role(b.cfg.Server).Children
 	ask := func() error {
@@ -129,14 +129,14 @@
 	}
 	done := make(chan error)
 	go func() { done <- ask() }()
-	b.copies.want(t.Context(), 8, b.willLoad)
+	b.copies.startFetch(t.Context(), 8, b.shouldLoadOlder)
 	require.NoError(t, <-done)
 	for range children {
 		require.NoError(t, ask())
 	}
-	b.copies.release(7)
+	b.copies.dropUnneeded(7)
 	require.NotNil(t, b.copies.get(8), "the own engine needs it")
-	b.copies.release(8)
+	b.copies.dropUnneeded(8)
 	require.Nil(t, b.copies.get(8))
 	synctest.Test(t, func(t *testing.T) {
 		b.copies.changed = make(chan struct{})
@@ -146,10 +146,10 @@
 	})
 	b.copies.changed = make(chan struct{})
 	b.copies.fetch(t.Context(), 8)
-	b.copies.release(8)
+	b.copies.dropUnneeded(8)
 	require.NotNil(t, b.copies.get(8), "children may come")
-	b.pass(keepCopy)
-	b.copies.release(8)
+	b.advance(copyRetention)
+	b.copies.dropUnneeded(8)
 	require.Nil(t, b.copies.get(8))
 }
 
@@ -158,16 +158,16 @@
 // in place of 8 it would put the swap off, and where versions keep coming for
 // ever.
 func TestMemoryForOneCopy(t *testing.T) {
-	b := last(t, manifest.WeighIdle)
+	b := newLastWaveKeeper(t, manifest.WeighIdle)
 	b.copies.cfg.MaxCopyBytes = 1500
 	b.view.Versions["m"] = 8
 	b.step(t.Context())
 	b.awaitFetch()
 	b.view.Versions["m"] = 9
-	b.swapped(func(time.Duration) { require.Equal(t, 1, b.store.fetches) })
-	require.EqualValues(t, 8, b.serves())
-	b.swapped(nil)
-	require.EqualValues(t, 9, b.serves())
+	b.timeToNextOrder(func(time.Duration) { require.Equal(t, 1, b.store.fetches) })
+	require.EqualValues(t, 8, b.servingVersion())
+	b.timeToNextOrder(nil)
+	require.EqualValues(t, 9, b.servingVersion())
 }
 
 // Two models get new versions within a moment. The agents of each take half of
@@ -175,17 +175,17 @@
 // own version's has all of it, and an engine that restarts alone four shares.
 func TestModelsShareTheStore(t *testing.T) {
 	const perSecond, fetchers = 1200.0, 12
-	b := settled(t, nil)
+	b := newServingKeeper(t, nil)
 	b.view.Manifest.Fleet.StoreBytesPS = perSecond
-	b.pass(spreadTime)
+	b.advance(spreadTime)
 	b.view.Versions["m"] = 8
 	share := func() float64 {
-		return b.copies.sharePS(b.copies.rates.fetchers("m", fetchers))
+		return b.copies.shareBytesPerSecond(b.copies.rates.activeFetchers("m", fetchers))
 	}
 	require.Equal(t, perSecond/fetchers, share())
 	b.view.Versions["other"] = 3
 	require.Equal(t, perSecond/2/fetchers, share())
-	b.pass(spreadTime)
+	b.advance(spreadTime)
 	require.Equal(t, lateShares*perSecond/fetchers, share())
 }
 
@@ -193,7 +193,7 @@
 type timedSink struct {
 	relaySink
 	first, last time.Time
-	longest     time.Duration // without a piece
+	longestGap  time.Duration // without a piece
 }
 
 func (s *timedSink) Send(p *pb.WeightsPiece) error {
@@ -201,36 +201,36 @@
 	if s.first.IsZero() && len(p.GetData()) > 0 {
 		s.first = now
 	}
-	s.longest, s.last = max(s.longest, now.Sub(s.last)), now
+	s.longestGap, s.last = max(s.longestGap, now.Sub(s.last)), now
 	return s.relaySink.Send(p)
 }
 
-// pausing is a store that thinks before it sends.
-type pausing struct{ trickling }
+// pausingStore is a store that thinks before it sends.
+type pausingStore struct{ tricklingStore }
 
-const pause = 2 * parentStall
+const storePause = 2 * parentStallTimeout
 
-func (s pausing) Fetch(ctx context.Context, model string, version uint64) (io.ReadCloser, platform.WeightInfo, error) {
-	time.Sleep(pause)
-	return s.trickling.Fetch(ctx, model, version)
+func (s pausingStore) Fetch(ctx context.Context, model string, version uint64) (io.ReadCloser, platform.WeightInfo, error) {
+	time.Sleep(storePause)
+	return s.tricklingStore.Fetch(ctx, model, version)
 }
 
 // The seed of a failure domain fetches for 19 s from a store that is slow to
 // begin and whose rate 24 seeds share. Its children don't wait for the whole and pass over no parent that is
 // at it: if they did, all 61 would go to the store, which has the rate for the
 // seeds, and the version come minutes later.
-func TestRelayAsItComes(t *testing.T) {
+func TestRelayWhileFetching(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, func(c *Config) { c.Store = pausing{trickling{sized{bytes: 1000}, 100}} })
+		b := newTestKeeper(t, func(c *Config) { c.Store = pausingStore{tricklingStore{sizedStore{bytes: 1000}, 100}} })
 		began := time.Now()
 		sink := &timedSink{relaySink: relaySink{ctx: t.Context()}, last: began}
-		b.copies.want(t.Context(), 8, b.willLoad)
+		b.copies.startFetch(t.Context(), 8, b.shouldLoadOlder)
 		require.NoError(t, b.FetchWeights(&pb.FetchWeightsRequest{Model: "m", Version: 8}, sink))
-		data, _ := sized{bytes: 1000}.info(8)
+		data, _ := sizedStore{bytes: 1000}.info(8)
 		require.Equal(t, data, sink.data)
-		require.Less(t, sink.first.Sub(began), pause+2*time.Second)
-		require.Less(t, sink.longest, parentStall)
-		require.Equal(t, pause+11*time.Second, time.Since(began))
+		require.Less(t, sink.first.Sub(began), storePause+2*time.Second)
+		require.Less(t, sink.longestGap, parentStallTimeout)
+		require.Equal(t, storePause+11*time.Second, time.Since(began))
 	})
 }
 
@@ -240,7 +240,7 @@
 }
 
 func (idlePieces) Recv() (*pb.WeightsPiece, error) {
-	time.Sleep(aliveEvery)
+	time.Sleep(keepaliveInterval)
 	return &pb.WeightsPiece{}, nil
 }
 
@@ -253,9 +253,9 @@
 // Two agents' lists of servers differ for a moment, and each has the other as
 // its parent. Both are alive and at it; neither would ever go to the store, and
 // their trainers' floors pass both engines.
-func TestParentsThatWaitForEachOther(t *testing.T) {
+func TestMutuallyWaitingParents(t *testing.T) {
 	var asked []string
-	b := child(t, &asked, func(string) (*relayed, error) { return nil, nil })
+	b := newChildKeeper(t, &asked, func(string) (*fakeRelay, error) { return nil, nil })
 	synctest.Test(t, func(t *testing.T) {
 		b.copies.changed = make(chan struct{})
 		b.copies.cfg.Dial = func(string) (pb.AgentClient, func(), error) { return idleParent{}, func() {}, nil }
@@ -283,13 +283,13 @@
 }
 
 // liveParent and liveStore answer at once, to who still has time.
-type liveParent struct{ relayed }
+type liveParent struct{ fakeRelay }
 
 func (p *liveParent) FetchWeights(ctx context.Context, req *pb.FetchWeightsRequest, o ...grpc.CallOption) (grpc.ServerStreamingClient[pb.WeightsPiece], error) {
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
 	}
-	return p.relayed.FetchWeights(ctx, req, o...)
+	return p.fakeRelay.FetchWeights(ctx, req, o...)
 }
 
 type liveStore struct{ *fakeStore }
@@ -306,9 +306,9 @@
 // over, 30 s, so that neither the next parent nor the store is tried; then they
 // ask it first again, for ever. The new weights reach none of up to 62 engines,
 // and once the floor has passed them their trainers' steps don't end.
-func TestFrozenParentIsPassedOver(t *testing.T) {
+func TestFrozenParentIsSkipped(t *testing.T) {
 	var asked []string
-	b := child(t, &asked, func(string) (*relayed, error) { return nil, nil })
+	b := newChildKeeper(t, &asked, func(string) (*fakeRelay, error) { return nil, nil })
 	synctest.Test(t, func(t *testing.T) {
 		first := ""
 		b.copies.cfg.Store = liveStore{b.store}
@@ -318,13 +318,13 @@
 				return frozenParent{}, func() {}, nil
 			}
 			data, _ := weightsOf(8)
-			return &liveParent{relayed{data: data}}, func() {}, nil
+			return &liveParent{fakeRelay{data: data}}, func() {}, nil
 		}
 		began := time.Now()
 		for range 3 {
 			b.copies.fetch(t.Context(), 8)
 		}
 		require.NotNil(t, b.copies.get(8), "another parent has it, and the store")
-		require.LessOrEqual(t, time.Since(began), 3*parentStall, "one stall for each of the three fetches")
+		require.LessOrEqual(t, time.Since(began), 3*parentStallTimeout, "one stall for each of the three fetches")
 	})
 }
--- a/agent/weights/fakes_test.go
+++ b/agent/weights/fakes_test.go
@@ -20,11 +20,11 @@
 // fakeEngine obeys orders through obey, which a test replaces.
 type fakeEngine struct {
 	platform.Engine
-	mu     sync.Mutex
-	st     platform.EngineState
-	err    error
-	tokens []uint64 // of the orders given
-	obey   func(*fakeEngine, platform.WeightInfo, uint64) error
+	mu      sync.Mutex
+	st      platform.EngineState
+	err     error
+	tokens  []uint64 // of the orders given
+	onOrder func(*fakeEngine, platform.WeightInfo, uint64) error
 }
 
 func (e *fakeEngine) State(context.Context) (platform.EngineState, error) {
@@ -40,7 +40,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.tokens = append(e.tokens, token)
-	return e.obey(e, info, token)
+	return e.onOrder(e, info, token)
 }
 
 func (e *fakeEngine) set(change func(*platform.EngineState)) {
@@ -55,7 +55,7 @@
 	return len(e.tokens)
 }
 
-func obeys(e *fakeEngine, info platform.WeightInfo, token uint64) error {
+func obeyOrder(e *fakeEngine, info platform.WeightInfo, token uint64) error {
 	if token < e.st.Order {
 		return platform.ErrFenced
 	}
@@ -102,11 +102,11 @@
 
 type fakeStore struct {
 	platform.WeightStore
-	mu      sync.Mutex
-	fetches int
-	latest  uint64
-	corrupt bool
-	upto    uint64 // newer versions can't be fetched; 0: all can
+	mu         sync.Mutex
+	fetches    int
+	latest     uint64
+	corrupt    bool
+	maxVersion uint64 // newer versions can't be fetched; 0: all can
 }
 
 func weightsOf(version uint64) ([]byte, platform.WeightInfo) {
@@ -126,7 +126,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fetches++
-	if s.upto != 0 && version > s.upto {
+	if s.maxVersion != 0 && version > s.maxVersion {
 		return nil, platform.WeightInfo{}, platform.ErrNotFound
 	}
 	data, info := weightsOf(version)
@@ -153,8 +153,8 @@
 	s.discarded = append(s.discarded, why)
 }
 
-// bench is one keeper with everything around it under the test's control.
-type bench struct {
+// testKeeper is one keeper with everything around it under the test's control.
+type testKeeper struct {
 	*Keeper
 	t       *testing.T
 	engine  *fakeEngine
@@ -166,10 +166,10 @@
 	clock   time.Time
 }
 
-func newBench(t *testing.T, change func(*Config)) *bench {
-	b := &bench{
+func newTestKeeper(t *testing.T, change func(*Config)) *testKeeper {
+	b := &testKeeper{
 		t: t, log: &fakeLog{}, store: &fakeStore{}, streams: &fakeStreams{}, clock: time.Unix(1e9, 0),
-		engine: &fakeEngine{obey: obeys, st: platform.EngineState{Boot: "b1", Model: "m", Version: 7, State: stateServing}},
+		engine: &fakeEngine{onOrder: obeyOrder, st: platform.EngineState{Boot: "b1", Model: "m", Version: 7, State: stateServing}},
 		view:   &confsync.View{Manifest: &manifest.Manifest{}, Versions: map[string]uint64{"m": 7}},
 	}
 	cfg := Config{
@@ -180,36 +180,36 @@
 		change(&cfg)
 	}
 	b.Keeper = New(cfg)
-	b.Guard(b.streams)
+	b.SetStreams(b.streams)
 	return b
 }
 
-func (b *bench) now() time.Time {
+func (b *testKeeper) now() time.Time {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.clock
 }
 
-// pass lets time pass as seen by a process that runs.
-func (b *bench) pass(d time.Duration) {
+// advance lets time advance as seen by a process that runs.
+func (b *testKeeper) advance(d time.Duration) {
 	b.freeze(d)
-	b.beat.beat()
+	b.pauses.markAlive()
 }
 
 // freeze lets time pass as seen by a process that stands still.
-func (b *bench) freeze(d time.Duration) {
+func (b *testKeeper) freeze(d time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.clock = b.clock.Add(d)
 }
 
-func (b *bench) claimIt() {
+func (b *testKeeper) mustClaim() {
 	b.t.Helper()
-	require.NoError(b.t, b.claim.try(b.t.Context()))
+	require.NoError(b.t, b.claim.attempt(b.t.Context()))
 }
 
-// settle runs steps, letting time pass, until cond holds.
-func (b *bench) settle(cond func() bool) {
+// stepUntil runs steps, letting time pass, until cond holds.
+func (b *testKeeper) stepUntil(cond func() bool) {
 	b.t.Helper()
 	for range 200 {
 		if cond() {
@@ -217,30 +217,30 @@
 		}
 		b.step(b.t.Context())
 		b.awaitFetch()
-		b.pass(b.cfg.ReadBack)
+		b.advance(b.cfg.ReadBackInterval)
 	}
 	require.Fail(b.t, "the keeper did not settle")
 }
 
 // awaitFetch waits for the end of a fetch that runs in the background.
-func (b *bench) awaitFetch() {
+func (b *testKeeper) awaitFetch() {
 	require.Eventually(b.t, func() bool {
 		b.copies.mu.Lock()
 		defer b.copies.mu.Unlock()
-		return b.copies.fetching == 0
+		return b.copies.fetchingVersion == 0
 	}, 10*time.Second, time.Millisecond)
 }
 
-func (b *bench) serves() uint64 {
+func (b *testKeeper) servingVersion() uint64 {
 	v, _ := b.Serving()
 	return v
 }
 
-// settled is a keeper that holds its claim and serves the engine's version.
-func settled(t *testing.T, change func(*Config)) *bench {
-	b := newBench(t, change)
-	b.claimIt()
+// newServingKeeper is a keeper that holds its claim and serves the engine's version.
+func newServingKeeper(t *testing.T, change func(*Config)) *testKeeper {
+	b := newTestKeeper(t, change)
+	b.mustClaim()
 	b.step(t.Context())
-	require.EqualValues(t, 7, b.serves())
+	require.EqualValues(t, 7, b.servingVersion())
 	return b
 }
--- a/agent/weights/keeper.go
+++ b/agent/weights/keeper.go
@@ -70,45 +70,45 @@
 
 // Defaults of Config.
 const (
-	DefaultLease        = 5 * time.Second
-	DefaultLongestOrder = 15 * time.Second
-	DefaultReadBack     = time.Second
-	DefaultSlot         = 4 * time.Second
-	DefaultMaxCopyBytes = 256 << 20
-	retryMin            = 200 * time.Millisecond
-	retryMax            = 10 * time.Second
-	beatsPerLease       = 10
-	unansweredLimit     = 2 // read-backs without an answer until nothing is served
-	storePoll           = 5 * time.Second
+	DefaultLease            = 5 * time.Second
+	DefaultMaxOrderTime     = 15 * time.Second
+	DefaultReadBackInterval = time.Second
+	DefaultSlotLength       = 4 * time.Second
+	DefaultMaxCopyBytes     = 256 << 20
+	minRetryDelay           = 200 * time.Millisecond
+	maxRetryDelay           = 10 * time.Second
+	pauseChecksPerLease     = 10
+	maxUnanswered           = 2 // read-backs without an answer until nothing is served
+	storePollInterval       = 5 * time.Second
 	// logInterval spaces the lines of one message under failure: with the store,
 	// the log or the engine down each retry would write one.
 	logInterval = 10 * time.Second
-	// linkPS is what one agent is reckoned to relay, bytes a second: 60% of a
+	// linkBytesPerSecond is what one agent is reckoned to relay, bytes a second: 60% of a
 	// 10 Gb/s link.
-	linkPS = 750e6
+	linkBytesPerSecond = 750e6
 )
 
-// Fellow is another agent of the same model.
-type Fellow struct{ Name, Addr, FailureDomain string }
+// Peer is another agent of the same model.
+type Peer struct{ Name, Addr, FailureDomain string }
 
 // Config of a Keeper. Zero durations and sizes take the defaults.
 type Config struct {
-	Server         string // this backend server's name
-	Model          string
-	FailureDomain  string
-	Incarnation    uint64 // start of this agent, ms since 1970
-	Engine         platform.Engine
-	Store          platform.WeightStore
-	Log            platform.Log
-	View           confsync.Viewer
-	Fellows        func() []Fellow // nil: none
-	Dial           func(addr string) (pb.AgentClient, func(), error)
-	IgnoresFencing bool          // the engine does not check fencing tokens
-	Lease          time.Duration // how long a claim may be trusted without a look at the log or engine
-	LongestOrder   time.Duration // longest time one weight order may take
-	ReadBack       time.Duration // how often the engine's state is read
-	Slot           time.Duration // time between swap waves until a swap was measured
-	MaxCopyBytes   int64         // larger versions are not kept for relaying
+	Server           string // this backend server's name
+	Model            string
+	FailureDomain    string
+	Incarnation      uint64 // start of this agent, ms since 1970
+	Engine           platform.Engine
+	Store            platform.WeightStore
+	Log              platform.Log
+	View             confsync.Viewer
+	Peers            func() []Peer // nil: none
+	Dial             func(addr string) (pb.AgentClient, func(), error)
+	IgnoresFencing   bool          // the engine does not check fencing tokens
+	Lease            time.Duration // how long a claim may be trusted without a look at the log or engine
+	MaxOrderTime     time.Duration // longest time one weight order may take
+	ReadBackInterval time.Duration // how often the engine's state is read
+	SlotLength       time.Duration // time between swap waves until a swap was measured
+	MaxCopyBytes     int64         // larger versions are not kept for relaying
 	// NoWaves swaps at once, without grace, and fetches from the store alone:
 	// the baseline that benchmarks compare with.
 	NoWaves bool
@@ -119,12 +119,12 @@
 
 func (c Config) withDefaults() Config {
 	setDefault(&c.Lease, DefaultLease)
-	setDefault(&c.LongestOrder, DefaultLongestOrder)
-	setDefault(&c.ReadBack, DefaultReadBack)
-	setDefault(&c.Slot, DefaultSlot)
+	setDefault(&c.MaxOrderTime, DefaultMaxOrderTime)
+	setDefault(&c.ReadBackInterval, DefaultReadBackInterval)
+	setDefault(&c.SlotLength, DefaultSlotLength)
 	setDefault(&c.MaxCopyBytes, DefaultMaxCopyBytes)
-	if c.Fellows == nil {
-		c.Fellows = func() []Fellow { return nil }
+	if c.Peers == nil {
+		c.Peers = func() []Peer { return nil }
 	}
 	if c.Dial == nil {
 		c.Dial = dialAgent
@@ -138,9 +138,9 @@
 	return c
 }
 
-func setDefault[T time.Duration | int64](v *T, d T) {
-	if *v <= 0 {
-		*v = d
+func setDefault[T time.Duration | int64](value *T, def T) {
+	if *value <= 0 {
+		*value = def
 	}
 }
 
@@ -148,25 +148,25 @@
 type Streams interface {
 	// Running tells what a swap must mind now.
 	Running() Running
-	// SwapPending tells when the next swap comes; the zero time: none.
-	SwapPending(at time.Time)
+	// SetPendingSwap tells when the next swap comes; the zero time: none.
+	SetPendingSwap(at time.Time)
 	// CancelUnmixed cancels the streams that may not go through a swap.
 	CancelUnmixed()
 	// Discard ends streams whose tokens can't be trusted: those of samples, or
 	// all where the engine may have produced anything.
-	Discard(all bool, why string)
+	Discard(all bool, reason string)
 }
 
 // Keeper keeps one engine's weights. Its reading methods are safe for
 // concurrent use and cheap enough for every chunk.
 type Keeper struct {
-	cfg    Config
-	log    *zap.Logger // for lines under failure: each message once per logInterval
-	beat   *heartbeat
-	claim  *claim
-	copies *copies
-	proof  atomic.Pointer[proof]
-	wakeup chan struct{}
+	cfg      Config
+	log      *zap.Logger // for lines under failure: each message once per logInterval
+	pauses   *pauseDetector
+	claim    *claim
+	copies   *copies
+	verified atomic.Pointer[verifiedState]
+	wakeup   chan struct{}
 
 	mu       sync.Mutex
 	changed  chan struct{}
@@ -180,17 +180,17 @@
 func New(cfg Config) *Keeper {
 	cfg = cfg.withDefaults()
 	k := &Keeper{
-		cfg: cfg, log: logs.Limited(cfg.Logger, logInterval), beat: newHeartbeat(cfg.Now, cfg.Lease), claim: newClaim(cfg),
+		cfg: cfg, log: logs.Limited(cfg.Logger, logInterval), pauses: newPauseDetector(cfg.Now, cfg.Lease), claim: newClaim(cfg),
 		wakeup: make(chan struct{}, 1), changed: make(chan struct{}), streams: noStreams{},
 	}
 	k.copies = newCopies(cfg, k.wake)
-	k.proof.Store(&proof{})
-	k.state.retry = retryMin
+	k.verified.Store(&verifiedState{})
+	k.state.retryDelay = minRetryDelay
 	return k
 }
 
-// Guard sets the streams that a swap must mind. Call it before Run.
-func (k *Keeper) Guard(s Streams) { k.streams = s }
+// SetStreams sets the streams that a swap must mind. Call it before Run.
+func (k *Keeper) SetStreams(s Streams) { k.streams = s }
 
 // OnChange sets a function that is called after each change of what Serving
 // and Swapping answer. Call it before Run.
@@ -203,12 +203,12 @@
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	wg.Go(func() { k.claim.run(ctx) })
-	wg.Go(func() { k.watchClock(ctx) })
+	wg.Go(func() { k.watchPauses(ctx) })
 	defer cancel()
 	for {
 		changed := k.cfg.View.Changed()
 		next := k.step(ctx)
-		if k.claim.isLost() {
+		if k.claim.isSuperseded() {
 			k.distrust(false, "a newer agent holds this server")
 			return
 		}
@@ -225,34 +225,34 @@
 	}
 }
 
-// watchClock keeps the heartbeat and ends trust after a pause.
-func (k *Keeper) watchClock(ctx context.Context) {
-	tick := time.NewTicker(k.cfg.Lease / beatsPerLease)
+// watchPauses keeps the heartbeat and ends trust after a pause.
+func (k *Keeper) watchPauses(ctx context.Context) {
+	tick := time.NewTicker(k.cfg.Lease / pauseChecksPerLease)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			k.heartbeat()
+			k.checkPause()
 		}
 	}
 }
 
-// heartbeat takes trust away before it beats again: the other way round a
+// checkPause takes trust away before it beats again: the other way round a
 // request could slip in between on what was verified before the pause.
-func (k *Keeper) heartbeat() {
-	if k.beat.missed() {
+func (k *Keeper) checkPause() {
+	if k.pauses.exceeded() {
 		k.distrust(false, "the process stood still longer than its lease")
 	}
-	k.beat.beat()
+	k.pauses.markAlive()
 }
 
 // Serving returns the verified version and the engine's start; version 0 means
 // that nothing may be served.
 func (k *Keeper) Serving() (version uint64, boot string) {
-	p := k.proof.Load()
-	if k.beat.missed() || k.claim.isLost() {
+	p := k.verified.Load()
+	if k.pauses.exceeded() || k.claim.isSuperseded() {
 		return 0, p.boot
 	}
 	return p.serving, p.boot
@@ -261,16 +261,16 @@
 // Producing returns the version that the engine makes tokens with, or will
 // after the order under way; 0: not known.
 func (k *Keeper) Producing() uint64 {
-	p := k.proof.Load()
-	return max(p.serving, p.to)
+	p := k.verified.Load()
+	return max(p.serving, p.loading)
 }
 
 // Swapping tells whether an order is under way.
-func (k *Keeper) Swapping() bool { return k.proof.Load().to != 0 }
+func (k *Keeper) Swapping() bool { return k.verified.Load().loading != 0 }
 
 // SteppedDown is closed once a newer agent holds the backend server. This
 // process then serves nothing and should exit.
-func (k *Keeper) SteppedDown() <-chan struct{} { return k.claim.lost }
+func (k *Keeper) SteppedDown() <-chan struct{} { return k.claim.superseded }
 
 // Token returns the fencing token, 0 before the claim stands.
 func (k *Keeper) Token() uint64 { return k.claim.token.Load() }
@@ -281,23 +281,23 @@
 // IgnoresFencing tells whether the engine ignores fencing tokens.
 func (k *Keeper) IgnoresFencing() bool { return k.cfg.IgnoresFencing }
 
-// Explains tells whether a chunk of version on boot is what the engine makes
+// CheckChunk tells whether a chunk of version on boot is what the engine makes
 // for a stream that started on version start. On Contradicts the engine
 // changed under us: trust ends here and the engine is read back.
-func (k *Keeper) Explains(start, version uint64, boot string) Verdict {
-	p := k.proof.Load()
-	verdict := p.explains(start, version, boot)
-	if k.beat.missed() {
+func (k *Keeper) CheckChunk(start, version uint64, boot string) Verdict {
+	p := k.verified.Load()
+	verdict := p.checkChunk(start, version, boot)
+	if k.pauses.exceeded() {
 		verdict = Contradicts
 	}
-	if verdict == Contradicts && p.to == 0 {
+	if verdict == Contradicts && p.loading == 0 {
 		k.distrust(p.boot != boot, "a chunk did not fit the verified state")
 	}
 	return verdict
 }
 
-// Settled waits while an order is under way.
-func (k *Keeper) Settled(ctx context.Context) error {
+// WaitOrderDone waits while an order is under way.
+func (k *Keeper) WaitOrderDone(ctx context.Context) error {
 	for {
 		changed := k.Changed()
 		if !k.Swapping() {
@@ -338,13 +338,13 @@
 	return k.copies.relay(req, stream)
 }
 
-// set publishes a proof.
-func (k *Keeper) set(p *proof) {
-	k.proof.Store(p)
-	k.announce()
+// publish publishes a proof.
+func (k *Keeper) publish(p *verifiedState) {
+	k.verified.Store(p)
+	k.notifyChange()
 }
 
-func (k *Keeper) announce() {
+func (k *Keeper) notifyChange() {
 	k.mu.Lock()
 	close(k.changed)
 	k.changed = make(chan struct{})
@@ -356,18 +356,18 @@
 
 // distrust ends all trust in the engine until it is read back. all tells
 // whether not only labels but the text itself can't be trusted.
-func (k *Keeper) distrust(all bool, why string) {
-	old := k.proof.Load()
-	if old.serving == 0 && old.to == 0 {
+func (k *Keeper) distrust(all bool, reason string) {
+	old := k.verified.Load()
+	if old.serving == 0 && old.loading == 0 {
 		return
 	}
-	if !k.proof.CompareAndSwap(old, &proof{boot: old.boot}) {
+	if !k.verified.CompareAndSwap(old, &verifiedState{boot: old.boot}) {
 		return // another goroutine has just changed it and knows better
 	}
-	k.announce()
-	k.streams.Discard(all, why)
-	k.cfg.Logger.Warn("Serving nothing until the engine is verified.", zap.String("why", why))
-	k.cfg.Explain.Add(context.Background(), "weights", k.cfg.Server, "serve nothing", why)
+	k.notifyChange()
+	k.streams.Discard(all, reason)
+	k.cfg.Logger.Warn("Serving nothing until the engine is verified.", zap.String("why", reason))
+	k.cfg.Explain.Add(context.Background(), "weights", k.cfg.Server, "serve nothing", reason)
 	k.wake()
 }
 
@@ -382,8 +382,8 @@
 	}
 }
 
-// known returns the newest version known for the model.
-func (k *Keeper) known() uint64 {
+// announcedVersion returns the newest version announcedVersion for the model.
+func (k *Keeper) announcedVersion() uint64 {
 	if v := k.cfg.View.View(); v != nil {
 		return v.Versions[k.cfg.Model]
 	}
@@ -399,7 +399,7 @@
 
 type noStreams struct{}
 
-func (noStreams) Running() Running      { return Running{} }
-func (noStreams) SwapPending(time.Time) {}
-func (noStreams) CancelUnmixed()        {}
-func (noStreams) Discard(bool, string)  {}
+func (noStreams) Running() Running         { return Running{} }
+func (noStreams) SetPendingSwap(time.Time) {}
+func (noStreams) CancelUnmixed()           {}
+func (noStreams) Discard(bool, string)     {}
--- a/agent/weights/keeper_test.go
+++ b/agent/weights/keeper_test.go
@@ -14,7 +14,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func (b *bench) claimByOther() {
+func (b *testKeeper) appendOtherClaim() {
 	data, err := agents.Encode("other", "vm1", 2)
 	require.NoError(b.t, err)
 	_, err = b.log.Append(b.t.Context(), platform.StreamAgents, data)
@@ -24,18 +24,18 @@
 // A new version is announced. The trainer sees the old version until the order
 // begins, no version while it runs, and the new one once it was read back.
 func TestSwap(t *testing.T) {
-	b := settled(t, nil)
-	b.engine.obey = func(e *fakeEngine, info platform.WeightInfo, token uint64) error {
-		require.Zero(t, b.serves())
+	b := newServingKeeper(t, nil)
+	b.engine.onOrder = func(e *fakeEngine, info platform.WeightInfo, token uint64) error {
+		require.Zero(t, b.servingVersion())
 		require.True(t, b.Swapping())
-		require.Equal(t, Undecided, b.Explains(7, 8, "b1"))
-		return obeys(e, info, token)
+		require.Equal(t, Undecided, b.CheckChunk(7, 8, "b1"))
+		return obeyOrder(e, info, token)
 	}
 	b.view.Versions["m"] = 8
-	b.settle(func() bool { return b.serves() == 8 })
+	b.stepUntil(func() bool { return b.servingVersion() == 8 })
 	require.Equal(t, []uint64{b.Token()}, b.engine.tokens)
-	require.Equal(t, Fits, b.Explains(7, 7, "b1"), "a chunk from before the swap in a stream that began there")
-	require.Equal(t, Contradicts, b.Explains(8, 7, "b1"), "a stream that began on the new weights")
+	require.Equal(t, Fits, b.CheckChunk(7, 7, "b1"), "a chunk from before the swap in a stream that began there")
+	require.Equal(t, Contradicts, b.CheckChunk(8, 7, "b1"), "a stream that began on the new weights")
 	b.step(t.Context())
 	require.Nil(t, b.copies.get(8), "nobody needs the copy any more")
 }
@@ -44,8 +44,8 @@
 // make tokens of anything. The trainer sees a server without a version and its
 // streams discarded until a repeated order is verified.
 func TestSwapFailsPartway(t *testing.T) {
-	b := settled(t, nil)
-	b.engine.obey = func(e *fakeEngine, info platform.WeightInfo, token uint64) error {
+	b := newServingKeeper(t, nil)
+	b.engine.onOrder = func(e *fakeEngine, info platform.WeightInfo, token uint64) error {
 		e.st.Version, e.st.Order = info.Version, token
 		if len(e.tokens) < 3 {
 			return platform.ErrLoadFailed
@@ -53,34 +53,34 @@
 		return nil
 	}
 	b.view.Versions["m"] = 8
-	b.settle(func() bool { return b.engine.orders() == 1 })
-	require.Zero(t, b.serves())
+	b.stepUntil(func() bool { return b.engine.orders() == 1 })
+	require.Zero(t, b.servingVersion())
 	require.NotEmpty(t, b.streams.discarded)
 	b.step(t.Context())
 	b.step(t.Context())
-	require.Zero(t, b.serves(), "read-backs alone don't make a failed engine good")
-	b.settle(func() bool { return b.serves() == 8 })
+	require.Zero(t, b.servingVersion(), "read-backs alone don't make a failed engine good")
+	b.stepUntil(func() bool { return b.servingVersion() == 8 })
 	require.Equal(t, 3, b.engine.orders())
 }
 
 // The order is answered as done, but the engine serves something else.
 func TestReadBackDiffers(t *testing.T) {
-	for name, lie := range map[string]func(*platform.EngineState){
+	for name, misreport := range map[string]func(*platform.EngineState){
 		"version": func(s *platform.EngineState) { s.Version = 6 },
 		"state":   func(s *platform.EngineState) { s.State = "failed" },
 		"order":   func(s *platform.EngineState) { s.Order++ },
 		"boot":    func(s *platform.EngineState) { s.Boot = "b2" },
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := settled(t, nil)
-			b.engine.obey = func(e *fakeEngine, info platform.WeightInfo, token uint64) error {
-				err := obeys(e, info, token)
-				lie(&e.st)
+			b := newServingKeeper(t, nil)
+			b.engine.onOrder = func(e *fakeEngine, info platform.WeightInfo, token uint64) error {
+				err := obeyOrder(e, info, token)
+				misreport(&e.st)
 				return err
 			}
 			b.view.Versions["m"] = 8
-			b.settle(func() bool { return b.engine.orders() == 1 })
-			require.Zero(t, b.serves())
+			b.stepUntil(func() bool { return b.engine.orders() == 1 })
+			require.Zero(t, b.servingVersion())
 		})
 	}
 }
@@ -88,13 +88,13 @@
 // The answer to an order is lost, but the engine obeyed. The read-back tells;
 // a second order would cost the trainer a second swap.
 func TestLostOrderAnswer(t *testing.T) {
-	b := settled(t, nil)
-	b.engine.obey = func(e *fakeEngine, info platform.WeightInfo, token uint64) error {
-		_ = obeys(e, info, token)
+	b := newServingKeeper(t, nil)
+	b.engine.onOrder = func(e *fakeEngine, info platform.WeightInfo, token uint64) error {
+		_ = obeyOrder(e, info, token)
 		return platform.ErrOrderUnknown
 	}
 	b.view.Versions["m"] = 8
-	b.settle(func() bool { return b.serves() == 8 })
+	b.stepUntil(func() bool { return b.servingVersion() == 8 })
 	require.Equal(t, 1, b.engine.orders())
 }
 
@@ -102,149 +102,151 @@
 // back to version 6. The trainer loses the streams that run there, gets none
 // from version 6 under the label 8, and the engine is loaded again.
 func TestStaleOrderObeyed(t *testing.T) {
-	b := settled(t, func(c *Config) { c.IgnoresFencing = true })
+	b := newServingKeeper(t, func(c *Config) { c.IgnoresFencing = true })
 	b.view.Versions["m"] = 8
-	b.settle(func() bool { return b.serves() == 8 })
+	b.stepUntil(func() bool { return b.servingVersion() == 8 })
 	b.engine.set(func(s *platform.EngineState) { s.Version, s.Order = 6, 0 })
-	require.Equal(t, Contradicts, b.Explains(8, 6, "b1"))
-	require.Zero(t, b.serves(), "the first odd chunk ends the trust")
+	require.Equal(t, Contradicts, b.CheckChunk(8, 6, "b1"))
+	require.Zero(t, b.servingVersion(), "the first odd chunk ends the trust")
 	require.NotEmpty(t, b.streams.discarded)
-	b.settle(func() bool { return b.serves() == 8 })
+	b.stepUntil(func() bool { return b.servingVersion() == 8 })
 	require.Equal(t, 2, b.engine.orders())
 }
 
 // The engine restarts with other weights. No chunk tells as nothing runs; the
 // read-back does.
 func TestEngineRestart(t *testing.T) {
-	b := settled(t, nil)
+	b := newServingKeeper(t, nil)
 	b.engine.set(func(s *platform.EngineState) { s.Boot, s.Version, s.Order = "b2", 5, 0 })
 	b.step(t.Context())
 	v, boot := b.Serving()
 	require.EqualValues(t, 5, v, "what the new engine start says of itself")
 	require.Equal(t, "b2", boot)
 	require.NotEmpty(t, b.streams.discarded)
-	b.settle(func() bool { return b.serves() == 7 })
+	b.stepUntil(func() bool { return b.servingVersion() == 7 })
 }
 
 // An agent is frozen for longer than its lease; meanwhile another agent claims
 // the server. Thawed, the old agent serves nothing from the first moment, and
 // finds the newer claim before it gives any order.
-func TestThawedAgentStepsDown(t *testing.T) {
-	b := settled(t, nil)
+func TestResumedAgentStepsDown(t *testing.T) {
+	b := newServingKeeper(t, nil)
 	b.view.Versions["m"] = 8
 	b.step(t.Context())
 	b.awaitFetch()
-	b.claimByOther()
+	b.appendOtherClaim()
 	b.freeze(b.cfg.Lease + time.Second)
-	require.Zero(t, b.serves(), "before any of its timers has fired")
-	require.Equal(t, Contradicts, b.Explains(7, 7, "b1"))
-	b.heartbeat()
+	require.Zero(t, b.servingVersion(), "before any of its timers has fired")
+	require.Equal(t, Contradicts, b.CheckChunk(7, 7, "b1"))
+	b.checkPause()
 	b.step(t.Context())
 	require.Zero(t, b.engine.orders())
-	require.Zero(t, b.serves())
+	require.Zero(t, b.servingVersion())
 	<-b.SteppedDown()
 }
 
 // The same with the log down: the engine's own word names the newer agent.
-func TestThawedAgentWithoutLog(t *testing.T) {
-	b := settled(t, nil)
+func TestResumedAgentWithoutLog(t *testing.T) {
+	b := newServingKeeper(t, nil)
 	b.log.down = true
 	b.freeze(b.cfg.Lease + time.Second)
-	b.heartbeat()
+	b.checkPause()
 	b.engine.set(func(s *platform.EngineState) { s.Version, s.Order = 8, b.Token()+1 })
-	b.settle(func() bool { return b.claim.isLost() })
+	b.stepUntil(func() bool { return b.claim.isSuperseded() })
 	require.Zero(t, b.engine.orders())
-	require.Zero(t, b.serves())
+	require.Zero(t, b.servingVersion())
 }
 
 // Frozen, but nobody came: after a look at log and engine it serves again.
-func TestThawedAgentGoesOn(t *testing.T) {
-	b := settled(t, nil)
+func TestResumedAgentContinues(t *testing.T) {
+	b := newServingKeeper(t, nil)
 	b.freeze(b.cfg.Lease + time.Second)
-	b.heartbeat()
-	require.Zero(t, b.serves())
+	b.checkPause()
+	require.Zero(t, b.servingVersion())
 	b.step(t.Context())
-	require.EqualValues(t, 7, b.serves())
+	require.EqualValues(t, 7, b.servingVersion())
 }
 
 // The log's answer to the claim is lost. One claim stands, and the repeated
 // record does not move the token.
 func TestLostAppendAnswer(t *testing.T) {
-	b := newBench(t, nil)
+	b := newTestKeeper(t, nil)
 	b.log.loseAnswer = true
-	b.claimIt()
+	b.mustClaim()
 	require.EqualValues(t, 1, b.Token())
 	data, err := agents.Encode(b.claim.id, "vm1", 0)
 	require.NoError(t, err)
 	_, _ = b.log.Append(t.Context(), platform.StreamAgents, data)
-	require.NoError(t, b.claim.try(t.Context()))
+	require.NoError(t, b.claim.attempt(t.Context()))
 	require.EqualValues(t, 1, b.Token())
 }
 
 // The log is down when the agent starts. Callers are served by what the engine
 // says of itself; there is no order until the claim stands.
 func TestLogDownAtStart(t *testing.T) {
-	b := newBench(t, nil)
+	b := newTestKeeper(t, nil)
 	b.log.down = true
 	b.view.Versions["m"] = 8
-	require.Error(t, b.claim.try(t.Context()))
+	require.Error(t, b.claim.attempt(t.Context()))
 	for range 20 {
 		b.step(t.Context())
 		b.awaitFetch()
-		b.pass(time.Second)
+		b.advance(time.Second)
 	}
-	require.EqualValues(t, 7, b.serves())
+	require.EqualValues(t, 7, b.servingVersion())
 	require.Zero(t, b.engine.orders())
 	b.log.down = false
-	b.claimIt()
-	b.settle(func() bool { return b.serves() == 8 })
+	b.mustClaim()
+	b.stepUntil(func() bool { return b.servingVersion() == 8 })
 }
 
 // The engine ignores fencing and an older agent has held it. The first order
 // waits until that agent's last order must have ended.
 func TestIgnoringEngineWaitsForPredecessor(t *testing.T) {
-	b := newBench(t, func(c *Config) { c.IgnoresFencing = true })
-	b.claimByOther()
-	b.claimIt()
+	b := newTestKeeper(t, func(c *Config) { c.IgnoresFencing = true })
+	b.appendOtherClaim()
+	b.mustClaim()
 	b.view.Versions["m"] = 8
 	start := b.now()
-	b.settle(func() bool { return b.engine.orders() == 1 })
-	require.GreaterOrEqual(t, b.now().Sub(start), b.cfg.Lease+b.cfg.LongestOrder)
+	b.stepUntil(func() bool { return b.engine.orders() == 1 })
+	require.GreaterOrEqual(t, b.now().Sub(start), b.cfg.Lease+b.cfg.MaxOrderTime)
 }
 
 // A gap in the stream may hide a newer claim: a holder that meets one can't
 // know and steps down; a new agent counts it as a predecessor.
 func TestTruncatedClaims(t *testing.T) {
-	b := settled(t, nil)
+	b := newServingKeeper(t, nil)
 	b.log.first, b.log.records = 50, nil
-	require.ErrorIs(t, b.claim.read(t.Context()), errLost)
-	fresh := newBench(t, func(c *Config) { c.IgnoresFencing, c.Log = true, b.log })
-	fresh.claimIt()
-	_, wait, err := fresh.claim.mayOrder(fresh.now())
+	require.ErrorIs(t, b.claim.read(t.Context()), errSuperseded)
+	fresh := newTestKeeper(t, func(c *Config) { c.IgnoresFencing, c.Log = true, b.log })
+	fresh.mustClaim()
+	_, wait, err := fresh.claim.orderToken(fresh.now())
 	require.NoError(t, err)
-	require.Equal(t, fresh.cfg.Lease+fresh.cfg.LongestOrder, wait)
+	require.Equal(t, fresh.cfg.Lease+fresh.cfg.MaxOrderTime, wait)
 }
 
 // The store sends bytes that don't fit their digest: they never reach the
 // engine, and the trainer keeps its capacity on the old version.
 func TestWrongDigest(t *testing.T) {
-	b := settled(t, nil)
+	b := newServingKeeper(t, nil)
 	b.store.corrupt = true
 	b.view.Versions["m"] = 8
 	for range 20 {
 		b.step(t.Context())
 		b.awaitFetch()
-		b.pass(time.Second)
+		b.advance(time.Second)
 	}
 	require.Zero(t, b.engine.orders())
-	require.EqualValues(t, 7, b.serves())
+	require.EqualValues(t, 7, b.servingVersion())
 	b.store.corrupt = false
-	b.settle(func() bool { return b.serves() == 8 })
+	b.stepUntil(func() bool { return b.servingVersion() == 8 })
 }
 
 // Run ends its goroutines, and tells waiters of a swap.
 func TestRun(t *testing.T) {
-	b := newBench(t, func(c *Config) { c.Now, c.ReadBack, c.Slot = time.Now, time.Millisecond, time.Millisecond })
+	b := newTestKeeper(t, func(c *Config) {
+		c.Now, c.ReadBackInterval, c.SlotLength = time.Now, time.Millisecond, time.Millisecond
+	})
 	b.view.Versions["m"] = 8
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	done := make(chan struct{})
@@ -265,37 +267,37 @@
 // was announced meanwhile. Then the order for 8 arrives. All orders of a claim
 // carry one token, so the engine can't tell that it is old, and goes back to 8:
 // every running sample is discarded and the engine is out for one more swap.
-func TestOwnLateOrderIsFencedOff(t *testing.T) {
-	b := settled(t, nil)
+func TestOwnDelayedOrderIsFenced(t *testing.T) {
+	b := newServingKeeper(t, nil)
 	var late platform.WeightInfo
 	var lateToken uint64
-	b.engine.obey = func(e *fakeEngine, info platform.WeightInfo, token uint64) error {
+	b.engine.onOrder = func(e *fakeEngine, info platform.WeightInfo, token uint64) error {
 		if late.Version == 0 {
 			late, lateToken = info, token
 			return platform.ErrOrderUnknown
 		}
-		return obeys(e, info, token)
+		return obeyOrder(e, info, token)
 	}
 	b.view.Versions["m"] = 8
-	b.settle(func() bool { return late.Version == 8 })
+	b.stepUntil(func() bool { return late.Version == 8 })
 	b.view.Versions["m"] = 9
-	b.settle(func() bool { return b.serves() == 9 })
+	b.stepUntil(func() bool { return b.servingVersion() == 9 })
 	b.engine.mu.Lock()
 	defer b.engine.mu.Unlock()
-	require.ErrorIs(t, obeys(b.engine, late, lateToken), platform.ErrFenced)
+	require.ErrorIs(t, obeyOrder(b.engine, late, lateToken), platform.ErrFenced)
 	require.EqualValues(t, 9, b.engine.st.Version)
 }
 
-// moving is an engine that another agent swaps to version 9 between this
+// movingEngine is an engine that another agent swaps to version 9 between this
 // agent's look at it and its order, and that ignores fencing tokens.
-type moving struct {
+type movingEngine struct {
 	*fakeEngine
-	looks int
+	stateReads int
 }
 
-func (e *moving) State(ctx context.Context) (platform.EngineState, error) {
-	e.looks++
-	if e.looks == 2 {
+func (e *movingEngine) State(ctx context.Context) (platform.EngineState, error) {
+	e.stateReads++
+	if e.stateReads == 2 {
 		e.set(func(st *platform.EngineState) { st.Version = 9 })
 	}
 	return e.fakeEngine.State(ctx)
@@ -306,22 +308,22 @@
 // the old one's order for 8. The old agent reads 9 back, before its order, and
 // loads 8 over it all the same: the trainers that wait for 9 wait for one more
 // swap, and an engine that was fresh enough is below the floor.
-func TestNoOlderVersionOverANewerOne(t *testing.T) {
-	e := &moving{looks: 10}
-	b := settled(t, func(c *Config) {
+func TestDoesNotLoadOlderOverNewerVersion(t *testing.T) {
+	e := &movingEngine{stateReads: 10}
+	b := newServingKeeper(t, func(c *Config) {
 		e.fakeEngine = c.Engine.(*fakeEngine)
-		c.Engine, c.IgnoresFencing, c.Slot = e, true, 1
+		c.Engine, c.IgnoresFencing, c.SlotLength = e, true, 1
 	})
-	b.engine.obey = func(e *fakeEngine, info platform.WeightInfo, _ uint64) error {
+	b.engine.onOrder = func(e *fakeEngine, info platform.WeightInfo, _ uint64) error {
 		e.st.Version, e.st.Order = info.Version, 0
 		return nil
 	}
 	b.view.Versions["m"] = 8
 	b.step(t.Context())
 	b.awaitFetch()
-	b.pass(b.cfg.ReadBack)
+	b.advance(b.cfg.ReadBackInterval)
 	b.log.down = true
-	e.looks = 0
+	e.stateReads = 0
 	b.step(t.Context())
 	require.Empty(t, b.engine.tokens, "orders for version 8 at an engine that serves 9")
 }
--- a/agent/weights/relay.go
+++ b/agent/weights/relay.go
@@ -16,20 +16,20 @@
 )
 
 const (
-	// relayWait is how long a child's fetch waits for ours to begin.
-	relayWait = 3 * time.Second
-	// aliveEvery is how often a parent that has nothing to send says so with an
+	// maxRelayWait is how long a child's fetch waits for ours to begin.
+	maxRelayWait = 3 * time.Second
+	// keepaliveInterval is how often a parent that has nothing to send says so with an
 	// empty piece. A child gives up a parent that says nothing for parentStall,
 	// as one that stands still, and one that sends no bytes for storeStall: were
 	// the lists of two agents to differ, each could wait for the other.
-	aliveEvery  = time.Second
-	parentStall = relayWait + time.Second
+	keepaliveInterval  = time.Second
+	parentStallTimeout = maxRelayWait + time.Second
 )
 
-// arrival is a copy on its way here. Its bytes are relayed as they come, so
+// incomingCopy is a copy on its way here. Its bytes are relayed as they come, so
 // that a hop of the relay tree costs a piece's time and not a whole version's.
 // A child checks the digest itself, which it has from the store.
-type arrival struct {
+type incomingCopy struct {
 	info platform.WeightInfo
 
 	mu      sync.Mutex
@@ -37,12 +37,12 @@
 	changed chan struct{}
 }
 
-func newArrival(info platform.WeightInfo) *arrival {
-	return &arrival{info: info, data: make([]byte, 0, info.Bytes), changed: make(chan struct{})}
+func newIncomingCopy(info platform.WeightInfo) *incomingCopy {
+	return &incomingCopy{info: info, data: make([]byte, 0, info.Bytes), changed: make(chan struct{})}
 }
 
 // Write takes the next bytes.
-func (a *arrival) Write(p []byte) (int, error) {
+func (a *incomingCopy) Write(p []byte) (int, error) {
 	if len(a.data)+len(p) > cap(a.data) {
 		return 0, errors.Errorf("weights have more than %d bytes", a.info.Bytes)
 	}
@@ -54,7 +54,7 @@
 }
 
 // wake has those look again who wait for more; a nil arrival has none.
-func (a *arrival) wake() {
+func (a *incomingCopy) wake() {
 	if a == nil {
 		return
 	}
@@ -64,33 +64,33 @@
 	a.changed = make(chan struct{})
 }
 
-func (a *arrival) soFar() ([]byte, <-chan struct{}) {
+func (a *incomingCopy) received() ([]byte, <-chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.data, a.changed
 }
 
-// part is what is here of a version.
-type part struct {
-	data    []byte
-	total   int64
-	whole   bool
-	coming  bool // more is on its way
-	passed  bool // it was here and will not come again
-	changed <-chan struct{}
+// availability is what is here of a version.
+type availability struct {
+	data     []byte
+	total    int64
+	complete bool
+	pending  bool // more is on its way
+	gone     bool // it was here and will not come again
+	changed  <-chan struct{}
 }
 
-func (c *copies) part(version uint64) part {
+func (c *copies) available(version uint64) availability {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case c.have != nil && c.have.info.Version == version:
-		return part{data: c.have.data, total: c.have.info.Bytes, whole: c.have.data != nil, passed: c.have.data == nil}
-	case c.arriving != nil && c.arriving.info.Version == version:
-		data, changed := c.arriving.soFar()
-		return part{data: data, total: c.arriving.info.Bytes, coming: true, changed: changed}
+	case c.current != nil && c.current.info.Version == version:
+		return availability{data: c.current.data, total: c.current.info.Bytes, complete: c.current.data != nil, gone: c.current.data == nil}
+	case c.incoming != nil && c.incoming.info.Version == version:
+		data, changed := c.incoming.received()
+		return availability{data: data, total: c.incoming.info.Bytes, pending: true, changed: changed}
 	}
-	return part{coming: c.fetching == version, passed: version <= c.newest, changed: c.changed}
+	return availability{pending: c.fetchingVersion == version, gone: version <= c.newest, changed: c.changed}
 }
 
 // relay serves FetchWeights. Where the own fetch fails and another source is
@@ -101,17 +101,17 @@
 		return status.Errorf(codes.NotFound, "this agent serves model %q", c.cfg.Model)
 	}
 	select {
-	case c.relays <- struct{}{}:
-		defer func() { <-c.relays }()
+	case c.relaySlots <- struct{}{}:
+		defer func() { <-c.relaySlots }()
 	default:
 		return status.Error(codes.ResourceExhausted, "too many relays at once")
 	}
-	alive := time.NewTicker(aliveEvery)
-	defer alive.Stop()
+	keepalive := time.NewTicker(keepaliveInterval)
+	defer keepalive.Stop()
 	waited := time.Duration(0)
 	for sent := 0; ; {
-		p := c.part(req.GetVersion())
-		if p.coming {
+		p := c.available(req.GetVersion())
+		if p.pending {
 			waited = 0
 		}
 		switch {
@@ -122,17 +122,17 @@
 			}
 			sent += n
 			continue
-		case p.whole:
-			c.relayed(req.GetVersion())
+		case p.complete:
+			c.countRelay(req.GetVersion())
 			return nil
-		case p.passed, waited >= relayWait:
+		case p.gone, waited >= maxRelayWait:
 			return status.Errorf(codes.Unavailable, "version %d is not here", req.GetVersion())
 		}
 		select {
 		case <-p.changed:
-		case <-alive.C:
-			waited += aliveEvery
-			if !p.coming {
+		case <-keepalive.C:
+			waited += keepaliveInterval
+			if !p.pending {
 				continue
 			}
 			if err := stream.Send(&pb.WeightsPiece{TotalBytes: p.total}); err != nil {
@@ -144,16 +144,16 @@
 	}
 }
 
-// relayed counts the children that have the version.
-func (c *copies) relayed(version uint64) {
+// countRelay counts the children that have the version.
+func (c *copies) countRelay(version uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.have != nil && c.have.info.Version == version {
-		c.served++
+	if c.current != nil && c.current.info.Version == version {
+		c.completedRelays++
 	}
 }
 
-func (c *copies) fromAgent(ctx context.Context, addr string, info platform.WeightInfo) (*copyOf, error) {
+func (c *copies) fetchFromAgent(ctx context.Context, addr string, info platform.WeightInfo) (*versionCopy, error) {
 	if addr == "" {
 		return nil, errors.New("no address known")
 	}
@@ -164,13 +164,13 @@
 		return nil, errors.Trace(err)
 	}
 	defer done()
-	opening := time.AfterFunc(parentStall, cancel)
+	stallTimer := time.AfterFunc(parentStallTimeout, cancel)
 	stream, err := client.FetchWeights(ctx, &pb.FetchWeightsRequest{Model: info.Model, Version: info.Version})
-	opening.Stop()
+	stallTimer.Stop()
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	return c.readCopy(info, &watched{&pieces{stream: stream, came: time.Now()}, cancel, parentStall})
+	return c.readCopy(info, &stallReader{&pieceReader{stream: stream, lastBytesAt: time.Now()}, cancel, parentStallTimeout})
 }
 
 // dialAgent is the default of Config.Dial.
@@ -182,28 +182,28 @@
 	return pb.NewAgentClient(conn), func() { _ = conn.Close() }, nil
 }
 
-// pieces reads a relayed version. An empty piece is read as no bytes.
-type pieces struct {
-	stream grpc.ServerStreamingClient[pb.WeightsPiece]
-	rest   []byte
-	came   time.Time // when bytes last came
+// pieceReader reads a relayed version. An empty piece is read as no bytes.
+type pieceReader struct {
+	stream      grpc.ServerStreamingClient[pb.WeightsPiece]
+	remaining   []byte
+	lastBytesAt time.Time // when bytes last came
 }
 
-func (p *pieces) Read(b []byte) (int, error) {
-	if len(p.rest) == 0 {
+func (p *pieceReader) Read(b []byte) (int, error) {
+	if len(p.remaining) == 0 {
 		piece, err := p.stream.Recv()
 		if err != nil {
 			return 0, err
 		}
-		p.rest = piece.GetData()
-		if len(p.rest) == 0 && time.Since(p.came) > storeStall {
+		p.remaining = piece.GetData()
+		if len(p.remaining) == 0 && time.Since(p.lastBytesAt) > storeStallTimeout {
 			return 0, errors.New("the parent has nothing to send")
 		}
-		if len(p.rest) > 0 {
-			p.came = time.Now()
+		if len(p.remaining) > 0 {
+			p.lastBytesAt = time.Now()
 		}
 	}
-	n := copy(b, p.rest)
-	p.rest = p.rest[n:]
+	n := copy(b, p.remaining)
+	p.remaining = p.remaining[n:]
 	return n, nil
 }
--- a/agent/weights/schedule.go
+++ b/agent/weights/schedule.go
@@ -24,30 +24,30 @@
 // announcement is a version and when this agent learnt of it.
 type announcement struct {
 	version uint64
-	at      time.Time
+	seenAt  time.Time
 }
 
-// unserved is what is remembered of versions not served yet. It outlives an
+// pendingVersions is what is remembered of versions not served yet. It outlives an
 // engine start.
-type unserved struct {
-	newest announcement
-	oldest announcement // the first version not served yet; version 0: none
-	grid   waves.Schedule
-	fetch  time.Duration // how long the last planned version takes to spread
+type pendingVersions struct {
+	newest    announcement
+	oldest    announcement // the first version not served yet; version 0: none
+	schedule  waves.Schedule
+	fetchTime time.Duration // how long the last planned version takes to spread
 }
 
-// learn notes the newest version and what is served.
-func (k *Keeper) learn(target uint64) {
-	r := &k.state.unserved
+// recordTarget notes the newest version and what is served.
+func (k *Keeper) recordTarget(target uint64) {
+	r := &k.state.pending
 	if target > r.newest.version {
 		r.newest = announcement{target, k.cfg.Now()}
-		grid := r.grid.Advance(r.newest.at, k.timing())
-		if !grid.SameSlots(r.grid) {
-			k.unschedule() // another server may have its slot now
+		schedule := r.schedule.Advance(r.newest.seenAt, k.timing())
+		if !schedule.SameSlots(r.schedule) {
+			k.unscheduleSwap() // another server may have its slot now
 		}
-		r.grid = grid
+		r.schedule = schedule
 	}
-	switch serving := k.proof.Load().serving; {
+	switch serving := k.verified.Load().serving; {
 	case r.newest.version <= serving:
 		r.oldest = announcement{}
 	case r.oldest.version <= serving:
@@ -60,57 +60,57 @@
 
 func (k *Keeper) timing() waves.Timing {
 	return waves.Timing{
-		Fetch: k.state.unserved.fetch, Grace: k.swapGrace(), Hold: k.hold(),
-		Slot: waves.SlotLength(k.cfg.Slot, k.state.swap),
+		Fetch: k.state.pending.fetchTime, Grace: k.swapGrace(), Hold: k.maxHold(),
+		Slot: waves.SlotLength(k.cfg.SlotLength, k.state.swapTime),
 	}
 }
 
-// due returns how long the swap to w must still wait; 0: it begins now.
-func (k *Keeper) due(w *copyOf) time.Duration {
-	serving := k.proof.Load().serving
+// swapDelay returns how long the swap to w must still wait; 0: it begins now.
+func (k *Keeper) swapDelay(w *versionCopy) time.Duration {
+	serving := k.verified.Load().serving
 	if serving == 0 || k.cfg.NoWaves {
 		return 0
 	}
 	now := k.cfg.Now()
 	running := k.streams.Running()
-	below := serving < running.Floor
+	belowFloor := serving < running.Floor
 	switch {
-	case below && w.info.Version < running.Floor:
-		return k.cfg.ReadBack // it would not help; a newer version is on its way
-	case below && !running.Applications:
-		k.schedule(now)
+	case belowFloor && w.info.Version < running.Floor:
+		return k.cfg.ReadBackInterval // it would not help; a newer version is on its way
+	case belowFloor && !running.Applications:
+		k.scheduleSwap(now)
 		return 0
 	}
 	s := &k.state
-	oldest := s.unserved.oldest.at
-	held := !below && running.Unmixed > 0 && now.Before(oldest.Add(k.hold()))
-	if !s.at.IsZero() && !now.Before(s.at) {
+	oldest := s.pending.oldest.seenAt
+	held := !belowFloor && running.Unmixed > 0 && now.Before(oldest.Add(k.maxHold()))
+	if !s.swapAt.IsZero() && !now.Before(s.swapAt) {
 		if !held {
 			return 0
 		}
-		s.at = time.Time{} // its slot passes by
+		s.swapAt = time.Time{} // its slot passes by
 	}
-	ready := now
-	if grace := oldest.Add(k.swapGrace()); held && grace.After(now) {
-		ready = grace
+	earliest := now
+	if graceEnd := oldest.Add(k.swapGrace()); held && graceEnd.After(now) {
+		earliest = graceEnd
 	}
-	if at := k.begin(w, ready); s.at.IsZero() || at.Before(s.at) {
-		k.schedule(at)
+	if at := k.swapStart(w, earliest); s.swapAt.IsZero() || at.Before(s.swapAt) {
+		k.scheduleSwap(at)
 	}
-	if wait := s.at.Sub(now); wait > 0 || !held {
+	if wait := s.swapAt.Sub(now); wait > 0 || !held {
 		return wait
 	}
-	return k.cfg.ReadBack
+	return k.cfg.ReadBackInterval
 }
 
-// willLoad tells whether a copy of an older version than the newest is loaded.
-func (k *Keeper) willLoad(w *copyOf) bool {
-	serving := k.proof.Load().serving
+// shouldLoadOlder tells whether a copy of an older version than the newest is loaded.
+func (k *Keeper) shouldLoadOlder(w *versionCopy) bool {
+	serving := k.verified.Load().serving
 	return serving != 0 && serving < w.info.Version && w.info.Version >= k.streams.Running().Floor
 }
 
-// hold returns how long unmixed streams may hold up the swap.
-func (k *Keeper) hold() time.Duration {
+// maxHold returns how long unmixed streams may maxHold up the swap.
+func (k *Keeper) maxHold() time.Duration {
 	hold := k.swapGrace()
 	if m := k.manifest(); m != nil && m.Fleet.Weigh != manifest.WeighStaleness {
 		hold *= holdFactor
@@ -118,25 +118,25 @@
 	return hold
 }
 
-// begin returns this server's first slot from ready on.
-func (k *Keeper) begin(w *copyOf, ready time.Time) time.Time {
+// swapStart returns this server's first slot from ready on.
+func (k *Keeper) swapStart(w *versionCopy, earliest time.Time) time.Time {
 	plan, _ := k.copies.plan(w.info.Version)
-	rates := waves.Rates{Bytes: w.info.Bytes, StoreBytesPerSecond: k.copies.rates.storePS(k.cfg.Model), LinkBytesPerSecond: linkPS}
-	k.state.unserved.fetch = plan.FetchTime(rates)
-	return plan.SwapStart(k.state.unserved.grid, ready, plan.Role(k.cfg.Server).Wave)
+	rates := waves.Rates{Bytes: w.info.Bytes, StoreBytesPerSecond: k.copies.rates.modelBytesPerSecond(k.cfg.Model), LinkBytesPerSecond: linkBytesPerSecond}
+	k.state.pending.fetchTime = plan.FetchTime(rates)
+	return plan.SwapStart(k.state.pending.schedule, earliest, plan.Role(k.cfg.Server).Wave)
 }
 
-func (k *Keeper) schedule(at time.Time) {
-	if !k.state.at.Equal(at) {
-		k.state.at = at
-		k.streams.SwapPending(at)
+func (k *Keeper) scheduleSwap(at time.Time) {
+	if !k.state.swapAt.Equal(at) {
+		k.state.swapAt = at
+		k.streams.SetPendingSwap(at)
 	}
 }
 
-func (k *Keeper) unschedule() {
-	if !k.state.at.IsZero() {
-		k.state.at = time.Time{}
-		k.streams.SwapPending(time.Time{})
+func (k *Keeper) unscheduleSwap() {
+	if !k.state.swapAt.IsZero() {
+		k.state.swapAt = time.Time{}
+		k.streams.SetPendingSwap(time.Time{})
 	}
 }
 
--- a/agent/weights/schedule_test.go
+++ b/agent/weights/schedule_test.go
@@ -16,24 +16,24 @@
 	tickTime  = 100 * time.Millisecond
 )
 
-// three are the settled keepers of a model.
-func three(t *testing.T, weigh manifest.Weigh) (out []*bench) {
+// newThreeKeepers are the settled keepers of a model.
+func newThreeKeepers(t *testing.T, weigh manifest.Weigh) (out []*testKeeper) {
 	for _, name := range []string{"s0", "s1", "s2"} {
-		b := settled(t, func(c *Config) {
-			c.Server, c.Slot = name, testSlot
-			c.Fellows = func() []Fellow { return []Fellow{{Name: "s0"}, {Name: "s1"}, {Name: "s2"}} }
+		b := newServingKeeper(t, func(c *Config) {
+			c.Server, c.SlotLength = name, testSlot
+			c.Peers = func() []Peer { return []Peer{{Name: "s0"}, {Name: "s1"}, {Name: "s2"}} }
 		})
 		b.view.Manifest.Fleet.Weigh = weigh
 		b.view.Manifest.Models = map[string]manifest.Model{"m": {Name: "m", SwapGrace: testGrace}}
-		b.pass(time.Hour) // the slots of the version found at the start are over
+		b.advance(time.Hour) // the slots of the version found at the start are over
 		out = append(out, b)
 	}
 	return out
 }
 
-// last is the one of three whose wave is the last one.
-func last(t *testing.T, weigh manifest.Weigh) *bench {
-	for _, b := range three(t, weigh) {
+// newLastWaveKeeper is the one of three whose wave is the newLastWaveKeeper one.
+func newLastWaveKeeper(t *testing.T, weigh manifest.Weigh) *testKeeper {
+	for _, b := range newThreeKeepers(t, weigh) {
 		if plan, _ := b.copies.plan(8); plan.Role(b.cfg.Server).Wave == 2 {
 			return b
 		}
@@ -42,21 +42,21 @@
 	return nil
 }
 
-// swapped returns when the next order was given. each runs at each tick.
-func (b *bench) swapped(each func(since time.Duration)) time.Duration {
+// timeToNextOrder returns when the next order was given. each runs at each tick.
+func (b *testKeeper) timeToNextOrder(onTick func(since time.Duration)) time.Duration {
 	b.t.Helper()
 	began, orders := b.now(), b.engine.orders()
 	for range 2000 {
 		since := b.now().Sub(began)
-		if each != nil {
-			each(since)
+		if onTick != nil {
+			onTick(since)
 		}
 		b.step(b.t.Context())
 		if b.engine.orders() > orders {
 			return since
 		}
 		b.awaitFetch()
-		b.pass(tickTime)
+		b.advance(tickTime)
 	}
 	require.Fail(b.t, "no swap")
 	return 0
@@ -65,7 +65,7 @@
 // When an engine of the last wave swaps after an announcement. Each trainer
 // below waits for the swap or loses the stream that it cancels: an engine waits
 // only for what it can save.
-func TestWhenASwapBegins(t *testing.T) {
+func TestSwapStart(t *testing.T) {
 	// The first wave's slot falls on the end of the grace, the last one's two
 	// later, and each a round before and after.
 	slot := testGrace + 2*testSlot - testRound
@@ -87,10 +87,10 @@
 		{"staleness weighs more", manifest.WeighStaleness, Running{Unmixed: 1}, 0, slot + testRound, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b := last(t, c.weigh)
+			b := newLastWaveKeeper(t, c.weigh)
 			b.streams.running = c.running
 			b.view.Versions["m"] = 8
-			at := b.swapped(func(since time.Duration) {
+			at := b.timeToNextOrder(func(since time.Duration) {
 				if c.ends != 0 && since >= c.ends {
 					b.streams.running.Unmixed = 0
 				}
@@ -103,13 +103,13 @@
 
 // The benchmarks' baseline: no slot, no grace, and each agent to the store.
 func TestNoWaves(t *testing.T) {
-	b := last(t, manifest.WeighIdle)
+	b := newLastWaveKeeper(t, manifest.WeighIdle)
 	b.cfg.NoWaves = true
 	b.streams.running.Unmixed = 1
 	b.view.Versions["m"] = 8
-	require.LessOrEqual(t, b.swapped(nil), tickTime)
+	require.LessOrEqual(t, b.timeToNextOrder(nil), tickTime)
 	var asked []string
-	b = child(t, &asked, func(string) (*relayed, error) { return nil, nil })
+	b = newChildKeeper(t, &asked, func(string) (*fakeRelay, error) { return nil, nil })
 	b.copies.cfg.NoWaves = true
 	_, err := b.copies.obtain(t.Context(), 8)
 	require.NoError(t, err)
@@ -120,11 +120,11 @@
 // each version began grace and slots anew, the engine would stay on version 7
 // until the floor passed it, and the trainer wait with no engine at all.
 func TestFastPublisher(t *testing.T) {
-	b := last(t, manifest.WeighIdle)
+	b := newLastWaveKeeper(t, manifest.WeighIdle)
 	b.streams.running.Unmixed = 1
-	at := b.swapped(func(since time.Duration) { b.view.Versions["m"] = 8 + uint64(since/(3*time.Second)) })
+	at := b.timeToNextOrder(func(since time.Duration) { b.view.Versions["m"] = 8 + uint64(since/(3*time.Second)) })
 	require.LessOrEqual(t, at, holdFactor*testGrace+testRound)
-	again := b.swapped(func(since time.Duration) { b.view.Versions["m"] = 8 + uint64((at+since)/(3*time.Second)) })
+	again := b.timeToNextOrder(func(since time.Duration) { b.view.Versions["m"] = 8 + uint64((at+since)/(3*time.Second)) })
 	require.LessOrEqual(t, again, holdFactor*testGrace+testRound)
 	require.Greater(t, again, testGrace, "the next swap has a grace of its own")
 }
@@ -133,8 +133,8 @@
 // for unlike times. A caller always finds one of the three that serves: no two
 // swaps begin within a swap's time. Where each agent's slots began anew with
 // the version that it happened to wait for, they would meet.
-func TestSwapsDoNotMeet(t *testing.T) {
-	fleet := three(t, manifest.WeighIdle)
+func TestSwapsDoNotOverlap(t *testing.T) {
+	fleet := newThreeKeepers(t, manifest.WeighIdle)
 	const swapTime = testSlot * 4 / 5
 	orderedAt := make([]time.Time, len(fleet))
 	swaps := 0
@@ -153,7 +153,7 @@
 				swaps++
 			}
 			b.awaitFetch()
-			b.pass(tickTime)
+			b.advance(tickTime)
 		}
 	}
 	require.Greater(t, swaps, 3*5)
@@ -161,10 +161,10 @@
 
 // Version 9 is announced, but can't be fetched yet. An engine goes on to 8,
 // which is here, rather than to stay on 7; not if 9 alone helps its trainer.
-func TestNewestCopyWillDo(t *testing.T) {
+func TestLoadsNewestAvailableCopy(t *testing.T) {
 	for floor, want := range map[uint64]uint64{8: 8, 9: 7} {
-		b := last(t, manifest.WeighIdle)
-		b.store.upto = 8
+		b := newLastWaveKeeper(t, manifest.WeighIdle)
+		b.store.maxVersion = 8
 		b.view.Versions["m"] = 8
 		b.step(t.Context())
 		b.awaitFetch()
@@ -173,19 +173,19 @@
 		for range 100 {
 			b.step(t.Context())
 			b.awaitFetch()
-			b.pass(tickTime)
+			b.advance(tickTime)
 		}
-		require.Equal(t, want, b.serves())
+		require.Equal(t, want, b.servingVersion())
 	}
 }
 
 // The log is down, so version 9 is not announced; a request's floor tells of
 // it. Without a look at the store every engine refuses the trainer's samples
 // until the log is back.
-func TestFloorTellsOfAVersion(t *testing.T) {
-	b := settled(t, nil)
+func TestFloorRevealsVersion(t *testing.T) {
+	b := newServingKeeper(t, nil)
 	b.store.latest = 9
 	b.streams.running.Floor = 9
-	b.swapped(nil)
-	require.EqualValues(t, 9, b.serves())
+	b.timeToNextOrder(nil)
+	require.EqualValues(t, 9, b.servingVersion())
 }
--- a/agent/weights/slowstore_test.go
+++ b/agent/weights/slowstore_test.go
@@ -17,37 +17,37 @@
 	"dandelionsill.org/platform"
 )
 
-// sized is a store of versions of one size, whose version bad has wrong bytes.
-type sized struct {
+// sizedStore is a store of versions of one size, whose version bad has wrong bytes.
+type sizedStore struct {
 	platform.WeightStore
-	bytes int
-	bad   uint64
+	bytes      int
+	badVersion uint64
 }
 
-func (s sized) info(version uint64) ([]byte, platform.WeightInfo) {
+func (s sizedStore) info(version uint64) ([]byte, platform.WeightInfo) {
 	data := bytes.Repeat([]byte{byte(version)}, s.bytes)
 	sum := sha256.Sum256(data)
 	return data, platform.WeightInfo{Model: "m", Version: version, Bytes: int64(s.bytes), Digest: hex.EncodeToString(sum[:])}
 }
 
-func (s sized) Latest(context.Context, string) (platform.WeightInfo, error) {
+func (s sizedStore) Latest(context.Context, string) (platform.WeightInfo, error) {
 	_, info := s.info(8)
 	return info, nil
 }
 
-func (s sized) Fetch(_ context.Context, _ string, version uint64) (io.ReadCloser, platform.WeightInfo, error) {
+func (s sizedStore) Fetch(_ context.Context, _ string, version uint64) (io.ReadCloser, platform.WeightInfo, error) {
 	data, info := s.info(version)
-	if version == s.bad {
+	if version == s.badVersion {
 		data[0]++
 	}
 	return io.NopCloser(bytes.NewReader(data)), info, nil
 }
 
-// reading is an engine that reads the weights as they come and, like the HTTP
+// streamingEngine is an engine that reads the weights as they come and, like the HTTP
 // adapter, gives up when the order's time is over.
-type reading struct{ *fakeEngine }
+type streamingEngine struct{ *fakeEngine }
 
-func (e reading) LoadWeights(ctx context.Context, info platform.WeightInfo, data io.Reader, token uint64) error {
+func (e streamingEngine) LoadWeights(ctx context.Context, info platform.WeightInfo, data io.Reader, token uint64) error {
 	read := make(chan error, 1)
 	go func() {
 		_, err := io.Copy(io.Discard, data)
@@ -64,7 +64,7 @@
 	return e.fakeEngine.LoadWeights(ctx, info, bytes.NewReader(nil), token)
 }
 
-const slowPS = 20e3 // bytes a second, this agent's share
+const slowBytesPerSecond = 20e3 // bytes a second, this agent's share
 
 // The store is slow: this agent's share of its rate carries a version in 64 s.
 // Each fetch is cut off after 30 s and begun anew from the first byte, for
@@ -72,8 +72,8 @@
 // trainer's step never ends although the store delivers all the time.
 func TestSlowStoreStillDelivers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := settled(t, func(c *Config) { c.Store = sized{bytes: 1_500_000} })
-		b.view.Manifest.Fleet.StoreBytesPS = slowPS
+		b := newServingKeeper(t, func(c *Config) { c.Store = sizedStore{bytes: 1_500_000} })
+		b.view.Manifest.Fleet.StoreBytesPS = slowBytesPerSecond
 		for range 4 {
 			b.copies.fetch(t.Context(), 8)
 		}
@@ -88,37 +88,37 @@
 // lose all capacity because the store is slow.
 func TestSlowStoreDoesNotTakeEnginesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := settled(t, func(c *Config) {
-			c.Store, c.MaxCopyBytes = sized{bytes: 1_500_000}, 1000
-			c.Engine = reading{c.Engine.(*fakeEngine)}
+		b := newServingKeeper(t, func(c *Config) {
+			c.Store, c.MaxCopyBytes = sizedStore{bytes: 1_500_000}, 1000
+			c.Engine = streamingEngine{c.Engine.(*fakeEngine)}
 		})
-		b.view.Manifest.Fleet.StoreBytesPS = slowPS
+		b.view.Manifest.Fleet.StoreBytesPS = slowBytesPerSecond
 		b.view.Versions["m"] = 8
 		begin := time.Now()
 		for time.Since(begin) < 10*time.Minute {
 			b.step(t.Context())
 			synctest.Wait()
-			b.pass(b.cfg.ReadBack)
-			time.Sleep(b.cfg.ReadBack)
+			b.advance(b.cfg.ReadBackInterval)
+			time.Sleep(b.cfg.ReadBackInterval)
 		}
-		require.NotZero(t, b.serves(), "the version served for 10 min")
+		require.NotZero(t, b.servingVersion(), "the version served for 10 min")
 	})
 }
 
 // An order that can't end in time is not begun: while it ran the engine would
 // serve nothing.
-func TestOrderThatIsTooLongIsNotBegun(t *testing.T) {
+func TestTooLongOrderIsNotStarted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := settled(t, func(c *Config) {
-			c.Store, c.MaxCopyBytes = sized{bytes: 1_500_000}, 1000
-			c.Engine = reading{c.Engine.(*fakeEngine)}
+		b := newServingKeeper(t, func(c *Config) {
+			c.Store, c.MaxCopyBytes = sizedStore{bytes: 1_500_000}, 1000
+			c.Engine = streamingEngine{c.Engine.(*fakeEngine)}
 		})
-		b.view.Manifest.Fleet.StoreBytesPS = slowPS
-		_, info := sized{bytes: 1_500_000}.info(8)
+		b.view.Manifest.Fleet.StoreBytesPS = slowBytesPerSecond
+		_, info := sizedStore{bytes: 1_500_000}.info(8)
 		began := time.Now()
-		require.Error(t, b.order(t.Context(), &copyOf{info: info}))
+		require.Error(t, b.order(t.Context(), &versionCopy{info: info}))
 		require.Zero(t, time.Since(began))
-		require.EqualValues(t, 7, b.serves())
+		require.EqualValues(t, 7, b.servingVersion())
 	})
 }
 
@@ -126,38 +126,38 @@
 // restarts and is empty. Version 7, which all its fellows serve and every
 // trainer's bound allows, stands in the store, yet the agent wants 8 alone:
 // the server serves nothing until somebody publishes a ninth version.
-func TestEmptyEngineTakesAnOlderVersion(t *testing.T) {
-	b := newBench(t, func(c *Config) { c.Store = sized{bytes: 1000, bad: 8} })
-	b.claimIt()
+func TestEmptyEngineLoadsOlderVersion(t *testing.T) {
+	b := newTestKeeper(t, func(c *Config) { c.Store = sizedStore{bytes: 1000, badVersion: 8} })
+	b.mustClaim()
 	b.engine.set(func(st *platform.EngineState) { st.Version, st.State = 0, "empty" })
 	b.view.Versions["m"] = 8
 	for range 100 {
 		b.step(t.Context())
 		b.awaitFetch()
-		b.pass(b.cfg.ReadBack)
+		b.advance(b.cfg.ReadBackInterval)
 	}
-	require.EqualValues(t, 7, b.serves())
+	require.EqualValues(t, 7, b.servingVersion())
 }
 
-// trickling is a store whose bytes come slowly, whatever the manifest says.
-type trickling struct {
-	sized
+// tricklingStore is a store whose bytes come slowly, whatever the manifest says.
+type tricklingStore struct {
+	sizedStore
 	perSecond int
 }
 
-type trickle struct {
+type tricklingReader struct {
 	io.Reader
 	perSecond int
 }
 
-func (r trickle) Read(p []byte) (int, error) {
+func (r tricklingReader) Read(p []byte) (int, error) {
 	time.Sleep(time.Second)
 	return r.Reader.Read(p[:min(len(p), r.perSecond)])
 }
 
-func (s trickling) Fetch(_ context.Context, _ string, version uint64) (io.ReadCloser, platform.WeightInfo, error) {
+func (s tricklingStore) Fetch(_ context.Context, _ string, version uint64) (io.ReadCloser, platform.WeightInfo, error) {
 	data, info := s.info(version)
-	return io.NopCloser(trickle{bytes.NewReader(data), s.perSecond}), info, nil
+	return io.NopCloser(tricklingReader{bytes.NewReader(data), s.perSecond}), info, nil
 }
 
 // As in TestSlowStoreDoesNotTakeEnginesOut, but the store is slower than the
@@ -168,23 +168,23 @@
 func TestStoreSlowerThanItsRateDoesNotTakeEnginesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		defer time.Sleep(5 * time.Minute) // the last body's reader ends
-		b := settled(t, func(c *Config) {
-			c.Store, c.MaxCopyBytes = trickling{sized{bytes: 1_500_000}, slowPS}, 1000
-			c.Engine = reading{c.Engine.(*fakeEngine)}
+		b := newServingKeeper(t, func(c *Config) {
+			c.Store, c.MaxCopyBytes = tricklingStore{sizedStore{bytes: 1_500_000}, slowBytesPerSecond}, 1000
+			c.Engine = streamingEngine{c.Engine.(*fakeEngine)}
 		})
 		b.view.Manifest.Fleet.StoreBytesPS = 1e9
 		b.view.Versions["m"] = 8
-		served, looks := 0, 0
+		servedReads, reads := 0, 0
 		for range 300 {
 			b.step(t.Context())
 			synctest.Wait()
-			b.pass(b.cfg.ReadBack)
-			time.Sleep(b.cfg.ReadBack)
-			if looks++; b.serves() != 0 {
-				served++
+			b.advance(b.cfg.ReadBackInterval)
+			time.Sleep(b.cfg.ReadBackInterval)
+			if reads++; b.servingVersion() != 0 {
+				servedReads++
 			}
 		}
-		require.Greater(t, served, looks/2, "looks at which a version was served")
+		require.Greater(t, servedReads, reads/2, "looks at which a version was served")
 	})
 }
 
@@ -196,18 +196,18 @@
 func TestLargeVersionsShareTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const size, perSecond, others = 1_500_000, 1e6, 60
-		b := newBench(t, func(c *Config) {
-			c.Store, c.MaxCopyBytes = sized{bytes: size}, 1000
-			c.Fellows = func() (out []Fellow) {
+		b := newTestKeeper(t, func(c *Config) {
+			c.Store, c.MaxCopyBytes = sizedStore{bytes: size}, 1000
+			c.Peers = func() (out []Peer) {
 				for i := range others {
-					out = append(out, Fellow{Name: fmt.Sprint("f", i), Addr: fmt.Sprint("addr", i)})
+					out = append(out, Peer{Name: fmt.Sprint("f", i), Addr: fmt.Sprint("addr", i)})
 				}
 				return out
 			}
 		})
 		b.view.Manifest.Fleet.StoreBytesPS = perSecond
-		_, info := sized{bytes: size}.info(8)
-		body, err := b.copies.open(t.Context(), &copyOf{info: info})
+		_, info := sizedStore{bytes: size}.info(8)
+		body, err := b.copies.open(t.Context(), &versionCopy{info: info})
 		require.NoError(t, err)
 		began := time.Now()
 		_, err = io.Copy(io.Discard, body)
--- a/agent/weights/swap.go
+++ b/agent/weights/swap.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	stateTimeout = 2 * time.Second
-	pollLoading  = 50 * time.Millisecond
-	// retryCutOff: while an order runs nothing is served, so one that the
+	stateReadTimeout    = 2 * time.Second
+	loadingPollInterval = 50 * time.Millisecond
+	// incompleteRetryDelay: while an order runs nothing is served, so one that the
 	// engine never took whole is not repeated soon.
-	retryCutOff = time.Minute
+	incompleteRetryDelay = time.Minute
 	// smoothing of the measured swap time.
 	swapSmoothing = 0.5
 )
@@ -30,51 +30,51 @@
 
 // runState is what the goroutine of Run remembers between steps.
 type runState struct {
-	unanswered int
-	boot       string // engine start of the last read-back
-	seen       uint64 // version that the last read-back showed on boot, 0: none
-	failed     bool   // the last order on boot failed: only a verified order helps
-	settled    bool   // something was verified on boot before
-	renew      bool   // an order of unknown outcome may still be on its way
-	retry      time.Duration
-	retryAt    time.Time
-	unserved   unserved
-	at         time.Time // of the next swap; zero: none is scheduled
-	polledAt   time.Time
-	newest     uint64 // newest version that the store named
-	swap       time.Duration
+	unanswered      int
+	boot            string // engine start of the last read-back
+	reportedVersion uint64 // version that the last read-back showed on boot, 0: none
+	failed          bool   // the last order on boot failed: only a verified order helps
+	everVerified    bool   // something was verified on boot before
+	mustRenewToken  bool   // an order of unknown outcome may still be on its way
+	retryDelay      time.Duration
+	retryAt         time.Time
+	pending         pendingVersions
+	swapAt          time.Time // of the next swap; zero: none is scheduled
+	polledAt        time.Time
+	storeVersion    uint64 // newest version that the store named
+	swapTime        time.Duration
 }
 
 // step reads the engine back, and gives an order when one is due. It returns
 // how long to wait for the next step.
 func (k *Keeper) step(ctx context.Context) time.Duration {
-	if k.claim.isLost() {
-		return k.cfg.ReadBack
+	if k.claim.isSuperseded() {
+		return k.cfg.ReadBackInterval
 	}
 	st, err := k.readBack(ctx)
 	if err != nil {
-		k.unanswered(err)
-		return k.cfg.ReadBack
+		k.recordUnanswered(err)
+		return k.cfg.ReadBackInterval
 	}
-	k.judge(ctx, st)
+	k.evaluate(ctx, st)
 	target := k.target(ctx)
 	k.copies.rates.observe()
-	k.learn(target)
-	k.copies.release(k.proof.Load().serving)
-	if k.proof.Load().serving == 0 && target != 0 && !k.state.failed {
-		target = k.copies.older(target)
+	k.recordTarget(target)
+	k.copies.dropUnneeded(k.verified.Load().serving)
+	if k.verified.Load().serving == 0 && target != 0 && !k.state.failed {
+		target = k.copies.fallbackVersion(target)
 	}
-	if !k.wants(target, st) {
-		k.unschedule()
-		return k.cfg.ReadBack
+	if !k.needsOrder(target, st) {
+		k.unscheduleSwap()
+		return k.cfg.ReadBackInterval
 	}
-	k.copies.want(ctx, target, k.willLoad)
-	w := k.copies.best(target, k.proof.Load().serving)
+	k.copies.startFetch(ctx, target, k.shouldLoadOlder)
+	w := k.copies.bestToLoad(target, k.verified.Load().serving)
 	if w == nil {
-		return k.cfg.ReadBack
+		return k.cfg.ReadBackInterval
 	}
-	if wait := k.due(w); wait > 0 {
-		return min(wait, k.cfg.ReadBack)
+	if wait := k.swapDelay(w); wait > 0 {
+		return min(wait, k.cfg.ReadBackInterval)
 	}
 	if err := k.order(ctx, w); err != nil {
 		k.backOff(err)
@@ -83,74 +83,74 @@
 }
 
 func (k *Keeper) readBack(ctx context.Context) (platform.EngineState, error) {
-	ctx, cancel := context.WithTimeout(ctx, stateTimeout)
+	ctx, cancel := context.WithTimeout(ctx, stateReadTimeout)
 	defer cancel()
 	return k.cfg.Engine.State(ctx)
 }
 
-// unanswered: one lost answer proves nothing; more mean that the engine is gone.
-func (k *Keeper) unanswered(err error) {
+// recordUnanswered: one lost answer proves nothing; more mean that the engine is gone.
+func (k *Keeper) recordUnanswered(err error) {
 	k.state.unanswered++
-	if k.state.unanswered >= unansweredLimit {
-		k.state.seen = 0
+	if k.state.unanswered >= maxUnanswered {
+		k.state.reportedVersion = 0
 		k.distrust(true, "the engine does not answer: "+err.Error())
 	}
 }
 
-// judge compares what the engine says of itself with what is verified.
-func (k *Keeper) judge(ctx context.Context, st platform.EngineState) {
+// evaluate compares what the engine says of itself with what is verified.
+func (k *Keeper) evaluate(ctx context.Context, st platform.EngineState) {
 	s := &k.state
 	s.unanswered = 0
 	if st.Boot != s.boot {
 		k.distrust(true, "the engine restarted")
-		*s = runState{boot: st.Boot, retry: retryMin, newest: s.newest, swap: s.swap, unserved: s.unserved}
+		*s = runState{boot: st.Boot, retryDelay: minRetryDelay, storeVersion: s.storeVersion, swapTime: s.swapTime, pending: s.pending}
 	}
 	served := uint64(0)
 	if st.State == stateServing && st.Model == k.cfg.Model {
 		served = st.Version
 	}
-	p := k.proof.Load()
+	p := k.verified.Load()
 	if p.serving != 0 && served == p.serving && st.Boot == p.boot {
-		s.seen = served
+		s.reportedVersion = served
 		return
 	}
 	k.distrust(false, fmt.Sprintf("the engine is %s on version %d, verified was %d", st.State, st.Version, p.serving))
-	k.adopt(ctx, st, served)
+	k.adoptReported(ctx, st, served)
 }
 
-// adopt trusts what the engine says without an order of ours: at once on an
+// adoptReported trusts what the engine says without an order of ours: at once on an
 // engine start that is new to us, else only when two read-backs agree. After a
 // failed order it never does: such an engine may serve anything.
-func (k *Keeper) adopt(ctx context.Context, st platform.EngineState, served uint64) {
+func (k *Keeper) adoptReported(ctx context.Context, st platform.EngineState, served uint64) {
 	s := &k.state
-	agreed := served != 0 && (s.seen == served || !s.settled)
-	s.seen = served
+	agreed := served != 0 && (s.reportedVersion == served || !s.everVerified)
+	s.reportedVersion = served
 	if !agreed || s.failed {
 		return
 	}
-	if k.stillOurs(ctx, st) != nil {
+	if k.checkNotSuperseded(ctx, st) != nil {
 		return
 	}
-	s.settled = true
-	k.set(&proof{serving: served, boot: st.Boot})
-	k.explain(served, "the engine says so when read back")
+	s.everVerified = true
+	k.publish(&verifiedState{serving: served, boot: st.Boot})
+	k.recordServing(served, "the engine says so when read back")
 }
 
-// stillOurs looks for a newer agent in the log and in the engine's own state.
+// checkNotSuperseded looks for a newer agent in the log and in the engine's own state.
 // With the log down the engine's state alone must do (see the package comment).
-func (k *Keeper) stillOurs(ctx context.Context, st platform.EngineState) error {
+func (k *Keeper) checkNotSuperseded(ctx context.Context, st platform.EngineState) error {
 	token := k.claim.token.Load()
 	if token == 0 {
 		return nil // nothing was claimed, so nothing can have been lost
 	}
-	rctx, cancel := context.WithTimeout(ctx, stateTimeout)
+	rctx, cancel := context.WithTimeout(ctx, stateReadTimeout)
 	defer cancel()
-	if err := k.claim.read(rctx); errors.Is(err, errLost) {
+	if err := k.claim.read(rctx); errors.Is(err, errSuperseded) {
 		return err
 	}
 	if st.Order > token {
 		k.claim.stepDown()
-		return errLost
+		return errSuperseded
 	}
 	return nil
 }
@@ -158,29 +158,29 @@
 // target returns the version that the engine should serve.
 func (k *Keeper) target(ctx context.Context) uint64 {
 	s := &k.state
-	newest := max(k.known(), s.newest)
+	newest := max(k.announcedVersion(), s.storeVersion)
 	now := k.cfg.Now()
-	if (newest != 0 && newest >= k.streams.Running().Floor) || now.Sub(s.polledAt) < storePoll {
+	if (newest != 0 && newest >= k.streams.Running().Floor) || now.Sub(s.polledAt) < storePollInterval {
 		return newest
 	}
 	// Nobody has announced a version yet, or a trainer's floor proves a newer
 	// one whose announcement is late, as while the log is down: the store tells.
 	s.polledAt = now
-	sctx, cancel := context.WithTimeout(ctx, stateTimeout)
+	sctx, cancel := context.WithTimeout(ctx, stateReadTimeout)
 	defer cancel()
 	if info, err := k.cfg.Store.Latest(sctx, k.cfg.Model); err == nil {
-		s.newest = info.Version
+		s.storeVersion = info.Version
 	}
-	return s.newest
+	return s.storeVersion
 }
 
-// wants tells whether an order for target is called for.
-func (k *Keeper) wants(target uint64, st platform.EngineState) bool {
+// needsOrder tells whether an order for target is called for.
+func (k *Keeper) needsOrder(target uint64, st platform.EngineState) bool {
 	s := &k.state
 	if target == 0 || k.cfg.Now().Before(s.retryAt) || st.State == stateLoading {
 		return false
 	}
-	_, wait, err := k.claim.mayOrder(k.cfg.Now())
+	_, wait, err := k.claim.orderToken(k.cfg.Now())
 	if err != nil || wait > 0 {
 		return false
 	}
@@ -190,69 +190,69 @@
 // order loads a version and verifies it. Between the last look at claim and
 // engine and the order no pause may lie: the heartbeat and the proof that was
 // in force at the start tell.
-func (k *Keeper) order(ctx context.Context, w *copyOf) error {
-	defer k.unschedule()
-	if !k.copies.inTime(w) {
-		return errors.Errorf("%d bytes do not stream into the engine within %v", w.info.Bytes, k.cfg.LongestOrder)
+func (k *Keeper) order(ctx context.Context, w *versionCopy) error {
+	defer k.unscheduleSwap()
+	if !k.copies.fitsOrderTime(w) {
+		return errors.Errorf("%d bytes do not stream into the engine within %v", w.info.Bytes, k.cfg.MaxOrderTime)
 	}
-	looked := k.cfg.Now()
-	before, token, err := k.mayLoad(ctx, w)
+	checkedAt := k.cfg.Now()
+	before, token, err := k.prepareOrder(ctx, w)
 	if err != nil {
 		return err
 	}
-	old := k.proof.Load()
+	old := k.verified.Load()
 	body, err := k.copies.open(ctx, w)
 	if err != nil {
 		return errors.Trace(err)
 	}
 	defer body.Close()
-	if gap(looked, k.cfg.Now()) > k.cfg.Lease {
+	if elapsed(checkedAt, k.cfg.Now()) > k.cfg.Lease {
 		return errors.New("stood still before the order; looking again")
 	}
 	k.streams.CancelUnmixed()
-	prev := old.serving
+	previous := old.serving
 	if old.boot != before.Boot {
-		prev = 0
+		previous = 0
 	}
-	k.set(&proof{boot: before.Boot, prev: prev, to: w.info.Version})
+	k.publish(&verifiedState{boot: before.Boot, previous: previous, loading: w.info.Version})
 	started := k.cfg.Now()
-	octx, cancel := context.WithTimeout(ctx, k.cfg.LongestOrder)
+	octx, cancel := context.WithTimeout(ctx, k.cfg.MaxOrderTime)
 	defer cancel()
 	orderErr := k.cfg.Engine.LoadWeights(octx, w.info, body, token)
 	if errors.Is(orderErr, platform.ErrFenced) {
 		k.claim.stepDown()
 	}
-	if (notTaken(orderErr) || cutOff(orderErr, body)) && k.untouched(ctx, before) {
-		k.set(old)
+	if (neverReceived(orderErr) || bodyIncomplete(orderErr, body)) && k.isUnchanged(ctx, before) {
+		k.publish(old)
 		if w.data == nil {
-			k.state.retry = retryCutOff
+			k.state.retryDelay = incompleteRetryDelay
 		}
 		return errors.Annotate(orderErr, "order not taken")
 	}
 	if err := k.verify(ctx, w, before.Boot, token, orderErr); err != nil {
-		k.state.renew = !k.cfg.IgnoresFencing && !errors.Is(orderErr, platform.ErrLoadFailed)
-		k.fail(err)
+		k.state.mustRenewToken = !k.cfg.IgnoresFencing && !errors.Is(orderErr, platform.ErrLoadFailed)
+		k.recordOrderFailure(err)
 		return err
 	}
-	k.state.measure(k.cfg.Now().Sub(started))
+	k.state.observeSwapTime(k.cfg.Now().Sub(started))
 	return nil
 }
 
-// mayLoad reads the engine back and returns its state and the token to order
+// prepareOrder reads the engine back and returns its state and the token to order
 // with, or why no order for w may be given now.
-func (k *Keeper) mayLoad(ctx context.Context, w *copyOf) (before platform.EngineState, token uint64, err error) {
+func (k *Keeper) prepareOrder(ctx context.Context, w *versionCopy) (before platform.EngineState, token uint64, err error) {
 	before, err = k.readBack(ctx)
 	if err != nil {
 		return before, 0, errors.Annotate(err, "read back before the order")
 	}
-	if err := k.stillOurs(ctx, before); err != nil {
+	if err := k.checkNotSuperseded(ctx, before); err != nil {
 		return before, 0, err
 	}
 	if before.State == stateServing && before.Version > w.info.Version {
 		return before, 0, errors.Errorf("the engine went on to version %d", before.Version)
 	}
 	k.renewToken(ctx)
-	token, wait, err := k.claim.mayOrder(k.cfg.Now())
+	token, wait, err := k.claim.orderToken(k.cfg.Now())
 	if err != nil {
 		return before, 0, errors.Annotate(err, "order")
 	}
@@ -266,74 +266,74 @@
 // With the log down the old one must do: the read-backs find an engine that the
 // late order took back.
 func (k *Keeper) renewToken(ctx context.Context) {
-	if !k.state.renew {
+	if !k.state.mustRenewToken {
 		return
 	}
 	if err := k.claim.renew(ctx); err != nil {
 		k.log.Info("No new fencing token could be claimed.", zap.Error(err))
 		return
 	}
-	k.state.renew = false
+	k.state.mustRenewToken = false
 }
 
-// notTaken tells whether an order's error proves that the engine never had it.
-func notTaken(err error) bool {
-	for _, may := range []error{
+// neverReceived tells whether an order's error proves that the engine never had it.
+func neverReceived(err error) bool {
+	for _, possible := range []error{
 		nil, platform.ErrFenced, platform.ErrLoadFailed, platform.ErrOrderUnknown,
 		context.Canceled, context.DeadlineExceeded,
 	} {
-		if errors.Is(err, may) {
+		if errors.Is(err, possible) {
 			return false
 		}
 	}
 	return true
 }
 
-// cutOff tells whether the body of an order never came to its end, as when the
+// bodyIncomplete tells whether the body of an order never came to its end, as when the
 // store is too slow: an engine can't have obeyed an order that it has not got.
 // That it says nothing changed, its last order included, is asked for besides.
-func cutOff(err error, b *body) bool {
-	return err != nil && !b.whole() && !errors.Is(err, platform.ErrLoadFailed) && !errors.Is(err, platform.ErrFenced)
+func bodyIncomplete(err error, b *orderBody) bool {
+	return err != nil && !b.isComplete() && !errors.Is(err, platform.ErrLoadFailed) && !errors.Is(err, platform.ErrFenced)
 }
 
-// untouched tells whether the engine still says what it said before the order,
+// isUnchanged tells whether the engine still says what it said before the order,
 // and nothing ended the trust in it meanwhile.
-func (k *Keeper) untouched(ctx context.Context, before platform.EngineState) bool {
+func (k *Keeper) isUnchanged(ctx context.Context, before platform.EngineState) bool {
 	st, err := k.readBack(ctx)
-	return err == nil && st == before && k.proof.Load().to != 0
+	return err == nil && st == before && k.verified.Load().loading != 0
 }
 
 // verify reads the engine back after an order. An order whose answer was lost
 // may have been obeyed all the same; one that failed partway leaves an engine
 // that may serve anything, whatever it says.
-func (k *Keeper) verify(ctx context.Context, w *copyOf, boot string, token uint64, orderErr error) error {
+func (k *Keeper) verify(ctx context.Context, w *versionCopy, boot string, token uint64, orderErr error) error {
 	if errors.Is(orderErr, platform.ErrLoadFailed) || errors.Is(orderErr, platform.ErrFenced) {
 		return orderErr
 	}
-	st, err := k.afterLoading(ctx)
+	st, err := k.readAfterLoading(ctx)
 	if err != nil {
 		return errors.Annotatef(err, "order (%v) not verified", orderErr)
 	}
-	ours := st.Order == token || (k.cfg.IgnoresFencing && st.Order == 0)
-	if st.State != stateServing || st.Version != w.info.Version || st.Model != k.cfg.Model || st.Boot != boot || !ours {
+	tokenMatches := st.Order == token || (k.cfg.IgnoresFencing && st.Order == 0)
+	if st.State != stateServing || st.Version != w.info.Version || st.Model != k.cfg.Model || st.Boot != boot || !tokenMatches {
 		return errors.Errorf("order (%v) not verified: engine is %s on version %d by order %d", orderErr, st.State, st.Version, st.Order)
 	}
-	if k.beat.missed() || k.proof.Load().to != w.info.Version {
+	if k.pauses.exceeded() || k.verified.Load().loading != w.info.Version {
 		return errors.New("trust ended while the order ran")
 	}
-	k.state.failed, k.state.settled, k.state.seen = false, true, st.Version
-	k.state.retry, k.state.retryAt = retryMin, time.Time{}
-	k.set(&proof{serving: st.Version, boot: boot, prev: k.proof.Load().prev})
-	k.explain(st.Version, "loaded and read back")
+	k.state.failed, k.state.everVerified, k.state.reportedVersion = false, true, st.Version
+	k.state.retryDelay, k.state.retryAt = minRetryDelay, time.Time{}
+	k.publish(&verifiedState{serving: st.Version, boot: boot, previous: k.verified.Load().previous})
+	k.recordServing(st.Version, "loaded and read back")
 	return nil
 }
 
-// afterLoading reads the engine back until it no longer says "loading": where
+// readAfterLoading reads the engine back until it no longer says "loading": where
 // the order's answer was lost the engine may still be at it.
-func (k *Keeper) afterLoading(ctx context.Context) (platform.EngineState, error) {
-	ctx, cancel := context.WithTimeout(ctx, k.cfg.LongestOrder)
+func (k *Keeper) readAfterLoading(ctx context.Context) (platform.EngineState, error) {
+	ctx, cancel := context.WithTimeout(ctx, k.cfg.MaxOrderTime)
 	defer cancel()
-	tick := time.NewTicker(pollLoading)
+	tick := time.NewTicker(loadingPollInterval)
 	defer tick.Stop()
 	for {
 		st, err := k.cfg.Engine.State(ctx)
@@ -348,29 +348,29 @@
 	}
 }
 
-// fail: nothing is served until an order of ours is verified, or the engine
+// recordOrderFailure: nothing is served until an order of ours is verified, or the engine
 // restarts and so starts from a known state.
-func (k *Keeper) fail(err error) {
+func (k *Keeper) recordOrderFailure(err error) {
 	k.state.failed = true
 	k.distrust(true, "weight order failed: "+err.Error())
 }
 
 func (k *Keeper) backOff(err error) {
 	s := &k.state
-	s.retryAt = k.cfg.Now().Add(s.retry/2 + rand.N(s.retry))
-	s.retry = min(2*s.retry, retryMax)
+	s.retryAt = k.cfg.Now().Add(s.retryDelay/2 + rand.N(s.retryDelay))
+	s.retryDelay = min(2*s.retryDelay, maxRetryDelay)
 	k.log.Warn("A weight order failed.", zap.Error(err), zap.Time("retry_at", s.retryAt))
 }
 
-func (s *runState) measure(took time.Duration) {
-	if s.swap == 0 {
-		s.swap = took
+func (s *runState) observeSwapTime(took time.Duration) {
+	if s.swapTime == 0 {
+		s.swapTime = took
 		return
 	}
-	s.swap += time.Duration(swapSmoothing * float64(took-s.swap))
+	s.swapTime += time.Duration(swapSmoothing * float64(took-s.swapTime))
 }
 
-func (k *Keeper) explain(version uint64, why string) {
-	k.cfg.Logger.Info("Serving verified weights.", zap.Uint64("version", version), zap.String("why", why))
-	k.cfg.Explain.Add(context.Background(), "weights", k.cfg.Server, fmt.Sprintf("serve version %d", version), why)
+func (k *Keeper) recordServing(version uint64, reason string) {
+	k.cfg.Logger.Info("Serving verified weights.", zap.Uint64("version", version), zap.String("why", reason))
+	k.cfg.Explain.Add(context.Background(), "weights", k.cfg.Server, fmt.Sprintf("serve version %d", version), reason)
 }
--- a/capacity/spread_test.go
+++ b/capacity/spread_test.go
@@ -147,21 +147,21 @@
 }
 
 func startSpreaders(b *testing.B, ctx context.Context, loops *sync.WaitGroup, url string, view confsync.Viewer) []*weights.Keeper {
-	fellows := make([]weights.Fellow, spreadServers)
+	fellows := make([]weights.Peer, spreadServers)
 	listeners := make([]net.Listener, spreadServers)
 	for i := range fellows {
 		lis, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(b, err)
 		listeners[i] = lis
-		fellows[i] = weights.Fellow{Name: agentName(i), Addr: lis.Addr().String(), FailureDomain: "domain-00"}
+		fellows[i] = weights.Peer{Name: agentName(i), Addr: lis.Addr().String(), FailureDomain: "domain-00"}
 	}
 	var keepers []*weights.Keeper
 	for i, f := range fellows {
 		engine := &readyEngine{state: platform.EngineState{Boot: "boot", Model: "model-0", Version: 1, State: "serving"}}
 		k := weights.New(weights.Config{
 			Server: f.Name, Model: "model-0", FailureDomain: f.FailureDomain, Engine: engine,
-			Store: httpstore.New(url, f.Name), Log: &memoryLog{}, View: view, Slot: 100 * time.Millisecond,
-			Fellows: func() []weights.Fellow { return append(append([]weights.Fellow{}, fellows[:i]...), fellows[i+1:]...) },
+			Store: httpstore.New(url, f.Name), Log: &memoryLog{}, View: view, SlotLength: 100 * time.Millisecond,
+			Peers: func() []weights.Peer { return append(append([]weights.Peer{}, fellows[:i]...), fellows[i+1:]...) },
 		})
 		srv := run.NewGRPC(f.Addr).Server
 		pb.RegisterAgentServer(srv, relay{keeper: k})
