--- a/agent/weights/claim.go
+++ b/agent/weights/claim.go
@@ -18,7 +18,7 @@
 
 // Errors of a claim.
 var (
-	errSuperseded = errors.New("weights: a newer agent holds this backend server")
+	errSuperseded = errors.New("weights: a newer agent has claimed this backend server")
 	errNoClaim    = errors.New("weights: no fencing token yet")
 )
 
@@ -30,15 +30,16 @@
 	claimReadInterval  = 30 * time.Second // 1,500 agents: 50 reads/s of a short tail
 )
 
-// claim is this agent's claim of its backend server in the log.
+// claim is this agent's claim of its backend server in the log. The claim's
+// record determines the fencing token of the weight orders.
 type claim struct {
 	cfg Config
-	log *zap.Logger // each message once per logInterval
-	id  string      // the reader's, but for try before the claim stands
+	log *zap.Logger // writes each message at most once per logInterval
+	id  string      // id of the newest claim; guarded by readLock once the first claim is stored
 
-	readLock    chan struct{} // holds one token; who reads the stream takes it
-	state       *agents.State // the reader's
-	fullHistory bool          // the reader's: the stream was read from its very first record
+	readLock    chan struct{} // holds one token, which is taken while the stream is read
+	state       *agents.State // guarded by readLock
+	fullHistory bool          // guarded by readLock; the stream was read from its very first record
 
 	token              atomic.Uint64
 	mayHavePredecessor atomic.Bool               // another agent may hold or have held the server
@@ -57,7 +58,8 @@
 	return c
 }
 
-// run claims the server and then looks for newer claims now and then.
+// run claims the server and then checks for newer claims every
+// claimReadInterval.
 func (c *claim) run(ctx context.Context) {
 	wait := minClaimRetryDelay
 	for {
@@ -68,7 +70,7 @@
 			wait = min(2*wait, maxClaimRetryDelay)
 		}
 		if err != nil && !errors.Is(err, errSuperseded) {
-			c.log.Info("The claim of the backend server is not settled.", zap.Error(err), zap.Duration("retry_in", next))
+			c.log.Info("Claiming the backend server or checking its claim failed; retrying.", zap.Error(err), zap.Duration("retry_in", next))
 		}
 		select {
 		case <-ctx.Done():
@@ -80,9 +82,9 @@
 	}
 }
 
-// attempt makes one step: read the stream to its end, append the claim where it
-// does not stand yet. A lost append answer is settled by the next read; the
-// record's id makes a repeated append harmless.
+// attempt reads the stream to its end and appends the claim if it is not stored
+// yet. If the answer to an append is lost, the next read shows the outcome; a
+// repeated append is harmless because the record has the same id.
 func (c *claim) attempt(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
@@ -105,8 +107,8 @@
 	return c.read(ctx)
 }
 
-// read folds the stream to its end. It returns errLost when a newer claim of
-// the server stands there or can't be ruled out.
+// read applies the stream to its end. It returns errSuperseded if a newer claim
+// of the server is stored there or can't be ruled out.
 func (c *claim) read(ctx context.Context) error {
 	select {
 	case <-c.readLock:
@@ -135,9 +137,10 @@
 	}
 }
 
-// handleTruncation skips records that are no longer kept. An agent that holds a claim gives
-// it up: a newer claim may have stood among them, as after a pause longer than
-// the log's retention. Claiming anew would take the server from its live agent.
+// handleTruncation skips records that the log no longer keeps. An agent that
+// holds a claim gives it up: a newer claim may have been among them, as after a
+// pause longer than the log's retention. Claiming again would take the server
+// from the agent that holds it now.
 func (c *claim) handleTruncation(first uint64) error {
 	c.fullHistory = false
 	if c.token.Load() != 0 {
@@ -145,13 +148,14 @@
 		return errSuperseded
 	}
 	if first <= c.state.Next() {
-		return platform.ErrTruncated // the log contradicts itself; ask again later
+		return platform.ErrTruncated // the log's answers are inconsistent; retried later
 	}
 	c.state.SkipTo(first)
 	return nil
 }
 
-// evaluateNewest runs with the reader's token held.
+// evaluateNewest takes over the token of this agent's claim if it is the newest
+// one, and steps down if another agent's claim is newer. It needs readLock.
 func (c *claim) evaluateNewest() error {
 	newest, _ := c.state.Newest(c.cfg.Server)
 	if newest.ID == c.id {
@@ -167,10 +171,10 @@
 	return nil
 }
 
-// renew claims the server anew for a higher token. It is called after an order
-// whose answer was lost: that order may still be on its way, and an engine
-// can't tell it from later ones that carry the same token. The old token stays
-// good until the new claim stands.
+// renew claims the server again for a higher token. It is called after an order
+// whose answer was lost: that order may still be under way, and an engine can't
+// distinguish it from later orders with the same token. The old token stays
+// valid until the new claim is stored.
 func (c *claim) renew(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, stateReadTimeout)
 	defer cancel()
@@ -192,9 +196,9 @@
 	return c.read(ctx)
 }
 
-// nextID returns the id of the next claim. One whose claim does not stand yet
-// is used again: its append may still be on its way, and must not look like
-// another agent's when it lands.
+// nextID returns the id of the next claim. An id whose claim is not stored yet
+// is used again: its append may still be under way, and must not look like
+// another agent's claim once it is stored.
 func (c *claim) nextID(ctx context.Context) (string, error) {
 	select {
 	case <-c.readLock:
@@ -219,7 +223,8 @@
 	}
 }
 
-// orderToken returns the token, or why no order may be given now.
+// orderToken returns the fencing token and how long an order must still wait,
+// or errSuperseded or errNoClaim if no order may be given.
 func (c *claim) orderToken(now time.Time) (token uint64, wait time.Duration, err error) {
 	if c.isSuperseded() {
 		return 0, 0, errSuperseded
--- a/agent/weights/claim_test.go
+++ b/agent/weights/claim_test.go
@@ -9,7 +9,8 @@
 	"dandelionsill.org/platform"
 )
 
-// slowLog keeps its first append on its way and is down for the others.
+// slowLog delays its first append, with an unknown outcome, and is unavailable
+// for the others.
 type slowLog struct {
 	*fakeLog
 	slow    bool
@@ -27,11 +28,11 @@
 	return 0, platform.ErrLogUnavailable
 }
 
-// Two orders are lost in a row, and the log is slow: the claim for a higher
-// token after the first stays on its way, that after the second is refused.
-// When the first lands, the agent has another id in mind and takes its own claim
-// for a newer agent's: it steps down, and a well server serves nothing until its
-// agent is started again.
+// Two orders are lost in a row while the log is slow: the append of the claim
+// for a higher token is delayed after the first order and refused after the
+// second. If the agent used another id for the second, it would take its own
+// delayed claim for a newer agent's once it is stored, and step down: a healthy
+// server would serve nothing until its agent is restarted.
 func TestOwnDelayedClaimIsNotAnotherAgents(t *testing.T) {
 	var log *slowLog
 	b := newServingKeeper(t, func(c *Config) {
--- a/agent/weights/copies.go
+++ b/agent/weights/copies.go
@@ -24,51 +24,53 @@
 const (
 	pieceBytes = 256 << 10
 	maxRelays  = 2 * waves.FanOut
-	// A source that sends nothing for so long is given up. There is no limit to
-	// the whole: a slow store that delivers must not be begun anew for ever.
+	// A source that sends nothing for this long is abandoned. There is no limit
+	// for the whole transfer: a slow store that delivers must not be restarted
+	// from the first byte for ever.
 	storeStallTimeout = 30 * time.Second
-	// copyRetention is how long a copy that the own engine serves is kept for agents
-	// that relay from this one and have not come: several times what the spread
-	// over a whole fleet takes.
+	// copyRetention is how long a copy that this agent's engine serves already
+	// is kept for agents that should fetch it from here and have not yet:
+	// several times what the spread over a whole fleet takes.
 	copyRetention = time.Minute
-	// maxVersionsBack is how many versions back an engine that serves nothing goes
-	// while the newest can't be fetched.
+	// maxVersionsBack is how many versions an engine that serves nothing goes
+	// back while the newest can't be fetched.
 	maxVersionsBack = 3
 )
 
-// versionCopy is this agent's copy of one version. data is nil where the version is
-// larger than Config.MaxCopyBytes: it then streams from the store into the
+// versionCopy is this agent's copy of one version. data is nil if the version
+// is larger than Config.MaxCopyBytes: it then streams from the store into the
 // engine and is not relayed.
 type versionCopy struct {
 	info        platform.WeightInfo
 	data        []byte
-	completedAt time.Time // when it was whole
+	completedAt time.Time // when all bytes had arrived
 }
 
-// copies fetches the newest version, keeps it while it is of use, and relays it.
+// copies fetches the newest version, keeps it while it is needed, and relays it
+// to other agents.
 //
-// The bytes pass through this process's memory, as its engine takes them from
-// here and agents below it in the relay tree do too. That is data, beside the
-// memory that control takes, but bounded: what is kept and what is on its way
-// together have Config.MaxCopyBytes. A copy goes as soon as the own engine
-// serves it and the agents that fetch from this one first have it, or after
-// keepCopy; in a fleet without a relay tree that is at once. An engine that
-// restarts later has its weights fetched again.
+// The bytes pass through this process's memory because both its engine and the
+// agents below it in the relay tree take them from here. This is bounded: the
+// copy that is kept and the one that is being fetched together have
+// Config.MaxCopyBytes. A copy is dropped once this agent's engine serves it and
+// the agents that should fetch it from here have it, or after copyRetention; in
+// a fleet without a relay tree that is at once. An engine that restarts later
+// has its weights fetched again.
 type copies struct {
 	cfg        Config
-	log        *zap.Logger // each message once per logInterval
+	log        *zap.Logger // writes each message at most once per logInterval
 	wake       func()
 	relaySlots chan struct{}
 	rates      storeRates
 
 	mu              sync.Mutex
 	current         *versionCopy
-	completedRelays int    // relays of have that were whole
-	newest          uint64 // newest version that was here
+	completedRelays int    // completed relays of current
+	newest          uint64 // newest version that was ever fetched completely
 	fetchingVersion uint64
-	incoming        *incomingCopy // of the version fetching
-	failures        int           // fetches failed in a row
-	retryDelay      time.Duration // after the next failed fetch
+	incoming        *incomingCopy // of fetchingVersion
+	failures        int           // consecutive failed fetches
+	retryDelay      time.Duration // base of the delay after the last failed fetch
 	retryAt         time.Time
 	changed         chan struct{}
 }
@@ -81,7 +83,7 @@
 	}
 }
 
-// get returns the copy of a version or nil.
+// get returns the copy of a version, or nil.
 func (c *copies) get(version uint64) *versionCopy {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -91,9 +93,11 @@
 	return nil
 }
 
-// bestToLoad returns the copy to load where target is wanted: its own or, while that
-// is on its way, one of an older version that is newer than the served one.
-// Where versions come faster than they are fetched the newest is never here.
+// bestToLoad returns the copy to load when target is wanted: the copy of target
+// or, while that is being fetched, a copy of an older version that is newer
+// than the served one. If versions are published faster than they can be
+// fetched, the newest one is never here. It returns nil if there is nothing to
+// load.
 func (c *copies) bestToLoad(target, serving uint64) *versionCopy {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -107,9 +111,10 @@
 	return nil
 }
 
-// startFetch starts to fetch a version in the background unless a fetch runs. needed
-// tells that an older copy here is still to be loaded: two that don't fit into
-// memory together are then loaded and fetched one after the other.
+// startFetch starts to fetch a version in the background unless a fetch is
+// running. stillNeeded reports whether an older copy here is still to be
+// loaded: two copies that don't fit into memory together are then loaded and
+// fetched one after the other.
 func (c *copies) startFetch(ctx context.Context, version uint64, stillNeeded func(*versionCopy) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -126,7 +131,8 @@
 	go c.fetch(ctx, version)
 }
 
-// dropUnneeded drops a copy that nobody needs any more.
+// dropUnneeded drops the copy once this agent's engine serves it and the agents
+// that should fetch it from here have it, or after copyRetention.
 func (c *copies) dropUnneeded(serving uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -156,14 +162,16 @@
 	c.changed = make(chan struct{})
 	c.mu.Unlock()
 	if err != nil {
-		c.log.Warn("The weights could not be fetched.", zap.Uint64("version", version), zap.Error(err))
-		return // the next step of the keeper wants it again
+		c.log.Warn("Fetching the weights failed.", zap.Uint64("version", version), zap.Error(err))
+		return // the keeper's next step starts another fetch
 	}
 	c.wake()
 }
 
-// fallbackVersion returns the version to fetch for an engine that serves nothing: any
-// whole version is better than none, and the floors guard the trainers.
+// fallbackVersion returns the version to fetch for an engine that serves
+// nothing. Each failed fetch goes back one more version, up to maxVersionsBack,
+// and then starts from the newest again: any complete version is better than
+// none, and the floors protect the trainers.
 func (c *copies) fallbackVersion(version uint64) uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -177,13 +185,15 @@
 	return version - versionsBack
 }
 
-// backOff keeps a whole fleet from asking a store that is down every second.
+// backOff schedules the next fetch with a growing, random delay. Otherwise a
+// whole fleet would ask an unavailable store every second.
 func (c *copies) backOff() {
 	c.retryDelay = min(max(2*c.retryDelay, minRetryDelay), maxRetryDelay)
 	c.retryAt = c.cfg.Now().Add(c.retryDelay/2 + rand.N(c.retryDelay))
 }
 
-// plan lays the version's spread out from the fellows known now.
+// plan returns the rollout plan of a version for the currently known peers, and
+// the peers' addresses by name.
 func (c *copies) plan(version uint64) (*waves.Plan, map[string]string) {
 	servers := []waves.Server{{Name: c.cfg.Server, FailureDomain: c.cfg.FailureDomain}}
 	addrs := map[string]string{}
@@ -194,7 +204,8 @@
 	return waves.New(c.cfg.Model, version, servers), addrs
 }
 
-// obtain tries the parents in order and then the store.
+// obtain fetches a version from one of the parents, in their order, or else
+// from the store.
 func (c *copies) obtain(ctx context.Context, version uint64) (*versionCopy, error) {
 	plan, addrs := c.plan(version)
 	role := plan.Role(c.cfg.Server)
@@ -207,8 +218,9 @@
 	return c.fetchFromStore(ctx, version, c.rates.activeFetchers(c.cfg.Model, plan.StoreFetchers))
 }
 
-// fetchFromParents tries the parents in order; nil: none could relay the version. The
-// digest comes from the store, never from the one who sends the bytes.
+// fetchFromParents tries the parents in order and returns nil if none could
+// relay the version. The digest comes from the store, never from the agent that
+// sends the bytes.
 func (c *copies) fetchFromParents(ctx context.Context, version uint64, parents []string, addrs map[string]string) *versionCopy {
 	if len(parents) == 0 {
 		return nil
@@ -238,7 +250,7 @@
 	}
 	defer body.Close()
 	if info.Version != version {
-		return nil, errors.Errorf("weight store sent version %d for %d", info.Version, version)
+		return nil, errors.Errorf("weight store sent version %d instead of %d", info.Version, version)
 	}
 	if info.Bytes > c.cfg.MaxCopyBytes {
 		return &versionCopy{info: info}, nil
@@ -246,18 +258,20 @@
 	return c.readCopy(info, c.limitRate(ctx, &stallReader{body, cancel, storeStallTimeout}, fetchers))
 }
 
-// limitRate slows a reader down to this agent's limitRate of the store's rate.
+// limitRate returns a reader that is limited to this agent's share of the
+// store's rate.
 func (c *copies) limitRate(ctx context.Context, r io.Reader, fetchers int) io.Reader {
 	return &pacedReader{ctx: ctx, source: r, bytesPerSecond: func() float64 { return c.shareBytesPerSecond(fetchers) }, limiter: rate.NewLimiter(rate.Inf, pieceBytes)}
 }
 
-// shareBytesPerSecond returns this agent's share of the store's rate, 0: no limit known.
+// shareBytesPerSecond returns this agent's share of the store's rate; 0 means
+// that no limit is known.
 func (c *copies) shareBytesPerSecond(fetchers int) float64 {
 	return c.rates.modelBytesPerSecond(c.cfg.Model) / float64(max(1, fetchers))
 }
 
-// readCopy reads a whole version and checks its digest. What has come so far is
-// there to relay.
+// readCopy reads a complete version and checks its digest. Bytes that have
+// arrived can be relayed before the rest is here.
 func (c *copies) readCopy(info platform.WeightInfo, r io.Reader) (*versionCopy, error) {
 	incoming := newIncomingCopy(info)
 	c.setIncoming(incoming)
@@ -276,9 +290,9 @@
 	c.changed = make(chan struct{})
 }
 
-// fitsOrderTime tells whether a version can stream into the engine within an order's
-// time. An order that is cut off would take the engine out of service for
-// nothing.
+// fitsOrderTime reports whether a version can stream into the engine within
+// MaxOrderTime. An order that times out would take the engine out of service
+// for nothing.
 func (c *copies) fitsOrderTime(w *versionCopy) bool {
 	if w.data != nil {
 		return true
@@ -288,8 +302,9 @@
 	return bytesPerSecond <= 0 || float64(w.info.Bytes)/bytesPerSecond < c.cfg.MaxOrderTime.Seconds()
 }
 
-// open returns the bytes for the engine. Every read of it is checked again:
-// the engine is told of a wrong digest by a read error, not by an end of file.
+// open returns the bytes for the engine. A version that streams from the store
+// is checked while the engine reads it: a wrong digest ends the stream with a
+// read error instead of an end of file.
 func (c *copies) open(ctx context.Context, w *versionCopy) (*orderBody, error) {
 	if w.data != nil || w.info.Bytes == 0 {
 		return &orderBody{Reader: bytes.NewReader(w.data), Closer: io.NopCloser(nil), size: w.info.Bytes}, nil
@@ -302,7 +317,8 @@
 	return &orderBody{Reader: newVerifyingReader(c.limitRate(ctx, stream, plan.Servers), info), Closer: stream, size: w.info.Bytes}, nil
 }
 
-// stallReader cancels a source that stalls in a read.
+// stallReader cancels the source's context when one read takes longer than
+// timeout.
 type stallReader struct {
 	source  io.Reader
 	cancel  context.CancelFunc
@@ -315,7 +331,7 @@
 	return w.source.Read(p)
 }
 
-// orderBody is what an order sends.
+// orderBody is the body of a weight order. It counts the bytes read.
 type orderBody struct {
 	io.Reader
 	io.Closer
@@ -323,8 +339,9 @@
 	bytesRead atomic.Int64
 }
 
-// isComplete tells whether the engine can have had all of it. Bytes count, not the
-// end of file: a client that knows the size may stop before it.
+// isComplete reports whether the engine can have received all bytes. It counts
+// bytes instead of waiting for the end of file: a client that knows the size
+// may stop before reading it.
 func (b *orderBody) isComplete() bool { return b.bytesRead.Load() >= b.size }
 
 func (b *orderBody) Read(p []byte) (int, error) {
@@ -333,7 +350,8 @@
 	return n, err
 }
 
-// verifyingReader turns the end of a copy with a wrong length or digest into an error.
+// verifyingReader returns an error instead of io.EOF if the length or the
+// digest of the data is wrong.
 type verifyingReader struct {
 	source    io.Reader
 	info      platform.WeightInfo
@@ -361,7 +379,8 @@
 	return n, io.EOF
 }
 
-// pacedReader reads no faster than perSecond, which may change; 0: as fast as it goes.
+// pacedReader reads no faster than bytesPerSecond, which may change between
+// reads; 0 means no limit.
 type pacedReader struct {
 	ctx            context.Context
 	source         io.Reader
--- a/agent/weights/copies_test.go
+++ b/agent/weights/copies_test.go
@@ -44,7 +44,8 @@
 	return piece, nil
 }
 
-// newChildKeeper is an agent of a fleet large enough to relay, placed two hops down in the middle.
+// newChildKeeper returns the keeper of an agent in a fleet large enough to
+// relay. The agent is at depth 2 of the relay tree and has children.
 func newChildKeeper(t *testing.T, asked *[]string, answer func(addr string) (*fakeRelay, error)) *testKeeper {
 	var peers []Peer
 	for i := range 60 {
@@ -69,7 +70,7 @@
 	return nil
 }
 
-// Weights come from the parent, not from the rate-limited store.
+// Weights are fetched from the parent, not from the rate-limited store.
 func TestRelayFromParent(t *testing.T) {
 	data, _ := weightsOf(8)
 	var asked []string
@@ -81,8 +82,8 @@
 	require.Zero(t, b.store.fetches)
 }
 
-// The parent doesn't answer, the next one sends bytes that don't fit the
-// store's digest: both are passed over and the store serves.
+// The first parent does not answer and the next one sends bytes that do not
+// match the store's digest: both are skipped and the store is used.
 func TestRelayFallsBack(t *testing.T) {
 	data, _ := weightsOf(8)
 	wrong, _ := weightsOf(9)
@@ -112,10 +113,10 @@
 	return nil
 }
 
-// A child that asks before the copy is whole waits for it. The copy stays until
-// the own engine serves it and each child has it, or for keepCopy, and no
-// longer: 256 MB of each VM would be taken for good. Who comes later is sent on
-// at once.
+// A child that asks before the copy is complete waits for it. The copy is kept
+// until this agent's engine serves it and each child has it, or for
+// copyRetention, and no longer: otherwise 256 MB of each VM would be occupied
+// permanently. A child that asks later is refused at once.
 func TestRelayAndDrop(t *testing.T) {
 	b := newChildKeeper(t, new([]string), func(string) (*fakeRelay, error) { return nil, errors.New("no answer") })
 	plan, _ := b.copies.plan(8)
@@ -135,7 +136,7 @@
 		require.NoError(t, ask())
 	}
 	b.copies.dropUnneeded(7)
-	require.NotNil(t, b.copies.get(8), "the own engine needs it")
+	require.NotNil(t, b.copies.get(8), "this agent's engine needs the copy")
 	b.copies.dropUnneeded(8)
 	require.Nil(t, b.copies.get(8))
 	synctest.Test(t, func(t *testing.T) {
@@ -147,16 +148,16 @@
 	b.copies.changed = make(chan struct{})
 	b.copies.fetch(t.Context(), 8)
 	b.copies.dropUnneeded(8)
-	require.NotNil(t, b.copies.get(8), "children may come")
+	require.NotNil(t, b.copies.get(8), "children may still fetch the copy")
 	b.advance(copyRetention)
 	b.copies.dropUnneeded(8)
 	require.Nil(t, b.copies.get(8))
 }
 
-// Version 9 is announced while 8 is here and waits for its slot, and memory has
-// room for one. 8 is loaded first: fetched at once, 9 would take twice the room;
-// in place of 8 it would put the swap off, and where versions keep coming for
-// ever.
+// Version 9 is announced while version 8 is here and waits for its slot, and
+// memory has room for one copy. Version 8 must be loaded first: fetching 9 at
+// once would take twice the memory, and replacing 8 by 9 would delay the swap,
+// for ever if new versions keep arriving.
 func TestMemoryForOneCopy(t *testing.T) {
 	b := newLastWaveKeeper(t, manifest.WeighIdle)
 	b.copies.cfg.MaxCopyBytes = 1500
@@ -170,9 +171,10 @@
 	require.EqualValues(t, 9, b.servingVersion())
 }
 
-// Two models get new versions within a moment. The agents of each take half of
-// the store's rate, also who began before the other's announcement; later the
-// own version's has all of it, and an engine that restarts alone four shares.
+// Two models get new versions within a moment. The agents of each use half of
+// the store's rate, also those that started before the other's announcement.
+// Later this model's agents may use all of it, and an engine that restarts
+// alone takes four shares.
 func TestModelsShareTheStore(t *testing.T) {
 	const perSecond, fetchers = 1200.0, 12
 	b := newServingKeeper(t, nil)
@@ -189,11 +191,11 @@
 	require.Equal(t, lateShares*perSecond/fetchers, share())
 }
 
-// timedSink notes when pieces come.
+// timedSink records when pieces arrive.
 type timedSink struct {
 	relaySink
 	first, last time.Time
-	longestGap  time.Duration // without a piece
+	longestGap  time.Duration // between two pieces
 }
 
 func (s *timedSink) Send(p *pb.WeightsPiece) error {
@@ -205,7 +207,7 @@
 	return s.relaySink.Send(p)
 }
 
-// pausingStore is a store that thinks before it sends.
+// pausingStore is a store that waits before it sends.
 type pausingStore struct{ tricklingStore }
 
 const storePause = 2 * parentStallTimeout
@@ -216,9 +218,10 @@
 }
 
 // The seed of a failure domain fetches for 19 s from a store that is slow to
-// begin and whose rate 24 seeds share. Its children don't wait for the whole and pass over no parent that is
-// at it: if they did, all 61 would go to the store, which has the rate for the
-// seeds, and the version come minutes later.
+// start and whose rate 24 seeds share. Its children neither wait for the
+// complete version nor skip a parent that is fetching: if they did, all 61
+// would fetch from the store, whose rate suffices for the seeds only, and the
+// version would arrive minutes later.
 func TestRelayWhileFetching(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestKeeper(t, func(c *Config) { c.Store = pausingStore{tricklingStore{sizedStore{bytes: 1000}, 100}} })
@@ -234,7 +237,7 @@
 	})
 }
 
-// idlePieces comes from a parent that is alive and never has a byte.
+// idlePieces is the stream of a parent that is alive but never has any bytes.
 type idlePieces struct {
 	grpc.ServerStreamingClient[pb.WeightsPiece]
 }
@@ -250,9 +253,9 @@
 	return idlePieces{}, nil
 }
 
-// Two agents' lists of servers differ for a moment, and each has the other as
-// its parent. Both are alive and at it; neither would ever go to the store, and
-// their trainers' floors pass both engines.
+// Two agents' server lists differ for a moment, and each has the other as its
+// parent. Both send keepalives; without the stall timeout neither would ever
+// fetch from the store, and their trainers' floors would pass both engines.
 func TestMutuallyWaitingParents(t *testing.T) {
 	var asked []string
 	b := newChildKeeper(t, &asked, func(string) (*fakeRelay, error) { return nil, nil })
@@ -265,7 +268,7 @@
 	})
 }
 
-// frozenParent accepts a fetch and then sends nothing, as a stopped process.
+// frozenParent accepts a fetch and then sends nothing, like a stopped process.
 type frozenParent struct{ pb.AgentClient }
 
 type silentPieces struct {
@@ -282,7 +285,7 @@
 	return silentPieces{ctx: ctx}, nil
 }
 
-// liveParent and liveStore answer at once, to who still has time.
+// liveParent and liveStore answer at once unless the context has ended.
 type liveParent struct{ fakeRelay }
 
 func (p *liveParent) FetchWeights(ctx context.Context, req *pb.FetchWeightsRequest, o ...grpc.CallOption) (grpc.ServerStreamingClient[pb.WeightsPiece], error) {
@@ -301,11 +304,12 @@
 	return s.fakeStore.Fetch(ctx, model, version)
 }
 
-// The agent that relays to a part of its failure domain is frozen: its
-// connections stay open. Its children wait for it until their whole time is
-// over, 30 s, so that neither the next parent nor the store is tried; then they
-// ask it first again, for ever. The new weights reach none of up to 62 engines,
-// and once the floor has passed them their trainers' steps don't end.
+// The agent that relays to a part of its failure domain is frozen and its
+// connections stay open. If its children waited for it until their whole time
+// of 30 s had passed, neither the next parent nor the store would be tried, and
+// each retry would ask the frozen agent first again. The new weights would
+// reach none of up to 62 engines, and once the floor has passed them their
+// trainers' steps would not end.
 func TestFrozenParentIsSkipped(t *testing.T) {
 	var asked []string
 	b := newChildKeeper(t, &asked, func(string) (*fakeRelay, error) { return nil, nil })
@@ -324,7 +328,7 @@
 		for range 3 {
 			b.copies.fetch(t.Context(), 8)
 		}
-		require.NotNil(t, b.copies.get(8), "another parent has it, and the store")
-		require.LessOrEqual(t, time.Since(began), 3*parentStallTimeout, "one stall for each of the three fetches")
+		require.NotNil(t, b.copies.get(8), "another parent and the store have the version")
+		require.LessOrEqual(t, time.Since(began), 3*parentStallTimeout, "one stall timeout for each of the three fetches")
 	})
 }
--- a/agent/weights/fakes_test.go
+++ b/agent/weights/fakes_test.go
@@ -17,13 +17,13 @@
 	"dandelionsill.org/platform"
 )
 
-// fakeEngine obeys orders through obey, which a test replaces.
+// fakeEngine executes orders with onOrder, which a test replaces.
 type fakeEngine struct {
 	platform.Engine
 	mu      sync.Mutex
 	st      platform.EngineState
 	err     error
-	tokens  []uint64 // of the orders given
+	tokens  []uint64 // tokens of the orders received
 	onOrder func(*fakeEngine, platform.WeightInfo, uint64) error
 }
 
@@ -106,7 +106,7 @@
 	fetches    int
 	latest     uint64
 	corrupt    bool
-	maxVersion uint64 // newer versions can't be fetched; 0: all can
+	maxVersion uint64 // newer versions can't be fetched; 0 means that all can
 }
 
 func weightsOf(version uint64) ([]byte, platform.WeightInfo) {
@@ -140,7 +140,7 @@
 	noStreams
 	mu        sync.Mutex
 	discarded []string
-	running   Running // of the test's goroutine
+	running   Running // only for the test's goroutine
 	cancelled int
 }
 
@@ -153,7 +153,8 @@
 	s.discarded = append(s.discarded, why)
 }
 
-// testKeeper is one keeper with everything around it under the test's control.
+// testKeeper is a keeper whose engine, log, store, streams and clock are
+// controlled by the test.
 type testKeeper struct {
 	*Keeper
 	t       *testing.T
@@ -190,13 +191,13 @@
 	return b.clock
 }
 
-// advance lets time advance as seen by a process that runs.
+// advance moves the clock forward as seen by a running process.
 func (b *testKeeper) advance(d time.Duration) {
 	b.freeze(d)
 	b.pauses.markAlive()
 }
 
-// freeze lets time pass as seen by a process that stands still.
+// freeze moves the clock forward as seen by a paused process.
 func (b *testKeeper) freeze(d time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -208,7 +209,7 @@
 	require.NoError(b.t, b.claim.attempt(b.t.Context()))
 }
 
-// stepUntil runs steps, letting time pass, until cond holds.
+// stepUntil runs steps and advances the clock until cond holds.
 func (b *testKeeper) stepUntil(cond func() bool) {
 	b.t.Helper()
 	for range 200 {
@@ -219,10 +220,10 @@
 		b.awaitFetch()
 		b.advance(b.cfg.ReadBackInterval)
 	}
-	require.Fail(b.t, "the keeper did not settle")
+	require.Fail(b.t, "the condition was not met within 200 steps")
 }
 
-// awaitFetch waits for the end of a fetch that runs in the background.
+// awaitFetch waits for the end of a background fetch.
 func (b *testKeeper) awaitFetch() {
 	require.Eventually(b.t, func() bool {
 		b.copies.mu.Lock()
@@ -236,7 +237,8 @@
 	return v
 }
 
-// newServingKeeper is a keeper that holds its claim and serves the engine's version.
+// newServingKeeper returns a keeper that holds its claim and serves the
+// engine's version.
 func newServingKeeper(t *testing.T, change func(*Config)) *testKeeper {
 	b := newTestKeeper(t, change)
 	b.mustClaim()
--- a/agent/weights/keeper.go
+++ b/agent/weights/keeper.go
@@ -1,54 +1,60 @@
 // Package weights keeps one model engine on the newest weights and knows which
-// version it truly serves.
+// version the engine serves.
 //
-// Version truth: a version counts only after the engine itself said so when
-// read back (version, state, engine start, token of the last order). Until
-// then the agent serves no version. What the engine says of each chunk is
-// checked against it; a chunk that does not fit means that the engine changed
-// under us, and trust ends at once.
+// Verified version: a version counts only after it was read back from the
+// engine itself (version, state, engine start, token of the last order). Until
+// then the agent serves no version. The version that the engine reports with
+// each chunk is checked against the verified one; a chunk that does not match
+// means that the engine changed without an order of this agent, and the
+// verified state is discarded at once.
 //
-// Fencing: an agent claims its server in the log's stream "agents"; the
-// claim's offset + 1 is the token of its orders. Before each order it reads
-// that stream to its end and the engine's state back, and steps down when a
-// newer claim or a newer token shows.
+// Fencing: an agent claims its server in the log's stream "agents"; the claim's
+// offset + 1 is the token of its orders. Before each order the agent reads that
+// stream to its end and reads the engine's state back, and steps down if it
+// finds a newer claim or a newer token.
 //
-// Engines that ignore tokens: the first order waits out Lease + LongestOrder
-// after the claim, unless the whole stream is still kept and shows no earlier
-// claim. An older agent may give an order within Lease of having last made
-// sure of its claim, and the order lasts LongestOrder at most.
+// Engines that ignore tokens: the first order waits for Lease + MaxOrderTime
+// after the claim, unless the complete stream is still kept and contains no
+// earlier claim. An older agent may give an order up to Lease after it last
+// checked its claim, and the order takes MaxOrderTime at most.
 //
-// Log down: weighed were (a) no orders without the log, (b) orders with the
-// last token seen, (c) orders only with an own token. (a) stops every trainer
-// when an outage outlasts the staleness bound. (b) makes two agents share a
-// token, so that even an engine that checks tokens can't tell them apart. So
-// (c): an agent without a token serves what the engine says when read back,
-// but gives no order; one that has its token goes on giving orders and relies
-// on the state read back directly before each: it names a newer agent's token.
-// What is left, with an engine that ignores tokens: an agent cut off from the
-// log may order a newer version once, before its successor's first order. That
-// costs a swap; labels stay true as they come from the chunks.
+// Log unavailable: three designs were considered: (a) no orders without the
+// log, (b) orders with the last token seen, (c) orders only with the agent's
+// own token. (a) stops every trainer when an outage lasts longer than the
+// staleness bound. (b) makes two agents share a token, so that even an engine
+// that checks tokens can't distinguish them. Therefore (c): an agent without a
+// token serves the version that it reads back from the engine, but gives no
+// order; an agent that has its token continues to give orders and relies on the
+// engine state that it reads directly before each one, which contains a newer
+// agent's token. What remains, with an engine that ignores tokens: an agent
+// partitioned from the log may order a newer version once, before its
+// successor's first order. That costs one swap; labels stay correct because
+// they come from the chunks.
 //
-// When a swap begins: whatever it waits for must be worth more than what the
-// trainers wait for. An engine that serves nothing, or whose version lies below
-// a trainer's floor, swaps at once; only one that also serves applications
-// keeps its wave, or all of a model's engines would be out together. Any other
-// swaps in its wave's first slot, without grace where no stream runs that may
-// not span versions. While such streams run they hold up the swap for the
-// grace, counted from the first version not served yet. After it no new one
-// starts; where idle time weighs more, those that run may hold the swap up to
-// holdFactor times the grace: cancelled at each version, a sample that takes
-// longer than the time between versions would never end and its step neither.
-// Weighed was to hold the swap as long as no floor passes the engine: nothing
-// would be lost ever, but all samples would be as stale as the bound allows.
-// Where staleness weighs more, the grace is all. A sample longer than that is
-// not made by weights that are swapped so often: mix versions or raise
-// swap_grace.
+// When a swap starts: whatever the swap waits for must be worth more than what
+// the trainers lose by waiting. An engine that serves nothing, or whose version
+// is below a trainer's floor, swaps at once; only an engine that also serves
+// applications keeps its wave, otherwise all engines of a model could be out of
+// service together. Any other engine swaps in its wave's first slot, without
+// grace if it runs no stream that may not span versions (unmixed stream). While
+// unmixed streams run they delay the swap for the grace period, counted from
+// the first version not served yet. After the grace period no new unmixed
+// stream starts. If idle time weighs more than staleness, the running ones may
+// delay the swap up to holdFactor times the grace period: if they were
+// cancelled at each version, a sample that takes longer than the time between
+// versions would never end, and neither would its step. The alternative of
+// delaying the swap until a floor passes the engine was rejected: nothing would
+// ever be lost, but all samples would be as stale as the bound allows. If
+// staleness weighs more, the grace period is the limit. A sample that takes
+// longer than that can't be generated with weights that are swapped so often:
+// allow mixed versions or raise swap_grace.
 //
-// Never all engines of a model at once, what is left: slots count from when an
-// agent learnt of a version, and their length from the swaps it measured
-// itself. Agents that learn of a version late by more than a fifth of a slot,
-// or whose swaps take unlike long, may swap together with the next wave; so
-// may an engine that failed and is loaded anew.
+// Known limits of the rule that not all engines of a model swap at once: slots
+// count from when an agent received a version, and their length comes from the
+// swaps that the agent measured itself. Agents that receive a version late by
+// more than a fifth of a slot, or whose swaps take differently long, may swap
+// together with the next wave; so may an engine that failed and is loaded
+// again.
 package weights
 
 import (
@@ -78,20 +84,21 @@
 	minRetryDelay           = 200 * time.Millisecond
 	maxRetryDelay           = 10 * time.Second
 	pauseChecksPerLease     = 10
-	maxUnanswered           = 2 // read-backs without an answer until nothing is served
+	maxUnanswered           = 2 // consecutive failed read-backs after which nothing is served
 	storePollInterval       = 5 * time.Second
-	// logInterval spaces the lines of one message under failure: with the store,
-	// the log or the engine down each retry would write one.
+	// logInterval is the shortest time between two log lines with the same
+	// message under failure: while the store, the log or the engine is
+	// unavailable, each retry would write one.
 	logInterval = 10 * time.Second
-	// linkBytesPerSecond is what one agent is reckoned to relay, bytes a second: 60% of a
-	// 10 Gb/s link.
+	// linkBytesPerSecond is the rate at which one agent is assumed to relay, in
+	// bytes per second: 60% of a 10 Gb/s link.
 	linkBytesPerSecond = 750e6
 )
 
 // Peer is another agent of the same model.
 type Peer struct{ Name, Addr, FailureDomain string }
 
-// Config of a Keeper. Zero durations and sizes take the defaults.
+// Config configures a Keeper. Zero durations and sizes take the defaults.
 type Config struct {
 	Server           string // this backend server's name
 	Model            string
@@ -101,16 +108,16 @@
 	Store            platform.WeightStore
 	Log              platform.Log
 	View             confsync.Viewer
-	Peers            func() []Peer // nil: none
+	Peers            func() []Peer // nil means none
 	Dial             func(addr string) (pb.AgentClient, func(), error)
 	IgnoresFencing   bool          // the engine does not check fencing tokens
-	Lease            time.Duration // how long a claim may be trusted without a look at the log or engine
+	Lease            time.Duration // how long a claim is trusted without checking the log or the engine
 	MaxOrderTime     time.Duration // longest time one weight order may take
 	ReadBackInterval time.Duration // how often the engine's state is read
-	SlotLength       time.Duration // time between swap waves until a swap was measured
+	SlotLength       time.Duration // time between swap waves until this agent has measured a swap
 	MaxCopyBytes     int64         // larger versions are not kept for relaying
-	// NoWaves swaps at once, without grace, and fetches from the store alone:
-	// the baseline that benchmarks compare with.
+	// NoWaves swaps at once, without grace, and fetches from the store only:
+	// the baseline for benchmarks.
 	NoWaves bool
 	Explain *explain.Ring
 	Logger  *zap.Logger
@@ -144,24 +151,25 @@
 	}
 }
 
-// Streams are the running streams, as the keeper sees them.
+// Streams gives the keeper access to the streams that run at the engine.
 type Streams interface {
-	// Running tells what a swap must mind now.
+	// Running returns what a swap must take into account now.
 	Running() Running
-	// SetPendingSwap tells when the next swap comes; the zero time: none.
+	// SetPendingSwap sets when the next swap is scheduled; the zero time means
+	// that none is.
 	SetPendingSwap(at time.Time)
-	// CancelUnmixed cancels the streams that may not go through a swap.
+	// CancelUnmixed cancels the streams that may not span versions.
 	CancelUnmixed()
 	// Discard ends streams whose tokens can't be trusted: those of samples, or
-	// all where the engine may have produced anything.
+	// all of them if the engine may have generated wrong text.
 	Discard(all bool, reason string)
 }
 
-// Keeper keeps one engine's weights. Its reading methods are safe for
-// concurrent use and cheap enough for every chunk.
+// Keeper manages the weights of one engine. Its reading methods are safe for
+// concurrent use and cheap enough to call for every chunk.
 type Keeper struct {
 	cfg      Config
-	log      *zap.Logger // for lines under failure: each message once per logInterval
+	log      *zap.Logger // for messages under failure; writes each at most once per logInterval
 	pauses   *pauseDetector
 	claim    *claim
 	copies   *copies
@@ -173,10 +181,11 @@
 	onChange func()
 	streams  Streams
 
-	state runState // belongs to the goroutine of Run
+	state runState // only for the goroutine of Run
 }
 
-// New returns a Keeper that serves nothing until Run has read the engine.
+// New returns a Keeper that serves nothing until Run has read the engine's
+// state.
 func New(cfg Config) *Keeper {
 	cfg = cfg.withDefaults()
 	k := &Keeper{
@@ -189,14 +198,16 @@
 	return k
 }
 
-// SetStreams sets the streams that a swap must mind. Call it before Run.
+// SetStreams sets the streams that a swap must take into account. Call it
+// before Run.
 func (k *Keeper) SetStreams(s Streams) { k.streams = s }
 
-// OnChange sets a function that is called after each change of what Serving
-// and Swapping answer. Call it before Run.
+// OnChange sets a function that is called after each change of what Serving and
+// Swapping return. Call it before Run.
 func (k *Keeper) OnChange(f func()) { k.onChange = f }
 
-// Run does the keeper's work until ctx ends or a newer agent holds the server.
+// Run keeps the engine on the newest weights until ctx ends or a newer agent
+// claims the server.
 func (k *Keeper) Run(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -225,7 +236,8 @@
 	}
 }
 
-// watchPauses keeps the heartbeat and ends trust after a pause.
+// watchPauses checks for pauses of the process pauseChecksPerLease times per
+// lease.
 func (k *Keeper) watchPauses(ctx context.Context) {
 	tick := time.NewTicker(k.cfg.Lease / pauseChecksPerLease)
 	defer tick.Stop()
@@ -239,8 +251,9 @@
 	}
 }
 
-// checkPause takes trust away before it beats again: the other way round a
-// request could slip in between on what was verified before the pause.
+// checkPause discards the verified state after a pause and only then records
+// that the process is alive. In the other order a request could be served in
+// between with a version that was verified before the pause.
 func (k *Keeper) checkPause() {
 	if k.pauses.exceeded() {
 		k.distrust(false, "the process stood still longer than its lease")
@@ -248,8 +261,8 @@
 	k.pauses.markAlive()
 }
 
-// Serving returns the verified version and the engine's start; version 0 means
-// that nothing may be served.
+// Serving returns the verified version and the engine's boot id; version 0
+// means that nothing may be served.
 func (k *Keeper) Serving() (version uint64, boot string) {
 	p := k.verified.Load()
 	if k.pauses.exceeded() || k.claim.isSuperseded() {
@@ -258,32 +271,33 @@
 	return p.serving, p.boot
 }
 
-// Producing returns the version that the engine makes tokens with, or will
-// after the order under way; 0: not known.
+// Producing returns the version that the engine generates with, or will after
+// the order that is running; 0 means unknown.
 func (k *Keeper) Producing() uint64 {
 	p := k.verified.Load()
 	return max(p.serving, p.loading)
 }
 
-// Swapping tells whether an order is under way.
+// Swapping reports whether an order is running.
 func (k *Keeper) Swapping() bool { return k.verified.Load().loading != 0 }
 
-// SteppedDown is closed once a newer agent holds the backend server. This
-// process then serves nothing and should exit.
+// SteppedDown returns a channel that is closed once a newer agent has claimed
+// the backend server. This process then serves nothing and should exit.
 func (k *Keeper) SteppedDown() <-chan struct{} { return k.claim.superseded }
 
-// Token returns the fencing token, 0 before the claim stands.
+// Token returns the fencing token, or 0 before the claim is stored.
 func (k *Keeper) Token() uint64 { return k.claim.token.Load() }
 
 // Model returns the model's name.
 func (k *Keeper) Model() string { return k.cfg.Model }
 
-// IgnoresFencing tells whether the engine ignores fencing tokens.
+// IgnoresFencing reports whether the engine ignores fencing tokens.
 func (k *Keeper) IgnoresFencing() bool { return k.cfg.IgnoresFencing }
 
-// CheckChunk tells whether a chunk of version on boot is what the engine makes
-// for a stream that started on version start. On Contradicts the engine
-// changed under us: trust ends here and the engine is read back.
+// CheckChunk reports whether a chunk with the given version and boot id matches
+// the verified state, for a stream that started on version start. On
+// Contradicts the engine changed without an order: the verified state is
+// discarded and the engine is read back.
 func (k *Keeper) CheckChunk(start, version uint64, boot string) Verdict {
 	p := k.verified.Load()
 	verdict := p.checkChunk(start, version, boot)
@@ -296,7 +310,8 @@
 	return verdict
 }
 
-// WaitOrderDone waits while an order is under way.
+// WaitOrderDone waits while an order is running. It returns ctx's error if ctx
+// ends first.
 func (k *Keeper) WaitOrderDone(ctx context.Context) error {
 	for {
 		changed := k.Changed()
@@ -311,7 +326,8 @@
 	}
 }
 
-// WaitFresh waits until a version at or above floor is verified.
+// WaitFresh waits until a version at or above floor is verified. It returns
+// that version and the engine's boot id, or ctx's error.
 func (k *Keeper) WaitFresh(ctx context.Context, floor uint64) (uint64, string, error) {
 	for {
 		changed := k.Changed()
@@ -326,19 +342,20 @@
 	}
 }
 
-// Changed returns a channel closed at the next change of the proof.
+// Changed returns a channel that is closed at the next change of the verified
+// state.
 func (k *Keeper) Changed() <-chan struct{} {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.changed
 }
 
-// FetchWeights relays this agent's copy to another agent.
+// FetchWeights relays this agent's copy of a version to another agent.
 func (k *Keeper) FetchWeights(req *pb.FetchWeightsRequest, stream grpc.ServerStreamingServer[pb.WeightsPiece]) error {
 	return k.copies.relay(req, stream)
 }
 
-// publish publishes a proof.
+// publish replaces the verified state and notifies the waiters.
 func (k *Keeper) publish(p *verifiedState) {
 	k.verified.Store(p)
 	k.notifyChange()
@@ -354,15 +371,16 @@
 	}
 }
 
-// distrust ends all trust in the engine until it is read back. all tells
-// whether not only labels but the text itself can't be trusted.
+// distrust discards the verified state until the engine is read back. all
+// reports whether the text itself can't be trusted either, and not only its
+// labels.
 func (k *Keeper) distrust(all bool, reason string) {
 	old := k.verified.Load()
 	if old.serving == 0 && old.loading == 0 {
 		return
 	}
 	if !k.verified.CompareAndSwap(old, &verifiedState{boot: old.boot}) {
-		return // another goroutine has just changed it and knows better
+		return // another goroutine has just replaced the state with a newer one
 	}
 	k.notifyChange()
 	k.streams.Discard(all, reason)
@@ -371,8 +389,8 @@
 	k.wake()
 }
 
-// Reconsider has Run look again at once: a floor rose, or the last unmixed
-// stream that held up a swap ended.
+// Reconsider makes Run evaluate at once whether to swap: a floor was raised, or
+// the last unmixed stream that delayed a swap ended.
 func (k *Keeper) Reconsider() { k.wake() }
 
 func (k *Keeper) wake() {
@@ -382,7 +400,7 @@
 	}
 }
 
-// announcedVersion returns the newest version announcedVersion for the model.
+// announcedVersion returns the newest version announced for the model, or 0.
 func (k *Keeper) announcedVersion() uint64 {
 	if v := k.cfg.View.View(); v != nil {
 		return v.Versions[k.cfg.Model]
--- a/agent/weights/keeper_test.go
+++ b/agent/weights/keeper_test.go
@@ -22,7 +22,8 @@
 }
 
 // A new version is announced. The trainer sees the old version until the order
-// begins, no version while it runs, and the new one once it was read back.
+// starts, no version while the order runs, and the new one once it was read
+// back.
 func TestSwap(t *testing.T) {
 	b := newServingKeeper(t, nil)
 	b.engine.onOrder = func(e *fakeEngine, info platform.WeightInfo, token uint64) error {
@@ -34,15 +35,15 @@
 	b.view.Versions["m"] = 8
 	b.stepUntil(func() bool { return b.servingVersion() == 8 })
 	require.Equal(t, []uint64{b.Token()}, b.engine.tokens)
-	require.Equal(t, Fits, b.CheckChunk(7, 7, "b1"), "a chunk from before the swap in a stream that began there")
-	require.Equal(t, Contradicts, b.CheckChunk(8, 7, "b1"), "a stream that began on the new weights")
+	require.Equal(t, Fits, b.CheckChunk(7, 7, "b1"), "a chunk from before the swap in a stream that started there")
+	require.Equal(t, Contradicts, b.CheckChunk(8, 7, "b1"), "a stream that started on the new weights")
 	b.step(t.Context())
-	require.Nil(t, b.copies.get(8), "nobody needs the copy any more")
+	require.Nil(t, b.copies.get(8), "the copy is no longer needed")
 }
 
-// A swap fails partway: the engine says "serving" and the new version, but may
-// make tokens of anything. The trainer sees a server without a version and its
-// streams discarded until a repeated order is verified.
+// A swap fails partway: the engine reports "serving" and the new version, but
+// may generate arbitrary tokens. The trainer sees a server without a version
+// and its streams are discarded until a repeated order is verified.
 func TestSwapFailsPartway(t *testing.T) {
 	b := newServingKeeper(t, nil)
 	b.engine.onOrder = func(e *fakeEngine, info platform.WeightInfo, token uint64) error {
@@ -58,12 +59,12 @@
 	require.NotEmpty(t, b.streams.discarded)
 	b.step(t.Context())
 	b.step(t.Context())
-	require.Zero(t, b.servingVersion(), "read-backs alone don't make a failed engine good")
+	require.Zero(t, b.servingVersion(), "read-backs alone do not restore trust after a failed order")
 	b.stepUntil(func() bool { return b.servingVersion() == 8 })
 	require.Equal(t, 3, b.engine.orders())
 }
 
-// The order is answered as done, but the engine serves something else.
+// The order is answered with success, but the engine serves something else.
 func TestReadBackDiffers(t *testing.T) {
 	for name, misreport := range map[string]func(*platform.EngineState){
 		"version": func(s *platform.EngineState) { s.Version = 6 },
@@ -85,8 +86,8 @@
 	}
 }
 
-// The answer to an order is lost, but the engine obeyed. The read-back tells;
-// a second order would cost the trainer a second swap.
+// The answer to an order is lost, but the engine executed it. The read-back
+// shows that; a second order would cost the trainer a second swap.
 func TestLostOrderAnswer(t *testing.T) {
 	b := newServingKeeper(t, nil)
 	b.engine.onOrder = func(e *fakeEngine, info platform.WeightInfo, token uint64) error {
@@ -98,37 +99,37 @@
 	require.Equal(t, 1, b.engine.orders())
 }
 
-// An engine that ignores fencing obeys a late order of an older agent and goes
-// back to version 6. The trainer loses the streams that run there, gets none
-// from version 6 under the label 8, and the engine is loaded again.
+// An engine that ignores fencing executes a late order of an older agent and
+// returns to version 6. The trainer loses the streams that run there and gets
+// none from version 6 labelled 8, and the engine is loaded again.
 func TestStaleOrderObeyed(t *testing.T) {
 	b := newServingKeeper(t, func(c *Config) { c.IgnoresFencing = true })
 	b.view.Versions["m"] = 8
 	b.stepUntil(func() bool { return b.servingVersion() == 8 })
 	b.engine.set(func(s *platform.EngineState) { s.Version, s.Order = 6, 0 })
 	require.Equal(t, Contradicts, b.CheckChunk(8, 6, "b1"))
-	require.Zero(t, b.servingVersion(), "the first odd chunk ends the trust")
+	require.Zero(t, b.servingVersion(), "the first contradicting chunk discards the verified state")
 	require.NotEmpty(t, b.streams.discarded)
 	b.stepUntil(func() bool { return b.servingVersion() == 8 })
 	require.Equal(t, 2, b.engine.orders())
 }
 
-// The engine restarts with other weights. No chunk tells as nothing runs; the
-// read-back does.
+// The engine restarts with other weights. No chunk shows it because nothing
+// runs; the read-back does.
 func TestEngineRestart(t *testing.T) {
 	b := newServingKeeper(t, nil)
 	b.engine.set(func(s *platform.EngineState) { s.Boot, s.Version, s.Order = "b2", 5, 0 })
 	b.step(t.Context())
 	v, boot := b.Serving()
-	require.EqualValues(t, 5, v, "what the new engine start says of itself")
+	require.EqualValues(t, 5, v, "the version reported after the engine's restart")
 	require.Equal(t, "b2", boot)
 	require.NotEmpty(t, b.streams.discarded)
 	b.stepUntil(func() bool { return b.servingVersion() == 7 })
 }
 
-// An agent is frozen for longer than its lease; meanwhile another agent claims
-// the server. Thawed, the old agent serves nothing from the first moment, and
-// finds the newer claim before it gives any order.
+// An agent is paused for longer than its lease; meanwhile another agent claims
+// the server. Once resumed, the old agent serves nothing from the first moment,
+// and finds the newer claim before it gives any order.
 func TestResumedAgentStepsDown(t *testing.T) {
 	b := newServingKeeper(t, nil)
 	b.view.Versions["m"] = 8
@@ -145,7 +146,8 @@
 	<-b.SteppedDown()
 }
 
-// The same with the log down: the engine's own word names the newer agent.
+// The same with the log unavailable: the state that the engine reports contains
+// the newer agent's token.
 func TestResumedAgentWithoutLog(t *testing.T) {
 	b := newServingKeeper(t, nil)
 	b.log.down = true
@@ -157,7 +159,8 @@
 	require.Zero(t, b.servingVersion())
 }
 
-// Frozen, but nobody came: after a look at log and engine it serves again.
+// The agent is paused, but no other agent claims the server: after checking log
+// and engine it serves again.
 func TestResumedAgentContinues(t *testing.T) {
 	b := newServingKeeper(t, nil)
 	b.freeze(b.cfg.Lease + time.Second)
@@ -167,8 +170,8 @@
 	require.EqualValues(t, 7, b.servingVersion())
 }
 
-// The log's answer to the claim is lost. One claim stands, and the repeated
-// record does not move the token.
+// The log's answer to the claim is lost. One claim is stored, and the repeated
+// record does not change the token.
 func TestLostAppendAnswer(t *testing.T) {
 	b := newTestKeeper(t, nil)
 	b.log.loseAnswer = true
@@ -181,8 +184,8 @@
 	require.EqualValues(t, 1, b.Token())
 }
 
-// The log is down when the agent starts. Callers are served by what the engine
-// says of itself; there is no order until the claim stands.
+// The log is unavailable when the agent starts. Callers are served with the
+// version that the engine reports; there is no order until the claim is stored.
 func TestLogDownAtStart(t *testing.T) {
 	b := newTestKeeper(t, nil)
 	b.log.down = true
@@ -212,8 +215,9 @@
 	require.GreaterOrEqual(t, b.now().Sub(start), b.cfg.Lease+b.cfg.MaxOrderTime)
 }
 
-// A gap in the stream may hide a newer claim: a holder that meets one can't
-// know and steps down; a new agent counts it as a predecessor.
+// Truncated records may have contained a newer claim: an agent that holds a
+// claim steps down when it meets such a gap; a new agent assumes that it has a
+// predecessor.
 func TestTruncatedClaims(t *testing.T) {
 	b := newServingKeeper(t, nil)
 	b.log.first, b.log.records = 50, nil
@@ -225,7 +229,7 @@
 	require.Equal(t, fresh.cfg.Lease+fresh.cfg.MaxOrderTime, wait)
 }
 
-// The store sends bytes that don't fit their digest: they never reach the
+// The store sends bytes that do not match their digest: they never reach the
 // engine, and the trainer keeps its capacity on the old version.
 func TestWrongDigest(t *testing.T) {
 	b := newServingKeeper(t, nil)
@@ -242,7 +246,7 @@
 	b.stepUntil(func() bool { return b.servingVersion() == 8 })
 }
 
-// Run ends its goroutines, and tells waiters of a swap.
+// Run ends its goroutines and notifies the callers that wait for a swap.
 func TestRun(t *testing.T) {
 	b := newTestKeeper(t, func(c *Config) {
 		c.Now, c.ReadBackInterval, c.SlotLength = time.Now, time.Millisecond, time.Millisecond
@@ -262,11 +266,12 @@
 	<-done
 }
 
-// The agent's order for version 8 is held up on its way to an engine that
-// checks tokens; the agent gives it up as unknown, and loads version 9, which
-// was announced meanwhile. Then the order for 8 arrives. All orders of a claim
-// carry one token, so the engine can't tell that it is old, and goes back to 8:
-// every running sample is discarded and the engine is out for one more swap.
+// The agent's order for version 8 is delayed on its way to an engine that
+// checks tokens; the agent treats its outcome as unknown and loads version 9,
+// which was announced meanwhile. Then the order for 8 arrives. If all orders of
+// a claim carried one token, the engine could not detect that this one is old
+// and would return to 8: every running sample would be discarded and the engine
+// would be out of service for one more swap.
 func TestOwnDelayedOrderIsFenced(t *testing.T) {
 	b := newServingKeeper(t, nil)
 	var late platform.WeightInfo
@@ -289,7 +294,7 @@
 }
 
 // movingEngine is an engine that another agent swaps to version 9 between this
-// agent's look at it and its order, and that ignores fencing tokens.
+// agent's read-back and its order, and that ignores fencing tokens.
 type movingEngine struct {
 	*fakeEngine
 	stateReads int
@@ -303,11 +308,11 @@
 	return e.fakeEngine.State(ctx)
 }
 
-// Two agents hold one server: the old one is cut off from the log and knows
-// version 8 only; the engine ignores tokens. The new agent loads 9 just before
-// the old one's order for 8. The old agent reads 9 back, before its order, and
-// loads 8 over it all the same: the trainers that wait for 9 wait for one more
-// swap, and an engine that was fresh enough is below the floor.
+// Two agents hold one server: the old one is partitioned from the log and knows
+// versions up to 8 only; the engine ignores tokens. The new agent loads 9 just
+// before the old one's order for 8. The old agent reads 9 back before its order
+// and must not load 8 over it: the trainers that wait for 9 would wait for one
+// more swap, and an engine that was fresh enough would be below the floor.
 func TestDoesNotLoadOlderOverNewerVersion(t *testing.T) {
 	e := &movingEngine{stateReads: 10}
 	b := newServingKeeper(t, func(c *Config) {
--- a/agent/weights/rates.go
+++ b/agent/weights/rates.go
@@ -7,17 +7,18 @@
 	"dandelionsill.org/confsync"
 )
 
-// spreadTime is how long after its announcement a model's new version is
-// reckoned to load the weight store.
+// spreadTime is how long after its announcement a new version is assumed to
+// load the weight store.
 const spreadTime = 30 * time.Second
 
-// lateShares is how many shares of the store's rate an agent takes that fetches
-// long after the announcement: a failure domain holds a fourth or so.
+// lateShares is how many shares of the store's rate an agent takes if it
+// fetches long after the announcement: a failure domain holds about a fourth of
+// the agents.
 const lateShares = 4
 
-// storeRates tells what this agent's model may take of the weight store's rate. The
-// agents of other models share the store too and can't be seen from here, but
-// the announcements that set them fetching can.
+// storeRates computes how much of the weight store's rate this agent's model
+// may use. The agents of other models use the same store and can't be seen from
+// here, but the announcements that make them fetch can.
 type storeRates struct {
 	view confsync.Viewer
 	now  func() time.Time
@@ -26,7 +27,8 @@
 	announced map[string]announcement // by model
 }
 
-// observe notes new versions. At an agent's start all count as new.
+// observe records the announced versions and when they were first seen. When an
+// agent starts, all of them count as new.
 func (r *storeRates) observe() {
 	v := r.view.View()
 	if v == nil {
@@ -44,8 +46,9 @@
 	}
 }
 
-// modelBytesPerSecond returns the rate for all agents of a model together: the store's,
-// divided evenly among the models that have a new version; 0: not known.
+// modelBytesPerSecond returns the rate for all agents of a model together: the
+// store's rate, divided evenly among the models that have a new version; 0
+// means unknown.
 func (r *storeRates) modelBytesPerSecond(model string) float64 {
 	v := r.view.View()
 	if v == nil || v.Manifest == nil {
@@ -63,9 +66,10 @@
 	return v.Manifest.Fleet.StoreBytesPS / float64(spreading)
 }
 
-// activeFetchers returns how many agents of the model are reckoned to share its rate.
-// Long after an announcement an engine has restarted, alone or with others of
-// its failure domain, and serves nothing until it has its weights.
+// activeFetchers returns how many agents of the model are assumed to share its
+// rate. Long after an announcement only an engine that has restarted fetches,
+// alone or with others of its failure domain, and it serves nothing until it
+// has its weights.
 func (r *storeRates) activeFetchers(model string, planned int) int {
 	r.observe()
 	r.mu.Lock()
@@ -76,6 +80,8 @@
 	return max(1, planned/lateShares)
 }
 
+// isSpreading reports whether the model's newest version is still being fetched
+// by its agents.
 func (r *storeRates) isSpreading(model string) bool {
 	return r.now().Sub(r.announced[model].seenAt) < spreadTime
 }
--- a/agent/weights/relay.go
+++ b/agent/weights/relay.go
@@ -16,24 +16,27 @@
 )
 
 const (
-	// maxRelayWait is how long a child's fetch waits for ours to begin.
+	// maxRelayWait is how long a child's request waits for this agent's own
+	// fetch to start.
 	maxRelayWait = 3 * time.Second
-	// keepaliveInterval is how often a parent that has nothing to send says so with an
-	// empty piece. A child gives up a parent that says nothing for parentStall,
-	// as one that stands still, and one that sends no bytes for storeStall: were
-	// the lists of two agents to differ, each could wait for the other.
+	// keepaliveInterval is how often a parent that has nothing to send sends an
+	// empty piece. A child abandons a parent that sends no message for
+	// parentStallTimeout, as a paused one, and one that sends no bytes for
+	// storeStallTimeout: if the server lists of two agents differ, each could
+	// wait for the other.
 	keepaliveInterval  = time.Second
 	parentStallTimeout = maxRelayWait + time.Second
 )
 
-// incomingCopy is a copy on its way here. Its bytes are relayed as they come, so
-// that a hop of the relay tree costs a piece's time and not a whole version's.
-// A child checks the digest itself, which it has from the store.
+// incomingCopy is a copy that is being fetched. Its bytes are relayed as they
+// arrive, so that a hop of the relay tree adds the time of one piece and not
+// that of a whole version. Each child checks the digest itself, with the value
+// that the store gave it.
 type incomingCopy struct {
 	info platform.WeightInfo
 
 	mu      sync.Mutex
-	data    []byte // has room for the whole and never moves: parts of it are being sent
+	data    []byte // allocated for all bytes and never moved, because parts of it are being sent
 	changed chan struct{}
 }
 
@@ -41,7 +44,8 @@
 	return &incomingCopy{info: info, data: make([]byte, 0, info.Bytes), changed: make(chan struct{})}
 }
 
-// Write takes the next bytes.
+// Write appends the next bytes and wakes the relays. It returns an error if
+// there are more bytes than the version should have.
 func (a *incomingCopy) Write(p []byte) (int, error) {
 	if len(a.data)+len(p) > cap(a.data) {
 		return 0, errors.Errorf("weights have more than %d bytes", a.info.Bytes)
@@ -53,7 +57,7 @@
 	return len(p), nil
 }
 
-// wake has those look again who wait for more; a nil arrival has none.
+// wake notifies the relays that wait for more bytes. It does nothing on nil.
 func (a *incomingCopy) wake() {
 	if a == nil {
 		return
@@ -64,19 +68,20 @@
 	a.changed = make(chan struct{})
 }
 
+// received returns the bytes so far and a channel that is closed when more arrive.
 func (a *incomingCopy) received() ([]byte, <-chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.data, a.changed
 }
 
-// availability is what is here of a version.
+// availability describes which bytes of a version are here.
 type availability struct {
 	data     []byte
 	total    int64
 	complete bool
-	pending  bool // more is on its way
-	gone     bool // it was here and will not come again
+	pending  bool // more bytes will arrive
+	gone     bool // the version was here and will not be fetched again
 	changed  <-chan struct{}
 }
 
@@ -93,9 +98,9 @@
 	return availability{pending: c.fetchingVersion == version, gone: version <= c.newest, changed: c.changed}
 }
 
-// relay serves FetchWeights. Where the own fetch fails and another source is
-// tried the relay goes on behind what it has sent: a version's bytes are the
-// same wherever they come from.
+// relay serves FetchWeights. If this agent's own fetch fails and another source
+// is tried, the relay continues after the bytes that it has sent: a version's
+// bytes are the same from every source.
 func (c *copies) relay(req *pb.FetchWeightsRequest, stream grpc.ServerStreamingServer[pb.WeightsPiece]) error {
 	if req.GetModel() != c.cfg.Model {
 		return status.Errorf(codes.NotFound, "this agent serves model %q", c.cfg.Model)
@@ -144,7 +149,7 @@
 	}
 }
 
-// countRelay counts the children that have the version.
+// countRelay counts a child that has received the complete version.
 func (c *copies) countRelay(version uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -155,7 +160,7 @@
 
 func (c *copies) fetchFromAgent(ctx context.Context, addr string, info platform.WeightInfo) (*versionCopy, error) {
 	if addr == "" {
-		return nil, errors.New("no address known")
+		return nil, errors.New("address of the parent is unknown")
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -182,11 +187,11 @@
 	return pb.NewAgentClient(conn), func() { _ = conn.Close() }, nil
 }
 
-// pieceReader reads a relayed version. An empty piece is read as no bytes.
+// pieceReader reads a relayed version. For an empty piece it returns no bytes.
 type pieceReader struct {
 	stream      grpc.ServerStreamingClient[pb.WeightsPiece]
 	remaining   []byte
-	lastBytesAt time.Time // when bytes last came
+	lastBytesAt time.Time // when bytes last arrived
 }
 
 func (p *pieceReader) Read(b []byte) (int, error) {
@@ -197,7 +202,7 @@
 		}
 		p.remaining = piece.GetData()
 		if len(p.remaining) == 0 && time.Since(p.lastBytesAt) > storeStallTimeout {
-			return 0, errors.New("the parent has nothing to send")
+			return 0, errors.New("parent sent only keepalives until the stall timeout")
 		}
 		if len(p.remaining) > 0 {
 			p.lastBytesAt = time.Now()
--- a/agent/weights/schedule.go
+++ b/agent/weights/schedule.go
@@ -7,43 +7,45 @@
 	"dandelionsill.org/manifest"
 )
 
-// holdFactor: how many times the grace running unmixed streams may hold up a
-// swap where idle time weighs more than staleness.
+// holdFactor is how many times the grace period running unmixed streams may
+// delay a swap if idle time weighs more than staleness.
 const holdFactor = 4
 
-// Running is what a swap must mind of the streams at the engine.
+// Running describes the streams at the engine, as far as a swap must take them
+// into account.
 type Running struct {
 	Unmixed int // streams that may not span versions
-	// Floor is the highest floor known of the model's trainers: below it
-	// nothing may start for that trainer.
+	// Floor is the highest known floor of the model's trainers: no sample of
+	// that trainer may start on a lower version.
 	Floor uint64
-	// Applications: streams without a floor run here, or did a moment ago.
+	// Applications reports whether streams without a floor run here or did a
+	// moment ago.
 	Applications bool
 }
 
-// announcement is a version and when this agent learnt of it.
+// announcement is a version and when this agent first saw it.
 type announcement struct {
 	version uint64
 	seenAt  time.Time
 }
 
-// pendingVersions is what is remembered of versions not served yet. It outlives an
-// engine start.
+// pendingVersions records the versions that are not served yet. It is kept when
+// the engine restarts.
 type pendingVersions struct {
 	newest    announcement
-	oldest    announcement // the first version not served yet; version 0: none
+	oldest    announcement // the first version not served yet; version 0 means none
 	schedule  waves.Schedule
-	fetchTime time.Duration // how long the last planned version takes to spread
+	fetchTime time.Duration // how long the last planned version takes to spread to all engines
 }
 
-// recordTarget notes the newest version and what is served.
+// recordTarget records the newest version and removes what is served already.
 func (k *Keeper) recordTarget(target uint64) {
 	r := &k.state.pending
 	if target > r.newest.version {
 		r.newest = announcement{target, k.cfg.Now()}
 		schedule := r.schedule.Advance(r.newest.seenAt, k.timing())
 		if !schedule.SameSlots(r.schedule) {
-			k.unscheduleSwap() // another server may have its slot now
+			k.unscheduleSwap() // another server may have this slot now
 		}
 		r.schedule = schedule
 	}
@@ -51,9 +53,10 @@
 	case r.newest.version <= serving:
 		r.oldest = announcement{}
 	case r.oldest.version <= serving:
-		// The first version after the served one came at the newest's time at
-		// the latest. Counted from the newest alone, a trainer that publishes
-		// more often than the grace would never see a swap.
+		// The first version after the served one arrived no later than the
+		// newest. If the grace period were counted from the newest only, a
+		// trainer that publishes more often than the grace period would never
+		// see a swap.
 		r.oldest = r.newest
 	}
 }
@@ -65,7 +68,8 @@
 	}
 }
 
-// swapDelay returns how long the swap to w must still wait; 0: it begins now.
+// swapDelay returns how long the swap to w must still wait; 0 means that it
+// starts now.
 func (k *Keeper) swapDelay(w *versionCopy) time.Duration {
 	serving := k.verified.Load().serving
 	if serving == 0 || k.cfg.NoWaves {
@@ -76,7 +80,7 @@
 	belowFloor := serving < running.Floor
 	switch {
 	case belowFloor && w.info.Version < running.Floor:
-		return k.cfg.ReadBackInterval // it would not help; a newer version is on its way
+		return k.cfg.ReadBackInterval // does not reach the floor; a newer version will arrive
 	case belowFloor && !running.Applications:
 		k.scheduleSwap(now)
 		return 0
@@ -88,7 +92,7 @@
 		if !held {
 			return 0
 		}
-		s.swapAt = time.Time{} // its slot passes by
+		s.swapAt = time.Time{} // held up, so this slot is skipped
 	}
 	earliest := now
 	if graceEnd := oldest.Add(k.swapGrace()); held && graceEnd.After(now) {
@@ -103,13 +107,14 @@
 	return k.cfg.ReadBackInterval
 }
 
-// shouldLoadOlder tells whether a copy of an older version than the newest is loaded.
+// shouldLoadOlder reports whether a copy of an older version than the newest is
+// worth loading: it is newer than the served one and not below the floor.
 func (k *Keeper) shouldLoadOlder(w *versionCopy) bool {
 	serving := k.verified.Load().serving
 	return serving != 0 && serving < w.info.Version && w.info.Version >= k.streams.Running().Floor
 }
 
-// maxHold returns how long unmixed streams may maxHold up the swap.
+// maxHold returns how long unmixed streams may delay the swap.
 func (k *Keeper) maxHold() time.Duration {
 	hold := k.swapGrace()
 	if m := k.manifest(); m != nil && m.Fleet.Weigh != manifest.WeighStaleness {
@@ -118,7 +123,7 @@
 	return hold
 }
 
-// swapStart returns this server's first slot from ready on.
+// swapStart returns the start of this server's first slot at or after earliest.
 func (k *Keeper) swapStart(w *versionCopy, earliest time.Time) time.Time {
 	plan, _ := k.copies.plan(w.info.Version)
 	rates := waves.Rates{Bytes: w.info.Bytes, StoreBytesPerSecond: k.copies.rates.modelBytesPerSecond(k.cfg.Model), LinkBytesPerSecond: linkBytesPerSecond}
--- a/agent/weights/schedule_test.go
+++ b/agent/weights/schedule_test.go
@@ -16,7 +16,7 @@
 	tickTime  = 100 * time.Millisecond
 )
 
-// newThreeKeepers are the settled keepers of a model.
+// newThreeKeepers returns the serving keepers of a model with three engines.
 func newThreeKeepers(t *testing.T, weigh manifest.Weigh) (out []*testKeeper) {
 	for _, name := range []string{"s0", "s1", "s2"} {
 		b := newServingKeeper(t, func(c *Config) {
@@ -25,13 +25,14 @@
 		})
 		b.view.Manifest.Fleet.Weigh = weigh
 		b.view.Manifest.Models = map[string]manifest.Model{"m": {Name: "m", SwapGrace: testGrace}}
-		b.advance(time.Hour) // the slots of the version found at the start are over
+		b.advance(time.Hour) // the slots of the version found at the start have passed
 		out = append(out, b)
 	}
 	return out
 }
 
-// newLastWaveKeeper is the one of three whose wave is the newLastWaveKeeper one.
+// newLastWaveKeeper returns the one of the three keepers that is in the last
+// wave.
 func newLastWaveKeeper(t *testing.T, weigh manifest.Weigh) *testKeeper {
 	for _, b := range newThreeKeepers(t, weigh) {
 		if plan, _ := b.copies.plan(8); plan.Role(b.cfg.Server).Wave == 2 {
@@ -42,7 +43,8 @@
 	return nil
 }
 
-// timeToNextOrder returns when the next order was given. each runs at each tick.
+// timeToNextOrder runs steps until the next order and returns the time until
+// then. onTick runs at each tick.
 func (b *testKeeper) timeToNextOrder(onTick func(since time.Duration)) time.Duration {
 	b.t.Helper()
 	began, orders := b.now(), b.engine.orders()
@@ -62,18 +64,18 @@
 	return 0
 }
 
-// When an engine of the last wave swaps after an announcement. Each trainer
-// below waits for the swap or loses the stream that it cancels: an engine waits
-// only for what it can save.
+// The start of a swap at an engine of the last wave after an announcement. In
+// each case a trainer waits for the swap or loses the stream that it cancels:
+// an engine delays its swap only for streams that it can save.
 func TestSwapStart(t *testing.T) {
-	// The first wave's slot falls on the end of the grace, the last one's two
-	// later, and each a round before and after.
+	// The first wave's slot starts at the end of the grace period, the last
+	// wave's two slots later, and each also a round before and after.
 	slot := testGrace + 2*testSlot - testRound
 	for _, c := range []struct {
 		name      string
 		weigh     manifest.Weigh
 		running   Running
-		ends      time.Duration // of the unmixed streams; 0: never
+		ends      time.Duration // of the unmixed streams; 0 means never
 		at        time.Duration
 		cancelled int
 	}{
@@ -101,7 +103,8 @@
 	}
 }
 
-// The benchmarks' baseline: no slot, no grace, and each agent to the store.
+// The benchmarks' baseline: no slot, no grace period, and each agent fetches
+// from the store.
 func TestNoWaves(t *testing.T) {
 	b := newLastWaveKeeper(t, manifest.WeighIdle)
 	b.cfg.NoWaves = true
@@ -116,9 +119,10 @@
 	require.Empty(t, asked)
 }
 
-// A trainer publishes every 3 s; the grace is 8 s, a round of slots 12 s. Where
-// each version began grace and slots anew, the engine would stay on version 7
-// until the floor passed it, and the trainer wait with no engine at all.
+// A trainer publishes every 3 s; the grace period is 8 s and a round of slots
+// 12 s. If each version restarted the grace period and the slots, the engine
+// would stay on version 7 until the floor passed it, and the trainer would wait
+// without any engine.
 func TestFastPublisher(t *testing.T) {
 	b := newLastWaveKeeper(t, manifest.WeighIdle)
 	b.streams.running.Unmixed = 1
@@ -126,13 +130,14 @@
 	require.LessOrEqual(t, at, holdFactor*testGrace+testRound)
 	again := b.timeToNextOrder(func(since time.Duration) { b.view.Versions["m"] = 8 + uint64((at+since)/(3*time.Second)) })
 	require.LessOrEqual(t, again, holdFactor*testGrace+testRound)
-	require.Greater(t, again, testGrace, "the next swap has a grace of its own")
+	require.Greater(t, again, testGrace, "the next swap has its own grace period")
 }
 
-// Versions come faster than a round of slots, and streams hold the engines up
-// for unlike times. A caller always finds one of the three that serves: no two
-// swaps begin within a swap's time. Where each agent's slots began anew with
-// the version that it happened to wait for, they would meet.
+// Versions are published faster than a round of slots, and streams delay the
+// engines for different times. A caller must always find one of the three
+// engines serving: no two swaps may start within the duration of a swap. If
+// each agent's slots started with the version that it happened to wait for,
+// swaps would overlap.
 func TestSwapsDoNotOverlap(t *testing.T) {
 	fleet := newThreeKeepers(t, manifest.WeighIdle)
 	const swapTime = testSlot * 4 / 5
@@ -159,8 +164,9 @@
 	require.Greater(t, swaps, 3*5)
 }
 
-// Version 9 is announced, but can't be fetched yet. An engine goes on to 8,
-// which is here, rather than to stay on 7; not if 9 alone helps its trainer.
+// Version 9 is announced but can't be fetched yet. An engine loads 8, which is
+// here, rather than staying on 7; but not if only 9 reaches its trainer's
+// floor.
 func TestLoadsNewestAvailableCopy(t *testing.T) {
 	for floor, want := range map[uint64]uint64{8: 8, 9: 7} {
 		b := newLastWaveKeeper(t, manifest.WeighIdle)
@@ -179,9 +185,9 @@
 	}
 }
 
-// The log is down, so version 9 is not announced; a request's floor tells of
-// it. Without a look at the store every engine refuses the trainer's samples
-// until the log is back.
+// The log is unavailable, so version 9 is not announced; a request's floor
+// shows that it exists. Without asking the store every engine would refuse the
+// trainer's samples until the log is available again.
 func TestFloorRevealsVersion(t *testing.T) {
 	b := newServingKeeper(t, nil)
 	b.store.latest = 9
--- a/agent/weights/slowstore_test.go
+++ b/agent/weights/slowstore_test.go
@@ -17,7 +17,8 @@
 	"dandelionsill.org/platform"
 )
 
-// sizedStore is a store of versions of one size, whose version bad has wrong bytes.
+// sizedStore is a store of versions of one size, whose version badVersion has
+// wrong bytes.
 type sizedStore struct {
 	platform.WeightStore
 	bytes      int
@@ -43,8 +44,8 @@
 	return io.NopCloser(bytes.NewReader(data)), info, nil
 }
 
-// streamingEngine is an engine that reads the weights as they come and, like the HTTP
-// adapter, gives up when the order's time is over.
+// streamingEngine is an engine that reads the weights as they arrive and, like
+// the HTTP adapter, returns an error when the order's time has passed.
 type streamingEngine struct{ *fakeEngine }
 
 func (e streamingEngine) LoadWeights(ctx context.Context, info platform.WeightInfo, data io.Reader, token uint64) error {
@@ -64,12 +65,12 @@
 	return e.fakeEngine.LoadWeights(ctx, info, bytes.NewReader(nil), token)
 }
 
-const slowBytesPerSecond = 20e3 // bytes a second, this agent's share
+const slowBytesPerSecond = 20e3 // bytes per second, this agent's share
 
 // The store is slow: this agent's share of its rate carries a version in 64 s.
-// Each fetch is cut off after 30 s and begun anew from the first byte, for
-// ever. The engines never get the version, the floor passes them, and the
-// trainer's step never ends although the store delivers all the time.
+// If each fetch were ended after 30 s and restarted from the first byte, the
+// engines would never get the version, the floor would pass them, and the
+// trainer's step would never end although the store delivers all the time.
 func TestSlowStoreStillDelivers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newServingKeeper(t, func(c *Config) { c.Store = sizedStore{bytes: 1_500_000} })
@@ -77,15 +78,16 @@
 		for range 4 {
 			b.copies.fetch(t.Context(), 8)
 		}
-		require.NotNil(t, b.copies.get(8), "fetched in four times 30 s")
+		require.NotNil(t, b.copies.get(8), "the version is fetched within four fetches")
 	})
 }
 
 // A version is larger than an agent keeps, so it streams from the store into
-// the engine. At this agent's share that takes 64 s; the order is cut off after
-// 15 s. The engine served version 7 well; from the first try on it serves
-// nothing, for ever. All engines of the model do alike: trainers and callers
-// lose all capacity because the store is slow.
+// the engine. At this agent's share that takes 64 s; the order times out after
+// 15 s. If the order were tried, the engine, which served version 7 well, would
+// serve nothing from the first attempt on. All engines of the model would do
+// the same: trainers and callers would lose all capacity because the store is
+// slow.
 func TestSlowStoreDoesNotTakeEnginesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newServingKeeper(t, func(c *Config) {
@@ -105,7 +107,7 @@
 	})
 }
 
-// An order that can't end in time is not begun: while it ran the engine would
+// An order that can't end in time is not started: while it ran the engine would
 // serve nothing.
 func TestTooLongOrderIsNotStarted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -123,9 +125,9 @@
 }
 
 // Version 8 is announced, but its bytes in the store are broken. An engine
-// restarts and is empty. Version 7, which all its fellows serve and every
-// trainer's bound allows, stands in the store, yet the agent wants 8 alone:
-// the server serves nothing until somebody publishes a ninth version.
+// restarts and is empty. Version 7, which all its peers serve and every
+// trainer's bound allows, is in the store. If the agent tried only version 8,
+// the server would serve nothing until a ninth version is published.
 func TestEmptyEngineLoadsOlderVersion(t *testing.T) {
 	b := newTestKeeper(t, func(c *Config) { c.Store = sizedStore{bytes: 1000, badVersion: 8} })
 	b.mustClaim()
@@ -139,7 +141,8 @@
 	require.EqualValues(t, 7, b.servingVersion())
 }
 
-// tricklingStore is a store whose bytes come slowly, whatever the manifest says.
+// tricklingStore is a store that sends its bytes slowly, whatever rate the
+// manifest gives.
 type tricklingStore struct {
 	sizedStore
 	perSecond int
@@ -161,13 +164,14 @@
 }
 
 // As in TestSlowStoreDoesNotTakeEnginesOut, but the store is slower than the
-// manifest's rate, as it is for long stretches: the share alone would be in
-// time. The order is begun, its body comes too slowly and is cut off half way
-// after 15 s, and the engine, which never had a whole order and still says that
-// it serves version 7, is taken out for ever, like its fellows.
+// manifest's rate, as it is for long stretches: by this agent's share alone the
+// order would end in time. The order is started and its body is cut off half
+// way after 15 s because it arrives too slowly. The engine, which never
+// received a complete order and still reports version 7, must not be taken out
+// of service for ever, and neither must its peers.
 func TestStoreSlowerThanItsRateDoesNotTakeEnginesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		defer time.Sleep(5 * time.Minute) // the last body's reader ends
+		defer time.Sleep(5 * time.Minute) // lets the last body's reader end
 		b := newServingKeeper(t, func(c *Config) {
 			c.Store, c.MaxCopyBytes = tricklingStore{sizedStore{bytes: 1_500_000}, slowBytesPerSecond}, 1000
 			c.Engine = streamingEngine{c.Engine.(*fakeEngine)}
@@ -184,15 +188,15 @@
 				servedReads++
 			}
 		}
-		require.Greater(t, servedReads, reads/2, "looks at which a version was served")
+		require.Greater(t, servedReads, reads/2, "read-backs at which a version was served")
 	})
 }
 
 // A version is larger than agents keep, so each of a model's 61 agents streams
-// it from the store. Each paces itself by the number of seeds of the relay tree,
-// which is 1: together they ask for 61 times the store's rate. The store slows
-// down for everybody or refuses, and orders that outlast their time take
-// serving engines out.
+// it from the store. If each paced itself by the number of seeds of the relay
+// tree, which is 1, together they would ask for 61 times the store's rate. The
+// store would slow down for all of them or refuse, and orders that time out
+// would take serving engines out of service.
 func TestLargeVersionsShareTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const size, perSecond, others = 1_500_000, 1e6, 60
--- a/agent/weights/swap.go
+++ b/agent/weights/swap.go
@@ -15,10 +15,12 @@
 const (
 	stateReadTimeout    = 2 * time.Second
 	loadingPollInterval = 50 * time.Millisecond
-	// incompleteRetryDelay: while an order runs nothing is served, so one that the
-	// engine never took whole is not repeated soon.
+	// incompleteRetryDelay is the delay after an order whose body the engine
+	// never received completely. Nothing is served while an order runs, so it
+	// is not repeated soon.
 	incompleteRetryDelay = time.Minute
-	// smoothing of the measured swap time.
+	// swapSmoothing is the weight of the newest measurement in the smoothed
+	// swap time.
 	swapSmoothing = 0.5
 )
 
@@ -28,25 +30,25 @@
 	stateLoading = "loading"
 )
 
-// runState is what the goroutine of Run remembers between steps.
+// runState is the state that the goroutine of Run keeps between steps.
 type runState struct {
 	unanswered      int
-	boot            string // engine start of the last read-back
-	reportedVersion uint64 // version that the last read-back showed on boot, 0: none
-	failed          bool   // the last order on boot failed: only a verified order helps
-	everVerified    bool   // something was verified on boot before
-	mustRenewToken  bool   // an order of unknown outcome may still be on its way
+	boot            string // boot id of the last read-back
+	reportedVersion uint64 // version that the last read-back showed on boot; 0 means none
+	failed          bool   // the last order on boot failed; only a verified order clears it
+	everVerified    bool   // a version was verified on this boot before
+	mustRenewToken  bool   // an order of unknown outcome may still reach the engine
 	retryDelay      time.Duration
 	retryAt         time.Time
 	pending         pendingVersions
-	swapAt          time.Time // of the next swap; zero: none is scheduled
+	swapAt          time.Time // time of the next swap; zero if none is scheduled
 	polledAt        time.Time
-	storeVersion    uint64 // newest version that the store named
+	storeVersion    uint64 // newest version that the store reported
 	swapTime        time.Duration
 }
 
-// step reads the engine back, and gives an order when one is due. It returns
-// how long to wait for the next step.
+// step reads the engine back and gives an order if one is due. It returns how
+// long to wait before the next step.
 func (k *Keeper) step(ctx context.Context) time.Duration {
 	if k.claim.isSuperseded() {
 		return k.cfg.ReadBackInterval
@@ -88,7 +90,8 @@
 	return k.cfg.Engine.State(ctx)
 }
 
-// recordUnanswered: one lost answer proves nothing; more mean that the engine is gone.
+// recordUnanswered counts a failed read-back. One lost answer proves nothing;
+// maxUnanswered in a row mean that the engine is unavailable.
 func (k *Keeper) recordUnanswered(err error) {
 	k.state.unanswered++
 	if k.state.unanswered >= maxUnanswered {
@@ -97,7 +100,7 @@
 	}
 }
 
-// evaluate compares what the engine says of itself with what is verified.
+// evaluate compares the state that the engine reports with the verified one.
 func (k *Keeper) evaluate(ctx context.Context, st platform.EngineState) {
 	s := &k.state
 	s.unanswered = 0
@@ -118,9 +121,10 @@
 	k.adoptReported(ctx, st, served)
 }
 
-// adoptReported trusts what the engine says without an order of ours: at once on an
-// engine start that is new to us, else only when two read-backs agree. After a
-// failed order it never does: such an engine may serve anything.
+// adoptReported trusts the version that the engine reports without an order of
+// this agent: at once on a boot that is new to this agent, otherwise only if
+// two read-backs agree. After a failed order it never does: such an engine may
+// serve anything.
 func (k *Keeper) adoptReported(ctx context.Context, st platform.EngineState, served uint64) {
 	s := &k.state
 	agreed := served != 0 && (s.reportedVersion == served || !s.everVerified)
@@ -136,12 +140,13 @@
 	k.recordServing(served, "the engine says so when read back")
 }
 
-// checkNotSuperseded looks for a newer agent in the log and in the engine's own state.
-// With the log down the engine's state alone must do (see the package comment).
+// checkNotSuperseded looks for a newer agent in the log and in the engine's own
+// state, and returns errSuperseded if there is one. If the log is unavailable,
+// only the engine's state is checked (see the package comment).
 func (k *Keeper) checkNotSuperseded(ctx context.Context, st platform.EngineState) error {
 	token := k.claim.token.Load()
 	if token == 0 {
-		return nil // nothing was claimed, so nothing can have been lost
+		return nil // without a claim there is nothing to lose
 	}
 	rctx, cancel := context.WithTimeout(ctx, stateReadTimeout)
 	defer cancel()
@@ -155,7 +160,7 @@
 	return nil
 }
 
-// target returns the version that the engine should serve.
+// target returns the version that the engine should serve; 0 means unknown.
 func (k *Keeper) target(ctx context.Context) uint64 {
 	s := &k.state
 	newest := max(k.announcedVersion(), s.storeVersion)
@@ -163,8 +168,9 @@
 	if (newest != 0 && newest >= k.streams.Running().Floor) || now.Sub(s.polledAt) < storePollInterval {
 		return newest
 	}
-	// Nobody has announced a version yet, or a trainer's floor proves a newer
-	// one whose announcement is late, as while the log is down: the store tells.
+	// No version was announced yet, or a trainer's floor proves that there is a
+	// newer one whose announcement is late, as while the log is unavailable.
+	// The store knows it.
 	s.polledAt = now
 	sctx, cancel := context.WithTimeout(ctx, stateReadTimeout)
 	defer cancel()
@@ -174,7 +180,7 @@
 	return s.storeVersion
 }
 
-// needsOrder tells whether an order for target is called for.
+// needsOrder reports whether an order for target should be given.
 func (k *Keeper) needsOrder(target uint64, st platform.EngineState) bool {
 	s := &k.state
 	if target == 0 || k.cfg.Now().Before(s.retryAt) || st.State == stateLoading {
@@ -187,13 +193,13 @@
 	return s.failed || st.State != stateServing || st.Model != k.cfg.Model || st.Version < target
 }
 
-// order loads a version and verifies it. Between the last look at claim and
-// engine and the order no pause may lie: the heartbeat and the proof that was
-// in force at the start tell.
+// order loads a version and verifies it. The process must not be paused between
+// the last check of claim and engine and the order: the time since the check
+// and the verified state in force at the start show that.
 func (k *Keeper) order(ctx context.Context, w *versionCopy) error {
 	defer k.unscheduleSwap()
 	if !k.copies.fitsOrderTime(w) {
-		return errors.Errorf("%d bytes do not stream into the engine within %v", w.info.Bytes, k.cfg.MaxOrderTime)
+		return errors.Errorf("%d bytes cannot stream into the engine within %v", w.info.Bytes, k.cfg.MaxOrderTime)
 	}
 	checkedAt := k.cfg.Now()
 	before, token, err := k.prepareOrder(ctx, w)
@@ -207,7 +213,7 @@
 	}
 	defer body.Close()
 	if elapsed(checkedAt, k.cfg.Now()) > k.cfg.Lease {
-		return errors.New("stood still before the order; looking again")
+		return errors.New("process was paused between the check and the order")
 	}
 	k.streams.CancelUnmixed()
 	previous := old.serving
@@ -227,7 +233,7 @@
 		if w.data == nil {
 			k.state.retryDelay = incompleteRetryDelay
 		}
-		return errors.Annotate(orderErr, "order not taken")
+		return errors.Annotate(orderErr, "engine did not receive the order")
 	}
 	if err := k.verify(ctx, w, before.Boot, token, orderErr); err != nil {
 		k.state.mustRenewToken = !k.cfg.IgnoresFencing && !errors.Is(orderErr, platform.ErrLoadFailed)
@@ -238,18 +244,18 @@
 	return nil
 }
 
-// prepareOrder reads the engine back and returns its state and the token to order
-// with, or why no order for w may be given now.
+// prepareOrder reads the engine back and returns its state and the token to
+// order with, or an error if no order for w may be given now.
 func (k *Keeper) prepareOrder(ctx context.Context, w *versionCopy) (before platform.EngineState, token uint64, err error) {
 	before, err = k.readBack(ctx)
 	if err != nil {
-		return before, 0, errors.Annotate(err, "read back before the order")
+		return before, 0, errors.Annotate(err, "read the engine back before the order")
 	}
 	if err := k.checkNotSuperseded(ctx, before); err != nil {
 		return before, 0, err
 	}
 	if before.State == stateServing && before.Version > w.info.Version {
-		return before, 0, errors.Errorf("the engine went on to version %d", before.Version)
+		return before, 0, errors.Errorf("engine already serves version %d", before.Version)
 	}
 	k.renewToken(ctx)
 	token, wait, err := k.claim.orderToken(k.cfg.Now())
@@ -257,26 +263,27 @@
 		return before, 0, errors.Annotate(err, "order")
 	}
 	if wait > 0 {
-		return before, 0, errors.Errorf("the predecessor's last order may run for %v more", wait)
+		return before, 0, errors.Errorf("the predecessor's last order may still run for %v", wait)
 	}
 	return before, token, nil
 }
 
-// renewToken gets a higher token where the last order may still be on its way.
-// With the log down the old one must do: the read-backs find an engine that the
-// late order took back.
+// renewToken gets a higher token if the last order may still reach the engine.
+// If the log is unavailable the old token is used: the read-backs detect an
+// engine that the late order set back.
 func (k *Keeper) renewToken(ctx context.Context) {
 	if !k.state.mustRenewToken {
 		return
 	}
 	if err := k.claim.renew(ctx); err != nil {
-		k.log.Info("No new fencing token could be claimed.", zap.Error(err))
+		k.log.Info("Claiming a higher fencing token failed; using the old one.", zap.Error(err))
 		return
 	}
 	k.state.mustRenewToken = false
 }
 
-// neverReceived tells whether an order's error proves that the engine never had it.
+// neverReceived reports whether an order's error proves that the engine never
+// received it.
 func neverReceived(err error) bool {
 	for _, possible := range []error{
 		nil, platform.ErrFenced, platform.ErrLoadFailed, platform.ErrOrderUnknown,
@@ -289,23 +296,24 @@
 	return true
 }
 
-// bodyIncomplete tells whether the body of an order never came to its end, as when the
-// store is too slow: an engine can't have obeyed an order that it has not got.
-// That it says nothing changed, its last order included, is asked for besides.
+// bodyIncomplete reports whether the engine never received the complete body of
+// an order, as when the store is too slow: it can't have executed such an
+// order. The caller also checks that the engine reports an unchanged state, its
+// last order included.
 func bodyIncomplete(err error, b *orderBody) bool {
 	return err != nil && !b.isComplete() && !errors.Is(err, platform.ErrLoadFailed) && !errors.Is(err, platform.ErrFenced)
 }
 
-// isUnchanged tells whether the engine still says what it said before the order,
-// and nothing ended the trust in it meanwhile.
+// isUnchanged reports whether the engine reports the same state as before the
+// order, and the verified state was not discarded meanwhile.
 func (k *Keeper) isUnchanged(ctx context.Context, before platform.EngineState) bool {
 	st, err := k.readBack(ctx)
 	return err == nil && st == before && k.verified.Load().loading != 0
 }
 
 // verify reads the engine back after an order. An order whose answer was lost
-// may have been obeyed all the same; one that failed partway leaves an engine
-// that may serve anything, whatever it says.
+// may have been executed all the same; one that failed partway leaves an engine
+// that may serve anything, whatever it reports.
 func (k *Keeper) verify(ctx context.Context, w *versionCopy, boot string, token uint64, orderErr error) error {
 	if errors.Is(orderErr, platform.ErrLoadFailed) || errors.Is(orderErr, platform.ErrFenced) {
 		return orderErr
@@ -328,8 +336,8 @@
 	return nil
 }
 
-// readAfterLoading reads the engine back until it no longer says "loading": where
-// the order's answer was lost the engine may still be at it.
+// readAfterLoading reads the engine back until it no longer reports "loading":
+// if the order's answer was lost the engine may still be loading.
 func (k *Keeper) readAfterLoading(ctx context.Context) (platform.EngineState, error) {
 	ctx, cancel := context.WithTimeout(ctx, k.cfg.MaxOrderTime)
 	defer cancel()
@@ -348,8 +356,8 @@
 	}
 }
 
-// recordOrderFailure: nothing is served until an order of ours is verified, or the engine
-// restarts and so starts from a known state.
+// recordOrderFailure stops serving until an order of this agent is verified, or
+// the engine restarts and thus has a known state.
 func (k *Keeper) recordOrderFailure(err error) {
 	k.state.failed = true
 	k.distrust(true, "weight order failed: "+err.Error())
--- a/agent/weights/verified.go
+++ b/agent/weights/verified.go
@@ -5,31 +5,33 @@
 	"time"
 )
 
-// verifiedState is what is known of the engine. It is immutable; a change is a new one.
+// verifiedState is what has been verified about the engine. It is immutable;
+// each change creates a new one.
 type verifiedState struct {
-	serving  uint64 // verified version; 0: none
-	boot     string // the engine start that all of this is about
-	previous uint64 // version before the last or running swap of this boot
-	loading  uint64 // version of the order under way; 0: none
+	serving  uint64 // verified version; 0 means none
+	boot     string // the engine's boot id, to which all fields refer
+	previous uint64 // version before the last or current swap of this boot
+	loading  uint64 // version of the running order; 0 means none
 }
 
-// Verdict tells whether a chunk fits what is verified of the engine.
+// Verdict is the result of comparing a chunk with the verified state.
 type Verdict uint8
 
 const (
-	// Contradicts: the chunk does not fit what is verified.
+	// Contradicts means that the chunk does not match the verified state.
 	Contradicts Verdict = iota
-	// Fits: the chunk is what the verified engine makes.
+	// Fits means that the chunk matches the verified state.
 	Fits
-	// Undecided: an order is under way. Should it fail partway, the engine may
-	// make tokens of anything and still name the intended version, so no chunk
-	// can be believed before the order is verified.
+	// Undecided means that an order is running. If it fails partway, the engine
+	// may generate arbitrary tokens and still report the intended version, so
+	// no chunk can be trusted before the order is verified.
 	Undecided
 )
 
-// checkChunk tells whether a chunk of version on boot fits a stream that started
-// on version start. The version before a swap still fits: its chunks may lie
-// in buffers while the swap is verified.
+// checkChunk compares a chunk with the given version and boot id with the
+// verified state, for a stream that started on version start. The version
+// before a swap still fits: its chunks may be buffered while the swap is
+// verified.
 func (p *verifiedState) checkChunk(start, version uint64, boot string) Verdict {
 	switch {
 	case p.loading != 0 && p.boot == boot:
@@ -42,10 +44,11 @@
 	return Contradicts
 }
 
-// pauseDetector notices that the process stood still (SIGSTOP, a suspended VM).
-// While it does, nothing of what it holds can be trusted: another agent may
-// have taken the server over. Both clocks are compared because the monotonic
-// one may stop with a suspended VM and the wall clock may be set back.
+// pauseDetector detects that the process was paused (SIGSTOP, a suspended VM).
+// After a pause longer than the lease nothing that the process holds can be
+// trusted: another agent may have claimed the server. Both clocks are compared
+// because the monotonic clock may stop with a suspended VM and the wall clock
+// may be set back.
 type pauseDetector struct {
 	now       func() time.Time
 	lease     time.Duration
@@ -63,9 +66,12 @@
 	d.lastAlive.Store(&t)
 }
 
-// exceeded tells whether more than the lease has gone since the last beat.
+// exceeded reports whether more than the lease has passed since markAlive was
+// last called.
 func (d *pauseDetector) exceeded() bool { return elapsed(*d.lastAlive.Load(), d.now()) > d.lease }
 
+// elapsed returns the time between two instants by the monotonic or the wall
+// clock, whichever shows more.
 func elapsed(from, to time.Time) time.Duration {
 	return max(to.Sub(from), to.Round(0).Sub(from.Round(0)))
 }
