--- a/agent/weights/copies_test.go
+++ b/agent/weights/copies_test.go
@@ -141,9 +141,9 @@
 	require.Nil(t, b.copies.get(8))
 	synctest.Test(t, func(t *testing.T) {
 		b.copies.changed = make(chan struct{})
-		began := time.Now()
+		start := time.Now()
 		require.Error(t, ask())
-		require.Zero(t, time.Since(began))
+		require.Zero(t, time.Since(start))
 	})
 	b.copies.changed = make(chan struct{})
 	b.copies.fetch(t.Context(), 8)
@@ -225,15 +225,15 @@
 func TestRelayWhileFetching(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestKeeper(t, func(c *Config) { c.Store = pausingStore{tricklingStore{sizedStore{bytes: 1000}, 100}} })
-		began := time.Now()
-		sink := &timedSink{relaySink: relaySink{ctx: t.Context()}, last: began}
+		start := time.Now()
+		sink := &timedSink{relaySink: relaySink{ctx: t.Context()}, last: start}
 		b.copies.startFetch(t.Context(), 8, b.shouldLoadOlder)
 		require.NoError(t, b.FetchWeights(&pb.FetchWeightsRequest{Model: "m", Version: 8}, sink))
 		data, _ := sizedStore{bytes: 1000}.info(8)
 		require.Equal(t, data, sink.data)
-		require.Less(t, sink.first.Sub(began), storePause+2*time.Second)
+		require.Less(t, sink.first.Sub(start), storePause+2*time.Second)
 		require.Less(t, sink.longestGap, parentStallTimeout)
-		require.Equal(t, storePause+11*time.Second, time.Since(began))
+		require.Equal(t, storePause+11*time.Second, time.Since(start))
 	})
 }
 
@@ -324,11 +324,11 @@
 			data, _ := weightsOf(8)
 			return &liveParent{fakeRelay{data: data}}, func() {}, nil
 		}
-		began := time.Now()
+		start := time.Now()
 		for range 3 {
 			b.copies.fetch(t.Context(), 8)
 		}
 		require.NotNil(t, b.copies.get(8), "another parent and the store have the version")
-		require.LessOrEqual(t, time.Since(began), 3*parentStallTimeout, "one stall timeout for each of the three fetches")
+		require.LessOrEqual(t, time.Since(start), 3*parentStallTimeout, "one stall timeout for each of the three fetches")
 	})
 }
--- a/agent/weights/schedule_test.go
+++ b/agent/weights/schedule_test.go
@@ -47,9 +47,9 @@
 // then. onTick runs at each tick.
 func (b *testKeeper) timeToNextOrder(onTick func(since time.Duration)) time.Duration {
 	b.t.Helper()
-	began, orders := b.now(), b.engine.orders()
+	start, orders := b.now(), b.engine.orders()
 	for range 2000 {
-		since := b.now().Sub(began)
+		since := b.now().Sub(start)
 		if onTick != nil {
 			onTick(since)
 		}
--- a/agent/weights/slowstore_test.go
+++ b/agent/weights/slowstore_test.go
@@ -96,8 +96,8 @@
 		})
 		b.view.Manifest.Fleet.StoreBytesPS = slowBytesPerSecond
 		b.view.Versions["m"] = 8
-		begin := time.Now()
-		for time.Since(begin) < 10*time.Minute {
+		start := time.Now()
+		for time.Since(start) < 10*time.Minute {
 			b.step(t.Context())
 			synctest.Wait()
 			b.advance(b.cfg.ReadBackInterval)
@@ -117,9 +117,9 @@
 		})
 		b.view.Manifest.Fleet.StoreBytesPS = slowBytesPerSecond
 		_, info := sizedStore{bytes: 1_500_000}.info(8)
-		began := time.Now()
+		start := time.Now()
 		require.Error(t, b.order(t.Context(), &versionCopy{info: info}))
-		require.Zero(t, time.Since(began))
+		require.Zero(t, time.Since(start))
 		require.EqualValues(t, 7, b.servingVersion())
 	})
 }
@@ -213,11 +213,11 @@
 		_, info := sizedStore{bytes: size}.info(8)
 		body, err := b.copies.open(t.Context(), &versionCopy{info: info})
 		require.NoError(t, err)
-		began := time.Now()
+		start := time.Now()
 		_, err = io.Copy(io.Discard, body)
 		require.NoError(t, err)
 		const burst = pieceBytes
 		share := perSecond / (others + 1)
-		require.GreaterOrEqual(t, time.Since(began).Seconds(), (size-burst)/share*0.9)
+		require.GreaterOrEqual(t, time.Since(start).Seconds(), (size-burst)/share*0.9)
 	})
 }
