--- a/agent/server/build.go
+++ b/agent/server/build.go
@@ -31,7 +31,7 @@
 	"dandelionsill.org/wire/pb"
 )
 
-const part = "agent"
+const component = "agent"
 
 // Build makes the agent's process from its settings. Everything that runs
 // beside the servers ends with ctx; Close waits for it.
@@ -44,30 +44,30 @@
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	b := &builder{set: set, logger: logs.New(part, set.Process.LogLevel), queue: newQueue(set)}
+	b := &builder{set: set, logger: logs.New(component, set.Process.LogLevel), queue: newQueue(set)}
 	b.explain = explain.New(set.Process.Name, set.Explain.Records)
 	name := set.Process.Name
 	b.platformLog = httplog.New(set.Platform.Log, name)
 	b.vms = confsync.NewVMWatcher(httpvms.New(set.Platform.VMs, name), logs.Part(b.logger, "vms"))
-	known := &peers{self: name, vms: b.vms}
-	b.keeper, err = confsync.New(confsync.Config{
+	peers := &peerAddrs{self: name, vms: b.vms}
+	b.configKeeper, err = confsync.New(confsync.Config{
 		Name: name, Addr: set.Process.Listen, Log: b.platformLog, Keys: keys,
-		Peers: known.list, Logger: logs.Part(b.logger, "confsync"),
+		Peers: peers.list, Logger: logs.Part(b.logger, "confsync"),
 	})
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	b.run(b.vms.Run)
-	b.run(b.keeper.Run)
-	server := b.server()
-	b.run(server.Run)
+	b.addLoop(b.vms.Run)
+	b.addLoop(b.configKeeper.Run)
+	server := b.newServer()
+	b.addLoop(server.Run)
 
 	grpcServer := run.NewGRPC(set.Process.Listen)
 	pb.RegisterAgentServer(grpcServer.Server, server)
-	pb.RegisterPeerServer(grpcServer.Server, b.keeper)
+	pb.RegisterPeerServer(grpcServer.Server, b.configKeeper)
 	httpServer := run.NewHTTP(set.Process.HTTP)
-	httpServer.HandleFunc("/v1/status", server.ServeStatus(known.list))
-	wait := b.start(ctx)
+	httpServer.HandleFunc("/v1/status", server.ServeStatus(peers.list))
+	wait := b.startLoops(ctx)
 	return b.process(server, []transport.Server{grpcServer, httpServer}, func() {
 		wait()
 		stopCtx, cancel := context.WithTimeout(context.Background(), time.Second)
@@ -78,7 +78,7 @@
 
 // process ties the parts to the lifecycle. Not ready is the first step of a
 // stop: the agent then leaves for good.
-func (b *builder) process(server *Server, listeners []transport.Server, close func()) *run.Process {
+func (b *builder) process(server *Server, listeners []transport.Server, closeFunc func()) *run.Process {
 	return &run.Process{
 		Servers: listeners,
 		Ready: func(ready bool) {
@@ -89,7 +89,7 @@
 		StopDelay:    b.set.Process.StopDelay,
 		Drain:        server.Drain,
 		DrainTimeout: b.set.Process.DrainTimeout,
-		Close:        close,
+		Close:        closeFunc,
 		Logger:       b.logger,
 	}
 }
@@ -101,20 +101,20 @@
 
 // builder holds the parts while they are put together.
 type builder struct {
-	set         Settings
-	logger      *zap.Logger
-	queue       *admission.Queue
-	explain     *explain.Ring
-	platformLog platform.Log
-	vms         *confsync.VMWatcher
-	keeper      *confsync.Keeper
-	loops       []func(context.Context)
+	set          Settings
+	logger       *zap.Logger
+	queue        *admission.Queue
+	explain      *explain.Ring
+	platformLog  platform.Log
+	vms          *confsync.VMWatcher
+	configKeeper *confsync.Keeper
+	loops        []func(context.Context)
 }
 
-func (b *builder) run(loop func(context.Context)) { b.loops = append(b.loops, loop) }
+func (b *builder) addLoop(loop func(context.Context)) { b.loops = append(b.loops, loop) }
 
-// start runs all loops; the returned function waits for their end.
-func (b *builder) start(ctx context.Context) (wait func()) {
+// startLoops runs all loops; the returned function waits for their end.
+func (b *builder) startLoops(ctx context.Context) (wait func()) {
 	var wg sync.WaitGroup
 	for _, loop := range b.loops {
 		wg.Go(func() { loop(ctx) })
@@ -122,35 +122,35 @@
 	return wg.Wait
 }
 
-func (b *builder) server() *Server {
+func (b *builder) newServer() *Server {
 	cfg := Config{
-		Settings: b.set, Viewer: b.keeper, VMs: b.vms, Queue: b.queue,
+		Settings: b.set, Viewer: b.configKeeper, VMs: b.vms, Queue: b.queue,
 		Explain: b.explain, Logger: logs.Part(b.logger, "server"),
 		// /readyz says what the entries are told.
-		Published: func(state *pb.AgentState) { run.SetReady(state.Ready && !state.Leaving) },
+		OnPublish: func(state *pb.AgentState) { run.SetReady(state.Ready && !state.Leaving) },
 	}
 	if b.set.Backend.Kind == KindService {
-		b.service(&cfg)
+		b.addService(&cfg)
 		return New(cfg)
 	}
-	keeper := b.engine(&cfg)
+	weightsKeeper := b.addEngine(&cfg)
 	server := New(cfg)
-	keeper.OnChange(server.Kick)
+	weightsKeeper.OnChange(server.TriggerPublish)
 	return server
 }
 
-// service adds the parts of a plain service.
-func (b *builder) service(cfg *Config) {
+// addService adds the parts of a plain addService.
+func (b *builder) addService(cfg *Config) {
 	table := once.New(once.Config{
 		Owner:        fold.Owner{Name: b.set.Process.Name, Incarnation: uuid.NewString()},
 		Service:      b.set.Backend.Serves,
 		Log:          b.platformLog,
-		Terms:        b.terms,
+		Terms:        b.keyLimits,
 		MaxHeldBytes: int64(b.set.Once.HeldBytes),
 		ClaimTimeout: b.set.Once.ClaimTimeout,
 		Logger:       logs.Part(b.logger, "once"),
 	})
-	b.run(func(ctx context.Context) {
+	b.addLoop(func(ctx context.Context) {
 		// Without a manifest the bounds that make forgetting safe are unknown.
 		if b.awaitManifest(ctx) {
 			table.Run(ctx)
@@ -163,18 +163,18 @@
 		Backend: b.set.Backend.Addr,
 		Queue:   b.queue,
 		Once:    table,
-		Viewer:  b.keeper,
+		Viewer:  b.configKeeper,
 		Explain: b.explain,
 		Logger:  logs.Part(b.logger, "calls"),
 	})
 }
 
-// engine adds the parts of a model engine.
-func (b *builder) engine(cfg *Config) *weights.Keeper {
+// addEngine adds the parts of a model addEngine.
+func (b *builder) addEngine(cfg *Config) *weights.Keeper {
 	set := b.set
 	engine := httpengine.New("http://"+set.Backend.Addr, set.Process.Name)
-	fellows := newRoster(set.Process.Name, set.Backend.Serves, b.vms)
-	keeper := weights.New(weights.Config{
+	modelRoster := newRoster(set.Process.Name, set.Backend.Serves, b.vms)
+	weightsKeeper := weights.New(weights.Config{
 		Server:         set.Process.Name,
 		Model:          set.Backend.Serves,
 		FailureDomain:  set.Process.FailureDomain,
@@ -182,12 +182,12 @@
 		Engine:         engine,
 		Store:          httpstore.New(set.Platform.Weights, set.Process.Name),
 		Log:            b.platformLog,
-		View:           b.keeper,
-		Peers:          fellows.Fellows,
+		View:           b.configKeeper,
+		Peers:          modelRoster.Peers,
 		IgnoresFencing: set.Backend.Fencing == FencingIgnores,
 		Lease:          set.Weights.Lease,
-		MaxOrderTime:   set.Weights.LongestOrder,
-		SlotLength:     set.Weights.Slot,
+		MaxOrderTime:   set.Weights.MaxOrderTime,
+		SlotLength:     set.Weights.SlotLength,
 		MaxCopyBytes:   int64(set.Weights.MaxCopyBytes),
 		NoWaves:        set.Weights.NoWaves,
 		Explain:        b.explain,
@@ -197,37 +197,37 @@
 		Name:        set.Process.Name,
 		Engine:      engine,
 		Queue:       b.queue,
-		Weights:     keeper,
-		View:        b.keeper,
+		Weights:     weightsKeeper,
+		View:        b.configKeeper,
 		Explain:     b.explain,
 		EngineSlots: set.Backend.Slots == 0,
 	})
-	b.run(fellows.run)
-	b.run(keeper.Run)
-	b.run(handler.Run)
+	b.addLoop(modelRoster.run)
+	b.addLoop(weightsKeeper.Run)
+	b.addLoop(handler.Run)
 	cfg.Generator = handler
-	cfg.SteppedDown = keeper.SteppedDown()
-	return keeper
+	cfg.SteppedDown = weightsKeeper.SteppedDown()
+	return weightsKeeper
 }
 
-// terms are the bounds of idempotency keys in force.
-func (b *builder) terms() once.Terms {
-	view := b.keeper.View()
-	terms := once.Terms{MinInterval: b.set.Once.MinInterval}
+// keyLimits are the bounds of idempotency keys in force.
+func (b *builder) keyLimits() once.Terms {
+	view := b.configKeeper.View()
+	limits := once.Terms{MinInterval: b.set.Once.MinInterval}
 	if view == nil || view.Manifest == nil {
-		return terms
+		return limits
 	}
 	fleet := view.Manifest.Fleet
-	terms.Window = fleet.KeyWindow
-	terms.Skew = fleet.ClockSkew
-	terms.AppendsPerS = fleet.AppendsPerS * b.set.Once.AppendShare / math.Max(1, float64(len(view.Manifest.Services)))
-	return terms
+	limits.Window = fleet.KeyWindow
+	limits.Skew = fleet.ClockSkew
+	limits.AppendsPerS = fleet.AppendsPerS * b.set.Once.AppendShare / math.Max(1, float64(len(view.Manifest.Services)))
+	return limits
 }
 
 func (b *builder) awaitManifest(ctx context.Context) bool {
 	for {
-		changed := b.keeper.Changed()
-		if view := b.keeper.View(); view != nil && view.Manifest != nil {
+		changed := b.configKeeper.Changed()
+		if view := b.configKeeper.View(); view != nil && view.Manifest != nil {
 			return true
 		}
 		select {
--- a/agent/server/build_test.go
+++ b/agent/server/build_test.go
@@ -69,9 +69,9 @@
 	conn, err := run.NewClient(addr.String())
 	require.NoError(t, err)
 	defer conn.Close()
-	r := &rig{client: pb.NewAgentClient(conn)}
+	r := &testAgent{client: pb.NewAgentClient(conn)}
 
-	_, _, refusal, err := call(r.client, order())
+	_, _, refusal, err := sendOrder(r.client, newOrder())
 	require.NoError(t, err)
 	require.True(t, refusal.NotRun, "no manifest yet")
 	rev := manifest.Sign(private, "k", 1, 0, []byte(testManifest))
@@ -79,20 +79,20 @@
 	defer log.Close()
 	_, err = log.Append(ctx, platform.StreamControl, control.EncodeCommit("c-1", rev))
 	require.NoError(t, err)
-	r.await(t, "ready", func(s *pb.AgentState) bool { return s.Ready && s.Revision == 1 })
+	r.awaitState(t, "ready", func(s *pb.AgentState) bool { return s.Ready && s.Revision == 1 })
 
-	open := order()
-	open.IdempotencyKey = uuid.Must(uuid.NewV7()).String()
+	keyed := newOrder()
+	keyed.IdempotencyKey = uuid.Must(uuid.NewV7()).String()
 	for range 2 {
-		_, whole, refusal, err := call(r.client, open)
+		_, complete, refusal, err := sendOrder(r.client, keyed)
 		require.NoError(t, err)
 		require.Nil(t, refusal)
-		require.True(t, whole)
+		require.True(t, complete)
 	}
-	require.Equal(t, 1, backend.Truth(0, false).ByKey[open.IdempotencyKey])
+	require.Equal(t, 1, backend.Truth(0, false).ByKey[keyed.IdempotencyKey])
 
 	process.Ready(false)
-	_, _, refusal, err = call(r.client, order())
+	_, _, refusal, err = sendOrder(r.client, newOrder())
 	require.NoError(t, err)
 	require.Equal(t, "leaving", refusal.Kind)
 	require.NoError(t, process.Drain(ctx))
--- a/agent/server/drain.go
+++ b/agent/server/drain.go
@@ -10,17 +10,17 @@
 	"dandelionsill.org/platform"
 )
 
-// drainCheck is the interval at which the drain looks at streams that hold no
+// drainPollInterval is the interval at which the drain looks at streams that hold no
 // slot (answers being handed over).
-const drainCheck = 10 * time.Millisecond
+const drainPollInterval = 10 * time.Millisecond
 
-// follow keeps the agent in step with the manifest and the VM list.
-func (s *Server) follow(ctx context.Context) {
+// followConfig keeps the agent in step with the manifest and the VM list.
+func (s *Server) followConfig(ctx context.Context) {
 	for {
 		viewChanged, vmsChanged := s.cfg.Viewer.Changed(), s.cfg.VMs.Changed()
-		s.applyService()
+		s.applyServiceLimits()
 		s.applyLeaving()
-		s.Kick()
+		s.TriggerPublish()
 		select {
 		case <-ctx.Done():
 			return
@@ -35,8 +35,8 @@
 	}
 }
 
-// applyService takes a service's bounds from the manifest.
-func (s *Server) applyService() {
+// applyServiceLimits takes a service's bounds from the manifest.
+func (s *Server) applyServiceLimits() {
 	view := s.cfg.Viewer.View()
 	if s.cfg.Calls == nil || view == nil || view.Manifest == nil {
 		return
@@ -46,8 +46,8 @@
 		return
 	}
 	slots := service.Concurrency
-	if own := s.cfg.Settings.Backend.Slots; own > 0 && (slots <= 0 || own < slots) {
-		slots = own
+	if ownSlots := s.cfg.Settings.Backend.Slots; ownSlots > 0 && (slots <= 0 || ownSlots < slots) {
+		slots = ownSlots
 	}
 	s.cfg.Queue.SetSlots(max(1, slots))
 	if service.Queue > 0 {
@@ -69,8 +69,8 @@
 	// back what SIGTERM decided in between.
 	s.leaveMu.Lock()
 	defer s.leaveMu.Unlock()
-	why := s.whyLeaving()
-	leaving := why != ""
+	reason := s.leavingReason()
+	leaving := reason != ""
 	if s.leaving.Swap(leaving) == leaving {
 		return
 	}
@@ -79,11 +79,11 @@
 	} else {
 		s.cfg.Queue.Rejoin()
 	}
-	s.log.Info("Leaving changed.", zap.Bool("leaving", leaving), zap.String("why", why))
-	s.Kick()
+	s.log.Info("Leaving changed.", zap.Bool("leaving", leaving), zap.String("why", reason))
+	s.TriggerPublish()
 }
 
-func (s *Server) whyLeaving() string {
+func (s *Server) leavingReason() string {
 	name := s.cfg.Settings.Process.Name
 	if s.stopping.Load() {
 		return "the process is stopping"
@@ -108,10 +108,10 @@
 		if err := s.drainWork(ctx); err != nil {
 			return err
 		}
-		if s.active.Load() == 0 {
+		if s.activeStreams.Load() == 0 {
 			return nil
 		}
-		if !sleep.For(ctx, drainCheck) {
+		if !sleep.For(ctx, drainPollInterval) {
 			return ctx.Err()
 		}
 	}
--- a/agent/server/health.go
+++ b/agent/server/health.go
@@ -14,20 +14,20 @@
 
 const (
 	healthTimeout = time.Second
-	// downAfter failed checks the backend server counts as down; one may be a
+	// downAfterFailures failed checks the backend server counts as down; one may be a
 	// busy moment.
-	downAfter = 2
+	downAfterFailures = 2
 )
 
 var checksFailed = metrics.Counter("agent_backend_checks_failed")
 
 // health checks the backend server.
 type health struct {
-	backend Backend
-	changed func()
-	client  *http.Client
-	up      atomic.Bool
-	failed  int // of the checker's goroutine
+	backend  Backend
+	changed  func()
+	client   *http.Client
+	up       atomic.Bool
+	failures int // of the checker's goroutine
 }
 
 func newHealth(backend Backend, changed func()) *health {
@@ -42,27 +42,27 @@
 
 func (h *health) run(ctx context.Context) {
 	for {
-		h.note(h.check(ctx))
+		h.record(h.check(ctx))
 		if !sleep.For(ctx, h.backend.HealthInterval) {
 			return
 		}
 	}
 }
 
-func (h *health) note(err error) {
+func (h *health) record(err error) {
 	if err == nil {
-		h.failed = 0
-		h.set(true)
+		h.failures = 0
+		h.setUp(true)
 		return
 	}
 	checksFailed.Add(1)
-	h.failed++
-	if h.failed >= downAfter {
-		h.set(false)
+	h.failures++
+	if h.failures >= downAfterFailures {
+		h.setUp(false)
 	}
 }
 
-func (h *health) set(up bool) {
+func (h *health) setUp(up bool) {
 	if h.up.Swap(up) != up {
 		h.changed()
 	}
--- a/agent/server/roster.go
+++ b/agent/server/roster.go
@@ -18,40 +18,40 @@
 )
 
 const (
-	// rosterPace keeps the asking of a whole fleet (1,500 agents after a cold
+	// rosterAskInterval keeps the asking of a whole fleet (1,500 agents after a cold
 	// start) within a daemon's bandwidth.
-	rosterPace    = 100 * time.Millisecond
-	rosterRetry   = 5 * time.Second
-	rosterTimeout = 2 * time.Second
+	rosterAskInterval = 100 * time.Millisecond
+	rosterRetryDelay  = 5 * time.Second
+	rosterAskTimeout  = 2 * time.Second
 )
 
 // roster learns which other agents serve the same model. The VM list does not
 // tell; each agent is asked once, and again when its row has changed.
 type roster struct {
-	self, model string
-	vms         VMs
-	dial        func(addr string) (pb.AgentClient, func(), error)
-	fellows     atomic.Pointer[[]weights.Peer]
-	known       map[platform.VM]bool // row -> serves the same model
-	unanswered  bool
+	self, model   string
+	vms           VMs
+	dial          func(addr string) (pb.AgentClient, func(), error)
+	peers         atomic.Pointer[[]weights.Peer]
+	sameModel     map[platform.VM]bool // row -> serves the same model
+	hasUnanswered bool
 }
 
 func newRoster(self, model string, vms VMs) *roster {
-	r := &roster{self: self, model: model, vms: vms, dial: dialAgent, known: make(map[platform.VM]bool)}
-	r.fellows.Store(new([]weights.Peer))
+	r := &roster{self: self, model: model, vms: vms, dial: dialAgent, sameModel: make(map[platform.VM]bool)}
+	r.peers.Store(new([]weights.Peer))
 	return r
 }
 
-// Fellows returns the agents known to serve the same model, by name.
-func (r *roster) Fellows() []weights.Peer { return *r.fellows.Load() }
+// Peers returns the agents known to serve the same model, by name.
+func (r *roster) Peers() []weights.Peer { return *r.peers.Load() }
 
 func (r *roster) run(ctx context.Context) {
 	for {
 		changed := r.vms.Changed()
-		r.learn(ctx)
+		r.refresh(ctx)
 		var retry <-chan time.Time
-		if r.unanswered {
-			retry = time.After(rosterRetry)
+		if r.hasUnanswered {
+			retry = time.After(rosterRetryDelay)
 		}
 		select {
 		case <-ctx.Done():
@@ -62,48 +62,48 @@
 	}
 }
 
-// learn asks the agents that are new and publishes the list as it grows.
-func (r *roster) learn(ctx context.Context) {
-	r.unanswered = false
+// refresh asks the agents that are new and publishes the list as it grows.
+func (r *roster) refresh(ctx context.Context) {
+	r.hasUnanswered = false
 	rows := make(map[platform.VM]bool)
 	for _, vm := range r.vms.VMs() {
 		if vm.Role != platform.RoleAgent || vm.Name == r.self {
 			continue
 		}
 		vm.State = platform.VMLive // a change of state alone asks nothing
-		same, known := r.known[vm]
+		same, known := r.sameModel[vm]
 		if !known {
 			var err error
-			if same, err = r.ask(ctx, vm); err != nil {
-				r.unanswered = true
+			if same, err = r.servesSameModel(ctx, vm); err != nil {
+				r.hasUnanswered = true
 				continue
 			}
-			if !sleep.For(ctx, rosterPace) {
+			if !sleep.For(ctx, rosterAskInterval) {
 				return
 			}
 		}
 		rows[vm] = same
-		r.known[vm] = same
+		r.sameModel[vm] = same
 		r.publish()
 	}
-	r.known = rows
+	r.sameModel = rows
 	r.publish()
 }
 
 func (r *roster) publish() {
-	var fellows []weights.Peer
-	for vm, same := range r.known {
+	var peers []weights.Peer
+	for vm, same := range r.sameModel {
 		if same {
-			fellows = append(fellows, weights.Peer{Name: vm.Name, Addr: vm.Addr, FailureDomain: vm.FailureDomain})
+			peers = append(peers, weights.Peer{Name: vm.Name, Addr: vm.Addr, FailureDomain: vm.FailureDomain})
 		}
 	}
-	slices.SortFunc(fellows, func(a, b weights.Peer) int { return strings.Compare(a.Name, b.Name) })
-	r.fellows.Store(&fellows)
+	slices.SortFunc(peers, func(a, b weights.Peer) int { return strings.Compare(a.Name, b.Name) })
+	r.peers.Store(&peers)
 }
 
-// ask reads one state of an agent.
-func (r *roster) ask(ctx context.Context, vm platform.VM) (same bool, _ error) {
-	ctx, cancel := context.WithTimeout(ctx, rosterTimeout)
+// servesSameModel reads one state of an agent.
+func (r *roster) servesSameModel(ctx context.Context, vm platform.VM) (same bool, _ error) {
+	ctx, cancel := context.WithTimeout(ctx, rosterAskTimeout)
 	defer cancel()
 	client, done, err := r.dial(vm.Addr)
 	if err != nil {
@@ -129,25 +129,25 @@
 	return pb.NewAgentClient(conn), func() { _ = conn.Close() }, nil
 }
 
-// peers is the list of all other processes' addresses; it is rebuilt only when
+// peerAddrs is the list of all other processes' addresses; it is rebuilt only when
 // the VM list has changed, as the exchange asks for it often.
-type peers struct {
+type peerAddrs struct {
 	self string
 	vms  VMs
 
-	mu    sync.Mutex
-	seen  <-chan struct{}
-	addrs []string
+	mu         sync.Mutex
+	lastChange <-chan struct{}
+	addrs      []string
 }
 
-func (p *peers) list() []string {
+func (p *peerAddrs) list() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	changed := p.vms.Changed()
-	if changed == p.seen {
+	if changed == p.lastChange {
 		return p.addrs
 	}
-	p.seen = changed
+	p.lastChange = changed
 	p.addrs = nil
 	for _, vm := range p.vms.VMs() {
 		if vm.Name != p.self && vm.Addr != "" {
--- a/agent/server/roster_test.go
+++ b/agent/server/roster_test.go
@@ -38,46 +38,46 @@
 // tell models. Each agent is asked once; one that did not answer is asked
 // again; one that is gone from the list is forgotten.
 func TestRosterFindsAgentsOfTheSameModel(t *testing.T) {
-	sites := &sites{changed: make(chan struct{})}
+	viewer := &fakeViewer{changed: make(chan struct{})}
 	vm := func(name string) platform.VM {
 		return platform.VM{Name: name, Role: platform.RoleAgent, Addr: name + ":1"}
 	}
 	entry := platform.VM{Name: "e", Role: "entry", Addr: "e:1"}
-	sites.set(nil, vm("self"), vm("a"), vm("b"), vm("other"), vm("plain"), entry)
+	viewer.set(nil, vm("self"), vm("a"), vm("b"), vm("other"), vm("plain"), entry)
 	serves := map[string]*pb.AgentState{
 		"a:1": {Kind: KindEngine, Serves: "m"}, "b:1": {Kind: KindEngine, Serves: "m"},
 		"other:1": {Kind: KindEngine, Serves: "n"}, "plain:1": {Kind: KindService, Serves: "m"},
 	}
 	asked := make(map[string]int)
-	down := errors.New("down")
-	failing := map[string]error{"b:1": down}
-	r := newRoster("self", "m", sites)
+	errDown := errors.New("down")
+	failing := map[string]error{"b:1": errDown}
+	r := newRoster("self", "m", viewer)
 	r.dial = func(addr string) (pb.AgentClient, func(), error) {
 		asked[addr]++
 		return oneState{state: serves[addr], err: failing[addr]}, func() {}, nil
 	}
 	names := func() (out []string) {
-		for _, f := range r.Fellows() {
+		for _, f := range r.Peers() {
 			out = append(out, f.Name)
 		}
 		return out
 	}
-	r.learn(t.Context())
+	r.refresh(t.Context())
 	require.Equal(t, []string{"a"}, names())
-	require.True(t, r.unanswered)
+	require.True(t, r.hasUnanswered)
 	clear(failing)
-	r.learn(t.Context())
+	r.refresh(t.Context())
 	require.Equal(t, []string{"a", "b"}, names())
-	require.False(t, r.unanswered)
+	require.False(t, r.hasUnanswered)
 	require.Equal(t, map[string]int{"a:1": 1, "b:1": 2, "other:1": 1, "plain:1": 1}, asked)
-	sites.set(nil, vm("b"))
-	r.learn(t.Context())
-	require.Equal(t, []weights.Peer{{Name: "b", Addr: "b:1"}}, r.Fellows())
+	viewer.set(nil, vm("b"))
+	r.refresh(t.Context())
+	require.Equal(t, []weights.Peer{{Name: "b", Addr: "b:1"}}, r.Peers())
 
-	known := &peers{self: "self", vms: sites}
-	require.Equal(t, []string{"b:1"}, known.list())
-	sites.set(nil, vm("self"), entry)
-	require.Equal(t, []string{"e:1"}, known.list())
+	addrs := &peerAddrs{self: "self", vms: viewer}
+	require.Equal(t, []string{"b:1"}, addrs.list())
+	viewer.set(nil, vm("self"), entry)
+	require.Equal(t, []string{"e:1"}, addrs.list())
 }
 
 func TestExampleSettings(t *testing.T) {
--- a/agent/server/server.go
+++ b/agent/server/server.go
@@ -55,8 +55,8 @@
 	// SteppedDown is closed when another incarnation of this agent has taken the
 	// backend server over; nil: never.
 	SteppedDown <-chan struct{}
-	// Published is called with each new state; nil: nobody.
-	Published func(*pb.AgentState)
+	// OnPublish is called with each new state; nil: nobody.
+	OnPublish func(*pb.AgentState)
 	Explain   *explain.Ring
 	Logger    *zap.Logger
 }
@@ -65,22 +65,22 @@
 type Server struct {
 	pb.UnimplementedAgentServer
 
-	cfg         Config
-	log         *zap.Logger
-	incarnation uint64
-	health      *health
-	stopping    atomic.Bool // SIGTERM; never taken back
-	leaveMu     sync.Mutex
-	leaving     atomic.Bool  // written under leaveMu
-	active      atomic.Int64 // streams being served, but for Watch
-
-	seq   uint64        // of the publisher's goroutine
-	kick  chan struct{} // asks the publisher for a new state
-	mu    sync.Mutex
-	state *pb.AgentState
-	next  chan struct{} // closed when state is replaced
-	// urgent is closed when state is replaced by one that can't wait.
-	urgent chan struct{}
+	cfg           Config
+	log           *zap.Logger
+	incarnation   uint64
+	health        *health
+	stopping      atomic.Bool // SIGTERM; never taken back
+	leaveMu       sync.Mutex
+	leaving       atomic.Bool  // written under leaveMu
+	activeStreams atomic.Int64 // streams being served, but for Watch
+
+	seq            uint64        // of the publisher's goroutine
+	publishTrigger chan struct{} // asks the publisher for a new state
+	mu             sync.Mutex
+	state          *pb.AgentState
+	replaced       chan struct{} // closed when state is replaced
+	// urgentlyReplaced is closed when state is replaced by one that can't wait.
+	urgentlyReplaced chan struct{}
 }
 
 // New returns an agent that reports itself not ready until Run.
@@ -89,16 +89,16 @@
 		cfg.Logger = zap.NewNop()
 	}
 	s := &Server{
-		cfg:         cfg,
-		log:         cfg.Logger,
-		incarnation: uint64(time.Now().UnixMilli()),
-		kick:        make(chan struct{}, 1),
-		next:        make(chan struct{}),
-		urgent:      make(chan struct{}),
+		cfg:              cfg,
+		log:              cfg.Logger,
+		incarnation:      uint64(time.Now().UnixMilli()),
+		publishTrigger:   make(chan struct{}, 1),
+		replaced:         make(chan struct{}),
+		urgentlyReplaced: make(chan struct{}),
 	}
-	s.health = newHealth(cfg.Settings.Backend, s.Kick)
-	cfg.Queue.OnChange(s.Kick)
-	s.state = s.build()
+	s.health = newHealth(cfg.Settings.Backend, s.TriggerPublish)
+	cfg.Queue.OnChange(s.TriggerPublish)
+	s.state = s.buildState()
 	return s
 }
 
@@ -110,7 +110,7 @@
 func (s *Server) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	wg.Go(func() { s.health.run(ctx) })
-	wg.Go(func() { s.follow(ctx) })
+	wg.Go(func() { s.followConfig(ctx) })
 	wg.Go(func() { s.publish(ctx) })
 	wg.Wait()
 }
@@ -120,7 +120,7 @@
 	if s.cfg.Calls == nil {
 		return status.Error(codes.Unimplemented, "this agent's backend server is an engine")
 	}
-	defer s.enter()()
+	defer s.trackStream()()
 	return s.cfg.Calls.Call(stream)
 }
 
@@ -129,7 +129,7 @@
 	if s.cfg.Generator == nil {
 		return errNoEngine
 	}
-	defer s.enter()()
+	defer s.trackStream()()
 	return s.cfg.Generator.Generate(req, stream)
 }
 
@@ -138,7 +138,7 @@
 	if s.cfg.Generator == nil {
 		return errNoEngine
 	}
-	defer s.enter()()
+	defer s.trackStream()()
 	return s.cfg.Generator.Held(req, stream)
 }
 
@@ -147,7 +147,7 @@
 	if s.cfg.Generator == nil {
 		return nil, errNoEngine
 	}
-	defer s.enter()()
+	defer s.trackStream()()
 	return s.cfg.Generator.ExportKV(ctx, req)
 }
 
@@ -156,7 +156,7 @@
 	if s.cfg.Generator == nil {
 		return errNoEngine
 	}
-	defer s.enter()()
+	defer s.trackStream()()
 	return s.cfg.Generator.FetchWeights(req, stream)
 }
 
@@ -165,10 +165,10 @@
 	return &pb.ExplainReply{Decisions: s.cfg.Explain.Find(req.Id)}, nil
 }
 
-// enter counts a stream until the returned function is called.
-func (s *Server) enter() (leave func()) {
-	s.active.Add(1)
-	return func() { s.active.Add(-1) }
+// trackStream counts a stream until the returned function is called.
+func (s *Server) trackStream() (done func()) {
+	s.activeStreams.Add(1)
+	return func() { s.activeStreams.Add(-1) }
 }
 
 var errNoEngine = status.Error(codes.Unimplemented, "this agent's backend server is a plain service")
--- a/agent/server/server_test.go
+++ b/agent/server/server_test.go
@@ -29,37 +29,37 @@
 	"dandelionsill.org/wire/pb"
 )
 
-const generous = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-// sites is a Viewer and a VM list whose content the test sets.
-type sites struct {
+// fakeViewer is a Viewer and a VM list whose content the test sets.
+type fakeViewer struct {
 	mu      sync.Mutex
 	view    *confsync.View
 	vms     []platform.VM
 	changed chan struct{}
 }
 
-func (s *sites) View() *confsync.View {
+func (s *fakeViewer) View() *confsync.View {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.view
 }
 
-func (s *sites) VMs() []platform.VM {
+func (s *fakeViewer) VMs() []platform.VM {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.vms
 }
 
-func (s *sites) Changed() <-chan struct{} {
+func (s *fakeViewer) Changed() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.changed
 }
 
-func (s *sites) Announce(string, uint64) {}
+func (s *fakeViewer) Announce(string, uint64) {}
 
-func (s *sites) set(view *confsync.View, vms ...platform.VM) {
+func (s *fakeViewer) set(view *confsync.View, vms ...platform.VM) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.view, s.vms = view, vms
@@ -70,7 +70,7 @@
 func revision(number uint64, leaving ...string) *confsync.View {
 	m := &manifest.Manifest{
 		Fleet:    manifest.Fleet{MaxBodyBytes: 1 << 20},
-		Services: map[string]manifest.Service{"orders": {Name: "orders", Concurrency: 2, Queue: 5, Timeout: generous}},
+		Services: map[string]manifest.Service{"orders": {Name: "orders", Concurrency: 2, Queue: 5, Timeout: testTimeout}},
 		Leaving:  map[string]bool{},
 	}
 	for _, name := range leaving {
@@ -79,30 +79,30 @@
 	return &confsync.View{Number: number, Manifest: m}
 }
 
-// rig is an agent over a backend server, and an entry's connection to it.
-type rig struct {
+// testAgent is an agent over a backend server, and an entry's connection to it.
+type testAgent struct {
 	server *Server
-	sites  *sites
+	viewer *fakeViewer
 	client pb.AgentClient
 }
 
-func newRig(t *testing.T, backend http.Handler) *rig {
+func newTestAgent(t *testing.T, backend http.Handler) *testAgent {
 	srv := httptest.NewServer(backend)
 	t.Cleanup(srv.Close)
-	return newRigAt(t, strings.TrimPrefix(srv.URL, "http://"))
+	return newTestAgentAt(t, strings.TrimPrefix(srv.URL, "http://"))
 }
 
-func newRigAt(t *testing.T, addr string) *rig {
-	r := &rig{sites: &sites{changed: make(chan struct{}), view: revision(1)}}
+func newTestAgentAt(t *testing.T, addr string) *testAgent {
+	r := &testAgent{viewer: &fakeViewer{changed: make(chan struct{}), view: revision(1)}}
 	queue := admission.New(admission.Config{Slots: 1, MaxQueue: 1})
 	ring := explain.New("agent-1", 16)
-	handler := calls.New(calls.Config{Service: "orders", Backend: addr, Queue: queue, Viewer: r.sites, Explain: ring})
+	handler := calls.New(calls.Config{Service: "orders", Backend: addr, Queue: queue, Viewer: r.viewer, Explain: ring})
 	r.server = New(Config{
 		Settings: Settings{
 			Common:  settings.Common{Process: settings.Process{Name: "agent-1", Listen: "127.0.0.1:7301", FailureDomain: "a", Region: "r"}},
 			Backend: Backend{Kind: KindService, Addr: addr, Serves: "orders", HealthInterval: 10 * time.Millisecond},
 		},
-		Viewer: r.sites, VMs: r.sites, Queue: queue, Calls: handler, Explain: ring,
+		Viewer: r.viewer, VMs: r.viewer, Queue: queue, Calls: handler, Explain: ring,
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -128,31 +128,31 @@
 	return r
 }
 
-// await waits for a state through Watch, as an entry does.
-func (r *rig) await(t *testing.T, what string, ok func(*pb.AgentState) bool) *pb.AgentState {
+// awaitState waits for a state through Watch, as an entry does.
+func (r *testAgent) awaitState(t *testing.T, description string, match func(*pb.AgentState) bool) *pb.AgentState {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), generous)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	stream, err := r.client.Watch(ctx, &pb.WatchRequest{Watcher: "entry-1"})
 	require.NoError(t, err)
 	var seq uint64
 	for {
 		state, err := stream.Recv()
-		require.NoError(t, err, what)
+		require.NoError(t, err, description)
 		require.Greater(t, state.Seq, seq)
 		seq = state.Seq
-		if ok(state) {
+		if match(state) {
 			return state
 		}
 	}
 }
 
-func (r *rig) awaitReady(t *testing.T) {
-	r.await(t, "ready", func(s *pb.AgentState) bool { return s.Ready && s.Slots == 2 })
+func (r *testAgent) awaitReady(t *testing.T) {
+	r.awaitState(t, "ready", func(s *pb.AgentState) bool { return s.Ready && s.Slots == 2 })
 }
 
-// call sends an order, says go and returns the body and how it ended.
-func call(client pb.AgentClient, open *pb.CallOpen) (body string, whole bool, refusal *pb.Refusal, _ error) {
+// sendOrder sends an order, says go and returns the body and how it ended.
+func sendOrder(client pb.AgentClient, open *pb.CallOpen) (body string, complete bool, refusal *pb.Refusal, _ error) {
 	stream, err := client.Call(context.Background())
 	if err != nil {
 		return "", false, nil, err
@@ -163,42 +163,42 @@
 	for {
 		msg, err := stream.Recv()
 		if err == io.EOF {
-			return body, whole, refusal, nil
+			return body, complete, refusal, nil
 		}
 		if err != nil {
-			return body, whole, refusal, err
+			return body, complete, refusal, err
 		}
 		if msg.GetReady() != nil {
 			_ = stream.Send(&pb.CallSend{Part: &pb.CallSend_Go{Go: &pb.CallGo{}}})
 		}
 		body += string(msg.GetBody())
-		whole = whole || msg.GetEnd() != nil
+		complete = complete || msg.GetEnd() != nil
 		if msg.GetRefusal() != nil {
 			refusal = msg.GetRefusal()
 		}
 	}
 }
 
-func order() *pb.CallOpen {
+func newOrder() *pb.CallOpen {
 	return &pb.CallOpen{
 		RequestId: uuid.NewString(), Caller: "shop", Service: "orders", Method: http.MethodPost, Path: "/orders",
-		DeadlineMs: generous.Milliseconds(), Weight: 1, Revision: 1,
+		DeadlineMs: testTimeout.Milliseconds(), Weight: 1, Revision: 1,
 	}
 }
 
 // An entry starts to watch and gets the state at once; it hears of a change
 // without asking, and of what the manifest set.
 func TestWatch(t *testing.T) {
-	r := newRig(t, http.NotFoundHandler())
-	first := r.await(t, "first", func(*pb.AgentState) bool { return true })
+	r := newTestAgent(t, http.NotFoundHandler())
+	first := r.awaitState(t, "first", func(*pb.AgentState) bool { return true })
 	require.Equal(t, "agent-1", first.Name)
 	require.Equal(t, "127.0.0.1:7301", first.Addr)
 	require.NotZero(t, first.Incarnation)
 	r.awaitReady(t)
-	r.sites.set(revision(2))
-	r.await(t, "revision 2", func(s *pb.AgentState) bool { return s.Revision == 2 })
+	r.viewer.set(revision(2))
+	r.awaitState(t, "revision 2", func(s *pb.AgentState) bool { return s.Revision == 2 })
 
-	_, _, refusal, err := call(r.client, &pb.CallOpen{Service: "stock", RequestId: "r-1"})
+	_, _, refusal, err := sendOrder(r.client, &pb.CallOpen{Service: "stock", RequestId: "r-1"})
 	require.NoError(t, err)
 	require.True(t, refusal.NotRun)
 	explained, err := r.client.Explain(t.Context(), &pb.ExplainRequest{Id: "r-1"})
@@ -218,10 +218,10 @@
 func TestBackendServerDownAndUp(t *testing.T) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	r := newRigAt(t, lis.Addr().String())
+	r := newTestAgentAt(t, lis.Addr().String())
 	r.awaitReady(t)
 	require.NoError(t, lis.Close())
-	r.await(t, "down", func(s *pb.AgentState) bool { return !s.Ready })
+	r.awaitState(t, "down", func(s *pb.AgentState) bool { return !s.Ready })
 	lis, err = net.Listen("tcp", lis.Addr().String())
 	require.NoError(t, err)
 	defer lis.Close()
@@ -232,45 +232,45 @@
 // runs and one waits. The running one gets its whole answer; the waiting one
 // and all new ones are refused by the agent itself, "not run", so that the
 // entry goes elsewhere; only then is nothing in flight.
-func TestLeavingRefusesItselfAndDrains(t *testing.T) {
-	for name, leave := range map[string]func(*rig){
-		"signal":   func(r *rig) { r.server.Stop() },
-		"manifest": func(r *rig) { r.sites.set(revision(2, "agent-1")) },
-		"VM list":  func(r *rig) { r.sites.set(revision(1), platform.VM{Name: "agent-1", State: platform.VMLeaving}) },
+func TestLeavingRefusesAndDrains(t *testing.T) {
+	for name, leave := range map[string]func(*testAgent){
+		"signal":   func(r *testAgent) { r.server.Stop() },
+		"manifest": func(r *testAgent) { r.viewer.set(revision(2, "agent-1")) },
+		"VM list":  func(r *testAgent) { r.viewer.set(revision(1), platform.VM{Name: "agent-1", State: platform.VMLeaving}) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			running, release := make(chan struct{}, 3), make(chan struct{})
-			end := sync.OnceFunc(func() { close(release) })
-			r := newRig(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+			releaseOrders := sync.OnceFunc(func() { close(release) })
+			r := newTestAgent(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 				running <- struct{}{}
 				<-release
 				fmt.Fprint(w, "order 7")
 			}))
-			t.Cleanup(end)
+			t.Cleanup(releaseOrders)
 			r.awaitReady(t)
 			type outcome struct {
-				body          string
-				whole, notRun bool
-				err           error
+				body             string
+				complete, notRun bool
+				err              error
 			}
 			results := make(chan outcome, 3)
 			for range 3 {
 				go func() {
-					body, whole, refusal, err := call(r.client, order())
+					body, complete, refusal, err := sendOrder(r.client, newOrder())
 					if refusal != nil {
 						body = refusal.Kind
 					}
-					results <- outcome{body, whole, refusal.GetNotRun(), err}
+					results <- outcome{body, complete, refusal.GetNotRun(), err}
 				}()
 			}
 			<-running
 			<-running
-			r.await(t, "one waits", func(s *pb.AgentState) bool { return s.Queued == 1 })
+			r.awaitState(t, "one waits", func(s *pb.AgentState) bool { return s.Queued == 1 })
 
 			leave(r)
 			require.Equal(t, outcome{body: string(kinds.Leaving), notRun: true}, <-results)
-			r.await(t, "leaving", func(s *pb.AgentState) bool { return s.Leaving })
-			_, _, refusal, err := call(r.client, order())
+			r.awaitState(t, "leaving", func(s *pb.AgentState) bool { return s.Leaving })
+			_, _, refusal, err := sendOrder(r.client, newOrder())
 			require.NoError(t, err)
 			require.Equal(t, string(kinds.Leaving), refusal.Kind)
 			require.True(t, refusal.NotRun)
@@ -280,10 +280,10 @@
 			require.Error(t, r.server.Drain(short), "an order is in flight")
 			drained := make(chan error)
 			go func() { drained <- r.server.Drain(t.Context()) }()
-			end()
+			releaseOrders()
 			require.NoError(t, <-drained)
 			for range 2 {
-				require.Equal(t, outcome{body: "order 7", whole: true}, <-results)
+				require.Equal(t, outcome{body: "order 7", complete: true}, <-results)
 			}
 		})
 	}
@@ -291,17 +291,17 @@
 
 // Operators take the VM out of the manifest's leaving list again: the server
 // takes work again, but never once its process is stopping.
-func TestManifestTakesLeavingBack(t *testing.T) {
-	r := newRig(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "ok") }))
+func TestManifestRevokesLeaving(t *testing.T) {
+	r := newTestAgent(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "ok") }))
 	r.awaitReady(t)
-	r.sites.set(revision(2, "agent-1"))
-	r.await(t, "leaving", func(s *pb.AgentState) bool { return s.Leaving })
-	r.sites.set(revision(3))
-	r.await(t, "back", func(s *pb.AgentState) bool { return !s.Leaving })
-	_, whole, _, err := call(r.client, order())
+	r.viewer.set(revision(2, "agent-1"))
+	r.awaitState(t, "leaving", func(s *pb.AgentState) bool { return s.Leaving })
+	r.viewer.set(revision(3))
+	r.awaitState(t, "back", func(s *pb.AgentState) bool { return !s.Leaving })
+	_, complete, _, err := sendOrder(r.client, newOrder())
 	require.NoError(t, err)
-	require.True(t, whole)
+	require.True(t, complete)
 	r.server.Stop()
-	r.sites.set(revision(4))
-	r.await(t, "revision 4", func(s *pb.AgentState) bool { return s.Revision == 4 && s.Leaving })
+	r.viewer.set(revision(4))
+	r.awaitState(t, "revision 4", func(s *pb.AgentState) bool { return s.Revision == 4 && s.Leaving })
 }
--- a/agent/server/settings.go
+++ b/agent/server/settings.go
@@ -59,8 +59,8 @@
 // the same slot, or their swaps overlap.
 type Weights struct {
 	Lease        time.Duration `ini:"weights.lease" default:"5s" min:"500ms" max:"5m" help:"how long an agent that stood still may trust what it held; a successor waits it out where the engine ignores fencing tokens"`
-	LongestOrder time.Duration `ini:"weights.longest_order" default:"15s" min:"1s" max:"10m" help:"longest time that one weight order may take"`
-	Slot         time.Duration `ini:"weights.slot" default:"4s" min:"10ms" max:"5m" help:"from one wave of weight swaps to the next until this agent has measured a swap; alike on all agents of a model"`
+	MaxOrderTime time.Duration `ini:"weights.longest_order" default:"15s" min:"1s" max:"10m" help:"longest time that one weight order may take"`
+	SlotLength   time.Duration `ini:"weights.slot" default:"4s" min:"10ms" max:"5m" help:"from one wave of weight swaps to the next until this agent has measured a swap; alike on all agents of a model"`
 	MaxCopyBytes int           `ini:"weights.max_copy_bytes" default:"268435456" min:"0" help:"largest weight version that is fetched before its order begins and relayed to other agents; a larger one streams from the store into the engine"`
 	NoWaves      bool          `ini:"weights.no_waves" default:"false" help:"swap at once, without waves or grace, all agents from the store: the baseline of benchmarks, not for service"`
 }
--- a/agent/server/state.go
+++ b/agent/server/state.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	minPublish = 50 * time.Millisecond // between two states
-	maxPublish = time.Second
+	minPublishInterval = 50 * time.Millisecond // between two states
+	maxPublishInterval = time.Second
 )
 
-// Kick asks for a new state soon.
-func (s *Server) Kick() {
+// TriggerPublish asks for a new state soon.
+func (s *Server) TriggerPublish() {
 	select {
-	case s.kick <- struct{}{}:
+	case s.publishTrigger <- struct{}{}:
 	default:
 	}
 }
@@ -24,39 +24,39 @@
 // publish replaces the state on change, at most every minPublish, and at least
 // every maxPublish. All watchers share each state.
 func (s *Server) publish(ctx context.Context) {
-	ticker := time.NewTicker(maxPublish)
+	ticker := time.NewTicker(maxPublishInterval)
 	defer ticker.Stop()
 	for {
-		s.put(s.build())
-		if !sleep.For(ctx, minPublish) {
+		s.setState(s.buildState())
+		if !sleep.For(ctx, minPublishInterval) {
 			return
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.kick:
+		case <-s.publishTrigger:
 		case <-ticker.C:
 		}
 	}
 }
 
-func (s *Server) put(state *pb.AgentState) {
-	if s.cfg.Published != nil {
-		s.cfg.Published(state)
+func (s *Server) setState(state *pb.AgentState) {
+	if s.cfg.OnPublish != nil {
+		s.cfg.OnPublish(state)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if urgent(s.state, state) {
-		close(s.urgent)
-		s.urgent = make(chan struct{})
+	if isUrgent(s.state, state) {
+		close(s.urgentlyReplaced)
+		s.urgentlyReplaced = make(chan struct{})
 	}
 	s.state = state
-	close(s.next)
-	s.next = make(chan struct{})
+	close(s.replaced)
+	s.replaced = make(chan struct{})
 }
 
-// build reads the state of this moment.
-func (s *Server) build() *pb.AgentState {
+// buildState reads the state of this moment.
+func (s *Server) buildState() *pb.AgentState {
 	set := s.cfg.Settings
 	queue := s.cfg.Queue.Stats()
 	s.seq++
@@ -82,7 +82,7 @@
 	if s.cfg.Generator != nil {
 		s.cfg.Generator.FillState(state)
 		// The newest stand last.
-		state.WarmPrefixes = state.WarmPrefixes[max(0, len(state.WarmPrefixes)-maxWarm):]
+		state.WarmPrefixes = state.WarmPrefixes[max(0, len(state.WarmPrefixes)-maxWarmPrefixes):]
 	}
 	state.Ready = state.Ready && s.health.isUp() && s.caughtUp()
 	state.Leaving = s.leaving.Load()
@@ -103,13 +103,13 @@
 func (s *Server) State() (*pb.AgentState, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.state, s.next
+	return s.state, s.replaced
 }
 
-// news is State with a second channel that is closed when the state is
+// stateAndChanges is State with a second channel that is closed when the state is
 // replaced by one that no watcher should wait for.
-func (s *Server) news() (state *pb.AgentState, next, urgent <-chan struct{}) {
+func (s *Server) stateAndChanges() (state *pb.AgentState, replaced, urgentlyReplaced <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.state, s.next, s.urgent
+	return s.state, s.replaced, s.urgentlyReplaced
 }
--- a/agent/server/watch_test.go
+++ b/agent/server/watch_test.go
@@ -24,7 +24,7 @@
 // Callers are routed by what the watcher has put together from parts. A field
 // that a part forgets stays for ever as it was in the first state. Only what
 // PROTOCOLS.md calls unchanging may be missing, of fields to come as well.
-func TestPartsForgetNothing(t *testing.T) {
+func TestPartialStatesOmitNothing(t *testing.T) {
 	unchanging := map[protoreflect.Name]bool{
 		"name": true, "addr": true, "failure_domain": true, "region": true, "kind": true, "serves": true,
 		"incarnation": true, "ignores_fencing": true,
@@ -55,7 +55,7 @@
 			require.Fail(t, "a field of a new kind", field.Name())
 		}
 		start := time.Now()
-		w := watch{interval: time.Second}
+		w := watcherState{interval: time.Second}
 		require.False(t, w.message(engineState(1, func(s *pb.AgentState) { s.Ready = false }), start).Partial, "the first is whole")
 		part := w.message(state, start.Add(time.Hour))
 		require.True(t, part.Partial)
@@ -72,10 +72,10 @@
 // states, 130 times its budget. The watcher's interval bounds load, 32 of them
 // the warm prefixes; what callers would feel is told at once all the same: a
 // request sent to a server that has gone is lost, one to a swapping engine waits.
-func TestWatchPace(t *testing.T) {
+func TestWatchIntervals(t *testing.T) {
 	start := time.Now()
 	const interval = 400 * time.Millisecond
-	w := watch{interval: interval}
+	w := watcherState{interval: interval}
 	at := func(d time.Duration, s *pb.AgentState) *pb.AgentState { return w.message(s, start.Add(d)) }
 	require.False(t, at(0, engineState(1, nil)).Partial)
 
@@ -89,8 +89,8 @@
 	} {
 		require.NotNil(t, at(interval+1, engineState(uint64(3+i), urgent)), i)
 	}
-	still := func(s *pb.AgentState) { load(s); s.Swapping = true }
-	require.Nil(t, at(2*interval, engineState(7, still)), "the urgent ones count as reports of load")
+	loadAndSwapping := func(s *pb.AgentState) { load(s); s.Swapping = true }
+	require.Nil(t, at(2*interval, engineState(7, loadAndSwapping)), "the urgent ones count as reports of load")
 
 	busy, sent, warm := start.Add(interval+1), 0, 0
 	for i := range 20 * 60 { // a state each 50 ms for a minute; prefixes change with each
@@ -103,13 +103,13 @@
 		}
 	}
 	require.InDelta(t, time.Minute/interval, sent, 1)
-	require.InDelta(t, time.Minute/(warmIntervals*interval), warm, 1)
+	require.InDelta(t, time.Minute/(warmPrefixIntervals*interval), warm, 1)
 
 	idle := busy.Add(time.Minute)
 	beat := func(d time.Duration, seq uint64) *pb.AgentState { return w.message(engineState(seq, nil), idle.Add(d)) }
 	require.NotNil(t, beat(time.Hour, 5000))
-	require.Nil(t, beat(time.Hour+heartbeat-1, 5001))
-	require.True(t, proto.Equal(&pb.AgentState{Partial: true}, beat(time.Hour+heartbeat, 5001)))
+	require.Nil(t, beat(time.Hour+heartbeatInterval-1, 5001))
+	require.True(t, proto.Equal(&pb.AgentState{Partial: true}, beat(time.Hour+heartbeatInterval, 5001)))
 	require.Nil(t, beat(time.Hour+time.Hour, 5001), "nothing was published since: the agent hangs")
 }
 
@@ -117,10 +117,10 @@
 // long interval, side by side. The old one knows no parts and must get whole
 // states; the slow one hears of the leaving at once, long before its interval.
 func TestWatchersOfAllReleases(t *testing.T) {
-	r := newRig(t, http.NotFoundHandler())
+	r := newTestAgent(t, http.NotFoundHandler())
 	r.awaitReady(t)
 	watchers := map[string]pb.Agent_WatchClient{}
-	ctx, cancel := context.WithTimeout(t.Context(), generous)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	for name, ms := range map[string]uint32{"old": 0, "new": 50, "slow": 3_600_000} {
 		stream, err := r.client.Watch(ctx, &pb.WatchRequest{Watcher: name, MinIntervalMs: ms})
@@ -131,15 +131,15 @@
 		require.False(t, first.Partial)
 		watchers[name] = stream
 	}
-	_, _, urgent := r.server.news()
-	r.sites.set(revision(2, "agent-1"))
+	_, _, urgent := r.server.stateAndChanges()
+	r.viewer.set(revision(2, "agent-1"))
 	for name, stream := range watchers {
-		for left := false; !left; {
+		for leaving := false; !leaving; {
 			state, err := stream.Recv()
 			require.NoError(t, err, name)
 			require.Equal(t, name != "old", state.Partial, name)
 			require.Equal(t, name == "old", state.Name == "agent-1", name)
-			left = state.Leaving
+			leaving = state.Leaving
 		}
 	}
 	select {
--- a/capacity/watch_test.go
+++ b/capacity/watch_test.go
@@ -130,7 +130,7 @@
 	go agent.Run(context.Background())
 	go func() {
 		for range time.Tick(load) {
-			agent.Kick()
+			agent.TriggerPublish()
 		}
 	}()
 	return lis.Addr(), nil
