--- a/agent/server/build.go
+++ b/agent/server/build.go
@@ -33,8 +33,8 @@
 
 const component = "agent"
 
-// Build makes the agent's process from its settings. Everything that runs
-// beside the servers ends with ctx; Close waits for it.
+// Build creates the agent's process from its settings. Everything that runs
+// beside the servers ends with ctx; the process's Close waits for it.
 func Build(ctx context.Context, set Settings) (*run.Process, error) {
 	keys, err := manifest.ParseKeys(set.Keys.ManifestPublic)
 	if err != nil {
@@ -76,8 +76,8 @@
 	}), nil
 }
 
-// process ties the parts to the lifecycle. Not ready is the first step of a
-// stop: the agent then leaves for good.
+// process connects the parts to the lifecycle of the process. A stop starts
+// with Ready(false): the agent then starts leaving and does not rejoin.
 func (b *builder) process(server *Server, listeners []transport.Server, closeFunc func()) *run.Process {
 	return &run.Process{
 		Servers: listeners,
@@ -94,12 +94,13 @@
 	}
 }
 
-// newQueue makes the queue; a service's bounds come with the manifest.
+// newQueue creates the request queue; a service's limits are set later from the
+// manifest.
 func newQueue(set Settings) *admission.Queue {
 	return admission.New(admission.Config{Slots: max(1, set.Backend.Slots), MaxQueue: set.Queue.Max})
 }
 
-// builder holds the parts while they are put together.
+// builder holds the parts of the agent while Build connects them.
 type builder struct {
 	set          Settings
 	logger       *zap.Logger
@@ -111,9 +112,11 @@
 	loops        []func(context.Context)
 }
 
+// addLoop adds a function that startLoops runs.
 func (b *builder) addLoop(loop func(context.Context)) { b.loops = append(b.loops, loop) }
 
-// startLoops runs all loops; the returned function waits for their end.
+// startLoops starts all loops; the returned function waits until they have
+// ended.
 func (b *builder) startLoops(ctx context.Context) (wait func()) {
 	var wg sync.WaitGroup
 	for _, loop := range b.loops {
@@ -122,11 +125,12 @@
 	return wg.Wait
 }
 
+// newServer creates the server with the parts for its kind of backend server.
 func (b *builder) newServer() *Server {
 	cfg := Config{
 		Settings: b.set, Viewer: b.configKeeper, VMs: b.vms, Queue: b.queue,
 		Explain: b.explain, Logger: logs.Part(b.logger, "server"),
-		// /readyz says what the entries are told.
+		// /readyz reports the same as the state that the entries receive.
 		OnPublish: func(state *pb.AgentState) { run.SetReady(state.Ready && !state.Leaving) },
 	}
 	if b.set.Backend.Kind == KindService {
@@ -139,7 +143,7 @@
 	return server
 }
 
-// addService adds the parts of a plain addService.
+// addService adds the parts of a plain service.
 func (b *builder) addService(cfg *Config) {
 	table := once.New(once.Config{
 		Owner:        fold.Owner{Name: b.set.Process.Name, Incarnation: uuid.NewString()},
@@ -151,7 +155,7 @@
 		Logger:       logs.Part(b.logger, "once"),
 	})
 	b.addLoop(func(ctx context.Context) {
-		// Without a manifest the bounds that make forgetting safe are unknown.
+		// Without a manifest it is unknown when a key may safely be forgotten.
 		if b.awaitManifest(ctx) {
 			table.Run(ctx)
 		}
@@ -169,7 +173,7 @@
 	})
 }
 
-// addEngine adds the parts of a model addEngine.
+// addEngine adds the parts of a model engine.
 func (b *builder) addEngine(cfg *Config) *weights.Keeper {
 	set := b.set
 	engine := httpengine.New("http://"+set.Backend.Addr, set.Process.Name)
@@ -210,7 +214,7 @@
 	return weightsKeeper
 }
 
-// keyLimits are the bounds of idempotency keys in force.
+// keyLimits returns the limits for idempotency keys that are in force now.
 func (b *builder) keyLimits() once.Terms {
 	view := b.configKeeper.View()
 	limits := once.Terms{MinInterval: b.set.Once.MinInterval}
@@ -224,6 +228,7 @@
 	return limits
 }
 
+// awaitManifest waits for the first manifest. It returns false if ctx ends first.
 func (b *builder) awaitManifest(ctx context.Context) bool {
 	for {
 		changed := b.configKeeper.Changed()
--- a/agent/server/build_test.go
+++ b/agent/server/build_test.go
@@ -34,9 +34,9 @@
 repeat = never
 `
 
-// Operators commit the first manifest to an empty log; the agent's process
-// picks it up, becomes ready, runs a keyed order once, answers its repeat, and
-// at a stop drains.
+// Operators commit the first manifest to an empty log. The agent's process
+// reads it, becomes ready, runs a keyed order once, answers its repetition, and
+// drains when it stops.
 func TestProcessServesPlainCalls(t *testing.T) {
 	public, private, err := ed25519.GenerateKey(nil)
 	require.NoError(t, err)
--- a/agent/server/drain.go
+++ b/agent/server/drain.go
@@ -10,11 +10,12 @@
 	"dandelionsill.org/platform"
 )
 
-// drainPollInterval is the interval at which the drain looks at streams that hold no
-// slot (answers being handed over).
+// drainPollInterval is how often Drain checks for streams that hold no slot
+// (answers that are being transferred).
 const drainPollInterval = 10 * time.Millisecond
 
-// followConfig keeps the agent in step with the manifest and the VM list.
+// followConfig applies each change of the manifest and the VM list, and stops
+// the agent if another incarnation claims the backend server.
 func (s *Server) followConfig(ctx context.Context) {
 	for {
 		viewChanged, vmsChanged := s.cfg.Viewer.Changed(), s.cfg.VMs.Changed()
@@ -27,7 +28,7 @@
 		case <-viewChanged:
 		case <-vmsChanged:
 		case <-s.cfg.SteppedDown:
-			s.log.Warn("Another incarnation of this agent has the backend server; taking no more work.")
+			s.log.Warn("Another incarnation of this agent has claimed the backend server; refusing new work.")
 			s.Stop()
 			<-ctx.Done()
 			return
@@ -35,7 +36,8 @@
 	}
 }
 
-// applyServiceLimits takes a service's bounds from the manifest.
+// applyServiceLimits sets the queue's limits to those of the service in the
+// manifest.
 func (s *Server) applyServiceLimits() {
 	view := s.cfg.Viewer.View()
 	if s.cfg.Calls == nil || view == nil || view.Manifest == nil {
@@ -55,18 +57,18 @@
 	}
 }
 
-// Stop makes the agent leave for good.
+// Stop makes the agent leave; it does not rejoin.
 func (s *Server) Stop() {
 	s.stopping.Store(true)
 	s.applyLeaving()
 }
 
-// applyLeaving starts or stops refusing new work. The agent refuses by itself,
-// and so within moments: an entry that has not heard yet gets "not run" and
-// goes elsewhere.
+// applyLeaving starts or stops refusing new work. The agent itself refuses, so
+// this takes effect at once: an entry that has not received the new state yet
+// gets "not run" and sends the request elsewhere.
 func (s *Server) applyLeaving() {
-	// Deciding and acting are one step: a reader of the VM list must not take
-	// back what SIGTERM decided in between.
+	// The decision and its effect are one step under the mutex: otherwise a
+	// reader of the VM list could revoke in between what SIGTERM decided.
 	s.leaveMu.Lock()
 	defer s.leaveMu.Unlock()
 	reason := s.leavingReason()
@@ -79,10 +81,11 @@
 	} else {
 		s.cfg.Queue.Rejoin()
 	}
-	s.log.Info("Leaving changed.", zap.Bool("leaving", leaving), zap.String("why", reason))
+	s.log.Info("The agent started or stopped leaving.", zap.Bool("leaving", leaving), zap.String("why", reason))
 	s.TriggerPublish()
 }
 
+// leavingReason returns why the agent is leaving, or "" if it is not.
 func (s *Server) leavingReason() string {
 	name := s.cfg.Settings.Process.Name
 	if s.stopping.Load() {
@@ -100,8 +103,8 @@
 }
 
 // Drain waits until nothing is in flight: no slot is taken and no answer is
-// being handed over. It returns ctx's error if that takes too long. Until then
-// answers that are held for repeats can still be fetched.
+// being transferred. It returns ctx's error if ctx ends first. Until Drain
+// returns, answers that are held for repeated requests can still be fetched.
 func (s *Server) Drain(ctx context.Context) error {
 	s.Stop()
 	for {
@@ -117,6 +120,7 @@
 	}
 }
 
+// drainWork waits until the generator or the queue has no work in progress.
 func (s *Server) drainWork(ctx context.Context) error {
 	if s.cfg.Generator != nil {
 		return s.cfg.Generator.Drain(ctx)
--- a/agent/server/health.go
+++ b/agent/server/health.go
@@ -14,20 +14,20 @@
 
 const (
 	healthTimeout = time.Second
-	// downAfterFailures failed checks the backend server counts as down; one may be a
-	// busy moment.
+	// downAfterFailures is how many consecutive checks must fail before the
+	// backend server counts as down; a single failure may be a short overload.
 	downAfterFailures = 2
 )
 
 var checksFailed = metrics.Counter("agent_backend_checks_failed")
 
-// health checks the backend server.
+// health checks the backend server periodically.
 type health struct {
 	backend  Backend
 	changed  func()
 	client   *http.Client
 	up       atomic.Bool
-	failures int // of the checker's goroutine
+	failures int // consecutive failed checks; only for the goroutine of run
 }
 
 func newHealth(backend Backend, changed func()) *health {
--- a/agent/server/roster.go
+++ b/agent/server/roster.go
@@ -18,15 +18,17 @@
 )
 
 const (
-	// rosterAskInterval keeps the asking of a whole fleet (1,500 agents after a cold
-	// start) within a daemon's bandwidth.
+	// rosterAskInterval is the pause after each agent asked. It keeps asking a
+	// whole fleet (1,500 agents after a cold start) within a daemon's
+	// bandwidth.
 	rosterAskInterval = 100 * time.Millisecond
 	rosterRetryDelay  = 5 * time.Second
 	rosterAskTimeout  = 2 * time.Second
 )
 
-// roster learns which other agents serve the same model. The VM list does not
-// tell; each agent is asked once, and again when its row has changed.
+// roster finds the other agents that serve the same model. The VM list does not
+// contain the models; each agent is asked once, and again when its row has
+// changed.
 type roster struct {
 	self, model   string
 	vms           VMs
@@ -42,7 +44,7 @@
 	return r
 }
 
-// Peers returns the agents known to serve the same model, by name.
+// Peers returns the agents known to serve the same model, sorted by name.
 func (r *roster) Peers() []weights.Peer { return *r.peers.Load() }
 
 func (r *roster) run(ctx context.Context) {
@@ -70,7 +72,7 @@
 		if vm.Role != platform.RoleAgent || vm.Name == r.self {
 			continue
 		}
-		vm.State = platform.VMLive // a change of state alone asks nothing
+		vm.State = platform.VMLive // a change of the state only does not require asking again
 		same, known := r.sameModel[vm]
 		if !known {
 			var err error
@@ -101,7 +103,8 @@
 	r.peers.Store(&peers)
 }
 
-// servesSameModel reads one state of an agent.
+// servesSameModel reads one state of an agent and reports whether it serves the
+// same model.
 func (r *roster) servesSameModel(ctx context.Context, vm platform.VM) (same bool, _ error) {
 	ctx, cancel := context.WithTimeout(ctx, rosterAskTimeout)
 	defer cancel()
@@ -129,8 +132,9 @@
 	return pb.NewAgentClient(conn), func() { _ = conn.Close() }, nil
 }
 
-// peerAddrs is the list of all other processes' addresses; it is rebuilt only when
-// the VM list has changed, as the exchange asks for it often.
+// peerAddrs is the list of all other processes' addresses. It is rebuilt only
+// when the VM list has changed, because the exchange between the processes asks
+// for it often.
 type peerAddrs struct {
 	self string
 	vms  VMs
--- a/agent/server/roster_test.go
+++ b/agent/server/roster_test.go
@@ -35,8 +35,8 @@
 func (s oneStateStream) Recv() (*pb.AgentState, error) { return s.state, s.err }
 
 // Weights are relayed between agents of one model, and the VM list does not
-// tell models. Each agent is asked once; one that did not answer is asked
-// again; one that is gone from the list is forgotten.
+// contain the models. Each agent is asked once; one that did not answer is
+// asked again; one that is no longer listed is forgotten.
 func TestRosterFindsAgentsOfTheSameModel(t *testing.T) {
 	viewer := &fakeViewer{changed: make(chan struct{})}
 	vm := func(name string) platform.VM {
--- a/agent/server/server.go
+++ b/agent/server/server.go
@@ -1,6 +1,6 @@
 // Package server is the agent process: it serves pb.Agent and pb.Peer beside
 // one backend server, reports its state to the entries that watch it, and
-// leaves without cutting off what runs.
+// leaves without interrupting running work.
 package server
 
 import (
@@ -28,10 +28,11 @@
 	Held(*pb.HeldRequest, grpc.ServerStreamingServer[pb.HeldSample]) error
 	ExportKV(context.Context, *pb.ExportKVRequest) (*pb.ExportKVReply, error)
 	FetchWeights(*pb.FetchWeightsRequest, grpc.ServerStreamingServer[pb.WeightsPiece]) error
-	// FillState fills in what an engine's agent knows, and takes Ready back
-	// while no verified version is served.
+	// FillState sets the fields that only an engine's agent knows, and sets
+	// Ready to false while no verified version is served.
 	FillState(*pb.AgentState)
-	// Drain returns once nothing is in flight, or ctx's error.
+	// Drain waits until nothing is in flight. It returns ctx's error if ctx
+	// ends first.
 	Drain(ctx context.Context) error
 }
 
@@ -41,7 +42,7 @@
 	Changed() <-chan struct{}
 }
 
-// Config is an agent's configuration. Either Calls or Generator is set.
+// Config configures an agent. Either Calls or Generator is set.
 type Config struct {
 	Settings  Settings
 	Viewer    confsync.Viewer
@@ -49,19 +50,19 @@
 	Queue     *admission.Queue
 	Calls     *calls.Handler
 	Generator Generator
-	// CaughtUp tells whether the agent has read what it must know before its
-	// first request; nil: yes.
+	// CaughtUp reports whether the agent has read everything it needs before
+	// its first request; nil means yes.
 	CaughtUp func() bool
-	// SteppedDown is closed when another incarnation of this agent has taken the
-	// backend server over; nil: never.
+	// SteppedDown is closed when another incarnation of this agent has claimed
+	// the backend server; nil means never.
 	SteppedDown <-chan struct{}
-	// OnPublish is called with each new state; nil: nobody.
+	// OnPublish is called with each new state; may be nil.
 	OnPublish func(*pb.AgentState)
 	Explain   *explain.Ring
 	Logger    *zap.Logger
 }
 
-// Server is one agent.
+// Server serves pb.Agent and publishes the agent's state.
 type Server struct {
 	pb.UnimplementedAgentServer
 
@@ -69,17 +70,18 @@
 	log           *zap.Logger
 	incarnation   uint64
 	health        *health
-	stopping      atomic.Bool // SIGTERM; never taken back
+	stopping      atomic.Bool // set at SIGTERM and never reset
 	leaveMu       sync.Mutex
 	leaving       atomic.Bool  // written under leaveMu
-	activeStreams atomic.Int64 // streams being served, but for Watch
+	activeStreams atomic.Int64 // running streams, except Watch
 
-	seq            uint64        // of the publisher's goroutine
-	publishTrigger chan struct{} // asks the publisher for a new state
+	seq            uint64        // only for the goroutine of publish
+	publishTrigger chan struct{} // requests a new state
 	mu             sync.Mutex
 	state          *pb.AgentState
 	replaced       chan struct{} // closed when state is replaced
-	// urgentlyReplaced is closed when state is replaced by one that can't wait.
+	// urgentlyReplaced is closed when state is replaced by a state that must be
+	// sent at once.
 	urgentlyReplaced chan struct{}
 }
 
@@ -102,7 +104,7 @@
 	return s
 }
 
-// Incarnation is the start time in ms since 1970.
+// Incarnation returns the start time in ms since 1970.
 func (s *Server) Incarnation() uint64 { return s.incarnation }
 
 // Run watches the backend server, the manifest and the VM list, and publishes
@@ -142,7 +144,7 @@
 	return s.cfg.Generator.Held(req, stream)
 }
 
-// ExportKV hands a stream's KV cache on.
+// ExportKV transfers a stream's KV cache to another agent.
 func (s *Server) ExportKV(ctx context.Context, req *pb.ExportKVRequest) (*pb.ExportKVReply, error) {
 	if s.cfg.Generator == nil {
 		return nil, errNoEngine
@@ -165,7 +167,7 @@
 	return &pb.ExplainReply{Decisions: s.cfg.Explain.Find(req.Id)}, nil
 }
 
-// trackStream counts a stream until the returned function is called.
+// trackStream counts a running stream until the returned function is called.
 func (s *Server) trackStream() (done func()) {
 	s.activeStreams.Add(1)
 	return func() { s.activeStreams.Add(-1) }
--- a/agent/server/server_test.go
+++ b/agent/server/server_test.go
@@ -79,7 +79,8 @@
 	return &confsync.View{Number: number, Manifest: m}
 }
 
-// testAgent is an agent over a backend server, and an entry's connection to it.
+// testAgent is an agent beside a backend server, with a connection to it as an
+// entry has.
 type testAgent struct {
 	server *Server
 	viewer *fakeViewer
@@ -151,7 +152,8 @@
 	r.awaitState(t, "ready", func(s *pb.AgentState) bool { return s.Ready && s.Slots == 2 })
 }
 
-// sendOrder sends an order, says go and returns the body and how it ended.
+// sendOrder sends an order, tells the agent to run it once it is ready, and
+// returns the body, whether it was complete, and a refusal if there was one.
 func sendOrder(client pb.AgentClient, open *pb.CallOpen) (body string, complete bool, refusal *pb.Refusal, _ error) {
 	stream, err := client.Call(context.Background())
 	if err != nil {
@@ -186,8 +188,8 @@
 	}
 }
 
-// An entry starts to watch and gets the state at once; it hears of a change
-// without asking, and of what the manifest set.
+// An entry that starts to watch gets the state at once, and later each change
+// without asking, also those set by the manifest.
 func TestWatch(t *testing.T) {
 	r := newTestAgent(t, http.NotFoundHandler())
 	first := r.awaitState(t, "first", func(*pb.AgentState) bool { return true })
@@ -213,8 +215,8 @@
 	require.Equal(t, run.Status{Name: "agent-1", Role: "agent", Revision: 2, Incarnation: r.server.Incarnation(), Ready: true, Peers: []string{"10.0.0.1:1"}}, status)
 }
 
-// The backend server dies and comes back. The agent says so by itself, so that
-// entries stop sending before they have failed requests to learn it from.
+// The backend server goes down and comes up again. The agent reports this
+// itself, so that entries stop sending before their requests fail.
 func TestBackendServerDownAndUp(t *testing.T) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -228,10 +230,10 @@
 	r.awaitReady(t)
 }
 
-// A server is taken out of service, by each of the three ways, while one order
-// runs and one waits. The running one gets its whole answer; the waiting one
-// and all new ones are refused by the agent itself, "not run", so that the
-// entry goes elsewhere; only then is nothing in flight.
+// A server is taken out of service, in each of the three ways, while one order
+// waits and others run. Each running one gets its complete answer; the waiting
+// one and all new ones are refused by the agent itself with "not run", so that
+// the entry sends them elsewhere. Drain returns only after the running ones.
 func TestLeavingRefusesAndDrains(t *testing.T) {
 	for name, leave := range map[string]func(*testAgent){
 		"signal":   func(r *testAgent) { r.server.Stop() },
@@ -289,8 +291,8 @@
 	}
 }
 
-// Operators take the VM out of the manifest's leaving list again: the server
-// takes work again, but never once its process is stopping.
+// Operators remove the VM from the manifest's leaving list: the server accepts
+// work again, but never once its process is stopping.
 func TestManifestRevokesLeaving(t *testing.T) {
 	r := newTestAgent(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "ok") }))
 	r.awaitReady(t)
--- a/agent/server/settings.go
+++ b/agent/server/settings.go
@@ -31,7 +31,7 @@
 	Explain Explain
 }
 
-// Backend says which backend server the agent stands beside.
+// Backend describes the backend server beside which the agent runs.
 type Backend struct {
 	Kind           string        `ini:"backend.kind" default:"service" help:"engine or service"`
 	Addr           string        `ini:"backend.addr" kind:"ip:port" help:"IP:port of the backend server"`
@@ -42,12 +42,12 @@
 	HealthInterval time.Duration `ini:"backend.health_interval" default:"1s" min:"100ms" max:"1m" help:"between two health checks"`
 }
 
-// Queue bounds what waits for the backend server.
+// Queue limits what waits for the backend server.
 type Queue struct {
 	Max int `ini:"queue.max" default:"256" min:"0" max:"100000" help:"requests that may wait; a service's own bound in the manifest goes first"`
 }
 
-// Once bounds the handling of idempotency keys.
+// Once limits the handling of idempotency keys.
 type Once struct {
 	HeldBytes    int           `ini:"once.held_bytes" default:"16777216" min:"0" help:"bytes of answers held for callers that repeat a request"`
 	ClaimTimeout time.Duration `ini:"once.claim_timeout" default:"2s" min:"10ms" max:"1m" help:"longest wait for the claim of a key"`
@@ -55,8 +55,8 @@
 	AppendShare  float64       `ini:"once.append_share" default:"0.5" min:"0.01" max:"1" help:"share of the fleet's append rate that all claims together may use"`
 }
 
-// Weights are the times of weight orders. All agents of a model should have
-// the same slot, or their swaps overlap.
+// Weights holds the times and sizes of weight orders. All agents of a model
+// should have the same slot, or their swaps overlap.
 type Weights struct {
 	Lease        time.Duration `ini:"weights.lease" default:"5s" min:"500ms" max:"5m" help:"how long an agent that stood still may trust what it held; a successor waits it out where the engine ignores fencing tokens"`
 	MaxOrderTime time.Duration `ini:"weights.longest_order" default:"15s" min:"1s" max:"10m" help:"longest time that one weight order may take"`
@@ -65,12 +65,12 @@
 	NoWaves      bool          `ini:"weights.no_waves" default:"false" help:"swap at once, without waves or grace, all agents from the store: the baseline of benchmarks, not for service"`
 }
 
-// Explain bounds the decision records.
+// Explain limits the decision records.
 type Explain struct {
 	Records int `ini:"explain.records" default:"4096" min:"16" max:"1000000" help:"decision records kept for dandelionctl explain"`
 }
 
-// Validate checks what the fields alone can't tell.
+// Validate checks what the tags of the single fields can't express.
 func (s Settings) Validate() error {
 	if s.Process.Name == "" {
 		return errors.New("process.name is empty; it must be the VM's name in the VM list")
--- a/agent/server/state.go
+++ b/agent/server/state.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	minPublishInterval = 50 * time.Millisecond // between two states
-	maxPublishInterval = time.Second
+	minPublishInterval = 50 * time.Millisecond // shortest time between two states
+	maxPublishInterval = time.Second           // longest time between two states
 )
 
-// TriggerPublish asks for a new state soon.
+// TriggerPublish requests that a new state is published soon.
 func (s *Server) TriggerPublish() {
 	select {
 	case s.publishTrigger <- struct{}{}:
@@ -21,8 +21,8 @@
 	}
 }
 
-// publish replaces the state on change, at most every minPublish, and at least
-// every maxPublish. All watchers share each state.
+// publish replaces the state on change, at most every minPublishInterval, and
+// at least every maxPublishInterval. All watchers share each state.
 func (s *Server) publish(ctx context.Context) {
 	ticker := time.NewTicker(maxPublishInterval)
 	defer ticker.Stop()
@@ -40,6 +40,7 @@
 	}
 }
 
+// setState publishes a new state and notifies the watchers.
 func (s *Server) setState(state *pb.AgentState) {
 	if s.cfg.OnPublish != nil {
 		s.cfg.OnPublish(state)
@@ -55,7 +56,7 @@
 	s.replaced = make(chan struct{})
 }
 
-// buildState reads the state of this moment.
+// buildState returns the current state.
 func (s *Server) buildState() *pb.AgentState {
 	set := s.cfg.Settings
 	queue := s.cfg.Queue.Stats()
@@ -81,7 +82,7 @@
 	}
 	if s.cfg.Generator != nil {
 		s.cfg.Generator.FillState(state)
-		// The newest stand last.
+		// The newest are last.
 		state.WarmPrefixes = state.WarmPrefixes[max(0, len(state.WarmPrefixes)-maxWarmPrefixes):]
 	}
 	state.Ready = state.Ready && s.health.isUp() && s.caughtUp()
@@ -89,7 +90,7 @@
 	return state
 }
 
-// caughtUp tells whether the agent knows enough to take requests.
+// caughtUp reports whether the agent has read enough to accept requests.
 func (s *Server) caughtUp() bool {
 	view := s.cfg.Viewer.View()
 	if view == nil || view.Manifest == nil {
@@ -106,8 +107,8 @@
 	return s.state, s.replaced
 }
 
-// stateAndChanges is State with a second channel that is closed when the state is
-// replaced by one that no watcher should wait for.
+// stateAndChanges returns the same as State and a second channel, which is
+// closed when the state is replaced by one that must be sent at once.
 func (s *Server) stateAndChanges() (state *pb.AgentState, replaced, urgentlyReplaced <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/agent/server/status.go
+++ b/agent/server/status.go
@@ -7,7 +7,8 @@
 	"dandelionsill.org/base/run"
 )
 
-// ServeStatus answers GET /v1/status. peers returns the known processes.
+// ServeStatus returns the handler for GET /v1/status. peers returns the
+// addresses of the known processes.
 func (s *Server) ServeStatus(peers func() []string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if r.Method != http.MethodGet {
--- a/agent/server/watch.go
+++ b/agent/server/watch.go
@@ -10,17 +10,19 @@
 )
 
 const (
-	// heartbeatInterval is the longest time between two messages of a Watch. Watchers
-	// take 3 s of silence for an agent's end (entry.silent): two may be late.
+	// heartbeatInterval is the longest time between two messages of a Watch. A
+	// watcher regards an agent as gone after 3 s without a message
+	// (entry.silent), so two heartbeats may be late.
 	heartbeatInterval = time.Second
-	// Warm prefixes are by far a state's largest part and only hints: a
-	// watcher gets them at most once in so many of its intervals.
+	// Warm prefixes are by far the largest part of a state and only hints: a
+	// watcher gets them at most once per warmPrefixIntervals of its intervals.
 	warmPrefixIntervals = 32
 	maxWarmPrefixes     = 64
 )
 
-// Watch streams the agent's state. A slow watcher skips states. One that gives
-// no interval is of an older release and gets whole states at each change.
+// Watch streams the agent's state. A slow watcher skips states. A watcher that
+// gives no interval runs an older release and gets complete states at each
+// change.
 func (s *Server) Watch(req *pb.WatchRequest, stream pb.Agent_WatchServer) error {
 	if req.MinIntervalMs == 0 {
 		return s.watchFull(stream)
@@ -72,18 +74,18 @@
 	}
 }
 
-// watcherState is what a watcher has been told.
+// watcherState records what was sent to one watcher.
 type watcherState struct {
 	interval       time.Duration
-	seq            uint64         // of the last state looked at when something was sent
-	lastPartial    *pb.AgentState // sent last, without seq and warm prefixes; nil: nothing yet
+	seq            uint64         // of the last state considered when something was sent
+	lastPartial    *pb.AgentState // last sent, without seq and warm prefixes; nil means nothing yet
 	partialAt      time.Time
 	sentAt         time.Time // of the last message of any kind
-	warmPrefixes   []uint64  // sent last, sorted
+	warmPrefixes   []uint64  // last sent, sorted
 	warmPrefixesAt time.Time
 }
 
-// message returns what the watcher should hear now; nil: nothing.
+// message returns what must be sent to the watcher now, or nil.
 func (w *watcherState) message(state *pb.AgentState, now time.Time) *pb.AgentState {
 	if w.lastPartial == nil {
 		w.recordSent(state, partialState(state), now)
@@ -91,8 +93,9 @@
 		return state
 	}
 	if state.Seq == w.seq {
-		// Nothing was published since. Not even a heartbeat: a publisher that
-		// hangs must be silent to its watchers, as a frozen process is.
+		// Nothing was published since. Not even a heartbeat is sent: to its
+		// watchers, an agent whose publisher hangs must look like a frozen
+		// process.
 		return nil
 	}
 	if w.mayReport(now) || isUrgent(w.lastPartial, state) {
@@ -107,7 +110,7 @@
 	return &pb.AgentState{Partial: true}
 }
 
-// changeMessage returns what changed; nil: nothing.
+// changeMessage returns a message with what changed, or nil.
 func (w *watcherState) changeMessage(state *pb.AgentState, now time.Time) *pb.AgentState {
 	partial := partialState(state)
 	warm := w.changedWarmPrefixes(state, now)
@@ -124,11 +127,13 @@
 	return msg
 }
 
+// recordSent records that state was sent at now.
 func (w *watcherState) recordSent(state, partial *pb.AgentState, now time.Time) {
 	w.seq, w.lastPartial, w.partialAt, w.sentAt = state.Seq, partial, now, now
 }
 
-// changedWarmPrefixes returns the warm prefixes where they changed and may be sent.
+// changedWarmPrefixes returns the warm prefixes if they changed and may be sent
+// now, otherwise nil.
 func (w *watcherState) changedWarmPrefixes(state *pb.AgentState, now time.Time) []uint64 {
 	if now.Sub(w.warmPrefixesAt) < warmPrefixIntervals*w.interval {
 		return nil
@@ -140,10 +145,11 @@
 	return warm
 }
 
-// mayReport tells whether the watcher may hear of its load again.
+// mayReport reports whether the load may be sent to the watcher again.
 func (w *watcherState) mayReport(now time.Time) bool { return now.Sub(w.partialAt) >= w.interval }
 
-// nextWait is the time until the watcher may hear more; false: it may already.
+// nextWait returns the time until more may be sent to the watcher, or false if
+// it may already.
 func (w *watcherState) nextWait(now time.Time) (ok bool, wait time.Duration) {
 	for _, at := range []time.Time{w.partialAt.Add(w.interval), w.sentAt.Add(heartbeatInterval)} {
 		if remaining := at.Sub(now); remaining > 0 && (!ok || remaining < wait) {
@@ -153,14 +159,16 @@
 	return ok, wait
 }
 
-// isUrgent tells whether a change must not wait for the watcher's interval.
+// isUrgent reports whether a change must be sent without waiting for the
+// watcher's interval.
 func isUrgent(last, state *pb.AgentState) bool {
 	return last.Ready != state.Ready || last.Leaving != state.Leaving ||
 		last.Version != state.Version || last.Swapping != state.Swapping
 }
 
-// partialState is a state without what can't change in one incarnation, its number
-// and the warm prefixes. Fields to come are in it unless taken out here.
+// partialState returns a state without the fields that can't change during one
+// incarnation, its sequence number and the warm prefixes. A new field is
+// included unless it is removed here.
 func partialState(state *pb.AgentState) *pb.AgentState {
 	partial := proto.CloneOf(state)
 	partial.Name, partial.Addr, partial.FailureDomain, partial.Region = "", "", "", ""
@@ -169,7 +177,8 @@
 	return partial
 }
 
-// sorted returns a sorted copy that is never nil: their order says nothing.
+// sorted returns a sorted copy that is never nil; the order of the prefixes has
+// no meaning.
 func sorted(warm []uint64) []uint64 {
 	out := append([]uint64{}, warm...)
 	slices.Sort(out)
--- a/agent/server/watch_test.go
+++ b/agent/server/watch_test.go
@@ -21,9 +21,10 @@
 	return s
 }
 
-// Callers are routed by what the watcher has put together from parts. A field
-// that a part forgets stays for ever as it was in the first state. Only what
-// PROTOCOLS.md calls unchanging may be missing, of fields to come as well.
+// Callers are routed by the state that the watcher assembles from partial ones.
+// A field that partial states omit would keep its first value for ever. Only
+// the fields that PROTOCOLS.md calls unchanging may be omitted, which must hold
+// for new fields as well.
 func TestPartialStatesOmitNothing(t *testing.T) {
 	unchanging := map[protoreflect.Name]bool{
 		"name": true, "addr": true, "failure_domain": true, "region": true, "kind": true, "serves": true,
@@ -56,7 +57,7 @@
 		}
 		start := time.Now()
 		w := watcherState{interval: time.Second}
-		require.False(t, w.message(engineState(1, func(s *pb.AgentState) { s.Ready = false }), start).Partial, "the first is whole")
+		require.False(t, w.message(engineState(1, func(s *pb.AgentState) { s.Ready = false }), start).Partial, "the first state is complete")
 		part := w.message(state, start.Add(time.Hour))
 		require.True(t, part.Partial)
 		if unchanging[field.Name()] {
@@ -68,10 +69,11 @@
 	}
 }
 
-// An entry before 146 busy engines spent 2.3 MB/s and 18% of a core on their
-// states, 130 times its budget. The watcher's interval bounds load, 32 of them
-// the warm prefixes; what callers would feel is told at once all the same: a
-// request sent to a server that has gone is lost, one to a swapping engine waits.
+// An entry with 146 busy engines spent 2.3 MB/s and 18% of a core on their
+// states, 130 times its budget. The watcher's interval limits how often load is
+// sent, and 32 intervals how often warm prefixes are. Changes that callers
+// would notice are sent at once all the same: a request sent to a server that
+// has gone is lost, one sent to a swapping engine waits.
 func TestWatchIntervals(t *testing.T) {
 	start := time.Now()
 	const interval = 400 * time.Millisecond
@@ -80,7 +82,7 @@
 	require.False(t, at(0, engineState(1, nil)).Partial)
 
 	load := func(s *pb.AgentState) { s.Running = 3; s.WarmPrefixes = []uint64{9, 8} }
-	require.Nil(t, at(interval-1, engineState(2, load)), "load before its time")
+	require.Nil(t, at(interval-1, engineState(2, load)), "load before the interval has passed")
 	part := at(interval, engineState(2, load))
 	require.True(t, proto.Equal(&pb.AgentState{Partial: true, Ready: true, Slots: 4, Running: 3, Seq: 2}, part), part.String())
 	for i, urgent := range []func(*pb.AgentState){
@@ -90,10 +92,10 @@
 		require.NotNil(t, at(interval+1, engineState(uint64(3+i), urgent)), i)
 	}
 	loadAndSwapping := func(s *pb.AgentState) { load(s); s.Swapping = true }
-	require.Nil(t, at(2*interval, engineState(7, loadAndSwapping)), "the urgent ones count as reports of load")
+	require.Nil(t, at(2*interval, engineState(7, loadAndSwapping)), "the urgent messages count as reports of load")
 
 	busy, sent, warm := start.Add(interval+1), 0, 0
-	for i := range 20 * 60 { // a state each 50 ms for a minute; prefixes change with each
+	for i := range 20 * 60 { // a state every 50 ms for a minute; the prefixes change with each
 		state := engineState(uint64(10+i), func(s *pb.AgentState) { s.Running = int32(i); s.WarmPrefixes = []uint64{uint64(i)} })
 		if msg := w.message(state, busy.Add(time.Duration(i)*50*time.Millisecond)); msg != nil {
 			sent++
@@ -110,12 +112,13 @@
 	require.NotNil(t, beat(time.Hour, 5000))
 	require.Nil(t, beat(time.Hour+heartbeatInterval-1, 5001))
 	require.True(t, proto.Equal(&pb.AgentState{Partial: true}, beat(time.Hour+heartbeatInterval, 5001)))
-	require.Nil(t, beat(time.Hour+time.Hour, 5001), "nothing was published since: the agent hangs")
+	require.Nil(t, beat(time.Hour+time.Hour, 5001), "nothing was published since, as by an agent that hangs")
 }
 
-// An entry of this release watches, one of the release before, and one with a
-// long interval, side by side. The old one knows no parts and must get whole
-// states; the slow one hears of the leaving at once, long before its interval.
+// An entry of this release, one of the previous release and one with a long
+// interval watch side by side. The old one does not know partial states and
+// must get complete ones; the slow one gets the leaving state at once, long
+// before its interval ends.
 func TestWatchersOfAllReleases(t *testing.T) {
 	r := newTestAgent(t, http.NotFoundHandler())
 	r.awaitReady(t)
@@ -145,6 +148,6 @@
 	select {
 	case <-urgent:
 	default:
-		require.Fail(t, "the slow watcher was not woken, but heard it with its heartbeat")
+		require.Fail(t, "the slow watcher was not notified but got the state with its heartbeat")
 	}
 }
