--- a/agent/server/leave.go
+++ b/agent/server/drain.go
@@ -10,24 +10,25 @@
 	"dandelionsill.org/platform"
 )
 
-// drainCheck is the interval at which the drain looks at streams that hold no
-// slot (answers being handed over).
-const drainCheck = 10 * time.Millisecond
+// drainPollInterval is how often Drain checks for streams that hold no slot
+// (answers that are being transferred).
+const drainPollInterval = 10 * time.Millisecond
 
-// follow keeps the agent in step with the manifest and the VM list.
-func (s *Server) follow(ctx context.Context) {
+// followConfig applies each change of the manifest and the VM list, and stops
+// the agent if another incarnation claims the backend server.
+func (s *Server) followConfig(ctx context.Context) {
 	for {
 		viewChanged, vmsChanged := s.cfg.Viewer.Changed(), s.cfg.VMs.Changed()
-		s.applyService()
+		s.applyServiceLimits()
 		s.applyLeaving()
-		s.Kick()
+		s.TriggerPublish()
 		select {
 		case <-ctx.Done():
 			return
 		case <-viewChanged:
 		case <-vmsChanged:
 		case <-s.cfg.SteppedDown:
-			s.log.Warn("Another incarnation of this agent has the backend server; taking no more work.")
+			s.log.Warn("Another incarnation of this agent has claimed the backend server; refusing new work.")
 			s.Stop()
 			<-ctx.Done()
 			return
@@ -35,8 +36,9 @@
 	}
 }
 
-// applyService takes a service's bounds from the manifest.
-func (s *Server) applyService() {
+// applyServiceLimits sets the queue's limits to those of the service in the
+// manifest.
+func (s *Server) applyServiceLimits() {
 	view := s.cfg.Viewer.View()
 	if s.cfg.Calls == nil || view == nil || view.Manifest == nil {
 		return
@@ -46,8 +48,8 @@
 		return
 	}
 	slots := service.Concurrency
-	if own := s.cfg.Settings.Backend.Slots; own > 0 && (slots <= 0 || own < slots) {
-		slots = own
+	if ownSlots := s.cfg.Settings.Backend.Slots; ownSlots > 0 && (slots <= 0 || ownSlots < slots) {
+		slots = ownSlots
 	}
 	s.cfg.Queue.SetSlots(max(1, slots))
 	if service.Queue > 0 {
@@ -55,22 +57,22 @@
 	}
 }
 
-// Stop makes the agent leave for good.
+// Stop makes the agent leave; it does not rejoin.
 func (s *Server) Stop() {
 	s.stopping.Store(true)
 	s.applyLeaving()
 }
 
-// applyLeaving starts or stops refusing new work. The agent refuses by itself,
-// and so within moments: an entry that has not heard yet gets "not run" and
-// goes elsewhere.
+// applyLeaving starts or stops refusing new work. The agent itself refuses, so
+// this takes effect at once: an entry that has not received the new state yet
+// gets "not run" and sends the request elsewhere.
 func (s *Server) applyLeaving() {
-	// Deciding and acting are one step: a reader of the VM list must not take
-	// back what SIGTERM decided in between.
+	// The decision and its effect are one step under the mutex: otherwise a
+	// reader of the VM list could revoke in between what SIGTERM decided.
 	s.leaveMu.Lock()
 	defer s.leaveMu.Unlock()
-	why := s.whyLeaving()
-	leaving := why != ""
+	reason := s.leavingReason()
+	leaving := reason != ""
 	if s.leaving.Swap(leaving) == leaving {
 		return
 	}
@@ -79,11 +81,12 @@
 	} else {
 		s.cfg.Queue.Rejoin()
 	}
-	s.log.Info("Leaving changed.", zap.Bool("leaving", leaving), zap.String("why", why))
-	s.Kick()
+	s.log.Info("The agent started or stopped leaving.", zap.Bool("leaving", leaving), zap.String("why", reason))
+	s.TriggerPublish()
 }
 
-func (s *Server) whyLeaving() string {
+// leavingReason returns why the agent is leaving, or "" if it is not.
+func (s *Server) leavingReason() string {
 	name := s.cfg.Settings.Process.Name
 	if s.stopping.Load() {
 		return "the process is stopping"
@@ -100,23 +103,24 @@
 }
 
 // Drain waits until nothing is in flight: no slot is taken and no answer is
-// being handed over. It returns ctx's error if that takes too long. Until then
-// answers that are held for repeats can still be fetched.
+// being transferred. It returns ctx's error if ctx ends first. Until Drain
+// returns, answers that are held for repeated requests can still be fetched.
 func (s *Server) Drain(ctx context.Context) error {
 	s.Stop()
 	for {
 		if err := s.drainWork(ctx); err != nil {
 			return err
 		}
-		if s.active.Load() == 0 {
+		if s.activeStreams.Load() == 0 {
 			return nil
 		}
-		if !sleep.For(ctx, drainCheck) {
+		if !sleep.For(ctx, drainPollInterval) {
 			return ctx.Err()
 		}
 	}
 }
 
+// drainWork waits until the generator or the queue has no work in progress.
 func (s *Server) drainWork(ctx context.Context) error {
 	if s.cfg.Generator != nil {
 		return s.cfg.Generator.Drain(ctx)
--- a/agent/server/server.go
+++ b/agent/server/server.go
@@ -1,6 +1,6 @@
 // Package server is the agent process: it serves pb.Agent and pb.Peer beside
 // one backend server, reports its state to the entries that watch it, and
-// leaves without cutting off what runs.
+// leaves without interrupting running work.
 package server
 
 import (
@@ -28,10 +28,11 @@
 	Held(*pb.HeldRequest, grpc.ServerStreamingServer[pb.HeldSample]) error
 	ExportKV(context.Context, *pb.ExportKVRequest) (*pb.ExportKVReply, error)
 	FetchWeights(*pb.FetchWeightsRequest, grpc.ServerStreamingServer[pb.WeightsPiece]) error
-	// FillState fills in what an engine's agent knows, and takes Ready back
-	// while no verified version is served.
+	// FillState sets the fields that only an engine's agent knows, and sets
+	// Ready to false while no verified version is served.
 	FillState(*pb.AgentState)
-	// Drain returns once nothing is in flight, or ctx's error.
+	// Drain waits until nothing is in flight. It returns ctx's error if ctx
+	// ends first.
 	Drain(ctx context.Context) error
 }
 
@@ -41,7 +42,7 @@
 	Changed() <-chan struct{}
 }
 
-// Config is an agent's configuration. Either Calls or Generator is set.
+// Config configures an agent. Either Calls or Generator is set.
 type Config struct {
 	Settings  Settings
 	Viewer    confsync.Viewer
@@ -49,38 +50,39 @@
 	Queue     *admission.Queue
 	Calls     *calls.Handler
 	Generator Generator
-	// CaughtUp tells whether the agent has read what it must know before its
-	// first request; nil: yes.
+	// CaughtUp reports whether the agent has read everything it needs before
+	// its first request; nil means yes.
 	CaughtUp func() bool
-	// SteppedDown is closed when another incarnation of this agent has taken the
-	// backend server over; nil: never.
+	// SteppedDown is closed when another incarnation of this agent has claimed
+	// the backend server; nil means never.
 	SteppedDown <-chan struct{}
-	// Published is called with each new state; nil: nobody.
-	Published func(*pb.AgentState)
+	// OnPublish is called with each new state; may be nil.
+	OnPublish func(*pb.AgentState)
 	Explain   *explain.Ring
 	Logger    *zap.Logger
 }
 
-// Server is one agent.
+// Server serves pb.Agent and publishes the agent's state.
 type Server struct {
 	pb.UnimplementedAgentServer
 
-	cfg         Config
-	log         *zap.Logger
-	incarnation uint64
-	health      *health
-	stopping    atomic.Bool // SIGTERM; never taken back
-	leaveMu     sync.Mutex
-	leaving     atomic.Bool  // written under leaveMu
-	active      atomic.Int64 // streams being served, but for Watch
-
-	seq   uint64        // of the publisher's goroutine
-	kick  chan struct{} // asks the publisher for a new state
-	mu    sync.Mutex
-	state *pb.AgentState
-	next  chan struct{} // closed when state is replaced
-	// urgent is closed when state is replaced by one that can't wait.
-	urgent chan struct{}
+	cfg           Config
+	log           *zap.Logger
+	incarnation   uint64
+	health        *health
+	stopping      atomic.Bool // set at SIGTERM and never reset
+	leaveMu       sync.Mutex
+	leaving       atomic.Bool  // written under leaveMu
+	activeStreams atomic.Int64 // running streams, except Watch
+
+	seq            uint64        // only for the goroutine of publish
+	publishTrigger chan struct{} // requests a new state
+	mu             sync.Mutex
+	state          *pb.AgentState
+	replaced       chan struct{} // closed when state is replaced
+	// urgentlyReplaced is closed when state is replaced by a state that must be
+	// sent at once.
+	urgentlyReplaced chan struct{}
 }
 
 // New returns an agent that reports itself not ready until Run.
@@ -89,20 +91,20 @@
 		cfg.Logger = zap.NewNop()
 	}
 	s := &Server{
-		cfg:         cfg,
-		log:         cfg.Logger,
-		incarnation: uint64(time.Now().UnixMilli()),
-		kick:        make(chan struct{}, 1),
-		next:        make(chan struct{}),
-		urgent:      make(chan struct{}),
+		cfg:              cfg,
+		log:              cfg.Logger,
+		incarnation:      uint64(time.Now().UnixMilli()),
+		publishTrigger:   make(chan struct{}, 1),
+		replaced:         make(chan struct{}),
+		urgentlyReplaced: make(chan struct{}),
 	}
-	s.health = newHealth(cfg.Settings.Backend, s.Kick)
-	cfg.Queue.OnChange(s.Kick)
-	s.state = s.build()
+	s.health = newHealth(cfg.Settings.Backend, s.TriggerPublish)
+	cfg.Queue.OnChange(s.TriggerPublish)
+	s.state = s.buildState()
 	return s
 }
 
-// Incarnation is the start time in ms since 1970.
+// Incarnation returns the start time in ms since 1970.
 func (s *Server) Incarnation() uint64 { return s.incarnation }
 
 // Run watches the backend server, the manifest and the VM list, and publishes
@@ -110,7 +112,7 @@
 func (s *Server) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	wg.Go(func() { s.health.run(ctx) })
-	wg.Go(func() { s.follow(ctx) })
+	wg.Go(func() { s.followConfig(ctx) })
 	wg.Go(func() { s.publish(ctx) })
 	wg.Wait()
 }
@@ -120,7 +122,7 @@
 	if s.cfg.Calls == nil {
 		return status.Error(codes.Unimplemented, "this agent's backend server is an engine")
 	}
-	defer s.enter()()
+	defer s.trackStream()()
 	return s.cfg.Calls.Call(stream)
 }
 
@@ -129,7 +131,7 @@
 	if s.cfg.Generator == nil {
 		return errNoEngine
 	}
-	defer s.enter()()
+	defer s.trackStream()()
 	return s.cfg.Generator.Generate(req, stream)
 }
 
@@ -138,16 +140,16 @@
 	if s.cfg.Generator == nil {
 		return errNoEngine
 	}
-	defer s.enter()()
+	defer s.trackStream()()
 	return s.cfg.Generator.Held(req, stream)
 }
 
-// ExportKV hands a stream's KV cache on.
+// ExportKV transfers a stream's KV cache to another agent.
 func (s *Server) ExportKV(ctx context.Context, req *pb.ExportKVRequest) (*pb.ExportKVReply, error) {
 	if s.cfg.Generator == nil {
 		return nil, errNoEngine
 	}
-	defer s.enter()()
+	defer s.trackStream()()
 	return s.cfg.Generator.ExportKV(ctx, req)
 }
 
@@ -156,7 +158,7 @@
 	if s.cfg.Generator == nil {
 		return errNoEngine
 	}
-	defer s.enter()()
+	defer s.trackStream()()
 	return s.cfg.Generator.FetchWeights(req, stream)
 }
 
@@ -165,10 +167,10 @@
 	return &pb.ExplainReply{Decisions: s.cfg.Explain.Find(req.Id)}, nil
 }
 
-// enter counts a stream until the returned function is called.
-func (s *Server) enter() (leave func()) {
-	s.active.Add(1)
-	return func() { s.active.Add(-1) }
+// trackStream counts a running stream until the returned function is called.
+func (s *Server) trackStream() (done func()) {
+	s.activeStreams.Add(1)
+	return func() { s.activeStreams.Add(-1) }
 }
 
 var errNoEngine = status.Error(codes.Unimplemented, "this agent's backend server is a plain service")
--- a/agent/weights/copies_test.go
+++ b/agent/weights/copies_test.go
@@ -18,23 +18,23 @@
 	"dandelionsill.org/wire/pb"
 )
 
-// relayed serves FetchWeights from memory.
-type relayed struct {
+// fakeRelay serves FetchWeights from memory.
+type fakeRelay struct {
 	pb.AgentClient
 	data []byte
 	err  error
 }
 
-func (r *relayed) FetchWeights(context.Context, *pb.FetchWeightsRequest, ...grpc.CallOption) (grpc.ServerStreamingClient[pb.WeightsPiece], error) {
-	return &pieceStream{rest: r.data}, r.err
+func (r *fakeRelay) FetchWeights(context.Context, *pb.FetchWeightsRequest, ...grpc.CallOption) (grpc.ServerStreamingClient[pb.WeightsPiece], error) {
+	return &fakePieceStream{rest: r.data}, r.err
 }
 
-type pieceStream struct {
+type fakePieceStream struct {
 	grpc.ServerStreamingClient[pb.WeightsPiece]
 	rest []byte
 }
 
-func (p *pieceStream) Recv() (*pb.WeightsPiece, error) {
+func (p *fakePieceStream) Recv() (*pb.WeightsPiece, error) {
 	if len(p.rest) == 0 {
 		return nil, io.EOF
 	}
@@ -44,16 +44,17 @@
 	return piece, nil
 }
 
-// child is an agent of a fleet large enough to relay, placed two hops down in the middle.
-func child(t *testing.T, asked *[]string, answer func(addr string) (*relayed, error)) *bench {
-	var fellows []Fellow
+// newChildKeeper returns the keeper of an agent in a fleet large enough to
+// relay. The agent is at depth 2 of the relay tree and has children.
+func newChildKeeper(t *testing.T, asked *[]string, answer func(addr string) (*fakeRelay, error)) *testKeeper {
+	var peers []Peer
 	for i := range 60 {
-		fellows = append(fellows, Fellow{Name: fmt.Sprint("f", i), Addr: fmt.Sprint("addr", i)})
+		peers = append(peers, Peer{Name: fmt.Sprint("f", i), Addr: fmt.Sprint("addr", i)})
 	}
 	for i := range 200 {
 		name := fmt.Sprint("child", i)
-		b := newBench(t, func(c *Config) {
-			c.Server, c.Fellows = name, func() []Fellow { return fellows }
+		b := newTestKeeper(t, func(c *Config) {
+			c.Server, c.Peers = name, func() []Peer { return peers }
 			c.Dial = func(addr string) (pb.AgentClient, func(), error) {
 				*asked = append(*asked, addr)
 				r, err := answer(addr)
@@ -69,11 +70,11 @@
 	return nil
 }
 
-// Weights come from the parent, not from the rate-limited store.
+// Weights are fetched from the parent, not from the rate-limited store.
 func TestRelayFromParent(t *testing.T) {
 	data, _ := weightsOf(8)
 	var asked []string
-	b := child(t, &asked, func(string) (*relayed, error) { return &relayed{data: data}, nil })
+	b := newChildKeeper(t, &asked, func(string) (*fakeRelay, error) { return &fakeRelay{data: data}, nil })
 	got, err := b.copies.obtain(t.Context(), 8)
 	require.NoError(t, err)
 	require.Equal(t, data, got.data)
@@ -81,17 +82,17 @@
 	require.Zero(t, b.store.fetches)
 }
 
-// The parent doesn't answer, the next one sends bytes that don't fit the
-// store's digest: both are passed over and the store serves.
+// The first parent does not answer and the next one sends bytes that do not
+// match the store's digest: both are skipped and the store is used.
 func TestRelayFallsBack(t *testing.T) {
 	data, _ := weightsOf(8)
 	wrong, _ := weightsOf(9)
 	var asked []string
-	b := child(t, &asked, func(string) (*relayed, error) {
+	b := newChildKeeper(t, &asked, func(string) (*fakeRelay, error) {
 		if len(asked) == 1 {
-			return &relayed{err: errors.New("no answer")}, nil
+			return &fakeRelay{err: errors.New("no answer")}, nil
 		}
-		return &relayed{data: wrong}, nil
+		return &fakeRelay{data: wrong}, nil
 	})
 	got, err := b.copies.obtain(t.Context(), 8)
 	require.NoError(t, err)
@@ -112,12 +113,12 @@
 	return nil
 }
 
-// A child that asks before the copy is whole waits for it. The copy stays until
-// the own engine serves it and each child has it, or for keepCopy, and no
-// longer: 256 MB of each VM would be taken for good. Who comes later is sent on
-// at once.
+// A child that asks before the copy is complete waits for it. The copy is kept
+// until this agent's engine serves it and each child has it, or for
+// copyRetention, and no longer: otherwise 256 MB of each VM would be occupied
+// permanently. A child that asks later is refused at once.
 func TestRelayAndDrop(t *testing.T) {
-	b := child(t, new([]string), func(string) (*relayed, error) { return nil, errors.New("no answer") })
+	b := newChildKeeper(t, new([]string), func(string) (*fakeRelay, error) { return nil, errors.New("no answer") })
 	plan, _ := b.copies.plan(8)
 	children := plan.Role(b.cfg.Server).Children
 	ask := func() error {
@@ -129,71 +130,72 @@
 	}
 	done := make(chan error)
 	go func() { done <- ask() }()
-	b.copies.want(t.Context(), 8, b.willLoad)
+	b.copies.startFetch(t.Context(), 8, b.shouldLoadOlder)
 	require.NoError(t, <-done)
 	for range children {
 		require.NoError(t, ask())
 	}
-	b.copies.release(7)
-	require.NotNil(t, b.copies.get(8), "the own engine needs it")
-	b.copies.release(8)
+	b.copies.dropUnneeded(7)
+	require.NotNil(t, b.copies.get(8), "this agent's engine needs the copy")
+	b.copies.dropUnneeded(8)
 	require.Nil(t, b.copies.get(8))
 	synctest.Test(t, func(t *testing.T) {
 		b.copies.changed = make(chan struct{})
-		began := time.Now()
+		start := time.Now()
 		require.Error(t, ask())
-		require.Zero(t, time.Since(began))
+		require.Zero(t, time.Since(start))
 	})
 	b.copies.changed = make(chan struct{})
 	b.copies.fetch(t.Context(), 8)
-	b.copies.release(8)
-	require.NotNil(t, b.copies.get(8), "children may come")
-	b.pass(keepCopy)
-	b.copies.release(8)
+	b.copies.dropUnneeded(8)
+	require.NotNil(t, b.copies.get(8), "children may still fetch the copy")
+	b.advance(copyRetention)
+	b.copies.dropUnneeded(8)
 	require.Nil(t, b.copies.get(8))
 }
 
-// Version 9 is announced while 8 is here and waits for its slot, and memory has
-// room for one. 8 is loaded first: fetched at once, 9 would take twice the room;
-// in place of 8 it would put the swap off, and where versions keep coming for
-// ever.
+// Version 9 is announced while version 8 is here and waits for its slot, and
+// memory has room for one copy. Version 8 must be loaded first: fetching 9 at
+// once would take twice the memory, and replacing 8 by 9 would delay the swap,
+// for ever if new versions keep arriving.
 func TestMemoryForOneCopy(t *testing.T) {
-	b := last(t, manifest.WeighIdle)
+	b := newLastWaveKeeper(t, manifest.WeighIdle)
 	b.copies.cfg.MaxCopyBytes = 1500
 	b.view.Versions["m"] = 8
 	b.step(t.Context())
 	b.awaitFetch()
 	b.view.Versions["m"] = 9
-	b.swapped(func(time.Duration) { require.Equal(t, 1, b.store.fetches) })
-	require.EqualValues(t, 8, b.serves())
-	b.swapped(nil)
-	require.EqualValues(t, 9, b.serves())
+	b.timeToNextOrder(func(time.Duration) { require.Equal(t, 1, b.store.fetches) })
+	require.EqualValues(t, 8, b.servingVersion())
+	b.timeToNextOrder(nil)
+	require.EqualValues(t, 9, b.servingVersion())
 }
 
-// Two models get new versions within a moment. The agents of each take half of
-// the store's rate, also who began before the other's announcement; later the
-// own version's has all of it, and an engine that restarts alone four shares.
+// Two models get new versions within a moment. The agents of each use half of
+// the store's rate, also those that started before the other's announcement.
+// Later this model's agents may use all of it, and an engine that restarts
+// alone takes four shares.
 func TestModelsShareTheStore(t *testing.T) {
 	const perSecond, fetchers = 1200.0, 12
-	b := settled(t, nil)
+	b := newServingKeeper(t, nil)
 	b.view.Manifest.Fleet.StoreBytesPS = perSecond
-	b.pass(spreadTime)
+	b.advance(spreadTime)
 	b.view.Versions["m"] = 8
 	share := func() float64 {
-		return b.copies.sharePS(b.copies.rates.fetchers("m", fetchers))
+		return b.copies.shareBytesPerSecond(b.copies.rates.activeFetchers("m", fetchers))
 	}
 	require.Equal(t, perSecond/fetchers, share())
 	b.view.Versions["other"] = 3
 	require.Equal(t, perSecond/2/fetchers, share())
-	b.pass(spreadTime)
+	b.advance(spreadTime)
 	require.Equal(t, lateShares*perSecond/fetchers, share())
 }
 
-// timedSink notes when pieces come.
+// timedSink records when pieces arrive.
 type timedSink struct {
 	relaySink
 	first, last time.Time
-	longest     time.Duration // without a piece
+	longestGap  time.Duration // between two pieces
 }
 
 func (s *timedSink) Send(p *pb.WeightsPiece) error {
@@ -201,46 +203,47 @@
 	if s.first.IsZero() && len(p.GetData()) > 0 {
 		s.first = now
 	}
-	s.longest, s.last = max(s.longest, now.Sub(s.last)), now
+	s.longestGap, s.last = max(s.longestGap, now.Sub(s.last)), now
 	return s.relaySink.Send(p)
 }
 
-// pausing is a store that thinks before it sends.
-type pausing struct{ trickling }
+// pausingStore is a store that waits before it sends.
+type pausingStore struct{ tricklingStore }
 
-const pause = 2 * parentStall
+const storePause = 2 * parentStallTimeout
 
-func (s pausing) Fetch(ctx context.Context, model string, version uint64) (io.ReadCloser, platform.WeightInfo, error) {
-	time.Sleep(pause)
-	return s.trickling.Fetch(ctx, model, version)
+func (s pausingStore) Fetch(ctx context.Context, model string, version uint64) (io.ReadCloser, platform.WeightInfo, error) {
+	time.Sleep(storePause)
+	return s.tricklingStore.Fetch(ctx, model, version)
 }
 
 // The seed of a failure domain fetches for 19 s from a store that is slow to
-// begin and whose rate 24 seeds share. Its children don't wait for the whole and pass over no parent that is
-// at it: if they did, all 61 would go to the store, which has the rate for the
-// seeds, and the version come minutes later.
-func TestRelayAsItComes(t *testing.T) {
+// start and whose rate 24 seeds share. Its children neither wait for the
+// complete version nor skip a parent that is fetching: if they did, all 61
+// would fetch from the store, whose rate suffices for the seeds only, and the
+// version would arrive minutes later.
+func TestRelayWhileFetching(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, func(c *Config) { c.Store = pausing{trickling{sized{bytes: 1000}, 100}} })
-		began := time.Now()
-		sink := &timedSink{relaySink: relaySink{ctx: t.Context()}, last: began}
-		b.copies.want(t.Context(), 8, b.willLoad)
+		b := newTestKeeper(t, func(c *Config) { c.Store = pausingStore{tricklingStore{sizedStore{bytes: 1000}, 100}} })
+		start := time.Now()
+		sink := &timedSink{relaySink: relaySink{ctx: t.Context()}, last: start}
+		b.copies.startFetch(t.Context(), 8, b.shouldLoadOlder)
 		require.NoError(t, b.FetchWeights(&pb.FetchWeightsRequest{Model: "m", Version: 8}, sink))
-		data, _ := sized{bytes: 1000}.info(8)
+		data, _ := sizedStore{bytes: 1000}.info(8)
 		require.Equal(t, data, sink.data)
-		require.Less(t, sink.first.Sub(began), pause+2*time.Second)
-		require.Less(t, sink.longest, parentStall)
-		require.Equal(t, pause+11*time.Second, time.Since(began))
+		require.Less(t, sink.first.Sub(start), storePause+2*time.Second)
+		require.Less(t, sink.longestGap, parentStallTimeout)
+		require.Equal(t, storePause+11*time.Second, time.Since(start))
 	})
 }
 
-// idlePieces comes from a parent that is alive and never has a byte.
+// idlePieces is the stream of a parent that is alive but never has any bytes.
 type idlePieces struct {
 	grpc.ServerStreamingClient[pb.WeightsPiece]
 }
 
 func (idlePieces) Recv() (*pb.WeightsPiece, error) {
-	time.Sleep(aliveEvery)
+	time.Sleep(keepaliveInterval)
 	return &pb.WeightsPiece{}, nil
 }
 
@@ -250,12 +253,12 @@
 	return idlePieces{}, nil
 }
 
-// Two agents' lists of servers differ for a moment, and each has the other as
-// its parent. Both are alive and at it; neither would ever go to the store, and
-// their trainers' floors pass both engines.
-func TestParentsThatWaitForEachOther(t *testing.T) {
+// Two agents' server lists differ for a moment, and each has the other as its
+// parent. Both send keepalives; without the stall timeout neither would ever
+// fetch from the store, and their trainers' floors would pass both engines.
+func TestMutuallyWaitingParents(t *testing.T) {
 	var asked []string
-	b := child(t, &asked, func(string) (*relayed, error) { return nil, nil })
+	b := newChildKeeper(t, &asked, func(string) (*fakeRelay, error) { return nil, nil })
 	synctest.Test(t, func(t *testing.T) {
 		b.copies.changed = make(chan struct{})
 		b.copies.cfg.Dial = func(string) (pb.AgentClient, func(), error) { return idleParent{}, func() {}, nil }
@@ -265,7 +268,7 @@
 	})
 }
 
-// frozenParent accepts a fetch and then sends nothing, as a stopped process.
+// frozenParent accepts a fetch and then sends nothing, like a stopped process.
 type frozenParent struct{ pb.AgentClient }
 
 type silentPieces struct {
@@ -282,14 +285,14 @@
 	return silentPieces{ctx: ctx}, nil
 }
 
-// liveParent and liveStore answer at once, to who still has time.
-type liveParent struct{ relayed }
+// liveParent and liveStore answer at once unless the context has ended.
+type liveParent struct{ fakeRelay }
 
 func (p *liveParent) FetchWeights(ctx context.Context, req *pb.FetchWeightsRequest, o ...grpc.CallOption) (grpc.ServerStreamingClient[pb.WeightsPiece], error) {
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
 	}
-	return p.relayed.FetchWeights(ctx, req, o...)
+	return p.fakeRelay.FetchWeights(ctx, req, o...)
 }
 
 type liveStore struct{ *fakeStore }
@@ -301,14 +304,15 @@
 	return s.fakeStore.Fetch(ctx, model, version)
 }
 
-// The agent that relays to a part of its failure domain is frozen: its
-// connections stay open. Its children wait for it until their whole time is
-// over, 30 s, so that neither the next parent nor the store is tried; then they
-// ask it first again, for ever. The new weights reach none of up to 62 engines,
-// and once the floor has passed them their trainers' steps don't end.
-func TestFrozenParentIsPassedOver(t *testing.T) {
+// The agent that relays to a part of its failure domain is frozen and its
+// connections stay open. If its children waited for it until their whole time
+// of 30 s had passed, neither the next parent nor the store would be tried, and
+// each retry would ask the frozen agent first again. The new weights would
+// reach none of up to 62 engines, and once the floor has passed them their
+// trainers' steps would not end.
+func TestFrozenParentIsSkipped(t *testing.T) {
 	var asked []string
-	b := child(t, &asked, func(string) (*relayed, error) { return nil, nil })
+	b := newChildKeeper(t, &asked, func(string) (*fakeRelay, error) { return nil, nil })
 	synctest.Test(t, func(t *testing.T) {
 		first := ""
 		b.copies.cfg.Store = liveStore{b.store}
@@ -318,13 +322,13 @@
 				return frozenParent{}, func() {}, nil
 			}
 			data, _ := weightsOf(8)
-			return &liveParent{relayed{data: data}}, func() {}, nil
+			return &liveParent{fakeRelay{data: data}}, func() {}, nil
 		}
-		began := time.Now()
+		start := time.Now()
 		for range 3 {
 			b.copies.fetch(t.Context(), 8)
 		}
-		require.NotNil(t, b.copies.get(8), "another parent has it, and the store")
-		require.LessOrEqual(t, time.Since(began), 3*parentStall, "one stall for each of the three fetches")
+		require.NotNil(t, b.copies.get(8), "another parent and the store have the version")
+		require.LessOrEqual(t, time.Since(start), 3*parentStallTimeout, "one stall timeout for each of the three fetches")
 	})
 }
