--- a/agent/generate/bench_test.go
+++ b/agent/generate/bench_test.go
@@ -12,12 +12,12 @@
 )
 
 // burst is an engine stream of n chunks that are there at once.
-type burst struct{ left int }
+type burst struct{ remaining int }
 
 func (s *burst) Next() (platform.Chunk, error) {
-	s.left--
+	s.remaining--
 	c := platform.Chunk{Text: "eight by", Tokens: 2, Version: 7, Boot: "b1"}
-	if s.left == 0 {
+	if s.remaining == 0 {
 		c.Finish = "stop"
 	}
 	return c, nil
@@ -31,7 +31,7 @@
 }
 
 func (e burstEngine) Generate(context.Context, platform.GenerateJob) (platform.Stream, error) {
-	return &burst{left: e.chunks}, nil
+	return &burst{remaining: e.chunks}, nil
 }
 
 type discardReplies struct {
@@ -48,22 +48,22 @@
 // BenchmarkChunk is the agent's own cost of one chunk of a sample: the label,
 // the freshness and the reply, without engine and wire.
 func BenchmarkChunk(b *testing.B) {
-	t := newBench(b)
-	t.cfg.Engine = burstEngine{t.engine, b.N}
+	h := newTestBench(b)
+	h.cfg.Engine = burstEngine{h.engine, b.N}
 	out := &discardReplies{}
 	b.ReportAllocs()
 	b.ResetTimer()
-	require.NoError(b, t.Generate(sample("a", func(r *pb.GenerateRequest) { r.MaxTokens = 1 << 31 }), out))
+	require.NoError(b, h.Generate(sampleRequest("a", func(r *pb.GenerateRequest) { r.MaxTokens = 1 << 31 }), out))
 	require.NotNil(b, out.last.GetDone())
 }
 
 // BenchmarkSample is the cost of a whole sample of 32 chunks.
 func BenchmarkSample(b *testing.B) {
-	t := newBench(b)
-	t.cfg.Engine = burstEngine{t.engine, 32}
+	h := newTestBench(b)
+	h.cfg.Engine = burstEngine{h.engine, 32}
 	out := &discardReplies{}
 	b.ReportAllocs()
 	for range b.N {
-		require.NoError(b, t.Generate(sample("a", nil), out))
+		require.NoError(b, h.Generate(sampleRequest("a", nil), out))
 	}
 }
--- a/agent/generate/fakes_test.go
+++ b/agent/generate/fakes_test.go
@@ -24,17 +24,17 @@
 	"dandelionsill.org/wire/pb"
 )
 
-const waitLimit = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 // fakeEngine hands each stream to the test, which writes its chunks.
 type fakeEngine struct {
 	platform.Engine
 	started chan *fakeStream
 
-	mu   sync.Mutex
-	st   platform.EngineState
-	real platform.Engine                                    // tells the state, if set
-	obey func(info platform.WeightInfo, token uint64) error // under mu
+	mu          sync.Mutex
+	state       platform.EngineState
+	stateSource platform.Engine                                    // tells the state, if set
+	onLoad      func(info platform.WeightInfo, token uint64) error // under mu
 }
 
 func (e *fakeEngine) Generate(ctx context.Context, job platform.GenerateJob) (platform.Stream, error) {
@@ -46,34 +46,34 @@
 func (e *fakeEngine) State(ctx context.Context) (platform.EngineState, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.real != nil {
-		return e.real.State(ctx)
+	if e.stateSource != nil {
+		return e.stateSource.State(ctx)
 	}
-	return e.st, nil
+	return e.state, nil
 }
 
-// setState has another engine tell the state from now on.
-func (e *fakeEngine) setState(real platform.Engine) {
+// setStateSource has another engine tell the state from now on.
+func (e *fakeEngine) setStateSource(stateSource platform.Engine) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.real = real
+	e.stateSource = stateSource
 }
 
 func (e *fakeEngine) LoadWeights(_ context.Context, info platform.WeightInfo, _ io.Reader, token uint64) error {
 	e.mu.Lock()
-	obey := e.obey
+	onLoad := e.onLoad
 	e.mu.Unlock()
-	if obey != nil {
-		return obey(info, token)
+	if onLoad != nil {
+		return onLoad(info, token)
 	}
-	e.load(info.Version, token)
+	e.setServing(info.Version, token)
 	return nil
 }
 
-func (e *fakeEngine) load(version, token uint64) {
+func (e *fakeEngine) setServing(version, token uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.st.Version, e.st.Order, e.st.State = version, token, "serving"
+	e.state.Version, e.state.Order, e.state.State = version, token, "serving"
 }
 
 func (e *fakeEngine) Events(context.Context, uint64) ([]platform.CacheEvent, error) { return nil, nil }
@@ -141,31 +141,31 @@
 	return io.NopCloser(bytes.NewReader(data)), info, nil
 }
 
-// viewer lets a test announce versions.
-type viewer struct{ v atomic.Pointer[confsync.View] }
+// fakeViewer lets a test announce versions.
+type fakeViewer struct{ v atomic.Pointer[confsync.View] }
 
-func (v *viewer) View() *confsync.View     { return v.v.Load() }
-func (v *viewer) Changed() <-chan struct{} { return nil }
-func (v *viewer) Announce(model string, version uint64) {
+func (v *fakeViewer) View() *confsync.View     { return v.v.Load() }
+func (v *fakeViewer) Changed() <-chan struct{} { return nil }
+func (v *fakeViewer) Announce(model string, version uint64) {
 	next := *v.v.Load()
 	next.Versions = map[string]uint64{model: version}
 	v.v.Store(&next)
 }
 
-// bench is a handler with everything around it under the test's control.
-type bench struct {
+// testBench is a handler with everything around it under the test's control.
+type testBench struct {
 	*Handler
-	t      testing.TB
-	engine *fakeEngine
-	view   *viewer
-	keeper *weights.Keeper
-	ahead  atomic.Int64 // how far the keeper's clock is ahead, ns
+	t           testing.TB
+	engine      *fakeEngine
+	view        *fakeViewer
+	keeper      *weights.Keeper
+	clockOffset atomic.Int64 // how far the keeper's clock is ahead, ns
 }
 
-func newBench(t testing.TB) *bench {
-	b := &bench{t: t, view: &viewer{}, engine: &fakeEngine{
+func newTestBench(t testing.TB) *testBench {
+	b := &testBench{t: t, view: &fakeViewer{}, engine: &fakeEngine{
 		started: make(chan *fakeStream, 100),
-		st:      platform.EngineState{Boot: "b1", Model: "m", Version: 7, State: "serving"},
+		state:   platform.EngineState{Boot: "b1", Model: "m", Version: 7, State: "serving"},
 	}}
 	b.view.v.Store(&confsync.View{
 		Manifest: &manifest.Manifest{
@@ -178,7 +178,7 @@
 	b.keeper = weights.New(weights.Config{
 		Server: "vm1", Model: "m", Engine: b.engine, Store: fakeStore{}, Log: &fakeLog{}, View: b.view,
 		ReadBack: time.Millisecond, Slot: time.Millisecond,
-		Now: func() time.Time { return time.Now().Add(time.Duration(b.ahead.Load())) },
+		Now: func() time.Time { return time.Now().Add(time.Duration(b.clockOffset.Load())) },
 	})
 	b.Handler = New(Config{
 		Name: "vm1", Engine: b.engine, View: b.view, Weights: b.keeper,
@@ -192,14 +192,14 @@
 		cancel()
 		wg.Wait()
 	})
-	b.serves(7)
-	require.Eventually(t, func() bool { return b.keeper.Token() != 0 }, waitLimit, time.Millisecond)
+	b.awaitServing(7)
+	require.Eventually(t, func() bool { return b.keeper.Token() != 0 }, testTimeout, time.Millisecond)
 	return b
 }
 
-func (b *bench) serves(version uint64) {
+func (b *testBench) awaitServing(version uint64) {
 	b.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	_, _, err := b.keeper.WaitFresh(ctx, version)
 	require.NoError(b.t, err)
@@ -208,7 +208,7 @@
 // call is one Generate as its caller sees it.
 type call struct {
 	grpc.ServerStreamingServer[pb.GenerateReply]
-	b       *bench
+	b       *testBench
 	ctx     context.Context
 	cancel  context.CancelFunc
 	replies chan *pb.GenerateReply
@@ -221,7 +221,7 @@
 	return nil
 }
 
-func (b *bench) call(req *pb.GenerateRequest) *call {
+func (b *testBench) call(req *pb.GenerateRequest) *call {
 	c := &call{b: b, replies: make(chan *pb.GenerateReply, 1000)}
 	c.ctx, c.cancel = context.WithCancel(context.Background())
 	b.t.Cleanup(c.cancel)
@@ -239,21 +239,21 @@
 	case r := <-c.replies:
 		c.text += r.GetChunk().GetText()
 		return r
-	case <-time.After(waitLimit):
+	case <-time.After(testTimeout):
 		require.Fail(c.b.t, "no reply")
 		return nil
 	}
 }
 
-// got waits for the start and the first chunk.
-func (c *call) got(text string) {
+// awaitFirstChunk waits for the start and the first chunk.
+func (c *call) awaitFirstChunk(text string) {
 	c.b.t.Helper()
 	require.NotNil(c.b.t, c.next().GetStarted())
 	require.Equal(c.b.t, text, c.next().GetChunk().GetText())
 }
 
-// refused returns the refusal that ends the call.
-func (c *call) refused() *pb.Refusal {
+// refusal returns the refusal that ends the call.
+func (c *call) refusal() *pb.Refusal {
 	c.b.t.Helper()
 	for {
 		r := c.next()
@@ -277,56 +277,56 @@
 	}
 }
 
-// stream returns the engine's side of the newest call.
-func (b *bench) stream() *fakeStream {
+// engineStream returns the engine's side of the newest call.
+func (b *testBench) engineStream() *fakeStream {
 	b.t.Helper()
 	select {
 	case s := <-b.engine.started:
 		return s
-	case <-time.After(waitLimit):
+	case <-time.After(testTimeout):
 		require.Fail(b.t, "nothing reached the engine")
 		return nil
 	}
 }
 
-// running starts a stream that has made "abc" on version 7, and its caller got
+// startStream starts a stream that has made "abc" on version 7, and its caller got
 // it.
-func (b *bench) running(req *pb.GenerateRequest) (*call, *fakeStream) {
+func (b *testBench) startStream(req *pb.GenerateRequest) (*call, *fakeStream) {
 	b.t.Helper()
 	c := b.call(req)
-	s := b.stream()
-	s.write(b, "abc", 7, "")
-	c.got("abc")
+	s := b.engineStream()
+	s.sendTokens(b, "abc", 7, "")
+	c.awaitFirstChunk("abc")
 	return c, s
 }
 
-// write has the engine make one token per letter.
-func (s *fakeStream) write(b *bench, text string, version uint64, finish string) {
+// sendTokens has the engine make one token per letter.
+func (s *fakeStream) sendTokens(b *testBench, text string, version uint64, finish string) {
 	b.t.Helper()
 	s.send(b, platform.Chunk{Text: text, Tokens: len(text), Version: version, Boot: "b1", Finish: finish})
 }
 
-func (s *fakeStream) send(b *bench, c platform.Chunk) {
+func (s *fakeStream) send(b *testBench, c platform.Chunk) {
 	b.t.Helper()
 	select {
 	case s.chunks <- c:
 	case <-s.closed:
 		require.Fail(b.t, "the stream was closed before "+c.Text)
-	case <-time.After(waitLimit):
+	case <-time.After(testTimeout):
 		require.Fail(b.t, "nobody reads the stream")
 	}
 }
 
-func (s *fakeStream) awaitClosed(b *bench) {
+func (s *fakeStream) awaitClosed(b *testBench) {
 	b.t.Helper()
 	select {
 	case <-s.closed:
-	case <-time.After(waitLimit):
+	case <-time.After(testTimeout):
 		require.Fail(b.t, "the stream goes on at the engine")
 	}
 }
 
-func sample(id string, change func(*pb.GenerateRequest)) *pb.GenerateRequest {
+func sampleRequest(id string, change func(*pb.GenerateRequest)) *pb.GenerateRequest {
 	req := &pb.GenerateRequest{
 		RequestId: id, Caller: "tr", Model: "m", Prompt: "p", MaxTokens: 100, Floor: 6,
 		Sample: &pb.SampleID{Trainer: "tr", Step: 1, Group: "g"}, Epoch: &pb.Epoch{Attempt: 1},
--- a/agent/generate/generate_test.go
+++ b/agent/generate/generate_test.go
@@ -30,14 +30,14 @@
 	require.True(t, r.GetNotRun())
 }
 
-func mixed(r *pb.GenerateRequest) { r.AllowMixed = true }
+func allowMixed(r *pb.GenerateRequest) { r.AllowMixed = true }
 
 func TestSample(t *testing.T) {
-	b := newBench(t)
-	c := b.call(sample("a", nil))
-	s := b.stream()
-	s.write(b, "abc", 7, "")
-	s.write(b, "de", 7, "stop")
+	b := newTestBench(t)
+	c := b.call(sampleRequest("a", nil))
+	s := b.engineStream()
+	s.sendTokens(b, "abc", 7, "")
+	s.sendTokens(b, "de", 7, "stop")
 	require.EqualValues(t, 7, c.next().GetStarted().GetVersion())
 	done := c.done()
 	require.Equal(t, "abcde", done.GetText())
@@ -50,41 +50,41 @@
 
 // The engine's version is below the trainer's floor. The trainer's entry is
 // refused before anything reaches the engine, with proof, and goes elsewhere.
-func TestStaleAtStart(t *testing.T) {
-	b := newBench(t)
-	c := b.call(sample("a", func(r *pb.GenerateRequest) { r.Floor = 8 }))
-	requireNotRun(t, kinds.StaleWeights, c.refused())
+func TestStaleWeightsAtStart(t *testing.T) {
+	b := newTestBench(t)
+	c := b.call(sampleRequest("a", func(r *pb.GenerateRequest) { r.Floor = 8 }))
+	requireNotRun(t, kinds.StaleWeights, c.refusal())
 	require.Empty(t, b.engine.started)
 }
 
 // The engine crashes in the middle. The trainer gets sample_discarded and no
 // Done; an application gets backend_failed, which its entry may start anew.
 func TestEngineCrash(t *testing.T) {
-	b := newBench(t)
-	c := b.call(sample("a", nil))
-	s := b.stream()
-	s.write(b, "abc", 7, "")
+	b := newTestBench(t)
+	c := b.call(sampleRequest("a", nil))
+	s := b.engineStream()
+	s.sendTokens(b, "abc", 7, "")
 	close(s.chunks)
-	requireKind(t, kinds.SampleDiscarded, c.refused())
-	c = b.call(sample("b", func(r *pb.GenerateRequest) { r.Sample, r.Floor = nil, 0 }))
-	close(b.stream().chunks)
-	requireKind(t, kinds.BackendFailed, c.refused())
+	requireKind(t, kinds.SampleDiscarded, c.refusal())
+	c = b.call(sampleRequest("b", func(r *pb.GenerateRequest) { r.Sample, r.Floor = nil, 0 }))
+	close(b.engineStream().chunks)
+	requireKind(t, kinds.BackendFailed, c.refusal())
 }
 
 // An operator reads in the explain records why a stream ended. The engine's
 // connection is cut, or its body ends cleanly without a finish reason.
 func TestBrokenStreamIsExplained(t *testing.T) {
-	for err, says := range map[error]string{
+	for err, want := range map[error]string{
 		io.EOF:              "the engine's stream broke off",
 		io.ErrUnexpectedEOF: "the engine's stream broke off: unexpected EOF",
 		errCrash:            errCrash.Error(),
 	} {
-		require.EqualError(t, pumpError(t.Context(), err), says)
+		require.EqualError(t, streamError(t.Context(), err), want)
 	}
-	require.ErrorIs(t, pumpError(canceled(errSwap), io.ErrUnexpectedEOF), errSwap, "our own stop comes first")
+	require.ErrorIs(t, streamError(canceledContext(errSwap), io.ErrUnexpectedEOF), errSwap, "our own stop comes first")
 }
 
-func canceled(cause error) context.Context {
+func canceledContext(cause error) context.Context {
 	ctx, cancel := context.WithCancelCause(context.Background())
 	cancel(cause)
 	return ctx
@@ -94,7 +94,7 @@
 // them, then sample_discarded; never a Done with a guessed label. The stream
 // is cancelled at the engine.
 func TestUnprovableChunk(t *testing.T) {
-	for name, odd := range map[string]platform.Chunk{
+	for name, unprovable := range map[string]platform.Chunk{
 		"no version":               {Text: "x", Tokens: 1, Boot: "b1"},
 		"engine restarted":         {Text: "x", Tokens: 1, Version: 7, Boot: "b2"},
 		"restarted, other weights": {Text: "x", Tokens: 1, Version: 9, Boot: "b2"},
@@ -103,13 +103,13 @@
 		"token count":              {Text: "x", Tokens: 0, Version: 7, Boot: "b1"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t)
-			c := b.call(sample("a", mixed))
-			s := b.stream()
-			s.write(b, "abc", 7, "")
-			odd.Finish = "stop"
-			s.send(b, odd)
-			requireKind(t, kinds.SampleDiscarded, c.refused())
+			b := newTestBench(t)
+			c := b.call(sampleRequest("a", allowMixed))
+			s := b.engineStream()
+			s.sendTokens(b, "abc", 7, "")
+			unprovable.Finish = "stop"
+			s.send(b, unprovable)
+			requireKind(t, kinds.SampleDiscarded, c.refusal())
 			require.Equal(t, "abc", c.text)
 			s.awaitClosed(b)
 		})
@@ -119,71 +119,71 @@
 // The first chunk of a new stream tells that the engine went back to an older
 // version by a stale order that it obeyed. Nothing more starts there until the
 // engine was read back and loaded again.
-func TestStaleOrderEndsTrust(t *testing.T) {
-	b := newBench(t)
-	c := b.call(sample("a", nil))
-	s := b.stream()
+func TestStaleOrderMakesNotReady(t *testing.T) {
+	b := newTestBench(t)
+	c := b.call(sampleRequest("a", nil))
+	s := b.engineStream()
 	reload := make(chan struct{})
 	b.engine.mu.Lock()
-	b.engine.obey = func(info platform.WeightInfo, token uint64) error {
+	b.engine.onLoad = func(info platform.WeightInfo, token uint64) error {
 		<-reload
-		b.engine.load(info.Version, token)
+		b.engine.setServing(info.Version, token)
 		return nil
 	}
 	b.engine.mu.Unlock()
-	b.engine.load(6, 0)
-	s.write(b, "x", 6, "")
-	requireKind(t, kinds.SampleDiscarded, c.refused())
+	b.engine.setServing(6, 0)
+	s.sendTokens(b, "x", 6, "")
+	requireKind(t, kinds.SampleDiscarded, c.refusal())
 	require.Empty(t, c.text)
-	require.Eventually(t, func() bool { return b.keeper.Swapping() }, waitLimit, time.Millisecond)
+	require.Eventually(t, func() bool { return b.keeper.Swapping() }, testTimeout, time.Millisecond)
 	var state pb.AgentState
 	b.FillState(&state)
 	require.False(t, state.Ready)
 	require.Zero(t, state.Version)
 	close(reload)
-	b.serves(7)
+	b.awaitServing(7)
 }
 
 // A swap fails partway, and the engine then lies: it names the new version for
 // tokens of any. No such chunk reaches the trainer, not even in the moment
 // between the engine's failure and the agent's knowledge of it.
 func TestSwapFailsPartway(t *testing.T) {
-	b := newBench(t)
-	c, s := b.running(sample("a", mixed))
-	lied, failed := make(chan struct{}), make(chan struct{})
+	b := newTestBench(t)
+	c, s := b.startStream(sampleRequest("a", allowMixed))
+	loadStarted, failLoad := make(chan struct{}), make(chan struct{})
 	b.engine.mu.Lock()
-	b.engine.obey = func(platform.WeightInfo, uint64) error {
-		close(lied)
-		<-failed
+	b.engine.onLoad = func(platform.WeightInfo, uint64) error {
+		close(loadStarted)
+		<-failLoad
 		b.engine.mu.Lock()
 		defer b.engine.mu.Unlock()
-		b.engine.st.Version, b.engine.st.State = 8, "failed"
-		b.engine.obey = nil
+		b.engine.state.Version, b.engine.state.State = 8, "failed"
+		b.engine.onLoad = nil
 		return platform.ErrLoadFailed
 	}
 	b.engine.mu.Unlock()
 	b.view.Announce("m", 8)
-	<-lied
-	s.write(b, "x", 8, "stop")
-	close(failed)
-	requireKind(t, kinds.SampleDiscarded, c.refused())
+	<-loadStarted
+	s.sendTokens(b, "x", 8, "stop")
+	close(failLoad)
+	requireKind(t, kinds.SampleDiscarded, c.refusal())
 	require.Equal(t, "abc", c.text)
-	b.serves(8)
+	b.awaitServing(8)
 }
 
 // New weights come while two samples run. The one that may be mixed goes on
 // through the swap and names both versions; the other one is cancelled at the
 // end of its grace, and its trainer generates it again.
-func TestSwapUnderStreams(t *testing.T) {
-	b := newBench(t)
-	mix, m := b.running(sample("a", mixed))
-	pure, p := b.running(sample("b", func(r *pb.GenerateRequest) { r.Sample.Index = 1 }))
+func TestSwapDuringStreams(t *testing.T) {
+	b := newTestBench(t)
+	mixedCall, mixedStream := b.startStream(sampleRequest("a", allowMixed))
+	unmixedCall, unmixedStream := b.startStream(sampleRequest("b", func(r *pb.GenerateRequest) { r.Sample.Index = 1 }))
 	b.view.Announce("m", 8)
-	requireKind(t, kinds.SampleDiscarded, pure.refused())
-	p.awaitClosed(b)
-	b.serves(8)
-	m.write(b, "de", 8, "length")
-	spans := mix.done().GetSpans()
+	requireKind(t, kinds.SampleDiscarded, unmixedCall.refusal())
+	unmixedStream.awaitClosed(b)
+	b.awaitServing(8)
+	mixedStream.sendTokens(b, "de", 8, "length")
+	spans := mixedCall.done().GetSpans()
 	require.Len(t, spans, 2)
 	require.EqualValues(t, 7, spans[0].Version)
 	require.EqualValues(t, 8, spans[1].Version)
@@ -193,12 +193,12 @@
 // The trainer's newest version rises while a sample is made, and the sample's
 // weights fall below the floor. Its next chunk never reaches the trainer; the
 // engine is told to stop at once, even if no chunk comes.
-func TestCrossingTheBound(t *testing.T) {
-	b := newBench(t)
-	c, s := b.running(sample("a", nil))
-	later := b.call(sample("b", func(r *pb.GenerateRequest) { r.Sample.Step, r.Floor = 2, 8 }))
-	requireNotRun(t, kinds.StaleWeights, later.refused())
-	requireKind(t, kinds.SampleDiscarded, c.refused())
+func TestFloorRisesDuringStream(t *testing.T) {
+	b := newTestBench(t)
+	c, s := b.startStream(sampleRequest("a", nil))
+	later := b.call(sampleRequest("b", func(r *pb.GenerateRequest) { r.Sample.Step, r.Floor = 2, 8 }))
+	requireNotRun(t, kinds.StaleWeights, later.refusal())
+	requireKind(t, kinds.SampleDiscarded, c.refusal())
 	require.Equal(t, "abc", c.text)
 	s.awaitClosed(b)
 }
@@ -207,16 +207,16 @@
 // goes on behind its tokens once version 8 is verified. No token of version 7
 // reaches the trainer after the floor rose.
 func TestResumeOnNewWeights(t *testing.T) {
-	b := newBench(t)
-	c, s := b.running(sample("a", mixed))
-	later := b.call(sample("b", func(r *pb.GenerateRequest) { r.Sample.Step, r.Floor = 2, 8 }))
-	requireNotRun(t, kinds.StaleWeights, later.refused())
+	b := newTestBench(t)
+	c, s := b.startStream(sampleRequest("a", allowMixed))
+	later := b.call(sampleRequest("b", func(r *pb.GenerateRequest) { r.Sample.Step, r.Floor = 2, 8 }))
+	requireNotRun(t, kinds.StaleWeights, later.refusal())
 	s.awaitClosed(b)
 	b.view.Announce("m", 8)
-	again := b.stream()
+	again := b.engineStream()
 	require.Equal(t, "abc", again.job.ResumeText)
 	require.Equal(t, 3, again.job.ResumeTokens)
-	again.write(b, "de", 8, "stop")
+	again.sendTokens(b, "de", 8, "stop")
 	done := c.done()
 	require.Equal(t, "abcde", done.GetText())
 	require.Len(t, done.GetSpans(), 2)
@@ -224,15 +224,15 @@
 
 // The agent is frozen beyond its lease while a sample runs. Thawed, it passes
 // no chunk on: what it holds was verified before the pause.
-func TestThawedAgent(t *testing.T) {
-	b := newBench(t)
-	c, s := b.running(sample("a", nil))
-	b.ahead.Store(int64(time.Hour))
+func TestAgentResumedAfterSuspension(t *testing.T) {
+	b := newTestBench(t)
+	c, s := b.startStream(sampleRequest("a", nil))
+	b.clockOffset.Store(int64(time.Hour))
 	select {
 	case s.chunks <- platform.Chunk{Text: "x", Tokens: 1, Version: 7, Boot: "b1", Finish: "stop"}:
 	case <-s.closed:
 	}
-	requireKind(t, kinds.SampleDiscarded, c.refused())
+	requireKind(t, kinds.SampleDiscarded, c.refusal())
 	require.Equal(t, "abc", c.text)
 }
 
@@ -240,103 +240,103 @@
 // stream ends as superseded; the new one goes on behind its tokens. The old
 // owner, which lives after all, is refused from then on.
 func TestSupersededEpoch(t *testing.T) {
-	b := newBench(t)
-	old, s := b.running(sample("a", nil))
-	other := b.call(sample("b", func(r *pb.GenerateRequest) { r.Sample.Index = 1 }))
-	o := b.stream()
+	b := newTestBench(t)
+	old, s := b.startStream(sampleRequest("a", nil))
+	other := b.call(sampleRequest("b", func(r *pb.GenerateRequest) { r.Sample.Index = 1 }))
+	o := b.engineStream()
 	claim2 := func(r *pb.GenerateRequest) { r.Epoch = &pb.Epoch{Attempt: 1, Claim: 2} }
-	next := b.call(sample("c", claim2))
-	requireKind(t, kinds.Superseded, old.refused())
-	requireKind(t, kinds.Superseded, other.refused())
+	next := b.call(sampleRequest("c", claim2))
+	requireKind(t, kinds.Superseded, old.refusal())
+	requireKind(t, kinds.Superseded, other.refusal())
 	s.awaitClosed(b)
 	o.awaitClosed(b)
-	s = b.stream()
+	s = b.engineStream()
 	require.Equal(t, "abc", s.job.ResumeText)
-	s.write(b, "de", 7, "stop")
+	s.sendTokens(b, "de", 7, "stop")
 	require.Equal(t, "abcde", next.done().GetText())
 	require.Equal(t, "de", next.text)
-	requireKind(t, kinds.Superseded, b.call(sample("d", nil)).refused())
+	requireKind(t, kinds.Superseded, b.call(sampleRequest("d", nil)).refusal())
 	attempt2 := func(r *pb.GenerateRequest) { r.Epoch = &pb.Epoch{Attempt: 2} }
-	b.call(sample("e", attempt2))
-	b.stream()
-	requireKind(t, kinds.Superseded, b.call(sample("f", claim2)).refused())
+	b.call(sampleRequest("e", attempt2))
+	b.engineStream()
+	requireKind(t, kinds.Superseded, b.call(sampleRequest("f", claim2)).refusal())
 }
 
 // An entry sends the same sample twice; only a hedge may run beside it.
-func TestDuplicate(t *testing.T) {
-	b := newBench(t)
-	b.call(sample("a", nil))
-	b.stream()
-	requireNotRun(t, kinds.BadRequest, b.call(sample("b", nil)).refused())
-	b.call(sample("c", func(r *pb.GenerateRequest) { r.Hedge = true }))
-	b.stream()
+func TestDuplicateSample(t *testing.T) {
+	b := newTestBench(t)
+	b.call(sampleRequest("a", nil))
+	b.engineStream()
+	requireNotRun(t, kinds.BadRequest, b.call(sampleRequest("b", nil)).refusal())
+	b.call(sampleRequest("c", func(r *pb.GenerateRequest) { r.Hedge = true }))
+	b.engineStream()
 }
 
 // The caller goes away while the engine is between two tokens: the engine's
 // slot is free at once, not at the next token.
-func TestCancelReachesTheEngine(t *testing.T) {
-	b := newBench(t)
-	c := b.call(sample("a", nil))
-	s := b.stream()
+func TestCancelClosesEngineStream(t *testing.T) {
+	b := newTestBench(t)
+	c := b.call(sampleRequest("a", nil))
+	s := b.engineStream()
 	c.cancel()
 	s.awaitClosed(b)
-	requireKind(t, kinds.Cancelled, c.refused())
+	requireKind(t, kinds.Cancelled, c.refusal())
 }
 
 func TestDeadline(t *testing.T) {
-	b := newBench(t)
-	c := b.call(sample("a", func(r *pb.GenerateRequest) { r.DeadlineMs = 50 }))
-	s := b.stream()
-	requireKind(t, kinds.DeadlineExceeded, c.refused())
+	b := newTestBench(t)
+	c := b.call(sampleRequest("a", func(r *pb.GenerateRequest) { r.DeadlineMs = 50 }))
+	s := b.engineStream()
+	requireKind(t, kinds.DeadlineExceeded, c.refusal())
 	s.awaitClosed(b)
 }
 
 type heldSink struct {
 	grpc.ServerStreamingServer[pb.HeldSample]
-	got []*pb.HeldSample
+	samples []*pb.HeldSample
 }
 
 func (s *heldSink) Send(h *pb.HeldSample) error {
-	s.got = append(s.got, h)
+	s.samples = append(s.samples, h)
 	return nil
 }
 
 // The entry dies after a sample was made. Its step's new owner takes it over
 // in place of a second generation; once the floor passes it, it is gone.
 func TestHeldSamples(t *testing.T) {
-	b := newBench(t)
-	c := b.call(sample("a", nil))
-	b.stream().write(b, "abc", 7, "stop")
+	b := newTestBench(t)
+	c := b.call(sampleRequest("a", nil))
+	b.engineStream().sendTokens(b, "abc", 7, "stop")
 	c.done()
 	sink := &heldSink{}
 	req := &pb.HeldRequest{Trainer: "tr", Step: 1, Epoch: &pb.Epoch{Attempt: 1, Claim: 2}}
 	require.NoError(t, b.Held(req, sink))
-	require.Len(t, sink.got, 1)
-	require.Equal(t, "abc", sink.got[0].GetDone().GetText())
-	require.Equal(t, label.RequestHash("p", 0, 100), sink.got[0].GetPromptHash())
+	require.Len(t, sink.samples, 1)
+	require.Equal(t, "abc", sink.samples[0].GetDone().GetText())
+	require.Equal(t, label.RequestHash("p", 0, 100), sink.samples[0].GetPromptHash())
 	req.Epoch = &pb.Epoch{Attempt: 1}
 	require.Error(t, b.Held(req, sink), "the old owner")
 	b.view.Announce("m", 9) // floor 8
-	require.Eventually(t, func() bool { n, _ := b.held.Size(); return n == 0 }, waitLimit, time.Millisecond)
+	require.Eventually(t, func() bool { n, _ := b.held.Size(); return n == 0 }, testTimeout, time.Millisecond)
 }
 
 // An entry moves a stream off a leaving server: the stream ends, and what it
 // made comes back with its KV cache.
 func TestExportKV(t *testing.T) {
-	b := newBench(t)
-	c, s := b.running(sample("a", nil))
+	b := newTestBench(t)
+	c, s := b.startStream(sampleRequest("a", nil))
 	reply, err := b.ExportKV(t.Context(), &pb.ExportKVRequest{RequestId: "a"})
 	require.NoError(t, err)
 	require.Equal(t, "abc", reply.GetText())
 	require.Equal(t, "kv of a", string(reply.GetKv()))
-	requireKind(t, kinds.Cancelled, c.refused())
+	requireKind(t, kinds.Cancelled, c.refusal())
 	s.awaitClosed(b)
-	resumed := b.call(sample("b", func(r *pb.GenerateRequest) {
+	resumed := b.call(sampleRequest("b", func(r *pb.GenerateRequest) {
 		r.Resume = &pb.Resume{Text: reply.GetText(), Spans: reply.GetSpans(), Kv: reply.GetKv()}
 	}))
-	s = b.stream()
+	s = b.engineStream()
 	require.Equal(t, reply.GetKv(), s.job.KV)
-	s.write(b, "de", 7, "stop")
+	s.sendTokens(b, "de", 7, "stop")
 	done := resumed.done()
 	require.Equal(t, "abcde", done.GetText())
 	require.EqualValues(t, 5, done.GetSpans()[0].GetTo())
@@ -345,17 +345,17 @@
 // A planned stop: new work is refused as not run, and the sample in flight
 // reaches its trainer whole before Drain returns.
 func TestDrain(t *testing.T) {
-	b := newBench(t)
-	c := b.call(sample("a", nil))
-	s := b.stream()
+	b := newTestBench(t)
+	c := b.call(sampleRequest("a", nil))
+	s := b.engineStream()
 	drained := make(chan error, 1)
 	go func() { drained <- b.Drain(context.Background()) }()
 	require.Eventually(t, func() bool {
-		r := b.call(sample("b", func(r *pb.GenerateRequest) { r.Sample.Index = 1; r.DeadlineMs = 1 })).refused()
+		r := b.call(sampleRequest("b", func(r *pb.GenerateRequest) { r.Sample.Index = 1; r.DeadlineMs = 1 })).refusal()
 		return r.GetKind() == string(kinds.Leaving) && r.GetNotRun()
-	}, waitLimit, time.Millisecond)
+	}, testTimeout, time.Millisecond)
 	require.Empty(t, drained)
-	s.write(b, "abc", 7, "stop")
+	s.sendTokens(b, "abc", 7, "stop")
 	require.Equal(t, "abc", c.done().GetText())
 	require.NoError(t, <-drained)
 }
@@ -365,14 +365,14 @@
 // sample_discarded, "what is known of it can't be trusted", so the entry drops
 // the tokens, though each was proved and fresh when made. With every engine of
 // a model that late, all running samples begin anew: the step is as late again.
-func TestProvenTokensOutliveALateSwap(t *testing.T) {
-	b := newBench(t)
+func TestLateSwapKeepsProvenTokens(t *testing.T) {
+	b := newTestBench(t)
 	b.cfg.SwapWait = 50 * time.Millisecond
-	c, s := b.running(sample("a", mixed))
-	later := b.call(sample("b", func(r *pb.GenerateRequest) { r.Sample.Step, r.Floor = 2, 8 }))
-	requireNotRun(t, kinds.StaleWeights, later.refused())
+	c, s := b.startStream(sampleRequest("a", allowMixed))
+	later := b.call(sampleRequest("b", func(r *pb.GenerateRequest) { r.Sample.Step, r.Floor = 2, 8 }))
+	requireNotRun(t, kinds.StaleWeights, later.refusal())
 	s.awaitClosed(b)
-	require.NotEqual(t, string(kinds.SampleDiscarded), c.refused().GetKind())
+	require.NotEqual(t, string(kinds.SampleDiscarded), c.refusal().GetKind())
 }
 
 // A trainer dies and posts its step again with other seeds. Its new owner asks
@@ -380,10 +380,10 @@
 // tokens that the old seed made: the trainer gets a sample that neither seed
 // makes, though it relies on seed+index.
 func TestPartialOfAnotherSeedIsNotTakenOver(t *testing.T) {
-	b := newBench(t)
-	b.running(sample("a", func(r *pb.GenerateRequest) { r.Seed = 1 }))
-	b.call(sample("b", func(r *pb.GenerateRequest) {
+	b := newTestBench(t)
+	b.startStream(sampleRequest("a", func(r *pb.GenerateRequest) { r.Seed = 1 }))
+	b.call(sampleRequest("b", func(r *pb.GenerateRequest) {
 		r.Seed, r.Epoch = 2, &pb.Epoch{Attempt: 2}
 	}))
-	require.Empty(t, b.stream().job.ResumeText)
+	require.Empty(t, b.engineStream().job.ResumeText)
 }
--- a/agent/generate/handler.go
+++ b/agent/generate/handler.go
@@ -38,11 +38,11 @@
 	// DefaultSwapWait is how long a stream waits for fresh weights while an
 	// order is under way, before its start or in its middle.
 	DefaultSwapWait = 5 * time.Second
-	// retryNotReady is the advice while the engine serves no verified version.
-	retryNotReady = 500 * time.Millisecond
-	// adoptWait bounds the wait for the end of an older epoch's stream whose
+	// notReadyRetryAfter is the advice while the engine serves no verified version.
+	notReadyRetryAfter = 500 * time.Millisecond
+	// adoptTimeout bounds the wait for the end of an older epoch's stream whose
 	// tokens the new one takes over.
-	adoptWait = time.Second
+	adoptTimeout = time.Second
 )
 
 // Config of a Handler.
@@ -56,8 +56,8 @@
 	Explain *explain.Ring
 	// SwapWait is how long a stream waits for fresh weights; 0: DefaultSwapWait.
 	SwapWait time.Duration
-	// EngineSlots takes the number of slots from the engine's load reports.
-	EngineSlots bool
+	// UseEngineSlots takes the number of slots from the engine's load reports.
+	UseEngineSlots bool
 }
 
 // Handler serves the generation methods of the agent's gRPC service.
@@ -96,7 +96,7 @@
 		return nil
 	}
 	span.RecordError(err)
-	h.counts.refused(err)
+	h.counts.countError(err)
 	h.cfg.Explain.Add(ctx, part, req.GetRequestId(), err.Kind(), err.Message())
 	return out.Send(&pb.GenerateReply{Part: &pb.GenerateReply_Refusal{Refusal: refusal.Encode(err)}})
 }
@@ -104,7 +104,7 @@
 // generate returns nil after Done was sent.
 func (h *Handler) generate(ctx context.Context, req *pb.GenerateRequest, out stream) *kinds.Error {
 	proof := kinds.Hold()
-	if err := h.check(req, proof); err != nil {
+	if err := h.validate(req, proof); err != nil {
 		return err
 	}
 	ctx, cancel := withDeadline(ctx, req.GetDeadlineMs())
@@ -112,30 +112,30 @@
 	ctx, interrupt := context.WithCancelCause(ctx)
 	defer interrupt(nil)
 	r := newRun(req, interrupt)
-	older, err := h.begin(r, proof)
+	older, err := h.register(r, proof)
 	if err != nil {
 		return err
 	}
-	defer h.end(r)
-	if err := h.mayQueue(r, proof); err != nil {
+	defer h.unregister(r)
+	if err := h.checkBeforeQueue(r, proof); err != nil {
 		return err
 	}
 	deadline, _ := ctx.Deadline()
-	release, err := h.cfg.Queue.Acquire(ctx, ticket(req, deadline))
+	release, err := h.cfg.Queue.Acquire(ctx, newTicket(req, deadline))
 	if err != nil {
-		return r.explainEnd(ctx, err)
+		return r.contextError(ctx, err)
 	}
 	defer release()
-	if err := h.ready(ctx, r, proof); err != nil {
+	if err := h.prepareStart(ctx, r, proof); err != nil {
 		return err
 	}
-	h.adopt(ctx, r, older)
+	h.adoptPartial(ctx, r, older)
 	proof.Send()
 	return h.produce(ctx, r, out)
 }
 
-// check refuses what can't be served here whatever the load.
-func (h *Handler) check(req *pb.GenerateRequest, proof *kinds.Held) *kinds.Error {
+// validate refuses what can't be served here whatever the load.
+func (h *Handler) validate(req *pb.GenerateRequest, proof *kinds.Held) *kinds.Error {
 	switch {
 	case req.GetModel() != h.cfg.Weights.Model():
 		return proof.Refuse(kinds.NotFound, "this server serves model %q", h.cfg.Weights.Model())
@@ -145,61 +145,61 @@
 		return proof.Refuse(kinds.BadRequest, "max_tokens is 0")
 	case req.GetSample() != nil && req.GetEpoch() == nil:
 		return proof.Refuse(kinds.BadRequest, "a sample needs the epoch of its step's owner")
-	case req.GetResume() != nil && label.New("", req.GetMaxTokens(), spansFrom(req.GetResume().GetSpans())).Err() != nil:
+	case req.GetResume() != nil && label.New("", req.GetMaxTokens(), decodeSpans(req.GetResume().GetSpans())).Err() != nil:
 		return proof.Refuse(kinds.BadRequest, "the spans to resume behind do not fit together")
 	}
 	return nil
 }
 
-// begin enters the run into the table. It returns the older epoch's run of the
+// register enters the run into the table. It returns the older epoch's run of the
 // same sample, whose tokens may be taken over.
-func (h *Handler) begin(r *run, proof *kinds.Held) (older *run, _ *kinds.Error) {
-	h.learnFloor(r.trainer(), r.floor.Load())
-	older, verdict := h.table.begin(r)
+func (h *Handler) register(r *run, proof *kinds.Held) (older *run, _ *kinds.Error) {
+	h.raiseFloor(r.trainer(), r.floor.Load())
+	older, verdict := h.table.register(r)
 	switch verdict {
-	case beginOlder:
+	case registerSuperseded:
 		return nil, kinds.New(kinds.Superseded, "a newer owner of the step has been seen")
-	case beginTwice:
+	case registerDuplicate:
 		return nil, proof.Refuse(kinds.BadRequest, "the same sample or request already runs here")
 	}
 	if r.sample != nil {
-		h.held.Seen(r.sample.Trainer, r.sample.Step)
+		h.held.ObserveStep(r.sample.Trainer, r.sample.Step)
 	}
 	return older, nil
 }
 
-// end takes the run out; the last unmixed one lets a swap begin that waits.
-func (h *Handler) end(r *run) {
-	if h.table.end(r) {
+// unregister takes the run out; the last unmixed one lets a swap begin that waits.
+func (h *Handler) unregister(r *run) {
+	if h.table.unregister(r) {
 		h.cfg.Weights.Reconsider()
 	}
 }
 
-// mayQueue refuses early what could not start now either.
-func (h *Handler) mayQueue(r *run, proof *kinds.Held) *kinds.Error {
+// checkBeforeQueue refuses early what could not start now either.
+func (h *Handler) checkBeforeQueue(r *run, proof *kinds.Held) *kinds.Error {
 	version, _ := h.cfg.Weights.Serving()
 	if h.cfg.Weights.Swapping() || fresh.MayStart(version, r.floor.Load()) {
 		return nil
 	}
-	return notFresh(proof, version, r.floor.Load())
+	return refuseNotFresh(proof, version, r.floor.Load())
 }
 
-// ready makes sure, with the slot held, that the run may start now: it has not
+// prepareStart makes sure, with the slot held, that the run may start now: it has not
 // been superseded, verified weights are fresh enough, and no swap that it
 // can't go through is too near. It marks the run as active.
-func (h *Handler) ready(ctx context.Context, r *run, proof *kinds.Held) *kinds.Error {
+func (h *Handler) prepareStart(ctx context.Context, r *run, proof *kinds.Held) *kinds.Error {
 	if err := h.awaitSwap(ctx, r); err != nil {
-		return r.explainEnd(ctx, notFresh(proof, 0, r.floor.Load()))
+		return r.contextError(ctx, refuseNotFresh(proof, 0, r.floor.Load()))
 	}
 	version, boot := h.cfg.Weights.Serving()
 	if !fresh.MayStart(version, r.floor.Load()) {
-		return notFresh(proof, version, r.floor.Load())
+		return refuseNotFresh(proof, version, r.floor.Load())
 	}
-	if last := r.resumeVersion(); last != 0 && !fresh.MayResume(version, last, r.floor.Load(), r.mixed) {
-		return proof.Refuse(kinds.StaleWeights, "a sample left at version %d can't go on on version %d", last, version)
+	if resumeVersion := r.resumeVersion(); resumeVersion != 0 && !fresh.MayResume(version, resumeVersion, r.floor.Load(), r.allowMixed) {
+		return proof.Refuse(kinds.StaleWeights, "a sample left at version %d can't go on on version %d", resumeVersion, version)
 	}
-	if left, ok := h.table.activate(r, version, boot, h.weighsStaleness(), h.meter.need(r.maxTokens)); !ok {
-		return proof.Refuse(kinds.NotReady, "a weight swap is near").WithRetryAfter(max(left, 0) + retryNotReady)
+	if timeToSwap, ok := h.table.activate(r, version, boot, h.prefersNewWeights(), h.meter.estimateMaxDuration(r.maxTokens)); !ok {
+		return proof.Refuse(kinds.NotReady, "a weight swap is near").WithRetryAfter(max(timeToSwap, 0) + notReadyRetryAfter)
 	}
 	return nil
 }
@@ -219,32 +219,32 @@
 	return err
 }
 
-// adopt takes over the tokens of an older epoch's run of the same sample, or
+// adoptPartial takes over the tokens of an older epoch's run of the same sample, or
 // those that such a run left here when its entry went away.
-func (h *Handler) adopt(ctx context.Context, r *run, older *run) {
+func (h *Handler) adoptPartial(ctx context.Context, r *run, older *run) {
 	if r.sample == nil || r.resume != nil || r.hedge {
 		return
 	}
 	if older != nil {
-		limit, cancel := context.WithTimeout(ctx, adoptWait)
+		waitCtx, cancel := context.WithTimeout(ctx, adoptTimeout)
 		defer cancel()
 		select {
 		case <-older.ended:
-		case <-limit.Done():
+		case <-waitCtx.Done():
 		}
 	}
-	p := h.table.takePartial(*r.sample)
-	if p == nil || p.prompt != r.prompt || p.seed != r.seed || p.tokens() >= r.maxTokens {
+	partial := h.table.takePartial(*r.sample)
+	if partial == nil || partial.prompt != r.prompt || partial.seed != r.seed || partial.tokens() >= r.maxTokens {
 		return
 	}
-	if fresh.MayResume(r.startVersion, p.version(), r.floor.Load(), r.mixed) {
-		r.resume = &pb.Resume{Text: p.text, Spans: spansTo(p.spans)}
+	if fresh.MayResume(r.startVersion, partial.version(), r.floor.Load(), r.allowMixed) {
+		r.resume = &pb.Resume{Text: partial.text, Spans: encodeSpans(partial.spans)}
 		h.counts.adopted.Add(1)
 	}
 }
 
-// learnFloor raises a trainer's floor and judges its running streams by it.
-func (h *Handler) learnFloor(trainer string, floor uint64) {
+// raiseFloor raises a trainer's floor and judges its running streams by it.
+func (h *Handler) raiseFloor(trainer string, floor uint64) {
 	if trainer == "" || !h.table.raise(trainer, floor, h.cfg.Weights.Producing()) {
 		return
 	}
@@ -252,8 +252,8 @@
 	h.cfg.Weights.Reconsider() // below the floor a swap waits for nothing
 }
 
-// learnAnnounced raises floors by the weight versions announced since.
-func (h *Handler) learnAnnounced() {
+// raiseAnnouncedFloors raises floors by the weight versions announced since.
+func (h *Handler) raiseAnnouncedFloors() {
 	v := h.cfg.View.View()
 	if v == nil || v.Manifest == nil {
 		return
@@ -261,12 +261,12 @@
 	newest := v.Versions[h.cfg.Weights.Model()]
 	for name, t := range v.Manifest.Trainers {
 		if t.Model == h.cfg.Weights.Model() {
-			h.learnFloor(name, fresh.Floor(newest, t.StalenessBound))
+			h.raiseFloor(name, fresh.Floor(newest, t.StalenessBound))
 		}
 	}
 }
 
-func (h *Handler) weighsStaleness() bool {
+func (h *Handler) prefersNewWeights() bool {
 	v := h.cfg.View.View()
 	return v != nil && v.Manifest != nil && v.Manifest.Fleet.Weigh == manifest.WeighStaleness
 }
@@ -287,12 +287,12 @@
 	return h.cfg.Weights.FetchWeights(req, out)
 }
 
-func notFresh(proof *kinds.Held, version, floor uint64) *kinds.Error {
+func refuseNotFresh(proof *kinds.Held, version, floor uint64) *kinds.Error {
 	if version == 0 {
-		return proof.Refuse(kinds.NotReady, "the engine serves no verified version").WithRetryAfter(retryNotReady)
+		return proof.Refuse(kinds.NotReady, "the engine serves no verified version").WithRetryAfter(notReadyRetryAfter)
 	}
 	return proof.Refuse(kinds.StaleWeights, "the engine serves version %d, needed is %d", version, floor).
-		WithRetryAfter(retryNotReady)
+		WithRetryAfter(notReadyRetryAfter)
 }
 
 func withDeadline(ctx context.Context, ms int64) (context.Context, context.CancelFunc) {
@@ -302,7 +302,7 @@
 	return context.WithTimeout(ctx, time.Duration(ms)*time.Millisecond)
 }
 
-func ticket(req *pb.GenerateRequest, deadline time.Time) admit.Ticket {
+func newTicket(req *pb.GenerateRequest, deadline time.Time) admit.Ticket {
 	return admit.Ticket{
 		ID: req.GetRequestId(), Caller: req.GetCaller(), Weight: req.GetWeight(),
 		Priority: int(req.GetPriority()), Cost: float64(req.GetMaxTokens()), Deadline: deadline,
@@ -325,7 +325,7 @@
 	}
 }
 
-func (c counts) refused(err *kinds.Error) {
+func (c counts) countError(err *kinds.Error) {
 	switch {
 	case err.NotRun():
 		c.notRun.Add(1)
--- a/agent/generate/handover.go
+++ b/agent/generate/handover.go
@@ -27,7 +27,7 @@
 func (t *table) claimStep(trainer string, step uint64, e epoch) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.owner(trainer, step, e)
+	return t.updateOwner(trainer, step, e)
 }
 
 // ExportKV stops a stream and returns what it has made, with its KV cache
@@ -44,11 +44,11 @@
 	case <-ctx.Done():
 		return nil, status.FromContextError(ctx.Err()).Err()
 	}
-	if r.last == nil {
+	if r.finalPartial == nil {
 		return &pb.ExportKVReply{}, nil
 	}
-	reply := &pb.ExportKVReply{Text: r.last.text, Spans: spansTo(r.last.spans)}
-	if kv, err := h.cfg.Engine.ExportKV(ctx, r.last.job); err == nil {
+	reply := &pb.ExportKVReply{Text: r.finalPartial.text, Spans: encodeSpans(r.finalPartial.spans)}
+	if kv, err := h.cfg.Engine.ExportKV(ctx, r.finalPartial.jobID); err == nil {
 		reply.Kv = kv
 	}
 	return reply, nil
--- a/agent/generate/produce.go
+++ b/agent/generate/produce.go
@@ -20,60 +20,60 @@
 )
 
 var (
-	// errRefresh: the engine stream was stopped to go on on new weights.
-	errRefresh = errors.New("going on on new weights")
-	// errBrokeOff: the engine stream ended without a finish reason.
-	errBrokeOff = errors.New("the engine's stream broke off")
+	// errResumeOnNewWeights: the engine stream was stopped to go on on new weights.
+	errResumeOnNewWeights = errors.New("going on on new weights")
+	// errStreamBroken: the engine stream ended without a finish reason.
+	errStreamBroken = errors.New("the engine's stream broke off")
 )
 
-// product is what a run has made so far. It belongs to the run's goroutine.
-type product struct {
-	label  *label.Builder
-	text   strings.Builder
-	tokens uint32
-	start  uint64 // version that the current engine stream started on
-	boot   string
-	finish string
-	job    string
+// output is what a run has made so far. It belongs to the run's goroutine.
+type output struct {
+	label         *label.Builder
+	text          strings.Builder
+	tokens        uint32
+	streamVersion uint64 // version that the current engine stream started on
+	boot          string
+	finish        string
+	jobID         string
 }
 
 // produce runs the stream at the engine until Done or an error. The run is
 // active: its start version is verified and fresh.
 func (h *Handler) produce(ctx context.Context, r *run, out stream) *kinds.Error {
-	p := newProduct(r)
-	defer func() { r.last = p.partial(r) }()
+	o := newOutput(r)
+	defer func() { r.finalPartial = o.partial(r) }()
 	started := &pb.GenerateReply{Part: &pb.GenerateReply_Started{Started: &pb.GenerateStarted{Version: r.startVersion}}}
 	if out.Send(started) != nil {
 		return kinds.New(kinds.Cancelled, "the caller went away")
 	}
 	for n := 0; ; n++ {
-		err := h.pump(ctx, r, p, job(r, p, n), out)
-		if errors.Is(err, errRefresh) {
-			if kerr := h.renew(ctx, r, p); kerr != nil {
+		err := h.forwardStream(ctx, r, o, newJob(r, o, n), out)
+		if errors.Is(err, errResumeOnNewWeights) {
+			if kerr := h.continueOnFreshWeights(ctx, r, o); kerr != nil {
 				return kerr
 			}
 			continue
 		}
 		if err != nil {
-			return h.ended(ctx, r, p, err)
+			return h.handleFailure(ctx, r, o, err)
 		}
-		return h.finish(ctx, r, p, out)
+		return h.finish(ctx, r, o, out)
 	}
 }
 
-func newProduct(r *run) *product {
-	p := &product{start: r.startVersion, boot: r.startBoot}
-	p.label = label.New(p.boot, r.maxTokens, spansFrom(r.resume.GetSpans()))
-	p.text.WriteString(r.resume.GetText())
-	p.tokens = p.label.Tokens()
-	r.version.Store(p.label.Version())
-	return p
+func newOutput(r *run) *output {
+	o := &output{streamVersion: r.startVersion, boot: r.startBoot}
+	o.label = label.New(o.boot, r.maxTokens, decodeSpans(r.resume.GetSpans()))
+	o.text.WriteString(r.resume.GetText())
+	o.tokens = o.label.Tokens()
+	r.version.Store(o.label.Version())
+	return o
 }
 
-func job(r *run, p *product, n int) platform.GenerateJob {
+func newJob(r *run, o *output, n int) platform.GenerateJob {
 	j := platform.GenerateJob{
 		ID: r.id, Prompt: r.prompt, MaxTokens: int(r.maxTokens), Seed: r.seed, Priority: r.priority,
-		ResumeText: p.text.String(), ResumeTokens: int(p.tokens),
+		ResumeText: o.text.String(), ResumeTokens: int(o.tokens),
 	}
 	if n > 0 {
 		j.ID += ".r" + strconv.Itoa(n)
@@ -83,31 +83,31 @@
 	return j
 }
 
-// pump passes one engine stream on. It returns nil at the end of the sample.
-func (h *Handler) pump(ctx context.Context, r *run, p *product, j platform.GenerateJob, out stream) error {
+// forwardStream passes one engine stream on. It returns nil at the end of the sample.
+func (h *Handler) forwardStream(ctx context.Context, r *run, o *output, j platform.GenerateJob, out stream) error {
 	ctx, stop := context.WithCancelCause(ctx)
 	defer stop(nil)
-	r.refresh.Store(&stop)
+	r.stopEngineStream.Store(&stop)
 	j.Model = h.cfg.Weights.Model()
-	p.job = j.ID
-	es, err := h.cfg.Engine.Generate(ctx, j)
+	o.jobID = j.ID
+	engineStream, err := h.cfg.Engine.Generate(ctx, j)
 	if err != nil {
-		return pumpError(ctx, err)
+		return streamError(ctx, err)
 	}
 	// Closing the stream is what cancels it at the engine; a reader that waits
 	// in Next for the next token would notice the end of ctx too late.
-	unhook := context.AfterFunc(ctx, func() { _ = es.Close() })
+	stopCloseHook := context.AfterFunc(ctx, func() { _ = engineStream.Close() })
 	defer func() {
-		if unhook() {
-			_ = es.Close()
+		if stopCloseHook() {
+			_ = engineStream.Close()
 		}
 	}()
 	for {
-		c, err := es.Next()
+		c, err := engineStream.Next()
 		if ctx.Err() != nil || err != nil {
-			return pumpError(ctx, err)
+			return streamError(ctx, err)
 		}
-		if err := h.accept(ctx, r, p, c); err != nil {
+		if err := h.acceptChunk(ctx, r, o, c); err != nil {
 			return err
 		}
 		if c.Text != "" || c.Tokens > 0 {
@@ -116,70 +116,70 @@
 			}
 		}
 		if c.Finish != "" {
-			p.finish = c.Finish
+			o.finish = c.Finish
 			return nil
 		}
 	}
 }
 
-// pumpError tells a stop by us from a failure of the engine.
-func pumpError(ctx context.Context, err error) error {
+// streamError tells a stop by us from a failure of the engine.
+func streamError(ctx context.Context, err error) error {
 	if cause := context.Cause(ctx); cause != nil {
 		return cause
 	}
 	switch {
 	case err == io.EOF:
-		return errBrokeOff
+		return errStreamBroken
 	case errors.Is(err, io.ErrUnexpectedEOF):
-		return fmt.Errorf("%w: %w", errBrokeOff, err)
+		return fmt.Errorf("%w: %w", errStreamBroken, err)
 	}
 	return err
 }
 
-// accept judges a chunk before a byte of it goes on.
-func (h *Handler) accept(ctx context.Context, r *run, p *product, c platform.Chunk) error {
-	if err := h.judge(ctx, r, p, c); err != nil {
+// acceptChunk judges a chunk before a byte of it goes on.
+func (h *Handler) acceptChunk(ctx context.Context, r *run, o *output, c platform.Chunk) error {
+	if err := h.checkChunk(ctx, r, o, c); err != nil {
 		return err
 	}
-	p.text.WriteString(c.Text)
+	o.text.WriteString(c.Text)
 	if c.Tokens > 0 {
-		p.tokens += uint32(c.Tokens)
+		o.tokens += uint32(c.Tokens)
 		h.meter.add(c.Tokens)
 	}
-	r.version.Store(p.label.Version())
+	r.version.Store(o.label.Version())
 	return nil
 }
 
-func (h *Handler) judge(ctx context.Context, r *run, p *product, c platform.Chunk) error {
+func (h *Handler) checkChunk(ctx context.Context, r *run, o *output, c platform.Chunk) error {
 	if c.Tokens > 0 && c.Version != 0 {
-		if err := h.explained(ctx, r, p, c); err != nil {
+		if err := h.checkVersion(ctx, r, o, c); err != nil {
 			return err
 		}
 	}
 	if r.sample == nil {
-		return p.addApplication(c)
+		return o.addApplicationChunk(c)
 	}
 	if c.Tokens > 0 && c.Version != 0 {
-		switch fresh.CheckChunk(c.Version, p.label.Version(), r.floor.Load(), r.mixed) {
+		switch fresh.CheckChunk(c.Version, o.label.Version(), r.floor.Load(), r.allowMixed) {
 		case fresh.Cancel:
 			return errBelowFloor
 		case fresh.Resume:
-			return errRefresh
+			return errResumeOnNewWeights
 		}
 	}
-	return p.label.Add(c.Version, c.Boot, c.Tokens, c.Text)
+	return o.label.Add(c.Version, c.Boot, c.Tokens, c.Text)
 }
 
-// explained holds the chunk until an order under way is settled and then asks
+// checkVersion holds the chunk until an order under way is settled and then asks
 // whether it fits. A sample's chunk that does not fit ends the stream.
-func (h *Handler) explained(ctx context.Context, r *run, p *product, c platform.Chunk) error {
-	verdict := h.cfg.Weights.Explains(p.start, c.Version, c.Boot)
+func (h *Handler) checkVersion(ctx context.Context, r *run, o *output, c platform.Chunk) error {
+	verdict := h.cfg.Weights.Explains(o.streamVersion, c.Version, c.Boot)
 	for verdict == weights.Undecided {
 		_ = h.cfg.Weights.Settled(ctx)
 		if err := context.Cause(ctx); err != nil {
 			return err
 		}
-		verdict = h.cfg.Weights.Explains(p.start, c.Version, c.Boot)
+		verdict = h.cfg.Weights.Explains(o.streamVersion, c.Version, c.Boot)
 	}
 	if verdict == weights.Contradicts && r.sample != nil {
 		return errUntrusted
@@ -187,19 +187,19 @@
 	return nil
 }
 
-// addApplication: an application's answer needs no label. One that can't be
+// addApplicationChunk: an application's answer needs no label. One that can't be
 // proved is left out and the answer goes on; only another engine start, which
 // can't continue the text, ends it.
-func (p *product) addApplication(c platform.Chunk) error {
-	if c.Boot != p.boot {
+func (o *output) addApplicationChunk(c platform.Chunk) error {
+	if c.Boot != o.boot {
 		return label.ErrEngineRestarted
 	}
-	_ = p.label.Add(c.Version, c.Boot, c.Tokens, c.Text)
+	_ = o.label.Add(c.Version, c.Boot, c.Tokens, c.Text)
 	return nil
 }
 
-// renew waits for weights at or above the floor and lets the run go on there.
-func (h *Handler) renew(ctx context.Context, r *run, p *product) *kinds.Error {
+// continueOnFreshWeights waits for weights at or above the floor and lets the run go on there.
+func (h *Handler) continueOnFreshWeights(ctx context.Context, r *run, o *output) *kinds.Error {
 	wait, cancel := context.WithTimeout(ctx, h.cfg.SwapWait)
 	defer cancel()
 	for {
@@ -208,29 +208,29 @@
 		if err != nil {
 			// The tokens passed on were proved and fresh when made: the entry may
 			// go on behind them elsewhere, so they are not called discarded.
-			return r.explainEnd(ctx, kinds.New(kinds.BackendFailed, "no weights at version %d in time", floor))
+			return r.contextError(ctx, kinds.New(kinds.BackendFailed, "no weights at version %d in time", floor))
 		}
-		if version < p.label.Version() {
-			return r.fail("the engine went back to version %d", version)
+		if version < o.label.Version() {
+			return r.failure("the engine went back to version %d", version)
 		}
 		if !fresh.MayStart(version, r.floor.Load()) {
 			continue // the floor rose meanwhile
 		}
-		p.start, p.boot = version, boot
-		p.label.ContinueOnBoot(boot)
+		o.streamVersion, o.boot = version, boot
+		o.label.ContinueOnBoot(boot)
 		return nil
 	}
 }
 
 // finish keeps a sample for take-over before it says Done: an entry that dies
 // while Done is on its way then costs no tokens.
-func (h *Handler) finish(ctx context.Context, r *run, p *product, out stream) *kinds.Error {
-	done := &pb.GenerateDone{FinishReason: p.finish, Tokens: p.tokens}
-	if p.label.Err() == nil {
-		done.Spans = spansTo(p.label.Spans())
+func (h *Handler) finish(ctx context.Context, r *run, o *output, out stream) *kinds.Error {
+	done := &pb.GenerateDone{FinishReason: o.finish, Tokens: o.tokens}
+	if o.label.Err() == nil {
+		done.Spans = encodeSpans(o.label.Spans())
 	}
 	if r.sample != nil {
-		done.Text = p.text.String()
+		done.Text = o.text.String()
 		h.held.Put(held.Sample{ID: r.sampleID, Done: done, PromptHash: label.RequestHash(r.prompt, r.seed, r.maxTokens)})
 	}
 	if out.Send(&pb.GenerateReply{Part: &pb.GenerateReply_Done{Done: done}}) != nil {
@@ -239,42 +239,42 @@
 	return nil
 }
 
-// ended maps the end of a run that did not finish, and keeps what a new owner
+// handleFailure maps the end of a run that did not finish, and keeps what a new owner
 // of the step can go on from.
-func (h *Handler) ended(ctx context.Context, r *run, p *product, err error) *kinds.Error {
+func (h *Handler) handleFailure(ctx context.Context, r *run, o *output, err error) *kinds.Error {
 	if ctx.Err() == nil {
-		return h.blame(ctx, p, r.fail("%v", err))
+		return h.reportEngineEnd(ctx, o, r.failure("%v", err))
 	}
-	kerr := r.explainEnd(ctx, nil)
+	kerr := r.contextError(ctx, nil)
 	superseded := kerr.Kind() == string(kinds.Superseded)
-	if part := p.partial(r); part != nil && r.sample != nil && !r.hedge && (superseded || kerr.Kind() == string(kinds.Cancelled)) {
-		h.table.keepPartial(*r.sample, part)
+	if partial := o.partial(r); partial != nil && r.sample != nil && !r.hedge && (superseded || kerr.Kind() == string(kinds.Cancelled)) {
+		h.table.keepPartial(*r.sample, partial)
 	}
 	return kerr
 }
 
-// endedTimeout bounds the question whether the engine has ended: a retry elsewhere
+// engineStateTimeout bounds the question whether the engine has ended: a retry elsewhere
 // waits for it. It runs on this VM.
-const endedTimeout = 100 * time.Millisecond
+const engineStateTimeout = 100 * time.Millisecond
 
-// blame names the engine's start in the error of a run that failed, if that start has
+// reportEngineEnd names the engine's start in the error of a run that failed, if that start has
 // ended: it refuses connections. The entry that has the request keeps it from ending
 // the next one.
-func (h *Handler) blame(ctx context.Context, p *product, err *kinds.Error) *kinds.Error {
-	ctx, cancel := context.WithTimeout(ctx, endedTimeout)
+func (h *Handler) reportEngineEnd(ctx context.Context, o *output, err *kinds.Error) *kinds.Error {
+	ctx, cancel := context.WithTimeout(ctx, engineStateTimeout)
 	defer cancel()
 	if _, stateErr := h.cfg.Engine.State(ctx); errors.Is(stateErr, syscall.ECONNREFUSED) {
-		return err.WithEnded(p.boot)
+		return err.WithEnded(o.boot)
 	}
 	return err
 }
 
 // partial returns the proved part, nil where there is none.
-func (p *product) partial(r *run) *partial {
-	if p.label.Err() != nil || p.label.Tokens() == 0 {
+func (o *output) partial(r *run) *partial {
+	if o.label.Err() != nil || o.label.Tokens() == 0 {
 		return nil
 	}
-	return &partial{prompt: r.prompt, seed: r.seed, text: p.text.String(), spans: p.label.Spans(), job: p.job}
+	return &partial{prompt: r.prompt, seed: r.seed, text: o.text.String(), spans: o.label.Spans(), jobID: o.jobID}
 }
 
 // chunkReply makes the reply of one chunk with one allocation.
@@ -290,7 +290,7 @@
 	return &m.reply
 }
 
-func spansTo(spans []label.Span) []*pb.Span {
+func encodeSpans(spans []label.Span) []*pb.Span {
 	out := make([]*pb.Span, len(spans))
 	for i, s := range spans {
 		out[i] = &pb.Span{Version: s.Version, From: s.From, To: s.To}
@@ -298,7 +298,7 @@
 	return out
 }
 
-func spansFrom(spans []*pb.Span) []label.Span {
+func decodeSpans(spans []*pb.Span) []label.Span {
 	out := make([]label.Span, len(spans))
 	for i, s := range spans {
 		out[i] = label.Span{Version: s.GetVersion(), From: s.GetFrom(), To: s.GetTo()}
--- a/agent/generate/standin_test.go
+++ b/agent/generate/standin_test.go
@@ -25,13 +25,13 @@
 // version, and stale orders are obeyed. Whatever becomes of each sample: one
 // that is done names for every token the version that truly made it, which the
 // engine wrote into the text, and none is below its floor.
-func TestLabelsAgainstTruth(t *testing.T) {
+func TestLabelsMatchEngineText(t *testing.T) {
 	cfg := engine.DefaultConfig()
 	cfg.Model, cfg.Version, cfg.Fencing, cfg.MeanTokens, cfg.TimeScale = "m", 1, false, 60, 0.02
 	e := engine.New(cfg)
 	server := httptest.NewServer(e)
 	adapter := httpengine.New(server.URL, "vm1")
-	view := &viewer{}
+	view := &fakeViewer{}
 	view.v.Store(&confsync.View{
 		Manifest: &manifest.Manifest{Models: map[string]manifest.Model{"m": {Name: "m"}}},
 		Versions: map[string]uint64{"m": 1},
@@ -55,8 +55,8 @@
 		e.Close()
 		server.Close()
 	}()
-	b := &bench{Handler: h, t: t, keeper: keeper}
-	b.serves(1)
+	b := &testBench{Handler: h, t: t, keeper: keeper}
+	b.awaitServing(1)
 	var mu sync.Mutex
 	done, refusals, mixedDone := 0, map[string]int{}, 0
 	stop := make(chan struct{})
@@ -69,27 +69,27 @@
 				default:
 				}
 				floor := max(view.View().Versions["m"], 2) - 1
-				req := sample(fmt.Sprint(caller, "-", i), func(r *pb.GenerateRequest) {
+				req := sampleRequest(fmt.Sprint(caller, "-", i), func(r *pb.GenerateRequest) {
 					r.Sample.Group, r.Sample.Index = fmt.Sprint(caller), uint32(i)
 					r.Prompt, r.Seed, r.Floor, r.AllowMixed = fmt.Sprint("prompt ", caller), uint64(i), floor, caller%2 == 0
 				})
 				c := b.call(req)
-				var last *pb.GenerateReply
+				var lastReply *pb.GenerateReply
 				for r := range c.replies {
-					last = r
+					lastReply = r
 				}
 				mu.Lock()
-				if d := last.GetDone(); d != nil {
+				if d := lastReply.GetDone(); d != nil {
 					done++
 					if len(d.GetSpans()) > 1 {
 						mixedDone++
 					}
 					requireTruth(t, req, d, floor)
 				} else {
-					refusals[last.GetRefusal().GetKind()]++
+					refusals[lastReply.GetRefusal().GetKind()]++
 				}
 				mu.Unlock()
-				if last.GetRefusal().GetNotRun() {
+				if lastReply.GetRefusal().GetNotRun() {
 					time.Sleep(time.Millisecond) // spares the processor; proves nothing
 				}
 			}
@@ -100,14 +100,14 @@
 			e.Faults.Apply(engine.Faults{FailNextLoad: true, FailedLabel: "intended"})
 		}
 		view.Announce("m", version)
-		b.serves(version)
+		b.awaitServing(version)
 		e.Faults.Apply(engine.Faults{})
 		before := samplesDone(&mu, &done)
-		require.Eventually(t, func() bool { return samplesDone(&mu, &done) > before+10 }, waitLimit, time.Millisecond)
+		require.Eventually(t, func() bool { return samplesDone(&mu, &done) > before+10 }, testTimeout, time.Millisecond)
 		_, info, _ := fakeStore{}.Fetch(ctx, "m", version-1)
 		body, _, _ := fakeStore{}.Fetch(ctx, "m", version-1)
 		_ = adapter.LoadWeights(ctx, info, body, 0) // the stale order
-		b.serves(version)
+		b.awaitServing(version)
 	}
 	close(stop)
 	callers.Wait()
--- a/agent/generate/state.go
+++ b/agent/generate/state.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	meterEvery  = 250 * time.Millisecond
-	eventsEvery = time.Second
-	pollTimeout = 2 * time.Second
-	smoothing   = 0.3 // weight of the newest rate
-	// maxWarm bounds the prefixes in a state report: 64 hashes are about
+	meterInterval = 250 * time.Millisecond
+	pollInterval  = time.Second
+	pollTimeout   = 2 * time.Second
+	rateSmoothing = 0.3 // weight of the newest rate
+	// maxWarmPrefixes bounds the prefixes in a state report: 64 hashes are about
 	// 650 B, so that one report a second stays far below 17 KB/s a daemon.
-	maxWarm = 64
+	maxWarmPrefixes = 64
 )
 
 // Run keeps the load figures, the warm prefixes and the announced floors up to
@@ -27,25 +27,25 @@
 	var wg sync.WaitGroup
 	wg.Go(func() { h.watchEngine(ctx) })
 	defer wg.Wait()
-	tick := time.NewTicker(meterEvery)
+	tick := time.NewTicker(meterInterval)
 	defer tick.Stop()
-	last := time.Now()
+	lastTick := time.Now()
 	for {
 		changed := h.cfg.View.Changed()
-		h.learnAnnounced()
+		h.raiseAnnouncedFloors()
 		select {
 		case <-ctx.Done():
 			return
 		case <-changed:
 		case now := <-tick.C:
-			h.meter.tick(now.Sub(last), h.cfg.Queue.Stats().Running)
-			last = now
+			h.meter.tick(now.Sub(lastTick), h.cfg.Queue.Stats().Running)
+			lastTick = now
 		}
 	}
 }
 
 func (h *Handler) watchEngine(ctx context.Context) {
-	tick := time.NewTicker(eventsEvery)
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	for {
 		h.pollEngine(ctx)
@@ -62,10 +62,10 @@
 func (h *Handler) pollEngine(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
-	if events, err := h.cfg.Engine.Events(ctx, h.warm.after()); err == nil {
+	if events, err := h.cfg.Engine.Events(ctx, h.warm.lastSeq()); err == nil {
 		h.warm.apply(events)
 	}
-	if !h.cfg.EngineSlots {
+	if !h.cfg.UseEngineSlots {
 		return
 	}
 	load, err := h.cfg.Engine.Load(ctx)
@@ -89,10 +89,10 @@
 
 // meter measures token rates. add is on the path of every chunk.
 type meter struct {
-	tokens atomic.Int64
-	last   int64 // of the ticking goroutine
-	all    atomic.Uint64
-	one    atomic.Uint64
+	tokens     atomic.Int64
+	lastTokens int64 // of the ticking goroutine
+	engineRate atomic.Uint64
+	streamRate atomic.Uint64
 }
 
 func (m *meter) add(n int) { m.tokens.Add(int64(n)) }
@@ -102,11 +102,11 @@
 		return
 	}
 	total := m.tokens.Load()
-	rate := float64(total-m.last) / dt.Seconds()
-	m.last = total
-	smooth(&m.all, rate)
+	rate := float64(total-m.lastTokens) / dt.Seconds()
+	m.lastTokens = total
+	smooth(&m.engineRate, rate)
 	if running > 0 {
-		smooth(&m.one, rate/float64(running))
+		smooth(&m.streamRate, rate/float64(running))
 	}
 }
 
@@ -115,30 +115,30 @@
 	if old == 0 {
 		old = rate
 	}
-	v.Store(math.Float64bits(old + smoothing*(rate-old)))
+	v.Store(math.Float64bits(old + rateSmoothing*(rate-old)))
 }
 
-func (m *meter) rates() (all, one float64) {
-	return math.Float64frombits(m.all.Load()), math.Float64frombits(m.one.Load())
+func (m *meter) rates() (engineRate, streamRate float64) {
+	return math.Float64frombits(m.engineRate.Load()), math.Float64frombits(m.streamRate.Load())
 }
 
-// need predicts how long a stream takes at most; 0 where no rate is known.
-func (m *meter) need(maxTokens uint32) time.Duration {
-	_, one := m.rates()
-	if one <= 0 {
+// estimateMaxDuration predicts how long a stream takes at most; 0 where no rate is known.
+func (m *meter) estimateMaxDuration(maxTokens uint32) time.Duration {
+	_, streamRate := m.rates()
+	if streamRate <= 0 {
 		return 0
 	}
-	return time.Duration(float64(maxTokens) / one * float64(time.Second))
+	return time.Duration(float64(maxTokens) / streamRate * float64(time.Second))
 }
 
 // warmPrefixes is what is believed of the engine's prefix cache.
 type warmPrefixes struct {
-	mu    sync.Mutex
-	seq   uint64
-	order []uint64 // oldest first
+	mu       sync.Mutex
+	seq      uint64
+	prefixes []uint64 // oldest first
 }
 
-func (w *warmPrefixes) after() uint64 {
+func (w *warmPrefixes) lastSeq() uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.seq
@@ -150,30 +150,30 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, e := range events {
-		if e.Seq <= w.seq && e.Seq != 0 && w.seq-e.Seq < maxReorder {
+		if e.Seq <= w.seq && e.Seq != 0 && w.seq-e.Seq < maxRepeatDistance {
 			continue // a repeat
 		}
 		if e.Seq != w.seq+1 {
-			w.order = w.order[:0]
+			w.prefixes = w.prefixes[:0]
 		}
 		w.seq = e.Seq
 		w.remove(e.Prefix)
 		if !e.Gone {
-			w.order = append(w.order, e.Prefix)
+			w.prefixes = append(w.prefixes, e.Prefix)
 		}
-		if len(w.order) > maxWarm {
-			w.order = append(w.order[:0], w.order[1:]...)
+		if len(w.prefixes) > maxWarmPrefixes {
+			w.prefixes = append(w.prefixes[:0], w.prefixes[1:]...)
 		}
 	}
 }
 
-// maxReorder tells a repeated event from an engine that started to count anew.
-const maxReorder = 1 << 10
+// maxRepeatDistance tells a repeated event from an engine that started to count anew.
+const maxRepeatDistance = 1 << 10
 
 func (w *warmPrefixes) remove(prefix uint64) {
-	for i, p := range w.order {
+	for i, p := range w.prefixes {
 		if p == prefix {
-			w.order = append(w.order[:i], w.order[i+1:]...)
+			w.prefixes = append(w.prefixes[:i], w.prefixes[i+1:]...)
 			return
 		}
 	}
@@ -182,5 +182,5 @@
 func (w *warmPrefixes) list() []uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return append([]uint64(nil), w.order...)
+	return append([]uint64(nil), w.prefixes...)
 }
--- a/agent/generate/swaps_bench_test.go
+++ b/agent/generate/swaps_bench_test.go
@@ -20,13 +20,13 @@
 )
 
 const (
-	swapEngines  = 4
-	swapBound    = 2
-	swapVersions = 8
-	swapTrainers = 2 // the first one's samples may be mixed
-	swapSlots    = 8
-	swapLoad     = 400 * time.Millisecond
-	swapGrace    = 800 * time.Millisecond
+	swapEngines        = 4
+	swapStalenessBound = 2
+	swapVersions       = 8
+	swapTrainers       = 2 // the first one's samples may be mixed
+	swapSlots          = 8
+	swapLoadTime       = 400 * time.Millisecond
+	swapGrace          = 800 * time.Millisecond
 )
 
 // swapEngine is one agent with its stand-in engine.
@@ -37,7 +37,7 @@
 
 // fleetViewer is a viewer that wakes those who wait for changes.
 type fleetViewer struct {
-	viewer
+	fakeViewer
 	mu      sync.Mutex
 	changed chan struct{}
 }
@@ -49,7 +49,7 @@
 }
 
 func (v *fleetViewer) Announce(model string, version uint64) {
-	v.viewer.Announce(model, version)
+	v.fakeViewer.Announce(model, version)
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	close(v.changed)
@@ -61,18 +61,18 @@
 // feel: how far the engines are behind, the time that they are of no use to a
 // trainer, samples made and samples lost.
 func BenchmarkSwaps(b *testing.B) {
-	for _, every := range []time.Duration{250 * time.Millisecond, 600 * time.Millisecond, 2500 * time.Millisecond} {
+	for _, interval := range []time.Duration{250 * time.Millisecond, 600 * time.Millisecond, 2500 * time.Millisecond} {
 		for _, weigh := range []manifest.Weigh{manifest.WeighIdle, manifest.WeighStaleness} {
-			b.Run(fmt.Sprintf("every=%v/weigh=%s", every, weigh), func(b *testing.B) {
+			b.Run(fmt.Sprintf("every=%v/weigh=%s", interval, weigh), func(b *testing.B) {
 				for b.Loop() {
-					swaps(b, every, weigh)
+					runSwaps(b, interval, weigh)
 				}
 			})
 		}
 	}
 }
 
-func swaps(b *testing.B, every time.Duration, weigh manifest.Weigh) {
+func runSwaps(b *testing.B, interval time.Duration, weigh manifest.Weigh) {
 	view := &fleetViewer{changed: make(chan struct{})}
 	grace := swapGrace
 	if weigh == manifest.WeighStaleness {
@@ -85,14 +85,14 @@
 	}
 	for i := range swapTrainers {
 		name := fmt.Sprint("tr", i)
-		m.Trainers[name] = manifest.Trainer{Name: name, Model: "m", StalenessBound: swapBound}
+		m.Trainers[name] = manifest.Trainer{Name: name, Model: "m", StalenessBound: swapStalenessBound}
 	}
 	view.v.Store(&confsync.View{Manifest: m, Versions: map[string]uint64{"m": 1}})
 	ctx, cancel := context.WithCancel(context.Background())
-	var duties sync.WaitGroup
+	var goroutines sync.WaitGroup
 	var fleet []swapEngine
 	for i := range swapEngines {
-		fleet = append(fleet, newSwapEngine(ctx, b, &duties, view, i))
+		fleet = append(fleet, newSwapEngine(ctx, b, &goroutines, view, i))
 	}
 	for _, e := range fleet {
 		_, _, _ = e.keeper.WaitFresh(ctx, 1)
@@ -100,61 +100,61 @@
 	var done, lost atomic.Int64
 	for i, e := range fleet {
 		for caller := range swapSlots {
-			duties.Go(func() { produceSamples(ctx, b, e, view, i*swapSlots+caller, &done, &lost) })
+			goroutines.Go(func() { produceSamples(ctx, b, e, view, i*swapSlots+caller, &done, &lost) })
 		}
 	}
-	behind, useless, looks := 0, 0, 0
-	began, looksAt := time.Now(), time.NewTicker(5*time.Millisecond)
-	defer looksAt.Stop()
-	for version := uint64(1); time.Since(began) < swapVersions*every; {
-		<-looksAt.C
-		if next := 2 + uint64(time.Since(began)/every); next > version {
+	versionsBehind, uselessPolls, polls := 0, 0, 0
+	startTime, pollTicker := time.Now(), time.NewTicker(5*time.Millisecond)
+	defer pollTicker.Stop()
+	for version := uint64(1); time.Since(startTime) < swapVersions*interval; {
+		<-pollTicker.C
+		if next := 2 + uint64(time.Since(startTime)/interval); next > version {
 			version = next
 			view.Announce("m", version)
 		}
-		looks++
+		polls++
 		for _, e := range fleet {
 			v, _ := e.keeper.Serving()
-			behind += int(version - max(v, e.keeper.Producing()))
-			if v == 0 || v < fresh.Floor(version, swapBound) {
-				useless++
+			versionsBehind += int(version - max(v, e.keeper.Producing()))
+			if v == 0 || v < fresh.Floor(version, swapStalenessBound) {
+				uselessPolls++
 			}
 		}
 	}
-	took := time.Since(began).Seconds()
+	elapsed := time.Since(startTime).Seconds()
 	cancel()
-	duties.Wait()
-	share := float64(useless) / float64(looks*swapEngines)
-	b.ReportMetric(float64(behind)/float64(looks*swapEngines), "versions-behind")
-	b.ReportMetric(share*took*swapEngines, "engine-s-useless")
-	b.ReportMetric(100*share, "%-useless")
-	b.ReportMetric(float64(done.Load())/took, "samples/s")
+	goroutines.Wait()
+	uselessShare := float64(uselessPolls) / float64(polls*swapEngines)
+	b.ReportMetric(float64(versionsBehind)/float64(polls*swapEngines), "versions-behind")
+	b.ReportMetric(uselessShare*elapsed*swapEngines, "engine-s-useless")
+	b.ReportMetric(100*uselessShare, "%-useless")
+	b.ReportMetric(float64(done.Load())/elapsed, "samples/s")
 	b.ReportMetric(100*float64(lost.Load())/float64(max(1, done.Load()+lost.Load())), "%-lost")
 }
 
-func newSwapEngine(ctx context.Context, b *testing.B, duties *sync.WaitGroup, view confsync.Viewer, i int) swapEngine {
+func newSwapEngine(ctx context.Context, b *testing.B, goroutines *sync.WaitGroup, view confsync.Viewer, i int) swapEngine {
 	cfg := engine.DefaultConfig()
 	cfg.Model, cfg.Version, cfg.MeanTokens, cfg.TimeScale = "m", 1, 250, 0.1
-	cfg.LoadTime, cfg.Slots, cfg.Seed = 10*swapLoad, 2*swapSlots, uint64(i)
+	cfg.LoadTime, cfg.Slots, cfg.Seed = 10*swapLoadTime, 2*swapSlots, uint64(i)
 	e := engine.New(cfg)
 	server := httptest.NewServer(e)
 	adapter := httpengine.New(server.URL, fmt.Sprint("vm", i))
-	var fellows []weights.Fellow
+	var peers []weights.Fellow
 	for j := range swapEngines {
 		if j != i {
-			fellows = append(fellows, weights.Fellow{Name: fmt.Sprint("vm", j)})
+			peers = append(peers, weights.Fellow{Name: fmt.Sprint("vm", j)})
 		}
 	}
 	keeper := weights.New(weights.Config{
 		Server: fmt.Sprint("vm", i), Model: "m", Engine: adapter, Store: fakeStore{}, Log: &fakeLog{}, View: view,
-		ReadBack: 100 * time.Millisecond, Slot: swapLoad, Fellows: func() []weights.Fellow { return fellows },
+		ReadBack: 100 * time.Millisecond, Slot: swapLoadTime, Fellows: func() []weights.Fellow { return peers },
 	})
 	h := New(Config{
 		Name: fmt.Sprint("vm", i), Engine: adapter, View: view, Weights: keeper,
 		Queue: admission.New(admission.Config{Slots: swapSlots, MaxQueue: 100}),
 	})
-	duties.Go(func() { keeper.Run(ctx) })
-	duties.Go(func() { h.Run(ctx) })
+	goroutines.Go(func() { keeper.Run(ctx) })
+	goroutines.Go(func() { h.Run(ctx) })
 	b.Cleanup(func() {
 		adapter.Close()
 		e.Close()
@@ -165,26 +165,26 @@
 
 // produceSamples runs one sample after the other until ctx ends.
 func produceSamples(ctx context.Context, t testing.TB, e swapEngine, view confsync.Viewer, caller int, done, lost *atomic.Int64) {
-	bench := &bench{Handler: e.Handler, t: t}
+	bench := &testBench{Handler: e.Handler, t: t}
 	for i := 0; ctx.Err() == nil; i++ {
 		id := fmt.Sprint(caller, "-", i)
-		req := sample(id, func(r *pb.GenerateRequest) {
+		req := sampleRequest(id, func(r *pb.GenerateRequest) {
 			r.Caller, r.AllowMixed, r.MaxTokens = fmt.Sprint("tr", caller%swapTrainers), caller%swapTrainers == 0, 600
 			r.Sample.Trainer, r.Sample.Group, r.Sample.Index = r.Caller, fmt.Sprint(caller), uint32(i)
-			r.Seed, r.Floor = uint64(i), fresh.Floor(view.View().Versions["m"], swapBound)
+			r.Seed, r.Floor = uint64(i), fresh.Floor(view.View().Versions["m"], swapStalenessBound)
 		})
 		c := bench.call(req)
 		stop := context.AfterFunc(ctx, c.cancel)
-		var last *pb.GenerateReply
+		var lastReply *pb.GenerateReply
 		for r := range c.replies {
-			last = r
+			lastReply = r
 		}
 		stop()
 		switch {
 		case ctx.Err() != nil:
-		case last.GetDone() != nil:
+		case lastReply.GetDone() != nil:
 			done.Add(1)
-		case last.GetRefusal().GetNotRun():
+		case lastReply.GetRefusal().GetNotRun():
 			pause := time.NewTimer(20 * time.Millisecond)
 			select {
 			case <-pause.C:
--- a/agent/generate/table.go
+++ b/agent/generate/table.go
@@ -16,40 +16,40 @@
 )
 
 const (
-	// keepEpochs is how many steps of a trainer keep their newest epoch.
-	keepEpochs = 16
+	// maxEpochs is how many steps of a trainer keep their newest epoch.
+	maxEpochs = 16
 	// maxPartials bounds the unfinished samples kept for take-over: a few
 	// times the streams that one engine runs.
 	maxPartials = 256
-	// appMemory is how long an engine counts as serving applications after
+	// applicationWindow is how long an engine counts as serving applications after
 	// their last stream: a few times the time between the calls of a busy one.
-	appMemory = 10 * time.Second
+	applicationWindow = 10 * time.Second
 )
 
 // run is one request from its arrival to its end.
 type run struct {
-	id           string
-	caller       string
-	sample       *held.Key // nil for an application's stream
-	sampleID     *pb.SampleID
-	epoch        epoch
-	prompt       string
-	maxTokens    uint32
-	seed         uint64
-	priority     int
-	mixed        bool
-	hedge        bool
-	resume       *pb.Resume
-	interrupt    context.CancelCauseFunc
-	floor        atomic.Uint64
-	version      atomic.Uint64 // of the newest token
-	refresh      atomic.Pointer[context.CancelCauseFunc]
-	startVersion uint64
-	startBoot    string
-	active       bool // under the table's lock: the engine may have it
-
-	ended chan struct{}
-	last  *partial // set before ended is closed
+	id               string
+	caller           string
+	sample           *held.Key // nil for an application's stream
+	sampleID         *pb.SampleID
+	epoch            epoch
+	prompt           string
+	maxTokens        uint32
+	seed             uint64
+	priority         int
+	allowMixed       bool
+	hedge            bool
+	resume           *pb.Resume
+	interrupt        context.CancelCauseFunc
+	floor            atomic.Uint64
+	version          atomic.Uint64 // of the newest token
+	stopEngineStream atomic.Pointer[context.CancelCauseFunc]
+	startVersion     uint64
+	startBoot        string
+	active           bool // under the table's lock: the engine may have it
+
+	ended        chan struct{}
+	finalPartial *partial // set before ended is closed
 }
 
 // partial is an unfinished sample's proved part.
@@ -58,7 +58,7 @@
 	seed   uint64
 	text   string
 	spans  []label.Span
-	job    string // the engine's id of the stream
+	jobID  string // the engine's id of the stream
 }
 
 func (p *partial) version() uint64 { return p.spans[len(p.spans)-1].Version }
@@ -78,8 +78,8 @@
 		id: req.GetRequestId(), caller: req.GetCaller(), prompt: req.GetPrompt(),
 		maxTokens: req.GetMaxTokens(), seed: req.GetSeed(), priority: int(req.GetPriority()),
 		// An application takes the answer from whatever serves.
-		mixed: req.GetAllowMixed() || req.GetSample() == nil,
-		hedge: req.GetHedge(), resume: req.GetResume(),
+		allowMixed: req.GetAllowMixed() || req.GetSample() == nil,
+		hedge:      req.GetHedge(), resume: req.GetResume(),
 		interrupt: interrupt, ended: make(chan struct{}),
 	}
 	r.floor.Store(req.GetFloor())
@@ -107,9 +107,9 @@
 	return spans[len(spans)-1].GetVersion()
 }
 
-// explainEnd turns the end of a run's context into the error for its cause;
+// contextError turns the end of a run's context into the error for its cause;
 // where the context has not ended it returns otherwise.
-func (r *run) explainEnd(ctx context.Context, otherwise *kinds.Error) *kinds.Error {
+func (r *run) contextError(ctx context.Context, otherwise *kinds.Error) *kinds.Error {
 	switch cause := context.Cause(ctx); cause {
 	case nil:
 		return otherwise
@@ -118,7 +118,7 @@
 	case errMoved:
 		return kinds.New(kinds.Cancelled, "%v", cause)
 	case errBelowFloor, errSwap, errUntrusted:
-		return r.fail("%v", cause)
+		return r.failure("%v", cause)
 	case context.DeadlineExceeded:
 		if otherwise != nil && otherwise.NotRun() {
 			return otherwise
@@ -129,8 +129,8 @@
 	}
 }
 
-// fail ends a run whose tokens are lost or can't be trusted.
-func (r *run) fail(format string, args ...any) *kinds.Error {
+// failure ends a run whose tokens are lost or can't be trusted.
+func (r *run) failure(format string, args ...any) *kinds.Error {
 	if r.sample != nil {
 		return kinds.New(kinds.SampleDiscarded, format, args...)
 	}
@@ -139,66 +139,66 @@
 
 // table holds the runs, floors and epochs of one agent.
 type table struct {
-	mu       sync.Mutex
-	runs     map[string]*run // by request id
-	samples  map[held.Key]*run
-	floors   fresh.Floors
-	epochs   map[string]map[uint64]epoch // trainer -> step -> newest owner
-	newest   map[string]uint64           // trainer -> newest step
-	partials map[held.Key]*partial
-	swapAt   time.Time // zero: no swap is pending
-	appAt    time.Time // when an application's stream last ended
-	now      func() time.Time
+	mu                 sync.Mutex
+	runs               map[string]*run // by request id
+	samples            map[held.Key]*run
+	floors             fresh.Floors
+	epochs             map[string]map[uint64]epoch // trainer -> step -> newest owner
+	newestStep         map[string]uint64           // trainer -> newest step
+	partials           map[held.Key]*partial
+	swapAt             time.Time // zero: no swap is pending
+	applicationEndedAt time.Time // when an application's stream last ended
+	now                func() time.Time
 }
 
 func newTable() *table {
 	return &table{
 		runs: map[string]*run{}, samples: map[held.Key]*run{},
-		epochs: map[string]map[uint64]epoch{}, newest: map[string]uint64{},
+		epochs: map[string]map[uint64]epoch{}, newestStep: map[string]uint64{},
 		partials: map[held.Key]*partial{}, now: time.Now,
 	}
 }
 
-type beginVerdict uint8
+type registerResult uint8
 
 const (
-	beginOK beginVerdict = iota
-	beginOlder
-	beginTwice
+	registered registerResult = iota
+	registerSuperseded
+	registerDuplicate
 )
 
-// begin enters a run unless its owner is superseded or it runs here already.
-func (t *table) begin(r *run) (older *run, _ beginVerdict) {
+// register enters a run unless its owner is superseded or it runs here already.
+func (t *table) register(r *run) (older *run, _ registerResult) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if _, twice := t.runs[r.id]; twice {
-		return nil, beginTwice
+	if _, duplicate := t.runs[r.id]; duplicate {
+		return nil, registerDuplicate
 	}
 	if r.sample != nil {
-		if !t.owner(r.sample.Trainer, r.sample.Step, r.epoch) {
-			return nil, beginOlder
+		if !t.updateOwner(r.sample.Trainer, r.sample.Step, r.epoch) {
+			return nil, registerSuperseded
 		}
 		r.floor.Store(max(r.floor.Load(), t.floors.Get(r.sample.Trainer)))
-		same := t.samples[*r.sample]
-		if same != nil && same.epoch == r.epoch && !r.hedge {
-			return nil, beginTwice
+		existing := t.samples[*r.sample]
+		if existing != nil && existing.epoch == r.epoch && !r.hedge {
+			return nil, registerDuplicate
 		}
-		if same != nil && same.epoch.before(r.epoch) {
-			older = same
+		if existing != nil && existing.epoch.before(r.epoch) {
+			older = existing
 		}
-		if same == nil || older != nil {
+		if existing == nil || older != nil {
 			t.samples[*r.sample] = r
 		}
 	}
 	t.runs[r.id] = r
-	return older, beginOK
+	return older, registered
 }
 
-// owner notes an owner's epoch and tells whether it is still the newest. The
+// updateOwner notes an updateOwner's epoch and tells whether it is still the newest. The
 // runs of older owners end: their entry is dead or no longer heard by the
 // trainer, so their tokens would be made for nobody. What they have made stays
-// as partials, from which the new owner's requests go on.
-func (t *table) owner(trainer string, step uint64, e epoch) bool {
+// as partials, from which the new updateOwner's requests go on.
+func (t *table) updateOwner(trainer string, step uint64, e epoch) bool {
 	steps := t.epochs[trainer]
 	if steps == nil {
 		steps = map[uint64]epoch{}
@@ -209,10 +209,10 @@
 		return false
 	}
 	steps[step] = e
-	if len(steps) > keepEpochs {
-		delete(steps, lowest(steps))
+	if len(steps) > maxEpochs {
+		delete(steps, lowestStep(steps))
 	}
-	t.prune(trainer, step)
+	t.prunePartials(trainer, step)
 	if !seen || known == e {
 		return true
 	}
@@ -224,7 +224,7 @@
 	return true
 }
 
-func lowest(steps map[uint64]epoch) uint64 {
+func lowestStep(steps map[uint64]epoch) uint64 {
 	low := uint64(math.MaxUint64)
 	for s := range steps {
 		low = min(low, s)
@@ -232,12 +232,12 @@
 	return low
 }
 
-// prune forgets the unfinished samples of steps before a trainer's newest.
-func (t *table) prune(trainer string, step uint64) {
-	if step <= t.newest[trainer] {
+// prunePartials forgets the unfinished samples of steps before a trainer's newest.
+func (t *table) prunePartials(trainer string, step uint64) {
+	if step <= t.newestStep[trainer] {
 		return
 	}
-	t.newest[trainer] = step
+	t.newestStep[trainer] = step
 	for key := range t.partials {
 		if key.Trainer == trainer && key.Step < step {
 			delete(t.partials, key)
@@ -247,12 +247,12 @@
 
 // activate marks a run as at the engine, unless a swap is too near for it. It
 // returns the time left until the swap.
-func (t *table) activate(r *run, version uint64, boot string, staleness bool, need time.Duration) (time.Duration, bool) {
+func (t *table) activate(r *run, version uint64, boot string, preferNew bool, duration time.Duration) (time.Duration, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !t.swapAt.IsZero() {
-		p := fresh.PendingSwap{TimeToSwap: t.swapAt.Sub(t.now()), PreferNew: staleness}
-		if !fresh.MayStartBeforeSwap(p, r.mixed, need) {
+		p := fresh.PendingSwap{TimeToSwap: t.swapAt.Sub(t.now()), PreferNew: preferNew}
+		if !fresh.MayStartBeforeSwap(p, r.allowMixed, duration) {
 			return p.TimeToSwap, false
 		}
 	}
@@ -260,19 +260,19 @@
 	return 0, true
 }
 
-// end takes a run out. It tells whether a pending swap may have waited for it.
-func (t *table) end(r *run) (waited bool) {
+// unregister takes a run out. It tells whether a pending swap may have waited for it.
+func (t *table) unregister(r *run) (mayUnblockSwap bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if r.sample == nil && r.active {
-		t.appAt = t.now()
+		t.applicationEndedAt = t.now()
 	}
 	delete(t.runs, r.id)
 	if r.sample != nil && t.samples[*r.sample] == r {
 		delete(t.samples, *r.sample)
 	}
 	close(r.ended)
-	return r.active && !r.mixed && !t.swapAt.IsZero()
+	return r.active && !r.allowMixed && !t.swapAt.IsZero()
 }
 
 // keepPartial keeps an unfinished sample's proved part for a new owner.
@@ -297,7 +297,7 @@
 }
 
 // raise learns a trainer's floor and judges its active runs where it rose.
-func (t *table) raise(trainer string, floor, engine uint64) bool {
+func (t *table) raise(trainer string, floor, engineVersion uint64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	floor, rose := t.floors.Raise(trainer, floor)
@@ -312,12 +312,12 @@
 		if !r.active {
 			continue // judged again when it gets its slot
 		}
-		switch fresh.CheckRaisedFloor(engine, r.version.Load(), floor, r.mixed) {
+		switch fresh.CheckRaisedFloor(engineVersion, r.version.Load(), floor, r.allowMixed) {
 		case fresh.Cancel:
 			r.interrupt(errBelowFloor)
 		case fresh.Resume:
-			if stop := r.refresh.Load(); stop != nil {
-				(*stop)(errRefresh)
+			if stop := r.stopEngineStream.Load(); stop != nil {
+				(*stop)(errResumeOnNewWeights)
 			}
 		}
 	}
@@ -338,13 +338,13 @@
 	defer t.mu.Unlock()
 	out := weights.Running{
 		Floor:        t.floors.Highest(),
-		Applications: !t.appAt.IsZero() && t.now().Sub(t.appAt) < appMemory,
+		Applications: !t.applicationEndedAt.IsZero() && t.now().Sub(t.applicationEndedAt) < applicationWindow,
 	}
 	for _, r := range t.runs {
 		if !r.active {
 			continue
 		}
-		if !r.mixed {
+		if !r.allowMixed {
 			out.Unmixed++
 		}
 		if r.sample == nil {
@@ -364,7 +364,7 @@
 // CancelUnmixed cancels the active streams that may not span versions: their
 // time of grace is over.
 func (h *Handler) CancelUnmixed() {
-	h.cancelWhere(errSwap, func(r *run) bool { return !r.mixed })
+	h.cancelWhere(errSwap, func(r *run) bool { return !r.allowMixed })
 }
 
 // Discard ends the streams whose tokens can't be trusted. An application's
--- a/agent/held/held.go
+++ b/agent/held/held.go
@@ -18,12 +18,12 @@
 	DefaultMaxBytes = 16 << 20
 	// DefaultMaxAge is two and a half times the longest step (4 min).
 	DefaultMaxAge = 10 * time.Minute
-	// KeepSteps is how many steps before a trainer's newest are still kept.
-	KeepSteps = 2
-	// entryBytes stands for the bookkeeping of one sample; BenchmarkHeldSample
+	// KeptSteps is how many steps before a trainer's newest are still kept.
+	KeptSteps = 2
+	// entryOverhead stands for the bookkeeping of one sample; BenchmarkHeldSample
 	// measured 703 B beside the text with one span.
-	entryBytes = 640
-	spanBytes  = 64
+	entryOverhead = 640
+	spanOverhead  = 64
 )
 
 // Sample is a finished sample.
@@ -59,22 +59,22 @@
 }
 
 type entry struct {
-	key    Key
-	sample Sample
-	at     time.Time
-	bytes  int64
+	key     Key
+	sample  Sample
+	addedAt time.Time
+	bytes   int64
 }
 
 // Store holds finished samples. It is safe for concurrent use.
 type Store struct {
 	cfg Config
 
-	mu     sync.Mutex
-	order  *list.List // of *entry, oldest first
-	byKey  map[Key]*list.Element
-	byStep map[stepKey]map[Key]*list.Element
-	newest map[string]uint64 // trainer -> newest step seen
-	bytes  int64
+	mu         sync.Mutex
+	order      *list.List // of *entry, oldest first
+	byKey      map[Key]*list.Element
+	byStep     map[stepKey]map[Key]*list.Element
+	newestStep map[string]uint64 // trainer -> newest step seen
+	bytes      int64
 }
 
 // New returns an empty store.
@@ -90,9 +90,9 @@
 	}
 	return &Store{
 		cfg: cfg, order: list.New(),
-		byKey:  map[Key]*list.Element{},
-		byStep: map[stepKey]map[Key]*list.Element{},
-		newest: map[string]uint64{},
+		byKey:      map[Key]*list.Element{},
+		byStep:     map[stepKey]map[Key]*list.Element{},
+		newestStep: map[string]uint64{},
 	}
 }
 
@@ -100,8 +100,8 @@
 func (s *Store) Put(sample Sample) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	e := &entry{key: KeyOf(sample.ID), sample: sample, at: s.cfg.Now(), bytes: size(sample)}
-	if e.bytes > s.cfg.MaxBytes || s.passed(e.key.Trainer, e.key.Step) {
+	e := &entry{key: KeyOf(sample.ID), sample: sample, addedAt: s.cfg.Now(), bytes: sampleSize(sample)}
+	if e.bytes > s.cfg.MaxBytes || s.isOutdated(e.key.Trainer, e.key.Step) {
 		return
 	}
 	if old, ok := s.byKey[e.key]; ok {
@@ -133,18 +133,18 @@
 	return out
 }
 
-// Seen tells that a trainer works on a step; steps well before it are done and
+// ObserveStep tells that a trainer works on a step; steps well before it are done and
 // their samples are dropped. A step far behind the newest is a training run
 // begun anew and counts from there.
-func (s *Store) Seen(trainer string, step uint64) {
+func (s *Store) ObserveStep(trainer string, step uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if step <= s.newest[trainer] && !s.passed(trainer, step) {
+	if step <= s.newestStep[trainer] && !s.isOutdated(trainer, step) {
 		return
 	}
-	s.newest[trainer] = step
+	s.newestStep[trainer] = step
 	s.removeIf(func(e *entry) bool {
-		return e.key.Trainer == trainer && s.passed(trainer, e.key.Step)
+		return e.key.Trainer == trainer && s.isOutdated(trainer, e.key.Step)
 	})
 }
 
@@ -153,7 +153,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.removeIf(func(e *entry) bool {
-		return e.key.Trainer == trainer && oldest(e.sample.Done) < floor
+		return e.key.Trainer == trainer && oldestVersion(e.sample.Done) < floor
 	})
 }
 
@@ -164,13 +164,13 @@
 	return len(s.byKey), s.bytes
 }
 
-func (s *Store) passed(trainer string, step uint64) bool {
-	return step+KeepSteps < s.newest[trainer]
+func (s *Store) isOutdated(trainer string, step uint64) bool {
+	return step+KeptSteps < s.newestStep[trainer]
 }
 
 func (s *Store) expire() {
 	limit := s.cfg.Now().Add(-s.cfg.MaxAge)
-	for el := s.order.Front(); el != nil && el.Value.(*entry).at.Before(limit); el = s.order.Front() {
+	for el := s.order.Front(); el != nil && el.Value.(*entry).addedAt.Before(limit); el = s.order.Front() {
 		s.remove(el)
 	}
 }
@@ -196,14 +196,14 @@
 	s.bytes -= e.bytes
 }
 
-func oldest(d *pb.GenerateDone) uint64 {
+func oldestVersion(d *pb.GenerateDone) uint64 {
 	if len(d.GetSpans()) == 0 {
 		return 0
 	}
 	return d.GetSpans()[0].GetVersion()
 }
 
-func size(s Sample) int64 {
-	strings := len(s.Done.GetText()) + len(s.ID.GetTrainer()) + len(s.ID.GetGroup()) + len(s.PromptHash)
-	return int64(strings + entryBytes + spanBytes*len(s.Done.GetSpans()))
+func sampleSize(s Sample) int64 {
+	stringBytes := len(s.Done.GetText()) + len(s.ID.GetTrainer()) + len(s.ID.GetGroup()) + len(s.PromptHash)
+	return int64(stringBytes + entryOverhead + spanOverhead*len(s.Done.GetSpans()))
 }
--- a/agent/held/held_test.go
+++ b/agent/held/held_test.go
@@ -14,7 +14,7 @@
 	"dandelionsill.org/wire/pb"
 )
 
-func finished(step uint64, index int, text string, version uint64) held.Sample {
+func newSample(step uint64, index int, text string, version uint64) held.Sample {
 	return held.Sample{
 		ID: &pb.SampleID{Trainer: "tr", Step: step, Group: "g", Index: uint32(index)},
 		Done: &pb.GenerateDone{
@@ -25,7 +25,7 @@
 
 // The bounds hold whatever comes: bytes, age, floor and passed steps; and what
 // is held is what was put last.
-func TestBounds(t *testing.T) {
+func TestStoreBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(0, 0)
 		const maxBytes = 8000
@@ -37,7 +37,7 @@
 			switch rapid.IntRange(0, 4).Draw(t, "kind") {
 			case 0:
 				newest = max(newest, rapid.Uint64Range(newest, newest+2).Draw(t, "step"))
-				s.Seen("tr", newest)
+				s.ObserveStep("tr", newest)
 			case 1:
 				floor++
 				s.DropBelow("tr", floor)
@@ -45,14 +45,14 @@
 				step := newest + rapid.Uint64Range(0, 1).Draw(t, "ahead")
 				index := rapid.IntRange(0, 3).Draw(t, "index")
 				text := fmt.Sprint(i, strings.Repeat("x", rapid.IntRange(0, 3000).Draw(t, "bytes")))
-				s.Put(finished(step, index, text, floor+1))
+				s.Put(newSample(step, index, text, floor+1))
 				last[fmt.Sprint(step, index)] = text
 			}
 			_, bytes := s.Size()
 			require.LessOrEqual(t, bytes, int64(maxBytes))
 			for step := range newest + 2 {
 				got := s.Step("tr", step)
-				require.False(t, len(got) > 0 && step+held.KeepSteps < newest)
+				require.False(t, len(got) > 0 && step+held.KeptSteps < newest)
 				for _, h := range got {
 					require.GreaterOrEqual(t, h.Done.Spans[0].Version, floor)
 					require.Equal(t, last[fmt.Sprint(step, h.ID.Index)], h.Done.Text)
@@ -70,17 +70,17 @@
 	const n, textBytes = 2000, 8 << 10
 	for range b.N {
 		s := held.New(held.Config{MaxBytes: 1 << 30})
-		before := heap()
+		before := heapBytes()
 		for i := range n {
-			s.Put(finished(1, i, strings.Repeat("x", textBytes), 7))
+			s.Put(newSample(1, i, strings.Repeat("x", textBytes), 7))
 		}
-		b.ReportMetric(float64(heap()-before)/n-textBytes, "B-beside-text/sample")
+		b.ReportMetric(float64(heapBytes()-before)/n-textBytes, "B-beside-text/sample")
 		_, bytes := s.Size()
 		b.ReportMetric(float64(bytes)/n-textBytes, "B-counted/sample")
 	}
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/agent/server/build.go
+++ b/agent/server/build.go
@@ -194,13 +194,13 @@
 		Logger:         logs.Part(b.logger, "weights"),
 	})
 	handler := generate.New(generate.Config{
-		Name:        set.Process.Name,
-		Engine:      engine,
-		Queue:       b.queue,
-		Weights:     keeper,
-		View:        b.keeper,
-		Explain:     b.explain,
-		EngineSlots: set.Backend.Slots == 0,
+		Name:           set.Process.Name,
+		Engine:         engine,
+		Queue:          b.queue,
+		Weights:        keeper,
+		View:           b.keeper,
+		Explain:        b.explain,
+		UseEngineSlots: set.Backend.Slots == 0,
 	})
 	b.run(fellows.run)
 	b.run(keeper.Run)
