--- a/agent/generate/bench_test.go
+++ b/agent/generate/bench_test.go
@@ -11,7 +11,7 @@
 	"dandelionsill.org/wire/pb"
 )
 
-// burst is an engine stream of n chunks that are there at once.
+// burst is an engine stream whose chunks are all available at once.
 type burst struct{ remaining int }
 
 func (s *burst) Next() (platform.Chunk, error) {
@@ -25,6 +25,7 @@
 
 func (s *burst) Close() error { return nil }
 
+// burstEngine answers each job with a burst of chunks.
 type burstEngine struct {
 	*fakeEngine
 	chunks int
@@ -34,6 +35,7 @@
 	return &burst{remaining: e.chunks}, nil
 }
 
+// discardReplies is a caller that keeps only the last reply.
 type discardReplies struct {
 	grpc.ServerStreamingServer[pb.GenerateReply]
 	last *pb.GenerateReply
@@ -45,8 +47,8 @@
 	return nil
 }
 
-// BenchmarkChunk is the agent's own cost of one chunk of a sample: the label,
-// the freshness and the reply, without engine and wire.
+// BenchmarkChunk measures the agent's own cost of one chunk of a sample: the
+// checks of label and freshness and the reply, without engine and network.
 func BenchmarkChunk(b *testing.B) {
 	h := newTestBench(b)
 	h.cfg.Engine = burstEngine{h.engine, b.N}
@@ -57,7 +59,7 @@
 	require.NotNil(b, out.last.GetDone())
 }
 
-// BenchmarkSample is the cost of a whole sample of 32 chunks.
+// BenchmarkSample measures the cost of a complete sample of 32 chunks.
 func BenchmarkSample(b *testing.B) {
 	h := newTestBench(b)
 	h.cfg.Engine = burstEngine{h.engine, 32}
--- a/agent/generate/engine_end_test.go
+++ b/agent/generate/engine_end_test.go
@@ -10,9 +10,9 @@
 	"dandelionsill.org/kinds"
 )
 
-// An engine ends under a sample: its stream breaks and its VM refuses connections. The
-// entry is told which start of it ended. An engine that only broke the stream off lives,
-// and its agent tells of no end.
+// An engine ends while it runs a sample: its stream breaks and its VM refuses
+// connections. The refusal names the engine's incarnation that ended. If only
+// the stream breaks while the engine keeps running, the refusal names none.
 func TestEngineEndIsReported(t *testing.T) {
 	b := newTestBench(t)
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
--- a/agent/generate/fakes_test.go
+++ b/agent/generate/fakes_test.go
@@ -26,15 +26,16 @@
 
 const testTimeout = 20 * time.Second
 
-// fakeEngine hands each stream to the test, which writes its chunks.
+// fakeEngine passes each stream that is started to the test, which sends its
+// chunks.
 type fakeEngine struct {
 	platform.Engine
 	started chan *fakeStream
 
 	mu          sync.Mutex
 	state       platform.EngineState
-	stateSource platform.Engine                                    // tells the state, if set
-	onLoad      func(info platform.WeightInfo, token uint64) error // under mu
+	stateSource platform.Engine                                    // provides the state, if set
+	onLoad      func(info platform.WeightInfo, token uint64) error // replaces setServing in LoadWeights, if set
 }
 
 func (e *fakeEngine) Generate(ctx context.Context, job platform.GenerateJob) (platform.Stream, error) {
@@ -52,7 +53,7 @@
 	return e.state, nil
 }
 
-// setStateSource has another engine tell the state from now on.
+// setStateSource makes State return another engine's state from now on.
 func (e *fakeEngine) setStateSource(stateSource platform.Engine) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -83,6 +84,7 @@
 
 var errCrash = errors.New("connection reset")
 
+// fakeStream is an engine stream whose chunks come from the test.
 type fakeStream struct {
 	job    platform.GenerateJob
 	ctx    context.Context
@@ -108,7 +110,7 @@
 	return nil
 }
 
-// fakeLog keeps one stream.
+// fakeLog is a log with a single stream in memory.
 type fakeLog struct {
 	mu      sync.Mutex
 	records []platform.Record
@@ -128,10 +130,11 @@
 	return platform.Page{Records: l.records[min(from, end):], Next: end, End: end}, nil
 }
 
+// fakeStore serves weights of one byte, the version.
 type fakeStore struct{ platform.WeightStore }
 
 func (fakeStore) Latest(context.Context, string) (platform.WeightInfo, error) {
-	return platform.WeightInfo{}, errors.New("the store does not tell")
+	return platform.WeightInfo{}, errors.New("the store does not know the latest version")
 }
 
 func (fakeStore) Fetch(_ context.Context, model string, version uint64) (io.ReadCloser, platform.WeightInfo, error) {
@@ -141,7 +144,7 @@
 	return io.NopCloser(bytes.NewReader(data)), info, nil
 }
 
-// fakeViewer lets a test announce versions.
+// fakeViewer is a confsync.Viewer in which a test announces versions.
 type fakeViewer struct{ v atomic.Pointer[confsync.View] }
 
 func (v *fakeViewer) View() *confsync.View     { return v.v.Load() }
@@ -152,14 +155,15 @@
 	v.v.Store(&next)
 }
 
-// testBench is a handler with everything around it under the test's control.
+// testBench is a Handler with a fake engine, view and clock that the test
+// controls.
 type testBench struct {
 	*Handler
 	t           testing.TB
 	engine      *fakeEngine
 	view        *fakeViewer
 	keeper      *weights.Keeper
-	clockOffset atomic.Int64 // how far the keeper's clock is ahead, ns
+	clockOffset atomic.Int64 // how far the keeper's clock is ahead, in ns
 }
 
 func newTestBench(t testing.TB) *testBench {
@@ -197,6 +201,7 @@
 	return b
 }
 
+// awaitServing waits until the keeper serves the version or a newer one.
 func (b *testBench) awaitServing(version uint64) {
 	b.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
@@ -205,7 +210,7 @@
 	require.NoError(b.t, err)
 }
 
-// call is one Generate as its caller sees it.
+// call is the caller's side of one Generate call.
 type call struct {
 	grpc.ServerStreamingServer[pb.GenerateReply]
 	b       *testBench
@@ -221,6 +226,7 @@
 	return nil
 }
 
+// call starts a Generate call.
 func (b *testBench) call(req *pb.GenerateRequest) *call {
 	c := &call{b: b, replies: make(chan *pb.GenerateReply, 1000)}
 	c.ctx, c.cancel = context.WithCancel(context.Background())
@@ -232,7 +238,7 @@
 	return c
 }
 
-// next returns the next reply; nil after the last.
+// next waits for the next reply; it returns nil after the last one.
 func (c *call) next() *pb.GenerateReply {
 	c.b.t.Helper()
 	select {
@@ -245,26 +251,28 @@
 	}
 }
 
-// awaitFirstChunk waits for the start and the first chunk.
+// awaitFirstChunk waits for Started and the first chunk, which must have the
+// given text.
 func (c *call) awaitFirstChunk(text string) {
 	c.b.t.Helper()
 	require.NotNil(c.b.t, c.next().GetStarted())
 	require.Equal(c.b.t, text, c.next().GetChunk().GetText())
 }
 
-// refusal returns the refusal that ends the call.
+// refusal waits for the refusal that ends the call and returns it.
 func (c *call) refusal() *pb.Refusal {
 	c.b.t.Helper()
 	for {
 		r := c.next()
 		require.NotNil(c.b.t, r, "ended without a refusal")
-		require.Nil(c.b.t, r.GetDone(), "done in place of a refusal")
+		require.Nil(c.b.t, r.GetDone(), "done instead of a refusal")
 		if r.GetRefusal() != nil {
 			return r.GetRefusal()
 		}
 	}
 }
 
+// done waits for the Done that ends the call and returns it.
 func (c *call) done() *pb.GenerateDone {
 	c.b.t.Helper()
 	for {
@@ -277,7 +285,7 @@
 	}
 }
 
-// engineStream returns the engine's side of the newest call.
+// engineStream waits for the next stream at the engine and returns it.
 func (b *testBench) engineStream() *fakeStream {
 	b.t.Helper()
 	select {
@@ -289,8 +297,8 @@
 	}
 }
 
-// startStream starts a stream that has made "abc" on version 7, and its caller got
-// it.
+// startStream starts a call and waits until its caller has received "abc",
+// generated on version 7.
 func (b *testBench) startStream(req *pb.GenerateRequest) (*call, *fakeStream) {
 	b.t.Helper()
 	c := b.call(req)
@@ -300,7 +308,7 @@
 	return c, s
 }
 
-// sendTokens has the engine make one token per letter.
+// sendTokens makes the engine generate one token per letter.
 func (s *fakeStream) sendTokens(b *testBench, text string, version uint64, finish string) {
 	b.t.Helper()
 	s.send(b, platform.Chunk{Text: text, Tokens: len(text), Version: version, Boot: "b1", Finish: finish})
@@ -313,19 +321,21 @@
 	case <-s.closed:
 		require.Fail(b.t, "the stream was closed before "+c.Text)
 	case <-time.After(testTimeout):
-		require.Fail(b.t, "nobody reads the stream")
+		require.Fail(b.t, "the handler does not read the stream")
 	}
 }
 
+// awaitClosed waits until the handler has closed the stream.
 func (s *fakeStream) awaitClosed(b *testBench) {
 	b.t.Helper()
 	select {
 	case <-s.closed:
 	case <-time.After(testTimeout):
-		require.Fail(b.t, "the stream goes on at the engine")
+		require.Fail(b.t, "the stream is still open at the engine")
 	}
 }
 
+// sampleRequest returns a request for a sample of trainer "tr", with changes.
 func sampleRequest(id string, change func(*pb.GenerateRequest)) *pb.GenerateRequest {
 	req := &pb.GenerateRequest{
 		RequestId: id, Caller: "tr", Model: "m", Prompt: "p", MaxTokens: 100, Floor: 6,
--- a/agent/generate/generate_test.go
+++ b/agent/generate/generate_test.go
@@ -48,8 +48,9 @@
 	require.Equal(t, []uint64{7, 0, 5}, []uint64{done.Spans[0].Version, uint64(done.Spans[0].From), uint64(done.Spans[0].To)})
 }
 
-// The engine's version is below the trainer's floor. The trainer's entry is
-// refused before anything reaches the engine, with proof, and goes elsewhere.
+// The engine's version is below the trainer's floor. The request is refused as
+// not run before anything reaches the engine, so the entry can use another
+// server.
 func TestStaleWeightsAtStart(t *testing.T) {
 	b := newTestBench(t)
 	c := b.call(sampleRequest("a", func(r *pb.GenerateRequest) { r.Floor = 8 }))
@@ -57,8 +58,9 @@
 	require.Empty(t, b.engine.started)
 }
 
-// The engine crashes in the middle. The trainer gets sample_discarded and no
-// Done; an application gets backend_failed, which its entry may start anew.
+// The engine crashes during a stream. The trainer gets sample_discarded and no
+// Done; an application gets backend_failed, after which its entry may start the
+// request again.
 func TestEngineCrash(t *testing.T) {
 	b := newTestBench(t)
 	c := b.call(sampleRequest("a", nil))
@@ -71,8 +73,8 @@
 	requireKind(t, kinds.BackendFailed, c.refusal())
 }
 
-// An operator reads in the explain records why a stream ended. The engine's
-// connection is cut, or its body ends cleanly without a finish reason.
+// The explain records tell an operator why a stream ended: the engine's
+// connection broke, or its body ended cleanly without a finish reason.
 func TestBrokenStreamIsExplained(t *testing.T) {
 	for err, want := range map[error]string{
 		io.EOF:              "the engine's stream broke off",
@@ -81,7 +83,7 @@
 	} {
 		require.EqualError(t, streamError(t.Context(), err), want)
 	}
-	require.ErrorIs(t, streamError(canceledContext(errSwap), io.ErrUnexpectedEOF), errSwap, "our own stop comes first")
+	require.ErrorIs(t, streamError(canceledContext(errSwap), io.ErrUnexpectedEOF), errSwap, "the agent's own stop takes precedence")
 }
 
 func canceledContext(cause error) context.Context {
@@ -90,9 +92,9 @@
 	return ctx
 }
 
-// Chunks whose version can't be proved. The trainer gets the tokens before
-// them, then sample_discarded; never a Done with a guessed label. The stream
-// is cancelled at the engine.
+// A chunk's version can't be proved. The trainer gets the tokens before the
+// chunk, then sample_discarded, and never a Done with a guessed label. The
+// stream is cancelled at the engine.
 func TestUnprovableChunk(t *testing.T) {
 	for name, unprovable := range map[string]platform.Chunk{
 		"no version":               {Text: "x", Tokens: 1, Boot: "b1"},
@@ -116,9 +118,9 @@
 	}
 }
 
-// The first chunk of a new stream tells that the engine went back to an older
-// version by a stale order that it obeyed. Nothing more starts there until the
-// engine was read back and loaded again.
+// The first chunk of a new stream shows that the engine obeyed a stale order and
+// returned to an older version. No other stream may start there until the
+// engine's state was read and its weights were loaded again.
 func TestStaleOrderMakesNotReady(t *testing.T) {
 	b := newTestBench(t)
 	c := b.call(sampleRequest("a", nil))
@@ -144,9 +146,9 @@
 	b.awaitServing(7)
 }
 
-// A swap fails partway, and the engine then lies: it names the new version for
-// tokens of any. No such chunk reaches the trainer, not even in the moment
-// between the engine's failure and the agent's knowledge of it.
+// A swap fails partway, and the engine then reports the new version for tokens
+// of any version. No such chunk may reach the trainer, not even between the
+// engine's failure and the moment at which the agent learns of it.
 func TestSwapFailsPartway(t *testing.T) {
 	b := newTestBench(t)
 	c, s := b.startStream(sampleRequest("a", allowMixed))
@@ -171,9 +173,9 @@
 	b.awaitServing(8)
 }
 
-// New weights come while two samples run. The one that may be mixed goes on
-// through the swap and names both versions; the other one is cancelled at the
-// end of its grace, and its trainer generates it again.
+// New weights are announced while two samples run. The sample that may be mixed
+// continues through the swap and its label names both versions. The other one is
+// cancelled at the end of its grace period, and its trainer generates it again.
 func TestSwapDuringStreams(t *testing.T) {
 	b := newTestBench(t)
 	mixedCall, mixedStream := b.startStream(sampleRequest("a", allowMixed))
@@ -190,9 +192,9 @@
 	require.EqualValues(t, 3, spans[1].From)
 }
 
-// The trainer's newest version rises while a sample is made, and the sample's
-// weights fall below the floor. Its next chunk never reaches the trainer; the
-// engine is told to stop at once, even if no chunk comes.
+// A trainer's floor rises above the version of a running sample. The sample's
+// next chunk never reaches the trainer, and the stream at the engine is
+// cancelled at once, even if no chunk arrives.
 func TestFloorRisesDuringStream(t *testing.T) {
 	b := newTestBench(t)
 	c, s := b.startStream(sampleRequest("a", nil))
@@ -203,9 +205,9 @@
 	s.awaitClosed(b)
 }
 
-// The same with a sample that may be mixed: it is stopped at the engine and
-// goes on behind its tokens once version 8 is verified. No token of version 7
-// reaches the trainer after the floor rose.
+// The floor rises above the version of a running sample that may be mixed. Its
+// engine stream is stopped, and it resumes after its tokens once version 8 is
+// verified. No token of version 7 reaches the trainer after the floor rose.
 func TestResumeOnNewWeights(t *testing.T) {
 	b := newTestBench(t)
 	c, s := b.startStream(sampleRequest("a", allowMixed))
@@ -222,8 +224,9 @@
 	require.Len(t, done.GetSpans(), 2)
 }
 
-// The agent is frozen beyond its lease while a sample runs. Thawed, it passes
-// no chunk on: what it holds was verified before the pause.
+// The agent's VM is suspended beyond its lease while a sample runs. After it is
+// resumed the agent forwards no chunk, because it verified the weights before
+// the suspension.
 func TestAgentResumedAfterSuspension(t *testing.T) {
 	b := newTestBench(t)
 	c, s := b.startStream(sampleRequest("a", nil))
@@ -236,9 +239,9 @@
 	require.Equal(t, "abc", c.text)
 }
 
-// The step's entry dies, and a new owner asks for the same sample. The old
-// stream ends as superseded; the new one goes on behind its tokens. The old
-// owner, which lives after all, is refused from then on.
+// The step's entry seems to have died, and a new owner requests the same sample.
+// The old stream ends as superseded, and the new one resumes after its tokens.
+// The old owner, which still runs, is refused from then on.
 func TestSupersededEpoch(t *testing.T) {
 	b := newTestBench(t)
 	old, s := b.startStream(sampleRequest("a", nil))
@@ -262,7 +265,8 @@
 	requireKind(t, kinds.Superseded, b.call(sampleRequest("f", claim2)).refusal())
 }
 
-// An entry sends the same sample twice; only a hedge may run beside it.
+// An entry requests the same sample twice: only a hedge may run beside the first
+// request.
 func TestDuplicateSample(t *testing.T) {
 	b := newTestBench(t)
 	b.call(sampleRequest("a", nil))
@@ -272,8 +276,8 @@
 	b.engineStream()
 }
 
-// The caller goes away while the engine is between two tokens: the engine's
-// slot is free at once, not at the next token.
+// The caller disconnects while the engine is between two tokens. The engine's
+// slot must be free at once, not only at the next token.
 func TestCancelClosesEngineStream(t *testing.T) {
 	b := newTestBench(t)
 	c := b.call(sampleRequest("a", nil))
@@ -301,8 +305,9 @@
 	return nil
 }
 
-// The entry dies after a sample was made. Its step's new owner takes it over
-// in place of a second generation; once the floor passes it, it is gone.
+// The entry dies after a sample was completed. The step's new owner takes the
+// sample over instead of generating it again. Once the floor is above the
+// sample's version, the sample is dropped.
 func TestHeldSamples(t *testing.T) {
 	b := newTestBench(t)
 	c := b.call(sampleRequest("a", nil))
@@ -320,8 +325,8 @@
 	require.Eventually(t, func() bool { n, _ := b.held.Size(); return n == 0 }, testTimeout, time.Millisecond)
 }
 
-// An entry moves a stream off a leaving server: the stream ends, and what it
-// made comes back with its KV cache.
+// An entry migrates a stream away from a leaving server: the stream ends, and
+// ExportKV returns its text with the KV cache.
 func TestExportKV(t *testing.T) {
 	b := newTestBench(t)
 	c, s := b.startStream(sampleRequest("a", nil))
@@ -342,8 +347,8 @@
 	require.EqualValues(t, 5, done.GetSpans()[0].GetTo())
 }
 
-// A planned stop: new work is refused as not run, and the sample in flight
-// reaches its trainer whole before Drain returns.
+// Drain refuses new work as not run, and returns only after the sample in flight
+// has reached its trainer completely.
 func TestDrain(t *testing.T) {
 	b := newTestBench(t)
 	c := b.call(sampleRequest("a", nil))
@@ -360,11 +365,12 @@
 	require.NoError(t, <-drained)
 }
 
-// A sample that may be mixed runs on version 7; the floor rises to 8 and the
-// swap comes later than SwapWait, as with any grace above 5 s. The agent says
-// sample_discarded, "what is known of it can't be trusted", so the entry drops
-// the tokens, though each was proved and fresh when made. With every engine of
-// a model that late, all running samples begin anew: the step is as late again.
+// Guards against the loss of proved tokens when a swap comes later than SwapWait,
+// which any grace period above 5 s causes. How it came about: a sample that may
+// be mixed ran on version 7, the floor rose to 8, and the agent answered
+// sample_discarded, so the entry dropped tokens that were proved and fresh when
+// they were generated. If all engines of a model were late, all running samples
+// started from the beginning and the step was delayed by as much again.
 func TestLateSwapKeepsProvenTokens(t *testing.T) {
 	b := newTestBench(t)
 	b.cfg.SwapWait = 50 * time.Millisecond
@@ -375,10 +381,11 @@
 	require.NotEqual(t, string(kinds.SampleDiscarded), c.refusal().GetKind())
 }
 
-// A trainer dies and posts its step again with other seeds. Its new owner asks
-// for the same sample of the same prompt, and the agent goes on behind the
-// tokens that the old seed made: the trainer gets a sample that neither seed
-// makes, though it relies on seed+index.
+// Guards against resuming after tokens of another seed. How it came about: a
+// trainer died and submitted its step again with other seeds; the step's new
+// owner requested the same sample of the same prompt, and the agent resumed after
+// the tokens of the old seed. The trainer relies on seed+index, but received a
+// sample that neither seed generates.
 func TestPartialOfAnotherSeedIsNotTakenOver(t *testing.T) {
 	b := newTestBench(t)
 	b.startStream(sampleRequest("a", func(r *pb.GenerateRequest) { r.Seed = 1 }))
--- a/agent/generate/handler.go
+++ b/agent/generate/handler.go
@@ -1,12 +1,12 @@
-// Package generate runs completions and samples at one model engine: it admits
-// them, checks the freshness and the label of every chunk, ends streams that
-// can't be trusted, and hands samples over to a step's new owner.
+// Package generate runs completions and samples on one model engine. It admits
+// requests, checks the freshness and the version label of every chunk, ends
+// streams that can't be trusted, and hands samples over to a step's new owner.
 //
-// What a caller of Generate sees: Started, chunks and Done; or a refusal. A
-// refusal before Started that says "not run" proves that no byte went to the
-// engine. After that a sample whose label or freshness can't be proved, or
-// whose engine failed, ends with sample_discarded, and an application's stream
-// with backend_failed.
+// A caller of Generate receives Started, chunks and Done, or a refusal. A
+// refusal before Started that is marked "not run" proves that no byte was sent
+// to the engine. After Started, a sample whose label or freshness can't be
+// proved, or whose engine failed, ends with sample_discarded, and an
+// application's stream ends with backend_failed.
 package generate
 
 import (
@@ -34,29 +34,30 @@
 )
 
 const (
-	part = "generate"
-	// DefaultSwapWait is how long a stream waits for fresh weights while an
-	// order is under way, before its start or in its middle.
+	part = "generate" // this package's name in the explain records
+	// DefaultSwapWait is how long a stream waits for fresh weights while a load
+	// order is in progress, before it starts or while it runs.
 	DefaultSwapWait = 5 * time.Second
-	// notReadyRetryAfter is the advice while the engine serves no verified version.
+	// notReadyRetryAfter is the retry delay in refusals for weights that are
+	// missing or not fresh enough.
 	notReadyRetryAfter = 500 * time.Millisecond
-	// adoptTimeout bounds the wait for the end of an older epoch's stream whose
-	// tokens the new one takes over.
+	// adoptTimeout bounds the wait for an older epoch's stream to end before
+	// the new stream takes over its tokens.
 	adoptTimeout = time.Second
 )
 
-// Config of a Handler.
+// Config configures a Handler.
 type Config struct {
 	Name    string // this backend server's name
 	Engine  platform.Engine
 	Queue   *admission.Queue
 	Weights *weights.Keeper
 	View    confsync.Viewer
-	Held    *held.Store // nil: one with the default bounds
+	Held    *held.Store // nil: a store with the default bounds
 	Explain *explain.Ring
 	// SwapWait is how long a stream waits for fresh weights; 0: DefaultSwapWait.
 	SwapWait time.Duration
-	// UseEngineSlots takes the number of slots from the engine's load reports.
+	// UseEngineSlots sets the queue's number of slots from the engine's load reports.
 	UseEngineSlots bool
 }
 
@@ -72,8 +73,9 @@
 
 type stream = grpc.ServerStreamingServer[pb.GenerateReply]
 
-// New returns a Handler and makes it the guard of the Keeper's swaps. Run must
-// run too for the load figures, cache events and announced floors.
+// New returns a Handler and registers it with the Keeper as the streams that
+// weight swaps must respect. Run must be running to keep the load figures, the
+// warm prefixes and the announced floors up to date.
 func New(cfg Config) *Handler {
 	if cfg.Held == nil {
 		cfg.Held = held.New(held.Config{})
@@ -86,7 +88,8 @@
 	return h
 }
 
-// Generate streams one completion or sample.
+// Generate streams one completion or sample. It sends a failure to the caller as
+// a refusal, and returns an error only if that can't be sent.
 func (h *Handler) Generate(req *pb.GenerateRequest, out stream) error {
 	ctx, span := trace.Tracer("agent").Start(out.Context(), "agent.generate")
 	defer span.End()
@@ -101,7 +104,8 @@
 	return out.Send(&pb.GenerateReply{Part: &pb.GenerateReply_Refusal{Refusal: refusal.Encode(err)}})
 }
 
-// generate returns nil after Done was sent.
+// generate runs a request from its validation to its end. It returns nil if
+// Done was sent.
 func (h *Handler) generate(ctx context.Context, req *pb.GenerateRequest, out stream) *kinds.Error {
 	proof := kinds.Hold()
 	if err := h.validate(req, proof); err != nil {
@@ -134,7 +138,7 @@
 	return h.produce(ctx, r, out)
 }
 
-// validate refuses what can't be served here whatever the load.
+// validate refuses requests that this server can't serve at any load.
 func (h *Handler) validate(req *pb.GenerateRequest, proof *kinds.Held) *kinds.Error {
 	switch {
 	case req.GetModel() != h.cfg.Weights.Model():
@@ -151,8 +155,8 @@
 	return nil
 }
 
-// register enters the run into the table. It returns the older epoch's run of the
-// same sample, whose tokens may be taken over.
+// register adds the run to the table. It returns the run of the same sample
+// from an older epoch, if there is one: its tokens may be taken over.
 func (h *Handler) register(r *run, proof *kinds.Held) (older *run, _ *kinds.Error) {
 	h.raiseFloor(r.trainer(), r.floor.Load())
 	older, verdict := h.table.register(r)
@@ -168,14 +172,16 @@
 	return older, nil
 }
 
-// unregister takes the run out; the last unmixed one lets a swap begin that waits.
+// unregister removes the run from the table. If a pending swap may have waited
+// for this run, the Keeper checks again whether the swap can start.
 func (h *Handler) unregister(r *run) {
 	if h.table.unregister(r) {
 		h.cfg.Weights.Reconsider()
 	}
 }
 
-// checkBeforeQueue refuses early what could not start now either.
+// checkBeforeQueue refuses a run whose floor is above the served version, so
+// that it does not queue in vain. During a swap the version may still rise.
 func (h *Handler) checkBeforeQueue(r *run, proof *kinds.Held) *kinds.Error {
 	version, _ := h.cfg.Weights.Serving()
 	if h.cfg.Weights.Swapping() || fresh.MayStart(version, r.floor.Load()) {
@@ -184,9 +190,10 @@
 	return refuseNotFresh(proof, version, r.floor.Load())
 }
 
-// prepareStart makes sure, with the slot held, that the run may start now: it has not
-// been superseded, verified weights are fresh enough, and no swap that it
-// can't go through is too near. It marks the run as active.
+// prepareStart checks, while the run holds its slot, that the run may start: it
+// has not been superseded, the verified weights are fresh enough, and no swap
+// comes too soon for a run that can't continue through it. It marks the run as
+// active.
 func (h *Handler) prepareStart(ctx context.Context, r *run, proof *kinds.Held) *kinds.Error {
 	if err := h.awaitSwap(ctx, r); err != nil {
 		return r.contextError(ctx, refuseNotFresh(proof, 0, r.floor.Load()))
@@ -204,8 +211,9 @@
 	return nil
 }
 
-// awaitSwap waits while an order is under way: the stream keeps its place in
-// place of a round of refusals.
+// awaitSwap waits until a load order in progress makes the weights fresh enough.
+// The stream keeps its slot meanwhile; a refusal would only make the caller
+// retry and queue again.
 func (h *Handler) awaitSwap(ctx context.Context, r *run) error {
 	if err := context.Cause(ctx); err != nil {
 		return err
@@ -219,8 +227,9 @@
 	return err
 }
 
-// adoptPartial takes over the tokens of an older epoch's run of the same sample, or
-// those that such a run left here when its entry went away.
+// adoptPartial takes over the tokens of an older epoch's run of the same
+// sample: of a run that it waits for, or of one that ended when its entry
+// disconnected and whose tokens were kept.
 func (h *Handler) adoptPartial(ctx context.Context, r *run, older *run) {
 	if r.sample == nil || r.resume != nil || r.hedge {
 		return
@@ -243,16 +252,18 @@
 	}
 }
 
-// raiseFloor raises a trainer's floor and judges its running streams by it.
+// raiseFloor raises a trainer's floor, checks the trainer's running streams
+// against it and drops its held samples below it.
 func (h *Handler) raiseFloor(trainer string, floor uint64) {
 	if trainer == "" || !h.table.raise(trainer, floor, h.cfg.Weights.Producing()) {
 		return
 	}
 	h.held.DropBelow(trainer, floor)
-	h.cfg.Weights.Reconsider() // below the floor a swap waits for nothing
+	h.cfg.Weights.Reconsider() // an engine below the floor swaps without waiting
 }
 
-// raiseAnnouncedFloors raises floors by the weight versions announced since.
+// raiseAnnouncedFloors raises the floors of the model's trainers to what the
+// newest announced weight version requires.
 func (h *Handler) raiseAnnouncedFloors() {
 	v := h.cfg.View.View()
 	if v == nil || v.Manifest == nil {
@@ -266,12 +277,15 @@
 	}
 }
 
+// prefersNewWeights reports whether the fleet is configured to prefer fresh
+// weights to busy engines.
 func (h *Handler) prefersNewWeights() bool {
 	v := h.cfg.View.View()
 	return v != nil && v.Manifest != nil && v.Manifest.Fleet.Weigh == manifest.WeighStaleness
 }
 
-// Drain refuses new work and waits until what runs has ended.
+// Drain refuses new work and waits until the admitted work has ended. It
+// returns ctx's error if ctx ends first.
 func (h *Handler) Drain(ctx context.Context) error {
 	h.cfg.Queue.Leave()
 	select {
@@ -282,11 +296,13 @@
 	}
 }
 
-// FetchWeights relays this agent's copy of a weight version.
+// FetchWeights streams this agent's copy of a weight version to a peer.
 func (h *Handler) FetchWeights(req *pb.FetchWeightsRequest, out grpc.ServerStreamingServer[pb.WeightsPiece]) error {
 	return h.cfg.Weights.FetchWeights(req, out)
 }
 
+// refuseNotFresh returns the refusal for weights below the floor; version 0
+// means that the engine serves no verified version.
 func refuseNotFresh(proof *kinds.Held, version, floor uint64) *kinds.Error {
 	if version == 0 {
 		return proof.Refuse(kinds.NotReady, "the engine serves no verified version").WithRetryAfter(notReadyRetryAfter)
@@ -295,6 +311,7 @@
 		WithRetryAfter(notReadyRetryAfter)
 }
 
+// withDeadline limits ctx to ms milliseconds; 0 or less: no limit.
 func withDeadline(ctx context.Context, ms int64) (context.Context, context.CancelFunc) {
 	if ms <= 0 {
 		return context.WithCancel(ctx)
@@ -309,7 +326,7 @@
 	}
 }
 
-// counts are the part's metrics.
+// counts are this package's metrics.
 type counts struct {
 	done, discarded, superseded, notRun, failed, adopted interface{ Add(int64) }
 }
@@ -338,7 +355,7 @@
 	}
 }
 
-// Causes that end a running stream.
+// Causes that end a running stream. Their texts are sent to callers.
 var (
 	errSuperseded = errors.New("a newer owner of the step has been seen")
 	errBelowFloor = errors.New("the weights fell below the floor")
--- a/agent/generate/handover.go
+++ b/agent/generate/handover.go
@@ -10,8 +10,9 @@
 	"dandelionsill.org/wire/pb"
 )
 
-// Held streams the finished samples of a step to its owner. A newer owner's
-// first call ends the older owner's streams here.
+// Held streams the held finished samples of a step to the step's owner. The
+// first call of a newer owner ends the older owners' streams on this server.
+// An owner that has been superseded gets codes.Aborted.
 func (h *Handler) Held(req *pb.HeldRequest, out grpc.ServerStreamingServer[pb.HeldSample]) error {
 	if !h.table.claimStep(req.GetTrainer(), req.GetStep(), epochFrom(req.GetEpoch())) {
 		return status.Error(codes.Aborted, errSuperseded.Error())
@@ -24,15 +25,16 @@
 	return nil
 }
 
+// claimStep is updateOwner for callers that do not hold the lock.
 func (t *table) claimStep(trainer string, step uint64, e epoch) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.updateOwner(trainer, step, e)
 }
 
-// ExportKV stops a stream and returns what it has made, with its KV cache
-// where the engine still gives it. Without the cache the next engine computes
-// it again from the text.
+// ExportKV stops a stream and returns its proved text and spans, and its KV
+// cache if the engine still provides it. Without the cache the next engine
+// recomputes it from the text.
 func (h *Handler) ExportKV(ctx context.Context, req *pb.ExportKVRequest) (*pb.ExportKVReply, error) {
 	r := h.table.find(req.GetRequestId())
 	if r == nil {
--- a/agent/generate/produce.go
+++ b/agent/generate/produce.go
@@ -20,24 +20,25 @@
 )
 
 var (
-	// errResumeOnNewWeights: the engine stream was stopped to go on on new weights.
-	errResumeOnNewWeights = errors.New("going on on new weights")
-	// errStreamBroken: the engine stream ended without a finish reason.
+	// errResumeOnNewWeights stops an engine stream whose run continues on new
+	// weights.
+	errResumeOnNewWeights = errors.New("the stream continues on new weights")
+	// errStreamBroken means that the engine stream ended without a finish reason.
 	errStreamBroken = errors.New("the engine's stream broke off")
 )
 
-// output is what a run has made so far. It belongs to the run's goroutine.
+// output is what a run has generated so far. Only the run's goroutine uses it.
 type output struct {
 	label         *label.Builder
 	text          strings.Builder
 	tokens        uint32
-	streamVersion uint64 // version that the current engine stream started on
+	streamVersion uint64 // weight version on which the current engine stream started
 	boot          string
 	finish        string
 	jobID         string
 }
 
-// produce runs the stream at the engine until Done or an error. The run is
+// produce runs the stream on the engine until Done or an error. The run must be
 // active: its start version is verified and fresh.
 func (h *Handler) produce(ctx context.Context, r *run, out stream) *kinds.Error {
 	o := newOutput(r)
@@ -70,6 +71,8 @@
 	return o
 }
 
+// newJob returns the run's job for its nth engine stream, counted from 0. Each
+// stream has an id of its own; only the first can use the caller's KV cache.
 func newJob(r *run, o *output, n int) platform.GenerateJob {
 	j := platform.GenerateJob{
 		ID: r.id, Prompt: r.prompt, MaxTokens: int(r.maxTokens), Seed: r.seed, Priority: r.priority,
@@ -83,7 +86,8 @@
 	return j
 }
 
-// forwardStream passes one engine stream on. It returns nil at the end of the sample.
+// forwardStream sends the chunks of one engine stream to the caller. It returns
+// nil after the chunk with the finish reason.
 func (h *Handler) forwardStream(ctx context.Context, r *run, o *output, j platform.GenerateJob, out stream) error {
 	ctx, stop := context.WithCancelCause(ctx)
 	defer stop(nil)
@@ -94,8 +98,8 @@
 	if err != nil {
 		return streamError(ctx, err)
 	}
-	// Closing the stream is what cancels it at the engine; a reader that waits
-	// in Next for the next token would notice the end of ctx too late.
+	// Closing the stream cancels it at the engine. Without this hook a reader
+	// that waits in Next for the next token would notice the end of ctx too late.
 	stopCloseHook := context.AfterFunc(ctx, func() { _ = engineStream.Close() })
 	defer func() {
 		if stopCloseHook() {
@@ -122,7 +126,8 @@
 	}
 }
 
-// streamError tells a stop by us from a failure of the engine.
+// streamError returns the cause if this agent stopped the stream, and the
+// engine's failure otherwise.
 func streamError(ctx context.Context, err error) error {
 	if cause := context.Cause(ctx); cause != nil {
 		return cause
@@ -136,7 +141,8 @@
 	return err
 }
 
-// acceptChunk judges a chunk before a byte of it goes on.
+// acceptChunk checks a chunk and adds it to the output. A chunk that fails the
+// check must not be forwarded.
 func (h *Handler) acceptChunk(ctx context.Context, r *run, o *output, c platform.Chunk) error {
 	if err := h.checkChunk(ctx, r, o, c); err != nil {
 		return err
@@ -150,6 +156,8 @@
 	return nil
 }
 
+// checkChunk checks a chunk's version, freshness and label. It returns
+// errResumeOnNewWeights if the run can continue on newer weights instead.
 func (h *Handler) checkChunk(ctx context.Context, r *run, o *output, c platform.Chunk) error {
 	if c.Tokens > 0 && c.Version != 0 {
 		if err := h.checkVersion(ctx, r, o, c); err != nil {
@@ -170,8 +178,9 @@
 	return o.label.Add(c.Version, c.Boot, c.Tokens, c.Text)
 }
 
-// checkVersion holds the chunk until an order under way is settled and then asks
-// whether it fits. A sample's chunk that does not fit ends the stream.
+// checkVersion checks whether the weight orders explain the chunk's version;
+// while an order in progress leaves this undecided it waits for the order to
+// settle. A sample's chunk that contradicts the orders ends the stream.
 func (h *Handler) checkVersion(ctx context.Context, r *run, o *output, c platform.Chunk) error {
 	verdict := h.cfg.Weights.Explains(o.streamVersion, c.Version, c.Boot)
 	for verdict == weights.Undecided {
@@ -187,9 +196,9 @@
 	return nil
 }
 
-// addApplicationChunk: an application's answer needs no label. One that can't be
-// proved is left out and the answer goes on; only another engine start, which
-// can't continue the text, ends it.
+// addApplicationChunk adds a chunk of an application's answer, which needs no
+// label: if a label can't be proved it is omitted and the answer continues. Only
+// a restarted engine, which can't continue the text, ends the answer.
 func (o *output) addApplicationChunk(c platform.Chunk) error {
 	if c.Boot != o.boot {
 		return label.ErrEngineRestarted
@@ -198,7 +207,8 @@
 	return nil
 }
 
-// continueOnFreshWeights waits for weights at or above the floor and lets the run go on there.
+// continueOnFreshWeights waits for weights at or above the floor and prepares
+// the run to continue on them.
 func (h *Handler) continueOnFreshWeights(ctx context.Context, r *run, o *output) *kinds.Error {
 	wait, cancel := context.WithTimeout(ctx, h.cfg.SwapWait)
 	defer cancel()
@@ -206,15 +216,16 @@
 		floor := r.floor.Load()
 		version, boot, err := h.cfg.Weights.WaitFresh(wait, floor)
 		if err != nil {
-			// The tokens passed on were proved and fresh when made: the entry may
-			// go on behind them elsewhere, so they are not called discarded.
+			// The forwarded tokens were proved and fresh when they were generated.
+			// The entry may resume after them on another server, so this is not
+			// sample_discarded.
 			return r.contextError(ctx, kinds.New(kinds.BackendFailed, "no weights at version %d in time", floor))
 		}
 		if version < o.label.Version() {
 			return r.failure("the engine went back to version %d", version)
 		}
 		if !fresh.MayStart(version, r.floor.Load()) {
-			continue // the floor rose meanwhile
+			continue // the floor rose during the wait
 		}
 		o.streamVersion, o.boot = version, boot
 		o.label.ContinueOnBoot(boot)
@@ -222,8 +233,8 @@
 	}
 }
 
-// finish keeps a sample for take-over before it says Done: an entry that dies
-// while Done is on its way then costs no tokens.
+// finish sends Done. It first stores a sample for take-over, so that no tokens
+// are lost if the entry dies while Done is on its way.
 func (h *Handler) finish(ctx context.Context, r *run, o *output, out stream) *kinds.Error {
 	done := &pb.GenerateDone{FinishReason: o.finish, Tokens: o.tokens}
 	if o.label.Err() == nil {
@@ -239,8 +250,8 @@
 	return nil
 }
 
-// handleFailure maps the end of a run that did not finish, and keeps what a new owner
-// of the step can go on from.
+// handleFailure returns the error of a run that did not finish, and keeps the
+// tokens from which a new owner of the step can resume.
 func (h *Handler) handleFailure(ctx context.Context, r *run, o *output, err error) *kinds.Error {
 	if ctx.Err() == nil {
 		return h.reportEngineEnd(ctx, o, r.failure("%v", err))
@@ -253,13 +264,14 @@
 	return kerr
 }
 
-// engineStateTimeout bounds the question whether the engine has ended: a retry elsewhere
-// waits for it. It runs on this VM.
+// engineStateTimeout bounds the check whether the engine has ended, because a
+// retry on another server waits for the check. The engine runs on this VM, so
+// the time is short.
 const engineStateTimeout = 100 * time.Millisecond
 
-// reportEngineEnd names the engine's start in the error of a run that failed, if that start has
-// ended: it refuses connections. The entry that has the request keeps it from ending
-// the next one.
+// reportEngineEnd adds the engine's incarnation to the error of a failed run if
+// the engine has ended, that is, refuses connections. With it the entry that has
+// the request can keep the request from crashing the next engine.
 func (h *Handler) reportEngineEnd(ctx context.Context, o *output, err *kinds.Error) *kinds.Error {
 	ctx, cancel := context.WithTimeout(ctx, engineStateTimeout)
 	defer cancel()
@@ -269,7 +281,7 @@
 	return err
 }
 
-// partial returns the proved part, nil where there is none.
+// partial returns the proved part of the output, or nil if there is none.
 func (o *output) partial(r *run) *partial {
 	if o.label.Err() != nil || o.label.Tokens() == 0 {
 		return nil
@@ -277,7 +289,7 @@
 	return &partial{prompt: r.prompt, seed: r.seed, text: o.text.String(), spans: o.label.Spans(), jobID: o.jobID}
 }
 
-// chunkReply makes the reply of one chunk with one allocation.
+// chunkReply returns the reply for one chunk, built with a single allocation.
 func chunkReply(c platform.Chunk) *pb.GenerateReply {
 	m := &struct {
 		reply pb.GenerateReply
--- a/agent/generate/state.go
+++ b/agent/generate/state.go
@@ -17,7 +17,8 @@
 	pollTimeout   = 2 * time.Second
 	rateSmoothing = 0.3 // weight of the newest rate
 	// maxWarmPrefixes bounds the prefixes in a state report: 64 hashes are about
-	// 650 B, so that one report a second stays far below 17 KB/s a daemon.
+	// 650 B, which keeps one report per second far below the budget of 17 KB/s
+	// per daemon.
 	maxWarmPrefixes = 64
 )
 
@@ -57,8 +58,8 @@
 	}
 }
 
-// pollEngine reads cache events and the load. Both are hints: a failed poll
-// changes nothing.
+// pollEngine reads the engine's cache events and load. Both are only hints, so
+// a failed poll keeps the previous values.
 func (h *Handler) pollEngine(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
@@ -74,7 +75,7 @@
 	}
 }
 
-// FillState writes this part's fields of the agent's state.
+// FillState sets the fields of the agent's state that this package reports.
 func (h *Handler) FillState(s *pb.AgentState) {
 	q := h.cfg.Queue.Stats()
 	s.Slots, s.Running, s.Queued = int32(q.Slots), int32(q.Running), int32(q.Queued)
@@ -87,12 +88,13 @@
 	s.WarmPrefixes = h.warm.list()
 }
 
-// meter measures token rates. add is on the path of every chunk.
+// meter measures the token rates of the engine and of one stream, in tokens per
+// second. add is called for every chunk and takes no lock.
 type meter struct {
 	tokens     atomic.Int64
-	lastTokens int64 // of the ticking goroutine
-	engineRate atomic.Uint64
-	streamRate atomic.Uint64
+	lastTokens int64         // token count at the last tick; only tick uses it
+	engineRate atomic.Uint64 // smoothed; bits of a float64
+	streamRate atomic.Uint64 // smoothed; bits of a float64
 }
 
 func (m *meter) add(n int) { m.tokens.Add(int64(n)) }
@@ -110,6 +112,7 @@
 	}
 }
 
+// smooth moves v towards the newest rate. The first rate is taken as it is.
 func smooth(v *atomic.Uint64, rate float64) {
 	old := math.Float64frombits(v.Load())
 	if old == 0 {
@@ -122,7 +125,8 @@
 	return math.Float64frombits(m.engineRate.Load()), math.Float64frombits(m.streamRate.Load())
 }
 
-// estimateMaxDuration predicts how long a stream takes at most; 0 where no rate is known.
+// estimateMaxDuration predicts how long a stream of maxTokens takes, or returns
+// 0 if no rate is known yet.
 func (m *meter) estimateMaxDuration(maxTokens uint32) time.Duration {
 	_, streamRate := m.rates()
 	if streamRate <= 0 {
@@ -131,7 +135,8 @@
 	return time.Duration(float64(maxTokens) / streamRate * float64(time.Second))
 }
 
-// warmPrefixes is what is believed of the engine's prefix cache.
+// warmPrefixes tracks, from the engine's cache events, which prefixes its cache
+// holds.
 type warmPrefixes struct {
 	mu       sync.Mutex
 	seq      uint64
@@ -144,14 +149,15 @@
 	return w.seq
 }
 
-// apply folds events in. On a gap what was believed is dropped: a prefix whose
-// eviction was lost would draw requests to a cold engine.
+// apply applies cache events in order and skips repeated ones. After a gap in
+// the sequence it drops all prefixes: one whose eviction event was lost would
+// attract requests to an engine that no longer has it cached.
 func (w *warmPrefixes) apply(events []platform.CacheEvent) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, e := range events {
 		if e.Seq <= w.seq && e.Seq != 0 && w.seq-e.Seq < maxRepeatDistance {
-			continue // a repeat
+			continue // repeated
 		}
 		if e.Seq != w.seq+1 {
 			w.prefixes = w.prefixes[:0]
@@ -167,7 +173,8 @@
 	}
 }
 
-// maxRepeatDistance tells a repeated event from an engine that started to count anew.
+// maxRepeatDistance is how far behind the last sequence number an event still
+// counts as repeated; further behind, the engine has restarted its numbering.
 const maxRepeatDistance = 1 << 10
 
 func (w *warmPrefixes) remove(prefix uint64) {
--- a/agent/generate/swaps_bench_test.go
+++ b/agent/generate/swaps_bench_test.go
@@ -29,13 +29,13 @@
 	swapGrace          = 800 * time.Millisecond
 )
 
-// swapEngine is one agent with its stand-in engine.
+// swapEngine is the handler and keeper of one stand-in engine.
 type swapEngine struct {
 	*Handler
 	keeper *weights.Keeper
 }
 
-// fleetViewer is a viewer that wakes those who wait for changes.
+// fleetViewer is a fakeViewer whose Changed channel closes at each announcement.
 type fleetViewer struct {
 	fakeViewer
 	mu      sync.Mutex
@@ -56,10 +56,11 @@
 	v.changed = make(chan struct{})
 }
 
-// BenchmarkSwaps announces versions to four stand-in engines under samples of
-// two trainers, at a tenth of the sites' times, and reports what their trainers
-// feel: how far the engines are behind, the time that they are of no use to a
-// trainer, samples made and samples lost.
+// BenchmarkSwaps announces weight versions to four stand-in engines that run
+// samples of two trainers, with all times a tenth of those of a site. It reports
+// what affects the trainers: how many versions the engines are behind, how long
+// they are of no use because their weights are below the floor, samples
+// completed and samples lost.
 func BenchmarkSwaps(b *testing.B) {
 	for _, interval := range []time.Duration{250 * time.Millisecond, 600 * time.Millisecond, 2500 * time.Millisecond} {
 		for _, weigh := range []manifest.Weigh{manifest.WeighIdle, manifest.WeighStaleness} {
@@ -72,6 +73,7 @@
 	}
 }
 
+// runSwaps runs the fleet once and reports its metrics.
 func runSwaps(b *testing.B, interval time.Duration, weigh manifest.Weigh) {
 	view := &fleetViewer{changed: make(chan struct{})}
 	grace := swapGrace
@@ -163,7 +165,8 @@
 	return swapEngine{h, keeper}
 }
 
-// produceSamples runs one sample after the other until ctx ends.
+// produceSamples runs one sample after another until ctx ends, and counts those
+// completed and lost.
 func produceSamples(ctx context.Context, t testing.TB, e swapEngine, view confsync.Viewer, caller int, done, lost *atomic.Int64) {
 	bench := &testBench{Handler: e.Handler, t: t}
 	for i := 0; ctx.Err() == nil; i++ {
--- a/agent/generate/table.go
+++ b/agent/generate/table.go
@@ -16,13 +16,14 @@
 )
 
 const (
-	// maxEpochs is how many steps of a trainer keep their newest epoch.
+	// maxEpochs is for how many steps of a trainer the newest epoch is kept.
 	maxEpochs = 16
-	// maxPartials bounds the unfinished samples kept for take-over: a few
-	// times the streams that one engine runs.
+	// maxPartials bounds the unfinished samples kept for take-over. It is a few
+	// times the number of streams that one engine runs.
 	maxPartials = 256
-	// applicationWindow is how long an engine counts as serving applications after
-	// their last stream: a few times the time between the calls of a busy one.
+	// applicationWindow is how long after its last application stream an engine
+	// still counts as serving applications: a few times the interval between
+	// the calls of a busy application.
 	applicationWindow = 10 * time.Second
 )
 
@@ -42,29 +43,29 @@
 	resume           *pb.Resume
 	interrupt        context.CancelCauseFunc
 	floor            atomic.Uint64
-	version          atomic.Uint64 // of the newest token
+	version          atomic.Uint64 // weight version of the newest token
 	stopEngineStream atomic.Pointer[context.CancelCauseFunc]
 	startVersion     uint64
 	startBoot        string
-	active           bool // under the table's lock: the engine may have it
+	active           bool // guarded by the table's lock; the engine may be running it
 
 	ended        chan struct{}
 	finalPartial *partial // set before ended is closed
 }
 
-// partial is an unfinished sample's proved part.
+// partial is the proved part of an unfinished sample.
 type partial struct {
 	prompt string
 	seed   uint64
 	text   string
 	spans  []label.Span
-	jobID  string // the engine's id of the stream
+	jobID  string // id of the stream at the engine
 }
 
 func (p *partial) version() uint64 { return p.spans[len(p.spans)-1].Version }
 func (p *partial) tokens() uint32  { return p.spans[len(p.spans)-1].To }
 
-// epoch orders the owners of a step.
+// epoch orders the owners of a step: by attempt, then by claim.
 type epoch struct{ attempt, claim uint64 }
 
 func (e epoch) before(o epoch) bool {
@@ -77,7 +78,7 @@
 	r := &run{
 		id: req.GetRequestId(), caller: req.GetCaller(), prompt: req.GetPrompt(),
 		maxTokens: req.GetMaxTokens(), seed: req.GetSeed(), priority: int(req.GetPriority()),
-		// An application takes the answer from whatever serves.
+		// An application accepts tokens of any version.
 		allowMixed: req.GetAllowMixed() || req.GetSample() == nil,
 		hedge:      req.GetHedge(), resume: req.GetResume(),
 		interrupt: interrupt, ended: make(chan struct{}),
@@ -90,6 +91,7 @@
 	return r
 }
 
+// trainer returns the sample's trainer, or "" for an application's stream.
 func (r *run) trainer() string {
 	if r.sample == nil {
 		return ""
@@ -97,8 +99,8 @@
 	return r.sample.Trainer
 }
 
-// resumeVersion returns the version of the last token that the run goes on
-// behind; 0 where it starts anew or needs no label.
+// resumeVersion returns the version of the last token after which the run
+// resumes, or 0 if the run starts from the beginning or needs no label.
 func (r *run) resumeVersion() uint64 {
 	spans := r.resume.GetSpans()
 	if r.sample == nil || len(spans) == 0 {
@@ -107,8 +109,9 @@
 	return spans[len(spans)-1].GetVersion()
 }
 
-// contextError turns the end of a run's context into the error for its cause;
-// where the context has not ended it returns otherwise.
+// contextError returns the error for the cause that ended the run's context. It
+// returns otherwise if the context has not ended, or if its deadline passed and
+// otherwise proves that the request did not run.
 func (r *run) contextError(ctx context.Context, otherwise *kinds.Error) *kinds.Error {
 	switch cause := context.Cause(ctx); cause {
 	case nil:
@@ -129,7 +132,8 @@
 	}
 }
 
-// failure ends a run whose tokens are lost or can't be trusted.
+// failure returns the error of a run whose tokens are lost or can't be trusted:
+// sample_discarded for a sample, backend_failed for an application's stream.
 func (r *run) failure(format string, args ...any) *kinds.Error {
 	if r.sample != nil {
 		return kinds.New(kinds.SampleDiscarded, format, args...)
@@ -137,7 +141,8 @@
 	return kinds.New(kinds.BackendFailed, format, args...)
 }
 
-// table holds the runs, floors and epochs of one agent.
+// table holds the runs, floors, epochs and partial samples of one agent. It is
+// safe for concurrent use.
 type table struct {
 	mu                 sync.Mutex
 	runs               map[string]*run // by request id
@@ -146,7 +151,7 @@
 	epochs             map[string]map[uint64]epoch // trainer -> step -> newest owner
 	newestStep         map[string]uint64           // trainer -> newest step
 	partials           map[held.Key]*partial
-	swapAt             time.Time // zero: no swap is pending
+	swapAt             time.Time // when the next swap starts; zero: no swap is pending
 	applicationEndedAt time.Time // when an application's stream last ended
 	now                func() time.Time
 }
@@ -167,7 +172,8 @@
 	registerDuplicate
 )
 
-// register enters a run unless its owner is superseded or it runs here already.
+// register adds a run unless its owner is superseded or the run is here
+// already. It returns the run of the same sample from an older epoch, if any.
 func (t *table) register(r *run) (older *run, _ registerResult) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -194,10 +200,11 @@
 	return older, registered
 }
 
-// updateOwner notes an updateOwner's epoch and tells whether it is still the newest. The
-// runs of older owners end: their entry is dead or no longer heard by the
-// trainer, so their tokens would be made for nobody. What they have made stays
-// as partials, from which the new updateOwner's requests go on.
+// updateOwner records the epoch of a step's owner and reports whether it is the
+// newest so far. It ends the runs of older owners: their entry is dead or can't
+// reach the trainer, so no process would use their tokens. The tokens generated
+// so far are kept as partials, from which the new owner's requests resume. The
+// caller holds the lock.
 func (t *table) updateOwner(trainer string, step uint64, e epoch) bool {
 	steps := t.epochs[trainer]
 	if steps == nil {
@@ -232,7 +239,8 @@
 	return low
 }
 
-// prunePartials forgets the unfinished samples of steps before a trainer's newest.
+// prunePartials drops the unfinished samples of a trainer's steps before step,
+// if step is its newest.
 func (t *table) prunePartials(trainer string, step uint64) {
 	if step <= t.newestStep[trainer] {
 		return
@@ -245,8 +253,9 @@
 	}
 }
 
-// activate marks a run as at the engine, unless a swap is too near for it. It
-// returns the time left until the swap.
+// activate marks a run as running on the engine and returns true, unless a
+// pending swap comes too soon for it: then it returns the time until the swap
+// and false. duration is how long the run is expected to take; 0: unknown.
 func (t *table) activate(r *run, version uint64, boot string, preferNew bool, duration time.Duration) (time.Duration, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -260,7 +269,8 @@
 	return 0, true
 }
 
-// unregister takes a run out. It tells whether a pending swap may have waited for it.
+// unregister removes a run. It reports whether a pending swap may have waited
+// for the run.
 func (t *table) unregister(r *run) (mayUnblockSwap bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -275,7 +285,8 @@
 	return r.active && !r.allowMixed && !t.swapAt.IsZero()
 }
 
-// keepPartial keeps an unfinished sample's proved part for a new owner.
+// keepPartial keeps the proved part of an unfinished sample for a new owner. If
+// the table is full it drops an arbitrary other one.
 func (t *table) keepPartial(key held.Key, p *partial) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -288,6 +299,7 @@
 	t.partials[key] = p
 }
 
+// takePartial removes and returns a sample's partial; nil if there is none.
 func (t *table) takePartial(key held.Key) *partial {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -296,7 +308,9 @@
 	return p
 }
 
-// raise learns a trainer's floor and judges its active runs where it rose.
+// raise raises a trainer's floor and reports whether it rose. If so, it stops
+// the active runs that are below the new floor; those that can resume on newer
+// weights only stop their engine stream.
 func (t *table) raise(trainer string, floor, engineVersion uint64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -310,7 +324,7 @@
 		}
 		r.floor.Store(floor)
 		if !r.active {
-			continue // judged again when it gets its slot
+			continue // checked when the run gets its slot
 		}
 		switch fresh.CheckRaisedFloor(engineVersion, r.version.Load(), floor, r.allowMixed) {
 		case fresh.Cancel:
@@ -324,14 +338,16 @@
 	return true
 }
 
-// find returns a run by its request id.
+// find returns the run with the given request id; nil if there is none.
 func (t *table) find(id string) *run {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.runs[id]
 }
 
-// Running tells what a swap must mind.
+// Running returns what a weight swap must take into account: the highest floor,
+// the active streams that may not span versions, and whether the engine serves
+// applications.
 func (h *Handler) Running() weights.Running {
 	t := h.table
 	t.mu.Lock()
@@ -354,21 +370,23 @@
 	return out
 }
 
-// SwapPending tells when the next swap comes; the zero time: none.
+// SwapPending sets when the next swap starts; the zero time means that none is
+// pending.
 func (h *Handler) SwapPending(at time.Time) {
 	h.table.mu.Lock()
 	defer h.table.mu.Unlock()
 	h.table.swapAt = at
 }
 
-// CancelUnmixed cancels the active streams that may not span versions: their
-// time of grace is over.
+// CancelUnmixed cancels the active streams that may not span versions. The
+// Keeper calls it when their grace period has ended.
 func (h *Handler) CancelUnmixed() {
 	h.cancelWhere(errSwap, func(r *run) bool { return !r.allowMixed })
 }
 
 // Discard ends the streams whose tokens can't be trusted. An application's
-// stream has no label to prove and goes on unless the text itself is in doubt.
+// stream needs no proof of its label, so it continues unless all is set, which
+// means that the text itself is in doubt.
 func (h *Handler) Discard(all bool, why string) {
 	h.cancelWhere(errUntrusted, func(r *run) bool { return all || r.sample != nil })
 }
--- a/agent/held/held.go
+++ b/agent/held/held.go
@@ -1,6 +1,6 @@
-// Package held keeps finished samples for a while after they were handed to
-// their entry, so that a new owner of the step can take them over instead of
-// generating them again when the entry dies. It is bounded in bytes and age;
+// Package held keeps finished samples for some time after they were sent to
+// their entry. If the entry dies, the new owner of the step takes them over
+// instead of generating them again. The store is bounded in bytes and age;
 // losing a sample from it costs tokens, never correctness.
 package held
 
@@ -13,15 +13,16 @@
 )
 
 const (
-	// DefaultMaxBytes: a fleet step is 24 trainers * 2,048 samples over 1,500
-	// servers, 33 samples of about 10 KB a server; this holds dozens of steps.
+	// DefaultMaxBytes holds dozens of steps: one step of the whole fleet has
+	// 24 trainers * 2,048 samples on 1,500 servers, which is 33 samples of about
+	// 10 KB per server.
 	DefaultMaxBytes = 16 << 20
 	// DefaultMaxAge is two and a half times the longest step (4 min).
 	DefaultMaxAge = 10 * time.Minute
 	// KeptSteps is how many steps before a trainer's newest are still kept.
 	KeptSteps = 2
-	// entryOverhead stands for the bookkeeping of one sample; BenchmarkHeldSample
-	// measured 703 B beside the text with one span.
+	// entryOverhead and spanOverhead estimate the memory of one sample besides
+	// its strings: 703 B with one span, by BenchmarkHeldSample.
 	entryOverhead = 640
 	spanOverhead  = 64
 )
@@ -33,7 +34,7 @@
 	PromptHash string // label.RequestHash
 }
 
-// Key names a sample by value.
+// Key identifies a sample and is comparable.
 type Key struct {
 	Trainer string
 	Step    uint64
@@ -96,7 +97,9 @@
 	}
 }
 
-// Put keeps a sample, in place of one with the same key.
+// Put stores a sample and replaces one with the same key. It drops the oldest
+// samples beyond the bounds, and ignores a sample that is larger than the whole
+// store or belongs to an outdated step.
 func (s *Store) Put(sample Sample) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -133,9 +136,9 @@
 	return out
 }
 
-// ObserveStep tells that a trainer works on a step; steps well before it are done and
-// their samples are dropped. A step far behind the newest is a training run
-// begun anew and counts from there.
+// ObserveStep records that a trainer works on a step, and drops the samples of
+// outdated steps, which are finished. A step that is itself outdated means that
+// the training run was restarted, so it becomes the newest.
 func (s *Store) ObserveStep(trainer string, step uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -148,7 +151,8 @@
 	})
 }
 
-// DropBelow drops the trainer's samples with a token from below the floor.
+// DropBelow drops the trainer's samples that have a token of a version below the
+// floor.
 func (s *Store) DropBelow(trainer string, floor uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -157,13 +161,15 @@
 	})
 }
 
-// Size returns the samples and bytes held.
+// Size returns the number of samples held and their estimated bytes.
 func (s *Store) Size() (samples int, bytes int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.byKey), s.bytes
 }
 
+// isOutdated reports whether the step is more than KeptSteps before the
+// trainer's newest.
 func (s *Store) isOutdated(trainer string, step uint64) bool {
 	return step+KeptSteps < s.newestStep[trainer]
 }
@@ -196,6 +202,8 @@
 	s.bytes -= e.bytes
 }
 
+// oldestVersion returns the version of the first span, which is the oldest:
+// versions never decrease within a sample. It returns 0 without spans.
 func oldestVersion(d *pb.GenerateDone) uint64 {
 	if len(d.GetSpans()) == 0 {
 		return 0
--- a/agent/held/held_test.go
+++ b/agent/held/held_test.go
@@ -23,8 +23,9 @@
 	}
 }
 
-// The bounds hold whatever comes: bytes, age, floor and passed steps; and what
-// is held is what was put last.
+// After any sequence of operations the store respects its bounds on bytes, age,
+// floor and outdated steps, and each sample that it holds is the one stored last
+// under its key.
 func TestStoreBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(0, 0)
@@ -64,8 +65,8 @@
 	})
 }
 
-// BenchmarkHeldSample reports the heap that one held sample of 8 KB takes
-// beside its text.
+// BenchmarkHeldSample reports the heap that one held sample of 8 KB takes besides
+// its text, and the overhead that the store counts for it.
 func BenchmarkHeldSample(b *testing.B) {
 	const n, textBytes = 2000, 8 << 10
 	for range b.N {
