--- a/confsync/append.go
+++ b/confsync/append.go
@@ -31,17 +31,17 @@
 			select {
 			case <-ctx.Done():
 				return
-			case <-k.announced:
+			case <-k.announceSignal:
 			}
 			continue
 		}
 		err := k.append(ctx, control.EncodeVersion(newID("version", k.cfg.Name), model, version))
 		if err == nil {
 			wait.reset()
-			k.logged(model, version)
+			k.dropPending(model, version)
 			continue
 		}
-		k.limited.Warn("A weight version can't be written to the log yet; peers have it.", zap.String("model", model), zap.Error(err))
+		k.limitedLog.Warn("A weight version can't be written to the log yet; peers have it.", zap.String("model", model), zap.Error(err))
 		if !sleep.For(ctx, wait.next(k.random)) {
 			return
 		}
@@ -57,8 +57,8 @@
 	return "", 0, false
 }
 
-// logged drops an announcement that stands in the log.
-func (k *Keeper) logged(model string, version uint64) {
+// dropPending drops an announcement that stands in the log.
+func (k *Keeper) dropPending(model string, version uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.pending[model] <= version {
@@ -66,10 +66,10 @@
 	}
 }
 
-// settlePending drops announcements that others wrote; k.mu is held.
-func (k *Keeper) settlePending() {
+// dropPendingInLog drops announcements that others wrote; k.mu is held.
+func (k *Keeper) dropPendingInLog() {
 	for model, version := range k.pending {
-		if k.inLog[model] >= version {
+		if k.loggedVersions[model] >= version {
 			delete(k.pending, model)
 		}
 	}
@@ -81,7 +81,7 @@
 	if err := k.appends.Wait(ctx); err != nil {
 		return errors.Trace(err)
 	}
-	from := k.endOfLog()
+	from := k.nextOffset()
 	ctx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
 	logAppends.Add(1)
@@ -91,7 +91,7 @@
 	}
 	logAppendsFailed.Add(1)
 	if errors.Is(err, platform.ErrAppendUnknown) {
-		found, readErr := k.readBack(ctx, from, data)
+		found, readErr := k.findRecord(ctx, from, data)
 		if found {
 			return nil
 		}
@@ -102,15 +102,15 @@
 	return errors.Trace(err)
 }
 
-// endOfLog is an offset that no record appended from now on lies before.
-func (k *Keeper) endOfLog() uint64 {
+// nextOffset is an offset that no record appended from now on lies before.
+func (k *Keeper) nextOffset() uint64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.health.next
+	return k.health.nextOffset
 }
 
-// readBack looks for a record in the log from an offset on.
-func (k *Keeper) readBack(ctx context.Context, from uint64, data []byte) (bool, error) {
+// findRecord looks for a record in the log from an offset on.
+func (k *Keeper) findRecord(ctx context.Context, from uint64, data []byte) (bool, error) {
 	for {
 		page, err := k.cfg.Log.Read(ctx, platform.StreamControl, from, maxPage, 0)
 		if errors.Is(err, platform.ErrTruncated) && page.First > from {
--- a/confsync/bench_test.go
+++ b/confsync/bench_test.go
@@ -22,10 +22,10 @@
 	fleetManifest = 48 << 10
 )
 
-// benchKeeper holds a revision of the given size and versions of some models.
-func benchKeeper(b *testing.B, manifestBytes, models int) *Keeper {
-	k := quietKeeper(b)
-	k.offer("bench", sized(1, manifestBytes))
+// newBenchKeeper holds a revision of the given size and versions of some models.
+func newBenchKeeper(b *testing.B, manifestBytes, models int) *Keeper {
+	k := newIdleKeeper(b)
+	k.offerRevision("bench", sizedRevision(1, manifestBytes))
 	for i := range models {
 		k.Announce(fmt.Sprintf("drafting-model-%02d", i), 100)
 	}
@@ -33,9 +33,9 @@
 	return k
 }
 
-// sized makes a revision whose manifest has about that many bytes, most of
+// sizedRevision makes a revision whose manifest has about that many bytes, most of
 // them callers, as a real one.
-func sized(number uint64, size int) *pb.SignedRevision {
+func sizedRevision(number uint64, size int) *pb.SignedRevision {
 	var text strings.Builder
 	fmt.Fprintf(&text, "[fleet]\nname = f\nlog_retention = 24h\n[service registry]\n[route registry.all]\nprefix = /\nrepeat = always\n")
 	for i := 0; text.Len() < size; i++ {
@@ -50,14 +50,14 @@
 	for _, models := range []int{1, fleetModels, 4 * fleetModels} {
 		for _, kept := range []bool{true, false} {
 			b.Run(fmt.Sprintf("models=%d/kept=%t", models, kept), func(b *testing.B) {
-				server, client := benchKeeper(b, fleetManifest, models), benchKeeper(b, fleetManifest, models)
-				addr := serve(b, server)
+				server, client := newBenchKeeper(b, fleetManifest, models), newBenchKeeper(b, fleetManifest, models)
+				addr := serveKeeper(b, server)
 				before, beforeWire := exchangeBytes.Value(), wireBytes.Load()
 				for b.Loop() {
 					require.True(b, client.exchange(context.Background(), addr))
 					if !kept {
 						client.peers.Close()
-						client.peers = newConns()
+						client.peers = newExchangeConns()
 					}
 				}
 				// Both keepers count, so that each message counts twice.
@@ -73,17 +73,17 @@
 func BenchmarkPush(b *testing.B) {
 	for _, size := range []int{1 << 10, fleetManifest, 4 * fleetManifest} {
 		b.Run(fmt.Sprintf("manifest=%dKB", size>>10), func(b *testing.B) {
-			k := quietKeeper(b)
+			k := newIdleKeeper(b)
 			number := uint64(0)
 			for b.Loop() {
 				b.StopTimer()
 				number++
-				push := sized(number, size)
+				push := sizedRevision(number, size)
 				b.StartTimer()
-				k.offer("bench", push)
+				k.offerRevision("bench", push)
 			}
 			require.Equal(b, number, k.View().Number)
-			b.ReportMetric(float64(proto.Size(sized(1, size))), "rev-B")
+			b.ReportMetric(float64(proto.Size(sizedRevision(1, size))), "rev-B")
 		})
 	}
 }
@@ -92,17 +92,17 @@
 func BenchmarkApply(b *testing.B) {
 	for _, size := range []int{1 << 10, fleetManifest, 4 * fleetManifest} {
 		b.Run(fmt.Sprintf("manifest=%dKB", size>>10), func(b *testing.B) {
-			k := quietKeeper(b)
+			k := newIdleKeeper(b)
 			number := uint64(0)
 			var bytes int
 			for b.Loop() {
 				b.StopTimer()
 				number++
-				data := control.EncodeCommit(fmt.Sprint(number), sized(number, size))
+				data := control.EncodeCommit(fmt.Sprint(number), sizedRevision(number, size))
 				bytes = len(data)
 				b.StartTimer()
 				k.apply([]platform.Record{{Offset: number - 1, Time: time.Now(), Data: data}})
-				k.reached(number, number)
+				k.recordReachable(number, number)
 			}
 			require.Equal(b, number, k.View().Number)
 			b.ReportMetric(float64(bytes), "record-B")
@@ -114,14 +114,14 @@
 func BenchmarkChoose(b *testing.B) {
 	for _, peers := range []int{20, 360, 1860, 7440} {
 		b.Run(fmt.Sprintf("peers=%d", peers), func(b *testing.B) {
-			k := quietKeeper(b)
+			k := newIdleKeeper(b)
 			addrs := make([]string, peers)
 			for i := range addrs {
 				addrs[i] = fmt.Sprintf("10.0.%d.%d:7000", i/250, i%250)
 			}
 			k.cfg.Peers = func() []string { return addrs }
 			for b.Loop() {
-				require.Len(b, k.choose(spreadFanout*exchangeTries), spreadFanout*exchangeTries)
+				require.Len(b, k.choosePeers(spreadFanout*exchangeAttempts), spreadFanout*exchangeAttempts)
 			}
 		})
 	}
--- a/confsync/conns.go
+++ b/confsync/conns.go
@@ -30,26 +30,26 @@
 // Conns keeps the connections to peers that were used last. It is safe for concurrent
 // use.
 type Conns struct {
-	most   int
-	mu     sync.Mutex
-	byAddr map[string]*list.Element
-	used   *list.List // of *conn, last used first
-	closed bool
+	limit     int
+	mu        sync.Mutex
+	byAddr    map[string]*list.Element
+	byLastUse *list.List // of *conn, last used first
+	closed    bool
 }
 
 type conn struct {
-	addr string
-	grpc *grpc.ClientConn
+	addr   string
+	client *grpc.ClientConn
 }
 
 // NewConns returns no connections yet; most bounds them. It has to be above the number
 // of calls that are open at a time: the connection that was used longest ago is closed.
-func NewConns(most int) *Conns {
-	return &Conns{most: most, byAddr: map[string]*list.Element{}, used: list.New()}
+func NewConns(limit int) *Conns {
+	return &Conns{limit: limit, byAddr: map[string]*list.Element{}, byLastUse: list.New()}
 }
 
-// newConns returns those for exchanges.
-func newConns() *Conns { return NewConns(maxConns) }
+// newExchangeConns returns those for exchanges.
+func newExchangeConns() *Conns { return NewConns(maxConns) }
 
 func (c *Conns) exchange(ctx context.Context, addr string, req *pb.ExchangeRequest) (*pb.ExchangeReply, error) {
 	conn, err := c.Get(addr)
@@ -70,8 +70,8 @@
 		return nil, errors.New("confsync: stopped")
 	}
 	if e, ok := c.byAddr[addr]; ok {
-		c.used.MoveToFront(e)
-		return e.Value.(*conn).grpc, nil
+		c.byLastUse.MoveToFront(e)
+		return e.Value.(*conn).client, nil
 	}
 	client, err := run.NewClient(addr,
 		grpc.WithIdleTimeout(idleTimeout),
@@ -80,17 +80,17 @@
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	c.byAddr[addr] = c.used.PushFront(&conn{addr, client})
-	if c.used.Len() > c.most {
-		c.drop(c.used.Back())
+	c.byAddr[addr] = c.byLastUse.PushFront(&conn{addr, client})
+	if c.byLastUse.Len() > c.limit {
+		c.drop(c.byLastUse.Back())
 	}
 	return client, nil
 }
 
 func (c *Conns) drop(e *list.Element) {
-	old := c.used.Remove(e).(*conn)
+	old := c.byLastUse.Remove(e).(*conn)
 	delete(c.byAddr, old.addr)
-	_ = old.grpc.Close()
+	_ = old.client.Close()
 }
 
 // Close closes all connections; none can be had any more.
@@ -98,7 +98,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closed = true
-	for c.used.Len() > 0 {
-		c.drop(c.used.Back())
+	for c.byLastUse.Len() > 0 {
+		c.drop(c.byLastUse.Back())
 	}
 }
--- a/confsync/conns_test.go
+++ b/confsync/conns_test.go
@@ -12,8 +12,8 @@
 	"dandelionsill.org/wire/pb"
 )
 
-// serve runs a Keeper's Exchange on a real listener.
-func serve(t testing.TB, k *Keeper) string {
+// serveKeeper runs a Keeper's Exchange on a real listener.
+func serveKeeper(t testing.TB, k *Keeper) string {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	lis = &countingListener{Listener: lis}
@@ -52,8 +52,8 @@
 	return n, err
 }
 
-func quietKeeper(t testing.TB) *Keeper {
-	k, err := New(Config{Name: "k", Log: newLog().client("k"), Keys: testKeys})
+func newIdleKeeper(t testing.TB) *Keeper {
+	k, err := New(Config{Name: "k", Log: newFakeLog().client("k"), Keys: testKeys})
 	require.NoError(t, err)
 	t.Cleanup(k.peers.Close)
 	return k
@@ -62,27 +62,27 @@
 // A process talks to ever new peers. It keeps few connections, and an exchange
 // over each still works, both with a kept one and with one made anew.
 func TestConnectionsAreBounded(t *testing.T) {
-	k := quietKeeper(t)
-	c := newConns()
+	k := newIdleKeeper(t)
+	c := newExchangeConns()
 	defer c.Close()
 	var addrs []string
 	for range 2 * maxConns {
-		addrs = append(addrs, serve(t, k))
+		addrs = append(addrs, serveKeeper(t, k))
 	}
 	for _, addr := range append(addrs, addrs...) {
 		reply, err := c.exchange(context.Background(), addr, &pb.ExchangeRequest{Name: "x"})
 		require.NoError(t, err)
 		require.Equal(t, "k", reply.Name)
-		require.LessOrEqual(t, c.used.Len(), maxConns)
-		require.Len(t, c.byAddr, c.used.Len())
+		require.LessOrEqual(t, c.byLastUse.Len(), maxConns)
+		require.Len(t, c.byAddr, c.byLastUse.Len())
 	}
 	c.Close()
 	_, err := c.exchange(context.Background(), addrs[0], &pb.ExchangeRequest{})
 	require.Error(t, err)
 }
 
-func TestNewRefusesWithoutTrust(t *testing.T) {
-	_, err := New(Config{Log: newLog().client("k")})
+func TestNewRequiresLogAndKeys(t *testing.T) {
+	_, err := New(Config{Log: newFakeLog().client("k")})
 	require.ErrorContains(t, err, "public key")
 	_, err = New(Config{Keys: testKeys})
 	require.ErrorContains(t, err, "log")
--- a/confsync/fakes_test.go
+++ b/confsync/fakes_test.go
@@ -45,29 +45,29 @@
 	mu      sync.Mutex
 	records []platform.Record // of all time
 	first   uint64            // records before it are truncated
-	grown   chan struct{}
+	changed chan struct{}
 
-	retain      time.Duration // 0: for ever
-	down        bool
-	loseAnswers bool
-	cut         map[string]bool
+	retain       time.Duration // 0: for ever
+	down         bool
+	loseAnswers  bool
+	disconnected map[string]bool
 }
 
-func newLog() *fakeLog {
-	return &fakeLog{grown: make(chan struct{}), cut: map[string]bool{}}
+func newFakeLog() *fakeLog {
+	return &fakeLog{changed: make(chan struct{}), disconnected: map[string]bool{}}
 }
 
-// set changes faults and wakes the waiting readers.
-func (l *fakeLog) set(change func(l *fakeLog)) {
+// setFaults changes faults and wakes the waiting readers.
+func (l *fakeLog) setFaults(change func(l *fakeLog)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	change(l)
-	l.wake()
+	l.notifyReaders()
 }
 
-func (l *fakeLog) wake() {
-	close(l.grown)
-	l.grown = make(chan struct{})
+func (l *fakeLog) notifyReaders() {
+	close(l.changed)
+	l.changed = make(chan struct{})
 }
 
 func (l *fakeLog) truncate() {
@@ -76,8 +76,8 @@
 	}
 }
 
-// kept returns the records that a reader can still get.
-func (l *fakeLog) kept() []platform.Record {
+// retained returns the records that a reader can still get.
+func (l *fakeLog) retained() []platform.Record {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.truncate()
@@ -94,7 +94,7 @@
 func (l *fakeLog) add(data []byte) uint64 {
 	offset := uint64(len(l.records))
 	l.records = append(l.records, platform.Record{Offset: offset, Time: time.Now(), Data: data})
-	l.wake()
+	l.notifyReaders()
 	return offset
 }
 
@@ -106,7 +106,7 @@
 	name string
 }
 
-func (c logClient) unavailable() bool { return c.down || c.cut[c.name] }
+func (c logClient) unavailable() bool { return c.down || c.disconnected[c.name] }
 
 func (c logClient) Append(_ context.Context, _ string, data []byte) (uint64, error) {
 	c.mu.Lock()
@@ -125,12 +125,12 @@
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		page, grown, err := c.page(from, records)
+		page, changed, err := c.page(from, records)
 		if err != nil || len(page.Records) > 0 || page.End < from {
 			return page, err
 		}
 		select {
-		case <-grown:
+		case <-changed:
 		case <-timer.C:
 			return page, nil
 		case <-ctx.Done():
@@ -154,7 +154,7 @@
 		page.Records = c.records[from:min(page.End, from+uint64(records))]
 		page.Next = from + uint64(len(page.Records))
 	}
-	return page, c.grown, nil
+	return page, c.changed, nil
 }
 
 // site is a set of processes with one log and a network in memory. It runs in
@@ -166,15 +166,15 @@
 
 	latency time.Duration // of an exchange
 
-	mu      sync.Mutex
-	names   []string // of the processes that run; copied on write
-	keepers map[string]*Keeper
-	stops   map[string]func()
-	apart   func(a, b string) bool // who can't reach whom
+	mu          sync.Mutex
+	names       []string // of the processes that run; copied on write
+	keepers     map[string]*Keeper
+	stops       map[string]func()
+	partitioned func(a, b string) bool // who can't reach whom
 }
 
 func newSite(t require.TestingT) *site {
-	return &site{t: t, log: newLog(), keepers: map[string]*Keeper{}, stops: map[string]func(){}, apart: func(a, b string) bool { return false }}
+	return &site{t: t, log: newFakeLog(), keepers: map[string]*Keeper{}, stops: map[string]func(){}, partitioned: func(a, b string) bool { return false }}
 }
 
 // inBubble runs a test with virtual time.
@@ -202,7 +202,7 @@
 		defer mu.Unlock()
 		return source.Float64()
 	}
-	k, err := newKeeper(Config{Name: name, Addr: name, Log: s.log.client(name), Keys: testKeys, Peers: s.addresses}, wire{s, name}, random)
+	k, err := newKeeper(Config{Name: name, Addr: name, Log: s.log.client(name), Keys: testKeys, Peers: s.addresses}, memoryExchanger{s, name}, random)
 	require.NoError(s.t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -246,8 +246,8 @@
 	}
 }
 
-// within waits in virtual time until the condition holds for all processes.
-func (s *site) within(limit time.Duration, what string, holds func(k *Keeper) bool) {
+// awaitAll waits in virtual time until the condition holds for all processes.
+func (s *site) awaitAll(limit time.Duration, what string, holds func(k *Keeper) bool) {
 	deadline := time.Now().Add(limit)
 	for _, name := range s.addresses() {
 		k := s.get(name)
@@ -263,34 +263,34 @@
 	}
 }
 
-func (s *site) inForce(limit time.Duration, number uint64) {
-	s.within(limit, fmt.Sprint("revision ", number), func(k *Keeper) bool { return k.View().Number == number })
+func (s *site) awaitRevision(limit time.Duration, number uint64) {
+	s.awaitAll(limit, fmt.Sprint("revision ", number), func(k *Keeper) bool { return k.View().Number == number })
 }
 
-// wire carries one process's exchanges, encoded as on a real network.
-type wire struct {
+// memoryExchanger carries one process's exchanges, encoded as on a real network.
+type memoryExchanger struct {
 	site *site
 	from string
 }
 
 var errUnreachable = errors.New("unreachable")
 
-func (w wire) exchange(ctx context.Context, addr string, req *pb.ExchangeRequest) (*pb.ExchangeReply, error) {
+func (w memoryExchanger) exchange(ctx context.Context, addr string, req *pb.ExchangeRequest) (*pb.ExchangeReply, error) {
 	sleep.For(ctx, w.site.latency)
 	peer := w.site.get(addr)
-	if peer == nil || w.site.apart(w.from, addr) {
+	if peer == nil || w.site.partitioned(w.from, addr) {
 		return nil, errUnreachable
 	}
-	reply, err := peer.Exchange(ctx, recode(w.site.t, req))
-	return recode(w.site.t, reply), err
+	reply, err := peer.Exchange(ctx, roundTrip(w.site.t, req))
+	return roundTrip(w.site.t, reply), err
 }
 
-func (wire) Close() {}
+func (memoryExchanger) Close() {}
 
-func recode[M proto.Message](t require.TestingT, m M) M {
+func roundTrip[M proto.Message](t require.TestingT, m M) M {
 	data, err := proto.Marshal(m)
 	require.NoError(t, err)
-	copied := m.ProtoReflect().New().Interface().(M)
-	require.NoError(t, proto.Unmarshal(data, copied))
-	return copied
+	decoded := m.ProtoReflect().New().Interface().(M)
+	require.NoError(t, proto.Unmarshal(data, decoded))
+	return decoded
 }
--- a/confsync/gossip.go
+++ b/confsync/gossip.go
@@ -20,45 +20,45 @@
 const (
 	spreadFanout = 3
 	spreadRounds = 3
-	// spreadFirst delays the first round for what came from a peer.
-	spreadFirst = 100 * time.Millisecond
-	// spreadAfterLog does so for what came from the log: by then most peers
+	// peerSpreadDelay delays the first round for what came from a peer.
+	peerSpreadDelay = 100 * time.Millisecond
+	// logSpreadDelay does so for what came from the log: by then most peers
 	// have it from there, too, and needn't be sent the manifest.
-	spreadAfterLog = 500 * time.Millisecond
-	// spreadPause lies between rounds.
-	spreadPause = 300 * time.Millisecond
+	logSpreadDelay = 500 * time.Millisecond
+	// spreadInterval lies between rounds.
+	spreadInterval = 300 * time.Millisecond
 )
 
 // Anti-entropy: how often a process compares with one random peer.
 const (
-	entropyPause = 2 * time.Second
-	// entropyAlone holds while the log can't be read or nothing is known yet.
-	entropyAlone = 400 * time.Millisecond
+	antiEntropyInterval = 2 * time.Second
+	// isolatedAntiEntropyInterval holds while the log can't be read or nothing is known yet.
+	isolatedAntiEntropyInterval = 400 * time.Millisecond
 )
 
 // Bounds of one exchange.
 const (
-	exchangeTimeout = time.Second
-	exchangeTries   = 3 // peers tried for one exchange
-	// avoidFor is how long a peer that failed isn't asked again. When regions
+	exchangeTimeout  = time.Second
+	exchangeAttempts = 3 // peers tried for one exchange
+	// failedPeerCooldown is how long a peer that failed isn't asked again. When regions
 	// lose each other, the tries go to the peers that are left.
-	avoidFor = 10 * time.Second
+	failedPeerCooldown = 10 * time.Second
 )
 
 // Exchange answers a peer.
 func (k *Keeper) Exchange(_ context.Context, req *pb.ExchangeRequest) (*pb.ExchangeReply, error) {
 	exchangesIn.Add(1)
-	k.merge(req.Versions)
-	k.offer(req.Name, req.Push)
+	k.mergeVersions(req.Versions)
+	k.offerRevision(req.Name, req.Push)
 	head := k.head()
-	reply := &pb.ExchangeReply{Name: k.cfg.Name, Versions: k.newerThan(req.Versions)}
+	reply := &pb.ExchangeReply{Name: k.cfg.Name, Versions: k.versionsNewerThan(req.Versions)}
 	if head != nil {
 		reply.Revision, reply.Hash = head.Number, head.Hash
 		if req.Revision < head.Number && (req.Push == nil || req.Push.Number < head.Number) {
 			reply.Newer = head.Signed
 		}
 	}
-	k.compare(req.Name, head, req.Revision, req.Hash)
+	k.reportConflict(req.Name, head, req.Revision, req.Hash)
 	exchangeBytes.Add(int64(proto.Size(req) + proto.Size(reply)))
 	return reply, nil
 }
@@ -69,63 +69,63 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-k.spread:
+		case <-k.spreadSignal:
 		}
-		for k.spreadOnce(ctx) {
+		for k.spreadChange(ctx) {
 		}
 	}
 }
 
-// spreadOnce runs the rounds for one change. It returns true when something
+// spreadChange runs the rounds for one change. It returns true when something
 // newer came meanwhile, which needs rounds of its own.
-func (k *Keeper) spreadOnce(ctx context.Context) bool {
-	pause := k.random.jittered(k.firstPause())
+func (k *Keeper) spreadChange(ctx context.Context) bool {
+	pause := k.random.jitter(k.firstSpreadDelay())
 	for range spreadRounds {
 		timer := time.NewTimer(pause)
 		select {
 		case <-ctx.Done():
 			timer.Stop()
 			return false
-		case <-k.spread:
+		case <-k.spreadSignal:
 			timer.Stop()
 			return true
 		case <-timer.C:
 		}
-		k.exchangeWithSome(ctx, spreadFanout)
-		pause = k.random.jittered(spreadPause)
+		k.exchangeWithRandomPeers(ctx, spreadFanout)
+		pause = k.random.jitter(spreadInterval)
 	}
 	return false
 }
 
-func (k *Keeper) firstPause() time.Duration {
+func (k *Keeper) firstSpreadDelay() time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.spreadAfter
+	return k.spreadDelay
 }
 
 // antiEntropy compares with a random peer now and then.
 func (k *Keeper) antiEntropy(ctx context.Context) {
 	for {
-		k.exchangeWithSome(ctx, 1)
-		pause := entropyAlone
-		if k.logReachable() && k.head() != nil {
-			pause = entropyPause
+		k.exchangeWithRandomPeers(ctx, 1)
+		pause := isolatedAntiEntropyInterval
+		if k.isLogReachable() && k.head() != nil {
+			pause = antiEntropyInterval
 		}
-		if !sleep.For(ctx, k.random.jittered(pause)) {
+		if !sleep.For(ctx, k.random.jitter(pause)) {
 			return
 		}
 	}
 }
 
-// exchangeWithSome exchanges with n random peers at once. Where one fails
+// exchangeWithRandomPeers exchanges with n random peers at once. Where one fails
 // another takes its place, up to exchangeTries times.
-func (k *Keeper) exchangeWithSome(ctx context.Context, n int) {
-	candidates := k.choose(n * exchangeTries)
+func (k *Keeper) exchangeWithRandomPeers(ctx context.Context, n int) {
+	candidates := k.choosePeers(n * exchangeAttempts)
 	n = min(n, len(candidates))
 	if n == 0 {
 		return
 	}
-	one := func(first int) {
+	exchangeUntilAnswer := func(first int) {
 		for j := first; j < len(candidates) && ctx.Err() == nil; j += n {
 			if k.exchange(ctx, candidates[j]) {
 				return
@@ -134,90 +134,90 @@
 	}
 	var running sync.WaitGroup
 	for i := 1; i < n; i++ {
-		running.Go(func() { one(i) })
+		running.Go(func() { exchangeUntilAnswer(i) })
 	}
-	one(0) // anti-entropy, which runs for ever, starts no goroutine
+	exchangeUntilAnswer(0) // anti-entropy, which runs for ever, starts no goroutine
 	running.Wait()
 }
 
-// choose picks up to n random peers, those that failed lately last.
-func (k *Keeper) choose(n int) []string {
+// choosePeers picks up to n random peers, those that failed lately last.
+func (k *Keeper) choosePeers(n int) []string {
 	all := k.cfg.Peers()
 	now := time.Now()
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	for addr, until := range k.avoid {
+	for addr, until := range k.excludedUntil {
 		if now.After(until) {
-			delete(k.avoid, addr)
+			delete(k.excludedUntil, addr)
 		}
 	}
-	var good, failed []string
+	var preferred, excluded []string
 	// Own address and failed peers may be among the draws: draw some more.
-	for _, i := range k.random.pick(n+len(k.avoid)+1, len(all)) {
+	for _, i := range k.random.pick(n+len(k.excludedUntil)+1, len(all)) {
 		switch addr := all[i]; {
 		case addr == k.cfg.Addr:
-		case k.avoid[addr].IsZero():
-			good = append(good, addr)
+		case k.excludedUntil[addr].IsZero():
+			preferred = append(preferred, addr)
 		default:
-			failed = append(failed, addr)
+			excluded = append(excluded, addr)
 		}
 	}
-	chosen := append(good, failed...)
+	chosen := append(preferred, excluded...)
 	return chosen[:min(n, len(chosen))]
 }
 
 // exchange runs one exchange as the asker and pushes the revision if the peer
 // turns out to be behind. It returns whether the peer answered.
 func (k *Keeper) exchange(ctx context.Context, addr string) bool {
-	reply, ok := k.ask(ctx, addr, nil)
+	reply, ok := k.sendExchange(ctx, addr, nil)
 	if !ok {
 		return false
 	}
-	k.offer(reply.Name, reply.Newer)
-	k.merge(reply.Versions)
+	k.offerRevision(reply.Name, reply.Newer)
+	k.mergeVersions(reply.Versions)
 	head := k.head()
-	k.compare(reply.Name, head, reply.Revision, reply.Hash)
+	k.reportConflict(reply.Name, head, reply.Revision, reply.Hash)
 	if head != nil && reply.Revision < head.Number {
 		revisionsPushed.Add(1)
-		_, ok = k.ask(ctx, addr, head.Signed)
+		_, ok = k.sendExchange(ctx, addr, head.Signed)
 	}
 	return ok
 }
 
-func (k *Keeper) ask(ctx context.Context, addr string, push *pb.SignedRevision) (*pb.ExchangeReply, bool) {
+func (k *Keeper) sendExchange(ctx context.Context, addr string, push *pb.SignedRevision) (*pb.ExchangeReply, bool) {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
-	req := k.request(push)
+	req := k.newRequest(push)
 	exchangesOut.Add(1)
 	reply, err := k.peers.exchange(ctx, addr, req)
 	if err != nil {
-		k.failed(addr, err)
+		k.recordPeerFailure(addr, err)
 		return nil, false
 	}
 	exchangeBytes.Add(int64(proto.Size(req) + proto.Size(reply)))
 	return reply, true
 }
 
-func (k *Keeper) failed(addr string, err error) {
+func (k *Keeper) recordPeerFailure(addr string, err error) {
 	exchangesFailed.Add(1)
-	k.limited.Debug("A peer does not answer.", zap.String("peer", addr), zap.Error(err))
+	k.limitedLog.Debug("A peer does not answer.", zap.String("peer", addr), zap.Error(err))
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.avoid[addr] = time.Now().Add(avoidFor)
+	k.excludedUntil[addr] = time.Now().Add(failedPeerCooldown)
 }
 
-func (k *Keeper) request(push *pb.SignedRevision) *pb.ExchangeRequest {
-	req := &pb.ExchangeRequest{Name: k.cfg.Name, Addr: k.cfg.Addr, Push: push, Versions: k.newerThan(nil)}
+func (k *Keeper) newRequest(push *pb.SignedRevision) *pb.ExchangeRequest {
+	req := &pb.ExchangeRequest{Name: k.cfg.Name, Addr: k.cfg.Addr, Push: push, Versions: k.versionsNewerThan(nil)}
 	if head := k.head(); head != nil {
 		req.Revision, req.Hash = head.Number, head.Hash
 	}
 	return req
 }
 
-// newerThan lists the versions that are newer here than in the list.
-func (k *Keeper) newerThan(theirs []*pb.ModelVersion) []*pb.ModelVersion {
-	known := make(map[string]uint64, len(theirs))
-	for _, v := range theirs {
+// versionsNewerThan lists the versions that are newer here than in the list.
+func (k *Keeper) versionsNewerThan(peerVersions []*pb.ModelVersion) []*pb.ModelVersion {
+	known := make(map[string]uint64, len(peerVersions))
+	for _, v := range peerVersions {
 		known[v.Model] = v.Version
 	}
 	var newer []*pb.ModelVersion
@@ -229,13 +229,13 @@
 	return newer
 }
 
-// compare finds two contents under one revision number. That can't come from
+// reportConflict finds two contents under one revision number. That can't come from
 // one log; it means that a process reads another fleet's log.
-func (k *Keeper) compare(peer string, head *control.Revision, number uint64, hash string) {
+func (k *Keeper) reportConflict(peer string, head *control.Revision, number uint64, hash string) {
 	if head == nil || number != head.Number || hash == head.Hash {
 		return
 	}
 	revisionsRefused.Add(1)
-	k.limited.Error("A peer has another content under our revision number.",
+	k.limitedLog.Error("A peer has another content under our revision number.",
 		zap.String("peer", peer), zap.Uint64("revision", number), zap.String("theirs", hash), zap.String("ours", head.Hash))
 }
--- a/confsync/keepalive.go
+++ b/confsync/keepalive.go
@@ -62,14 +62,14 @@
 // keepAlive reappends the revision, with the versions that the log gave, when
 // this process is the first whose time has come.
 func (k *Keeper) keepAlive(ctx context.Context) {
-	var seen control.NewestCopy
+	var lastCopy control.NewestCopy
 	var due time.Time // zero: nothing to keep alive
 	for {
-		if copied, retention, ok := k.newestCopy(); !ok {
+		if newest, retention, ok := k.newestCopy(); !ok {
 			due = time.Time{}
-		} else if due.IsZero() || copied != seen {
-			seen = copied
-			due = dueAt(copied, time.Now(), normalWindow(retention).draw(k.random()))
+		} else if due.IsZero() || newest != lastCopy {
+			lastCopy = newest
+			due = dueAt(newest, time.Now(), normalWindow(retention).draw(k.random()))
 		}
 		if !k.waitUntil(ctx, due) {
 			if ctx.Err() != nil {
@@ -77,12 +77,12 @@
 			}
 			continue // something has changed
 		}
-		late := !k.logReachable()
+		late := !k.isLogReachable()
 		if late && !k.waitForLog(ctx) {
 			return
 		}
 		if !late {
-			k.reappend(ctx, seen)
+			k.reappend(ctx, lastCopy)
 		}
 		due = time.Now().Add(lateWindow(k.retention()).draw(k.random()))
 	}
@@ -91,40 +91,40 @@
 // dueAt counts from the copy's time by the log's clock, or from now where no
 // copy was read here. A copy can't be from the future; a clock that says so is
 // wrong.
-func dueAt(copied control.NewestCopy, now time.Time, after time.Duration) time.Time {
-	since := copied.Time
-	if since.IsZero() || since.After(now) {
-		since = now
+func dueAt(newest control.NewestCopy, now time.Time, delay time.Duration) time.Time {
+	start := newest.Time
+	if start.IsZero() || start.After(now) {
+		start = now
 	}
-	return since.Add(after)
+	return start.Add(delay)
 }
 
 // waitUntil returns true at the time, false when k.copied tells of a change or
 // ctx is done. It waits for ever where the time is zero.
 func (k *Keeper) waitUntil(ctx context.Context, at time.Time) bool {
-	var fires <-chan time.Time
+	var timerChan <-chan time.Time
 	if !at.IsZero() {
 		timer := time.NewTimer(time.Until(at))
 		defer timer.Stop()
-		fires = timer.C
+		timerChan = timer.C
 	}
 	select {
 	case <-ctx.Done():
 		return false
-	case <-k.copied:
+	case <-k.keepAliveSignal:
 		return false
-	case <-fires:
+	case <-timerChan:
 		return true
 	}
 }
 
 // waitForLog waits until the log can be read; it returns false when ctx is done.
 func (k *Keeper) waitForLog(ctx context.Context) bool {
-	for !k.logReachable() {
+	for !k.isLogReachable() {
 		select {
 		case <-ctx.Done():
 			return false
-		case <-k.copied:
+		case <-k.keepAliveSignal:
 		}
 	}
 	return true
@@ -132,7 +132,7 @@
 
 // newestCopy returns the newest copy of the revision in the log. ok is false
 // where this process has nothing that it may reappend.
-func (k *Keeper) newestCopy() (copied control.NewestCopy, retention time.Duration, ok bool) {
+func (k *Keeper) newestCopy() (newest control.NewestCopy, retention time.Duration, ok bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if !k.state.Settled() || k.state.Head() == nil {
@@ -155,18 +155,18 @@
 }
 
 // reappend writes the revision again unless somebody else just has.
-func (k *Keeper) reappend(ctx context.Context, seen control.NewestCopy) {
+func (k *Keeper) reappend(ctx context.Context, lastCopy control.NewestCopy) {
 	k.mu.Lock()
 	data, ok := k.state.EncodeReappend(newID("reappend", k.cfg.Name))
-	renewed := k.state.NewestCopy() != seen
+	renewed := k.state.NewestCopy() != lastCopy
 	k.mu.Unlock()
 	if !ok || renewed {
 		return
 	}
 	if err := k.append(ctx, data); err != nil {
-		k.limited.Warn("The revision can't be reappended yet.", zap.Error(err))
+		k.limitedLog.Warn("The revision can't be reappended yet.", zap.Error(err))
 		return
 	}
 	reappends.Add(1)
-	k.log.Info("Reappended the revision.", zap.Uint64("offset", seen.Offset))
+	k.log.Info("Reappended the revision.", zap.Uint64("offset", lastCopy.Offset))
 }
--- a/confsync/keepalive_test.go
+++ b/confsync/keepalive_test.go
@@ -30,7 +30,7 @@
 		require.Less(t, appended, 90)
 		s.stopAll()
 		fresh := s.start("p9")
-		s.inForce(inForceLimit, 1)
+		s.awaitRevision(inForceLimit, 1)
 		require.Equal(t, uint64(4), fresh.View().Versions["m"])
 	})
 }
@@ -41,24 +41,24 @@
 	inBubble(t, func(t *testing.T, s *site) {
 		s.startMany(50)
 		s.log.commit(revision(1, "a"))
-		s.inForce(inForceLimit, 1)
-		s.log.set(func(l *fakeLog) { l.down = true })
+		s.awaitRevision(inForceLimit, 1)
+		s.log.setFaults(func(l *fakeLog) { l.down = true })
 		sleep.For(context.Background(), retention*7/16)
-		s.log.set(func(l *fakeLog) { l.down = false })
+		s.log.setFaults(func(l *fakeLog) { l.down = false })
 		sleep.For(context.Background(), retention/16+time.Minute)
-		require.Contains(t, []int{2, 3}, len(s.log.kept()), "once, and doubled at most once")
+		require.Contains(t, []int{2, 3}, len(s.log.retained()), "once, and doubled at most once")
 	})
 }
 
 // All 1,860 processes hold a revision and draw their times; those that fire
 // before the first one's record reaches them append too. Whatever the fleet's
 // size, the doubles stay few, and the first one is in time.
-func TestFewDoubles(t *testing.T) {
-	const rounds, reach, retention = 200, 2 * time.Second, time.Hour
+func TestFewDoubleReappends(t *testing.T) {
+	const rounds, appendTime, retention = 200, 2 * time.Second, time.Hour
 	random := rand.New(rand.NewPCG(1, 2))
 	for _, w := range []window{normalWindow(retention), lateWindow(retention)} {
 		for _, processes := range []int{1, 13, 360, 1860, maxProcesses} {
-			doubles, most := 0, 0
+			doubles, maxDoubles := 0, 0
 			for range rounds {
 				due := make([]time.Duration, processes)
 				for i := range due {
@@ -66,13 +66,13 @@
 				}
 				slices.Sort(due)
 				require.Less(t, due[0], retention/2)
-				behind, _ := slices.BinarySearch(due, due[0]+reach)
-				doubles += behind - 1
-				most = max(most, behind-1)
+				firstAfter, _ := slices.BinarySearch(due, due[0]+appendTime)
+				doubles += firstAfter - 1
+				maxDoubles = max(maxDoubles, firstAfter-1)
 			}
-			t.Logf("window %v, %d processes: %.3f doubles on average, %d at most", w, processes, float64(doubles)/rounds, most)
+			t.Logf("window %v, %d processes: %.3f doubles on average, %d at most", w, processes, float64(doubles)/rounds, maxDoubles)
 			require.LessOrEqual(t, float64(doubles)/rounds, 0.5)
-			require.LessOrEqual(t, most, 5)
+			require.LessOrEqual(t, maxDoubles, 5)
 		}
 	}
 }
--- a/confsync/keeper.go
+++ b/confsync/keeper.go
@@ -19,8 +19,8 @@
 	"dandelionsill.org/wire/pb"
 )
 
-// logEvery limits each log line that a lasting failure would repeat.
-const logEvery = time.Minute
+// logInterval limits each log line that a lasting failure would repeat.
+const logInterval = time.Minute
 
 // maxModels bounds the memory that versions heard from peers can take.
 const maxModels = 4096
@@ -42,35 +42,35 @@
 type Keeper struct {
 	pb.UnimplementedPeerServer
 
-	cfg     Config
-	log     *zap.Logger
-	limited *zap.Logger // for what a failure repeats
-	peers   exchanger
-	random  random
-	appends *rate.Limiter
+	cfg        Config
+	log        *zap.Logger
+	limitedLog *zap.Logger // for what a failure repeats
+	peers      exchanger
+	random     random
+	appends    *rate.Limiter
 
 	view    atomic.Pointer[View]
 	changed atomic.Pointer[chan struct{}]
 
-	mu       sync.Mutex
-	state    *control.State
-	versions map[string]uint64 // newest from anywhere
-	inLog    map[string]uint64 // newest that the log gave
-	pending  map[string]uint64 // announced here, not yet seen in the log
-	health   logHealth
-	start    startup
-	avoid    map[string]time.Time // peers that failed, until when
+	mu             sync.Mutex
+	state          *control.State
+	versions       map[string]uint64 // newest from anywhere
+	loggedVersions map[string]uint64 // newest that the log gave
+	pending        map[string]uint64 // announced here, not yet seen in the log
+	health         logHealth
+	startupState   startup
+	excludedUntil  map[string]time.Time // peers that failed, until when
 
-	spreadAfter time.Duration // pause before the news is spread; mu guards it
+	spreadDelay time.Duration // pause before the news is spread; mu guards it
 
-	spread    chan struct{} // something new is known
-	announced chan struct{} // pending has grown
-	copied    chan struct{} // the revision in the log was renewed, or the log is back
+	spreadSignal    chan struct{} // something new is known
+	announceSignal  chan struct{} // pending has grown
+	keepAliveSignal chan struct{} // the revision in the log was renewed, or the log is back
 }
 
 // New returns a Keeper that knows nothing yet; Run makes it learn.
 func New(cfg Config) (*Keeper, error) {
-	return newKeeper(cfg, newConns(), newRandom())
+	return newKeeper(cfg, newExchangeConns(), newRandom())
 }
 
 func newKeeper(cfg Config, peers exchanger, random random) (*Keeper, error) {
@@ -87,20 +87,20 @@
 		cfg.Peers = func() []string { return nil }
 	}
 	k := &Keeper{
-		cfg:       cfg,
-		log:       cfg.Logger,
-		limited:   logs.Limited(cfg.Logger, logEvery),
-		peers:     peers,
-		random:    random,
-		appends:   rate.NewLimiter(appendRate, appendBurst),
-		state:     control.New(cfg.Keys),
-		versions:  map[string]uint64{},
-		inLog:     map[string]uint64{},
-		pending:   map[string]uint64{},
-		avoid:     map[string]time.Time{},
-		spread:    make(chan struct{}, 1),
-		announced: make(chan struct{}, 1),
-		copied:    make(chan struct{}, 1),
+		cfg:             cfg,
+		log:             cfg.Logger,
+		limitedLog:      logs.Limited(cfg.Logger, logInterval),
+		peers:           peers,
+		random:          random,
+		appends:         rate.NewLimiter(appendRate, appendBurst),
+		state:           control.New(cfg.Keys),
+		versions:        map[string]uint64{},
+		loggedVersions:  map[string]uint64{},
+		pending:         map[string]uint64{},
+		excludedUntil:   map[string]time.Time{},
+		spreadSignal:    make(chan struct{}, 1),
+		announceSignal:  make(chan struct{}, 1),
+		keepAliveSignal: make(chan struct{}, 1),
 	}
 	k.view.Store(&View{Versions: map[string]uint64{}})
 	changed := make(chan struct{})
@@ -115,20 +115,20 @@
 		loops.Go(func() { loop(ctx) })
 	}
 	loops.Wait()
-	k.handOver()
+	k.sendPending()
 	k.peers.Close()
 }
 
-// handOver gives peers the announcements that may be known only here. Without
+// sendPending gives peers the announcements that may be known only here. Without
 // it, a version announced just before a planned stop would be lost until its
 // trainer announces the next one.
-func (k *Keeper) handOver() {
+func (k *Keeper) sendPending() {
 	if _, _, ok := k.nextPending(); !ok {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), exchangeTimeout)
 	defer cancel()
-	k.exchangeWithSome(ctx, spreadFanout)
+	k.exchangeWithRandomPeers(ctx, spreadFanout)
 }
 
 // View returns the newest View; it is never nil.
@@ -148,8 +148,8 @@
 	}
 	k.versions[model] = version
 	k.pending[model] = version
-	k.publish(spreadFirst)
-	notify(k.announced)
+	k.publish(peerSpreadDelay)
+	notify(k.announceSignal)
 }
 
 // apply folds records of the log in.
@@ -159,18 +159,18 @@
 	before := k.state.NewestCopy()
 	for _, rec := range records {
 		for _, event := range k.state.Apply(rec) {
-			k.note(event)
+			k.applyEvent(event)
 		}
 	}
-	k.settlePending()
+	k.dropPendingInLog()
 	if k.state.NewestCopy() != before {
-		notify(k.copied)
+		notify(k.keepAliveSignal)
 	}
-	k.publish(spreadAfterLog)
+	k.publish(logSpreadDelay)
 }
 
-// offer takes a revision from a peer. A refused one changes nothing.
-func (k *Keeper) offer(from string, rev *pb.SignedRevision) {
+// offerRevision takes a revision from a peer. A refused one changes nothing.
+func (k *Keeper) offerRevision(from string, rev *pb.SignedRevision) {
 	if rev == nil {
 		return
 	}
@@ -179,21 +179,21 @@
 	rose, err := k.state.Offer(rev)
 	if err != nil {
 		revisionsRefused.Add(1)
-		k.limited.Error("Refused a peer's revision.", zap.String("peer", from), zap.Error(err))
+		k.limitedLog.Error("Refused a peer's revision.", zap.String("peer", from), zap.Error(err))
 		return
 	}
 	if rose {
 		if readable := k.state.Revision(); readable != nil && readable.Number == rev.Number {
-			k.start.fromPeer = rev.Number
+			k.startupState.newestFromPeer = rev.Number
 		}
 		k.log.Info("Took a revision from a peer.", zap.String("peer", from), zap.Uint64("revision", rev.Number))
-		k.publish(spreadFirst)
-		notify(k.copied)
+		k.publish(peerSpreadDelay)
+		notify(k.keepAliveSignal)
 	}
 }
 
-// merge takes weight versions from a peer.
-func (k *Keeper) merge(versions []*pb.ModelVersion) {
+// mergeVersions takes weight versions from a peer.
+func (k *Keeper) mergeVersions(versions []*pb.ModelVersion) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	rose := false
@@ -206,38 +206,38 @@
 		rose = true
 	}
 	if rose {
-		k.publish(spreadFirst)
+		k.publish(peerSpreadDelay)
 	}
 }
 
 // publish swaps the View in if it differs and wakes whoever waits. Peers are
 // told after a pause; k.mu is held.
-func (k *Keeper) publish(spreadAfter time.Duration) {
-	old, next := k.view.Load(), k.build()
+func (k *Keeper) publish(spreadDelay time.Duration) {
+	old, next := k.view.Load(), k.buildView()
 	if old.Number == next.Number && old.Hash == next.Hash && old.Offset == next.Offset && maps.Equal(old.Versions, next.Versions) {
 		return
 	}
 	k.view.Store(next)
 	changed := make(chan struct{})
 	close(*k.changed.Swap(&changed))
-	k.spreadAfter = spreadAfter
-	notify(k.spread)
+	k.spreadDelay = spreadDelay
+	notify(k.spreadSignal)
 }
 
-func (k *Keeper) build() *View {
+func (k *Keeper) buildView() *View {
 	view := *k.view.Load()
 	view.Versions = maps.Clone(k.versions)
-	if rev := k.state.Revision(); rev != nil && k.start.mayUse(rev.Number) {
+	if rev := k.state.Revision(); rev != nil && k.startupState.mayUse(rev.Number) {
 		view.Number, view.Hash, view.Offset, view.Manifest = rev.Number, rev.Hash, rev.Offset, rev.Manifest
 	}
 	return &view
 }
 
-// note keeps and logs what a record of the log changed; k.mu is held.
-func (k *Keeper) note(event control.Event) {
+// applyEvent keeps and logs what a record of the log changed; k.mu is held.
+func (k *Keeper) applyEvent(event control.Event) {
 	switch e := event.(type) {
 	case control.Version:
-		k.inLog[e.Model] = e.Version
+		k.loggedVersions[e.Model] = e.Version
 		k.versions[e.Model] = max(k.versions[e.Model], e.Version)
 	case control.Accepted:
 		k.log.Info("Accepted a revision.", zap.Uint64("revision", e.Revision.Number), zap.Uint64("offset", e.Revision.Offset))
@@ -256,7 +256,7 @@
 func (k *Keeper) head() *control.Revision {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if head := k.state.Head(); head != nil && k.start.mayUse(head.Number) {
+	if head := k.state.Head(); head != nil && k.startupState.mayUse(head.Number) {
 		return head
 	}
 	return nil
--- a/confsync/keeper_test.go
+++ b/confsync/keeper_test.go
@@ -22,13 +22,13 @@
 // The operator commits a revision while one process is cut off from the log.
 // The others read it from the log, the one hears of it from a peer: it is in
 // force everywhere within 3 s. The operator commits another one: likewise.
-func TestCutOffProcessHearsFromPeers(t *testing.T) {
+func TestPartitionedProcessLearnsFromPeers(t *testing.T) {
 	inBubble(t, func(t *testing.T, s *site) {
-		s.log.cut["p7"] = true
+		s.log.disconnected["p7"] = true
 		s.startMany(40)
 		for number := range uint64(3) {
 			s.log.commit(revision(number+1, "a"))
-			s.inForce(inForceLimit, number+1)
+			s.awaitRevision(inForceLimit, number+1)
 		}
 		require.False(t, s.get("p7").Status().LogReachable)
 		require.NotEmpty(t, s.get("p7").Status().LogError)
@@ -41,15 +41,15 @@
 func TestOutageAfterOneProcessRead(t *testing.T) {
 	inBubble(t, func(t *testing.T, s *site) {
 		for i := 1; i < 40; i++ {
-			s.log.cut[fmt.Sprint("p", i)] = true
+			s.log.disconnected[fmt.Sprint("p", i)] = true
 		}
 		s.startMany(40)
 		s.log.commit(revision(1, "a"))
 		synctest.Wait()
-		s.log.set(func(l *fakeLog) { l.down = true })
-		s.inForce(inForceLimit, 1)
+		s.log.setFaults(func(l *fakeLog) { l.down = true })
+		s.awaitRevision(inForceLimit, 1)
 		fresh := s.start("p40")
-		s.inForce(inForceLimit, 1)
+		s.awaitRevision(inForceLimit, 1)
 		require.Equal(t, uint64(0), fresh.View().Offset)
 		require.Equal(t, "f", fresh.View().Manifest.Fleet.Name)
 	})
@@ -62,63 +62,63 @@
 		const processes = 1860
 		s.latency = 100 * time.Millisecond
 		for i := 1; i < processes; i++ {
-			s.log.cut[fmt.Sprint("p", i)] = true
+			s.log.disconnected[fmt.Sprint("p", i)] = true
 		}
 		s.startMany(processes)
-		began := time.Now()
+		startTime := time.Now()
 		s.log.commit(revision(1, "a"))
-		s.inForce(inForceLimit, 1)
-		t.Logf("in force everywhere after %s of virtual time", time.Since(began))
+		s.awaitRevision(inForceLimit, 1)
+		t.Logf("in force everywhere after %s of virtual time", time.Since(startTime))
 	})
 }
 
 // A region loses all others and the log for minutes; one process of it has
 // heard the newest revision just before. Tries go to peers that answer, so
 // that the region's other processes have it within seconds.
-func TestRegionApart(t *testing.T) {
+func TestPartitionedRegion(t *testing.T) {
 	inBubble(t, func(t *testing.T, s *site) {
 		inRegion := func(name string) bool { return len(name) == 2 } // p0 to p9
 		for i := 1; i < 10; i++ {
-			s.log.cut[fmt.Sprint("p", i)] = true
+			s.log.disconnected[fmt.Sprint("p", i)] = true
 		}
-		s.apart = func(a, b string) bool { return inRegion(a) != inRegion(b) }
+		s.partitioned = func(a, b string) bool { return inRegion(a) != inRegion(b) }
 		s.startMany(70)
 		s.log.commit(revision(1, "a"))
-		s.inForce(2*avoidFor, 1)
+		s.awaitRevision(2*failedPeerCooldown, 1)
 	})
 }
 
 // Two operators commit over revision 1. All processes take the winner, also
 // the one that only peers tell; the loser's revision is in force nowhere.
-func TestLostRace(t *testing.T) {
+func TestConcurrentCommits(t *testing.T) {
 	inBubble(t, func(t *testing.T, s *site) {
-		s.log.cut["p3"] = true
+		s.log.disconnected["p3"] = true
 		s.startMany(10)
 		s.log.commit(revision(1, "a"))
 		s.log.commit(revision(2, "winner"))
 		s.log.commit(revision(2, "loser"))
 		want := revision(2, "winner").Hash
-		s.within(inForceLimit, "the winner", func(k *Keeper) bool { return k.View().Hash == want })
+		s.awaitAll(inForceLimit, "the winner", func(k *Keeper) bool { return k.View().Hash == want })
 	})
 }
 
 // A peer sends revisions that were altered on the way, signed by nobody or by
 // an unknown key, older than ours, or of another history. Each is refused and
 // counted (an older one is of no interest); what is in force stays.
-func TestRefusesFromPeers(t *testing.T) {
+func TestRefusedPeerRevisions(t *testing.T) {
 	inBubble(t, func(t *testing.T, s *site) {
 		k := s.start("p0")
 		s.log.commit(revision(1, "a"))
 		s.log.commit(revision(2, "a"))
-		s.inForce(inForceLimit, 2)
+		s.awaitRevision(inForceLimit, 2)
 		before := k.View()
-		altered, unsigned, stranger, sparse := revision(3, "a"), revision(3, "a"), revision(3, "a"), revision(3, "a")
+		altered, unsigned, unknownKey, renumbered := revision(3, "a"), revision(3, "a"), revision(3, "a"), revision(3, "a")
 		altered.Manifest = append(altered.Manifest, "[fleet]\n"...)
 		unsigned.Signature = nil
-		stranger.KeyId = "other"
-		sparse.Number = 9
+		unknownKey.KeyId = "other"
+		renumbered.Number = 9
 		for name, rev := range map[string]*pb.SignedRevision{
-			"altered": altered, "unsigned": unsigned, "unknown key": stranger, "renumbered": sparse,
+			"altered": altered, "unsigned": unsigned, "unknown key": unknownKey, "renumbered": renumbered,
 			"other history": revision(2, "b"),
 		} {
 			refused := revisionsRefused.Value()
@@ -138,24 +138,24 @@
 // A process is cut off from the log for longer than the log keeps records.
 // Meanwhile the operator commits. Back at the log it meets a gap: it keeps what
 // peers gave it, never goes back, and takes the next commit.
-func TestGap(t *testing.T) {
+func TestLogGap(t *testing.T) {
 	inBubble(t, func(t *testing.T, s *site) {
 		s.log.retain = retention
 		s.startMany(3)
 		s.log.commit(revision(1, "a"))
-		s.inForce(inForceLimit, 1)
-		s.log.set(func(l *fakeLog) { l.cut["p1"] = true })
+		s.awaitRevision(inForceLimit, 1)
+		s.log.setFaults(func(l *fakeLog) { l.disconnected["p1"] = true })
 		s.log.commit(revision(2, "a"))
-		s.inForce(inForceLimit, 2)
+		s.awaitRevision(inForceLimit, 2)
 		sleep.For(context.Background(), 3*retention)
-		s.log.set(func(l *fakeLog) { l.cut["p1"] = false })
+		s.log.setFaults(func(l *fakeLog) { l.disconnected["p1"] = false })
 		sleep.For(context.Background(), time.Minute)
-		s.inForce(0, 2)
+		s.awaitRevision(0, 2)
 		status := s.get("p1").Status()
 		require.True(t, status.LogReachable)
 		require.True(t, status.Settled, "a reappended record settles the gap")
 		s.log.commit(revision(3, "a"))
-		s.inForce(inForceLimit, 3)
+		s.awaitRevision(inForceLimit, 3)
 		require.Zero(t, s.get("p1").Status().Lag)
 	})
 }
@@ -166,45 +166,45 @@
 func TestAnnounce(t *testing.T) {
 	inBubble(t, func(t *testing.T, s *site) {
 		s.startMany(20)
-		s.log.set(func(l *fakeLog) { l.down = true })
+		s.log.setFaults(func(l *fakeLog) { l.down = true })
 		s.get("p4").Announce("drafter-lm", 7)
 		require.Equal(t, uint64(7), s.get("p4").View().Versions["drafter-lm"], "at once")
 		known := func(k *Keeper) bool { return k.View().Versions["drafter-lm"] == 7 }
-		s.within(inForceLimit, "version 7", known)
+		s.awaitAll(inForceLimit, "version 7", known)
 		require.Equal(t, 1, s.get("p4").Status().Pending)
 
-		s.log.set(func(l *fakeLog) { l.down, l.loseAnswers = false, true })
+		s.log.setFaults(func(l *fakeLog) { l.down, l.loseAnswers = false, true })
 		sleep.For(context.Background(), time.Minute)
-		require.Len(t, s.log.kept(), 1)
+		require.Len(t, s.log.retained(), 1)
 		require.Zero(t, s.get("p4").Status().Pending)
 
 		s.get("p9").Announce("drafter-lm", 6)
 		sleep.For(context.Background(), time.Minute)
-		require.Len(t, s.log.kept(), 1, "an older version is no news")
+		require.Len(t, s.log.retained(), 1, "an older version is no news")
 		require.Equal(t, uint64(7), s.get("p9").View().Versions["drafter-lm"])
 		s.stopAll()
 		s.start("p50")
-		s.within(inForceLimit, "version 7 from the log", known)
+		s.awaitAll(inForceLimit, "version 7 from the log", known)
 	})
 }
 
 // The log has kept far more records than a new process should read. It asks a
 // peer for the revision and reads on from the offset that accepted it.
-func TestNewProcessSkipsTheLog(t *testing.T) {
+func TestNewProcessSkipsLongLog(t *testing.T) {
 	inBubble(t, func(t *testing.T, s *site) {
-		const commits = 3 * readAll
+		const commits = 3 * maxFullRead
 		for number := range uint64(commits) {
 			s.log.commit(revision(number+1, "a"))
 		}
 		s.startMany(2)
-		s.inForce(time.Minute, commits)
+		s.awaitRevision(time.Minute, commits)
 		read := logReadBytes.Value()
 		s.start("p2")
-		s.inForce(inForceLimit, commits)
+		s.awaitRevision(inForceLimit, commits)
 		sleep.For(context.Background(), time.Second)
-		require.Less(t, logReadBytes.Value()-read, int64(10*len(s.log.kept()[0].Data)))
+		require.Less(t, logReadBytes.Value()-read, int64(10*len(s.log.retained()[0].Data)))
 		s.log.commit(revision(commits+1, "a"))
-		s.inForce(inForceLimit, commits+1)
+		s.awaitRevision(inForceLimit, commits+1)
 		require.True(t, s.get("p2").Status().Settled)
 	})
 }
@@ -212,7 +212,7 @@
 // Commits, lost races, outages, cuts, truncations and restarts come in any
 // order. A watcher at each process sees revisions and versions only rise, and
 // never two contents under one number; when all is mended, all agree.
-func TestNeverBack(t *testing.T) {
+func TestRevisionsNeverDecrease(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		checkInBubble(t, func() {
 			t := r
@@ -236,14 +236,14 @@
 						s.log.commit(revision(newest, "loser"))
 					}
 				},
-				"outage": func(*rapid.T) { s.log.set(func(l *fakeLog) { l.down = !l.down }) },
+				"outage": func(*rapid.T) { s.log.setFaults(func(l *fakeLog) { l.down = !l.down }) },
 				"cut": func(t *rapid.T) {
 					name := others.Draw(t, "process")
-					s.log.set(func(l *fakeLog) { l.cut[name] = !l.cut[name] })
+					s.log.setFaults(func(l *fakeLog) { l.disconnected[name] = !l.disconnected[name] })
 				},
 				"truncate": func(*rapid.T) {
 					read := s.get("p0").Status().Next
-					s.log.set(func(l *fakeLog) { l.first = max(l.first, read) })
+					s.log.setFaults(func(l *fakeLog) { l.first = max(l.first, read) })
 				},
 				"restart": func(t *rapid.T) {
 					name := others.Draw(t, "process")
@@ -258,9 +258,9 @@
 					sleep.For(context.Background(), time.Duration(rapid.IntRange(1, 100_000).Draw(t, "ms"))*time.Millisecond)
 				},
 			})
-			s.log.set(func(l *fakeLog) { l.down, l.cut = false, map[string]bool{} })
-			s.inForce(time.Minute, newest)
-			s.within(time.Minute, "the version", func(k *Keeper) bool { return k.View().Versions["m"] == version })
+			s.log.setFaults(func(l *fakeLog) { l.down, l.disconnected = false, map[string]bool{} })
+			s.awaitRevision(time.Minute, newest)
+			s.awaitAll(time.Minute, "the version", func(k *Keeper) bool { return k.View().Versions["m"] == version })
 		})
 	})
 }
@@ -338,7 +338,7 @@
 		list.set([]platform.VM{{Name: "a"}}, nil)
 		<-changed
 		require.Equal(t, []platform.VM{{Name: "a"}}, w.VMs())
-		require.Equal(t, 54, int(pauseFor(1860).Seconds()))
+		require.Equal(t, 54, int(listInterval(1860).Seconds()))
 	})
 }
 
--- a/confsync/start_test.go
+++ b/confsync/start_test.go
@@ -16,11 +16,11 @@
 // while a new process was reading it.
 type slowLog struct {
 	platform.Log
-	left atomic.Int64
+	remaining atomic.Int64
 }
 
 func (l *slowLog) Read(ctx context.Context, stream string, from uint64, records int, wait time.Duration) (platform.Page, error) {
-	if l.left.Add(-1) < 0 {
+	if l.remaining.Add(-1) < 0 {
 		<-ctx.Done()
 		return platform.Page{}, ctx.Err()
 	}
@@ -34,15 +34,15 @@
 // still revision 64 is in force there, and the entry says that it is ready.
 func TestNewProcessPutsNoOldRevisionInForce(t *testing.T) {
 	inBubble(t, func(t *testing.T, s *site) {
-		s.apart = func(a, b string) bool { return true }
+		s.partitioned = func(a, b string) bool { return true }
 		s.start("p0")
 		for number := range uint64(100) {
 			s.log.commit(revision(number+1, "a"))
 		}
-		s.inForce(inForceLimit, 100)
+		s.awaitRevision(inForceLimit, 100)
 		log := &slowLog{Log: s.log.client("p1")}
-		log.left.Store(2) // the look at the log's extent, and one page
-		k, err := newKeeper(Config{Name: "p1", Addr: "p1", Log: log, Keys: testKeys, Peers: s.addresses}, wire{s, "p1"}, func() float64 { return 0.5 })
+		log.remaining.Store(2) // the look at the log's extent, and one page
+		k, err := newKeeper(Config{Name: "p1", Addr: "p1", Log: log, Keys: testKeys, Peers: s.addresses}, memoryExchanger{s, "p1"}, func() float64 { return 0.5 })
 		require.NoError(t, err)
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
--- a/confsync/timing.go
+++ b/confsync/timing.go
@@ -15,9 +15,9 @@
 	return low + time.Duration(r()*float64(high-low))
 }
 
-// jittered returns d ± half of it, so that processes started together drift
+// jitter returns d ± half of it, so that processes started together drift
 // apart.
-func (r random) jittered(d time.Duration) time.Duration {
+func (r random) jitter(d time.Duration) time.Duration {
 	return r.between(d/2, d+d/2)
 }
 
@@ -44,12 +44,12 @@
 type backoff struct{ wait time.Duration }
 
 const (
-	backoffFirst = 250 * time.Millisecond
-	backoffLimit = 10 * time.Second
+	minBackoff = 250 * time.Millisecond
+	maxBackoff = 10 * time.Second
 )
 
 func (b *backoff) next(r random) time.Duration {
-	b.wait = min(max(2*b.wait, backoffFirst), backoffLimit)
+	b.wait = min(max(2*b.wait, minBackoff), maxBackoff)
 	return r.between(b.wait/2, b.wait)
 }
 
--- a/confsync/vmwatch.go
+++ b/confsync/vmwatch.go
@@ -19,10 +19,10 @@
 // the budget give one answer a minute. The list only confirms what agents say
 // themselves, and it lags anyhow.
 const (
-	listPause   = 2 * time.Second
-	listTimeout = 5 * time.Second
-	bytesPerVM  = 150
-	listBytesPS = 5 << 10
+	minListInterval    = 2 * time.Second
+	listTimeout        = 5 * time.Second
+	bytesPerVM         = 150
+	listBytesPerSecond = 5 << 10
 )
 
 // VMWatcher keeps the platform's VM list as last heard.
@@ -39,7 +39,7 @@
 	if logger == nil {
 		logger = zap.NewNop()
 	}
-	w := &VMWatcher{list: list, log: logs.Limited(logger, logEvery), random: newRandom()}
+	w := &VMWatcher{list: list, log: logs.Limited(logger, logInterval), random: newRandom()}
 	w.vms.Store(new([]platform.VM))
 	changed := make(chan struct{})
 	w.changed.Store(&changed)
@@ -56,7 +56,7 @@
 func (w *VMWatcher) Run(ctx context.Context) {
 	var wait backoff
 	for ctx.Err() == nil {
-		pause := w.random.jittered(pauseFor(len(w.VMs())))
+		pause := w.random.jitter(listInterval(len(w.VMs())))
 		if err := w.poll(ctx); err != nil && ctx.Err() == nil {
 			vmListFailed.Add(1)
 			w.log.Warn("The VM list can't be read; the last answer holds.", zap.Error(err))
@@ -70,9 +70,9 @@
 	}
 }
 
-// pauseFor spaces answers of n VMs within the byte budget.
-func pauseFor(n int) time.Duration {
-	return max(listPause, time.Duration(n*bytesPerVM)*time.Second/listBytesPS)
+// listInterval spaces answers of n VMs within the byte budget.
+func listInterval(n int) time.Duration {
+	return max(minListInterval, time.Duration(n*bytesPerVM)*time.Second/listBytesPerSecond)
 }
 
 func (w *VMWatcher) poll(ctx context.Context) error {
