--- a/confsync/append.go
+++ b/confsync/append.go
@@ -14,15 +14,16 @@
 	"dandelionsill.org/platform"
 )
 
-// Bounds of appends by one process. Announcements of one model that come
-// faster than this are merged, as only the newest version counts.
+// Bounds of one process's appends. Announcements of one model that come faster
+// are merged, because only the newest version counts.
 const (
 	appendRate    rate.Limit = 1
 	appendBurst              = 4
 	appendTimeout            = 5 * time.Second
 )
 
-// appendVersions writes the versions announced here to the log.
+// appendVersions appends the versions announced in this process to the log until
+// ctx is done.
 func (k *Keeper) appendVersions(ctx context.Context) {
 	var wait backoff
 	for {
@@ -48,6 +49,8 @@
 	}
 }
 
+// nextPending returns any announcement that is not in the log yet; ok is false
+// if there is none.
 func (k *Keeper) nextPending() (model string, version uint64, ok bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -57,7 +60,8 @@
 	return "", 0, false
 }
 
-// dropPending drops an announcement that stands in the log.
+// dropPending drops a model's announcement that was appended, unless a newer
+// version was announced meanwhile.
 func (k *Keeper) dropPending(model string, version uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -66,7 +70,8 @@
 	}
 }
 
-// dropPendingInLog drops announcements that others wrote; k.mu is held.
+// dropPendingInLog drops the announcements that were read from the log, where
+// this or another process appended them. The caller holds k.mu.
 func (k *Keeper) dropPendingInLog() {
 	for model, version := range k.pending {
 		if k.loggedVersions[model] >= version {
@@ -75,8 +80,9 @@
 	}
 }
 
-// append writes one record. A lost answer is settled by reading back; only
-// where that fails too may the record be written twice, which changes nothing.
+// append appends one record to the log. If the answer is lost it reads the log
+// to find out whether the record was written. Only if that fails too may a retry
+// write the record twice, which is harmless.
 func (k *Keeper) append(ctx context.Context, data []byte) error {
 	if err := k.appends.Wait(ctx); err != nil {
 		return errors.Trace(err)
@@ -96,20 +102,22 @@
 			return nil
 		}
 		if readErr != nil {
-			return errors.Annotate(readErr, "append answer lost, read back")
+			return errors.Annotate(readErr, "lost the answer to an append and can't read the log to find the record")
 		}
 	}
 	return errors.Trace(err)
 }
 
-// nextOffset is an offset that no record appended from now on lies before.
+// nextOffset returns the next offset to read. No record appended from now on has
+// a lower offset.
 func (k *Keeper) nextOffset() uint64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.health.nextOffset
 }
 
-// findRecord looks for a record in the log from an offset on.
+// findRecord reports whether the log has a record with this data at the offset
+// from or after it.
 func (k *Keeper) findRecord(ctx context.Context, from uint64, data []byte) (bool, error) {
 	for {
 		page, err := k.cfg.Log.Read(ctx, platform.StreamControl, from, maxPage, 0)
--- a/confsync/bench_test.go
+++ b/confsync/bench_test.go
@@ -22,7 +22,8 @@
 	fleetManifest = 48 << 10
 )
 
-// newBenchKeeper holds a revision of the given size and versions of some models.
+// newBenchKeeper returns a Keeper with a revision of the given size and versions
+// of some models.
 func newBenchKeeper(b *testing.B, manifestBytes, models int) *Keeper {
 	k := newIdleKeeper(b)
 	k.offerRevision("bench", sizedRevision(1, manifestBytes))
@@ -33,8 +34,8 @@
 	return k
 }
 
-// sizedRevision makes a revision whose manifest has about that many bytes, most of
-// them callers, as a real one.
+// sizedRevision returns a revision whose manifest has about size bytes. As in a
+// real one, most of them describe callers.
 func sizedRevision(number uint64, size int) *pb.SignedRevision {
 	var text strings.Builder
 	fmt.Fprintf(&text, "[fleet]\nname = f\nlog_retention = 24h\n[service registry]\n[route registry.all]\nprefix = /\nrepeat = always\n")
@@ -44,8 +45,8 @@
 	return manifest.Sign(signer, "k", number, number-1, []byte(text.String()))
 }
 
-// BenchmarkExchange is one round of anti-entropy between two processes that
-// agree, over loopback, with the time of both ends.
+// BenchmarkExchange measures one anti-entropy exchange over loopback between two
+// processes with the same state, with the time of both ends.
 func BenchmarkExchange(b *testing.B) {
 	for _, models := range []int{1, fleetModels, 4 * fleetModels} {
 		for _, kept := range []bool{true, false} {
@@ -60,7 +61,7 @@
 						client.peers = newExchangeConns()
 					}
 				}
-				// Both keepers count, so that each message counts twice.
+				// Both keepers count, so each message is counted twice.
 				b.ReportMetric(float64(exchangeBytes.Value()-before)/2/float64(b.N), "msg-B/op")
 				b.ReportMetric(float64(wireBytes.Load()-beforeWire)/float64(b.N), "wire-B/op")
 			})
@@ -68,8 +69,8 @@
 	}
 }
 
-// BenchmarkPush is the exchange that brings a manifest to a peer: check of the
-// signature, parsing, publishing.
+// BenchmarkPush measures how a process takes over a manifest from a peer:
+// verifying the signature, parsing and publishing.
 func BenchmarkPush(b *testing.B) {
 	for _, size := range []int{1 << 10, fleetManifest, 4 * fleetManifest} {
 		b.Run(fmt.Sprintf("manifest=%dKB", size>>10), func(b *testing.B) {
@@ -88,7 +89,7 @@
 	}
 }
 
-// BenchmarkApply folds commits from the log in.
+// BenchmarkApply measures applying commits from the log.
 func BenchmarkApply(b *testing.B) {
 	for _, size := range []int{1 << 10, fleetManifest, 4 * fleetManifest} {
 		b.Run(fmt.Sprintf("manifest=%dKB", size>>10), func(b *testing.B) {
@@ -110,7 +111,7 @@
 	}
 }
 
-// BenchmarkChoose picks the peers of a round.
+// BenchmarkChoose measures choosing the peers of a round.
 func BenchmarkChoose(b *testing.B) {
 	for _, peers := range []int{20, 360, 1860, 7440} {
 		b.Run(fmt.Sprintf("peers=%d", peers), func(b *testing.B) {
--- a/confsync/conns.go
+++ b/confsync/conns.go
@@ -13,27 +13,27 @@
 	"dandelionsill.org/wire/pb"
 )
 
-// Bounds of connections to peers. Random peers among 1,860 are rarely met
-// twice, so that few connections are worth keeping.
+// Bounds of the connections for exchanges. Among 1,860 processes a random peer
+// is rarely chosen twice, so only few connections are worth keeping.
 const (
 	maxConns    = 16
 	idleTimeout = 20 * time.Second
 	bufferBytes = 4 << 10 // exchanges are short
 )
 
-// exchanger carries exchanges to peers.
+// exchanger sends exchanges to peers; tests replace it.
 type exchanger interface {
 	exchange(ctx context.Context, addr string, req *pb.ExchangeRequest) (*pb.ExchangeReply, error)
 	Close()
 }
 
-// Conns keeps the connections to peers that were used last. It is safe for concurrent
-// use.
+// Conns keeps the most recently used connections to peers. It is safe for
+// concurrent use.
 type Conns struct {
 	limit     int
 	mu        sync.Mutex
 	byAddr    map[string]*list.Element
-	byLastUse *list.List // of *conn, last used first
+	byLastUse *list.List // of *conn, most recently used first
 	closed    bool
 }
 
@@ -42,13 +42,14 @@
 	client *grpc.ClientConn
 }
 
-// NewConns returns no connections yet; most bounds them. It has to be above the number
-// of calls that are open at a time: the connection that was used longest ago is closed.
+// NewConns returns a Conns that keeps up to limit connections. To open another
+// one it closes the least recently used, even if a call is open on it, so limit
+// must be above the number of peers called at the same time.
 func NewConns(limit int) *Conns {
 	return &Conns{limit: limit, byAddr: map[string]*list.Element{}, byLastUse: list.New()}
 }
 
-// newExchangeConns returns those for exchanges.
+// newExchangeConns returns the Conns for exchanges.
 func newExchangeConns() *Conns { return NewConns(maxConns) }
 
 func (c *Conns) exchange(ctx context.Context, addr string, req *pb.ExchangeRequest) (*pb.ExchangeReply, error) {
@@ -60,9 +61,10 @@
 	return reply, errors.Annotatef(err, "exchange with %s", addr)
 }
 
-// Get returns the connection to addr. The one closed for it was used longest ago. Of
-// those for exchanges no more than seven are in use at once (three spread, one
-// compares, three look for a revision at the start).
+// Get returns the connection to addr and opens it if needed. Beyond the limit it
+// closes the least recently used one. Exchanges use at most seven connections at
+// once: three to spread a change, one for anti-entropy, and three to find a
+// revision at startup. Get fails after Close.
 func (c *Conns) Get(addr string) (*grpc.ClientConn, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -93,7 +95,7 @@
 	_ = old.client.Close()
 }
 
-// Close closes all connections; none can be had any more.
+// Close closes all connections. Get fails from then on.
 func (c *Conns) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/confsync/conns_test.go
+++ b/confsync/conns_test.go
@@ -12,7 +12,8 @@
 	"dandelionsill.org/wire/pb"
 )
 
-// serveKeeper runs a Keeper's Exchange on a real listener.
+// serveKeeper serves a Keeper's Exchange on a real listener and returns its
+// address.
 func serveKeeper(t testing.TB, k *Keeper) string {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -28,7 +29,8 @@
 	return lis.Addr().String()
 }
 
-// countingListener counts what goes over its connections, both ways, above TCP.
+// countingListener adds to wireBytes the bytes read and written on its
+// connections, without TCP overhead.
 type countingListener struct{ net.Listener }
 
 var wireBytes atomic.Int64
@@ -52,6 +54,7 @@
 	return n, err
 }
 
+// newIdleKeeper returns a Keeper that does not run.
 func newIdleKeeper(t testing.TB) *Keeper {
 	k, err := New(Config{Name: "k", Log: newFakeLog().client("k"), Keys: testKeys})
 	require.NoError(t, err)
@@ -59,8 +62,8 @@
 	return k
 }
 
-// A process talks to ever new peers. It keeps few connections, and an exchange
-// over each still works, both with a kept one and with one made anew.
+// A process that exchanges with more and more peers keeps few connections.
+// Exchanges work both over a kept connection and over one that is opened again.
 func TestConnectionsAreBounded(t *testing.T) {
 	k := newIdleKeeper(t)
 	c := newExchangeConns()
--- a/confsync/fakes_test.go
+++ b/confsync/fakes_test.go
@@ -30,24 +30,24 @@
 	testKeys = manifest.Keys{"k": signer.Public().(ed25519.PublicKey)}
 )
 
-// retention of the test manifests. It is short, as the bubble has to run all
-// exchanges of the virtual time.
+// retention is the log retention in the test manifests. It is short because the
+// tests run all exchanges that fall into their virtual time.
 const retention = 6 * time.Minute
 
-// revision makes a signed revision; tag tells two contents apart.
+// revision returns a signed revision; tag distinguishes two contents.
 func revision(number uint64, tag string) *pb.SignedRevision {
 	text := fmt.Sprintf("# %s\n[fleet]\nname = f\nlog_retention = %s\nkey_window = 1m\n", tag, retention)
 	return manifest.Sign(signer, "k", number, number-1, []byte(text))
 }
 
-// fakeLog is the platform's log in memory, with its faults.
+// fakeLog is the platform's log in memory, with faults that a test can set.
 type fakeLog struct {
 	mu      sync.Mutex
-	records []platform.Record // of all time
-	first   uint64            // records before it are truncated
+	records []platform.Record // all records ever appended
+	first   uint64            // earlier records are truncated
 	changed chan struct{}
 
-	retain       time.Duration // 0: for ever
+	retain       time.Duration // 0: no truncation by age
 	down         bool
 	loseAnswers  bool
 	disconnected map[string]bool
@@ -84,7 +84,7 @@
 	return l.records[l.first:]
 }
 
-// commit appends as the pipeline does, whatever faults there are.
+// commit appends a commit as the pipeline does, regardless of the faults.
 func (l *fakeLog) commit(rev *pb.SignedRevision) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -98,7 +98,7 @@
 	return offset
 }
 
-// client is one process's way to the log.
+// client returns the log as one process sees it.
 func (l *fakeLog) client(name string) platform.Log { return logClient{l, name} }
 
 type logClient struct {
@@ -157,8 +157,8 @@
 	return page, c.changed, nil
 }
 
-// site is a set of processes with one log and a network in memory. It runs in
-// a synctest bubble: time is virtual and stands still while anybody works.
+// site is a set of processes with one log and a network in memory. It runs in a
+// synctest bubble: time is virtual and stands still while any goroutine runs.
 type site struct {
 	t    require.TestingT
 	log  *fakeLog
@@ -167,10 +167,10 @@
 	latency time.Duration // of an exchange
 
 	mu          sync.Mutex
-	names       []string // of the processes that run; copied on write
+	names       []string // of the running processes; copied on write
 	keepers     map[string]*Keeper
 	stops       map[string]func()
-	partitioned func(a, b string) bool // who can't reach whom
+	partitioned func(a, b string) bool // whether a can't reach b
 }
 
 func newSite(t require.TestingT) *site {
@@ -192,7 +192,7 @@
 	return s.names
 }
 
-// start runs a process; its name is its address.
+// start starts a process. Its name is also its address.
 func (s *site) start(name string) *Keeper {
 	s.seed++
 	source := rand.New(rand.NewPCG(s.seed, 1))
@@ -263,11 +263,13 @@
 	}
 }
 
+// awaitRevision waits until the revision is in force at all processes.
 func (s *site) awaitRevision(limit time.Duration, number uint64) {
 	s.awaitAll(limit, fmt.Sprint("revision ", number), func(k *Keeper) bool { return k.View().Number == number })
 }
 
-// memoryExchanger carries one process's exchanges, encoded as on a real network.
+// memoryExchanger passes one process's exchanges on in memory, encoded as on a
+// real network.
 type memoryExchanger struct {
 	site *site
 	from string
@@ -287,6 +289,7 @@
 
 func (memoryExchanger) Close() {}
 
+// roundTrip encodes and decodes a message.
 func roundTrip[M proto.Message](t require.TestingT, m M) M {
 	data, err := proto.Marshal(m)
 	require.NoError(t, err)
--- a/confsync/gossip.go
+++ b/confsync/gossip.go
@@ -14,25 +14,29 @@
 	"dandelionsill.org/wire/pb"
 )
 
-// Rumour mongering: whoever learns something tells spreadFanout random peers
-// in each of spreadRounds rounds. A process misses all of 1,860·9 tellings
-// with probability e^-9; anti-entropy finds it.
+// Rumor mongering: a process that learns of a change sends it to spreadFanout
+// random peers in each of spreadRounds rounds. With 1,860 processes that each
+// send it 9 times, a process receives none of these messages with probability
+// e^-9; anti-entropy then repairs it.
 const (
 	spreadFanout = 3
 	spreadRounds = 3
-	// peerSpreadDelay delays the first round for what came from a peer.
+	// peerSpreadDelay is the delay of the first round after a change from a peer
+	// or from an announcement in this process.
 	peerSpreadDelay = 100 * time.Millisecond
-	// logSpreadDelay does so for what came from the log: by then most peers
-	// have it from there, too, and needn't be sent the manifest.
+	// logSpreadDelay is the delay of the first round after a change from the log.
+	// By then most peers have read it from the log, too, and need not be sent the
+	// manifest.
 	logSpreadDelay = 500 * time.Millisecond
-	// spreadInterval lies between rounds.
+	// spreadInterval is the time between rounds.
 	spreadInterval = 300 * time.Millisecond
 )
 
-// Anti-entropy: how often a process compares with one random peer.
+// Anti-entropy: how often a process compares its state with one random peer.
 const (
 	antiEntropyInterval = 2 * time.Second
-	// isolatedAntiEntropyInterval holds while the log can't be read or nothing is known yet.
+	// isolatedAntiEntropyInterval is used while the log can't be read or no
+	// revision is known yet.
 	isolatedAntiEntropyInterval = 400 * time.Millisecond
 )
 
@@ -40,12 +44,14 @@
 const (
 	exchangeTimeout  = time.Second
 	exchangeAttempts = 3 // peers tried for one exchange
-	// failedPeerCooldown is how long a peer that failed isn't asked again. When regions
-	// lose each other, the tries go to the peers that are left.
+	// failedPeerCooldown is how long a peer that failed is avoided. When regions
+	// are partitioned from each other, exchanges so go to reachable peers.
 	failedPeerCooldown = 10 * time.Second
 )
 
-// Exchange answers a peer.
+// Exchange takes over what is newer at the peer and replies with what is newer
+// here. It includes the revision only if the peer's is older and the peer does
+// not push that one. It never fails.
 func (k *Keeper) Exchange(_ context.Context, req *pb.ExchangeRequest) (*pb.ExchangeReply, error) {
 	exchangesIn.Add(1)
 	k.mergeVersions(req.Versions)
@@ -63,7 +69,7 @@
 	return reply, nil
 }
 
-// spreadChanges tells peers of what is new here.
+// spreadChanges sends each change of the state to peers until ctx is done.
 func (k *Keeper) spreadChanges(ctx context.Context) {
 	for {
 		select {
@@ -76,8 +82,8 @@
 	}
 }
 
-// spreadChange runs the rounds for one change. It returns true when something
-// newer came meanwhile, which needs rounds of its own.
+// spreadChange runs the rounds for one change. It returns true if another change
+// came meanwhile, for which the rounds must start again.
 func (k *Keeper) spreadChange(ctx context.Context) bool {
 	pause := k.random.jitter(k.firstSpreadDelay())
 	for range spreadRounds {
@@ -97,13 +103,15 @@
 	return false
 }
 
+// firstSpreadDelay returns the delay before the first round for the newest change.
 func (k *Keeper) firstSpreadDelay() time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.spreadDelay
 }
 
-// antiEntropy compares with a random peer now and then.
+// antiEntropy exchanges the state with one random peer at a time until ctx is
+// done.
 func (k *Keeper) antiEntropy(ctx context.Context) {
 	for {
 		k.exchangeWithRandomPeers(ctx, 1)
@@ -117,8 +125,9 @@
 	}
 }
 
-// exchangeWithRandomPeers exchanges with n random peers at once. Where one fails
-// another takes its place, up to exchangeTries times.
+// exchangeWithRandomPeers exchanges with n random peers concurrently. In place
+// of a peer that fails it tries another one, up to exchangeAttempts peers per
+// exchange.
 func (k *Keeper) exchangeWithRandomPeers(ctx context.Context, n int) {
 	candidates := k.choosePeers(n * exchangeAttempts)
 	n = min(n, len(candidates))
@@ -136,11 +145,12 @@
 	for i := 1; i < n; i++ {
 		running.Go(func() { exchangeUntilAnswer(i) })
 	}
-	exchangeUntilAnswer(0) // anti-entropy, which runs for ever, starts no goroutine
+	exchangeUntilAnswer(0) // on this goroutine, so that anti-entropy, which runs all the time, starts none
 	running.Wait()
 }
 
-// choosePeers picks up to n random peers, those that failed lately last.
+// choosePeers returns up to n random peers; those that failed recently come
+// last.
 func (k *Keeper) choosePeers(n int) []string {
 	all := k.cfg.Peers()
 	now := time.Now()
@@ -152,7 +162,7 @@
 		}
 	}
 	var preferred, excluded []string
-	// Own address and failed peers may be among the draws: draw some more.
+	// The draw may contain this process and failed peers, so draw more than n.
 	for _, i := range k.random.pick(n+len(k.excludedUntil)+1, len(all)) {
 		switch addr := all[i]; {
 		case addr == k.cfg.Addr:
@@ -166,8 +176,9 @@
 	return chosen[:min(n, len(chosen))]
 }
 
-// exchange runs one exchange as the asker and pushes the revision if the peer
-// turns out to be behind. It returns whether the peer answered.
+// exchange sends one exchange to a peer and applies the reply. If the peer's
+// revision is older it pushes this process's revision in a second exchange. It
+// reports whether the peer answered.
 func (k *Keeper) exchange(ctx context.Context, addr string) bool {
 	reply, ok := k.sendExchange(ctx, addr, nil)
 	if !ok {
@@ -184,6 +195,8 @@
 	return ok
 }
 
+// sendExchange sends one exchange, with a revision to push or nil. It reports
+// whether the peer answered.
 func (k *Keeper) sendExchange(ctx context.Context, addr string, push *pb.SignedRevision) (*pb.ExchangeReply, bool) {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
@@ -198,6 +211,8 @@
 	return reply, true
 }
 
+// recordPeerFailure counts a failed exchange and avoids the peer for
+// failedPeerCooldown.
 func (k *Keeper) recordPeerFailure(addr string, err error) {
 	exchangesFailed.Add(1)
 	k.limitedLog.Debug("A peer does not answer.", zap.String("peer", addr), zap.Error(err))
@@ -206,6 +221,7 @@
 	k.excludedUntil[addr] = time.Now().Add(failedPeerCooldown)
 }
 
+// newRequest returns the request that describes this process's state.
 func (k *Keeper) newRequest(push *pb.SignedRevision) *pb.ExchangeRequest {
 	req := &pb.ExchangeRequest{Name: k.cfg.Name, Addr: k.cfg.Addr, Push: push, Versions: k.versionsNewerThan(nil)}
 	if head := k.head(); head != nil {
@@ -214,7 +230,8 @@
 	return req
 }
 
-// versionsNewerThan lists the versions that are newer here than in the list.
+// versionsNewerThan returns the weight versions that are newer here than at the
+// peer.
 func (k *Keeper) versionsNewerThan(peerVersions []*pb.ModelVersion) []*pb.ModelVersion {
 	known := make(map[string]uint64, len(peerVersions))
 	for _, v := range peerVersions {
@@ -229,13 +246,14 @@
 	return newer
 }
 
-// reportConflict finds two contents under one revision number. That can't come from
-// one log; it means that a process reads another fleet's log.
+// reportConflict logs if a peer has this process's revision number with another
+// hash. Both can't come from the same log: one of the processes reads another
+// fleet's log.
 func (k *Keeper) reportConflict(peer string, head *control.Revision, number uint64, hash string) {
 	if head == nil || number != head.Number || hash == head.Hash {
 		return
 	}
 	revisionsRefused.Add(1)
-	k.limitedLog.Error("A peer has another content under our revision number.",
+	k.limitedLog.Error("A peer has different content for the same revision number.",
 		zap.String("peer", peer), zap.Uint64("revision", number), zap.String("theirs", hash), zap.String("ours", head.Hash))
 }
--- a/confsync/keepalive_test.go
+++ b/confsync/keepalive_test.go
@@ -14,9 +14,9 @@
 	"dandelionsill.org/fold/control"
 )
 
-// Nobody commits for ten times as long as the log keeps records. Some process
-// reappends the revision and the versions in time, and so the last process
-// alive can go: a new one still finds both in the log.
+// Without a commit for ten times the log's retention, some process reappends the
+// revision and the versions in time. Even after all processes have stopped, a
+// new one finds both in the log.
 func TestReappendOutlivesRetention(t *testing.T) {
 	inBubble(t, func(t *testing.T, s *site) {
 		s.log.retain = retention
@@ -25,7 +25,7 @@
 		s.get("p2").Announce("m", 4)
 		sleep.For(context.Background(), 10*retention)
 		appended := len(s.log.records)
-		// A process reappends each R/8 to 3R/8; a record carries both.
+		// The revision is reappended every R/8 to 3R/8; one record carries both.
 		require.Greater(t, appended, 20)
 		require.Less(t, appended, 90)
 		s.stopAll()
@@ -35,8 +35,9 @@
 	})
 }
 
-// The log is down when the revision should be reappended, and all processes'
-// times come meanwhile. After its return it is reappended by few of them.
+// The log is down when the revision should be reappended, and the times of all
+// processes pass meanwhile. When the log is available again, only few of them
+// reappend the revision.
 func TestReappendAfterOutage(t *testing.T) {
 	inBubble(t, func(t *testing.T, s *site) {
 		s.startMany(50)
@@ -46,13 +47,13 @@
 		sleep.For(context.Background(), retention*7/16)
 		s.log.setFaults(func(l *fakeLog) { l.down = false })
 		sleep.For(context.Background(), retention/16+time.Minute)
-		require.Contains(t, []int{2, 3}, len(s.log.retained()), "once, and doubled at most once")
+		require.Contains(t, []int{2, 3}, len(s.log.retained()), "reappended once, with at most one duplicate")
 	})
 }
 
-// All 1,860 processes hold a revision and draw their times; those that fire
-// before the first one's record reaches them append too. Whatever the fleet's
-// size, the doubles stay few, and the first one is in time.
+// All processes of a fleet draw their times to reappend. Those whose time comes
+// before the first one's record reaches them append as well. For any size of the
+// fleet there are few duplicates, and the first append is in time.
 func TestFewDoubleReappends(t *testing.T) {
 	const rounds, appendTime, retention = 200, 2 * time.Second, time.Hour
 	random := rand.New(rand.NewPCG(1, 2))
@@ -87,6 +88,6 @@
 		now := time.Unix(1_800_000_000, 0)
 		age := time.Duration(rapid.Int64Range(-int64(r), int64(r)).Draw(t, "age"))
 		due := dueAt(control.NewestCopy{Time: now.Add(-age)}, now, after)
-		require.False(t, due.After(now.Add(after)), "a clock that is ahead can't put it off")
+		require.False(t, due.After(now.Add(after)), "a log clock that is ahead can't delay the reappend")
 	})
 }
--- a/confsync/keeper.go
+++ b/confsync/keeper.go
@@ -19,20 +19,21 @@
 	"dandelionsill.org/wire/pb"
 )
 
-// logInterval limits each log line that a lasting failure would repeat.
+// logInterval is the minimum time between two equal log lines of a failure that
+// lasts.
 const logInterval = time.Minute
 
-// maxModels bounds the memory that versions heard from peers can take.
+// maxModels bounds the memory for weight versions received from peers.
 const maxModels = 4096
 
-// Config is what a Keeper needs.
+// Config configures a Keeper. Name, Log and Keys are required.
 type Config struct {
-	Name string // this process
-	Addr string // its gRPC listener, IP:port; never exchanged with
+	Name string // this process's name
+	Addr string // its gRPC listener, IP:port; skipped among the peers
 	Log  platform.Log
-	Keys manifest.Keys
-	// Peers returns the addresses of all other processes that are known. It is
-	// called often and must be cheap. Nil: no peers.
+	Keys manifest.Keys // public keys that manifests may be signed with
+	// Peers returns the addresses of all known processes. It is called often and
+	// must be cheap. Nil: no peers.
 	Peers  func() []string
 	Logger *zap.Logger
 }
@@ -44,7 +45,7 @@
 
 	cfg        Config
 	log        *zap.Logger
-	limitedLog *zap.Logger // for what a failure repeats
+	limitedLog *zap.Logger // for failures that repeat
 	peers      exchanger
 	random     random
 	appends    *rate.Limiter
@@ -54,21 +55,22 @@
 
 	mu             sync.Mutex
 	state          *control.State
-	versions       map[string]uint64 // newest from anywhere
-	loggedVersions map[string]uint64 // newest that the log gave
-	pending        map[string]uint64 // announced here, not yet seen in the log
+	versions       map[string]uint64 // model -> newest version from any source
+	loggedVersions map[string]uint64 // model -> newest version read from the log
+	pending        map[string]uint64 // model -> version announced here and not yet in the log
 	health         logHealth
 	startupState   startup
-	excludedUntil  map[string]time.Time // peers that failed, until when
+	excludedUntil  map[string]time.Time // address of a failed peer -> until when it is avoided
 
-	spreadDelay time.Duration // pause before the news is spread; mu guards it
+	spreadDelay time.Duration // delay before the newest change is sent to peers; guarded by mu
 
-	spreadSignal    chan struct{} // something new is known
+	spreadSignal    chan struct{} // the published state has changed
 	announceSignal  chan struct{} // pending has grown
-	keepAliveSignal chan struct{} // the revision in the log was renewed, or the log is back
+	keepAliveSignal chan struct{} // the newest copy in the log has changed, or the log is available again
 }
 
-// New returns a Keeper that knows nothing yet; Run makes it learn.
+// New returns a Keeper with an empty state; Run fills it. It fails without a log
+// or without keys.
 func New(cfg Config) (*Keeper, error) {
 	return newKeeper(cfg, newExchangeConns(), newRandom())
 }
@@ -108,7 +110,8 @@
 	return k, nil
 }
 
-// Run learns, spreads and keeps alive the control state until ctx is done.
+// Run reads the control state from the log, exchanges it with peers and keeps it
+// from expiring in the log, until ctx is done.
 func (k *Keeper) Run(ctx context.Context) {
 	var loops sync.WaitGroup
 	for _, loop := range []func(context.Context){k.tail, k.spreadChanges, k.antiEntropy, k.appendVersions, k.keepAlive} {
@@ -119,9 +122,9 @@
 	k.peers.Close()
 }
 
-// sendPending gives peers the announcements that may be known only here. Without
-// it, a version announced just before a planned stop would be lost until its
-// trainer announces the next one.
+// sendPending sends peers the announcements that are not in the log yet and may
+// be known only to this process. Otherwise a version announced just before a
+// planned stop would be lost until the trainer announces the next one.
 func (k *Keeper) sendPending() {
 	if _, _, ok := k.nextPending(); !ok {
 		return
@@ -134,12 +137,13 @@
 // View returns the newest View; it is never nil.
 func (k *Keeper) View() *View { return k.view.Load() }
 
-// Changed returns a channel that is closed at the next change. Take it before
-// View, so that no change falls in between.
+// Changed returns a channel that is closed at the next change of the View. Call
+// it before View, so that no change between the two calls is missed.
 func (k *Keeper) Changed() <-chan struct{} { return *k.changed.Load() }
 
-// Announce makes a weight version known: here at once, to peers within
-// seconds, and to the log when it can be written.
+// Announce publishes a weight version: in this process at once, to peers within
+// seconds, and to the log as soon as it can be written. It ignores a version
+// that is not newer than the known one.
 func (k *Keeper) Announce(model string, version uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -152,7 +156,7 @@
 	notify(k.announceSignal)
 }
 
-// apply folds records of the log in.
+// apply applies records read from the log and publishes the result.
 func (k *Keeper) apply(records []platform.Record) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -169,7 +173,8 @@
 	k.publish(logSpreadDelay)
 }
 
-// offerRevision takes a revision from a peer. A refused one changes nothing.
+// offerRevision takes over a revision from a peer if it is newer. A revision
+// that is refused changes nothing.
 func (k *Keeper) offerRevision(from string, rev *pb.SignedRevision) {
 	if rev == nil {
 		return
@@ -186,13 +191,13 @@
 		if readable := k.state.Revision(); readable != nil && readable.Number == rev.Number {
 			k.startupState.newestFromPeer = rev.Number
 		}
-		k.log.Info("Took a revision from a peer.", zap.String("peer", from), zap.Uint64("revision", rev.Number))
+		k.log.Info("Received a newer revision from a peer.", zap.String("peer", from), zap.Uint64("revision", rev.Number))
 		k.publish(peerSpreadDelay)
 		notify(k.keepAliveSignal)
 	}
 }
 
-// mergeVersions takes weight versions from a peer.
+// mergeVersions takes over the weight versions from a peer that are newer.
 func (k *Keeper) mergeVersions(versions []*pb.ModelVersion) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -210,8 +215,9 @@
 	}
 }
 
-// publish swaps the View in if it differs and wakes whoever waits. Peers are
-// told after a pause; k.mu is held.
+// publish replaces the View if the state has changed, closes the channel of
+// Changed, and lets the change spread to peers after spreadDelay. The caller
+// holds k.mu.
 func (k *Keeper) publish(spreadDelay time.Duration) {
 	old, next := k.view.Load(), k.buildView()
 	if old.Number == next.Number && old.Hash == next.Hash && old.Offset == next.Offset && maps.Equal(old.Versions, next.Versions) {
@@ -224,6 +230,7 @@
 	notify(k.spreadSignal)
 }
 
+// buildView returns the View of the current state; the caller holds k.mu.
 func (k *Keeper) buildView() *View {
 	view := *k.view.Load()
 	view.Versions = maps.Clone(k.versions)
@@ -233,7 +240,8 @@
 	return &view
 }
 
-// applyEvent keeps and logs what a record of the log changed; k.mu is held.
+// applyEvent stores and logs what a record of the log changed; the caller holds
+// k.mu.
 func (k *Keeper) applyEvent(event control.Event) {
 	switch e := event.(type) {
 	case control.Version:
@@ -251,8 +259,8 @@
 	}
 }
 
-// head returns the newest accepted revision; nil: none yet, or only one that
-// the log is known to have passed.
+// head returns the newest accepted revision. It returns nil if there is none, or
+// if startup has only read revisions that may already be replaced.
 func (k *Keeper) head() *control.Revision {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -262,7 +270,7 @@
 	return nil
 }
 
-// notify wakes the one reader of a channel with room for one.
+// notify wakes the reader of a channel with a buffer of one, without blocking.
 func notify(ch chan struct{}) {
 	select {
 	case ch <- struct{}{}:
@@ -270,5 +278,5 @@
 	}
 }
 
-// newID names a record.
+// newID returns a unique id for a record.
 func newID(kind, process string) string { return kind + "/" + process + "/" + uuid.NewString() }
--- a/confsync/keeper_test.go
+++ b/confsync/keeper_test.go
@@ -16,12 +16,13 @@
 	"dandelionsill.org/wire/pb"
 )
 
-// inForceLimit is the promise to operators.
+// inForceLimit is the time within which a commit must be in force at all
+// processes, as promised to operators.
 const inForceLimit = 3 * time.Second
 
-// The operator commits a revision while one process is cut off from the log.
-// The others read it from the log, the one hears of it from a peer: it is in
-// force everywhere within 3 s. The operator commits another one: likewise.
+// The operator commits revisions while one process can't reach the log. The
+// other processes read them from the log, and the one receives them from a peer.
+// Each is in force everywhere within 3 s.
 func TestPartitionedProcessLearnsFromPeers(t *testing.T) {
 	inBubble(t, func(t *testing.T, s *site) {
 		s.log.disconnected["p7"] = true
@@ -35,9 +36,9 @@
 	})
 }
 
-// The operator commits; only one process reads it before the log goes down for
-// everybody. Then a VM is replaced. The revision spreads from the one process,
-// and the new VM's process gets it as well; nobody starts from nothing.
+// The operator commits, and only one process reads the commit before the log
+// becomes unavailable to all. Then a VM is replaced. The revision spreads from
+// the one process to all, including the new VM's process.
 func TestOutageAfterOneProcessRead(t *testing.T) {
 	inBubble(t, func(t *testing.T, s *site) {
 		for i := 1; i < 40; i++ {
@@ -55,8 +56,8 @@
 	})
 }
 
-// The whole fleet is cut off from the log but for one process, and an exchange
-// takes 100 ms. What that one reads is in force everywhere within 3 s.
+// Only one process of the fleet can reach the log, and an exchange takes 100 ms.
+// What that process reads is in force everywhere within 3 s.
 func TestSpreadAtFleetSize(t *testing.T) {
 	inBubble(t, func(t *testing.T, s *site) {
 		const processes = 1860
@@ -72,9 +73,9 @@
 	})
 }
 
-// A region loses all others and the log for minutes; one process of it has
-// heard the newest revision just before. Tries go to peers that answer, so
-// that the region's other processes have it within seconds.
+// A region is partitioned from all others, and only one process in it can read
+// the log. Exchanges go to peers that answer, so the region's other processes
+// have the newest revision within seconds.
 func TestPartitionedRegion(t *testing.T) {
 	inBubble(t, func(t *testing.T, s *site) {
 		inRegion := func(name string) bool { return len(name) == 2 } // p0 to p9
@@ -88,8 +89,9 @@
 	})
 }
 
-// Two operators commit over revision 1. All processes take the winner, also
-// the one that only peers tell; the loser's revision is in force nowhere.
+// Two operators commit concurrently on top of revision 1. All processes accept
+// the first commit, also the process that can reach only its peers. The other
+// revision is in force nowhere.
 func TestConcurrentCommits(t *testing.T) {
 	inBubble(t, func(t *testing.T, s *site) {
 		s.log.disconnected["p3"] = true
@@ -102,9 +104,10 @@
 	})
 }
 
-// A peer sends revisions that were altered on the way, signed by nobody or by
-// an unknown key, older than ours, or of another history. Each is refused and
-// counted (an older one is of no interest); what is in force stays.
+// A peer sends revisions that are altered, unsigned, signed with an unknown key,
+// older than the one in force, or from another history. Each is refused and
+// counted, except that an older one is only ignored, and the revision in force
+// stays.
 func TestRefusedPeerRevisions(t *testing.T) {
 	inBubble(t, func(t *testing.T, s *site) {
 		k := s.start("p0")
@@ -130,14 +133,15 @@
 		}
 		reply, err := k.Exchange(context.Background(), &pb.ExchangeRequest{Name: "late", Revision: 1, Push: revision(1, "a")})
 		require.NoError(t, err)
-		require.Equal(t, uint64(2), reply.Newer.Number, "the late peer is told")
+		require.Equal(t, uint64(2), reply.Newer.Number, "the peer with the older revision gets the newer one")
 		require.Same(t, before, k.View())
 	})
 }
 
-// A process is cut off from the log for longer than the log keeps records.
-// Meanwhile the operator commits. Back at the log it meets a gap: it keeps what
-// peers gave it, never goes back, and takes the next commit.
+// A process can't reach the log for longer than the log keeps records, and the
+// operator commits meanwhile. When the process can read the log again it finds a
+// gap: it keeps what peers sent, never returns to an older revision, and accepts
+// the next commit.
 func TestLogGap(t *testing.T) {
 	inBubble(t, func(t *testing.T, s *site) {
 		s.log.retain = retention
@@ -160,9 +164,9 @@
 	})
 }
 
-// A trainer announces a version while the log answers no append and peers come
-// and go. Everybody knows it within seconds; when the log is back one record
-// is written, also where the append's answer is lost.
+// A trainer announces a version while the log is unavailable. All processes know
+// it within seconds. When the log is available again one record is written, even
+// if the append's answer is lost.
 func TestAnnounce(t *testing.T) {
 	inBubble(t, func(t *testing.T, s *site) {
 		s.startMany(20)
@@ -180,7 +184,7 @@
 
 		s.get("p9").Announce("drafter-lm", 6)
 		sleep.For(context.Background(), time.Minute)
-		require.Len(t, s.log.retained(), 1, "an older version is no news")
+		require.Len(t, s.log.retained(), 1, "an older version is not appended")
 		require.Equal(t, uint64(7), s.get("p9").View().Versions["drafter-lm"])
 		s.stopAll()
 		s.start("p50")
@@ -188,8 +192,8 @@
 	})
 }
 
-// The log has kept far more records than a new process should read. It asks a
-// peer for the revision and reads on from the offset that accepted it.
+// The log holds far more records than a new process should read. The process
+// gets the revision from a peer and reads from the offset that accepted it.
 func TestNewProcessSkipsLongLog(t *testing.T) {
 	inBubble(t, func(t *testing.T, s *site) {
 		const commits = 3 * maxFullRead
@@ -209,9 +213,10 @@
 	})
 }
 
-// Commits, lost races, outages, cuts, truncations and restarts come in any
-// order. A watcher at each process sees revisions and versions only rise, and
-// never two contents under one number; when all is mended, all agree.
+// Commits, concurrent commits, outages, partitions, truncations and restarts
+// happen in any order. At each process revisions and versions never decrease,
+// and no revision number has two contents. When all faults are repaired, all
+// processes agree.
 func TestRevisionsNeverDecrease(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		checkInBubble(t, func() {
@@ -224,7 +229,7 @@
 				history.watch(s, fmt.Sprint("p", i))
 			}
 			newest, version := uint64(0), uint64(0)
-			// p0 is neither cut off nor restarted: somebody knows what was accepted.
+			// p0 is never partitioned or restarted, so one process knows what was accepted.
 			others := rapid.SampledFrom([]string{"p1", "p2", "p3"})
 			t.Repeat(map[string]func(*rapid.T){
 				"commit": func(*rapid.T) {
@@ -266,7 +271,7 @@
 }
 
 // checkInBubble runs one case of a rapid check with virtual time. rapid stops a
-// case by a panic, which has to reach its own goroutine.
+// case with a panic, which must be raised on rapid's own goroutine.
 func checkInBubble(t *testing.T, check func()) {
 	var stopped any
 	synctest.Test(t, func(*testing.T) {
@@ -278,7 +283,7 @@
 	}
 }
 
-// history checks every View that any process publishes.
+// history checks all Views that the processes publish.
 type history struct {
 	mu     sync.Mutex
 	hashes map[uint64]string
@@ -317,8 +322,8 @@
 	h.hashes[next.Number] = next.Hash
 }
 
-// The VM list goes down: the last answer holds. It comes back without a VM:
-// whoever waits for a change is woken.
+// While the VM list can't be read, the watcher keeps the last one. When the list
+// is available again and lacks a VM, Changed's channel is closed.
 func TestVMWatcherKeepsLastAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		list := &fakeList{vms: []platform.VM{{Name: "b"}, {Name: "a"}}}
--- a/confsync/start_test.go
+++ b/confsync/start_test.go
@@ -12,8 +12,8 @@
 	"dandelionsill.org/platform"
 )
 
-// slowLog answers the first reads and then none: the log got slow or went down
-// while a new process was reading it.
+// slowLog answers the first reads and then none, as if the log became slow or
+// unavailable while a new process was reading it.
 type slowLog struct {
 	platform.Log
 	remaining atomic.Int64
@@ -27,11 +27,12 @@
 	return l.Log.Read(ctx, stream, from, records, wait)
 }
 
-// A caller whose token revision 100 took away is let in, and a route that it
-// made "never" is repeated: the balancer sent it to an entry that just started.
-// Order: the entry reads the log's first page (64 of 100 records); the log gets
-// slow; peers can't be reached. The page said that 36 records are to come, and
-// still revision 64 is in force there, and the entry says that it is ready.
+// Guards against an old revision in force at a process that has just started.
+// How it came about: the entry read the first page of the log (64 of 100
+// records), then the log became slow, and no peer was reachable. Although the
+// page showed that 36 records were still to come, revision 64 was in force and
+// the entry reported ready. It admitted a caller whose token revision 100 had
+// removed, and repeated requests on a route that revision 100 had set to "never".
 func TestNewProcessPutsNoOldRevisionInForce(t *testing.T) {
 	inBubble(t, func(t *testing.T, s *site) {
 		s.partitioned = func(a, b string) bool { return true }
@@ -41,7 +42,7 @@
 		}
 		s.awaitRevision(inForceLimit, 100)
 		log := &slowLog{Log: s.log.client("p1")}
-		log.remaining.Store(2) // the look at the log's extent, and one page
+		log.remaining.Store(2) // the read of the log's extent, and one page
 		k, err := newKeeper(Config{Name: "p1", Addr: "p1", Log: log, Keys: testKeys, Peers: s.addresses}, memoryExchanger{s, "p1"}, func() float64 { return 0.5 })
 		require.NoError(t, err)
 		ctx, cancel := context.WithCancel(t.Context())
--- a/confsync/tail.go
+++ b/confsync/tail.go
@@ -11,44 +11,49 @@
 	"dandelionsill.org/platform"
 )
 
-// Bounds of a reader of the log.
+// Bounds of reads from the log.
 const (
-	// pollWait is the long poll: 1,860 idle processes ask the log 124 times a
-	// second.
+	// pollWait is the duration of a long poll: 1,860 idle processes send the log
+	// 124 reads per second.
 	pollWait = 15 * time.Second
-	// pollMargin is added to it before the read counts as failed.
+	// pollMargin is the time after a read's wait at which the read has failed.
 	pollMargin = 5 * time.Second
-	// maxPage bounds a read's memory: some 64 manifests.
+	// maxPage is the most records in one read. It bounds the memory of a read to
+	// about 64 manifests.
 	maxPage = 64
-	// idlePause keeps a log that answers empty pages at once from being asked
-	// in a tight loop.
+	// idlePause prevents a tight loop of reads if the log returns empty pages
+	// without waiting.
 	idlePause = 100 * time.Millisecond
-	// maxFullRead is how many records a new process reads from the log's first
-	// record on. Beyond, it takes the revision from a peer and reads on from
-	// the offset that accepted it: at fleet size the log keeps some 1.5 GB.
+	// maxFullRead is the longest log, in records, that a new process reads from
+	// its first record. With a longer one it takes the revision from a peer and
+	// reads from the offset that accepted it: at fleet size the log keeps about
+	// 1.5 GB.
 	maxFullRead = 512
-	// maxJoinAttempts bounds the wait for such a peer, one exchange each joinPause.
+	// maxJoinAttempts bounds the wait for such a peer: one round of exchanges
+	// every joinInterval.
 	maxJoinAttempts = 20
 	joinInterval    = 250 * time.Millisecond
 )
 
-// logHealth is how the log looks from here; Keeper.mu guards it.
+// logHealth is the log's state as last seen by this process; Keeper.mu guards
+// it.
 type logHealth struct {
 	reachable             bool
 	err                   error
 	nextOffset, endOffset uint64
 }
 
-// startup keeps a new process from putting old revisions in force while it
-// reads the log's history: were the log to get slow halfway, a caller that a
-// later revision shut out would be let in. A revision from a peer is in force
-// there, and so may be here. Keeper.mu guards it.
+// startup prevents a new process from putting old revisions in force while it
+// reads the log's history. If the log became slow halfway, an old revision would
+// admit a caller that a later one excludes. A revision from a peer is in force at
+// the peer, so this process may use it, too. Keeper.mu guards startup.
 type startup struct {
 	done           bool
-	endAtStart     uint64 // the log's end at the start
-	newestFromPeer uint64 // newest revision that a peer gave
+	endAtStart     uint64 // the log's end when this process started
+	newestFromPeer uint64 // newest revision received from a peer
 }
 
+// mayUse reports whether a revision may be put in force.
 func (s *startup) mayUse(revision uint64) bool { return s.done || revision <= s.newestFromPeer }
 
 // tail reads the control stream until ctx is done.
@@ -76,7 +81,9 @@
 	}
 }
 
-// findStartOffset finds the offset from which a new process reads on.
+// findStartOffset returns the offset at which a new process starts to read: the
+// log's first record, or in a long log the record that accepted the revision of
+// a peer.
 func (k *Keeper) findStartOffset(ctx context.Context) (uint64, error) {
 	page, err := k.read(ctx, 0, 1, 0)
 	if err != nil && !errors.Is(err, platform.ErrTruncated) {
@@ -100,7 +107,7 @@
 	return page.First, nil
 }
 
-// readPage reads one page and returns the offset behind it.
+// readPage reads and applies one page, and returns the next offset to read.
 func (k *Keeper) readPage(ctx context.Context, from uint64) (uint64, error) {
 	startTime := time.Now()
 	page, err := k.read(ctx, from, maxPage, pollWait)
@@ -111,7 +118,7 @@
 	case err != nil:
 		return from, err
 	case page.End < from:
-		// Only a log that lost its records ends before what was read from it.
+		// The log ends before records already read from it: it has lost them.
 		k.handleGap("The log ends before the offset already read: it was reset.", from, page)
 		return page.First, nil
 	}
@@ -124,6 +131,7 @@
 	return next, nil
 }
 
+// read reads up to the given number of records and counts the read.
 func (k *Keeper) read(ctx context.Context, from uint64, records int, wait time.Duration) (platform.Page, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+pollMargin)
 	defer cancel()
@@ -138,6 +146,7 @@
 	return page, err
 }
 
+// handleGap records that records of the log can no longer be read, and logs why.
 func (k *Keeper) handleGap(message string, from uint64, page platform.Page) {
 	logGaps.Add(1)
 	k.limitedLog.Error(message, zap.Uint64("from", from), zap.Uint64("first", page.First), zap.Uint64("end", page.End))
@@ -146,6 +155,8 @@
 	k.state.HandleTruncation()
 }
 
+// recordReachable records a successful read up to the offset next. Startup ends
+// once the log has been read up to its end at the start.
 func (k *Keeper) recordReachable(next, end uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -155,18 +166,19 @@
 		k.log.Info("The log is reachable.", zap.Uint64("next", next), zap.Uint64("end", end))
 		notify(k.keepAliveSignal)
 	}
-	// A log that was reset ends before the goal.
+	// A log that was reset may end before endAtStart.
 	if !k.startupState.done && next >= min(k.startupState.endAtStart, end) {
 		k.startupState.done = true
 		k.publish(logSpreadDelay)
 	}
 }
 
+// recordUnreachable records a failed read.
 func (k *Keeper) recordUnreachable(err error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.health.reachable, k.health.err = false, err
-	k.limitedLog.Warn("The log can't be read; peers give what changes.", zap.Error(err))
+	k.limitedLog.Warn("The log can't be read; changes come from peers only.", zap.Error(err))
 }
 
 func (k *Keeper) isLogReachable() bool {
@@ -175,22 +187,22 @@
 	return k.health.reachable
 }
 
-// Status is what an operator sees of the Keeper.
+// Status is the Keeper's state as shown to operators.
 type Status struct {
 	Revision     uint64 `json:"revision"` // in force
 	Hash         string `json:"hash"`
-	Offset       uint64 `json:"offset"`  // that accepted it
+	Offset       uint64 `json:"offset"`  // log offset that accepted it
 	Newest       uint64 `json:"newest"`  // newest accepted; higher than Revision if this release can't read it
-	Settled      bool   `json:"settled"` // false: a gap leaves open which commits won
+	Settled      bool   `json:"settled"` // false: because of a gap it is not certain which commits were accepted
 	Next         uint64 `json:"next"`    // next offset to read
-	Lag          uint64 `json:"log_lag"` // records not read yet, when last heard
+	Lag          uint64 `json:"log_lag"` // records not read yet, as of the last read
 	LogReachable bool   `json:"log_reachable"`
 	LogError     string `json:"log_error,omitempty"`
 	Peers        int    `json:"peers"`
 	Pending      int    `json:"pending_versions"` // announced here and not yet in the log
 }
 
-// Status returns the Keeper's state as of now.
+// Status returns the Keeper's current state.
 func (k *Keeper) Status() Status {
 	peers := len(k.cfg.Peers())
 	view := k.View()
--- a/confsync/timing.go
+++ b/confsync/timing.go
@@ -15,18 +15,18 @@
 	return low + time.Duration(r()*float64(high-low))
 }
 
-// jitter returns d ± half of it, so that processes started together drift
-// apart.
+// jitter returns a random duration from d/2 to 3d/2, so that processes that
+// started together don't stay synchronised.
 func (r random) jitter(d time.Duration) time.Duration {
 	return r.between(d/2, d+d/2)
 }
 
-// pick returns up to n different indexes below size.
+// pick returns up to n different random indexes below size.
 func (r random) pick(n, size int) []int {
 	n = min(n, size)
 	chosen := make([]int, 0, n)
 	taken := make(map[int]bool, n)
-	// Floyd's sampling: n draws whatever the size is.
+	// Floyd's sampling needs n draws for any size.
 	for j := size - n; j < size; j++ {
 		i := int(r() * float64(j+1))
 		if taken[i] {
@@ -38,9 +38,10 @@
 	return chosen
 }
 
-// backoff spaces tries at something that fails: doubling up to a limit, each
-// wait between half and the whole of it. At the limit of 10 s all 1,860
-// processes together ask a log that is down some 250 times a second.
+// backoff is an exponential backoff with jitter: the wait doubles up to
+// maxBackoff, and each wait is between half and the whole of it. At the maximum
+// of 10 s all 1,860 processes together send about 250 requests per second to a
+// log that is unavailable.
 type backoff struct{ wait time.Duration }
 
 const (
--- a/confsync/view.go
+++ b/confsync/view.go
@@ -5,8 +5,8 @@
 )
 
 // View is the immutable control state that a request reads: one manifest
-// revision and the newest known weight versions. Readers load it once per
-// request and never see two revisions mixed.
+// revision and the newest known weight versions. A request loads it once, so it
+// never sees a mix of two revisions.
 type View struct {
 	Number   uint64 // manifest revision; 0: none yet
 	Hash     string // sha256 of the manifest, hex
@@ -15,15 +15,16 @@
 	Versions map[string]uint64 // model -> newest announced weight version
 }
 
-// Viewer hands out the View in force and tells of changes. Keeper is the real
-// one; tests use Static.
+// Viewer provides the View in force and notifies of changes. Keeper implements
+// it; tests can use Static.
 type Viewer interface {
-	// View returns the state in force; a Number of 0 or nil: none is known yet.
+	// View returns the state in force. Nil or a Number of 0 means that no
+	// revision is known yet.
 	View() *View
 	// Changed returns a channel that is closed at the next change.
 	Changed() <-chan struct{}
-	// Announce spreads a weight version: remembered here at once, sent to
-	// peers, and written to the log when it can be. Versions only rise.
+	// Announce publishes a weight version: in this process at once, to peers, and
+	// to the log as soon as it can be written. Versions never decrease.
 	Announce(model string, version uint64)
 }
 
@@ -33,7 +34,7 @@
 // View returns V.
 func (s Static) View() *View { return s.V }
 
-// Changed returns nil: nothing changes ever.
+// Changed returns nil, because the View never changes.
 func (s Static) Changed() <-chan struct{} { return nil }
 
 // Announce does nothing.
--- a/confsync/vmwatch.go
+++ b/confsync/vmwatch.go
@@ -14,10 +14,10 @@
 	"dandelionsill.org/platform"
 )
 
-// How often the VM list is asked for. The list has no deltas, so that at fleet
-// size the whole of it (1,860 VMs, some 280 KB) must not come often: 5 KB/s of
-// the budget give one answer a minute. The list only confirms what agents say
-// themselves, and it lags anyhow.
+// Bounds of polling the VM list. The list is always returned whole; at fleet
+// size (1,860 VMs, about 280 KB) it must not be read often: 5 KB/s of the
+// traffic budget allow one read per minute. That is enough, because the list
+// only confirms what agents report themselves, and it lags behind anyway.
 const (
 	minListInterval    = 2 * time.Second
 	listTimeout        = 5 * time.Second
@@ -25,7 +25,8 @@
 	listBytesPerSecond = 5 << 10
 )
 
-// VMWatcher keeps the platform's VM list as last heard.
+// VMWatcher keeps the platform's VM list as of the last successful read. It is
+// safe for concurrent use.
 type VMWatcher struct {
 	list    platform.VMList
 	log     *zap.Logger
@@ -46,20 +47,21 @@
 	return w
 }
 
-// VMs returns the last answer, sorted by name; it must not be changed.
+// VMs returns the last list read, sorted by name. The caller must not change it.
 func (w *VMWatcher) VMs() []platform.VM { return *w.vms.Load() }
 
-// Changed returns a channel that is closed at the next change.
+// Changed returns a channel that is closed at the next change of the list.
 func (w *VMWatcher) Changed() <-chan struct{} { return *w.changed.Load() }
 
-// Run polls until ctx is done. While the list is down the last answer holds.
+// Run polls the list until ctx is done. While the list can't be read, VMs
+// returns the last one.
 func (w *VMWatcher) Run(ctx context.Context) {
 	var wait backoff
 	for ctx.Err() == nil {
 		pause := w.random.jitter(listInterval(len(w.VMs())))
 		if err := w.poll(ctx); err != nil && ctx.Err() == nil {
 			vmListFailed.Add(1)
-			w.log.Warn("The VM list can't be read; the last answer holds.", zap.Error(err))
+			w.log.Warn("The VM list can't be read; the last one stays in use.", zap.Error(err))
 			pause = wait.next(w.random)
 		} else {
 			wait.reset()
@@ -70,7 +72,8 @@
 	}
 }
 
-// listInterval spaces answers of n VMs within the byte budget.
+// listInterval returns the time between two reads of a list of n VMs: at least
+// minListInterval, and long enough to keep to listBytesPerSecond.
 func listInterval(n int) time.Duration {
 	return max(minListInterval, time.Duration(n*bytesPerVM)*time.Second/listBytesPerSecond)
 }
