--- a/agent/generate/state.go
+++ b/agent/generate/state.go
@@ -12,13 +12,14 @@
 )
 
 const (
-	meterEvery  = 250 * time.Millisecond
-	eventsEvery = time.Second
-	pollTimeout = 2 * time.Second
-	smoothing   = 0.3 // weight of the newest rate
-	// maxWarm bounds the prefixes in a state report: 64 hashes are about
-	// 650 B, so that one report a second stays far below 17 KB/s a daemon.
-	maxWarm = 64
+	meterInterval = 250 * time.Millisecond
+	pollInterval  = time.Second
+	pollTimeout   = 2 * time.Second
+	rateSmoothing = 0.3 // weight of the newest rate
+	// maxWarmPrefixes bounds the prefixes in a state report: 64 hashes are about
+	// 650 B, which keeps one report per second far below the budget of 17 KB/s
+	// per daemon.
+	maxWarmPrefixes = 64
 )
 
 // Run keeps the load figures, the warm prefixes and the announced floors up to
@@ -27,25 +28,25 @@
 	var wg sync.WaitGroup
 	wg.Go(func() { h.watchEngine(ctx) })
 	defer wg.Wait()
-	tick := time.NewTicker(meterEvery)
+	tick := time.NewTicker(meterInterval)
 	defer tick.Stop()
-	last := time.Now()
+	lastTick := time.Now()
 	for {
 		changed := h.cfg.View.Changed()
-		h.learnAnnounced()
+		h.raiseAnnouncedFloors()
 		select {
 		case <-ctx.Done():
 			return
 		case <-changed:
 		case now := <-tick.C:
-			h.meter.tick(now.Sub(last), h.cfg.Queue.Stats().Running)
-			last = now
+			h.meter.tick(now.Sub(lastTick), h.cfg.Queue.Stats().Running)
+			lastTick = now
 		}
 	}
 }
 
 func (h *Handler) watchEngine(ctx context.Context) {
-	tick := time.NewTicker(eventsEvery)
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	for {
 		h.pollEngine(ctx)
@@ -57,15 +58,15 @@
 	}
 }
 
-// pollEngine reads cache events and the load. Both are hints: a failed poll
-// changes nothing.
+// pollEngine reads the engine's cache events and load. Both are only hints, so
+// a failed poll keeps the previous values.
 func (h *Handler) pollEngine(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
-	if events, err := h.cfg.Engine.Events(ctx, h.warm.after()); err == nil {
+	if events, err := h.cfg.Engine.Events(ctx, h.warm.lastSeq()); err == nil {
 		h.warm.apply(events)
 	}
-	if !h.cfg.EngineSlots {
+	if !h.cfg.UseEngineSlots {
 		return
 	}
 	load, err := h.cfg.Engine.Load(ctx)
@@ -74,7 +75,7 @@
 	}
 }
 
-// FillState writes this part's fields of the agent's state.
+// FillState sets the fields of the agent's state that this package reports.
 func (h *Handler) FillState(s *pb.AgentState) {
 	q := h.cfg.Queue.Stats()
 	s.Slots, s.Running, s.Queued = int32(q.Slots), int32(q.Running), int32(q.Queued)
@@ -87,12 +88,13 @@
 	s.WarmPrefixes = h.warm.list()
 }
 
-// meter measures token rates. add is on the path of every chunk.
+// meter measures the token rates of the engine and of one stream, in tokens per
+// second. add is called for every chunk and takes no lock.
 type meter struct {
-	tokens atomic.Int64
-	last   int64 // of the ticking goroutine
-	all    atomic.Uint64
-	one    atomic.Uint64
+	tokens     atomic.Int64
+	lastTokens int64         // token count at the last tick; only tick uses it
+	engineRate atomic.Uint64 // smoothed; bits of a float64
+	streamRate atomic.Uint64 // smoothed; bits of a float64
 }
 
 func (m *meter) add(n int) { m.tokens.Add(int64(n)) }
@@ -102,78 +104,83 @@
 		return
 	}
 	total := m.tokens.Load()
-	rate := float64(total-m.last) / dt.Seconds()
-	m.last = total
-	smooth(&m.all, rate)
+	rate := float64(total-m.lastTokens) / dt.Seconds()
+	m.lastTokens = total
+	smooth(&m.engineRate, rate)
 	if running > 0 {
-		smooth(&m.one, rate/float64(running))
+		smooth(&m.streamRate, rate/float64(running))
 	}
 }
 
+// smooth moves v towards the newest rate. The first rate is taken as it is.
 func smooth(v *atomic.Uint64, rate float64) {
 	old := math.Float64frombits(v.Load())
 	if old == 0 {
 		old = rate
 	}
-	v.Store(math.Float64bits(old + smoothing*(rate-old)))
+	v.Store(math.Float64bits(old + rateSmoothing*(rate-old)))
 }
 
-func (m *meter) rates() (all, one float64) {
-	return math.Float64frombits(m.all.Load()), math.Float64frombits(m.one.Load())
+func (m *meter) rates() (engineRate, streamRate float64) {
+	return math.Float64frombits(m.engineRate.Load()), math.Float64frombits(m.streamRate.Load())
 }
 
-// need predicts how long a stream takes at most; 0 where no rate is known.
-func (m *meter) need(maxTokens uint32) time.Duration {
-	_, one := m.rates()
-	if one <= 0 {
+// estimateMaxDuration predicts how long a stream of maxTokens takes, or returns
+// 0 if no rate is known yet.
+func (m *meter) estimateMaxDuration(maxTokens uint32) time.Duration {
+	_, streamRate := m.rates()
+	if streamRate <= 0 {
 		return 0
 	}
-	return time.Duration(float64(maxTokens) / one * float64(time.Second))
+	return time.Duration(float64(maxTokens) / streamRate * float64(time.Second))
 }
 
-// warmPrefixes is what is believed of the engine's prefix cache.
+// warmPrefixes tracks, from the engine's cache events, which prefixes its cache
+// holds.
 type warmPrefixes struct {
-	mu    sync.Mutex
-	seq   uint64
-	order []uint64 // oldest first
+	mu       sync.Mutex
+	seq      uint64
+	prefixes []uint64 // oldest first
 }
 
-func (w *warmPrefixes) after() uint64 {
+func (w *warmPrefixes) lastSeq() uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.seq
 }
 
-// apply folds events in. On a gap what was believed is dropped: a prefix whose
-// eviction was lost would draw requests to a cold engine.
+// apply applies cache events in order and skips repeated ones. After a gap in
+// the sequence it drops all prefixes: one whose eviction event was lost would
+// attract requests to an engine that no longer has it cached.
 func (w *warmPrefixes) apply(events []platform.CacheEvent) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, e := range events {
-		if e.Seq <= w.seq && e.Seq != 0 && w.seq-e.Seq < maxReorder {
-			continue // a repeat
+		if e.Seq <= w.seq && e.Seq != 0 && w.seq-e.Seq < maxRepeatDistance {
+			continue // repeated
 		}
 		if e.Seq != w.seq+1 {
-			w.order = w.order[:0]
+			w.prefixes = w.prefixes[:0]
 		}
 		w.seq = e.Seq
 		w.remove(e.Prefix)
 		if !e.Gone {
-			w.order = append(w.order, e.Prefix)
+			w.prefixes = append(w.prefixes, e.Prefix)
 		}
-		if len(w.order) > maxWarm {
-			w.order = append(w.order[:0], w.order[1:]...)
+		if len(w.prefixes) > maxWarmPrefixes {
+			w.prefixes = append(w.prefixes[:0], w.prefixes[1:]...)
 		}
 	}
 }
 
-// maxReorder tells a repeated event from an engine that started to count anew.
-const maxReorder = 1 << 10
+// maxRepeatDistance is how far behind the last sequence number an event still
+// counts as repeated; further behind, the engine has restarted its numbering.
+const maxRepeatDistance = 1 << 10
 
 func (w *warmPrefixes) remove(prefix uint64) {
-	for i, p := range w.order {
+	for i, p := range w.prefixes {
 		if p == prefix {
-			w.order = append(w.order[:i], w.order[i+1:]...)
+			w.prefixes = append(w.prefixes[:i], w.prefixes[i+1:]...)
 			return
 		}
 	}
@@ -182,5 +189,5 @@
 func (w *warmPrefixes) list() []uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return append([]uint64(nil), w.order...)
+	return append([]uint64(nil), w.prefixes...)
 }
--- a/agent/held/held.go
+++ b/agent/held/held.go
@@ -1,6 +1,6 @@
-// Package held keeps finished samples for a while after they were handed to
-// their entry, so that a new owner of the step can take them over instead of
-// generating them again when the entry dies. It is bounded in bytes and age;
+// Package held keeps finished samples for some time after they were sent to
+// their entry. If the entry dies, the new owner of the step takes them over
+// instead of generating them again. The store is bounded in bytes and age;
 // losing a sample from it costs tokens, never correctness.
 package held
 
@@ -13,17 +13,18 @@
 )
 
 const (
-	// DefaultMaxBytes: a fleet step is 24 trainers * 2,048 samples over 1,500
-	// servers, 33 samples of about 10 KB a server; this holds dozens of steps.
+	// DefaultMaxBytes holds dozens of steps: one step of the whole fleet has
+	// 24 trainers * 2,048 samples on 1,500 servers, which is 33 samples of about
+	// 10 KB per server.
 	DefaultMaxBytes = 16 << 20
 	// DefaultMaxAge is two and a half times the longest step (4 min).
 	DefaultMaxAge = 10 * time.Minute
-	// KeepSteps is how many steps before a trainer's newest are still kept.
-	KeepSteps = 2
-	// entryBytes stands for the bookkeeping of one sample; BenchmarkHeldSample
-	// measured 703 B beside the text with one span.
-	entryBytes = 640
-	spanBytes  = 64
+	// KeptSteps is how many steps before a trainer's newest are still kept.
+	KeptSteps = 2
+	// entryOverhead and spanOverhead estimate the memory of one sample besides
+	// its strings: 703 B with one span, by BenchmarkHeldSample.
+	entryOverhead = 640
+	spanOverhead  = 64
 )
 
 // Sample is a finished sample.
@@ -33,7 +34,7 @@
 	PromptHash string // label.RequestHash
 }
 
-// Key names a sample by value.
+// Key identifies a sample and is comparable.
 type Key struct {
 	Trainer string
 	Step    uint64
@@ -59,22 +60,22 @@
 }
 
 type entry struct {
-	key    Key
-	sample Sample
-	at     time.Time
-	bytes  int64
+	key     Key
+	sample  Sample
+	addedAt time.Time
+	bytes   int64
 }
 
 // Store holds finished samples. It is safe for concurrent use.
 type Store struct {
 	cfg Config
 
-	mu     sync.Mutex
-	order  *list.List // of *entry, oldest first
-	byKey  map[Key]*list.Element
-	byStep map[stepKey]map[Key]*list.Element
-	newest map[string]uint64 // trainer -> newest step seen
-	bytes  int64
+	mu         sync.Mutex
+	order      *list.List // of *entry, oldest first
+	byKey      map[Key]*list.Element
+	byStep     map[stepKey]map[Key]*list.Element
+	newestStep map[string]uint64 // trainer -> newest step seen
+	bytes      int64
 }
 
 // New returns an empty store.
@@ -90,18 +91,20 @@
 	}
 	return &Store{
 		cfg: cfg, order: list.New(),
-		byKey:  map[Key]*list.Element{},
-		byStep: map[stepKey]map[Key]*list.Element{},
-		newest: map[string]uint64{},
+		byKey:      map[Key]*list.Element{},
+		byStep:     map[stepKey]map[Key]*list.Element{},
+		newestStep: map[string]uint64{},
 	}
 }
 
-// Put keeps a sample, in place of one with the same key.
+// Put stores a sample and replaces one with the same key. It drops the oldest
+// samples beyond the bounds, and ignores a sample that is larger than the whole
+// store or belongs to an outdated step.
 func (s *Store) Put(sample Sample) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	e := &entry{key: KeyOf(sample.ID), sample: sample, at: s.cfg.Now(), bytes: size(sample)}
-	if e.bytes > s.cfg.MaxBytes || s.passed(e.key.Trainer, e.key.Step) {
+	e := &entry{key: KeyOf(sample.ID), sample: sample, addedAt: s.cfg.Now(), bytes: sampleSize(sample)}
+	if e.bytes > s.cfg.MaxBytes || s.isOutdated(e.key.Trainer, e.key.Step) {
 		return
 	}
 	if old, ok := s.byKey[e.key]; ok {
@@ -133,44 +136,47 @@
 	return out
 }
 
-// Seen tells that a trainer works on a step; steps well before it are done and
-// their samples are dropped. A step far behind the newest is a training run
-// begun anew and counts from there.
-func (s *Store) Seen(trainer string, step uint64) {
+// ObserveStep records that a trainer works on a step, and drops the samples of
+// outdated steps, which are finished. A step that is itself outdated means that
+// the training run was restarted, so it becomes the newest.
+func (s *Store) ObserveStep(trainer string, step uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if step <= s.newest[trainer] && !s.passed(trainer, step) {
+	if step <= s.newestStep[trainer] && !s.isOutdated(trainer, step) {
 		return
 	}
-	s.newest[trainer] = step
+	s.newestStep[trainer] = step
 	s.removeIf(func(e *entry) bool {
-		return e.key.Trainer == trainer && s.passed(trainer, e.key.Step)
+		return e.key.Trainer == trainer && s.isOutdated(trainer, e.key.Step)
 	})
 }
 
-// DropBelow drops the trainer's samples with a token from below the floor.
+// DropBelow drops the trainer's samples that have a token of a version below the
+// floor.
 func (s *Store) DropBelow(trainer string, floor uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.removeIf(func(e *entry) bool {
-		return e.key.Trainer == trainer && oldest(e.sample.Done) < floor
+		return e.key.Trainer == trainer && oldestVersion(e.sample.Done) < floor
 	})
 }
 
-// Size returns the samples and bytes held.
+// Size returns the number of samples held and their estimated bytes.
 func (s *Store) Size() (samples int, bytes int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.byKey), s.bytes
 }
 
-func (s *Store) passed(trainer string, step uint64) bool {
-	return step+KeepSteps < s.newest[trainer]
+// isOutdated reports whether the step is more than KeptSteps before the
+// trainer's newest.
+func (s *Store) isOutdated(trainer string, step uint64) bool {
+	return step+KeptSteps < s.newestStep[trainer]
 }
 
 func (s *Store) expire() {
 	limit := s.cfg.Now().Add(-s.cfg.MaxAge)
-	for el := s.order.Front(); el != nil && el.Value.(*entry).at.Before(limit); el = s.order.Front() {
+	for el := s.order.Front(); el != nil && el.Value.(*entry).addedAt.Before(limit); el = s.order.Front() {
 		s.remove(el)
 	}
 }
@@ -196,14 +202,16 @@
 	s.bytes -= e.bytes
 }
 
-func oldest(d *pb.GenerateDone) uint64 {
+// oldestVersion returns the version of the first span, which is the oldest:
+// versions never decrease within a sample. It returns 0 without spans.
+func oldestVersion(d *pb.GenerateDone) uint64 {
 	if len(d.GetSpans()) == 0 {
 		return 0
 	}
 	return d.GetSpans()[0].GetVersion()
 }
 
-func size(s Sample) int64 {
-	strings := len(s.Done.GetText()) + len(s.ID.GetTrainer()) + len(s.ID.GetGroup()) + len(s.PromptHash)
-	return int64(strings + entryBytes + spanBytes*len(s.Done.GetSpans()))
+func sampleSize(s Sample) int64 {
+	stringBytes := len(s.Done.GetText()) + len(s.ID.GetTrainer()) + len(s.ID.GetGroup()) + len(s.PromptHash)
+	return int64(stringBytes + entryOverhead + spanOverhead*len(s.Done.GetSpans()))
 }
--- a/agent/server/build.go
+++ b/agent/server/build.go
@@ -198,13 +198,13 @@
 		Logger:         logs.Part(b.logger, "weights"),
 	})
 	handler := generate.New(generate.Config{
-		Name:        set.Process.Name,
-		Engine:      engine,
-		Queue:       b.queue,
-		Weights:     weightsKeeper,
-		View:        b.configKeeper,
-		Explain:     b.explain,
-		EngineSlots: set.Backend.Slots == 0,
+		Name:           set.Process.Name,
+		Engine:         engine,
+		Queue:          b.queue,
+		Weights:        weightsKeeper,
+		View:           b.configKeeper,
+		Explain:        b.explain,
+		UseEngineSlots: set.Backend.Slots == 0,
 	})
 	b.addLoop(modelRoster.run)
 	b.addLoop(weightsKeeper.Run)
--- a/confsync/append.go
+++ b/confsync/append.go
@@ -14,15 +14,16 @@
 	"dandelionsill.org/platform"
 )
 
-// Bounds of appends by one process. Announcements of one model that come
-// faster than this are merged, as only the newest version counts.
+// Bounds of one process's appends. Announcements of one model that come faster
+// are merged, because only the newest version counts.
 const (
 	appendRate    rate.Limit = 1
 	appendBurst              = 4
 	appendTimeout            = 5 * time.Second
 )
 
-// appendVersions writes the versions announced here to the log.
+// appendVersions appends the versions announced in this process to the log until
+// ctx is done.
 func (k *Keeper) appendVersions(ctx context.Context) {
 	var wait backoff
 	for {
@@ -31,23 +32,25 @@
 			select {
 			case <-ctx.Done():
 				return
-			case <-k.announced:
+			case <-k.announceSignal:
 			}
 			continue
 		}
 		err := k.append(ctx, control.EncodeVersion(newID("version", k.cfg.Name), model, version))
 		if err == nil {
 			wait.reset()
-			k.logged(model, version)
+			k.dropPending(model, version)
 			continue
 		}
-		k.limited.Warn("A weight version can't be written to the log yet; peers have it.", zap.String("model", model), zap.Error(err))
+		k.limitedLog.Warn("A weight version can't be written to the log yet; peers have it.", zap.String("model", model), zap.Error(err))
 		if !sleep.For(ctx, wait.next(k.random)) {
 			return
 		}
 	}
 }
 
+// nextPending returns any announcement that is not in the log yet; ok is false
+// if there is none.
 func (k *Keeper) nextPending() (model string, version uint64, ok bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -57,8 +60,9 @@
 	return "", 0, false
 }
 
-// logged drops an announcement that stands in the log.
-func (k *Keeper) logged(model string, version uint64) {
+// dropPending drops a model's announcement that was appended, unless a newer
+// version was announced meanwhile.
+func (k *Keeper) dropPending(model string, version uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.pending[model] <= version {
@@ -66,22 +70,24 @@
 	}
 }
 
-// settlePending drops announcements that others wrote; k.mu is held.
-func (k *Keeper) settlePending() {
+// dropPendingInLog drops the announcements that were read from the log, where
+// this or another process appended them. The caller holds k.mu.
+func (k *Keeper) dropPendingInLog() {
 	for model, version := range k.pending {
-		if k.inLog[model] >= version {
+		if k.loggedVersions[model] >= version {
 			delete(k.pending, model)
 		}
 	}
 }
 
-// append writes one record. A lost answer is settled by reading back; only
-// where that fails too may the record be written twice, which changes nothing.
+// append appends one record to the log. If the answer is lost it reads the log
+// to find out whether the record was written. Only if that fails too may a retry
+// write the record twice, which is harmless.
 func (k *Keeper) append(ctx context.Context, data []byte) error {
 	if err := k.appends.Wait(ctx); err != nil {
 		return errors.Trace(err)
 	}
-	from := k.endOfLog()
+	from := k.nextOffset()
 	ctx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
 	logAppends.Add(1)
@@ -91,26 +97,28 @@
 	}
 	logAppendsFailed.Add(1)
 	if errors.Is(err, platform.ErrAppendUnknown) {
-		found, readErr := k.readBack(ctx, from, data)
+		found, readErr := k.findRecord(ctx, from, data)
 		if found {
 			return nil
 		}
 		if readErr != nil {
-			return errors.Annotate(readErr, "append answer lost, read back")
+			return errors.Annotate(readErr, "lost the answer to an append and can't read the log to find the record")
 		}
 	}
 	return errors.Trace(err)
 }
 
-// endOfLog is an offset that no record appended from now on lies before.
-func (k *Keeper) endOfLog() uint64 {
+// nextOffset returns the next offset to read. No record appended from now on has
+// a lower offset.
+func (k *Keeper) nextOffset() uint64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.health.next
+	return k.health.nextOffset
 }
 
-// readBack looks for a record in the log from an offset on.
-func (k *Keeper) readBack(ctx context.Context, from uint64, data []byte) (bool, error) {
+// findRecord reports whether the log has a record with this data at the offset
+// from or after it.
+func (k *Keeper) findRecord(ctx context.Context, from uint64, data []byte) (bool, error) {
 	for {
 		page, err := k.cfg.Log.Read(ctx, platform.StreamControl, from, maxPage, 0)
 		if errors.Is(err, platform.ErrTruncated) && page.First > from {
--- a/confsync/conns.go
+++ b/confsync/conns.go
@@ -13,43 +13,44 @@
 	"dandelionsill.org/wire/pb"
 )
 
-// Bounds of connections to peers. Random peers among 1,860 are rarely met
-// twice, so that few connections are worth keeping.
+// Bounds of the connections for exchanges. Among 1,860 processes a random peer
+// is rarely chosen twice, so only few connections are worth keeping.
 const (
 	maxConns    = 16
 	idleTimeout = 20 * time.Second
 	bufferBytes = 4 << 10 // exchanges are short
 )
 
-// exchanger carries exchanges to peers.
+// exchanger sends exchanges to peers; tests replace it.
 type exchanger interface {
 	exchange(ctx context.Context, addr string, req *pb.ExchangeRequest) (*pb.ExchangeReply, error)
 	Close()
 }
 
-// Conns keeps the connections to peers that were used last. It is safe for concurrent
-// use.
+// Conns keeps the most recently used connections to peers. It is safe for
+// concurrent use.
 type Conns struct {
-	most   int
-	mu     sync.Mutex
-	byAddr map[string]*list.Element
-	used   *list.List // of *conn, last used first
-	closed bool
+	limit     int
+	mu        sync.Mutex
+	byAddr    map[string]*list.Element
+	byLastUse *list.List // of *conn, most recently used first
+	closed    bool
 }
 
 type conn struct {
-	addr string
-	grpc *grpc.ClientConn
+	addr   string
+	client *grpc.ClientConn
 }
 
-// NewConns returns no connections yet; most bounds them. It has to be above the number
-// of calls that are open at a time: the connection that was used longest ago is closed.
-func NewConns(most int) *Conns {
-	return &Conns{most: most, byAddr: map[string]*list.Element{}, used: list.New()}
+// NewConns returns a Conns that keeps up to limit connections. To open another
+// one it closes the least recently used, even if a call is open on it, so limit
+// must be above the number of peers called at the same time.
+func NewConns(limit int) *Conns {
+	return &Conns{limit: limit, byAddr: map[string]*list.Element{}, byLastUse: list.New()}
 }
 
-// newConns returns those for exchanges.
-func newConns() *Conns { return NewConns(maxConns) }
+// newExchangeConns returns the Conns for exchanges.
+func newExchangeConns() *Conns { return NewConns(maxConns) }
 
 func (c *Conns) exchange(ctx context.Context, addr string, req *pb.ExchangeRequest) (*pb.ExchangeReply, error) {
 	conn, err := c.Get(addr)
@@ -60,9 +61,10 @@
 	return reply, errors.Annotatef(err, "exchange with %s", addr)
 }
 
-// Get returns the connection to addr. The one closed for it was used longest ago. Of
-// those for exchanges no more than seven are in use at once (three spread, one
-// compares, three look for a revision at the start).
+// Get returns the connection to addr and opens it if needed. Beyond the limit it
+// closes the least recently used one. Exchanges use at most seven connections at
+// once: three to spread a change, one for anti-entropy, and three to find a
+// revision at startup. Get fails after Close.
 func (c *Conns) Get(addr string) (*grpc.ClientConn, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -70,8 +72,8 @@
 		return nil, errors.New("confsync: stopped")
 	}
 	if e, ok := c.byAddr[addr]; ok {
-		c.used.MoveToFront(e)
-		return e.Value.(*conn).grpc, nil
+		c.byLastUse.MoveToFront(e)
+		return e.Value.(*conn).client, nil
 	}
 	client, err := run.NewClient(addr,
 		grpc.WithIdleTimeout(idleTimeout),
@@ -80,25 +82,25 @@
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	c.byAddr[addr] = c.used.PushFront(&conn{addr, client})
-	if c.used.Len() > c.most {
-		c.drop(c.used.Back())
+	c.byAddr[addr] = c.byLastUse.PushFront(&conn{addr, client})
+	if c.byLastUse.Len() > c.limit {
+		c.drop(c.byLastUse.Back())
 	}
 	return client, nil
 }
 
 func (c *Conns) drop(e *list.Element) {
-	old := c.used.Remove(e).(*conn)
+	old := c.byLastUse.Remove(e).(*conn)
 	delete(c.byAddr, old.addr)
-	_ = old.grpc.Close()
+	_ = old.client.Close()
 }
 
-// Close closes all connections; none can be had any more.
+// Close closes all connections. Get fails from then on.
 func (c *Conns) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closed = true
-	for c.used.Len() > 0 {
-		c.drop(c.used.Back())
+	for c.byLastUse.Len() > 0 {
+		c.drop(c.byLastUse.Back())
 	}
 }
--- a/confsync/keeper.go
+++ b/confsync/keeper.go
@@ -19,20 +19,21 @@
 	"dandelionsill.org/wire/pb"
 )
 
-// logEvery limits each log line that a lasting failure would repeat.
-const logEvery = time.Minute
+// logInterval is the minimum time between two equal log lines of a failure that
+// lasts.
+const logInterval = time.Minute
 
-// maxModels bounds the memory that versions heard from peers can take.
+// maxModels bounds the memory for weight versions received from peers.
 const maxModels = 4096
 
-// Config is what a Keeper needs.
+// Config configures a Keeper. Name, Log and Keys are required.
 type Config struct {
-	Name string // this process
-	Addr string // its gRPC listener, IP:port; never exchanged with
+	Name string // this process's name
+	Addr string // its gRPC listener, IP:port; skipped among the peers
 	Log  platform.Log
-	Keys manifest.Keys
-	// Peers returns the addresses of all other processes that are known. It is
-	// called often and must be cheap. Nil: no peers.
+	Keys manifest.Keys // public keys that manifests may be signed with
+	// Peers returns the addresses of all known processes. It is called often and
+	// must be cheap. Nil: no peers.
 	Peers  func() []string
 	Logger *zap.Logger
 }
@@ -42,35 +43,36 @@
 type Keeper struct {
 	pb.UnimplementedPeerServer
 
-	cfg     Config
-	log     *zap.Logger
-	limited *zap.Logger // for what a failure repeats
-	peers   exchanger
-	random  random
-	appends *rate.Limiter
+	cfg        Config
+	log        *zap.Logger
+	limitedLog *zap.Logger // for failures that repeat
+	peers      exchanger
+	random     random
+	appends    *rate.Limiter
 
 	view    atomic.Pointer[View]
 	changed atomic.Pointer[chan struct{}]
 
-	mu       sync.Mutex
-	state    *control.State
-	versions map[string]uint64 // newest from anywhere
-	inLog    map[string]uint64 // newest that the log gave
-	pending  map[string]uint64 // announced here, not yet seen in the log
-	health   logHealth
-	start    startup
-	avoid    map[string]time.Time // peers that failed, until when
+	mu             sync.Mutex
+	state          *control.State
+	versions       map[string]uint64 // model -> newest version from any source
+	loggedVersions map[string]uint64 // model -> newest version read from the log
+	pending        map[string]uint64 // model -> version announced here and not yet in the log
+	health         logHealth
+	startupState   startup
+	excludedUntil  map[string]time.Time // address of a failed peer -> until when it is avoided
 
-	spreadAfter time.Duration // pause before the news is spread; mu guards it
+	spreadDelay time.Duration // delay before the newest change is sent to peers; guarded by mu
 
-	spread    chan struct{} // something new is known
-	announced chan struct{} // pending has grown
-	copied    chan struct{} // the revision in the log was renewed, or the log is back
+	spreadSignal    chan struct{} // the published state has changed
+	announceSignal  chan struct{} // pending has grown
+	keepAliveSignal chan struct{} // the newest copy in the log has changed, or the log is available again
 }
 
-// New returns a Keeper that knows nothing yet; Run makes it learn.
+// New returns a Keeper with an empty state; Run fills it. It fails without a log
+// or without keys.
 func New(cfg Config) (*Keeper, error) {
-	return newKeeper(cfg, newConns(), newRandom())
+	return newKeeper(cfg, newExchangeConns(), newRandom())
 }
 
 func newKeeper(cfg Config, peers exchanger, random random) (*Keeper, error) {
@@ -87,20 +89,20 @@
 		cfg.Peers = func() []string { return nil }
 	}
 	k := &Keeper{
-		cfg:       cfg,
-		log:       cfg.Logger,
-		limited:   logs.Limited(cfg.Logger, logEvery),
-		peers:     peers,
-		random:    random,
-		appends:   rate.NewLimiter(appendRate, appendBurst),
-		state:     control.New(cfg.Keys),
-		versions:  map[string]uint64{},
-		inLog:     map[string]uint64{},
-		pending:   map[string]uint64{},
-		avoid:     map[string]time.Time{},
-		spread:    make(chan struct{}, 1),
-		announced: make(chan struct{}, 1),
-		copied:    make(chan struct{}, 1),
+		cfg:             cfg,
+		log:             cfg.Logger,
+		limitedLog:      logs.Limited(cfg.Logger, logInterval),
+		peers:           peers,
+		random:          random,
+		appends:         rate.NewLimiter(appendRate, appendBurst),
+		state:           control.New(cfg.Keys),
+		versions:        map[string]uint64{},
+		loggedVersions:  map[string]uint64{},
+		pending:         map[string]uint64{},
+		excludedUntil:   map[string]time.Time{},
+		spreadSignal:    make(chan struct{}, 1),
+		announceSignal:  make(chan struct{}, 1),
+		keepAliveSignal: make(chan struct{}, 1),
 	}
 	k.view.Store(&View{Versions: map[string]uint64{}})
 	changed := make(chan struct{})
@@ -108,38 +110,40 @@
 	return k, nil
 }
 
-// Run learns, spreads and keeps alive the control state until ctx is done.
+// Run reads the control state from the log, exchanges it with peers and keeps it
+// from expiring in the log, until ctx is done.
 func (k *Keeper) Run(ctx context.Context) {
 	var loops sync.WaitGroup
 	for _, loop := range []func(context.Context){k.tail, k.spreadChanges, k.antiEntropy, k.appendVersions, k.keepAlive} {
 		loops.Go(func() { loop(ctx) })
 	}
 	loops.Wait()
-	k.handOver()
+	k.sendPending()
 	k.peers.Close()
 }
 
-// handOver gives peers the announcements that may be known only here. Without
-// it, a version announced just before a planned stop would be lost until its
-// trainer announces the next one.
-func (k *Keeper) handOver() {
+// sendPending sends peers the announcements that are not in the log yet and may
+// be known only to this process. Otherwise a version announced just before a
+// planned stop would be lost until the trainer announces the next one.
+func (k *Keeper) sendPending() {
 	if _, _, ok := k.nextPending(); !ok {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), exchangeTimeout)
 	defer cancel()
-	k.exchangeWithSome(ctx, spreadFanout)
+	k.exchangeWithRandomPeers(ctx, spreadFanout)
 }
 
 // View returns the newest View; it is never nil.
 func (k *Keeper) View() *View { return k.view.Load() }
 
-// Changed returns a channel that is closed at the next change. Take it before
-// View, so that no change falls in between.
+// Changed returns a channel that is closed at the next change of the View. Call
+// it before View, so that no change between the two calls is missed.
 func (k *Keeper) Changed() <-chan struct{} { return *k.changed.Load() }
 
-// Announce makes a weight version known: here at once, to peers within
-// seconds, and to the log when it can be written.
+// Announce publishes a weight version: in this process at once, to peers within
+// seconds, and to the log as soon as it can be written. It ignores a version
+// that is not newer than the known one.
 func (k *Keeper) Announce(model string, version uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -148,29 +152,30 @@
 	}
 	k.versions[model] = version
 	k.pending[model] = version
-	k.publish(spreadFirst)
-	notify(k.announced)
+	k.publish(peerSpreadDelay)
+	notify(k.announceSignal)
 }
 
-// apply folds records of the log in.
+// apply applies records read from the log and publishes the result.
 func (k *Keeper) apply(records []platform.Record) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	before := k.state.NewestCopy()
 	for _, rec := range records {
 		for _, event := range k.state.Apply(rec) {
-			k.note(event)
+			k.applyEvent(event)
 		}
 	}
-	k.settlePending()
+	k.dropPendingInLog()
 	if k.state.NewestCopy() != before {
-		notify(k.copied)
+		notify(k.keepAliveSignal)
 	}
-	k.publish(spreadAfterLog)
+	k.publish(logSpreadDelay)
 }
 
-// offer takes a revision from a peer. A refused one changes nothing.
-func (k *Keeper) offer(from string, rev *pb.SignedRevision) {
+// offerRevision takes over a revision from a peer if it is newer. A revision
+// that is refused changes nothing.
+func (k *Keeper) offerRevision(from string, rev *pb.SignedRevision) {
 	if rev == nil {
 		return
 	}
@@ -179,21 +184,21 @@
 	rose, err := k.state.Offer(rev)
 	if err != nil {
 		revisionsRefused.Add(1)
-		k.limited.Error("Refused a peer's revision.", zap.String("peer", from), zap.Error(err))
+		k.limitedLog.Error("Refused a peer's revision.", zap.String("peer", from), zap.Error(err))
 		return
 	}
 	if rose {
 		if readable := k.state.Revision(); readable != nil && readable.Number == rev.Number {
-			k.start.fromPeer = rev.Number
+			k.startupState.newestFromPeer = rev.Number
 		}
-		k.log.Info("Took a revision from a peer.", zap.String("peer", from), zap.Uint64("revision", rev.Number))
-		k.publish(spreadFirst)
-		notify(k.copied)
+		k.log.Info("Received a newer revision from a peer.", zap.String("peer", from), zap.Uint64("revision", rev.Number))
+		k.publish(peerSpreadDelay)
+		notify(k.keepAliveSignal)
 	}
 }
 
-// merge takes weight versions from a peer.
-func (k *Keeper) merge(versions []*pb.ModelVersion) {
+// mergeVersions takes over the weight versions from a peer that are newer.
+func (k *Keeper) mergeVersions(versions []*pb.ModelVersion) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	rose := false
@@ -206,38 +211,41 @@
 		rose = true
 	}
 	if rose {
-		k.publish(spreadFirst)
+		k.publish(peerSpreadDelay)
 	}
 }
 
-// publish swaps the View in if it differs and wakes whoever waits. Peers are
-// told after a pause; k.mu is held.
-func (k *Keeper) publish(spreadAfter time.Duration) {
-	old, next := k.view.Load(), k.build()
+// publish replaces the View if the state has changed, closes the channel of
+// Changed, and lets the change spread to peers after spreadDelay. The caller
+// holds k.mu.
+func (k *Keeper) publish(spreadDelay time.Duration) {
+	old, next := k.view.Load(), k.buildView()
 	if old.Number == next.Number && old.Hash == next.Hash && old.Offset == next.Offset && maps.Equal(old.Versions, next.Versions) {
 		return
 	}
 	k.view.Store(next)
 	changed := make(chan struct{})
 	close(*k.changed.Swap(&changed))
-	k.spreadAfter = spreadAfter
-	notify(k.spread)
+	k.spreadDelay = spreadDelay
+	notify(k.spreadSignal)
 }
 
-func (k *Keeper) build() *View {
+// buildView returns the View of the current state; the caller holds k.mu.
+func (k *Keeper) buildView() *View {
 	view := *k.view.Load()
 	view.Versions = maps.Clone(k.versions)
-	if rev := k.state.Revision(); rev != nil && k.start.mayUse(rev.Number) {
+	if rev := k.state.Revision(); rev != nil && k.startupState.mayUse(rev.Number) {
 		view.Number, view.Hash, view.Offset, view.Manifest = rev.Number, rev.Hash, rev.Offset, rev.Manifest
 	}
 	return &view
 }
 
-// note keeps and logs what a record of the log changed; k.mu is held.
-func (k *Keeper) note(event control.Event) {
+// applyEvent stores and logs what a record of the log changed; the caller holds
+// k.mu.
+func (k *Keeper) applyEvent(event control.Event) {
 	switch e := event.(type) {
 	case control.Version:
-		k.inLog[e.Model] = e.Version
+		k.loggedVersions[e.Model] = e.Version
 		k.versions[e.Model] = max(k.versions[e.Model], e.Version)
 	case control.Accepted:
 		k.log.Info("Accepted a revision.", zap.Uint64("revision", e.Revision.Number), zap.Uint64("offset", e.Revision.Offset))
@@ -251,18 +259,18 @@
 	}
 }
 
-// head returns the newest accepted revision; nil: none yet, or only one that
-// the log is known to have passed.
+// head returns the newest accepted revision. It returns nil if there is none, or
+// if startup has only read revisions that may already be replaced.
 func (k *Keeper) head() *control.Revision {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if head := k.state.Head(); head != nil && k.start.mayUse(head.Number) {
+	if head := k.state.Head(); head != nil && k.startupState.mayUse(head.Number) {
 		return head
 	}
 	return nil
 }
 
-// notify wakes the one reader of a channel with room for one.
+// notify wakes the reader of a channel with a buffer of one, without blocking.
 func notify(ch chan struct{}) {
 	select {
 	case ch <- struct{}{}:
@@ -270,5 +278,5 @@
 	}
 }
 
-// newID names a record.
+// newID returns a unique id for a record.
 func newID(kind, process string) string { return kind + "/" + process + "/" + uuid.NewString() }
--- a/confsync/keeper_test.go
+++ b/confsync/keeper_test.go
@@ -16,109 +16,112 @@
 	"dandelionsill.org/wire/pb"
 )
 
-// inForceLimit is the promise to operators.
+// inForceLimit is the time within which a commit must be in force at all
+// processes, as promised to operators.
 const inForceLimit = 3 * time.Second
 
-// The operator commits a revision while one process is cut off from the log.
-// The others read it from the log, the one hears of it from a peer: it is in
-// force everywhere within 3 s. The operator commits another one: likewise.
-func TestCutOffProcessHearsFromPeers(t *testing.T) {
+// The operator commits revisions while one process can't reach the log. The
+// other processes read them from the log, and the one receives them from a peer.
+// Each is in force everywhere within 3 s.
+func TestPartitionedProcessLearnsFromPeers(t *testing.T) {
 	inBubble(t, func(t *testing.T, s *site) {
-		s.log.cut["p7"] = true
+		s.log.disconnected["p7"] = true
 		s.startMany(40)
 		for number := range uint64(3) {
 			s.log.commit(revision(number+1, "a"))
-			s.inForce(inForceLimit, number+1)
+			s.awaitRevision(inForceLimit, number+1)
 		}
 		require.False(t, s.get("p7").Status().LogReachable)
 		require.NotEmpty(t, s.get("p7").Status().LogError)
 	})
 }
 
-// The operator commits; only one process reads it before the log goes down for
-// everybody. Then a VM is replaced. The revision spreads from the one process,
-// and the new VM's process gets it as well; nobody starts from nothing.
+// The operator commits, and only one process reads the commit before the log
+// becomes unavailable to all. Then a VM is replaced. The revision spreads from
+// the one process to all, including the new VM's process.
 func TestOutageAfterOneProcessRead(t *testing.T) {
 	inBubble(t, func(t *testing.T, s *site) {
 		for i := 1; i < 40; i++ {
-			s.log.cut[fmt.Sprint("p", i)] = true
+			s.log.disconnected[fmt.Sprint("p", i)] = true
 		}
 		s.startMany(40)
 		s.log.commit(revision(1, "a"))
 		synctest.Wait()
-		s.log.set(func(l *fakeLog) { l.down = true })
-		s.inForce(inForceLimit, 1)
+		s.log.setFaults(func(l *fakeLog) { l.down = true })
+		s.awaitRevision(inForceLimit, 1)
 		fresh := s.start("p40")
-		s.inForce(inForceLimit, 1)
+		s.awaitRevision(inForceLimit, 1)
 		require.Equal(t, uint64(0), fresh.View().Offset)
 		require.Equal(t, "f", fresh.View().Manifest.Fleet.Name)
 	})
 }
 
-// The whole fleet is cut off from the log but for one process, and an exchange
-// takes 100 ms. What that one reads is in force everywhere within 3 s.
+// Only one process of the fleet can reach the log, and an exchange takes 100 ms.
+// What that process reads is in force everywhere within 3 s.
 func TestSpreadAtFleetSize(t *testing.T) {
 	inBubble(t, func(t *testing.T, s *site) {
 		const processes = 1860
 		s.latency = 100 * time.Millisecond
 		for i := 1; i < processes; i++ {
-			s.log.cut[fmt.Sprint("p", i)] = true
+			s.log.disconnected[fmt.Sprint("p", i)] = true
 		}
 		s.startMany(processes)
-		began := time.Now()
+		startTime := time.Now()
 		s.log.commit(revision(1, "a"))
-		s.inForce(inForceLimit, 1)
-		t.Logf("in force everywhere after %s of virtual time", time.Since(began))
+		s.awaitRevision(inForceLimit, 1)
+		t.Logf("in force everywhere after %s of virtual time", time.Since(startTime))
 	})
 }
 
-// A region loses all others and the log for minutes; one process of it has
-// heard the newest revision just before. Tries go to peers that answer, so
-// that the region's other processes have it within seconds.
-func TestRegionApart(t *testing.T) {
+// A region is partitioned from all others, and only one process in it can read
+// the log. Exchanges go to peers that answer, so the region's other processes
+// have the newest revision within seconds.
+func TestPartitionedRegion(t *testing.T) {
 	inBubble(t, func(t *testing.T, s *site) {
 		inRegion := func(name string) bool { return len(name) == 2 } // p0 to p9
 		for i := 1; i < 10; i++ {
-			s.log.cut[fmt.Sprint("p", i)] = true
+			s.log.disconnected[fmt.Sprint("p", i)] = true
 		}
-		s.apart = func(a, b string) bool { return inRegion(a) != inRegion(b) }
+		s.partitioned = func(a, b string) bool { return inRegion(a) != inRegion(b) }
 		s.startMany(70)
 		s.log.commit(revision(1, "a"))
-		s.inForce(2*avoidFor, 1)
+		s.awaitRevision(2*failedPeerCooldown, 1)
 	})
 }
 
-// Two operators commit over revision 1. All processes take the winner, also
-// the one that only peers tell; the loser's revision is in force nowhere.
-func TestLostRace(t *testing.T) {
+// Two operators commit concurrently on top of revision 1. All processes accept
+// the first commit, also the process that can reach only its peers. The other
+// revision is in force nowhere.
+func TestConcurrentCommits(t *testing.T) {
 	inBubble(t, func(t *testing.T, s *site) {
-		s.log.cut["p3"] = true
+		s.log.disconnected["p3"] = true
 		s.startMany(10)
 		s.log.commit(revision(1, "a"))
 		s.log.commit(revision(2, "winner"))
 		s.log.commit(revision(2, "loser"))
 		want := revision(2, "winner").Hash
-		s.within(inForceLimit, "the winner", func(k *Keeper) bool { return k.View().Hash == want })
+		s.awaitAll(inForceLimit, "the winner", func(k *Keeper) bool { return k.View().Hash == want })
 	})
 }
 
-// A peer sends revisions that were altered on the way, signed by nobody or by
-// an unknown key, older than ours, or of another history. Each is refused and
-// counted (an older one is of no interest); what is in force stays.
-func TestRefusesFromPeers(t *testing.T) {
+// A peer sends revisions that are altered, unsigned, signed with an unknown key,
+// older than the one in force, or from another history. Each is refused and
+// counted, except that an older one is only ignored, and the revision in force
+// stays.
+func TestRefusedPeerRevisions(t *testing.T) {
 	inBubble(t, func(t *testing.T, s *site) {
 		k := s.start("p0")
 		s.log.commit(revision(1, "a"))
 		s.log.commit(revision(2, "a"))
-		s.inForce(inForceLimit, 2)
+		s.awaitRevision(inForceLimit, 2)
 		before := k.View()
-		altered, unsigned, stranger, sparse := revision(3, "a"), revision(3, "a"), revision(3, "a"), revision(3, "a")
+		altered, unsigned, unknownKey, renumbered := revision(3, "a"), revision(3, "a"), revision(3, "a"), revision(3, "a")
 		altered.Manifest = append(altered.Manifest, "[fleet]\n"...)
 		unsigned.Signature = nil
-		stranger.KeyId = "other"
-		sparse.Number = 9
+		unknownKey.KeyId = "other"
+		renumbered.Number = 9
 		for name, rev := range map[string]*pb.SignedRevision{
-			"altered": altered, "unsigned": unsigned, "unknown key": stranger, "renumbered": sparse,
+			"altered": altered, "unsigned": unsigned, "unknown key": unknownKey, "renumbered": renumbered,
 			"other history": revision(2, "b"),
 		} {
 			refused := revisionsRefused.Value()
@@ -130,89 +133,91 @@
 		}
 		reply, err := k.Exchange(context.Background(), &pb.ExchangeRequest{Name: "late", Revision: 1, Push: revision(1, "a")})
 		require.NoError(t, err)
-		require.Equal(t, uint64(2), reply.Newer.Number, "the late peer is told")
+		require.Equal(t, uint64(2), reply.Newer.Number, "the peer with the older revision gets the newer one")
 		require.Same(t, before, k.View())
 	})
 }
 
-// A process is cut off from the log for longer than the log keeps records.
-// Meanwhile the operator commits. Back at the log it meets a gap: it keeps what
-// peers gave it, never goes back, and takes the next commit.
-func TestGap(t *testing.T) {
+// A process can't reach the log for longer than the log keeps records, and the
+// operator commits meanwhile. When the process can read the log again it finds a
+// gap: it keeps what peers sent, never returns to an older revision, and accepts
+// the next commit.
+func TestLogGap(t *testing.T) {
 	inBubble(t, func(t *testing.T, s *site) {
 		s.log.retain = retention
 		s.startMany(3)
 		s.log.commit(revision(1, "a"))
-		s.inForce(inForceLimit, 1)
-		s.log.set(func(l *fakeLog) { l.cut["p1"] = true })
+		s.awaitRevision(inForceLimit, 1)
+		s.log.setFaults(func(l *fakeLog) { l.disconnected["p1"] = true })
 		s.log.commit(revision(2, "a"))
-		s.inForce(inForceLimit, 2)
+		s.awaitRevision(inForceLimit, 2)
 		sleep.For(context.Background(), 3*retention)
-		s.log.set(func(l *fakeLog) { l.cut["p1"] = false })
+		s.log.setFaults(func(l *fakeLog) { l.disconnected["p1"] = false })
 		sleep.For(context.Background(), time.Minute)
-		s.inForce(0, 2)
+		s.awaitRevision(0, 2)
 		status := s.get("p1").Status()
 		require.True(t, status.LogReachable)
 		require.True(t, status.Settled, "a reappended record settles the gap")
 		s.log.commit(revision(3, "a"))
-		s.inForce(inForceLimit, 3)
+		s.awaitRevision(inForceLimit, 3)
 		require.Zero(t, s.get("p1").Status().Lag)
 	})
 }
 
-// A trainer announces a version while the log answers no append and peers come
-// and go. Everybody knows it within seconds; when the log is back one record
-// is written, also where the append's answer is lost.
+// A trainer announces a version while the log is unavailable. All processes know
+// it within seconds. When the log is available again one record is written, even
+// if the append's answer is lost.
 func TestAnnounce(t *testing.T) {
 	inBubble(t, func(t *testing.T, s *site) {
 		s.startMany(20)
-		s.log.set(func(l *fakeLog) { l.down = true })
+		s.log.setFaults(func(l *fakeLog) { l.down = true })
 		s.get("p4").Announce("drafter-lm", 7)
 		require.Equal(t, uint64(7), s.get("p4").View().Versions["drafter-lm"], "at once")
 		known := func(k *Keeper) bool { return k.View().Versions["drafter-lm"] == 7 }
-		s.within(inForceLimit, "version 7", known)
+		s.awaitAll(inForceLimit, "version 7", known)
 		require.Equal(t, 1, s.get("p4").Status().Pending)
 
-		s.log.set(func(l *fakeLog) { l.down, l.loseAnswers = false, true })
+		s.log.setFaults(func(l *fakeLog) { l.down, l.loseAnswers = false, true })
 		sleep.For(context.Background(), time.Minute)
-		require.Len(t, s.log.kept(), 1)
+		require.Len(t, s.log.retained(), 1)
 		require.Zero(t, s.get("p4").Status().Pending)
 
 		s.get("p9").Announce("drafter-lm", 6)
 		sleep.For(context.Background(), time.Minute)
-		require.Len(t, s.log.kept(), 1, "an older version is no news")
+		require.Len(t, s.log.retained(), 1, "an older version is not appended")
 		require.Equal(t, uint64(7), s.get("p9").View().Versions["drafter-lm"])
 		s.stopAll()
 		s.start("p50")
-		s.within(inForceLimit, "version 7 from the log", known)
+		s.awaitAll(inForceLimit, "version 7 from the log", known)
 	})
 }
 
-// The log has kept far more records than a new process should read. It asks a
-// peer for the revision and reads on from the offset that accepted it.
-func TestNewProcessSkipsTheLog(t *testing.T) {
+// The log holds far more records than a new process should read. The process
+// gets the revision from a peer and reads from the offset that accepted it.
+func TestNewProcessSkipsLongLog(t *testing.T) {
 	inBubble(t, func(t *testing.T, s *site) {
-		const commits = 3 * readAll
+		const commits = 3 * maxFullRead
 		for number := range uint64(commits) {
 			s.log.commit(revision(number+1, "a"))
 		}
 		s.startMany(2)
-		s.inForce(time.Minute, commits)
+		s.awaitRevision(time.Minute, commits)
 		read := logReadBytes.Value()
 		s.start("p2")
-		s.inForce(inForceLimit, commits)
+		s.awaitRevision(inForceLimit, commits)
 		sleep.For(context.Background(), time.Second)
-		require.Less(t, logReadBytes.Value()-read, int64(10*len(s.log.kept()[0].Data)))
+		require.Less(t, logReadBytes.Value()-read, int64(10*len(s.log.retained()[0].Data)))
 		s.log.commit(revision(commits+1, "a"))
-		s.inForce(inForceLimit, commits+1)
+		s.awaitRevision(inForceLimit, commits+1)
 		require.True(t, s.get("p2").Status().Settled)
 	})
 }
 
-// Commits, lost races, outages, cuts, truncations and restarts come in any
-// order. A watcher at each process sees revisions and versions only rise, and
-// never two contents under one number; when all is mended, all agree.
-func TestNeverBack(t *testing.T) {
+// Commits, concurrent commits, outages, partitions, truncations and restarts
+// happen in any order. At each process revisions and versions never decrease,
+// and no revision number has two contents. When all faults are repaired, all
+// processes agree.
+func TestRevisionsNeverDecrease(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		checkInBubble(t, func() {
 			t := r
@@ -224,7 +229,7 @@
 				history.watch(s, fmt.Sprint("p", i))
 			}
 			newest, version := uint64(0), uint64(0)
-			// p0 is neither cut off nor restarted: somebody knows what was accepted.
+			// p0 is never partitioned or restarted, so one process knows what was accepted.
 			others := rapid.SampledFrom([]string{"p1", "p2", "p3"})
 			t.Repeat(map[string]func(*rapid.T){
 				"commit": func(*rapid.T) {
@@ -236,14 +241,14 @@
 						s.log.commit(revision(newest, "loser"))
 					}
 				},
-				"outage": func(*rapid.T) { s.log.set(func(l *fakeLog) { l.down = !l.down }) },
+				"outage": func(*rapid.T) { s.log.setFaults(func(l *fakeLog) { l.down = !l.down }) },
 				"cut": func(t *rapid.T) {
 					name := others.Draw(t, "process")
-					s.log.set(func(l *fakeLog) { l.cut[name] = !l.cut[name] })
+					s.log.setFaults(func(l *fakeLog) { l.disconnected[name] = !l.disconnected[name] })
 				},
 				"truncate": func(*rapid.T) {
 					read := s.get("p0").Status().Next
-					s.log.set(func(l *fakeLog) { l.first = max(l.first, read) })
+					s.log.setFaults(func(l *fakeLog) { l.first = max(l.first, read) })
 				},
 				"restart": func(t *rapid.T) {
 					name := others.Draw(t, "process")
@@ -258,15 +263,15 @@
 					sleep.For(context.Background(), time.Duration(rapid.IntRange(1, 100_000).Draw(t, "ms"))*time.Millisecond)
 				},
 			})
-			s.log.set(func(l *fakeLog) { l.down, l.cut = false, map[string]bool{} })
-			s.inForce(time.Minute, newest)
-			s.within(time.Minute, "the version", func(k *Keeper) bool { return k.View().Versions["m"] == version })
+			s.log.setFaults(func(l *fakeLog) { l.down, l.disconnected = false, map[string]bool{} })
+			s.awaitRevision(time.Minute, newest)
+			s.awaitAll(time.Minute, "the version", func(k *Keeper) bool { return k.View().Versions["m"] == version })
 		})
 	})
 }
 
 // checkInBubble runs one case of a rapid check with virtual time. rapid stops a
-// case by a panic, which has to reach its own goroutine.
+// case with a panic, which must be raised on rapid's own goroutine.
 func checkInBubble(t *testing.T, check func()) {
 	var stopped any
 	synctest.Test(t, func(*testing.T) {
@@ -278,7 +283,7 @@
 	}
 }
 
-// history checks every View that any process publishes.
+// history checks all Views that the processes publish.
 type history struct {
 	mu     sync.Mutex
 	hashes map[uint64]string
@@ -317,8 +322,8 @@
 	h.hashes[next.Number] = next.Hash
 }
 
-// The VM list goes down: the last answer holds. It comes back without a VM:
-// whoever waits for a change is woken.
+// While the VM list can't be read, the watcher keeps the last one. When the list
+// is available again and lacks a VM, Changed's channel is closed.
 func TestVMWatcherKeepsLastAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		list := &fakeList{vms: []platform.VM{{Name: "b"}, {Name: "a"}}}
@@ -338,7 +343,7 @@
 		list.set([]platform.VM{{Name: "a"}}, nil)
 		<-changed
 		require.Equal(t, []platform.VM{{Name: "a"}}, w.VMs())
-		require.Equal(t, 54, int(pauseFor(1860).Seconds()))
+		require.Equal(t, 54, int(listInterval(1860).Seconds()))
 	})
 }
 
--- a/confsync/tail.go
+++ b/confsync/tail.go
@@ -11,45 +11,50 @@
 	"dandelionsill.org/platform"
 )
 
-// Bounds of a reader of the log.
+// Bounds of reads from the log.
 const (
-	// pollWait is the long poll: 1,860 idle processes ask the log 124 times a
-	// second.
+	// pollWait is the duration of a long poll: 1,860 idle processes send the log
+	// 124 reads per second.
 	pollWait = 15 * time.Second
-	// pollGrace is added to it before the read counts as failed.
-	pollGrace = 5 * time.Second
-	// maxPage bounds a read's memory: some 64 manifests.
+	// pollMargin is the time after a read's wait at which the read has failed.
+	pollMargin = 5 * time.Second
+	// maxPage is the most records in one read. It bounds the memory of a read to
+	// about 64 manifests.
 	maxPage = 64
-	// idlePause keeps a log that answers empty pages at once from being asked
-	// in a tight loop.
+	// idlePause prevents a tight loop of reads if the log returns empty pages
+	// without waiting.
 	idlePause = 100 * time.Millisecond
-	// readAll is how many records a new process reads from the log's first
-	// record on. Beyond, it takes the revision from a peer and reads on from
-	// the offset that accepted it: at fleet size the log keeps some 1.5 GB.
-	readAll = 512
-	// joinTries bounds the wait for such a peer, one exchange each joinPause.
-	joinTries = 20
-	joinPause = 250 * time.Millisecond
+	// maxFullRead is the longest log, in records, that a new process reads from
+	// its first record. With a longer one it takes the revision from a peer and
+	// reads from the offset that accepted it: at fleet size the log keeps about
+	// 1.5 GB.
+	maxFullRead = 512
+	// maxJoinAttempts bounds the wait for such a peer: one round of exchanges
+	// every joinInterval.
+	maxJoinAttempts = 20
+	joinInterval    = 250 * time.Millisecond
 )
 
-// logHealth is how the log looks from here; Keeper.mu guards it.
+// logHealth is the log's state as last seen by this process; Keeper.mu guards
+// it.
 type logHealth struct {
-	reachable bool
-	err       error
-	next, end uint64
+	reachable             bool
+	err                   error
+	nextOffset, endOffset uint64
 }
 
-// startup keeps a new process from putting old revisions in force while it
-// reads the log's history: were the log to get slow halfway, a caller that a
-// later revision shut out would be let in. A revision from a peer is in force
-// there, and so may be here. Keeper.mu guards it.
+// startup prevents a new process from putting old revisions in force while it
+// reads the log's history. If the log became slow halfway, an old revision would
+// admit a caller that a later one excludes. A revision from a peer is in force at
+// the peer, so this process may use it, too. Keeper.mu guards startup.
 type startup struct {
-	over     bool
-	goal     uint64 // the log's end at the start
-	fromPeer uint64 // newest revision that a peer gave
+	done           bool
+	endAtStart     uint64 // the log's end when this process started
+	newestFromPeer uint64 // newest revision received from a peer
 }
 
-func (s *startup) mayUse(revision uint64) bool { return s.over || revision <= s.fromPeer }
+// mayUse reports whether a revision may be put in force.
+func (s *startup) mayUse(revision uint64) bool { return s.done || revision <= s.newestFromPeer }
 
 // tail reads the control stream until ctx is done.
 func (k *Keeper) tail(ctx context.Context) {
@@ -58,8 +63,8 @@
 	for ctx.Err() == nil {
 		var err error
 		if started {
-			from, err = k.readOn(ctx, from)
-		} else if from, err = k.findStart(ctx); err == nil {
+			from, err = k.readPage(ctx, from)
+		} else if from, err = k.findStartOffset(ctx); err == nil {
 			started = true
 		}
 		if err == nil {
@@ -69,63 +74,66 @@
 		if ctx.Err() != nil {
 			return
 		}
-		k.unreachable(err)
+		k.recordUnreachable(err)
 		if !sleep.For(ctx, wait.next(k.random)) {
 			return
 		}
 	}
 }
 
-// findStart finds the offset from which a new process reads on.
-func (k *Keeper) findStart(ctx context.Context) (uint64, error) {
+// findStartOffset returns the offset at which a new process starts to read: the
+// log's first record, or in a long log the record that accepted the revision of
+// a peer.
+func (k *Keeper) findStartOffset(ctx context.Context) (uint64, error) {
 	page, err := k.read(ctx, 0, 1, 0)
 	if err != nil && !errors.Is(err, platform.ErrTruncated) {
 		return 0, err
 	}
 	k.mu.Lock()
-	k.start.goal = page.End
+	k.startupState.endAtStart = page.End
 	k.mu.Unlock()
-	if page.End-min(page.First, page.End) <= readAll {
+	if page.End-min(page.First, page.End) <= maxFullRead {
 		return page.First, nil
 	}
-	for range joinTries {
+	for range maxJoinAttempts {
 		if head := k.head(); head != nil && head.Offset >= page.First && head.Offset < page.End {
 			return head.Offset, nil
 		}
-		k.exchangeWithSome(ctx, spreadFanout)
-		if !sleep.For(ctx, joinPause) {
+		k.exchangeWithRandomPeers(ctx, spreadFanout)
+		if !sleep.For(ctx, joinInterval) {
 			break
 		}
 	}
 	return page.First, nil
 }
 
-// readOn reads one page and returns the offset behind it.
-func (k *Keeper) readOn(ctx context.Context, from uint64) (uint64, error) {
-	began := time.Now()
+// readPage reads and applies one page, and returns the next offset to read.
+func (k *Keeper) readPage(ctx context.Context, from uint64) (uint64, error) {
+	startTime := time.Now()
 	page, err := k.read(ctx, from, maxPage, pollWait)
 	switch {
 	case errors.Is(err, platform.ErrTruncated) && page.First > from:
-		k.gap("The log gave up records before they were read here.", from, page)
+		k.handleGap("The log gave up records before they were read here.", from, page)
 		return page.First, nil
 	case err != nil:
 		return from, err
 	case page.End < from:
-		// Only a log that lost its records ends before what was read from it.
-		k.gap("The log ends before the offset already read: it was reset.", from, page)
+		// The log ends before records already read from it: it has lost them.
+		k.handleGap("The log ends before the offset already read: it was reset.", from, page)
 		return page.First, nil
 	}
 	k.apply(page.Records)
 	next := max(page.Next, from)
-	k.reached(next, page.End)
-	if len(page.Records) == 0 && time.Since(began) < idlePause {
-		sleep.For(ctx, k.random.jittered(idlePause))
+	k.recordReachable(next, page.End)
+	if len(page.Records) == 0 && time.Since(startTime) < idlePause {
+		sleep.For(ctx, k.random.jitter(idlePause))
 	}
 	return next, nil
 }
 
+// read reads up to the given number of records and counts the read.
 func (k *Keeper) read(ctx context.Context, from uint64, records int, wait time.Duration) (platform.Page, error) {
-	ctx, cancel := context.WithTimeout(ctx, wait+pollGrace)
+	ctx, cancel := context.WithTimeout(ctx, wait+pollMargin)
 	defer cancel()
 	logReads.Add(1)
 	page, err := k.cfg.Log.Read(ctx, platform.StreamControl, from, records, wait)
@@ -138,59 +146,63 @@
 	return page, err
 }
 
-func (k *Keeper) gap(what string, from uint64, page platform.Page) {
+// handleGap records that records of the log can no longer be read, and logs why.
+func (k *Keeper) handleGap(message string, from uint64, page platform.Page) {
 	logGaps.Add(1)
-	k.limited.Error(what, zap.Uint64("from", from), zap.Uint64("first", page.First), zap.Uint64("end", page.End))
+	k.limitedLog.Error(message, zap.Uint64("from", from), zap.Uint64("first", page.First), zap.Uint64("end", page.End))
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.state.HandleTruncation()
 }
 
-func (k *Keeper) reached(next, end uint64) {
+// recordReachable records a successful read up to the offset next. Startup ends
+// once the log has been read up to its end at the start.
+func (k *Keeper) recordReachable(next, end uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	back := !k.health.reachable
-	k.health = logHealth{reachable: true, next: next, end: end}
-	if back {
+	wasUnreachable := !k.health.reachable
+	k.health = logHealth{reachable: true, nextOffset: next, endOffset: end}
+	if wasUnreachable {
 		k.log.Info("The log is reachable.", zap.Uint64("next", next), zap.Uint64("end", end))
-		notify(k.copied)
+		notify(k.keepAliveSignal)
 	}
-	// A log that was reset ends before the goal.
-	if !k.start.over && next >= min(k.start.goal, end) {
-		k.start.over = true
-		k.publish(spreadAfterLog)
+	// A log that was reset may end before endAtStart.
+	if !k.startupState.done && next >= min(k.startupState.endAtStart, end) {
+		k.startupState.done = true
+		k.publish(logSpreadDelay)
 	}
 }
 
-func (k *Keeper) unreachable(err error) {
+// recordUnreachable records a failed read.
+func (k *Keeper) recordUnreachable(err error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.health.reachable, k.health.err = false, err
-	k.limited.Warn("The log can't be read; peers give what changes.", zap.Error(err))
+	k.limitedLog.Warn("The log can't be read; changes come from peers only.", zap.Error(err))
 }
 
-func (k *Keeper) logReachable() bool {
+func (k *Keeper) isLogReachable() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.health.reachable
 }
 
-// Status is what an operator sees of the Keeper.
+// Status is the Keeper's state as shown to operators.
 type Status struct {
 	Revision     uint64 `json:"revision"` // in force
 	Hash         string `json:"hash"`
-	Offset       uint64 `json:"offset"`  // that accepted it
+	Offset       uint64 `json:"offset"`  // log offset that accepted it
 	Newest       uint64 `json:"newest"`  // newest accepted; higher than Revision if this release can't read it
-	Settled      bool   `json:"settled"` // false: a gap leaves open which commits won
+	Settled      bool   `json:"settled"` // false: because of a gap it is not certain which commits were accepted
 	Next         uint64 `json:"next"`    // next offset to read
-	Lag          uint64 `json:"log_lag"` // records not read yet, when last heard
+	Lag          uint64 `json:"log_lag"` // records not read yet, as of the last read
 	LogReachable bool   `json:"log_reachable"`
 	LogError     string `json:"log_error,omitempty"`
 	Peers        int    `json:"peers"`
 	Pending      int    `json:"pending_versions"` // announced here and not yet in the log
 }
 
-// Status returns the Keeper's state as of now.
+// Status returns the Keeper's current state.
 func (k *Keeper) Status() Status {
 	peers := len(k.cfg.Peers())
 	view := k.View()
@@ -198,14 +210,14 @@
 	defer k.mu.Unlock()
 	s := Status{
 		Revision: view.Number, Hash: view.Hash, Offset: view.Offset,
-		Settled: k.state.Settled(), Next: k.health.next, LogReachable: k.health.reachable,
+		Settled: k.state.Settled(), Next: k.health.nextOffset, LogReachable: k.health.reachable,
 		Peers: peers, Pending: len(k.pending),
 	}
 	if head := k.state.Head(); head != nil {
 		s.Newest = head.Number
 	}
-	if k.health.end > k.health.next {
-		s.Lag = k.health.end - k.health.next
+	if k.health.endOffset > k.health.nextOffset {
+		s.Lag = k.health.endOffset - k.health.nextOffset
 	}
 	if k.health.err != nil && !k.health.reachable {
 		s.LogError = k.health.err.Error()
