--- a/decide/lease/lease.go
+++ b/decide/lease/lease.go
@@ -16,8 +16,8 @@
 
 // Holder identifies one incarnation of a process.
 type Holder struct {
-	Node string `json:"n"`
-	Life string `json:"l"` // differs for each incarnation of the process
+	VM          string `json:"n"`
+	Incarnation string `json:"l"` // differs for each incarnation of the process
 }
 
 // Record is the stored record of a lease.
@@ -130,9 +130,9 @@
 	switch {
 	case !s.exists:
 		return 0
-	case !s.record.Released, s.record.PreviousVM == s.self.Node:
+	case !s.record.Released, s.record.PreviousVM == s.self.VM:
 		return s.timing.TakeOverAfter
-	case s.record.Node == s.self.Node:
+	case s.record.VM == s.self.VM:
 		return resignedWaitFactor * s.timing.TakeOverAfter
 	default:
 		return 0
@@ -146,7 +146,7 @@
 	s.resigned = false
 	r := Record{Holder: s.self, Token: offset + 1}
 	if s.exists {
-		r.PreviousVM, r.Progress = s.record.Node, s.record.Progress
+		r.PreviousVM, r.Progress = s.record.VM, s.record.Progress
 		r.Token = max(r.Token, s.record.Token+1)
 	}
 	return s.trackWrite(r, now)
--- a/fold/jobs/compress_test.go
+++ b/fold/jobs/compress_test.go
@@ -13,7 +13,7 @@
 // not compress, must decode to the same.
 func TestCompressedRecordsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := Record{Writer: Writer{Node: "n", Life: rapid.String().Draw(t, "life")}, Ends: rapid.SliceOf(rapid.String()).Draw(t, "ends")}
+		r := Record{Writer: Writer{VM: "n", Incarnation: rapid.String().Draw(t, "life")}, Ends: rapid.SliceOf(rapid.String()).Draw(t, "ends")}
 		uncompressed, err := json.Marshal(&r)
 		require.NoError(t, err)
 		data, err := r.Encode()
--- a/fold/jobs/jobs.go
+++ b/fold/jobs/jobs.go
@@ -153,7 +153,7 @@
 		s.start(r.Writer, start)
 	}
 	for _, result := range r.Results {
-		result.Writer = r.Node
+		result.Writer = r.VM
 		s.addResult(result, &c)
 	}
 	for _, e := range r.Engines {
--- a/fold/jobs/jobs_test.go
+++ b/fold/jobs/jobs_test.go
@@ -9,14 +9,14 @@
 )
 
 var (
-	ann = Writer{Node: "ann", Life: "1"}
-	bob = Writer{Node: "bob", Life: "1"}
+	ann = Writer{VM: "ann", Incarnation: "1"}
+	bob = Writer{VM: "bob", Incarnation: "1"}
 )
 
 // acceptRecord returns a record that accepts a job of two items.
 func acceptRecord(w Writer, id string) *Record {
 	return &Record{Writer: w, Acceptance: &Acceptance{
-		Spec: Spec{ID: id, Model: "m", Total: 2}, Submission: w.Node, Parts: 1,
+		Spec: Spec{ID: id, Model: "m", Total: 2}, Submission: w.VM, Parts: 1,
 		Items: []ItemRef{{ID: "a"}, {ID: "b"}},
 	}}
 }
@@ -95,7 +95,7 @@
 func TestFirstClaimWins(t *testing.T) {
 	s := New()
 	s.Apply(0, acceptRecord(ann, "j"))
-	cyd := Writer{Node: "cyd", Life: "1"}
+	cyd := Writer{VM: "cyd", Incarnation: "1"}
 	s.Apply(1, &Record{Writer: bob, Claims: []Claim{{Job: "j", PriorOffset: 0}}})
 	s.Apply(2, &Record{Writer: cyd, Claims: []Claim{{Job: "j", PriorOffset: 0}}})
 	require.Equal(t, bob, s.Jobs["j"].Owner)
@@ -123,12 +123,12 @@
 // capacity follow.
 func TestEligibleOwnersOrder(t *testing.T) {
 	s := New()
-	s.Apply(0, &Record{Writer: Writer{Node: "cyd", Life: "1"}, Capacity: 600})
+	s.Apply(0, &Record{Writer: Writer{VM: "cyd", Incarnation: "1"}, Capacity: 600})
 	s.Apply(1, &Record{Writer: ann, Capacity: 100})
 	s.Apply(2, acceptRecord(ann, "j"))
 	s.Apply(3, acceptRecord(bob, "k"))
 	s.Apply(4, &Record{Writer: bob, Results: []Result{{Job: "k", Item: "a"}}})
-	require.Equal(t, []OwnerLoad{{bob, 1, 0}, {ann, 2, 100}, {Writer{Node: "cyd", Life: "1"}, 0, 600}}, s.EligibleOwners())
+	require.Equal(t, []OwnerLoad{{bob, 1, 0}, {ann, 2, 100}, {Writer{VM: "cyd", Incarnation: "1"}, 0, 600}}, s.EligibleOwners())
 }
 
 // Forget must drop old jobs that have ended, and never an open one.
--- a/fold/jobs/record.go
+++ b/fold/jobs/record.go
@@ -8,8 +8,8 @@
 
 // Writer identifies the process that wrote a record.
 type Writer struct {
-	Node string `json:"n"` // the VM's name
-	Life string `json:"l"` // the incarnation; differs after each start of the process
+	VM          string `json:"n"` // the VM's name
+	Incarnation string `json:"l"` // the incarnation; differs after each start of the process
 }
 
 // Request is a request to a backend server.
@@ -165,7 +165,7 @@
 	if err := json.Unmarshal(data, &r); err != nil {
 		return nil, errors.Annotate(err, "batch job record")
 	}
-	if r.Node == "" {
+	if r.VM == "" {
 		return nil, errors.New("batch job record has no writer")
 	}
 	return &r, nil
--- a/gateway/duties/keeper.go
+++ b/gateway/duties/keeper.go
@@ -290,7 +290,7 @@
 		return
 	}
 	dutiesLost.Add(1)
-	k.log.Info("This process no longer has a duty.", zap.Uint64("token", r.Token), zap.Bool("exists", exists), zap.String("holder", r.Node), zap.Bool("released", r.Released))
+	k.log.Info("This process no longer has a duty.", zap.Uint64("token", r.Token), zap.Bool("exists", exists), zap.String("holder", r.VM), zap.Bool("released", r.Released))
 }
 
 // leaving is why a process that stops gives its duties up; it takes none any more.
--- a/gateway/front/front_test.go
+++ b/gateway/front/front_test.go
@@ -27,14 +27,14 @@
 // newFront serves the platform's callers on a loopback address and returns the URL.
 func newFront(t *testing.T, pf *gatewaytest.Platform) (*front.Front, string) {
 	p := pf.NewProcess(t)
-	book := jobs.NewIndex(p.Store, zap.NewNop())
-	writer := fold.Writer{Node: "a", Life: "1"}
-	runner := jobs.NewRunner(book, p.Store, p.Forward, writer, 3, 600, zap.NewNop())
-	p.Go(book.Run)
+	index := jobs.NewIndex(p.Store, zap.NewNop())
+	writer := fold.Writer{VM: "a", Incarnation: "1"}
+	runner := jobs.NewRunner(index, p.Store, p.Forward, writer, 3, 600, zap.NewNop())
+	p.Go(index.Run)
 	p.Go(runner.Run)
-	require.Eventually(t, book.CaughtUp, gatewaytest.Wait, time.Millisecond)
+	require.Eventually(t, index.CaughtUp, gatewaytest.Wait, time.Millisecond)
 	f := &front.Front{
-		View: p.View, Forward: p.Forward, Jobs: jobs.NewService(book, p.Store, writer, 3, 600, zap.NewNop()),
+		View: p.View, Forward: p.Forward, Jobs: jobs.NewService(index, p.Store, writer, 3, 600, zap.NewNop()),
 		Log: zap.NewNop(), Latency: metrics.NewHistogram("front_test_latency"),
 	}
 	srv := httptest.NewServer(f)
--- a/gateway/jobs/api.go
+++ b/gateway/jobs/api.go
@@ -216,7 +216,7 @@
 	}
 	parts := slices.Collect(slices.Chunk(refs, refsPerRecord))
 	owner := s.chooseOwner(len(items))
-	name := s.writer.Node + "/" + s.writer.Life + "/" + strconv.FormatUint(s.submissions.Add(1), 10)
+	name := s.writer.VM + "/" + s.writer.Incarnation + "/" + strconv.FormatUint(s.submissions.Add(1), 10)
 	records := make([][]byte, 0, len(parts))
 	for i, part := range parts {
 		r := jobs.Record{Writer: s.writer, Acceptance: &jobs.Acceptance{Spec: head, Owner: owner, ItemsRef: itemsAt, Submission: name, Part: i, Parts: len(parts), Items: part}}
--- a/gateway/jobs/gap_test.go
+++ b/gateway/jobs/gap_test.go
@@ -62,11 +62,11 @@
 	for _, item := range items {
 		a.Items = append(a.Items, jobs.ItemRef{ID: item})
 	}
-	return jobs.Record{Writer: jobs.Writer{Node: "a", Life: "1"}, Acceptance: a}
+	return jobs.Record{Writer: jobs.Writer{VM: "a", Incarnation: "1"}, Acceptance: a}
 }
 
 func resultRecord(job, item string) jobs.Record {
-	return jobs.Record{Writer: jobs.Writer{Node: "a", Life: "1"}, Results: []jobs.Result{{Job: job, Item: item, Text: item}}}
+	return jobs.Record{Writer: jobs.Writer{VM: "a", Incarnation: "1"}, Results: []jobs.Result{{Job: job, Item: item, Text: item}}}
 }
 
 // followToEnd reads to the log's current end, as Run does.
@@ -91,7 +91,7 @@
 	log := &truncatedLog{}
 	log.add(t, acceptRecord("known", "i0", "i1"))
 	index := NewIndex(log, zap.NewNop())
-	service := NewService(index, log, jobs.Writer{Node: "b", Life: "1"}, 1, 600, zap.NewNop())
+	service := NewService(index, log, jobs.Writer{VM: "b", Incarnation: "1"}, 1, 600, zap.NewNop())
 	followToEnd(t, index, log)
 	require.Nil(t, service.checkExists(t.Context(), "known"))
 
@@ -125,7 +125,7 @@
 	log := &truncatedLog{}
 	log.add(t, acceptRecord("j", "i0"))
 	index := NewIndex(log, zap.NewNop())
-	writer := jobs.Writer{Node: "a", Life: "1"}
+	writer := jobs.Writer{VM: "a", Incarnation: "1"}
 	pool := backend.NewPool(func(http.Header) string { return "" })
 	r := NewRunner(index, log, forward.New(view.New(nil, zap.NewNop()), pool, "zone-a", zap.NewNop()), writer, 1, 600, zap.NewNop())
 	followToEnd(t, index, log)
--- a/gateway/jobs/index.go
+++ b/gateway/jobs/index.go
@@ -287,11 +287,11 @@
 		j := x.state.Jobs[id]
 		x.zlog.Info("Batch job.", zap.String("job", id), zap.Int("step", j.Step), zap.String("model", j.Model),
 			zap.Int("items", j.Total), zap.Duration("due", time.Duration(j.DueMS)*time.Millisecond), zap.Uint64("floor", j.MinVersion),
-			zap.Uint64("offset", offset), zap.String("owner", j.Owner.Node))
+			zap.Uint64("offset", offset), zap.String("owner", j.Owner.VM))
 	}
 	for _, id := range change.Owned {
 		x.zlog.Info("Batch job has a new owner.", zap.String("job", id), zap.Uint64("offset", offset),
-			zap.String("owner", x.state.Jobs[id].Owner.Node), zap.Bool("released", x.state.Jobs[id].Released))
+			zap.String("owner", x.state.Jobs[id].Owner.VM), zap.Bool("released", x.state.Jobs[id].Released))
 	}
 	for _, id := range change.Ended {
 		j := x.state.Jobs[id]
--- a/gateway/jobs/jobs_test.go
+++ b/gateway/jobs/jobs_test.go
@@ -40,7 +40,7 @@
 // startEntry starts a process and does not wait until it has read the log.
 func startEntry(t testing.TB, pf *gatewaytest.Platform, node, incarnation string) *entry {
 	p := pf.NewProcess(t)
-	writer := fold.Writer{Node: node, Life: incarnation}
+	writer := fold.Writer{VM: node, Incarnation: incarnation}
 	e := &entry{Process: p, index: jobs.NewIndex(p.Store, zap.NewNop())}
 	e.service = jobs.NewService(e.index, p.Store, writer, 3, 600, zap.NewNop())
 	e.runner = jobs.NewRunner(e.index, p.Store, p.Forward, writer, 3, 600, zap.NewNop())
@@ -252,7 +252,7 @@
 	e := newEntry(t, pf, "a")
 	e.submit(t, "j", 2, 1)
 	list := func(item string) {
-		r := fold.Record{Writer: fold.Writer{Node: "b", Life: "1"}, Results: []fold.Result{{Job: "j", Item: item, GivenUp: true}}}
+		r := fold.Record{Writer: fold.Writer{VM: "b", Incarnation: "1"}, Results: []fold.Result{{Job: "j", Item: item, GivenUp: true}}}
 		data, err := r.Encode()
 		require.NoError(t, err)
 		_, err = e.Store.Append(t.Context(), jobs.Stream, data)
@@ -407,7 +407,7 @@
 	pf.Store.Fail(hostedtest.StoreFaults{Down: true})
 	p := hosted.NewStore(pf.Store.Addr())
 	index := jobs.NewIndex(p, zap.NewNop())
-	service := jobs.NewService(index, p, fold.Writer{Node: "b", Life: "1"}, 3, 600, zap.NewNop())
+	service := jobs.NewService(index, p, fold.Writer{VM: "b", Incarnation: "1"}, 3, 600, zap.NewNop())
 	require.False(t, index.CaughtUp())
 	_, _, err := service.Results(t.Context(), "j", 0, 0)
 	require.Equal(t, string(kinds.LogUnavailable), err.Kind())
--- a/gateway/jobs/known_test.go
+++ b/gateway/jobs/known_test.go
@@ -28,14 +28,14 @@
 // current end must not turn the answer into "not found".
 func TestReadJobIsKnownBeforeLogEnd(t *testing.T) {
 	index := NewIndex(growingLog{end: 1}, zap.NewNop())
-	record := jobs.Record{Writer: jobs.Writer{Node: "a", Life: "1"}, Acceptance: &jobs.Acceptance{
+	record := jobs.Record{Writer: jobs.Writer{VM: "a", Incarnation: "1"}, Acceptance: &jobs.Acceptance{
 		Spec: jobs.Spec{ID: "j"}, Parts: 1, Items: []jobs.ItemRef{{ID: "i"}},
 	}}
 	data, err := record.Encode()
 	require.NoError(t, err)
 	index.foldPage(platform.Page{Records: []platform.Record{{Data: data}}, Next: 1, End: 9}, time.Now())
 	require.False(t, index.CaughtUp())
-	service := NewService(index, growingLog{end: 1}, jobs.Writer{Node: "b"}, 1, 600, zap.NewNop())
+	service := NewService(index, growingLog{end: 1}, jobs.Writer{VM: "b"}, 1, 600, zap.NewNop())
 	require.Nil(t, service.checkExists(t.Context(), "j"))
 	require.Equal(t, "not_found", service.checkExists(t.Context(), "other").Kind())
 }
--- a/gateway/jobs/outbox_test.go
+++ b/gateway/jobs/outbox_test.go
@@ -45,7 +45,7 @@
 }
 
 func newStrictOutbox(l *strictLog) *outbox {
-	return newOutbox(l, jobs.Writer{Node: "a", Life: "1"}, 4, func() bool { return true }, func(textKey, string) {}, zap.NewNop())
+	return newOutbox(l, jobs.Writer{VM: "a", Incarnation: "1"}, 4, func() bool { return true }, func(textKey, string) {}, zap.NewNop())
 }
 
 // flushAll appends everything that an outbox holds.
@@ -59,7 +59,7 @@
 // A job with more items than one record may name is split; its parts are appended together,
 // and name each item once.
 func TestManyItemsAreSplit(t *testing.T) {
-	s := NewService(NewIndex(&strictLog{}, zap.NewNop()), &strictLog{}, jobs.Writer{Node: "a", Life: "1"}, 4, 600, zap.NewNop())
+	s := NewService(NewIndex(&strictLog{}, zap.NewNop()), &strictLog{}, jobs.Writer{VM: "a", Incarnation: "1"}, 4, 600, zap.NewNop())
 	items := make([]jobs.Item, 2500)
 	for i := range items {
 		items[i] = jobs.Item{Request: jobs.Request{ID: fmt.Sprintf("%064d", i)}, Group: fmt.Sprintf("%032d", i/8)}
@@ -158,7 +158,7 @@
 // appended twice. The job is released only after them.
 func TestPartialTextsWaitForTheirPartition(t *testing.T) {
 	l := &unavailableLog{unavailable: textStream(2)}
-	o := newOutbox(l, jobs.Writer{Node: "a", Life: "1"}, 4, func() bool { return true }, func(textKey, string) {}, zap.NewNop())
+	o := newOutbox(l, jobs.Writer{VM: "a", Incarnation: "1"}, 4, func() bool { return true }, func(textKey, string) {}, zap.NewNop())
 	j := &jobs.Job{Spec: jobs.Spec{ID: "j"}, ItemsRef: jobs.TextRef{Partition: 2}}
 	event := func(i int) jobs.Progress {
 		return jobs.Progress{Item: "slow", From: i, Events: []jobs.Event{{Data: fmt.Sprint(i), Version: 1}}}
@@ -195,7 +195,7 @@
 // its earlier claim: under the new one they would count as events of the new run.
 func TestEventsOfTwoClaimsAreSeparate(t *testing.T) {
 	l := &unavailableLog{unavailable: textStream(2)}
-	o := newOutbox(l, jobs.Writer{Node: "a", Life: "1"}, 4, func() bool { return true }, func(textKey, string) {}, zap.NewNop())
+	o := newOutbox(l, jobs.Writer{VM: "a", Incarnation: "1"}, 4, func() bool { return true }, func(textKey, string) {}, zap.NewNop())
 	j := &jobs.Job{Spec: jobs.Spec{ID: "j"}, ItemsRef: jobs.TextRef{Partition: 2}}
 	events := func(run string, from, to int) jobs.Progress {
 		p := jobs.Progress{Item: "i", From: from}
--- a/gateway/jobs/ownership.go
+++ b/gateway/jobs/ownership.go
@@ -46,7 +46,7 @@
 	if !r.index.upToDate(now) || now.Sub(r.claimedAt[j.ID]) < takeOverAfter {
 		return false
 	}
-	if j.Owner.Node == r.writer.Node {
+	if j.Owner.VM == r.writer.VM {
 		return true
 	}
 	silence := r.index.silenceOf(j.Owner, now)
@@ -67,13 +67,13 @@
 // which competed for slots and each had to learn the pace of every engine again.
 func (r *Runner) takeOverDelay(owner jobs.Writer) time.Duration {
 	const resolution = 1 << 16
-	return time.Duration(route.Hash(owner.Node+owner.Life+r.writer.Node)%resolution) * takeOverSpread / resolution
+	return time.Duration(route.Hash(owner.VM+owner.Incarnation+r.writer.VM)%resolution) * takeOverSpread / resolution
 }
 
 func (r *Runner) claim(j *jobs.Job, now time.Time) {
 	claimsWritten.Add(1)
 	r.claimedAt[j.ID] = now
-	r.zlog.Info("Claiming a batch job.", zap.String("job", j.ID), zap.String("owner", j.Owner.Node), zap.Uint64("prior", j.Claim),
+	r.zlog.Info("Claiming a batch job.", zap.String("job", j.ID), zap.String("owner", j.Owner.VM), zap.Uint64("prior", j.Claim),
 		zap.Bool("released", j.Released), zap.Duration("silent", now.Sub(r.index.lastRecordAt[j.Owner])))
 	r.out.add(true, func(rec *jobs.Record) {
 		rec.Claims = append(rec.Claims, jobs.Claim{Job: j.ID, PriorOffset: j.Claim})
--- a/gateway/jobs/plan_bench_test.go
+++ b/gateway/jobs/plan_bench_test.go
@@ -19,7 +19,7 @@
 	pf := gatewaytest.NewPlatform(b, engines, 0)
 	p := pf.NewProcess(b)
 	index := NewIndex(p.Store, zap.NewNop())
-	writer := jobs.Writer{Node: "a", Life: "1"}
+	writer := jobs.Writer{VM: "a", Incarnation: "1"}
 	r := NewRunner(index, p.Store, p.Forward, writer, 3, 1200, zap.NewNop())
 	servers := p.View.Current().Servers["engines"]
 	now := time.Now()
--- a/gateway/jobs/silence_test.go
+++ b/gateway/jobs/silence_test.go
@@ -16,7 +16,7 @@
 func TestSilenceExcludesLogOutage(t *testing.T) {
 	index := NewIndex(nil, zap.NewNop())
 	start := time.Now()
-	alive, gone := jobs.Writer{Node: "alive"}, jobs.Writer{Node: "gone"}
+	alive, gone := jobs.Writer{VM: "alive"}, jobs.Writer{VM: "gone"}
 	index.lastRecordAt[alive], index.lastRecordAt[gone] = start.Add(9*time.Second), start.Add(5*time.Second)
 	index.readableSince = start
 	require.Equal(t, time.Second, index.silenceOf(alive, start.Add(10*time.Second)))
--- a/gateway/jobs/submit_bench_test.go
+++ b/gateway/jobs/submit_bench_test.go
@@ -50,7 +50,7 @@
 	}
 	b.Run("encode", func(b *testing.B) {
 		for b.Loop() {
-			records, err := encodeItems(jobs.Writer{Node: "front-a-1", Life: "1"}, "j", list)
+			records, err := encodeItems(jobs.Writer{VM: "front-a-1", Incarnation: "1"}, "j", list)
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/gateway/jobs/text_cache_test.go
+++ b/gateway/jobs/text_cache_test.go
@@ -44,7 +44,7 @@
 	for i := range results {
 		item := fmt.Sprint("i", i)
 		text := strings.Repeat(fmt.Sprint(i%10), size)
-		record := jobs.TextRecord{Writer: jobs.Writer{Node: "a", Life: "1"}, Job: "j", Texts: []jobs.ItemText{{Item: item, Text: text}}}
+		record := jobs.TextRecord{Writer: jobs.Writer{VM: "a", Incarnation: "1"}, Job: "j", Texts: []jobs.ItemText{{Item: item, Text: text}}}
 		data, err := record.Encode()
 		require.NoError(t, err)
 		out = append(out, jobs.Result{Job: "j", Item: item, Writer: "a", Ref: &jobs.TextRef{Offset: uint64(len(l.records)), Bytes: size}})
--- a/gateway/orders/orders.go
+++ b/gateway/orders/orders.go
@@ -367,7 +367,7 @@
 	for _, e := range words {
 		a.told[jobs.EngineKey{Server: e.Server, Model: e.Model}] = e
 	}
-	r := jobs.Record{Writer: jobs.Writer{Node: a.cfg.Node, Life: a.cfg.Life}, Engines: words}
+	r := jobs.Record{Writer: jobs.Writer{VM: a.cfg.Node, Incarnation: a.cfg.Life}, Engines: words}
 	data, err := r.Encode()
 	if err != nil {
 		a.log.Error("A word about the engine can't be encoded.", zap.Error(err))
--- a/gateway/server/agent.go
+++ b/gateway/server/agent.go
@@ -24,7 +24,7 @@
 	v := view.New(store, logs.Part(log, "view"))
 	v.MinReadInterval = func() time.Duration { return feedPace(peers, set.Store.ReadsPerS) }
 	agent := orders.New(orders.Config{
-		Node: set.Process.Name, Life: life(), Addr: set.Engine.Address, View: v,
+		Node: set.Process.Name, Life: newIncarnation(), Addr: set.Engine.Address, View: v,
 		Engine: hosted.NewEngineClient(set.Engine.Address), Log: store, Logger: log,
 	})
 	var loops sync.WaitGroup
--- a/gateway/server/duties.go
+++ b/gateway/server/duties.go
@@ -65,12 +65,12 @@
 		Look:   func() time.Duration { return max(lookLeast, time.Duration(processes())*time.Second/looksPerS) },
 		Turn:   turn(self, set.VM.CPUShare),
 	})
-	counter := usage.NewCounter(store, self.Node+"/"+self.Life, set.Duties.UsageWindow, clock.Now, processes, log)
+	counter := usage.NewCounter(store, self.VM+"/"+self.Incarnation, set.Duties.UsageWindow, clock.Now, processes, log)
 	return &reporting{
 		counter: counter,
 		keeper:  keeper,
 		reporter: &usage.Reporter{
-			Keeper: keeper, Store: store, Platform: hosted.NewDutyClient(set.Duties.Platform), Node: self.Node, Length: set.Duties.UsageWindow,
+			Keeper: keeper, Store: store, Platform: hosted.NewDutyClient(set.Duties.Platform), Node: self.VM, Length: set.Duties.UsageWindow,
 			WaitLimits:  decide.WaitLimits{Min: share(set.Duties.UsageLate, patienceLeastShare), Max: share(set.Duties.UsageLate, patienceMostShare)},
 			AfterOutage: counter.AfterOutage, Now: clock.Now, Log: log.With(zap.String("duty", usage.Duty)),
 		},
@@ -80,7 +80,7 @@
 // turn is how long a process lets others claim a duty first.
 func turn(self lease.Holder, cpuShare float64) time.Duration {
 	const turns = 1 << 16
-	of := time.Duration(route.Hash(self.Node+self.Life)%turns) * turnMost / turns
+	of := time.Duration(route.Hash(self.VM+self.Incarnation)%turns) * turnMost / turns
 	if cpuShare < smallCPU {
 		of += smallTurn
 	}
--- a/gateway/server/gateway.go
+++ b/gateway/server/gateway.go
@@ -42,8 +42,8 @@
 	idleTimeout = 5 * time.Minute
 )
 
-// life names one start of a process.
-func life() string {
+// newIncarnation names one start of a process.
+func newIncarnation() string {
 	return strconv.FormatInt(time.Now().UnixNano(), 36) + "-" + strconv.Itoa(os.Getpid())
 }
 
@@ -63,7 +63,7 @@
 		return nil, errors.Trace(err)
 	}
 	store := hosted.NewStore(set.Store.Address)
-	writer := jobs.Writer{Node: set.Process.Name, Life: life()}
+	writer := jobs.Writer{VM: set.Process.Name, Incarnation: newIncarnation()}
 	capacity := gatewayjobs.Capacity(set.VM.CPUShare, set.VM.LinkMbps)
 	peers := withPeers(store, set.Process.Name, set.Listen.Peers, log)
 	processes := func() int { return len(peers.Addrs()) + 1 }
@@ -73,15 +73,15 @@
 	pool := backend.NewPool(hosted.AttemptID)
 	forwarder := forward.New(v, pool, set.Process.FailureDomain, logs.Part(log, "forward"))
 	forwarder.Quarantine.EnableSharing(store, quarantine.NewHTTPPeers(peers.Addrs), set.Store.ReadsPerS)
-	book := gatewayjobs.NewIndex(store, logs.Part(log, "jobs"))
-	runner := gatewayjobs.NewRunner(book, store, forwarder, writer, set.Store.Parts, capacity, logs.Part(log, "runner"))
+	index := gatewayjobs.NewIndex(store, logs.Part(log, "jobs"))
+	runner := gatewayjobs.NewRunner(index, store, forwarder, writer, set.Store.Parts, capacity, logs.Part(log, "runner"))
 	handler := &front.Front{
 		View: v, Forward: forwarder, Log: logs.Part(log, "front"), Latency: metrics.NewHistogram("front_latency"),
-		Jobs: gatewayjobs.NewService(book, store, writer, set.Store.Parts, capacity, logs.Part(log, "jobs")),
+		Jobs: gatewayjobs.NewService(index, store, writer, set.Store.Parts, capacity, logs.Part(log, "jobs")),
 	}
-	ready := &readiness{view: v, book: book, quarantine: forwarder.Quarantine}
-	book.Texts.SetPeers(peers.Addr)
-	book.SetReadInterval(func() time.Duration { return gatewayjobs.ReadInterval(processes(), set.Store.ReadsPerS) })
+	ready := &readiness{view: v, index: index, quarantine: forwarder.Quarantine}
+	index.Texts.SetPeers(peers.Addr)
+	index.SetReadInterval(func() time.Duration { return gatewayjobs.ReadInterval(processes(), set.Store.ReadsPerS) })
 	usage := newReporting(&set, lease.Holder(writer), store, processes, log)
 	if usage != nil {
 		forwarder.Usage = usage.counter
@@ -92,11 +92,11 @@
 	loops.Go(func() { v.Run(ctx) })
 	loops.Go(func() { v.RunCopies(ctx, processes) })
 	loops.Go(func() { forwarder.Quarantine.Run(ctx) })
-	loops.Go(func() { book.Run(ctx) })
+	loops.Go(func() { index.Run(ctx) })
 	loops.Go(func() { runner.Run(ctx) })
-	log.Info("Starting.", zap.String("name", writer.Node), zap.String("life", writer.Life), zap.String("callers", set.Listen.Callers), zap.String("store", set.Store.Address))
+	log.Info("Starting.", zap.String("name", writer.VM), zap.String("life", writer.Incarnation), zap.String("callers", set.Listen.Callers), zap.String("store", set.Store.Address))
 	return &run.Process{
-		Servers:      gatewayServers(set, handler, peerCalls(book.Texts, forwarder.Quarantine, store), ready),
+		Servers:      gatewayServers(set, handler, peerCalls(index.Texts, forwarder.Quarantine, store), ready),
 		Ready:        func(is bool) { ready.up.Store(is); leave(is, handler, runner, usage) },
 		StopDelay:    time.Duration(serveOn * float64(set.Process.Grace)),
 		Drain:        func(ctx context.Context) error { return drain(ctx, handler, runner, usage, log) },
@@ -196,13 +196,13 @@
 // readiness answers the platform's question whether callers may be sent here.
 type readiness struct {
 	view       *view.View
-	book       *gatewayjobs.Index
+	index      *gatewayjobs.Index
 	quarantine *quarantine.Quarantine
 	up         atomic.Bool
 }
 
 func (r *readiness) serve(w http.ResponseWriter, _ *http.Request) {
-	if !r.up.Load() || r.view.Current().Table == nil || !r.book.CaughtUp() || !r.quarantine.Initialized() {
+	if !r.up.Load() || r.view.Current().Table == nil || !r.index.CaughtUp() || !r.quarantine.Initialized() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
--- a/gateway/usage/usage_test.go
+++ b/gateway/usage/usage_test.go
@@ -54,9 +54,9 @@
 
 func (s *site) start(node string) *process {
 	store := hosted.NewStore(s.store.Addr())
-	self := lease.Holder{Node: node, Life: fmt.Sprint(time.Now().UnixNano())}
+	self := lease.Holder{VM: node, Incarnation: fmt.Sprint(time.Now().UnixNano())}
 	two := func() int { return 2 }
-	p := &process{counter: usage.NewCounter(store, self.Node+"/"+self.Life, window, time.Now, two, zap.NewNop())}
+	p := &process{counter: usage.NewCounter(store, self.VM+"/"+self.Incarnation, window, time.Now, two, zap.NewNop())}
 	p.keeper = duties.New(duties.Config{
 		Duty: usage.Duty, First: usage.First(time.Now(), window), Self: self, Store: store, Now: boottime.Now, Logger: zap.NewNop(), Renew: 100 * time.Millisecond,
 		Timing: lease.Timing{ValidFor: 1200 * time.Millisecond, TakeOverAfter: 1500 * time.Millisecond},
