--- a/gateway/orders/orders.go
+++ b/gateway/orders/orders.go
@@ -1,6 +1,7 @@
-// Package orders runs beside one engine and is the only one that ever orders
-// it, so that no election is needed: it reads what is named, decides by
-// decide/loads, and tells the owners of samples what the engine does.
+// Package orders contains the agent that runs on the VM of an engine and orders it to load
+// weights. The agent reads which versions are named, decides with decide/loads which one to
+// load, and reports the engine's versions to the owners of samples. Each engine is ordered by
+// its own agent only, so that no leader election is needed.
 package orders
 
 import (
@@ -23,20 +24,21 @@
 	"dandelionsill.org/platform/hosted"
 )
 
-// Times of the agent.
+// Intervals and timeouts of the agent.
 const (
-	// idleInterval and lookBusy are how often the engine is asked for its state
-	// when nothing is due and while an order is carried out.
+	// idleInterval is the interval between two steps when no load is due; busyInterval is the
+	// interval while the engine carries out an order or cannot be reached.
 	idleInterval = time.Second
 	busyInterval = 60 * time.Millisecond
-	// unknownOutcomeDelay is how long after an order without an answer the engine is
-	// watched before it is ordered again.
+	// unknownOutcomeDelay is the pause after an order that got no answer. The engine may still
+	// carry the order out, so that its state is read only afterwards.
 	unknownOutcomeDelay = 400 * time.Millisecond
 	appendTimeout       = 600 * time.Millisecond
-	// ownReportTTL is how long this process's own word about its engine goes before the
-	// engine's entry: some of an entry's intervals of a second. An order of an
-	// earlier start of the engine may be carried out after the last report; the
-	// engine then has older weights than was told, and nobody would look again.
+	// ownReportTTL is how long this process's last report about its engine takes precedence
+	// over the engine's entry; it spans several updates of the entry, which is written every
+	// second. The precedence has to expire: an order to an earlier incarnation of the engine
+	// may be carried out after the last report, and the engine then has older weights than
+	// reported. Without the expiry no step would notice that.
 	ownReportTTL = 4 * time.Second
 )
 
@@ -46,48 +48,49 @@
 	ordersUnknown = metrics.Counter("orders_unknown_total")
 )
 
-// Engine is the engine that the agent orders.
+// Engine is the interface of the engine that the agent orders.
 type Engine interface {
 	Report(ctx context.Context) (hosted.EngineReport, error)
 	Order(ctx context.Context, o hosted.LoadOrder) (hosted.OrderOutcome, error)
 }
 
-// Config says where the agent runs.
+// Config holds the identity of the agent's process and the parts that the agent uses.
 type Config struct {
 	VM          string
 	Incarnation string
-	Addr        string // of the engine, IP:port
+	Addr        string // address of the engine, IP:port
 	View        *view.View
 	Engine      Engine
 	Log         platform.Log
 	Logger      *zap.Logger
 }
 
-// Agent orders one engine.
+// Agent orders one engine to load weights. All fields belong to the goroutine of Run; maps
+// from strings are by model.
 type Agent struct {
 	cfg           Config
 	log           *zap.Logger
-	namedAt       map[string]time.Time // when each model's newest version was seen
 	newestVersion map[string]uint64
-	// follows tells which models the engine follows.
+	namedAt       map[string]time.Time // when the newest version was first seen
+	// follows holds, as last logged, whether the engine loads the model's new versions.
 	follows map[string]bool
-	// listed: an engine is listed with the model's newest version.
+	// listed holds whether any engine's entry contains the model's newest version.
 	listed map[string]bool
-	// loadTime and cadence (by model) are what loads are planned by.
+	// loadTime and cadence estimate how long loads take and how often versions are named.
 	loadTime     loads.LoadTimeEstimator
 	cadence      map[string]*loads.CadenceEstimator
 	fencingToken uint64
-	unreachable  bool
-	// staleServer is the server that was found not to be at the engine's address any more.
+	unreachable  bool // the engine's state could not be read the last time
+	// staleServer is the ID of an entry whose server no longer runs at the engine's address,
+	// as a misdirected order has shown; empty: none.
 	staleServer string
-	reported    map[jobs.EngineKey]jobs.Engine
-	// reportedAt is when the last word about the engine was told.
-	reportedAt time.Time
-	// parity is kept for the life of the engine.
+	reported    map[jobs.EngineKey]jobs.Engine // last reports to the owners of samples
+	reportedAt  time.Time                      // when the last report was made
+	// parity holds the engine's parities; they do not change during its incarnation.
 	parity map[jobs.EngineKey]loads.Parity
 }
 
-// New returns an agent.
+// New returns an agent that has not read anything yet.
 func New(cfg Config) *Agent {
 	return &Agent{
 		cfg: cfg, log: cfg.Logger,
@@ -111,7 +114,8 @@
 	}
 }
 
-// step looks once and returns when to look again.
+// step reads the state once, gives an order if one is due, and returns the time until the
+// next step.
 func (a *Agent) step(ctx context.Context) time.Duration {
 	snap := a.cfg.View.Current()
 	a.fencingToken = max(a.fencingToken, snap.OperatorOffset+1)
@@ -131,7 +135,7 @@
 	}
 	a.recordReachable()
 	if report.Busy || !maybeSameIncarnation(self.StartedAt, report.StartedAt) {
-		return busyInterval // of the engine's last start the list does not tell yet
+		return busyInterval // busy, or the list does not contain this incarnation yet
 	}
 	target := a.chooseLoad(snap, self, peers, report)
 	if target == nil {
@@ -144,6 +148,7 @@
 	return a.order(ctx, snap, self, report, target)
 }
 
+// recordNewVersions records when versions were named that this process has not seen before.
 func (a *Agent) recordNewVersions(snap *view.Snapshot) {
 	for model, version := range snap.Versions {
 		if version <= a.newestVersion[model] {
@@ -160,8 +165,8 @@
 	}
 }
 
-// observePeers notes how long the first engine took that is listed with a model's
-// newest version.
+// observePeers updates the load time estimate with how long it took until the first engine
+// of the service is listed with a model's newest version.
 func (a *Agent) observePeers(snap *view.Snapshot, service string) {
 	for model, version := range snap.Versions {
 		if a.listed[model] || version < 2 {
@@ -172,10 +177,11 @@
 	}
 }
 
-// findEngine returns the engine beside this process and all engines of its service. An
-// entry that an order has shown to be of the past is passed over: the list tells of
-// the engine's new start within seconds, and until then 73 agents whose list stood
-// still gave 150 orders a second that were all refused.
+// findEngine returns the engine on this VM and the IDs of all engines of its service that are
+// not leaving; nil: the engine is not listed. The entry staleServer is ignored. The list
+// contains the engine's new incarnation within seconds; until then every order to the old one
+// is refused, and without this rule 73 agents with an outdated list sent 150 such orders per
+// second.
 func (a *Agent) findEngine(snap *view.Snapshot) (*members.Server, []string) {
 	for _, servers := range snap.Servers {
 		for i := range servers {
@@ -194,11 +200,11 @@
 	return nil, nil
 }
 
-// maybeSameIncarnation tells whether two words about an engine may be of one start of it;
-// zero: engines of older platforms don't tell.
+// maybeSameIncarnation reports whether two start times of an engine may belong to the same
+// incarnation. Zero means unknown: engines of older platforms do not report a start time.
 func maybeSameIncarnation(a, b time.Time) bool { return a.IsZero() || b.IsZero() || a.Equal(b) }
 
-// isBehind tells whether any model has a version that the engine may not have.
+// isBehind reports whether any model has a version that the engine may not have.
 func (a *Agent) isBehind(snap *view.Snapshot, self *members.Server) bool {
 	useReported := time.Since(a.reportedAt) < ownReportTTL
 	for model, version := range snap.Versions {
@@ -213,21 +219,24 @@
 	return false
 }
 
+// recordUnreachable records that the engine's state could not be read.
 func (a *Agent) recordUnreachable(err error) {
 	if !a.unreachable {
-		a.log.Warn("Lost the engine.", zap.String("addr", a.cfg.Addr), zap.Error(err))
+		a.log.Warn("The engine is unreachable.", zap.String("addr", a.cfg.Addr), zap.Error(err))
 	}
 	a.unreachable = true
 }
 
+// recordReachable records that the engine's state was read.
 func (a *Agent) recordReachable() {
 	if a.unreachable {
-		a.log.Info("The engine is back.", zap.String("addr", a.cfg.Addr))
+		a.log.Info("The engine is reachable again.", zap.String("addr", a.cfg.Addr))
 	}
 	a.unreachable = false
 }
 
-// chooseLoad returns the most urgent load, then the one that is due first.
+// chooseLoad returns the load to do next, over all models of the engine; nil: there is none.
+// Urgent loads come first, then the one that is due earliest.
 func (a *Agent) chooseLoad(snap *view.Snapshot, self *members.Server, peers []string, report hosted.EngineReport) *loads.Target {
 	fleet := loads.Fleet{Engines: peers, Models: slices.Collect(maps.Keys(report.Versions)), LoadTime: a.loadTime.LoadTime()}
 	var chosen *loads.Target
@@ -249,20 +258,20 @@
 	return chosen
 }
 
-// logFollowing logs when the engine begins to follow a model's versions, or leaves
-// them to others.
+// logFollowing logs when the engine starts to load a model's new versions, or stops because
+// other engines load them.
 func (a *Agent) logFollowing(fleet loads.Fleet, server, model string) {
 	follows := fleet.Serves(server, model)
 	if previous, known := a.follows[model]; known && previous == follows {
 		return
 	}
 	a.follows[model] = follows
-	a.log.Info("Engine's part in a model.", zap.String("server", server), zap.String("model", model), zap.Bool("follows", follows),
+	a.log.Info("Whether the engine follows a model has changed.", zap.String("server", server), zap.String("model", model), zap.Bool("follows", follows),
 		zap.Int("engines", len(fleet.Engines)), zap.Int("models", len(fleet.Models)), zap.Duration("load_time", fleet.LoadTime), zap.Duration("every", fleet.NamingInterval))
 }
 
-// parityOf returns the parity that the engine got when a version of the model
-// was first named.
+// parityOf returns the parity that the engine was given when a version of the model was first
+// named.
 func (a *Agent) parityOf(fleet loads.Fleet, server, model string) loads.Parity {
 	key := jobs.EngineKey{Server: server, Model: model}
 	parity, known := a.parity[key]
@@ -273,7 +282,8 @@
 	return parity
 }
 
-// order gives one order and follows it to its end.
+// order gives one order, waits until the engine has carried it out, and returns the time until
+// the next step.
 func (a *Agent) order(ctx context.Context, snap *view.Snapshot, self *members.Server, report hosted.EngineReport, target *loads.Target) time.Duration {
 	start := time.Now()
 	o := hosted.LoadOrder{
@@ -282,7 +292,7 @@
 	}
 	a.publish(ctx, jobs.Engine{Server: self.ID, Model: target.Model, Version: target.Version, Loading: true})
 	outcome, err := a.cfg.Engine.Order(ctx, o)
-	a.log.Info("Order to load weights.", zap.String("server", self.ID), zap.String("model", o.Model), zap.Uint64("version", o.Version),
+	a.log.Info("Ordered the engine to load weights.", zap.String("server", self.ID), zap.String("model", o.Model), zap.Uint64("version", o.Version),
 		zap.Uint64("from", report.Versions[o.Model]), zap.String("mode", string(o.Mode)), zap.Uint64("fence", o.Fence),
 		zap.Uint64("after", o.After), zap.Bool("urgent", target.Urgent), zap.Duration("load_time", a.loadTime.LoadTime()), zap.Int("running", report.Running),
 		zap.Uint8("outcome", uint8(outcome)), zap.Error(err))
@@ -301,7 +311,7 @@
 	}
 	after := a.waitIdle(ctx)
 	if !maybeSameIncarnation(after.StartedAt, report.StartedAt) {
-		a.log.Info("The engine started again during an order.", zap.String("server", self.ID), zap.Time("born", after.StartedAt))
+		a.log.Info("The engine was restarted during an order.", zap.String("server", self.ID), zap.Time("born", after.StartedAt))
 		return busyInterval
 	}
 	if after.Versions[o.Model] >= o.Version && outcome == hosted.OrderTaken {
@@ -314,7 +324,9 @@
 	return time.Millisecond
 }
 
-// loadMode keeps streams going where samples may be made by several versions.
+// loadMode returns LoadWait if the service is a target of a batch route whose samples have to
+// be generated by a single version: running streams then finish before the weights change.
+// Otherwise it returns LoadRetain, with which streams continue across the change.
 func (a *Agent) loadMode(snap *view.Snapshot, service string) hosted.LoadMode {
 	if snap.Table == nil {
 		return hosted.LoadWait
@@ -332,7 +344,8 @@
 	return hosted.LoadRetain
 }
 
-// waitIdle waits until the engine carries out no order and returns its state.
+// waitIdle waits until the engine carries out no order and returns its state; the zero value
+// if ctx ends first.
 func (a *Agent) waitIdle(ctx context.Context) hosted.EngineReport {
 	for ctx.Err() == nil {
 		report, err := a.cfg.Engine.Report(ctx)
@@ -346,7 +359,8 @@
 	return hosted.EngineReport{}
 }
 
-// publishServed tells the owners of samples which versions the engine serves.
+// publishServed reports the versions that the engine serves to the owners of samples, if they
+// differ from the last report.
 func (a *Agent) publishServed(ctx context.Context, server string, report hosted.EngineReport) {
 	var changed []jobs.Engine
 	for _, model := range slices.Sorted(maps.Keys(report.Versions)) {
@@ -360,8 +374,8 @@
 	}
 }
 
-// publish appends words about the engine. They only help owners to choose, so
-// that a lost one is not repeated.
+// publish appends reports about the engine to the log. They only help owners to choose an
+// engine, so that an append that fails is not repeated.
 func (a *Agent) publish(ctx context.Context, reports ...jobs.Engine) {
 	a.reportedAt = time.Now()
 	for _, e := range reports {
@@ -370,12 +384,12 @@
 	r := jobs.Record{Writer: jobs.Writer{VM: a.cfg.VM, Incarnation: a.cfg.Incarnation}, Engines: reports}
 	data, err := r.Encode()
 	if err != nil {
-		a.log.Error("A word about the engine can't be encoded.", zap.Error(err))
+		a.log.Error("Could not encode a report about the engine.", zap.Error(err))
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
 	if _, err := a.cfg.Log.Append(ctx, gatewayjobs.Stream, data); err != nil {
-		a.log.Warn("A word about the engine was not appended.", zap.Error(err))
+		a.log.Warn("Could not append a report about the engine.", zap.Error(err))
 	}
 }
--- a/gateway/orders/step_test.go
+++ b/gateway/orders/step_test.go
@@ -24,10 +24,10 @@
 	return c.Engine.Order(ctx, o)
 }
 
-// Engine and agent lose power, and the store's list still has the entry of the
-// engine's start before: it has a new name now. An order to the old one is refused,
-// whatever its number, so that it is not given again; the engine is ordered as soon
-// as the list tells of its new start.
+// Engine and agent restart after a power failure. The engine has a new name, but the store
+// still lists the entry of its previous incarnation. An order to that entry is refused whatever
+// its number, so that it is given only once; the engine is ordered as soon as the list contains
+// its new incarnation.
 func TestOrderToEarlierIncarnationIsNotRepeated(t *testing.T) {
 	pf := gatewaytest.NewPlatform(t, 1, 0)
 	engine := pf.Engines[0]
