--- a/gateway/usage/counter.go
+++ b/gateway/usage/counter.go
@@ -162,11 +162,11 @@
 // publish writes this process's tally where there is something new in it; false: the store
 // has not taken it.
 func (c *Counter) publish(ctx context.Context) bool {
-	takeTally, due := c.tally()
+	tally, due := c.takeTally()
 	if !due {
 		return true
 	}
-	value, err := json.Marshal(takeTally)
+	value, err := json.Marshal(tally)
 	if err != nil {
 		c.log.Error("Counts can't be encoded.", zap.Error(err))
 		return true
@@ -186,7 +186,7 @@
 	talliesFailed.Add(1)
 	c.changed = true
 	if !c.failing {
-		c.log.Warn("Counts are not taken by the store.", zap.Uint64("complete", uint64(takeTally.Complete)), zap.Bool("may_stand", errors.Is(err, platform.ErrAppendUnknown)), zap.Error(err))
+		c.log.Warn("Counts are not taken by the store.", zap.Uint64("complete", uint64(tally.Complete)), zap.Bool("may_stand", errors.Is(err, platform.ErrAppendUnknown)), zap.Error(err))
 	}
 	c.failing = true
 	return false
@@ -198,16 +198,16 @@
 	return c.process + "#" + strconv.Itoa(c.unknownWrites)
 }
 
-// tally returns what this process has counted, and whether that has changed.
-func (c *Counter) tally() (usage.Tally, bool) {
+// takeTally returns what this process has counted, and whether that has changed.
+func (c *Counter) takeTally() (usage.Tally, bool) {
 	now := c.now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	newestComplete := c.complete(now)
-	if !c.changed && newestComplete <= c.published {
+	complete := c.newestComplete(now)
+	if !c.changed && complete <= c.published {
 		return usage.Tally{}, false
 	}
-	c.changed, c.published = false, max(c.published, newestComplete)
+	c.changed, c.published = false, max(c.published, complete)
 	tally := usage.Tally{Process: c.process, Complete: c.published, Ended: c.ended, Windows: make(map[usage.Window]usage.Counts, len(c.windows))}
 	for w, counts := range c.windows {
 		if w+maxKeptWindows < usage.WindowAt(now, c.length) {
@@ -219,8 +219,8 @@
 	return tally, true
 }
 
-// complete is the newest window whose requests are all counted; mu is held.
-func (c *Counter) complete(now time.Time) usage.Window {
+// newestComplete is the newest window whose requests are all counted; mu is held.
+func (c *Counter) newestComplete(now time.Time) usage.Window {
 	last := usage.WindowAt(now.Add(-settleTime), c.length) - 1
 	for w := range c.running {
 		if w <= last && now.Sub(w.End(c.length)) < maxSettleTime {
