--- a/gateway/usage/counter.go
+++ b/gateway/usage/counter.go
@@ -1,5 +1,5 @@
-// Package usage counts the requests of organisations that began to run and reports them
-// to the platform, each window of time once.
+// Package usage counts the requests of each organisation that a server has started to run,
+// and reports the counts to the platform, once for each window of time.
 package usage
 
 import (
@@ -19,24 +19,26 @@
 	"dandelionsill.org/platform"
 )
 
-// Times of counting.
+// Times and limits of counting.
 const (
-	// minPublishInterval is how often it is looked whether the tally has changed.
+	// minPublishInterval is the interval between checks whether the tally has changed, if few
+	// processes share maxTalliesPerSecond.
 	minPublishInterval = 100 * time.Millisecond
-	// settleTime is how long after a window's end its last requests are awaited that began
-	// in it.
+	// settleTime is how long after its end a window still waits for requests that started in it.
 	settleTime = 300 * time.Millisecond
-	// maxSettleTime bounds that, for requests that take long.
+	// maxSettleTime is how long after its end a window waits for requests in flight that arrived
+	// in it or earlier.
 	maxSettleTime = 2500 * time.Millisecond
-	// maxKeptWindows is how many windows a process keeps its counts of: one that can't
-	// reach the store publishes them once it is back.
+	// maxKeptWindows is the number of past windows whose counts a process keeps. A process that
+	// cannot reach the store publishes them when the store is available again.
 	maxKeptWindows = 12
 	putTimeout     = 2 * time.Second
-	// maxRetryDelay is the longest pause before a tally is published again that was not taken.
+	// maxRetryDelay bounds the pause before a tally that was not stored is published again.
 	maxRetryDelay = 800 * time.Millisecond
-	// minRecoveryTime covers that, and the time in which the store is found to be back.
+	// minRecoveryTime covers maxRetryDelay and the time until a process finds the store
+	// available again.
 	minRecoveryTime = 1200 * time.Millisecond
-	// maxTalliesPerSecond bounds the tallies of all processes together.
+	// maxTalliesPerSecond bounds how many tallies all processes together publish.
 	maxTalliesPerSecond = 100
 )
 
@@ -45,30 +47,32 @@
 	talliesFailed   = metrics.Counter("usage_tallies_failed_total")
 )
 
-// Counter counts the requests of this process. It is safe for concurrent use.
+// Counter counts the requests of this process and publishes the counts as its tally. It is safe
+// for concurrent use.
 type Counter struct {
-	store   platform.Keyed
-	process string
-	length  time.Duration
-	now     func() time.Time
-	// processCount is how many there are.
-	processCount func() int
+	store        platform.Keyed
+	process      string        // identifies this incarnation of the process
+	length       time.Duration // of a window
+	now          func() time.Time
+	processCount func() int // returns the number of processes that publish tallies
 	log          *zap.Logger
 
 	mu        sync.Mutex
 	windows   map[usage.Window]usage.Counts
-	running   map[usage.Window]int // requests on their way, by the window of their start
-	changed   bool
-	published usage.Window // complete, as last published
-	ended     bool
-	failing   bool // the store did not take the last tally
-	// unknownWrites counts the tallies whose answer was lost. The store may carry them out later,
-	// so that the next ones get another key: they would be lost to an older one.
+	running   map[usage.Window]int // number of requests in flight, by the window of their arrival
+	changed   bool                 // the counts have changed since the last tally
+	published usage.Window         // newest complete window, as last published
+	ended     bool                 // no more requests will be counted
+	failing   bool                 // the last tally was not stored
+	// unknownWrites is the number of writes with an unknown outcome. The store may still carry
+	// them out, so that later tallies get another key: an old tally would otherwise overwrite
+	// a newer one.
 	unknownWrites int
 }
 
-// NewCounter returns a counter of windows of a length. process names this start of the
-// process, now is the time of day.
+// NewCounter returns a counter for windows of a given length. process identifies this
+// incarnation of the process, now returns the time of day, and processCount returns the number
+// of processes that publish tallies.
 func NewCounter(store platform.Keyed, process string, length time.Duration, now func() time.Time, processCount func() int, log *zap.Logger) *Counter {
 	return &Counter{
 		store: store, process: process, length: length, now: now, processCount: processCount, log: log,
@@ -76,16 +80,16 @@
 	}
 }
 
-// Request is a request on its way; nil: it is not counted. It belongs to one goroutine.
+// Request is a request in flight; nil: it is not counted. It is not safe for concurrent use.
 type Request struct {
 	counter      *Counter
 	organisation string
-	window       usage.Window // of its start
+	window       usage.Window // of its arrival
 	counted      bool
 }
 
-// Start notes a request of an organisation; nil where it is not counted. Call Done at
-// its end.
+// Start returns a new request of an organisation; nil if c is nil or the organisation is empty,
+// because such requests are not counted. The caller must call Done when the request ends.
 func (c *Counter) Start(organisation string) *Request {
 	if c == nil || organisation == "" {
 		return nil
@@ -97,8 +101,9 @@
 	return &Request{counter: c, organisation: organisation, window: w}
 }
 
-// RecordExecution notes that a server began to run the request some time ago. Only the first one
-// counts: the caller asked once.
+// RecordExecution records that a server started to run the request the given time ago. Only the
+// first call counts, because a request that runs on several servers is one request of the
+// caller.
 func (r *Request) RecordExecution(ago time.Duration) {
 	if r == nil || r.counted {
 		return
@@ -118,7 +123,7 @@
 	c.changed = true
 }
 
-// Done notes the request's end.
+// Done records the end of the request.
 func (r *Request) Done() {
 	if r == nil {
 		return
@@ -132,7 +137,7 @@
 	}
 }
 
-// Run publishes what was counted until ctx ends.
+// Run publishes the counts until ctx ends.
 func (c *Counter) Run(ctx context.Context) {
 	for wait := time.Duration(0); sleep.For(ctx, max(wait, c.publishInterval())); {
 		if c.publish(ctx) {
@@ -143,15 +148,18 @@
 	}
 }
 
+// publishInterval returns the interval with which all processes together stay within
+// maxTalliesPerSecond.
 func (c *Counter) publishInterval() time.Duration {
 	return max(minPublishInterval, time.Duration(c.processCount())*time.Second/maxTalliesPerSecond)
 }
 
-// AfterOutage is how long after an outage of the store all processes need to publish what
-// they have counted.
+// AfterOutage returns the time after an outage of the store within which all processes publish
+// what they counted during the outage.
 func (c *Counter) AfterOutage() time.Duration { return minRecoveryTime + 2*c.publishInterval() }
 
-// PublishFinal publishes the last of it; it is called once no request is on its way.
+// PublishFinal publishes the last tally of this process. It must be called only when no request
+// is in flight.
 func (c *Counter) PublishFinal(ctx context.Context) {
 	c.mu.Lock()
 	c.ended, c.changed = true, true
@@ -159,8 +167,7 @@
 	c.publish(ctx)
 }
 
-// publish writes this process's tally where there is something new in it; false: the store
-// has not taken it.
+// publish writes this process's tally to the store if it has changed; false: it was not stored.
 func (c *Counter) publish(ctx context.Context) bool {
 	tally, due := c.takeTally()
 	if !due {
@@ -168,7 +175,7 @@
 	}
 	value, err := json.Marshal(tally)
 	if err != nil {
-		c.log.Error("Counts can't be encoded.", zap.Error(err))
+		c.log.Error("Could not encode the tally.", zap.Error(err))
 		return true
 	}
 	ctx, cancel := context.WithTimeout(ctx, putTimeout)
@@ -186,19 +193,21 @@
 	talliesFailed.Add(1)
 	c.changed = true
 	if !c.failing {
-		c.log.Warn("Counts are not taken by the store.", zap.Uint64("complete", uint64(tally.Complete)), zap.Bool("may_stand", errors.Is(err, platform.ErrAppendUnknown)), zap.Error(err))
+		c.log.Warn("Could not store the tally.", zap.Uint64("complete", uint64(tally.Complete)), zap.Bool("may_stand", errors.Is(err, platform.ErrAppendUnknown)), zap.Error(err))
 	}
 	c.failing = true
 	return false
 }
 
+// tallyKey returns the key of this process's tally in the store.
 func (c *Counter) tallyKey() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.process + "#" + strconv.Itoa(c.unknownWrites)
 }
 
-// takeTally returns what this process has counted, and whether that has changed.
+// takeTally returns the tally of this process, without windows that are too old; false: it has
+// not changed since the last call.
 func (c *Counter) takeTally() (usage.Tally, bool) {
 	now := c.now()
 	c.mu.Lock()
@@ -219,7 +228,7 @@
 	return tally, true
 }
 
-// newestComplete is the newest window whose requests are all counted; mu is held.
+// newestComplete returns the newest window whose requests are all counted. c.mu must be held.
 func (c *Counter) newestComplete(now time.Time) usage.Window {
 	last := usage.WindowAt(now.Add(-settleTime), c.length) - 1
 	for w := range c.running {
--- a/gateway/usage/reporter.go
+++ b/gateway/usage/reporter.go
@@ -16,21 +16,22 @@
 	"dandelionsill.org/platform"
 )
 
-// Duty is the key of the lease of who reports.
+// Duty is the lease key of the duty to report usage.
 const Duty = "usage"
 
-// Times of reports.
+// Times and limits of reporting.
 const (
 	checkInterval = 250 * time.Millisecond
-	// maxCallTime is how long a call may be on its way, within the lease.
+	// maxCallTime bounds a call to the platform; the lease has to be valid for that long.
 	maxCallTime = time.Second
-	// releaseAfter is how long the platform may leave all calls of a holder unanswered
-	// before it gives the duty up: others may reach it.
+	// releaseAfter is how long all calls of the holder may get no answer from the platform
+	// before it releases the duty, because another process may reach the platform.
 	releaseAfter = 4 * time.Second
-	// reportSlots bounds the windows whose reports are kept in the store.
+	// reportSlots is the number of keys for reports in the store, and so the number of windows
+	// whose reports are kept.
 	reportSlots = 32
-	// staleWindows is how many windows back a process must have counted last for its
-	// tally to be dropped from the store.
+	// staleWindows is the age, in windows, at which a tally without newer counts is deleted from
+	// the store.
 	staleWindows = 24
 )
 
@@ -40,44 +41,45 @@
 	reportsMissed = metrics.Counter("usage_reports_missed_total")
 )
 
-// InitialProgress is how far the duty has come for the first process that ever has it, and that
-// started at a time: windows from that one on are reported.
+// InitialProgress returns the progress of a duty that no process has had before: the window
+// before the one in which this process started, so that the latter is reported first. length is
+// the length of a window.
 func InitialProgress(started time.Time, length time.Duration) uint64 {
 	return uint64(usage.WindowAt(started, length) - 1)
 }
 
-// Reporter reports the usage of all processes while this one has the duty. What is
-// reported of a window is first recorded in the store, where the first record counts, so
-// that whoever sends it, and how often, sends the same.
+// Reporter reports the usage of all processes while this process has the duty. The report of a
+// window is recorded in the store before it is sent, and only the first record of a window is
+// accepted, so that every process sends the same report for it, however often it is sent.
 type Reporter struct {
 	Keeper       *duties.Keeper
 	Store        platform.Register
 	Platform     platform.UsageReports
 	VM           string
-	WindowLength time.Duration    // of a window
-	WaitLimits   usage.WaitLimits // but for Return
-	// AfterOutage is how long after an outage of the store all processes need to publish what
-	// they have counted.
+	WindowLength time.Duration
+	WaitLimits   usage.WaitLimits // without AfterOutage
+	// AfterOutage returns the time after an outage of the store within which all processes
+	// publish what they counted during the outage.
 	AfterOutage func() time.Duration
 	Now         func() time.Time
 	Log         *zap.Logger
 
 	term         duties.Term
-	loaded       bool
-	lastReported usage.Window
-	reports      map[usage.Window]usage.Counts // as recorded
-	nextOffset   uint64                        // where their stream ends, as read
-	failingSince time.Time
-	lastDropped  usage.Window // when tallies were last dropped
+	loaded       bool                          // the recorded reports have been read
+	lastReported usage.Window                  // newest window that was reported
+	reports      map[usage.Window]usage.Counts // as recorded in the store
+	nextOffset   uint64                        // end of the reports' stream, as last read
+	failingSince time.Time                     // first of the current series of unanswered calls; zero: none
+	lastDropped  usage.Window                  // window at which stale tallies were last deleted
 }
 
-// report is what is recorded of a window.
+// report is the stored record of a window's report.
 type report struct {
 	Window usage.Window `json:"w"`
 	Counts usage.Counts `json:"c"`
 }
 
-// Run reports until ctx ends.
+// Run reports usage until ctx ends, whenever this process has the duty.
 func (r *Reporter) Run(ctx context.Context) {
 	for sleep.For(ctx, checkInterval) {
 		term, held := r.Keeper.Term()
@@ -87,7 +89,7 @@
 		}
 		if !r.loaded {
 			if err := r.loadReports(ctx); err != nil {
-				r.Log.Warn("Reports can't be read.", zap.Error(err))
+				r.Log.Warn("Could not read the recorded usage reports.", zap.Error(err))
 				continue
 			}
 			r.loaded = true
@@ -99,19 +101,20 @@
 	}
 }
 
-// startTerm goes on where earlier holders have come to.
+// startTerm continues after the last window that an earlier holder has reported. Windows whose
+// counts are no longer kept are skipped.
 func (r *Reporter) startTerm(term duties.Term) {
 	done := usage.Window(term.Progress)
 	if oldest := usage.WindowAt(r.Now(), r.WindowLength) - maxKeptWindows; done < oldest {
 		reportsMissed.Add(int64(oldest - done))
-		r.Log.Error("Windows can't be reported any more.", zap.Uint64("from", uint64(done)+1), zap.Uint64("to", uint64(oldest)))
+		r.Log.Error("Some windows can no longer be reported.", zap.Uint64("from", uint64(done)+1), zap.Uint64("to", uint64(oldest)))
 		done = oldest
 	}
 	r.term, r.failingSince, r.lastReported = term, time.Time{}, done
 	r.Keeper.RecordProgress(uint64(done))
 }
 
-// loadReports reads what was recorded before.
+// loadReports reads the reports that are recorded in the store.
 func (r *Reporter) loadReports(ctx context.Context) error {
 	records, next, err := r.Store.Newest(ctx, platform.StreamReports)
 	if err != nil {
@@ -121,7 +124,7 @@
 	for _, rec := range records {
 		var stored report
 		if err := json.Unmarshal(rec.Value, &stored); err != nil {
-			r.Log.Warn("A report can't be read and is left out.", zap.String("key", rec.Key), zap.Error(err))
+			r.Log.Warn("Ignoring a usage report that cannot be decoded.", zap.String("key", rec.Key), zap.Error(err))
 			continue
 		}
 		r.reports[stored.Window] = stored.Counts
@@ -129,7 +132,8 @@
 	return nil
 }
 
-// step reports the windows that are due.
+// step reports the windows that have ended, in order, up to the first one that cannot be reported
+// yet.
 func (r *Reporter) step(ctx context.Context) {
 	for w := r.lastReported + 1; w < usage.WindowAt(r.Now(), r.WindowLength); w++ {
 		counts, ok := r.reports[w]
@@ -144,7 +148,8 @@
 	}
 }
 
-// recordReport sums a window up and puts its report down; false: that is not possible yet.
+// recordReport sums up a window and records its report in the store; false: the window is not
+// ready, or its report could not be recorded.
 func (r *Reporter) recordReport(ctx context.Context, w usage.Window) (usage.Counts, bool) {
 	sinceEnd := r.Now().Sub(w.End(r.WindowLength))
 	if sinceEnd < r.WaitLimits.Min {
@@ -152,7 +157,7 @@
 	}
 	tallies, err := r.readTallies(ctx, w)
 	if err != nil {
-		r.Log.Warn("Counts can't be read.", zap.Uint64("window", uint64(w)), zap.Error(err))
+		r.Log.Warn("Could not read the tallies.", zap.Uint64("window", uint64(w)), zap.Error(err))
 		return nil, false
 	}
 	age := usage.Age{SinceEnd: sinceEnd, SinceOutage: r.Keeper.SinceOutage()}
@@ -164,13 +169,13 @@
 	counts := usage.Sum(w, tallies)
 	value, err := json.Marshal(report{w, counts})
 	if err != nil {
-		r.Log.Error("A report can't be encoded.", zap.Error(err))
+		r.Log.Error("Could not encode a usage report.", zap.Error(err))
 		return nil, false
 	}
 	key := strconv.FormatUint(uint64(w%reportSlots), 10)
 	next, err := r.Store.PutAt(ctx, platform.StreamReports, []platform.KeyedRecord{{Key: key, Value: value}}, r.nextOffset)
 	if err != nil {
-		r.Log.Info("A report was not recorded; reading what stands.", zap.Uint64("window", uint64(w)), zap.Error(err))
+		r.Log.Info("A usage report was not recorded; reading the stored ones.", zap.Uint64("window", uint64(w)), zap.Error(err))
 		r.loaded = false
 		return nil, false
 	}
@@ -178,7 +183,8 @@
 	return counts, true
 }
 
-// readTallies reads what all processes have counted, and drops what is of no more use.
+// readTallies returns the tallies of all processes. Once for each window w it also deletes stale
+// tallies from the store.
 func (r *Reporter) readTallies(ctx context.Context, w usage.Window) ([]usage.Tally, error) {
 	records, _, err := r.Store.Newest(ctx, platform.StreamUsage)
 	if err != nil {
@@ -189,7 +195,7 @@
 	for _, rec := range records {
 		var tally usage.Tally
 		if err := json.Unmarshal(rec.Value, &tally); err != nil {
-			r.Log.Warn("Counts can't be read and are left out.", zap.String("key", rec.Key), zap.Error(err))
+			r.Log.Warn("Ignoring a tally that cannot be decoded.", zap.String("key", rec.Key), zap.Error(err))
 			continue
 		}
 		if tally.Stale(w - staleWindows) {
@@ -201,13 +207,14 @@
 	if len(stale) > 0 && r.lastDropped < w {
 		r.lastDropped = w
 		if err := r.Store.PutAll(ctx, platform.StreamUsage, stale); err != nil {
-			r.Log.Info("Old counts were not dropped.", zap.Int("processes", len(stale)), zap.Error(err))
+			r.Log.Info("Could not delete stale tallies.", zap.Int("processes", len(stale)), zap.Error(err))
 		}
 	}
 	return usage.Merge(tallies), nil
 }
 
-// send reports a window; false: it has to be sent again, or by another.
+// send sends the report of a window to the platform; false: this process or another one has to
+// send it again.
 func (r *Reporter) send(ctx context.Context, w usage.Window, counts usage.Counts) bool {
 	mayAct := func() bool { return r.Keeper.MayAct(r.term, maxCallTime) }
 	if !mayAct() {
@@ -224,7 +231,7 @@
 		return true
 	case errors.Is(err, platform.ErrDutyRefused):
 		reportsFailed.Add(1)
-		return true // it would be refused again
+		return true // the platform would refuse it again
 	case errors.Is(err, platform.ErrDutyLapsed):
 		return false
 	}
@@ -233,7 +240,8 @@
 	return false
 }
 
-// recordNoAnswer gives the duty up where nothing of the platform has answered for long.
+// recordNoAnswer records that a call got no answer. It releases the duty if that has been the case
+// for releaseAfter.
 func (r *Reporter) recordNoAnswer() {
 	now := time.Now()
 	if r.failingSince.IsZero() {
@@ -245,6 +253,7 @@
 	}
 }
 
+// sum returns the number of requests of all organisations.
 func sum(counts usage.Counts) uint64 {
 	var total uint64
 	for _, n := range counts {
--- a/gateway/usage/usage_test.go
+++ b/gateway/usage/usage_test.go
@@ -30,7 +30,8 @@
 	minTurnInterval = time.Second
 )
 
-// cluster is a store and the platform's interface, with processes that report to it.
+// cluster is a store and a stand-in for the platform's duty interface, used by the processes of
+// a test.
 type cluster struct {
 	t     *testing.T
 	store *hostedtest.Store
@@ -45,7 +46,7 @@
 	return s
 }
 
-// process counts, and reports when it has the duty.
+// process counts requests, and reports usage while it has the duty.
 type process struct {
 	counter *usage.Counter
 	keeper  *duties.Keeper
@@ -76,20 +77,22 @@
 	return p
 }
 
-// runRequest is one that a server has run.
+// runRequest counts a request that ran on two servers.
 func (p *process) runRequest(organisation string) {
 	r := p.counter.Start(organisation)
 	r.RecordExecution(0)
-	r.RecordExecution(0) // at a second server, too
+	r.RecordExecution(0) // on a second server; counts once
 	r.Done()
 }
 
+// waitHolds waits until a process has the duty.
 func (s *cluster) waitHolds(p *process) {
 	s.t.Helper()
 	require.Eventually(s.t, func() bool { _, held := p.keeper.Term(); return held }, gatewaytest.MaxWait, time.Millisecond)
 }
 
-// waitReported waits until the reports hold so many requests of an organisation.
+// waitReported waits until the reports contain a number of requests of an organisation. It fails
+// if they contain more.
 func (s *cluster) waitReported(organisation string, want uint64) {
 	s.t.Helper()
 	require.Eventually(s.t, func() bool {
@@ -102,7 +105,7 @@
 	}, gatewaytest.MaxWait, time.Millisecond)
 }
 
-// requireContiguous tells that no window was left out.
+// requireContiguous checks that the reports contain every window between the first and the last.
 func (s *cluster) requireContiguous() {
 	reports := s.api.Reports()
 	for i := range reports[1:] {
@@ -110,7 +113,8 @@
 	}
 }
 
-// Guards against requests that are not reported, reported twice, or reported by two.
+// Guards against requests that are not reported, are reported twice, or are reported by two
+// processes.
 func TestUsageOfAllProcessesIsReportedOnce(t *testing.T) {
 	s := newCluster(t)
 	a, b := s.startProcess("a"), s.startProcess("b")
@@ -120,15 +124,15 @@
 		b.runRequest("shop")
 		b.runRequest("town")
 	}
-	a.counter.Start("shop").Done() // ran nowhere
-	a.counter.Start("").Done()     // nobody's
+	a.counter.Start("shop").Done() // never ran
+	a.counter.Start("").Done()     // belongs to no organisation
 	s.waitReported("shop", 6)
 	s.waitReported("town", 3)
 	s.requireContiguous()
 }
 
-// Guards against a window that is lost, or reported with other counts, when its holder
-// dies, the platform's answer is lost, and the dead process had counted as well.
+// Guards against a window that is lost or reported with different counts when the platform's
+// answer is lost, the holder crashes, and the crashed process had counted requests as well.
 func TestSuccessorReportsSameCounts(t *testing.T) {
 	s := newCluster(t)
 	a := s.startProcess("a")
@@ -152,8 +156,8 @@
 	require.Greater(t, tokens["b"], tokens["a"])
 }
 
-// Guards against a duty that stays with a process that the platform does not answer, and
-// against one that is lost with a process that stops as planned.
+// Guards against a duty that stays with a process that gets no answers from the platform, and
+// against a duty that no process takes over after its holder was stopped.
 func TestDutyIsReleased(t *testing.T) {
 	s := newCluster(t)
 	a := s.startProcess("a")
@@ -170,8 +174,8 @@
 	s.waitReported("shop", 2)
 }
 
-// Guards against windows that the first holder never reports: the store goes away between
-// its claim and its look at what was counted.
+// Guards against windows that the first holder never reports: the store becomes unavailable
+// after the holder's claim and before it reads the tallies.
 func TestFirstHolderReportsFromItsStart(t *testing.T) {
 	s := newCluster(t)
 	const reports = "keyed.usage-reports"
@@ -190,8 +194,8 @@
 	s.requireContiguous()
 }
 
-// Guards against a lease that is lost with the answers of the store, and against reports
-// that stop for good after an outage.
+// Guards against a lease that is lost because the store's answers are lost, and against reports
+// that never resume after an outage.
 func TestDutySurvivesStoreFaults(t *testing.T) {
 	s := newCluster(t)
 	a := s.startProcess("a")
