--- a/gateway/jobs/jobs_test.go
+++ b/gateway/jobs/jobs_test.go
@@ -31,16 +31,16 @@
 	runner  *jobs.Runner
 }
 
-func newEntry(t testing.TB, pf *gatewaytest.Platform, node string) *entry {
-	e := startEntry(t, pf, node, "1")
+func newEntry(t testing.TB, pf *gatewaytest.Platform, vm string) *entry {
+	e := startEntry(t, pf, vm, "1")
 	require.Eventually(t, e.index.CaughtUp, gatewaytest.MaxWait, time.Millisecond)
 	return e
 }
 
 // startEntry starts a process and does not wait until it has read the log.
-func startEntry(t testing.TB, pf *gatewaytest.Platform, node, incarnation string) *entry {
+func startEntry(t testing.TB, pf *gatewaytest.Platform, vm, incarnation string) *entry {
 	p := pf.NewProcess(t)
-	writer := fold.Writer{VM: node, Incarnation: incarnation}
+	writer := fold.Writer{VM: vm, Incarnation: incarnation}
 	e := &entry{Process: p, index: jobs.NewIndex(p.Store, zap.NewNop())}
 	e.service = jobs.NewService(e.index, p.Store, writer, 3, 600, zap.NewNop())
 	e.runner = jobs.NewRunner(e.index, p.Store, p.Forward, writer, 3, 600, zap.NewNop())
--- a/gateway/usage/usage_test.go
+++ b/gateway/usage/usage_test.go
@@ -53,9 +53,9 @@
 	stop    func()
 }
 
-func (s *cluster) startProcess(node string) *process {
+func (s *cluster) startProcess(vm string) *process {
 	store := hosted.NewStore(s.store.Addr())
-	self := lease.Holder{VM: node, Incarnation: fmt.Sprint(time.Now().UnixNano())}
+	self := lease.Holder{VM: vm, Incarnation: fmt.Sprint(time.Now().UnixNano())}
 	processCount := func() int { return 2 }
 	p := &process{counter: usage.NewCounter(store, self.VM+"/"+self.Incarnation, window, time.Now, processCount, zap.NewNop())}
 	p.keeper = duties.New(duties.Config{
@@ -64,7 +64,7 @@
 		PollInterval: func() time.Duration { return 50 * time.Millisecond },
 	})
 	reporter := &usage.Reporter{
-		Keeper: p.keeper, Store: store, Platform: hosted.NewDutyClient(s.api.Addr()), VM: node, WindowLength: window,
+		Keeper: p.keeper, Store: store, Platform: hosted.NewDutyClient(s.api.Addr()), VM: vm, WindowLength: window,
 		WaitLimits: decide.WaitLimits{Min: 100 * time.Millisecond, Max: 4 * time.Second}, Now: time.Now, AfterOutage: p.counter.AfterOutage, Log: zap.NewNop(),
 	}
 	ctx, cancel := context.WithCancel(context.Background())
