--- a/gateway/server/gateway.go
+++ b/gateway/server/gateway.go
@@ -150,10 +150,10 @@
 }
 
 // newPeerHandler serves what peers ask of this process.
-func newPeerHandler(texts, quarantined http.Handler, store *hosted.Store) http.Handler {
+func newPeerHandler(textHandler, quarantineHandler http.Handler, store *hosted.Store) http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle(gatewayjobs.PathTexts, texts)
-	mux.Handle(quarantine.PathPeers, quarantined)
+	mux.Handle(gatewayjobs.PathTexts, textHandler)
+	mux.Handle(quarantine.PathPeers, quarantineHandler)
 	mux.Handle("/", store.Relay())
 	return mux
 }
