--- a/gateway/duties/keeper.go
+++ b/gateway/duties/keeper.go
@@ -1,6 +1,7 @@
-// Package duties keeps the leases of duties that one process of the system may have at a
-// time. The platform's store takes a write of a lease only if nothing was written since
-// its writer's last read, and so decides between processes; decide/lease decides the rest.
+// Package duties acquires and renews the leases of duties, tasks that exactly one process of
+// the system has at a time. If several processes write a lease, the platform's store decides
+// between them: it accepts a write only if nothing was written since the writer's last read.
+// All other decisions are made by decide/lease.
 package duties
 
 import (
@@ -26,60 +27,61 @@
 	writesConflict = metrics.Counter("duties_writes_conflicting_total")
 )
 
-// Config says which duty is kept, and how.
+// Config holds the settings of a Keeper.
 type Config struct {
-	Duty   string // key of its lease
+	Duty   string // key of the duty's lease
 	Self   lease.Holder
 	Store  platform.Register
 	Timing lease.Timing
-	// RenewInterval is the pause between two renewals of a holder.
+	// RenewInterval is the pause between two renewals by the holder.
 	RenewInterval time.Duration
-	// PollInterval returns the pause between two looks of a process that is not the holder.
+	// PollInterval returns the pause between two reads by a process that is not the holder.
 	PollInterval func() time.Duration
-	// InitialProgress is how far the duty has come where nobody has had it before.
+	// InitialProgress is the duty's progress if no process has had the duty before.
 	InitialProgress uint64
-	// ClaimDelay is how long this process lets others go first.
+	// ClaimDelay is how long this process waits before it claims a lease that it could claim, so
+	// that other processes can claim it first.
 	ClaimDelay time.Duration
-	// Now is a steady clock that goes on while the VM is suspended.
+	// Now reads a monotonic clock that continues while the VM is suspended.
 	Now    func() time.Duration
 	Logger *zap.Logger
 }
 
-// Term is the time of one holder.
+// Term is the period for which one holder has the duty.
 type Term struct {
-	Token    uint64
-	Progress uint64 // how far the duty had come when it began
+	Token    uint64 // fencing token
+	Progress uint64 // the duty's progress according to the lease's record
 }
 
-// Keeper keeps one lease. It is safe for concurrent use.
+// Keeper acquires, renews and releases the lease of one duty. It is safe for concurrent use.
 type Keeper struct {
 	cfg Config
 	log *zap.Logger
 
 	mu            sync.Mutex
 	state         *lease.State
-	loggedHeld    bool          // as last logged
-	progress      uint64        // how far this process has come with the duty
-	releaseReason string        // why this process gives the lease up; empty: it does not
-	lastFailure   time.Duration // when the store last gave no answer
+	loggedHeld    bool          // whether this process has the duty, as last logged
+	progress      uint64        // progress that this process has made with the duty
+	releaseReason string        // why this process releases the lease; empty: it does not
+	lastFailure   time.Duration // when a call of the store last failed
 
-	// The fields from here on belong to the goroutine of Run.
-	loaded       bool
-	caughtUp     bool   // all that stands in the stream has been read
-	nextOffset   uint64 // where the stream ends, as read
+	// The following fields belong to the goroutine of Run.
+	loaded       bool   // the newest records have been read once
+	caughtUp     bool   // nothing has been written since this process's last write
+	nextOffset   uint64 // end of the stream, as last read or written
 	readsFailing bool
-	wake         chan struct{}
+	wake         chan struct{} // interrupts the pause of Run; written by all goroutines
 }
 
-// New returns a keeper that has read nothing.
+// New returns a keeper that has not read anything yet.
 func New(cfg Config) *Keeper {
 	return &Keeper{
 		cfg: cfg, log: cfg.Logger.With(zap.String("duty", cfg.Duty)), state: lease.New(cfg.Self, cfg.Timing), wake: make(chan struct{}, 1),
 	}
 }
 
-// Term returns the term of this process; false: it has none. Whether it may act is
-// another question.
+// Term returns the term of this process; false: it does not have the duty, or is releasing it.
+// Before each action the process must also call MayAct.
 func (k *Keeper) Term() (Term, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -87,7 +89,7 @@
 	return Term{Token: r.Token, Progress: r.Progress}, k.state.Holds() && k.releaseReason == ""
 }
 
-// MayAct tells whether this process may act in a term for a time to come.
+// MayAct reports whether this process may act in a term for a duration from now on.
 func (k *Keeper) MayAct(term Term, duration time.Duration) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -95,32 +97,34 @@
 	return k.releaseReason == "" && r.Token == term.Token && k.state.MayAct(k.cfg.Now(), duration)
 }
 
-// SinceOutage is how long the store has answered since the last time it did not.
+// SinceOutage returns the time since a call of the store last failed.
 func (k *Keeper) SinceOutage() time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.cfg.Now() - k.lastFailure
 }
 
-// RecordProgress tells how far the duty has come; a later holder goes on from there.
+// RecordProgress records the duty's progress, which is written with the next renewal. A later
+// holder continues from there.
 func (k *Keeper) RecordProgress(progress uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.progress = max(k.progress, progress)
 }
 
-// Release makes this process give the lease up, for others to take it.
+// Release makes this process release the lease, so that another process can take it over.
+// reason is logged.
 func (k *Keeper) Release(reason string) {
 	k.mu.Lock()
 	k.releaseReason = reason
 	k.mu.Unlock()
 	select {
 	case k.wake <- struct{}{}:
-	default: // it is awake
+	default: // Run will wake up already
 	}
 }
 
-// Run keeps the lease until ctx ends.
+// Run acquires and renews the lease until ctx ends.
 func (k *Keeper) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		timer := time.NewTimer(k.step(ctx))
@@ -133,7 +137,7 @@
 	}
 }
 
-// step reads, and writes where that is due; it returns the pause until the next one.
+// step reads the lease, writes it if that is due, and returns the pause until the next step.
 func (k *Keeper) step(ctx context.Context) time.Duration {
 	if !k.caughtUp {
 		if err := k.read(ctx); err != nil {
@@ -156,7 +160,7 @@
 	return sleep.Jitter(k.cfg.PollInterval())
 }
 
-// dueWrite returns what has to be written now.
+// dueWrite returns the record that has to be written now; false: there is none.
 func (k *Keeper) dueWrite() (lease.Record, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -164,7 +168,7 @@
 	switch {
 	case k.state.Holds() && k.releaseReason != "":
 		dutiesGivenUp.Add(1)
-		k.log.Info("Giving a duty up.", zap.String("why", k.releaseReason), zap.Uint64("done", k.progress))
+		k.log.Info("Releasing a duty.", zap.String("why", k.releaseReason), zap.Uint64("done", k.progress))
 		return k.state.Release(k.progress, now), true
 	case k.state.Holds():
 		k.releaseReason = ""
@@ -181,12 +185,12 @@
 	}
 }
 
-// write writes the lease's record if nothing was written since the last read. What
-// became of a write without an answer shows at the next read.
+// write writes the lease's record; the store accepts it only if nothing was written since the
+// last read. The outcome of a write without an answer is found by the next read.
 func (k *Keeper) write(ctx context.Context, r lease.Record) {
 	value, err := json.Marshal(r)
 	if err != nil {
-		k.log.Error("A lease can't be encoded.", zap.Error(err))
+		k.log.Error("Could not encode a lease.", zap.Error(err))
 		return
 	}
 	next, err := k.cfg.Store.PutAt(ctx, platform.StreamDuties, []platform.KeyedRecord{{Key: k.cfg.Duty, Value: value}}, k.nextOffset)
@@ -197,16 +201,17 @@
 	case err != nil:
 		writesFailed.Add(1)
 		k.recordFailure()
-		k.log.Warn("A lease was not written.", zap.Uint64("token", r.Token), zap.Bool("may_stand", errors.Is(err, platform.ErrAppendUnknown)), zap.Error(err))
+		k.log.Warn("Could not write a lease.", zap.Uint64("token", r.Token), zap.Bool("may_stand", errors.Is(err, platform.ErrAppendUnknown)), zap.Error(err))
 		return
 	}
-	k.nextOffset, k.caughtUp = next, true // a holder that is the only writer need not read
+	k.nextOffset, k.caughtUp = next, true // no read is needed before the next write if no other process writes
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.state.Observe(&r, k.cfg.Now())
 }
 
-// read brings the state up to the stream's end.
+// read updates the state with all records up to the end of the stream. If the records after
+// nextOffset were truncated, it reads the newest record of each key instead.
 func (k *Keeper) read(ctx context.Context) error {
 	if k.loaded {
 		records, next, err := k.cfg.Store.ReadKeyed(ctx, platform.StreamDuties, k.nextOffset, 0)
@@ -232,7 +237,7 @@
 	return nil
 }
 
-// observe takes the records of this lease; it tells whether there was one.
+// observe updates the state with the records of this lease and reports whether there were any.
 func (k *Keeper) observe(records []platform.KeyedRecord) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -250,7 +255,7 @@
 		}
 		var r lease.Record
 		if err := json.Unmarshal(records[i].Value, &r); err != nil {
-			k.log.Warn("A lease can't be read and is left out.", zap.Error(err))
+			k.log.Warn("Ignoring a lease that cannot be decoded.", zap.Error(err))
 			continue
 		}
 		found = true
@@ -259,22 +264,24 @@
 	return found
 }
 
-// recordFailure notes that the store did not answer.
+// recordFailure records that a call of the store failed.
 func (k *Keeper) recordFailure() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.lastFailure = k.cfg.Now()
 }
 
+// recordReadFailure records that the lease could not be read. Only the first failure in a row is
+// logged.
 func (k *Keeper) recordReadFailure(err error) {
 	k.recordFailure()
 	if !k.readsFailing {
-		k.log.Warn("The leases can't be read.", zap.Error(err))
+		k.log.Warn("Could not read the leases.", zap.Error(err))
 	}
 	k.readsFailing = true
 }
 
-// logChange logs who has the duty when that changes here.
+// logChange logs and counts when this process acquires or loses the duty.
 func (k *Keeper) logChange() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -293,8 +300,9 @@
 	k.log.Info("This process no longer has a duty.", zap.Uint64("token", r.Token), zap.Bool("exists", exists), zap.String("holder", r.VM), zap.Bool("released", r.Released))
 }
 
-// reasonStopping is why a process that stops gives its duties up; it takes none any more.
+// reasonStopping is the release reason of a process that stops. It keeps the process from claiming
+// the lease again.
 const reasonStopping = "the process stops"
 
-// Resign gives the lease up, and takes it no more.
+// Resign releases the lease and does not claim it again.
 func (k *Keeper) Resign() { k.Release(reasonStopping) }
