--- a/gateway/server/agent.go
+++ b/gateway/server/agent.go
@@ -15,7 +15,8 @@
 	"dandelionsill.org/platform/hosted"
 )
 
-// BuildAgent makes the process beside an engine.
+// BuildAgent builds the agent's process, which runs on the VM of an engine and orders it to load
+// weights. The process's loops run until ctx ends.
 func BuildAgent(ctx context.Context, cfg Agent) (*run.Process, error) {
 	saveMemory()
 	log, out := newLogger("orders", cfg.Process.LogLevel)
--- a/gateway/server/duties.go
+++ b/gateway/server/duties.go
@@ -16,8 +16,8 @@
 	"dandelionsill.org/platform/hosted"
 )
 
-// Shares of the least time between the calls of two holders. A call is on its way for
-// usage's actNeeds at most, and ends before others may take over.
+// Shares of the setting duties.lease, the minimum time between the calls of two holders. A call
+// is in flight for at most usage's maxCallTime and ends before another process may take over.
 const (
 	validShare    = 0.8
 	takeOverShare = 1.2
@@ -25,32 +25,35 @@
 )
 
 const (
-	// maxPollsPerSecond bounds the looks of all processes at who has a duty.
+	// maxPollsPerSecond bounds how often all processes together read the lease of a duty.
 	maxPollsPerSecond = 50
-	// minPollInterval is the pause between two looks where few processes are.
+	// minPollInterval is the minimum pause between two reads of a process.
 	minPollInterval = time.Second
-	// claimSpread spreads the claims of all processes.
+	// claimSpread is the range over which the claims of all processes are spread.
 	claimSpread = 400 * time.Millisecond
-	// smallVMDelay is how much longer a small VM waits, so that a larger one is faster.
+	// smallVMDelay is the additional claim delay of a VM with fewer than smallVMCores cores, so
+	// that a larger VM claims first.
 	smallVMDelay = 500 * time.Millisecond
-	smallVMCores = 0.5 // cores
+	smallVMCores = 0.5
 )
 
-// Shares of the time until a report is due: what is left after the longest wait is for
-// sending it, by another process if need be.
+// Shares of the setting duties.usage_late, the time until a report is due. The time that is left
+// after the longest wait is for sending the report, by another process if necessary.
 const (
 	minWaitShare = 0.05
 	maxWaitShare = 0.65
 )
 
-// reporting are the parts of a gateway that count usage and report it.
+// reporting holds the parts of a gateway that count and report usage. A nil pointer is valid and
+// does nothing.
 type reporting struct {
 	counter  *usage.Counter
 	keeper   *duties.Keeper
 	reporter *usage.Reporter
 }
 
-// newReporting returns nil where the settings want no reports.
+// newReporting returns the usage reporting of a process; nil if usage reports are disabled in the
+// settings.
 func newReporting(cfg *Gateway, self lease.Holder, store *hosted.Store, processCount func() int, log *zap.Logger) *reporting {
 	if !cfg.Duties.reportsUsage() {
 		return nil
@@ -81,7 +84,8 @@
 	}
 }
 
-// claimDelay is how long a process lets others claim a duty first.
+// claimDelay returns how long a process lets others claim a duty first. It is derived from the
+// process's identity so that the processes claim at different times.
 func claimDelay(self lease.Holder, cpuShare float64) time.Duration {
 	const resolution = 1 << 16
 	delay := time.Duration(route.Hash(self.VM+self.Incarnation)%resolution) * claimSpread / resolution
@@ -91,7 +95,7 @@
 	return delay
 }
 
-// run counts and reports until ctx ends.
+// run starts the loops that count and report usage until ctx ends.
 func (r *reporting) run(ctx context.Context, loop func(func())) {
 	if r == nil {
 		return
@@ -101,14 +105,14 @@
 	loop(func() { r.reporter.Run(ctx) })
 }
 
-// resign gives the duty up.
+// resign releases the duty for good.
 func (r *reporting) resign() {
 	if r != nil {
 		r.keeper.Resign()
 	}
 }
 
-// publishFinal tells the last counts, once no request is served any more.
+// publishFinal publishes the last counts. It must be called only when no request is in flight.
 func (r *reporting) publishFinal(ctx context.Context) {
 	if r != nil {
 		r.counter.PublishFinal(ctx)
--- a/gateway/server/gateway.go
+++ b/gateway/server/gateway.go
@@ -29,32 +29,33 @@
 	"dandelionsill.org/quarantine"
 )
 
-// Times of the stop, as shares of the grace.
+// Timeouts of the process. Shares are parts of the grace period, the time between the request
+// to stop and the kill.
 const (
-	// serveShare is the share of the grace in which new connections are still
-	// served: the balancer goes on sending some until it has missed two
-	// answers to its question.
+	// serveShare is the share in which new connections are still served: the load balancer sends
+	// new callers until two of its readiness checks have failed.
 	serveShare = 0.4
-	// drainShare is the share left for what is then in flight.
+	// drainShare is the share in which the requests that are then in flight may finish.
 	drainShare = 0.5
-	// idleTimeout is longer than any caller keeps an idle connection, so that
-	// no request crosses our close.
+	// idleTimeout is longer than any caller keeps an idle connection, so that no request arrives
+	// while the gateway closes its connection.
 	idleTimeout = 5 * time.Minute
 )
 
-// newIncarnation names one start of a process.
+// newIncarnation returns a name for this incarnation of the process.
 func newIncarnation() string {
 	return strconv.FormatInt(time.Now().UnixNano(), 36) + "-" + strconv.Itoa(os.Getpid())
 }
 
-// newLogger returns the process's logger to standard output.
+// newLogger returns a logger that writes to standard output, and its writer, which must be closed
+// at the end of the process.
 func newLogger(part, level string) (*zap.Logger, *logs.Async) {
 	out := logs.NewAsync(os.Stdout)
 	metrics.Gauge("log_lines_dropped_total", func() any { return out.Dropped() })
 	return logs.NewTo(out, part, level), out
 }
 
-// BuildGateway makes the gateway's process.
+// BuildGateway builds the gateway's process. The process's loops run until ctx ends.
 func BuildGateway(ctx context.Context, cfg Gateway) (*run.Process, error) {
 	saveMemory()
 	log, out := newLogger("gateway", cfg.Process.LogLevel)
@@ -109,27 +110,29 @@
 	}, nil
 }
 
-// processesPerGateway is how many processes follow the feeds for each gateway: the
-// gateways know each other only, and there is about one agent for each.
+// processesPerGateway is the estimated number of processes that read the feeds, for each gateway.
+// A gateway only knows the number of gateways, and there is about one agent for each of them.
 const processesPerGateway = 2
 
-// feedReadInterval is the least time between two reads of a feed.
+// feedReadInterval returns the minimum time between two reads of a feed.
 func feedReadInterval(gateways *hosted.Peers, readsPerS float64) time.Duration {
 	return gatewayjobs.ReadInterval(processesPerGateway*(len(gateways.Addrs())+1), readsPerS)
 }
 
-// flushTimeout bounds the sending of the last spans at a stop.
+// flushTimeout bounds the time in which the last spans are sent when the process stops.
 const flushTimeout = time.Second
 
+// flushTraces sends the last spans and logs whether some were lost.
 func flushTraces(flush func(context.Context) error, log *zap.Logger) {
 	ctx, cancel := context.WithTimeout(context.Background(), flushTimeout)
 	defer cancel()
 	if err := flush(ctx); err != nil {
-		log.Warn("Spans are lost.", zap.Error(err))
+		log.Warn("Could not send the last spans.", zap.Error(err))
 	}
 }
 
-// releaseWork gives this process's jobs and duties up as soon as it is told to stop.
+// releaseWork releases this process's jobs and duties as soon as the process starts to stop; ready
+// is false then.
 func releaseWork(ready bool, handler *front.Front, runner *gatewayjobs.Runner, usage *reporting) {
 	if ready {
 		return
@@ -139,17 +142,18 @@
 	runner.Drain()
 }
 
-// drain waits until no caller's request is in flight and others may go on with
-// this process's jobs.
+// drain waits until other processes may continue this process's jobs and no caller's request is
+// in flight. It returns an error if requests are still in flight when ctx ends.
 func drain(ctx context.Context, handler *front.Front, runner *gatewayjobs.Runner, usage *reporting, log *zap.Logger) error {
 	if !runner.WaitDrained(ctx) {
-		log.Warn("Batch jobs could not be given up.")
+		log.Warn("Could not release all batch jobs.")
 	}
 	defer usage.publishFinal(context.WithoutCancel(ctx))
 	return handler.Drain(ctx)
 }
 
-// newPeerHandler serves what peers ask of this process.
+// newPeerHandler returns the handler for calls of other gateways: texts of jobs, quarantined
+// requests, and calls of the store that are relayed.
 func newPeerHandler(textHandler, quarantineHandler http.Handler, store *hosted.Store) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(gatewayjobs.PathTexts, textHandler)
@@ -158,9 +162,11 @@
 	return mux
 }
 
+// gatewayServers returns the servers for callers and readiness checks and, if they are configured,
+// for peers and metrics.
 func gatewayServers(cfg Gateway, callerHandler, peerHandler http.Handler, ready *readiness) []transport.Server {
 	callerServer := run.NewHTTP(cfg.Listen.Callers)
-	callerServer.Handler = callerHandler // no router between: paths go on as they came
+	callerServer.Handler = callerHandler // without a router, which would change paths
 	callerServer.IdleTimeout = idleTimeout
 	readyServer := run.NewHTTP(cfg.Listen.Ready)
 	readyServer.HandleFunc(hosted.PathReady, ready.serve)
@@ -176,31 +182,33 @@
 	return servers
 }
 
-// newPeers lets the store's calls go through other gateways; self is where
-// this process takes theirs, empty: nowhere.
+// newPeers enables calls of the store to be relayed by other gateways. self is the address at
+// which this process relays their calls; empty: it does not relay.
 func newPeers(store *hosted.Store, vm, self string, log *zap.Logger) *hosted.Peers {
 	log = logs.Part(log, "store")
 	peers := hosted.NewPeers(store, vm, self, log)
 	store.SetPeers(peers.Addrs, func(unavailable error) {
 		if unavailable != nil {
-			log.Warn("Lost the store; calls go through peers.", zap.Int("peers", len(peers.Addrs())), zap.String("why", unavailable.Error()))
+			log.Warn("The store is unavailable; calls are relayed by peers.", zap.Int("peers", len(peers.Addrs())), zap.String("why", unavailable.Error()))
 			return
 		}
-		log.Info("The store answers directly again.")
+		log.Info("The store is directly reachable again.")
 	})
 	return peers
 }
 
+// metricsServer returns the server for metrics.
 func metricsServer(addr string) *khttp.Server { return run.NewHTTP(addr) }
 
-// readiness answers the platform's question whether callers may be sent here.
+// readiness answers the platform's checks whether this process may receive callers.
 type readiness struct {
 	view       *view.View
 	index      *gatewayjobs.Index
 	quarantine *quarantine.Quarantine
-	up         atomic.Bool
+	up         atomic.Bool // the servers listen and the process is not stopping
 }
 
+// serve answers 200 if this process is ready and 503 otherwise.
 func (r *readiness) serve(w http.ResponseWriter, _ *http.Request) {
 	if !r.up.Load() || r.view.Current().Table == nil || !r.index.CaughtUp() || !r.quarantine.Initialized() {
 		w.WriteHeader(http.StatusServiceUnavailable)
--- a/gateway/server/settings.go
+++ b/gateway/server/settings.go
@@ -1,5 +1,5 @@
-// Package server builds the two processes of the prepared machines out of
-// their parts: the gateway on entry VMs and the agent beside each engine.
+// Package server builds two processes from their parts: the gateway, which runs on entry VMs, and
+// the agent, which runs on the VM of each engine.
 package server
 
 import (
@@ -20,7 +20,7 @@
 	Trace   trace.Config
 }
 
-// Process says who this process is.
+// Process holds the identity of the process and its general settings.
 type Process struct {
 	Name          string        `ini:"process.name" help:"name of this VM"`
 	FailureDomain string        `ini:"process.failure_domain" help:"failure domain of this VM"`
@@ -29,11 +29,11 @@
 	Grace         time.Duration `ini:"process.grace" default:"8s" min:"1s" max:"24h" help:"time between the request to stop and the kill"`
 }
 
-// Store says where the platform's store is.
+// Store holds the settings of the platform's store.
 type Store struct {
 	Address string `ini:"store.address" kind:"ip:port" help:"IP:port of the platform's store"`
 	Parts   int    `ini:"store.parts" default:"1" min:"1" max:"100" help:"partitions of a topic; the same in all processes"`
-	// ReadsPerS bounds how often the processes follow the log.
+	// ReadsPerS bounds how often all processes together read the log and the feeds.
 	ReadsPerS float64 `ini:"store.reads_per_s" default:"0" min:"0" max:"10000000" help:"read calls a second that the store takes of all processes together; 0: not told"`
 }
 
@@ -56,25 +56,25 @@
 	Duties Duties
 }
 
-// Duties says what one process of all has to do at a time.
+// Duties holds the settings of duties, tasks that exactly one process has at a time.
 type Duties struct {
 	Platform string `ini:"duties.platform" kind:"ip:port" help:"IP:port of the platform's interface for what one process at a time may call; empty: nothing is called"`
-	// UsageWindow of zero: no usage is reported.
+	// UsageWindow is the length of a window; 0: usage is not reported.
 	UsageWindow time.Duration `ini:"duties.usage_window" default:"0s" min:"0s" max:"24h" help:"length of a window of reported usage; 0: none is reported"`
 	UsageLate   time.Duration `ini:"duties.usage_late" default:"10s" min:"1s" max:"24h" help:"time after a window's end when its report is due"`
 	Lease       time.Duration `ini:"duties.lease" default:"3s" min:"1s" max:"1h" help:"least time between the calls of two holders of a duty that take turns"`
 }
 
-// reportsUsage tells whether usage is reported.
+// reportsUsage reports whether usage is reported to the platform.
 func (d *Duties) reportsUsage() bool { return d.Platform != "" && d.UsageWindow > 0 }
 
-// VM says what the process may use of its VM.
+// VM holds the resources of the VM that the process may use.
 type VM struct {
 	CPUShare float64 `ini:"vm.cpu_share" default:"1" min:"0.01" max:"1024" help:"cores that this process may use"`
 	LinkMbps float64 `ini:"vm.link_mbps" default:"1000" min:"1" max:"1000000" help:"bandwidth of the VM's link, Mbit/s"`
 }
 
-// Listen says where the gateway listens.
+// Listen holds the addresses on which the gateway listens.
 type Listen struct {
 	Callers string `ini:"listen.callers" kind:"ip:port" help:"IP:port for callers and trainers"`
 	Ready   string `ini:"listen.ready" kind:"ip:port" help:"IP:port where the platform asks whether this process is ready"`
@@ -103,7 +103,7 @@
 	Engine Engine
 }
 
-// Engine says which engine the agent orders.
+// Engine holds the address of the engine that the agent orders.
 type Engine struct {
 	Address string `ini:"engine.address" kind:"ip:port" help:"IP:port of the engine on this VM"`
 }
@@ -116,8 +116,8 @@
 	return errors.Annotate(settings.IPPort(a.Engine.Address), "engine.address")
 }
 
-// reloadStore takes over a changed address of the store; whatever else changed
-// waits for a restart.
+// reloadStore applies a changed address of the store and returns the other changed settings,
+// which take effect only after a restart.
 func reloadStore(store *hosted.Store, newSettings *Common, changed []string) []string {
 	var remaining []string
 	for _, name := range changed {
