--- a/gateway/signal/signal.go
+++ b/gateway/signal/signal.go
@@ -1,16 +1,17 @@
-// Package signal wakes any number of waiters when something has changed.
+// Package signal wakes any number of waiting goroutines when something has changed.
 package signal
 
 import "sync"
 
-// Signal is ready to use as its zero value and safe for concurrent use.
+// Signal notifies all waiting goroutines of a change. Its zero value is ready to use, and it is
+// safe for concurrent use.
 type Signal struct {
 	mu      sync.Mutex
-	changed chan struct{}
+	changed chan struct{} // nil: no call of Next since the last Notify
 }
 
-// Next returns a channel that is closed at the next Notify. Take it before
-// looking at the state, so that no change falls in between.
+// Next returns a channel that the next call of Notify closes. Call it before reading the state
+// that may change, because a change between the two would otherwise be missed.
 func (s *Signal) Next() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -20,7 +21,7 @@
 	return s.changed
 }
 
-// Notify wakes all that wait.
+// Notify closes the channel that earlier calls of Next returned.
 func (s *Signal) Notify() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
