--- a/gateway/gatewaytest/gatewaytest.go
+++ b/gateway/gatewaytest/gatewaytest.go
@@ -1,5 +1,5 @@
-// Package gatewaytest sets up what the gateway's tests share: a platform of
-// stand-ins and a process's view of it.
+// Package gatewaytest provides the set-up that the gateway's tests share: a platform of stand-ins
+// and the parts of a gateway process that uses it.
 package gatewaytest
 
 import (
@@ -23,37 +23,38 @@
 	"dandelionsill.org/quarantine"
 )
 
-// MaxWait is how long tests wait for what has to come at some time. The longest of them
-// take 8 s where nothing else runs.
+// MaxWait bounds how long tests wait for an expected event. The longest waits take 8 s on an
+// otherwise idle machine.
 const MaxWait = 30 * time.Second
 
-// Platform is a store with servers in it.
+// Platform is a store and the servers that are registered in it.
 type Platform struct {
 	Store   *hostedtest.Store
 	Engines []*hostedtest.Server
-	Servers []*hostedtest.Server
+	Servers []*hostedtest.Server // servers of the service "plain", which are no engines
 
-	replacements int // of servers in the place of others
+	replacements int // number of servers that ReplaceCrashed has started
 
 	mu    sync.Mutex
-	peers []string // where processes take their peers' calls
+	peers []string // addresses at which the processes accept calls of their peers
 }
 
-// peersOf returns where the processes but one take their peers' calls.
+// peersOf returns the addresses of all processes except self.
 func (p *Platform) peersOf(self string) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.DeleteFunc(slices.Clone(p.peers), func(addr string) bool { return addr == self })
 }
 
+// addPeer adds the address at which a process accepts calls of its peers.
 func (p *Platform) addPeer(addr string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.peers = append(p.peers, addr)
 }
 
-// NewPlatform starts a store with a configuration, engines of the model m and
-// plain servers, all registered.
+// NewPlatform starts a store with a configuration and a number of engines of the model m and of
+// other servers, and registers them.
 func NewPlatform(t testing.TB, engines, servers int) *Platform {
 	p := &Platform{Store: hostedtest.NewStore()}
 	t.Cleanup(p.Store.Close)
@@ -67,21 +68,23 @@
 	return p
 }
 
+// name returns the ID of the i-th server; i must be below 10.
 func name(prefix string, i int) string { return prefix + string(rune('0'+i)) }
 
+// add registers a server and stops it at the end of the test.
 func (p *Platform) add(t testing.TB, s *hostedtest.Server) *hostedtest.Server {
 	t.Cleanup(func() { s.CloseClientConnections(); s.Close() })
 	p.Register(s, "ready")
 	return s
 }
 
-// Register writes a server's entry into the store.
+// Register writes the entry of a server in a state into the store.
 func (p *Platform) Register(s *hostedtest.Server, state string) {
 	p.Store.Put(hostedtest.TopicServers, s.ID, s.Entry(state))
 }
 
-// ReplaceCrashed starts a server with the same faults in the place of each plain one that
-// crashed, and returns how many there were. Processes may not know of them yet.
+// ReplaceCrashed replaces each of Servers that has crashed by a new server with faults f, and
+// returns how many there were. Processes learn of the new servers only later, see KnowsServersOf.
 func (p *Platform) ReplaceCrashed(t testing.TB, f hostedtest.ServerFaults) int {
 	replaced := 0
 	for i, s := range p.Servers {
@@ -97,7 +100,7 @@
 	return replaced
 }
 
-// KnowsServersOf tells whether the process knows just the plain servers of the platform.
+// KnowsServersOf reports whether the process's view contains exactly the platform's Servers.
 func (p *Process) KnowsServersOf(pf *Platform) bool {
 	known := p.View.Current().Servers["plain"]
 	if len(known) != len(pf.Servers) {
@@ -111,19 +114,19 @@
 	return true
 }
 
-// Process is what the parts of one process share.
+// Process holds what the parts of one gateway process share.
 type Process struct {
 	Store   *hosted.Store
 	View    *view.View
 	Pool    *backend.Pool
 	Forward *forward.Forwarder
-	// Go runs a loop until the process is stopped.
+	// Go starts a loop with a context that ends when the process is stopped.
 	Go func(func(context.Context))
 	// Stop ends the loops and waits for them.
 	Stop func()
 }
 
-// enableSharing lets a process hear of its peers' quarantine and tell them of its own.
+// enableSharing makes a process share its quarantined requests with its peers.
 func (p *Platform) enableSharing(t testing.TB, proc *Process) {
 	peerServer := httptest.NewServer(proc.Forward.Quarantine)
 	t.Cleanup(peerServer.Close)
@@ -135,8 +138,7 @@
 	proc.Go(proc.Forward.Quarantine.Run)
 }
 
-// NewProcess starts a process's view of the platform and waits until it knows
-// all servers.
+// NewProcess starts a process and waits until its view contains all servers of the platform.
 func (p *Platform) NewProcess(t testing.TB) *Process {
 	ctx, cancel := context.WithCancel(context.Background())
 	var loops sync.WaitGroup
