--- a/gateway/duties/keeper.go
+++ b/gateway/duties/keeper.go
@@ -63,11 +63,11 @@
 	loggedHeld    bool          // whether this process has the duty, as last logged
 	progress      uint64        // progress that this process has made with the duty
 	releaseReason string        // why this process releases the lease; empty: it does not
-	lastFailure   time.Duration // when a call of the store last failed
+	lastFailure   time.Duration // when a call of the store last failed, or reads resumed
 
 	// The following fields belong to the goroutine of Run.
 	loaded       bool   // the newest records have been read once
-	caughtUp     bool   // nothing has been written since this process's last write
+	caughtUp     bool   // the state contains all records up to nextOffset; the next step need not read
 	nextOffset   uint64 // end of the stream, as last read or written
 	readsFailing bool
 	wake         chan struct{} // interrupts the pause of Run; written by all goroutines
@@ -97,7 +97,8 @@
 	return k.releaseReason == "" && r.Token == term.Token && k.state.MayAct(k.cfg.Now(), duration)
 }
 
-// SinceOutage returns the time since a call of the store last failed.
+// SinceOutage returns the time since the store's last outage, as seen by this process: since a
+// call last failed or reads resumed after failures.
 func (k *Keeper) SinceOutage() time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
