--- a/gateway/duties/keeper.go
+++ b/gateway/duties/keeper.go
@@ -1,6 +1,7 @@
-// Package duties keeps the leases of duties that one process of the system may have at a
-// time. The platform's store takes a write of a lease only if nothing was written since
-// its writer's last read, and so decides between processes; decide/lease decides the rest.
+// Package duties acquires and renews the leases of duties, tasks that exactly one process of
+// the system has at a time. If several processes write a lease, the platform's store decides
+// between them: it accepts a write only if nothing was written since the writer's last read.
+// All other decisions are made by decide/lease.
 package duties
 
 import (
@@ -26,101 +27,105 @@
 	writesConflict = metrics.Counter("duties_writes_conflicting_total")
 )
 
-// Config says which duty is kept, and how.
+// Config holds the settings of a Keeper.
 type Config struct {
-	Duty   string // key of its lease
+	Duty   string // key of the duty's lease
 	Self   lease.Holder
 	Store  platform.Register
 	Timing lease.Timing
-	// Renew is the pause between two renewals of a holder.
-	Renew time.Duration
-	// Look returns the pause between two looks of a process that is not the holder.
-	Look func() time.Duration
-	// First is how far the duty has come where nobody has had it before.
-	First uint64
-	// Turn is how long this process lets others go first.
-	Turn time.Duration
-	// Now is a steady clock that goes on while the VM is suspended.
+	// RenewInterval is the pause between two renewals by the holder.
+	RenewInterval time.Duration
+	// PollInterval returns the pause between two reads by a process that is not the holder.
+	PollInterval func() time.Duration
+	// InitialProgress is the duty's progress if no process has had the duty before.
+	InitialProgress uint64
+	// ClaimDelay is how long this process waits before it claims a lease that it could claim, so
+	// that other processes can claim it first.
+	ClaimDelay time.Duration
+	// Now reads a monotonic clock that continues while the VM is suspended.
 	Now    func() time.Duration
 	Logger *zap.Logger
 }
 
-// Term is the time of one holder.
+// Term is the period for which one holder has the duty.
 type Term struct {
-	Token    uint64
-	Progress uint64 // how far the duty had come when it began
+	Token    uint64 // fencing token
+	Progress uint64 // the duty's progress according to the lease's record
 }
 
-// Keeper keeps one lease. It is safe for concurrent use.
+// Keeper acquires, renews and releases the lease of one duty. It is safe for concurrent use.
 type Keeper struct {
 	cfg Config
 	log *zap.Logger
 
-	mu    sync.Mutex
-	state *lease.State
-	held  bool          // as last logged
-	done  uint64        // how far this process has come with the duty
-	quit  string        // why this process gives the lease up; empty: it does not
-	since time.Duration // when the store last gave no answer
+	mu            sync.Mutex
+	state         *lease.State
+	loggedHeld    bool          // whether this process has the duty, as last logged
+	progress      uint64        // progress that this process has made with the duty
+	releaseReason string        // why this process releases the lease; empty: it does not
+	lastFailure   time.Duration // when a call of the store last failed, or reads resumed
 
-	// The fields from here on belong to the goroutine of Run.
-	loaded  bool
-	current bool   // all that stands in the stream has been read
-	next    uint64 // where the stream ends, as read
-	failing bool
-	wake    chan struct{}
+	// The following fields belong to the goroutine of Run.
+	loaded       bool   // the newest records have been read once
+	caughtUp     bool   // the state contains all records up to nextOffset; the next step need not read
+	nextOffset   uint64 // end of the stream, as last read or written
+	readsFailing bool
+	wake         chan struct{} // interrupts the pause of Run; written by all goroutines
 }
 
-// New returns a keeper that has read nothing.
+// New returns a keeper that has not read anything yet.
 func New(cfg Config) *Keeper {
 	return &Keeper{
 		cfg: cfg, log: cfg.Logger.With(zap.String("duty", cfg.Duty)), state: lease.New(cfg.Self, cfg.Timing), wake: make(chan struct{}, 1),
 	}
 }
 
-// Term returns the term of this process; false: it has none. Whether it may act is
-// another question.
+// Term returns the term of this process; false: it does not have the duty, or is releasing it.
+// Before each action the process must also call MayAct.
 func (k *Keeper) Term() (Term, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	r, _ := k.state.Record()
-	return Term{Token: r.Token, Progress: r.Progress}, k.state.Holds() && k.quit == ""
+	return Term{Token: r.Token, Progress: r.Progress}, k.state.Holds() && k.releaseReason == ""
 }
 
-// MayAct tells whether this process may act in a term for a time to come.
-func (k *Keeper) MayAct(term Term, need time.Duration) bool {
+// MayAct reports whether this process may act in a term for a duration from now on.
+func (k *Keeper) MayAct(term Term, duration time.Duration) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	r, _ := k.state.Record()
-	return k.quit == "" && r.Token == term.Token && k.state.MayAct(k.cfg.Now(), need)
+	return k.releaseReason == "" && r.Token == term.Token && k.state.MayAct(k.cfg.Now(), duration)
 }
 
-// SinceOutage is how long the store has answered since the last time it did not.
+// SinceOutage returns the time since the store's last outage, as seen by this process: since a
+// call last failed or reads resumed after failures.
 func (k *Keeper) SinceOutage() time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.cfg.Now() - k.since
+	return k.cfg.Now() - k.lastFailure
 }
 
-// Finished tells how far the duty has come; a later holder goes on from there.
-func (k *Keeper) Finished(done uint64) {
+// RecordProgress records the duty's progress, which is written with the next renewal. A later
+// holder continues from there.
+func (k *Keeper) RecordProgress(progress uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.done = max(k.done, done)
+	k.progress = max(k.progress, progress)
 }
 
-// GiveUp makes this process give the lease up, for others to take it.
-func (k *Keeper) GiveUp(why string) {
+// Release makes this process release the lease, so that another process can take it over.
+// reason is logged.
+func (k *Keeper) Release(reason string) {
 	k.mu.Lock()
-	k.quit = why
+	k.releaseReason = reason
 	k.mu.Unlock()
 	select {
 	case k.wake <- struct{}{}:
-	default: // it is awake
+	default: // Run will wake up already
 	}
 }
 
-// Run keeps the lease until ctx ends.
+// Run acquires and renews the lease until ctx ends.
 func (k *Keeper) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		timer := time.NewTimer(k.step(ctx))
@@ -133,47 +138,47 @@
 	}
 }
 
-// step reads, and writes where that is due; it returns the pause until the next one.
+// step reads the lease, writes it if that is due, and returns the pause until the next step.
 func (k *Keeper) step(ctx context.Context) time.Duration {
-	if !k.current {
+	if !k.caughtUp {
 		if err := k.read(ctx); err != nil {
-			k.readFailed(err)
-			return sleep.Jitter(k.cfg.Renew / 2)
+			k.recordReadFailure(err)
+			return sleep.Jitter(k.cfg.RenewInterval / 2)
 		}
 	}
-	k.current = false
-	record, write := k.due()
+	k.caughtUp = false
+	record, write := k.dueWrite()
 	if write {
 		k.write(ctx, record)
 	}
-	k.tell()
+	k.logChange()
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.state.Holds() {
-		return k.cfg.Renew
+		return k.cfg.RenewInterval
 	}
-	k.current = false
-	return sleep.Jitter(k.cfg.Look())
+	k.caughtUp = false
+	return sleep.Jitter(k.cfg.PollInterval())
 }
 
-// due returns what has to be written now.
-func (k *Keeper) due() (lease.Record, bool) {
+// dueWrite returns the record that has to be written now; false: there is none.
+func (k *Keeper) dueWrite() (lease.Record, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.cfg.Now()
 	switch {
-	case k.state.Holds() && k.quit != "":
+	case k.state.Holds() && k.releaseReason != "":
 		dutiesGivenUp.Add(1)
-		k.log.Info("Giving a duty up.", zap.String("why", k.quit), zap.Uint64("done", k.done))
-		return k.state.Release(k.done, now), true
+		k.log.Info("Releasing a duty.", zap.String("why", k.releaseReason), zap.Uint64("done", k.progress))
+		return k.state.Release(k.progress, now), true
 	case k.state.Holds():
-		k.quit = ""
-		return k.state.Renew(k.done, now), true
-	case k.state.MayClaim(now, k.cfg.Turn) && k.quit != leaving:
-		k.quit = ""
-		r := k.state.Claim(k.next, now)
+		k.releaseReason = ""
+		return k.state.Renew(k.progress, now), true
+	case k.state.MayClaim(now, k.cfg.ClaimDelay) && k.releaseReason != reasonStopping:
+		k.releaseReason = ""
+		r := k.state.Claim(k.nextOffset, now)
 		if _, exists := k.state.Record(); !exists {
-			r.Progress = k.cfg.First
+			r.Progress = k.cfg.InitialProgress
 		}
 		return r, true
 	default:
@@ -181,37 +186,38 @@
 	}
 }
 
-// write writes the lease's record if nothing was written since the last read. What
-// became of a write without an answer shows at the next read.
+// write writes the lease's record; the store accepts it only if nothing was written since the
+// last read. The outcome of a write without an answer is found by the next read.
 func (k *Keeper) write(ctx context.Context, r lease.Record) {
 	value, err := json.Marshal(r)
 	if err != nil {
-		k.log.Error("A lease can't be encoded.", zap.Error(err))
+		k.log.Error("Could not encode a lease.", zap.Error(err))
 		return
 	}
-	next, err := k.cfg.Store.PutAt(ctx, platform.StreamDuties, []platform.KeyedRecord{{Key: k.cfg.Duty, Value: value}}, k.next)
+	next, err := k.cfg.Store.PutAt(ctx, platform.StreamDuties, []platform.KeyedRecord{{Key: k.cfg.Duty, Value: value}}, k.nextOffset)
 	switch {
 	case errors.Is(err, platform.ErrConflict):
 		writesConflict.Add(1)
 		return
 	case err != nil:
 		writesFailed.Add(1)
-		k.failed()
-		k.log.Warn("A lease was not written.", zap.Uint64("token", r.Token), zap.Bool("may_stand", errors.Is(err, platform.ErrAppendUnknown)), zap.Error(err))
+		k.recordFailure()
+		k.log.Warn("Could not write a lease.", zap.Uint64("token", r.Token), zap.Bool("may_stand", errors.Is(err, platform.ErrAppendUnknown)), zap.Error(err))
 		return
 	}
-	k.next, k.current = next, true // a holder that is the only writer need not read
+	k.nextOffset, k.caughtUp = next, true // no read is needed before the next write if no other process writes
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.state.Observe(&r, k.cfg.Now())
 }
 
-// read brings the state up to the stream's end.
+// read updates the state with all records up to the end of the stream. If the records after
+// nextOffset were truncated, it reads the newest record of each key instead.
 func (k *Keeper) read(ctx context.Context) error {
 	if k.loaded {
-		records, next, err := k.cfg.Store.ReadKeyed(ctx, platform.StreamDuties, k.next, 0)
+		records, next, err := k.cfg.Store.ReadKeyed(ctx, platform.StreamDuties, k.nextOffset, 0)
 		if err == nil {
-			k.next = next
+			k.nextOffset = next
 			k.observe(records)
 			return nil
 		}
@@ -223,7 +229,7 @@
 	if err != nil {
 		return errors.Trace(err)
 	}
-	k.loaded, k.next = true, next
+	k.loaded, k.nextOffset = true, next
 	if !k.observe(records) {
 		k.mu.Lock()
 		defer k.mu.Unlock()
@@ -232,14 +238,14 @@
 	return nil
 }
 
-// observe takes the records of this lease; it tells whether there was one.
+// observe updates the state with the records of this lease and reports whether there were any.
 func (k *Keeper) observe(records []platform.KeyedRecord) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.cfg.Now()
-	if k.failing {
-		k.failing = false
-		k.since = now
+	if k.readsFailing {
+		k.readsFailing = false
+		k.lastFailure = now
 		k.state.ReadsResumed(now)
 		k.log.Info("The leases can be read again.")
 	}
@@ -250,7 +256,7 @@
 		}
 		var r lease.Record
 		if err := json.Unmarshal(records[i].Value, &r); err != nil {
-			k.log.Warn("A lease can't be read and is left out.", zap.Error(err))
+			k.log.Warn("Ignoring a lease that cannot be decoded.", zap.Error(err))
 			continue
 		}
 		found = true
@@ -259,42 +265,45 @@
 	return found
 }
 
-// failed notes that the store did not answer.
-func (k *Keeper) failed() {
+// recordFailure records that a call of the store failed.
+func (k *Keeper) recordFailure() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.since = k.cfg.Now()
+	k.lastFailure = k.cfg.Now()
 }
 
-func (k *Keeper) readFailed(err error) {
-	k.failed()
-	if !k.failing {
-		k.log.Warn("The leases can't be read.", zap.Error(err))
+// recordReadFailure records that the lease could not be read. Only the first failure in a row is
+// logged.
+func (k *Keeper) recordReadFailure(err error) {
+	k.recordFailure()
+	if !k.readsFailing {
+		k.log.Warn("Could not read the leases.", zap.Error(err))
 	}
-	k.failing = true
+	k.readsFailing = true
 }
 
-// tell logs who has the duty when that changes here.
-func (k *Keeper) tell() {
+// logChange logs and counts when this process acquires or loses the duty.
+func (k *Keeper) logChange() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	r, exists := k.state.Record()
 	holds := k.state.Holds()
-	if holds == k.held {
+	if holds == k.loggedHeld {
 		return
 	}
-	k.held = holds
+	k.loggedHeld = holds
 	if holds {
 		dutiesTaken.Add(1)
 		k.log.Info("This process has a duty.", zap.Uint64("token", r.Token), zap.String("before", r.PreviousVM), zap.Uint64("done", r.Progress))
 		return
 	}
 	dutiesLost.Add(1)
-	k.log.Info("This process no longer has a duty.", zap.Uint64("token", r.Token), zap.Bool("exists", exists), zap.String("holder", r.Node), zap.Bool("released", r.Released))
+	k.log.Info("This process no longer has a duty.", zap.Uint64("token", r.Token), zap.Bool("exists", exists), zap.String("holder", r.VM), zap.Bool("released", r.Released))
 }
 
-// leaving is why a process that stops gives its duties up; it takes none any more.
-const leaving = "the process stops"
+// reasonStopping is the release reason of a process that stops. It keeps the process from claiming
+// the lease again.
+const reasonStopping = "the process stops"
 
-// Leave gives the lease up, and takes it no more.
-func (k *Keeper) Leave() { k.GiveUp(leaving) }
+// Resign releases the lease and does not claim it again.
+func (k *Keeper) Resign() { k.Release(reasonStopping) }
--- a/gateway/server/gateway.go
+++ b/gateway/server/gateway.go
@@ -29,60 +29,61 @@
 	"dandelionsill.org/quarantine"
 )
 
-// Times of the stop, as shares of the grace.
+// Timeouts of the process. Shares are parts of the grace period, the time between the request
+// to stop and the kill.
 const (
-	// serveOn is the share of the grace in which new connections are still
-	// served: the balancer goes on sending some until it has missed two
-	// answers to its question.
-	serveOn = 0.4
-	// drainShare is the share left for what is then in flight.
+	// serveShare is the share in which new connections are still served: the load balancer sends
+	// new callers until two of its readiness checks have failed.
+	serveShare = 0.4
+	// drainShare is the share in which the requests that are then in flight may finish.
 	drainShare = 0.5
-	// idleTimeout is longer than any caller keeps an idle connection, so that
-	// no request crosses our close.
+	// idleTimeout is longer than any caller keeps an idle connection, so that no request arrives
+	// while the gateway closes its connection.
 	idleTimeout = 5 * time.Minute
 )
 
-// life names one start of a process.
-func life() string {
+// newIncarnation returns a name for this incarnation of the process.
+func newIncarnation() string {
 	return strconv.FormatInt(time.Now().UnixNano(), 36) + "-" + strconv.Itoa(os.Getpid())
 }
 
-// newLogger returns the process's logger to standard output.
+// newLogger returns a logger that writes to standard output, and its writer, which must be closed
+// at the end of the process.
 func newLogger(part, level string) (*zap.Logger, *logs.Async) {
 	out := logs.NewAsync(os.Stdout)
 	metrics.Gauge("log_lines_dropped_total", func() any { return out.Dropped() })
 	return logs.NewTo(out, part, level), out
 }
 
-// BuildGateway makes the gateway's process.
-func BuildGateway(ctx context.Context, set Gateway) (*run.Process, error) {
+// BuildGateway builds the gateway's process. The process's loops run until ctx ends.
+func BuildGateway(ctx context.Context, cfg Gateway) (*run.Process, error) {
 	saveMemory()
-	log, out := newLogger("gateway", set.Process.LogLevel)
-	flush, err := trace.Start(ctx, "dandelion-gateway", set.Trace)
+	log, out := newLogger("gateway", cfg.Process.LogLevel)
+	flush, err := trace.Start(ctx, "dandelion-gateway", cfg.Trace)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	store := hosted.NewStore(set.Store.Address)
-	writer := jobs.Writer{Node: set.Process.Name, Life: life()}
-	capacity := gatewayjobs.Capacity(set.VM.CPUShare, set.VM.LinkMbps)
-	peers := withPeers(store, set.Process.Name, set.Listen.Peers, log)
-	processes := func() int { return len(peers.Addrs()) + 1 }
+	store := hosted.NewStore(cfg.Store.Address)
+	writer := jobs.Writer{VM: cfg.Process.Name, Incarnation: newIncarnation()}
+	capacity := gatewayjobs.Capacity(cfg.VM.CPUShare, cfg.VM.LinkMbps)
+	peers := newPeers(store, cfg.Process.Name, cfg.Listen.Peers, log)
+	processCount := func() int { return len(peers.Addrs()) + 1 }
 	v := view.New(store, logs.Part(log, "view"))
 	v.UseCopies = true
-	v.MinReadInterval = func() time.Duration { return feedPace(peers, set.Store.ReadsPerS) }
+	v.MinReadInterval = func() time.Duration { return feedReadInterval(peers, cfg.Store.ReadsPerS) }
 	pool := backend.NewPool(hosted.AttemptID)
-	forwarder := forward.New(v, pool, set.Process.FailureDomain, logs.Part(log, "forward"))
-	forwarder.Quarantine.EnableSharing(store, quarantine.NewHTTPPeers(peers.Addrs), set.Store.ReadsPerS)
-	book := gatewayjobs.NewIndex(store, logs.Part(log, "jobs"))
-	runner := gatewayjobs.NewRunner(book, store, forwarder, writer, set.Store.Parts, capacity, logs.Part(log, "runner"))
+	forwarder := forward.New(v, pool, cfg.Process.FailureDomain, logs.Part(log, "forward"))
+	forwarder.Quarantine.EnableSharing(store, quarantine.NewHTTPPeers(peers.Addrs), cfg.Store.ReadsPerS)
+	index := gatewayjobs.NewIndex(store, logs.Part(log, "jobs"))
+	runner := gatewayjobs.NewRunner(index, store, forwarder, writer, cfg.Store.Parts, capacity, logs.Part(log, "runner"))
 	handler := &front.Front{
 		View: v, Forward: forwarder, Log: logs.Part(log, "front"), Latency: metrics.NewHistogram("front_latency"),
-		Jobs: gatewayjobs.NewService(book, store, writer, set.Store.Parts, capacity, logs.Part(log, "jobs")),
+		Jobs: gatewayjobs.NewService(index, store, writer, cfg.Store.Parts, capacity, logs.Part(log, "jobs")),
 	}
-	ready := &readiness{view: v, book: book, quarantine: forwarder.Quarantine}
-	book.Texts.SetPeers(peers.Addr)
-	book.SetReadInterval(func() time.Duration { return gatewayjobs.ReadInterval(processes(), set.Store.ReadsPerS) })
-	usage := newReporting(&set, lease.Holder(writer), store, processes, log)
+	ready := &readiness{view: v, index: index, quarantine: forwarder.Quarantine}
+	index.Texts.SetPeers(peers.Addr)
+	index.SetReadInterval(func() time.Duration { return gatewayjobs.ReadInterval(processCount(), cfg.Store.ReadsPerS) })
+	usage := newReporting(&cfg, lease.Holder(writer), store, processCount, log)
 	if usage != nil {
 		forwarder.Usage = usage.counter
 	}
@@ -90,18 +91,18 @@
 	usage.run(ctx, loops.Go)
 	loops.Go(func() { peers.Run(ctx) })
 	loops.Go(func() { v.Run(ctx) })
-	loops.Go(func() { v.RunCopies(ctx, processes) })
+	loops.Go(func() { v.RunCopies(ctx, processCount) })
 	loops.Go(func() { forwarder.Quarantine.Run(ctx) })
-	loops.Go(func() { book.Run(ctx) })
+	loops.Go(func() { index.Run(ctx) })
 	loops.Go(func() { runner.Run(ctx) })
-	log.Info("Starting.", zap.String("name", writer.Node), zap.String("life", writer.Life), zap.String("callers", set.Listen.Callers), zap.String("store", set.Store.Address))
+	log.Info("Starting.", zap.String("name", writer.VM), zap.String("life", writer.Incarnation), zap.String("callers", cfg.Listen.Callers), zap.String("store", cfg.Store.Address))
 	return &run.Process{
-		Servers:      gatewayServers(set, handler, peerCalls(book.Texts, forwarder.Quarantine, store), ready),
-		Ready:        func(is bool) { ready.up.Store(is); leave(is, handler, runner, usage) },
-		StopDelay:    time.Duration(serveOn * float64(set.Process.Grace)),
+		Servers:      gatewayServers(cfg, handler, newPeerHandler(index.Texts, forwarder.Quarantine, store), ready),
+		Ready:        func(isReady bool) { ready.up.Store(isReady); releaseWork(isReady, handler, runner, usage) },
+		StopDelay:    time.Duration(serveShare * float64(cfg.Process.Grace)),
 		Drain:        func(ctx context.Context) error { return drain(ctx, handler, runner, usage, log) },
-		DrainTimeout: time.Duration(drainShare * float64(set.Process.Grace)),
-		Close:        func() { loops.Wait(); endTraces(flush, log); out.Close() },
+		DrainTimeout: time.Duration(drainShare * float64(cfg.Process.Grace)),
+		Close:        func() { loops.Wait(); flushTraces(flush, log); out.Close() },
 		Reload: func(next any, changed []string) []string {
 			return reloadStore(store, &next.(*Gateway).Common, changed)
 		},
@@ -109,100 +110,107 @@
 	}, nil
 }
 
-// processesPerGateway is how many processes follow the feeds for each gateway: the
-// gateways know each other only, and there is about one agent for each.
+// processesPerGateway is the estimated number of processes that read the feeds, for each gateway.
+// A gateway only knows the number of gateways, and there is about one agent for each of them.
 const processesPerGateway = 2
 
-// feedPace is the least time between two reads of a feed.
-func feedPace(gateways *hosted.Peers, readsPerS float64) time.Duration {
+// feedReadInterval returns the minimum time between two reads of a feed.
+func feedReadInterval(gateways *hosted.Peers, readsPerS float64) time.Duration {
 	return gatewayjobs.ReadInterval(processesPerGateway*(len(gateways.Addrs())+1), readsPerS)
 }
 
-// flushMost bounds the sending of the last spans at a stop.
-const flushMost = time.Second
+// flushTimeout bounds the time in which the last spans are sent when the process stops.
+const flushTimeout = time.Second
 
-func endTraces(flush func(context.Context) error, log *zap.Logger) {
-	ctx, cancel := context.WithTimeout(context.Background(), flushMost)
+// flushTraces sends the last spans and logs whether some were lost.
+func flushTraces(flush func(context.Context) error, log *zap.Logger) {
+	ctx, cancel := context.WithTimeout(context.Background(), flushTimeout)
 	defer cancel()
 	if err := flush(ctx); err != nil {
-		log.Warn("Spans are lost.", zap.Error(err))
+		log.Warn("Could not send the last spans.", zap.Error(err))
 	}
 }
 
-// leave gives this process's jobs and duties up as soon as it is told to stop.
-func leave(ready bool, handler *front.Front, runner *gatewayjobs.Runner, usage *reporting) {
+// releaseWork releases this process's jobs and duties as soon as the process starts to stop; ready
+// is false then.
+func releaseWork(ready bool, handler *front.Front, runner *gatewayjobs.Runner, usage *reporting) {
 	if ready {
 		return
 	}
-	usage.leave()
+	usage.resign()
 	handler.StartDrain()
 	runner.Drain()
 }
 
-// drain waits until no caller's request is in flight and others may go on with
-// this process's jobs.
+// drain waits until other processes may continue this process's jobs and no caller's request is
+// in flight. It returns an error if requests are still in flight when ctx ends.
 func drain(ctx context.Context, handler *front.Front, runner *gatewayjobs.Runner, usage *reporting, log *zap.Logger) error {
 	if !runner.WaitDrained(ctx) {
-		log.Warn("Batch jobs could not be given up.")
+		log.Warn("Could not release all batch jobs.")
 	}
-	defer usage.left(context.WithoutCancel(ctx))
+	defer usage.publishFinal(context.WithoutCancel(ctx))
 	return handler.Drain(ctx)
 }
 
-// peerCalls serves what peers ask of this process.
-func peerCalls(texts, quarantined http.Handler, store *hosted.Store) http.Handler {
+// newPeerHandler returns the handler for calls of other gateways: texts of jobs, quarantined
+// requests, and calls of the store that are relayed.
+func newPeerHandler(textHandler, quarantineHandler http.Handler, store *hosted.Store) http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle(gatewayjobs.PathTexts, texts)
-	mux.Handle(quarantine.PathPeers, quarantined)
+	mux.Handle(gatewayjobs.PathTexts, textHandler)
+	mux.Handle(quarantine.PathPeers, quarantineHandler)
 	mux.Handle("/", store.Relay())
 	return mux
 }
 
-func gatewayServers(set Gateway, handler, calls http.Handler, ready *readiness) []transport.Server {
-	callers := run.NewHTTP(set.Listen.Callers)
-	callers.Handler = handler // no router between: paths go on as they came
-	callers.IdleTimeout = idleTimeout
-	questions := run.NewHTTP(set.Listen.Ready)
-	questions.HandleFunc(hosted.PathReady, ready.serve)
-	servers := []transport.Server{callers, questions}
-	if set.Listen.Peers != "" {
-		relay := run.NewHTTP(set.Listen.Peers)
-		relay.Handler = calls
-		servers = append(servers, relay)
+// gatewayServers returns the servers for callers and readiness checks and, if they are configured,
+// for peers and metrics.
+func gatewayServers(cfg Gateway, callerHandler, peerHandler http.Handler, ready *readiness) []transport.Server {
+	callerServer := run.NewHTTP(cfg.Listen.Callers)
+	callerServer.Handler = callerHandler // without a router, which would change paths
+	callerServer.IdleTimeout = idleTimeout
+	readyServer := run.NewHTTP(cfg.Listen.Ready)
+	readyServer.HandleFunc(hosted.PathReady, ready.serve)
+	servers := []transport.Server{callerServer, readyServer}
+	if cfg.Listen.Peers != "" {
+		peerServer := run.NewHTTP(cfg.Listen.Peers)
+		peerServer.Handler = peerHandler
+		servers = append(servers, peerServer)
 	}
-	if set.Process.Metrics != "" && set.Process.Metrics != set.Listen.Ready {
-		servers = append(servers, metricsServer(set.Process.Metrics))
+	if cfg.Process.Metrics != "" && cfg.Process.Metrics != cfg.Listen.Ready {
+		servers = append(servers, metricsServer(cfg.Process.Metrics))
 	}
 	return servers
 }
 
-// withPeers lets the store's calls go through other gateways; self is where
-// this process takes theirs, empty: nowhere.
-func withPeers(store *hosted.Store, node, self string, log *zap.Logger) *hosted.Peers {
+// newPeers enables calls of the store to be relayed by other gateways. self is the address at
+// which this process relays their calls; empty: it does not relay.
+func newPeers(store *hosted.Store, vm, self string, log *zap.Logger) *hosted.Peers {
 	log = logs.Part(log, "store")
-	peers := hosted.NewPeers(store, node, self, log)
-	store.SetPeers(peers.Addrs, func(away error) {
-		if away != nil {
-			log.Warn("Lost the store; calls go through peers.", zap.Int("peers", len(peers.Addrs())), zap.String("why", away.Error()))
+	peers := hosted.NewPeers(store, vm, self, log)
+	store.SetPeers(peers.Addrs, func(unavailable error) {
+		if unavailable != nil {
+			log.Warn("The store is unavailable; calls are relayed by peers.", zap.Int("peers", len(peers.Addrs())), zap.String("why", unavailable.Error()))
 			return
 		}
-		log.Info("The store answers directly again.")
+		log.Info("The store is directly reachable again.")
 	})
 	return peers
 }
 
+// metricsServer returns the server for metrics.
 func metricsServer(addr string) *khttp.Server { return run.NewHTTP(addr) }
 
-// readiness answers the platform's question whether callers may be sent here.
+// readiness answers the platform's checks whether this process may receive callers.
 type readiness struct {
 	view       *view.View
-	book       *gatewayjobs.Index
+	index      *gatewayjobs.Index
 	quarantine *quarantine.Quarantine
-	up         atomic.Bool
+	up         atomic.Bool // the servers listen and the process is not stopping
 }
 
+// serve answers 200 if this process is ready and 503 otherwise.
 func (r *readiness) serve(w http.ResponseWriter, _ *http.Request) {
-	if !r.up.Load() || r.view.Current().Table == nil || !r.book.CaughtUp() || !r.quarantine.Initialized() {
+	if !r.up.Load() || r.view.Current().Table == nil || !r.index.CaughtUp() || !r.quarantine.Initialized() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
--- a/gateway/usage/reporter.go
+++ b/gateway/usage/reporter.go
@@ -16,21 +16,22 @@
 	"dandelionsill.org/platform"
 )
 
-// Duty is the key of the lease of who reports.
+// Duty is the lease key of the duty to report usage.
 const Duty = "usage"
 
-// Times of reports.
+// Times and limits of reporting.
 const (
-	reportEvery = 250 * time.Millisecond
-	// actNeeds is how long a call may be on its way, within the lease.
-	actNeeds = time.Second
-	// unfitAfter is how long the platform may leave all calls of a holder unanswered
-	// before it gives the duty up: others may reach it.
-	unfitAfter = 4 * time.Second
-	// reportSlots bounds the windows whose reports are kept in the store.
+	checkInterval = 250 * time.Millisecond
+	// maxCallTime bounds a call to the platform; the lease has to be valid for that long.
+	maxCallTime = time.Second
+	// releaseAfter is how long all calls of the holder may get no answer from the platform
+	// before it releases the duty, because another process may reach the platform.
+	releaseAfter = 4 * time.Second
+	// reportSlots is the number of keys for reports in the store, and so the number of windows
+	// whose reports are kept.
 	reportSlots = 32
-	// staleWindows is how many windows back a process must have counted last for its
-	// tally to be dropped from the store.
+	// staleWindows is the age, in windows, at which a tally without newer counts is deleted from
+	// the store.
 	staleWindows = 24
 )
 
@@ -40,146 +41,151 @@
 	reportsMissed = metrics.Counter("usage_reports_missed_total")
 )
 
-// First is how far the duty has come for the first process that ever has it, and that
-// started at a time: windows from that one on are reported.
-func First(started time.Time, length time.Duration) uint64 {
+// InitialProgress returns the progress of a duty that no process has had before: the window
+// before the one in which this process started, so that the latter is reported first. length is
+// the length of a window.
+func InitialProgress(started time.Time, length time.Duration) uint64 {
 	return uint64(usage.WindowAt(started, length) - 1)
 }
 
-// Reporter reports the usage of all processes while this one has the duty. What is
-// reported of a window is first recorded in the store, where the first record counts, so
-// that whoever sends it, and how often, sends the same.
+// Reporter reports the usage of all processes while this process has the duty. The report of a
+// window is recorded in the store before it is sent, and only the first record of a window is
+// accepted, so that every process sends the same report for it, however often it is sent.
 type Reporter struct {
-	Keeper     *duties.Keeper
-	Store      platform.Register
-	Platform   platform.UsageReports
-	Node       string
-	Length     time.Duration    // of a window
-	WaitLimits usage.WaitLimits // but for Return
-	// AfterOutage is how long after an outage of the store all processes need to publish what
-	// they have counted.
+	Keeper       *duties.Keeper
+	Store        platform.Register
+	Platform     platform.UsageReports
+	VM           string
+	WindowLength time.Duration
+	WaitLimits   usage.WaitLimits // without AfterOutage
+	// AfterOutage returns the time after an outage of the store within which all processes
+	// publish what they counted during the outage.
 	AfterOutage func() time.Duration
 	Now         func() time.Time
 	Log         *zap.Logger
 
-	term    duties.Term
-	loaded  bool
-	done    usage.Window
-	reports map[usage.Window]usage.Counts // as recorded
-	next    uint64                        // where their stream ends, as read
-	failing time.Time
-	dropped usage.Window // when tallies were last dropped
+	term         duties.Term
+	loaded       bool                          // the recorded reports have been read
+	lastReported usage.Window                  // newest window that was reported
+	reports      map[usage.Window]usage.Counts // as recorded in the store
+	nextOffset   uint64                        // end of the reports' stream, as last read
+	failingSince time.Time                     // first of the current series of unanswered calls; zero: none
+	lastDropped  usage.Window                  // window at which stale tallies were last deleted
 }
 
-// report is what is recorded of a window.
+// report is the stored record of a window's report.
 type report struct {
 	Window usage.Window `json:"w"`
 	Counts usage.Counts `json:"c"`
 }
 
-// Run reports until ctx ends.
+// Run reports usage until ctx ends, whenever this process has the duty.
 func (r *Reporter) Run(ctx context.Context) {
-	for sleep.For(ctx, reportEvery) {
+	for sleep.For(ctx, checkInterval) {
 		term, held := r.Keeper.Term()
 		if !held {
 			r.loaded = false
 			continue
 		}
 		if !r.loaded {
-			if err := r.load(ctx); err != nil {
-				r.Log.Warn("Reports can't be read.", zap.Error(err))
+			if err := r.loadReports(ctx); err != nil {
+				r.Log.Warn("Could not read the recorded usage reports.", zap.Error(err))
 				continue
 			}
 			r.loaded = true
 		}
 		if term.Token != r.term.Token {
-			r.begin(term)
+			r.startTerm(term)
 		}
 		r.step(ctx)
 	}
 }
 
-// begin goes on where earlier holders have come to.
-func (r *Reporter) begin(term duties.Term) {
+// startTerm continues after the last window that an earlier holder has reported. Windows whose
+// counts are no longer kept are skipped.
+func (r *Reporter) startTerm(term duties.Term) {
 	done := usage.Window(term.Progress)
-	if oldest := usage.WindowAt(r.Now(), r.Length) - windowsKept; done < oldest {
+	if oldest := usage.WindowAt(r.Now(), r.WindowLength) - maxKeptWindows; done < oldest {
 		reportsMissed.Add(int64(oldest - done))
-		r.Log.Error("Windows can't be reported any more.", zap.Uint64("from", uint64(done)+1), zap.Uint64("to", uint64(oldest)))
+		r.Log.Error("Some windows can no longer be reported.", zap.Uint64("from", uint64(done)+1), zap.Uint64("to", uint64(oldest)))
 		done = oldest
 	}
-	r.term, r.failing, r.done = term, time.Time{}, done
-	r.Keeper.Finished(uint64(done))
+	r.term, r.failingSince, r.lastReported = term, time.Time{}, done
+	r.Keeper.RecordProgress(uint64(done))
 }
 
-// load reads what was recorded before.
-func (r *Reporter) load(ctx context.Context) error {
+// loadReports reads the reports that are recorded in the store.
+func (r *Reporter) loadReports(ctx context.Context) error {
 	records, next, err := r.Store.Newest(ctx, platform.StreamReports)
 	if err != nil {
 		return errors.Trace(err)
 	}
-	r.reports, r.next = map[usage.Window]usage.Counts{}, next
+	r.reports, r.nextOffset = map[usage.Window]usage.Counts{}, next
 	for _, rec := range records {
-		var put report
-		if err := json.Unmarshal(rec.Value, &put); err != nil {
-			r.Log.Warn("A report can't be read and is left out.", zap.String("key", rec.Key), zap.Error(err))
+		var stored report
+		if err := json.Unmarshal(rec.Value, &stored); err != nil {
+			r.Log.Warn("Ignoring a usage report that cannot be decoded.", zap.String("key", rec.Key), zap.Error(err))
 			continue
 		}
-		r.reports[put.Window] = put.Counts
+		r.reports[stored.Window] = stored.Counts
 	}
 	return nil
 }
 
-// step reports the windows that are due.
+// step reports the windows that have ended, in order, up to the first one that cannot be reported
+// yet.
 func (r *Reporter) step(ctx context.Context) {
-	for w := r.done + 1; w < usage.WindowAt(r.Now(), r.Length); w++ {
+	for w := r.lastReported + 1; w < usage.WindowAt(r.Now(), r.WindowLength); w++ {
 		counts, ok := r.reports[w]
 		if !ok {
-			counts, ok = r.record(ctx, w)
+			counts, ok = r.recordReport(ctx, w)
 		}
 		if !ok || !r.send(ctx, w, counts) {
 			return
 		}
-		r.done = w
-		r.Keeper.Finished(uint64(w))
+		r.lastReported = w
+		r.Keeper.RecordProgress(uint64(w))
 	}
 }
 
-// record sums a window up and puts its report down; false: that is not possible yet.
-func (r *Reporter) record(ctx context.Context, w usage.Window) (usage.Counts, bool) {
-	ended := r.Now().Sub(w.End(r.Length))
-	if ended < r.WaitLimits.Min {
+// recordReport sums up a window and records its report in the store; false: the window is not
+// ready, or its report could not be recorded.
+func (r *Reporter) recordReport(ctx context.Context, w usage.Window) (usage.Counts, bool) {
+	sinceEnd := r.Now().Sub(w.End(r.WindowLength))
+	if sinceEnd < r.WaitLimits.Min {
 		return nil, false
 	}
-	tallies, err := r.tallies(ctx, w)
+	tallies, err := r.readTallies(ctx, w)
 	if err != nil {
-		r.Log.Warn("Counts can't be read.", zap.Uint64("window", uint64(w)), zap.Error(err))
+		r.Log.Warn("Could not read the tallies.", zap.Uint64("window", uint64(w)), zap.Error(err))
 		return nil, false
 	}
-	age := usage.Age{SinceEnd: ended, SinceOutage: r.Keeper.SinceOutage()}
-	patience := r.WaitLimits
-	patience.AfterOutage = r.AfterOutage()
-	if !usage.Ready(w, r.done, tallies, age, patience) {
+	age := usage.Age{SinceEnd: sinceEnd, SinceOutage: r.Keeper.SinceOutage()}
+	limits := r.WaitLimits
+	limits.AfterOutage = r.AfterOutage()
+	if !usage.Ready(w, r.lastReported, tallies, age, limits) {
 		return nil, false
 	}
 	counts := usage.Sum(w, tallies)
 	value, err := json.Marshal(report{w, counts})
 	if err != nil {
-		r.Log.Error("A report can't be encoded.", zap.Error(err))
+		r.Log.Error("Could not encode a usage report.", zap.Error(err))
 		return nil, false
 	}
 	key := strconv.FormatUint(uint64(w%reportSlots), 10)
-	next, err := r.Store.PutAt(ctx, platform.StreamReports, []platform.KeyedRecord{{Key: key, Value: value}}, r.next)
+	next, err := r.Store.PutAt(ctx, platform.StreamReports, []platform.KeyedRecord{{Key: key, Value: value}}, r.nextOffset)
 	if err != nil {
-		r.Log.Info("A report was not recorded; reading what stands.", zap.Uint64("window", uint64(w)), zap.Error(err))
+		r.Log.Info("A usage report was not recorded; reading the stored ones.", zap.Uint64("window", uint64(w)), zap.Error(err))
 		r.loaded = false
 		return nil, false
 	}
-	r.next, r.reports[w] = next, counts
+	r.nextOffset, r.reports[w] = next, counts
 	return counts, true
 }
 
-// tallies reads what all processes have counted, and drops what is of no more use.
-func (r *Reporter) tallies(ctx context.Context, w usage.Window) ([]usage.Tally, error) {
+// readTallies returns the tallies of all processes. Once for each window w it also deletes stale
+// tallies from the store.
+func (r *Reporter) readTallies(ctx context.Context, w usage.Window) ([]usage.Tally, error) {
 	records, _, err := r.Store.Newest(ctx, platform.StreamUsage)
 	if err != nil {
 		return nil, errors.Trace(err)
@@ -189,7 +195,7 @@
 	for _, rec := range records {
 		var tally usage.Tally
 		if err := json.Unmarshal(rec.Value, &tally); err != nil {
-			r.Log.Warn("Counts can't be read and are left out.", zap.String("key", rec.Key), zap.Error(err))
+			r.Log.Warn("Ignoring a tally that cannot be decoded.", zap.String("key", rec.Key), zap.Error(err))
 			continue
 		}
 		if tally.Stale(w - staleWindows) {
@@ -198,57 +204,60 @@
 		}
 		tallies = append(tallies, tally)
 	}
-	if len(stale) > 0 && r.dropped < w {
-		r.dropped = w
+	if len(stale) > 0 && r.lastDropped < w {
+		r.lastDropped = w
 		if err := r.Store.PutAll(ctx, platform.StreamUsage, stale); err != nil {
-			r.Log.Info("Old counts were not dropped.", zap.Int("processes", len(stale)), zap.Error(err))
+			r.Log.Info("Could not delete stale tallies.", zap.Int("processes", len(stale)), zap.Error(err))
 		}
 	}
 	return usage.Merge(tallies), nil
 }
 
-// send reports a window; false: it has to be sent again, or by another.
+// send sends the report of a window to the platform; false: this process or another one has to
+// send it again.
 func (r *Reporter) send(ctx context.Context, w usage.Window, counts usage.Counts) bool {
-	mayAct := func() bool { return r.Keeper.MayAct(r.term, actNeeds) }
+	mayAct := func() bool { return r.Keeper.MayAct(r.term, maxCallTime) }
 	if !mayAct() {
 		return false
 	}
-	begin := time.Now()
-	err := r.Platform.Report(ctx, platform.DutyCall{Holder: r.Node, Token: r.term.Token, MayAct: mayAct}, platform.UsageReport{Window: uint64(w), Counts: counts})
+	start := time.Now()
+	err := r.Platform.Report(ctx, platform.DutyCall{Holder: r.VM, Token: r.term.Token, MayAct: mayAct}, platform.UsageReport{Window: uint64(w), Counts: counts})
 	r.Log.Info("Usage reported.", zap.Uint64("window", uint64(w)), zap.Uint64("token", r.term.Token), zap.Int("organisations", len(counts)),
-		zap.Uint64("requests", total(counts)), zap.Duration("after", r.Now().Sub(w.End(r.Length))), zap.Duration("took", time.Since(begin)), zap.Error(err))
+		zap.Uint64("requests", sum(counts)), zap.Duration("after", r.Now().Sub(w.End(r.WindowLength))), zap.Duration("took", time.Since(start)), zap.Error(err))
 	switch {
 	case err == nil:
 		reportsSent.Add(1)
-		r.failing = time.Time{}
+		r.failingSince = time.Time{}
 		return true
 	case errors.Is(err, platform.ErrDutyRefused):
 		reportsFailed.Add(1)
-		return true // it would be refused again
+		return true // the platform would refuse it again
 	case errors.Is(err, platform.ErrDutyLapsed):
 		return false
 	}
 	reportsFailed.Add(1)
-	r.unanswered()
+	r.recordNoAnswer()
 	return false
 }
 
-// unanswered gives the duty up where nothing of the platform has answered for long.
-func (r *Reporter) unanswered() {
+// recordNoAnswer records that a call got no answer. It releases the duty if that has been the case
+// for releaseAfter.
+func (r *Reporter) recordNoAnswer() {
 	now := time.Now()
-	if r.failing.IsZero() {
-		r.failing = now
+	if r.failingSince.IsZero() {
+		r.failingSince = now
 	}
-	if now.Sub(r.failing) >= unfitAfter {
-		r.failing = time.Time{}
-		r.Keeper.GiveUp("the platform does not answer this process")
+	if now.Sub(r.failingSince) >= releaseAfter {
+		r.failingSince = time.Time{}
+		r.Keeper.Release("the platform does not answer this process")
 	}
 }
 
-func total(counts usage.Counts) uint64 {
-	var n uint64
-	for _, of := range counts {
-		n += of
+// sum returns the number of requests of all organisations.
+func sum(counts usage.Counts) uint64 {
+	var total uint64
+	for _, n := range counts {
+		total += n
 	}
-	return n
+	return total
 }
