--- a/agent/calls/backend.go
+++ b/agent/calls/backend.go
@@ -30,13 +30,13 @@
 )
 
 var (
-	errSwitched       = errors.New("the server switched protocols without being asked")
+	errSwitched       = errors.New("the server switched protocols, which nobody asked for")
 	errDeadlinePassed = errors.New("the deadline passed before the first byte")
-	errAbandoned      = errors.New("the request was abandoned before the first byte")
-	errTooLarge       = errors.New("the answer is larger than the limit for bodies")
+	errAbandoned      = errors.New("the request was given up before the first byte")
+	errTooLarge       = errors.New("the answer is larger than the bound for bodies")
 	// errNoLength is returned for an answer whose end is marked only by the end of
 	// the connection: the connection of a crashed server ends the same way.
-	errNoLength = errors.New("the answer has neither a length nor chunks, so a truncated one can't be detected")
+	errNoLength = errors.New("the answer has neither length nor chunks, so that it can't be told from a cut-off one")
 )
 
 // backend sends requests to the one backend server over HTTP.
