--- a/agent/calls/backend.go
+++ b/agent/calls/backend.go
@@ -117,7 +117,7 @@
 func (b *backend) sendIdempotent(ctx context.Context, open *pb.CallOpen, held *kinds.Held) (*http.Response, *kinds.Error) {
 	// GotConn is called before the first byte on each connection that is used.
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		GotConn: func(httptrace.GotConnInfo) { held.Send() },
+		GotConn: func(httptrace.GotConnInfo) { held.MarkSent() },
 	})
 	req, refusal := b.newRequest(ctx, open, held)
 	if refusal != nil {
@@ -260,7 +260,7 @@
 	if g.onSend != nil {
 		g.onSend()
 	}
-	g.held.Send()
+	g.held.MarkSent()
 	callsSent.Add(1)
 	return nil
 }
--- a/agent/calls/incarnations.go
+++ b/agent/calls/incarnations.go
@@ -76,7 +76,7 @@
 		return err
 	}
 	if server := b.incarnations.endedIncarnation(ctx, b.addr); server != "" {
-		return err.WithEnded(server)
+		return err.WithEndedServer(server)
 	}
 	return err
 }
--- a/agent/generate/handler.go
+++ b/agent/generate/handler.go
@@ -130,7 +130,7 @@
 		return err
 	}
 	h.adopt(ctx, r, older)
-	proof.Send()
+	proof.MarkSent()
 	return h.produce(ctx, r, out)
 }
 
--- a/agent/generate/produce.go
+++ b/agent/generate/produce.go
@@ -264,7 +264,7 @@
 	ctx, cancel := context.WithTimeout(ctx, endedTimeout)
 	defer cancel()
 	if _, stateErr := h.cfg.Engine.State(ctx); errors.Is(stateErr, syscall.ECONNREFUSED) {
-		return err.WithEnded(p.boot)
+		return err.WithEndedServer(p.boot)
 	}
 	return err
 }
--- a/entry/answer/answer_test.go
+++ b/entry/answer/answer_test.go
@@ -15,7 +15,7 @@
 
 func TestErrorForm(t *testing.T) {
 	sent := kinds.Hold()
-	sent.Send()
+	sent.MarkSent()
 	cases := []struct {
 		name   string
 		err    error
--- a/entry/calls/attempt.go
+++ b/entry/calls/attempt.go
@@ -124,7 +124,7 @@
 	}
 	// The proof is given up before the send, not after it: a process that fails in
 	// between must answer "outcome unknown".
-	a.request.Held.Send()
+	a.request.Held.MarkSent()
 	_ = a.stream.Send(&pb.CallSend{Part: &pb.CallSend_Go{Go: &pb.CallGo{}}})
 	return a.readAnswer(h.cfg.MaxBuffer, nil)
 }
--- a/entry/calls/calls_test.go
+++ b/entry/calls/calls_test.go
@@ -428,7 +428,7 @@
 // noReplyError must never return "not run" for it.
 func TestSentWriteIsNeverNotRun(t *testing.T) {
 	c := &call{Attempts: front.NewAttempts(&front.Request{Held: kinds.Hold()}, false, 1)}
-	c.Held.Send()
+	c.Held.MarkSent()
 	for _, ctx := range []context.Context{context.Background(), cancelled()} {
 		e, ok := kinds.As((&attempt{request: c, ctx: ctx}).noReplyError(io.EOF))
 		require.True(t, ok)
--- a/entry/calls/poison_test.go
+++ b/entry/calls/poison_test.go
@@ -32,7 +32,7 @@
 		if !open.Idempotent {
 			err = kinds.New(kinds.OutcomeUnknown, "the request was sent; no whole answer came")
 		}
-		return sendRefusal(s, refusal.Encode(err.WithEnded(f.name+"/"+open.RequestId)))
+		return sendRefusal(s, refusal.Encode(err.WithEndedServer(f.name+"/"+open.RequestId)))
 	}
 }
 
--- a/entry/completions/poison_test.go
+++ b/entry/completions/poison_test.go
@@ -24,7 +24,7 @@
 		}
 		crashes.Add(1)
 		sendChunk(s, tokenText(req, resumedTokens(req.Resume)), 1, 7)
-		err := kinds.New(kinds.BackendFailed, "the engine's stream broke off").WithEnded(f.name + "/" + req.RequestId)
+		err := kinds.New(kinds.BackendFailed, "the engine's stream broke off").WithEndedServer(f.name + "/" + req.RequestId)
 		return s.Send(&pb.GenerateReply{Part: &pb.GenerateReply_Refusal{Refusal: refusal.Encode(err)}})
 	}
 	s := startEntry(t, crashingAgent, crashingAgent, crashingAgent, crashingAgent, crashingAgent)
--- a/entry/front/attempts.go
+++ b/entry/front/attempts.go
@@ -42,7 +42,7 @@
 func (a *Attempts) StartAttempt() {
 	a.count++
 	if a.Repeatable {
-		a.Held.Send()
+		a.Held.MarkSent()
 	}
 }
 
@@ -64,7 +64,7 @@
 // has the proof for the request again.
 func (a *Attempts) RecordRefusal(err *kinds.Error) {
 	if !a.mayHaveRun {
-		a.Held.Return(err)
+		a.Held.RestoreProof(err)
 	}
 }
 
@@ -72,8 +72,8 @@
 func (a *Attempts) ShouldRetry(ctx context.Context, err error, server, domain string) bool {
 	a.triedServers[server] = true
 	e, ok := kinds.As(err)
-	if ok && e.Ended() != "" {
-		a.tracked.RecordCrash(e.Ended())
+	if ok && e.EndedServer() != "" {
+		a.tracked.RecordCrash(e.EndedServer())
 	}
 	if !ok || ctx.Err() != nil {
 		return false
--- a/entry/steps/poison_test.go
+++ b/entry/steps/poison_test.go
@@ -34,7 +34,7 @@
 					return nil
 				}
 				ended++
-				return kinds.New(kinds.SampleDiscarded, "the engine's stream broke off").WithEnded(fmt.Sprint(a.name, "/", n))
+				return kinds.New(kinds.SampleDiscarded, "the engine's stream broke off").WithEndedServer(fmt.Sprint(a.name, "/", n))
 			}
 		}
 		w.entry("a", func(c *steps.Config) { c.Quarantine = quarantine.New(zap.NewNop()) })
@@ -58,7 +58,7 @@
 				return nil
 			}
 			ended++
-			return kinds.New(kinds.BackendFailed, "no whole answer").WithEnded(fmt.Sprint("judge/", n))
+			return kinds.New(kinds.BackendFailed, "no whole answer").WithEndedServer(fmt.Sprint("judge/", n))
 		}
 		w.fleet.scorers = append(w.fleet.scorers, scorer)
 		w.configureTrainer(func(tr *manifest.Trainer) { tr.Scorer, tr.ScorerPath = "judge", "/score" })
--- a/entry/steps/quarantine.go
+++ b/entry/steps/quarantine.go
@@ -56,9 +56,9 @@
 // the call for its score, if err says so.
 func (s *Steps) recordServerEnd(subject *quarantine.TrackedRequest, name string, err error) {
 	e, ok := kinds.As(err)
-	if !ok || e.Ended() == "" {
+	if !ok || e.EndedServer() == "" {
 		return
 	}
-	s.cfg.Logger.Warn("A server ended under a sample.", zap.String("sample", name), zap.String("request", string(subject.Fingerprint())), zap.String("server", e.Ended()))
-	subject.RecordCrash(e.Ended())
+	s.cfg.Logger.Warn("A server ended under a sample.", zap.String("sample", name), zap.String("request", string(subject.Fingerprint())), zap.String("server", e.EndedServer()))
+	subject.RecordCrash(e.EndedServer())
 }
--- a/gateway/forward/forward.go
+++ b/gateway/forward/forward.go
@@ -306,7 +306,7 @@
 // have run.
 func (s *callState) refuse(kind kinds.NotRunKind, reason string) *kinds.Error {
 	if s.mayHaveRun > 0 {
-		s.held.Send()
+		s.held.MarkSent()
 	}
 	return s.held.Refuse(kind, "%s", reason).WithRetryAfter(retryAfter)
 }
--- a/gateway/jobs/api.go
+++ b/gateway/jobs/api.go
@@ -132,7 +132,7 @@
 // before. It does not report "not run".
 func outcomeUnknown(why string) *kinds.Error {
 	held := kinds.Hold()
-	held.Send()
+	held.MarkSent()
 	return held.Refuse(kinds.LogUnavailable, "%s", why)
 }
 
@@ -288,7 +288,7 @@
 		appendFailures.Add(1)
 		switch {
 		case errors.Is(err, platform.ErrAppendUnknown):
-			held.Send()
+			held.MarkSent()
 		case errors.Is(err, platform.ErrLogRefused):
 			s.zlog.Error("The log refused the records of a batch job.", zap.Int("records", len(records)), zap.Error(err))
 			return 0, held.Refuse(kinds.TooLarge, "the log does not take a batch job of this size")
--- a/kinds/kinds.go
+++ b/kinds/kinds.go
@@ -65,12 +65,12 @@
 	Quarantined      NotRunKind = "quarantined"        // each server that runs it crashes
 )
 
-// Who may repeat a refused or failed request.
-type Who uint8
+// Retrier may repeat a refused or failed request.
+type Retrier uint8
 
 const (
-	// Nobody: a repeat would fail alike.
-	Nobody Who = iota
+	// NoRetry: a repeat would fail alike.
+	NoRetry Retrier = iota
 	// Entry: the entry itself goes to another backend server.
 	Entry
 	// Caller: the caller, after Retry-After.
@@ -84,7 +84,7 @@
 	HTTP   int
 	GRPC   codes.Code
 	NotRun bool
-	Retry  Who
+	Retry  Retrier
 	// RetryAfter is the advice when the error itself carries none; 0: no header.
 	RetryAfter time.Duration
 }
@@ -94,17 +94,17 @@
 	string(BackendFailed):    {http.StatusBadGateway, codes.Unavailable, false, Caller, time.Second},
 	string(DeadlineExceeded): {http.StatusGatewayTimeout, codes.DeadlineExceeded, false, Caller, time.Second},
 	string(SampleDiscarded):  {http.StatusBadGateway, codes.DataLoss, false, Entry, 0},
-	string(Superseded):       {http.StatusConflict, codes.Aborted, false, Nobody, 0},
-	string(Cancelled):        {499, codes.Canceled, false, Nobody, 0},
+	string(Superseded):       {http.StatusConflict, codes.Aborted, false, NoRetry, 0},
+	string(Cancelled):        {499, codes.Canceled, false, NoRetry, 0},
 	string(Internal):         {http.StatusInternalServerError, codes.Internal, false, Caller, time.Second},
 
-	string(BadRequest):       {http.StatusBadRequest, codes.InvalidArgument, true, Nobody, 0},
-	string(Unauthenticated):  {http.StatusUnauthorized, codes.Unauthenticated, true, Nobody, 0},
-	string(Forbidden):        {http.StatusForbidden, codes.PermissionDenied, true, Nobody, 0},
-	string(NotFound):         {http.StatusNotFound, codes.NotFound, true, Nobody, 0},
-	string(TooLarge):         {http.StatusRequestEntityTooLarge, codes.InvalidArgument, true, Nobody, 0},
-	string(KeyReused):        {http.StatusUnprocessableEntity, codes.FailedPrecondition, true, Nobody, 0},
-	string(KeyTooOld):        {http.StatusUnprocessableEntity, codes.FailedPrecondition, true, Nobody, 0},
+	string(BadRequest):       {http.StatusBadRequest, codes.InvalidArgument, true, NoRetry, 0},
+	string(Unauthenticated):  {http.StatusUnauthorized, codes.Unauthenticated, true, NoRetry, 0},
+	string(Forbidden):        {http.StatusForbidden, codes.PermissionDenied, true, NoRetry, 0},
+	string(NotFound):         {http.StatusNotFound, codes.NotFound, true, NoRetry, 0},
+	string(TooLarge):         {http.StatusRequestEntityTooLarge, codes.InvalidArgument, true, NoRetry, 0},
+	string(KeyReused):        {http.StatusUnprocessableEntity, codes.FailedPrecondition, true, NoRetry, 0},
+	string(KeyTooOld):        {http.StatusUnprocessableEntity, codes.FailedPrecondition, true, NoRetry, 0},
 	string(ClaimedElsewhere): {http.StatusServiceUnavailable, codes.Unavailable, true, Entry, time.Second},
 	string(RateLimited):      {http.StatusTooManyRequests, codes.ResourceExhausted, true, Caller, time.Second},
 	string(Overloaded):       {http.StatusServiceUnavailable, codes.ResourceExhausted, true, Entry, time.Second},
@@ -113,9 +113,9 @@
 	string(NoServer):         {http.StatusServiceUnavailable, codes.Unavailable, true, Caller, 2 * time.Second},
 	string(StaleWeights):     {http.StatusServiceUnavailable, codes.Unavailable, true, Entry, time.Second},
 	string(LogUnavailable):   {http.StatusServiceUnavailable, codes.Unavailable, true, Caller, 5 * time.Second},
-	string(RevisionConflict): {http.StatusConflict, codes.Aborted, true, Nobody, 0},
+	string(RevisionConflict): {http.StatusConflict, codes.Aborted, true, NoRetry, 0},
 	string(NotReady):         {http.StatusServiceUnavailable, codes.Unavailable, true, Entry, time.Second},
-	string(Quarantined):      {http.StatusServiceUnavailable, codes.FailedPrecondition, true, Nobody, time.Hour},
+	string(Quarantined):      {http.StatusServiceUnavailable, codes.FailedPrecondition, true, NoRetry, time.Hour},
 }
 
 // All returns the names of every kind.
@@ -172,13 +172,13 @@
 // WithRetryAfter returns a copy that tells when to come back.
 func (e *Error) WithRetryAfter(d time.Duration) *Error { c := *e; c.retryAfter = d; return &c }
 
-// Ended names the start of the backend server that ended under the request; empty:
+// EndedServer names the start of the backend server that ended under the request; empty:
 // none is known to have.
-func (e *Error) Ended() string { return e.ended }
+func (e *Error) EndedServer() string { return e.ended }
 
-// WithEnded returns a copy that names the start of a backend server which ended under
+// WithEndedServer returns a copy that names the start of a backend server which ended under
 // the request.
-func (e *Error) WithEnded(server string) *Error { c := *e; c.ended = server; return &c }
+func (e *Error) WithEndedServer(server string) *Error { c := *e; c.ended = server; return &c }
 
 // WithHolder returns a copy that names the key's owner.
 func (e *Error) WithHolder(name string) *Error { c := *e; c.holder = name; return &c }
@@ -226,16 +226,16 @@
 // Hold starts the custody of one request, before any byte of it goes on.
 func Hold() *Held { return &Held{} }
 
-// Send gives the proof up. It is called before the first byte goes on, not
+// MarkSent gives the proof up. It is called before the first byte goes on, not
 // after: a failure in between then answers "outcome unknown", never a false
 // "not run".
-func (h *Held) Send() { h.sent = true }
+func (h *Held) MarkSent() { h.sent = true }
 
 // Sent tells whether the proof was given up.
 func (h *Held) Sent() bool { return h.sent }
 
-// Return takes the proof back after the next hop itself proved "not run".
-func (h *Held) Return(proof *Error) {
+// RestoreProof takes the proof back after the next hop itself proved "not run".
+func (h *Held) RestoreProof(proof *Error) {
 	if proof != nil && proof.notRun {
 		h.sent = false
 	}
--- a/kinds/kinds_test.go
+++ b/kinds/kinds_test.go
@@ -23,12 +23,12 @@
 		for range rapid.IntRange(0, 8).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
-				h.Send()
+				h.MarkSent()
 				sent = true
 			case 1:
-				h.Return(New(OutcomeUnknown, "lost"))
+				h.RestoreProof(New(OutcomeUnknown, "lost"))
 			case 2:
-				h.Return(Hold().Refuse(Leaving, "going"))
+				h.RestoreProof(Hold().Refuse(Leaving, "going"))
 				sent = false
 			case 3:
 				err := h.Refuse(Overloaded, "full")
@@ -41,7 +41,7 @@
 
 // The claim "not run" by a plain constructor must not compile: that is the
 // promise of the two kind types.
-func TestWrongClaimDoesNotCompile(t *testing.T) {
+func TestFalseNotRunClaimDoesNotCompile(t *testing.T) {
 	for src, ok := range map[string]bool{
 		`package kinds; var e = New(OutcomeUnknown, "x")`:      true,
 		`package kinds; var e = New(Overloaded, "x")`:          false,
@@ -63,7 +63,7 @@
 	require.NoError(t, err)
 	ok := true
 	cfg := types.Config{
-		Importer: stdOnly{importer.ForCompiler(fset, "source", nil)},
+		Importer: codesStubImporter{importer.ForCompiler(fset, "source", nil)},
 		Error: func(err error) {
 			if e, is := err.(types.Error); is && fset.Position(e.Pos).Filename == "extra.go" {
 				ok = false
@@ -74,18 +74,18 @@
 	return ok
 }
 
-// stdOnly stubs the one import outside the standard library; the errors this
+// codesStubImporter stubs the one import outside the standard library; the errors this
 // causes in kinds.go itself don't count.
-type stdOnly struct{ types.Importer }
+type codesStubImporter struct{ types.Importer }
 
-func (s stdOnly) Import(path string) (*types.Package, error) {
+func (s codesStubImporter) Import(path string) (*types.Package, error) {
 	if path == "google.golang.org/grpc/codes" {
 		return types.NewPackage(path, "codes"), nil
 	}
 	return s.Importer.Import(path)
 }
 
-func TestTableIsWhole(t *testing.T) {
+func TestTableCoversEveryKind(t *testing.T) {
 	notRun := []NotRunKind{
 		BadRequest, Unauthenticated, Forbidden, NotFound, TooLarge, KeyReused, KeyTooOld, ClaimedElsewhere,
 		RateLimited, Overloaded, DeadlineTooShort, Leaving, NoServer, StaleWeights, LogUnavailable,
