--- a/base/trace/grpc.go
+++ b/base/trace/grpc.go
@@ -14,11 +14,11 @@
 
 const grpcTracer = "grpc"
 
-// carrier puts the trace context into gRPC metadata.
-type carrier metadata.MD
+// metadataCarrier puts the trace context into gRPC metadata.
+type metadataCarrier metadata.MD
 
 // Get returns the first value of a key.
-func (c carrier) Get(key string) string {
+func (c metadataCarrier) Get(key string) string {
 	if values := metadata.MD(c).Get(key); len(values) > 0 {
 		return values[0]
 	}
@@ -26,10 +26,10 @@
 }
 
 // Set replaces a key's values.
-func (c carrier) Set(key, value string) { metadata.MD(c).Set(key, value) }
+func (c metadataCarrier) Set(key, value string) { metadata.MD(c).Set(key, value) }
 
 // Keys lists the keys.
-func (c carrier) Keys() []string {
+func (c metadataCarrier) Keys() []string {
 	keys := make([]string, 0, len(c))
 	for key := range c {
 		keys = append(keys, key)
@@ -38,46 +38,46 @@
 }
 
 // UnaryClient starts a client span for a unary call and sends its context.
-func UnaryClient(ctx context.Context, method string, req, reply any, cc *grpc.ClientConn, invoke grpc.UnaryInvoker, opts ...grpc.CallOption) error {
+func UnaryClient(ctx context.Context, method string, req, reply any, cc *grpc.ClientConn, invoker grpc.UnaryInvoker, opts ...grpc.CallOption) error {
 	ctx, span := startClient(ctx, method)
-	err := invoke(ctx, method, req, reply, cc, opts...)
-	end(span, err)
+	err := invoker(ctx, method, req, reply, cc, opts...)
+	endSpan(span, err)
 	return err
 }
 
 // StreamClient starts a client span that lasts until the stream ends.
-func StreamClient(ctx context.Context, desc *grpc.StreamDesc, cc *grpc.ClientConn, method string, open grpc.Streamer, opts ...grpc.CallOption) (grpc.ClientStream, error) {
+func StreamClient(ctx context.Context, desc *grpc.StreamDesc, cc *grpc.ClientConn, method string, streamer grpc.Streamer, opts ...grpc.CallOption) (grpc.ClientStream, error) {
 	ctx, span := startClient(ctx, method)
-	stream, err := open(ctx, desc, cc, method, opts...)
+	stream, err := streamer(ctx, desc, cc, method, opts...)
 	if err != nil {
-		end(span, err)
+		endSpan(span, err)
 		return nil, err
 	}
-	traced := &clientStream{ClientStream: stream, span: span, oneReply: !desc.ServerStreams}
+	traced := &clientStream{ClientStream: stream, span: span, singleReply: !desc.ServerStreams}
 	// A caller that gives the stream up cancels ctx without reading to the end.
-	traced.forget = context.AfterFunc(ctx, func() { traced.end(ctx.Err()) })
+	traced.stopAfterFunc = context.AfterFunc(ctx, func() { traced.end(ctx.Err()) })
 	return traced, nil
 }
 
 // UnaryServer continues the caller's trace with a server span.
-func UnaryServer(ctx context.Context, req any, info *grpc.UnaryServerInfo, handle grpc.UnaryHandler) (any, error) {
+func UnaryServer(ctx context.Context, req any, info *grpc.UnaryServerInfo, handler grpc.UnaryHandler) (any, error) {
 	ctx, span := startServer(ctx, info.FullMethod)
-	reply, err := handle(ctx, req)
-	end(span, err)
+	reply, err := handler(ctx, req)
+	endSpan(span, err)
 	return reply, err
 }
 
 // StreamServer continues the caller's trace with a server span that lasts as
 // long as the handler.
-func StreamServer(srv any, stream grpc.ServerStream, info *grpc.StreamServerInfo, handle grpc.StreamHandler) error {
+func StreamServer(srv any, stream grpc.ServerStream, info *grpc.StreamServerInfo, handler grpc.StreamHandler) error {
 	ctx, span := startServer(stream.Context(), info.FullMethod)
-	err := handle(srv, &serverStream{ServerStream: stream, ctx: ctx})
-	end(span, err)
+	err := handler(srv, &serverStream{ServerStream: stream, ctx: ctx})
+	endSpan(span, err)
 	return err
 }
 
 func startClient(ctx context.Context, method string) (context.Context, oteltrace.Span) {
-	if outside(ctx) {
+	if hasNoTrace(ctx) {
 		return ctx, oteltrace.SpanFromContext(ctx)
 	}
 	ctx, span := Tracer(grpcTracer).Start(ctx, method, oteltrace.WithSpanKind(oteltrace.SpanKindClient))
@@ -86,27 +86,27 @@
 		md = metadata.MD{}
 	}
 	// FromOutgoingContext returned a copy, so that writing to it is safe.
-	otel.GetTextMapPropagator().Inject(ctx, carrier(md))
+	otel.GetTextMapPropagator().Inject(ctx, metadataCarrier(md))
 	return metadata.NewOutgoingContext(ctx, md), span
 }
 
 func startServer(ctx context.Context, method string) (context.Context, oteltrace.Span) {
 	if md, ok := metadata.FromIncomingContext(ctx); ok {
-		ctx = otel.GetTextMapPropagator().Extract(ctx, carrier(md))
+		ctx = otel.GetTextMapPropagator().Extract(ctx, metadataCarrier(md))
 	}
-	if outside(ctx) {
+	if hasNoTrace(ctx) {
 		return ctx, oteltrace.SpanFromContext(ctx)
 	}
 	return Tracer(grpcTracer).Start(ctx, method, oteltrace.WithSpanKind(oteltrace.SpanKindServer))
 }
 
-// outside tells that ctx belongs to no trace. Its span is then one that does
+// hasNoTrace tells that ctx belongs to no trace. Its span is then one that does
 // nothing.
-func outside(ctx context.Context) bool {
+func hasNoTrace(ctx context.Context) bool {
 	return !oteltrace.SpanContextFromContext(ctx).IsValid()
 }
 
-func end(span oteltrace.Span, err error) {
+func endSpan(span oteltrace.Span, err error) {
 	if err != nil && err != io.EOF {
 		span.SetStatus(codes.Error, err.Error())
 	}
@@ -116,22 +116,22 @@
 // clientStream ends its span with the stream.
 type clientStream struct {
 	grpc.ClientStream
-	span     oteltrace.Span
-	oneReply bool
-	once     sync.Once
-	forget   func() bool // releases the hook on the context
+	span          oteltrace.Span
+	singleReply   bool
+	once          sync.Once
+	stopAfterFunc func() bool // releases the hook on the context
 }
 
 func (s *clientStream) RecvMsg(m any) error {
 	err := s.ClientStream.RecvMsg(m)
-	if err != nil || s.oneReply {
+	if err != nil || s.singleReply {
 		s.end(err)
-		s.forget()
+		s.stopAfterFunc()
 	}
 	return err
 }
 
-func (s *clientStream) end(err error) { s.once.Do(func() { end(s.span, err) }) }
+func (s *clientStream) end(err error) { s.once.Do(func() { endSpan(s.span, err) }) }
 
 // serverStream hands the span's context to the handler.
 type serverStream struct {
--- a/base/trace/http.go
+++ b/base/trace/http.go
@@ -19,7 +19,7 @@
 // ToHTTP starts a client span for an outgoing request and writes its context
 // into the headers. The caller ends the span. Outside any trace it does nothing.
 func ToHTTP(ctx context.Context, header http.Header, name string) (context.Context, oteltrace.Span) {
-	if outside(ctx) {
+	if hasNoTrace(ctx) {
 		return ctx, oteltrace.SpanFromContext(ctx)
 	}
 	ctx, span := Tracer("http").Start(ctx, name, oteltrace.WithSpanKind(oteltrace.SpanKindClient))
--- a/base/trace/trace.go
+++ b/base/trace/trace.go
@@ -79,16 +79,16 @@
 		return nil, errors.Trace(err)
 	}
 	otel.SetTextMapPropagator(propagation.TraceContext{})
-	exporter, closeSink, err := newExporter(ctx, cfg)
+	exporter, closeOutput, err := newExporter(ctx, cfg)
 	if err != nil {
 		return nil, errors.Annotate(err, "trace exporter")
 	}
 	provider := sdktrace.NewTracerProvider(providerOptions(process, cfg, exporter)...)
 	otel.SetTracerProvider(provider)
-	logErrors(process)
+	setErrorHandler(process)
 	return func(ctx context.Context) error {
 		err := provider.Shutdown(ctx)
-		if cerr := closeSink(); err == nil {
+		if cerr := closeOutput(); err == nil {
 			err = cerr
 		}
 		return errors.Trace(err)
@@ -112,8 +112,8 @@
 			sdktrace.WithExportTimeout(exportTimeout)))
 }
 
-// logErrors keeps a collector that is gone from writing a line per batch.
-func logErrors(process string) {
+// setErrorHandler keeps a collector that is gone from writing a line per batch.
+func setErrorHandler(process string) {
 	log := logs.Limited(logs.New(process+": trace", "warn"), errorLogInterval)
 	otel.SetErrorHandler(otel.ErrorHandlerFunc(func(err error) {
 		log.Warn("Spans are lost.", zap.Error(err))
@@ -126,7 +126,7 @@
 }
 
 func newExporter(ctx context.Context, cfg Config) (sdktrace.SpanExporter, func() error, error) {
-	noSink := func() error { return nil }
+	noClose := func() error { return nil }
 	switch cfg.Exporter {
 	case ExporterFile:
 		file, err := os.OpenFile(cfg.File, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
@@ -140,7 +140,7 @@
 			otlptracehttp.WithEndpoint(cfg.Endpoint),
 			otlptracehttp.WithInsecure(),
 			otlptracehttp.WithTimeout(exportTimeout))
-		return exporter, noSink, errors.Trace(err)
+		return exporter, noClose, errors.Trace(err)
 	}
-	return nil, noSink, nil
+	return nil, noClose, nil
 }
--- a/base/trace/trace_test.go
+++ b/base/trace/trace_test.go
@@ -19,14 +19,14 @@
 	"dandelionsill.org/wire/pb"
 )
 
-// agent answers Explain and Watch with the trace id that reached it.
-type agent struct{ pb.UnimplementedAgentServer }
+// traceIDAgent answers Explain and Watch with the trace id that reached it.
+type traceIDAgent struct{ pb.UnimplementedAgentServer }
 
-func (agent) Explain(ctx context.Context, _ *pb.ExplainRequest) (*pb.ExplainReply, error) {
+func (traceIDAgent) Explain(ctx context.Context, _ *pb.ExplainRequest) (*pb.ExplainReply, error) {
 	return &pb.ExplainReply{Decisions: []*pb.Decision{{TraceId: ID(ctx)}}}, nil
 }
 
-func (agent) Watch(_ *pb.WatchRequest, stream pb.Agent_WatchServer) error {
+func (traceIDAgent) Watch(_ *pb.WatchRequest, stream pb.Agent_WatchServer) error {
 	return stream.Send(&pb.AgentState{Name: ID(stream.Context())})
 }
 
@@ -34,7 +34,7 @@
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	srv := grpc.NewServer(grpc.UnaryInterceptor(UnaryServer), grpc.StreamInterceptor(StreamServer))
-	pb.RegisterAgentServer(srv, agent{})
+	pb.RegisterAgentServer(srv, traceIDAgent{})
 	go func() { _ = srv.Serve(lis) }()
 	t.Cleanup(srv.Stop)
 	conn, err := grpc.NewClient(lis.Addr().String(),
@@ -49,7 +49,7 @@
 // An operator follows one request: caller → entry (HTTP) → agent (gRPC) has
 // one trace id, and the file holds one span per hop and side. A call outside
 // any trace leaves nothing there.
-func TestOneTraceOverAllHops(t *testing.T) {
+func TestTraceSpansAllHops(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "spans")
 	stop, err := Start(context.Background(), "e1", Config{Exporter: ExporterFile, File: file, Ratio: 1})
 	require.NoError(t, err)
@@ -92,7 +92,7 @@
 // end, or the trace would miss just the hop that the operator looks for.
 func TestAbandonedStreamEndsItsSpan(t *testing.T) {
 	ended := make(chan struct{})
-	provider := sdktrace.NewTracerProvider(sdktrace.WithSpanProcessor(onEnd{ended}))
+	provider := sdktrace.NewTracerProvider(sdktrace.WithSpanProcessor(clientSpanNotifier{ended}))
 	otel.SetTracerProvider(provider)
 	ctx, root := Tracer("caller").Start(context.Background(), "root")
 	defer root.End()
@@ -106,17 +106,17 @@
 	<-ended
 }
 
-// onEnd closes a channel when a client's span ends.
-type onEnd struct{ ended chan struct{} }
+// clientSpanNotifier closes a channel when a client's span ends.
+type clientSpanNotifier struct{ ended chan struct{} }
 
-func (onEnd) OnStart(context.Context, sdktrace.ReadWriteSpan) {}
-func (p onEnd) OnEnd(span sdktrace.ReadOnlySpan) {
+func (clientSpanNotifier) OnStart(context.Context, sdktrace.ReadWriteSpan) {}
+func (p clientSpanNotifier) OnEnd(span sdktrace.ReadOnlySpan) {
 	if span.SpanKind() == oteltrace.SpanKindClient {
 		close(p.ended)
 	}
 }
-func (onEnd) Shutdown(context.Context) error   { return nil }
-func (onEnd) ForceFlush(context.Context) error { return nil }
+func (clientSpanNotifier) Shutdown(context.Context) error   { return nil }
+func (clientSpanNotifier) ForceFlush(context.Context) error { return nil }
 
 func TestValidate(t *testing.T) {
 	require.Error(t, Config{Exporter: "kafka"}.Validate())
