--- a/base/boottime/boottime.go
+++ b/base/boottime/boottime.go
@@ -14,19 +14,19 @@
 func Now() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		return time.Since(started) // a kernel without that clock suspends no VM
+		return time.Since(processStart) // a kernel without that clock suspends no VM
 	}
 	return time.Duration(ts.Nano())
 }
 
-var started = time.Now()
+var processStart = time.Now()
 
 const (
-	// slewMost is the largest change of the time of day, between two looks, that counts
+	// maxSlew is the largest change of the time of day, between two looks, that counts
 	// as its correction.
-	slewMost = 100 * time.Millisecond
-	// stepStays is how long a step of the time of day has to last to be believed.
-	stepStays = 30 * time.Second
+	maxSlew = 100 * time.Millisecond
+	// minStepDuration is how long a step of the time of day has to last to be believed.
+	minStepDuration = 30 * time.Second
 )
 
 // Clock tells the time of day. A step of it is followed only once it has lasted: some
@@ -35,9 +35,9 @@
 	wall func() time.Time
 	boot func() time.Duration
 
-	mu      sync.Mutex
-	offset  time.Duration // of the time of day, in Unix time, to the time since boot
-	stepped time.Duration // when the time of day was first seen off; 0: it is not
+	mu         sync.Mutex
+	offset     time.Duration // of the time of day, in Unix time, to the time since boot
+	stepSeenAt time.Duration // when the time of day was first seen off; 0: it is not
 }
 
 // NewClock returns a clock that starts with the VM's time of day.
@@ -45,11 +45,11 @@
 
 func newClock(wall func() time.Time, boot func() time.Duration) *Clock {
 	c := &Clock{wall: wall, boot: boot}
-	c.offset = c.measure()
+	c.offset = c.measureOffset()
 	return c
 }
 
-func (c *Clock) measure() time.Duration { return time.Duration(c.wall().UnixNano()) - c.boot() }
+func (c *Clock) measureOffset() time.Duration { return time.Duration(c.wall().UnixNano()) - c.boot() }
 
 // Now returns the time of day.
 func (c *Clock) Now() time.Time {
@@ -57,13 +57,13 @@
 	defer c.mu.Unlock()
 	now := c.boot()
 	measured := time.Duration(c.wall().UnixNano()) - now
-	switch off := (measured - c.offset).Abs(); {
-	case off <= slewMost:
-		c.offset, c.stepped = measured, 0
-	case c.stepped == 0:
-		c.stepped = now
-	case now-c.stepped >= stepStays:
-		c.offset, c.stepped = measured, 0
+	switch deviation := (measured - c.offset).Abs(); {
+	case deviation <= maxSlew:
+		c.offset, c.stepSeenAt = measured, 0
+	case c.stepSeenAt == 0:
+		c.stepSeenAt = now
+	case now-c.stepSeenAt >= minStepDuration:
+		c.offset, c.stepSeenAt = measured, 0
 	}
 	return time.Unix(0, int64(now+c.offset))
 }
