--- a/base/metrics/histogram.go
+++ b/base/metrics/histogram.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// bounds of a Histogram's buckets.
-var bounds = []time.Duration{
+// bucketBounds of a Histogram's buckets.
+var bucketBounds = []time.Duration{
 	time.Millisecond, 2 * time.Millisecond, 5 * time.Millisecond, 10 * time.Millisecond, 20 * time.Millisecond,
 	50 * time.Millisecond, 100 * time.Millisecond, 200 * time.Millisecond, 500 * time.Millisecond,
 	time.Second, 2 * time.Second, 5 * time.Second, 10 * time.Second,
@@ -24,8 +24,8 @@
 // NewHistogram returns a histogram and publishes it; a second one of the same
 // name is returned instead of made.
 func NewHistogram(name string) *Histogram {
-	publishing.Lock()
-	defer publishing.Unlock()
+	publishMu.Lock()
+	defer publishMu.Unlock()
 	if h, ok := expvar.Get(name).(*Histogram); ok {
 		return h
 	}
@@ -36,11 +36,11 @@
 
 // Observe adds one latency.
 func (h *Histogram) Observe(d time.Duration) {
-	at := 0
-	for at < len(bounds) && d > bounds[at] {
-		at++
+	bucket := 0
+	for bucket < len(bucketBounds) && d > bucketBounds[bucket] {
+		bucket++
 	}
-	h.buckets[at].Add(1)
+	h.buckets[bucket].Add(1)
 	h.sum.Add(int64(d))
 }
 
@@ -53,8 +53,8 @@
 		n := h.buckets[i].Load()
 		total += n
 		bound := "inf"
-		if i < len(bounds) {
-			bound = fmt.Sprint(bounds[i].Milliseconds())
+		if i < len(bucketBounds) {
+			bound = fmt.Sprint(bucketBounds[i].Milliseconds())
 		}
 		fmt.Fprintf(&b, "%q: %d, ", "le_"+bound+"_ms", n)
 	}
--- a/base/metrics/metrics.go
+++ b/base/metrics/metrics.go
@@ -8,9 +8,9 @@
 	"sync"
 )
 
-// publishing guards the check-then-publish: expvar itself panics on a name
+// publishMu guards the check-then-publish: expvar itself panics on a name
 // that is published twice.
-var publishing sync.Mutex
+var publishMu sync.Mutex
 
 // gauges holds the function behind each gauge, so that a second call with the
 // same name replaces it.
@@ -36,8 +36,8 @@
 
 // Counter returns the counter of that name and publishes it at the first call.
 func Counter(name string) *expvar.Int {
-	publishing.Lock()
-	defer publishing.Unlock()
+	publishMu.Lock()
+	defer publishMu.Unlock()
 	if v, ok := expvar.Get(name).(*expvar.Int); ok {
 		return v
 	}
@@ -48,8 +48,8 @@
 // the same name replaces the function: the newest instance of a part is the
 // one that is shown.
 func Gauge(name string, fn func() any) {
-	publishing.Lock()
-	defer publishing.Unlock()
+	publishMu.Lock()
+	defer publishMu.Unlock()
 	if g, ok := gauges[name]; ok {
 		g.set(fn)
 		return
--- a/base/metrics/metrics_test.go
+++ b/base/metrics/metrics_test.go
@@ -9,7 +9,7 @@
 
 // expvar panics on a name that is published twice, and a process may build a
 // part twice (a test, a reconnect): the second call gets the same counter.
-func TestIdempotentByName(t *testing.T) {
+func TestPublishingTwiceReusesTheName(t *testing.T) {
 	before := Counter("test_total").Value()
 	Counter("test_total").Add(2)
 	Counter("test_total").Add(3)
--- a/base/metrics/page_test.go
+++ b/base/metrics/page_test.go
@@ -16,8 +16,8 @@
 const root = "../.."
 
 var (
-	published = regexp.MustCompile(`metrics\.(?:Counter|Gauge|NewHistogram)\(\s*"([^"]*)"`)
-	quoted    = regexp.MustCompile("`([^`]+)`")
+	metricCall = regexp.MustCompile(`metrics\.(?:Counter|Gauge|NewHistogram)\(\s*"([^"]*)"`)
+	backquoted = regexp.MustCompile("`([^`]+)`")
 )
 
 // Operators set their alerts by docs/METRICS.md: it names every metric of the
@@ -29,7 +29,7 @@
 			return err
 		}
 		text, err := os.ReadFile(path)
-		for _, m := range published.FindAllSubmatch(text, -1) {
+		for _, m := range metricCall.FindAllSubmatch(text, -1) {
 			inCode[string(m[1])] = true
 		}
 		return err
@@ -39,7 +39,7 @@
 	onPage := map[string]bool{}
 	for line := range strings.SplitSeq(string(page), "\n") {
 		if cells := strings.Split(line, "|"); len(cells) > 1 {
-			for _, m := range quoted.FindAllStringSubmatch(cells[1], -1) {
+			for _, m := range backquoted.FindAllStringSubmatch(cells[1], -1) {
 				onPage[m[1]] = true
 			}
 		}
