--- a/base/explain/ring.go
+++ b/base/explain/ring.go
@@ -17,14 +17,14 @@
 
 // Bounds of a Ring.
 const (
-	minSize = 16
-	shards  = 16 // power of two; concurrent requests rarely meet on one lock
+	minDecisions = 16
+	shardCount   = 16 // power of two; concurrent requests rarely meet on one lock
 )
 
 // record is one decision as it is kept. It holds no pointer but its strings,
 // so that Add allocates nothing.
 type record struct {
-	at             int64 // ms since 1970; 0: empty
+	atMs           int64 // ms since 1970; 0: empty
 	part, id       string
 	what, why      string
 	traceID        trace.TraceID
@@ -41,16 +41,16 @@
 // the same shard. It is safe for concurrent use.
 type Ring struct {
 	process string
-	shards  [shards]shard
+	shards  [shardCount]shard
 	now     func() time.Time
 }
 
 // New returns a ring for about size decisions of the named process.
 func New(process string, size int) *Ring {
 	r := &Ring{process: process, now: time.Now}
-	per := max(size, minSize) / shards
+	shardSize := max(size, minDecisions) / shardCount
 	for i := range r.shards {
-		r.shards[i].records = make([]record, per)
+		r.shards[i].records = make([]record, shardSize)
 	}
 	return r
 }
@@ -61,7 +61,7 @@
 	if r == nil {
 		return
 	}
-	rec := record{at: r.now().UnixMilli(), part: part, id: id, what: what, why: why, used: true}
+	rec := record{atMs: r.now().UnixMilli(), part: part, id: id, what: what, why: why, used: true}
 	if sc := trace.SpanContextFromContext(ctx); sc.HasTraceID() {
 		rec.traceID, rec.hasTrace = sc.TraceID(), true
 	}
@@ -88,22 +88,22 @@
 	defer s.mu.Unlock()
 	for i := range s.records {
 		rec := &s.records[(s.next+i)%len(s.records)]
-		if rec.used && within(rec.id, id) {
+		if rec.used && isSameOrBelow(rec.id, id) {
 			found = append(found, rec.decision(process))
 		}
 	}
 	return found
 }
 
-// within tells whether an id is another one or made from it: the ids of a
+// isSameOrBelow tells whether an id is another one or made from it: the ids of a
 // request's and a sample's tries go on behind a "." or "/".
-func within(id, of string) bool {
-	rest, ok := strings.CutPrefix(id, of)
+func isSameOrBelow(id, parent string) bool {
+	rest, ok := strings.CutPrefix(id, parent)
 	return ok && (rest == "" || rest[0] == '.' || rest[0] == '/')
 }
 
 func (rec *record) decision(process string) *pb.Decision {
-	d := &pb.Decision{AtMs: rec.at, Process: process, Part: rec.part, Id: rec.id, What: rec.what, Why: rec.why}
+	d := &pb.Decision{AtMs: rec.atMs, Process: process, Part: rec.part, Id: rec.id, What: rec.what, Why: rec.why}
 	if rec.hasTrace {
 		d.TraceId = rec.traceID.String()
 	}
@@ -125,5 +125,5 @@
 	for i := 0; i < len(id); i++ {
 		h = (h ^ uint32(id[i])) * prime
 	}
-	return h % shards
+	return h % shardCount
 }
--- a/base/explain/ring_test.go
+++ b/base/explain/ring_test.go
@@ -34,7 +34,7 @@
 // An operator asks about a request, sample or group. The processes know its
 // tries by longer ids; those come too, in order, but not another's whose id
 // only begins alike.
-func TestFindGivesTheTries(t *testing.T) {
+func TestFindIncludesAttempts(t *testing.T) {
 	r := New("e1", 1024)
 	at := int64(0)
 	r.now = func() time.Time { at++; return time.UnixMilli(at) }
@@ -57,7 +57,7 @@
 // A process decides millions of times while an operator asks about one id:
 // memory stays bounded, old decisions go first, and the reader sees whole
 // records only.
-func TestBoundedUnderConcurrency(t *testing.T) {
+func TestRingIsBoundedUnderConcurrency(t *testing.T) {
 	const writers, each = 8, 5000
 	r := New("e1", 256)
 	var wg sync.WaitGroup
