--- a/base/settings/check.go
+++ b/base/settings/check.go
@@ -29,13 +29,13 @@
 			return err
 		}
 	}
-	if err := f.bound(f.lowest, func(x, limit float64) bool { return x >= limit }, "below the lowest value"); err != nil {
+	if err := f.checkBound(f.minText, func(x, limit float64) bool { return x >= limit }, "below the lowest value"); err != nil {
 		return err
 	}
-	return f.bound(f.highest, func(x, limit float64) bool { return x <= limit }, "above the highest value")
+	return f.checkBound(f.maxText, func(x, limit float64) bool { return x <= limit }, "above the highest value")
 }
 
-func (f *field) bound(limitText string, within func(x, limit float64) bool, complaint string) error {
+func (f *field) checkBound(limitText string, within func(x, limit float64) bool, violation string) error {
 	if limitText == "" {
 		return nil
 	}
@@ -44,7 +44,7 @@
 		return errors.Annotate(err, "bound")
 	}
 	if !within(number(f.value), number(limit)) {
-		return errors.Errorf("%s is %s, %s", f, complaint, limitText)
+		return errors.Errorf("%s is %s, %s", f, violation, limitText)
 	}
 	return nil
 }
@@ -62,7 +62,7 @@
 	var known []string
 	set.VisitAll(func(f *flag.Flag) { known = append(known, envName(f.Name)) })
 	if name := UnknownEnv(environ, envPrefix, known); name != "" {
-		return errors.Errorf("unknown environment variable %s%s", name, Nearest(name, known))
+		return errors.Errorf("unknown environment variable %s%s", name, NearestHint(name, known))
 	}
 	return nil
 }
--- a/base/settings/common.go
+++ b/base/settings/common.go
@@ -47,7 +47,7 @@
 	if c.Process.Name == "" {
 		return errors.New("process.name is empty; it must be the VM's name in the VM list")
 	}
-	if err := logLevel(c.Process.LogLevel); err != nil {
+	if err := checkLogLevel(c.Process.LogLevel); err != nil {
 		return errors.Annotate(err, "process.log_level")
 	}
 	for _, u := range []struct{ name, value string }{
@@ -80,7 +80,7 @@
 	return nil
 }
 
-func logLevel(level string) error {
+func checkLogLevel(level string) error {
 	switch level {
 	case "debug", "info", "warn", "error":
 		return nil
--- a/base/settings/field.go
+++ b/base/settings/field.go
@@ -19,8 +19,8 @@
 	help         string
 	defaultText  string
 	secret       bool
-	lowest       string
-	highest      string
+	minText      string
+	maxText      string
 	ipPort       bool
 	value        reflect.Value
 }
@@ -56,19 +56,19 @@
 
 func collect(v reflect.Value, fields []*field) ([]*field, error) {
 	for i := range v.NumField() {
-		info, member := v.Type().Field(i), v.Field(i)
+		info, value := v.Type().Field(i), v.Field(i)
 		tag, tagged := info.Tag.Lookup("ini")
 		if !tagged {
-			if member.Kind() != reflect.Struct || !info.IsExported() {
+			if value.Kind() != reflect.Struct || !info.IsExported() {
 				continue
 			}
 			var err error
-			if fields, err = collect(member, fields); err != nil {
+			if fields, err = collect(value, fields); err != nil {
 				return nil, err
 			}
 			continue
 		}
-		f, err := newField(tag, info, member)
+		f, err := newField(tag, info, value)
 		if err != nil {
 			return nil, errors.Annotatef(err, "settings: field %s", info.Name)
 		}
@@ -94,8 +94,8 @@
 		help:        info.Tag.Get("help"),
 		defaultText: info.Tag.Get("default"),
 		secret:      info.Tag.Get("secret") == "true",
-		lowest:      info.Tag.Get("min"),
-		highest:     info.Tag.Get("max"),
+		minText:     info.Tag.Get("min"),
+		maxText:     info.Tag.Get("max"),
 		ipPort:      info.Tag.Get("kind") == "ip:port",
 		value:       v,
 	}, nil
@@ -140,30 +140,30 @@
 func (f *field) parse(text string) (reflect.Value, error) {
 	if f.value.Type() == durationType {
 		d, err := time.ParseDuration(text)
-		return reflect.ValueOf(d), wrong(err, text, "a duration such as 500ms or 30s")
+		return reflect.ValueOf(d), invalidValue(err, text, "a duration such as 500ms or 30s")
 	}
 	switch f.value.Interface().(type) {
 	case string:
 		return reflect.ValueOf(text), nil
 	case bool:
 		b, err := strconv.ParseBool(text)
-		return reflect.ValueOf(b), wrong(err, text, "true or false")
+		return reflect.ValueOf(b), invalidValue(err, text, "true or false")
 	case int:
 		n, err := strconv.Atoi(text)
-		return reflect.ValueOf(n), wrong(err, text, "a whole number")
+		return reflect.ValueOf(n), invalidValue(err, text, "a whole number")
 	case float64:
 		x, err := strconv.ParseFloat(text, 64)
 		if err == nil && (math.IsNaN(x) || math.IsInf(x, 0)) {
 			err = strconv.ErrRange // no bound holds against NaN
 		}
-		return reflect.ValueOf(x), wrong(err, text, "a number")
+		return reflect.ValueOf(x), invalidValue(err, text, "a number")
 	case []string:
 		return reflect.ValueOf(splitList(text)), nil
 	}
 	return reflect.Value{}, errors.Errorf("type %s is not supported", f.value.Type())
 }
 
-func wrong(err error, text, want string) error {
+func invalidValue(err error, text, want string) error {
 	if err == nil {
 		return nil
 	}
--- a/base/settings/file.go
+++ b/base/settings/file.go
@@ -16,9 +16,9 @@
 	found  map[string]bool
 }
 
-// loadOptions take values as they stand. Shadows are how the library keeps a
+// iniOptions take values as they stand. Shadows are how the library keeps a
 // key's second value, which is refused here: of two values one would be ignored.
-var loadOptions = ini.LoadOptions{
+var iniOptions = ini.LoadOptions{
 	IgnoreInlineComment:        true,
 	IgnoreContinuation:         true,
 	AllowShadows:               true,
@@ -33,7 +33,7 @@
 		if err != nil {
 			return errors.Annotate(err, *name)
 		}
-		file, err := ini.LoadSources(loadOptions, data)
+		file, err := ini.LoadSources(iniOptions, data)
 		if err != nil {
 			return errors.Annotate(err, *name)
 		}
@@ -49,7 +49,7 @@
 
 func (p *fileParser) parseSection(file string, section *ini.Section, set func(name, value string) error) error {
 	if section.Name() != ini.DefaultSection && !p.hasSection(section.Name()) {
-		return errors.Errorf("%s: unknown section [%s]%s", file, section.Name(), Nearest(section.Name(), p.sections()))
+		return errors.Errorf("%s: unknown section [%s]%s", file, section.Name(), NearestHint(section.Name(), p.sections()))
 	}
 	for _, key := range section.Keys() {
 		if section.Name() == ini.DefaultSection {
@@ -57,7 +57,7 @@
 		}
 		name := section.Name() + "." + key.Name()
 		if !p.has(name) {
-			return errors.Errorf("%s: section [%s]: unknown key %q%s", file, section.Name(), key.Name(), Nearest(key.Name(), p.keys(section.Name())))
+			return errors.Errorf("%s: section [%s]: unknown key %q%s", file, section.Name(), key.Name(), NearestHint(key.Name(), p.keys(section.Name())))
 		}
 		if len(key.ValueWithShadows()) > 1 {
 			return errors.Errorf("%s: section [%s]: key %q stands twice", file, section.Name(), key.Name())
@@ -106,8 +106,8 @@
 	return names
 }
 
-// hintFlag adds the nearest flag to the flag package's "not defined" error.
-func hintFlag(err error, fields []*field) error {
+// addFlagHint adds the nearest flag to the flag package's "not defined" error.
+func addFlagHint(err error, fields []*field) error {
 	const undefined = "flag provided but not defined: -"
 	_, name, found := strings.Cut(err.Error(), undefined)
 	if !found {
@@ -117,19 +117,19 @@
 	for _, f := range fields {
 		names = append(names, f.name())
 	}
-	return errors.Errorf("unknown flag --%s%s", name, Nearest(name, names))
+	return errors.Errorf("unknown flag --%s%s", name, NearestHint(name, names))
 }
 
-// Nearest words a hint at the valid name with the smallest edit distance. A
+// NearestHint words a hint at the valid name with the smallest edit distance. A
 // key without its section means the first section that has it.
-func Nearest(wrong string, valid []string) string {
-	best, distance := "", len(wrong)+1
+func NearestHint(unknown string, valid []string) string {
+	best, distance := "", len(unknown)+1
 	for _, name := range valid {
-		if strings.HasSuffix(name, "."+wrong) {
+		if strings.HasSuffix(name, "."+unknown) {
 			best = name
 			break
 		}
-		if d := levenshtein.ComputeDistance(strings.ToLower(wrong), strings.ToLower(name)); d < distance {
+		if d := levenshtein.ComputeDistance(strings.ToLower(unknown), strings.ToLower(name)); d < distance {
 			best, distance = name, d
 		}
 	}
--- a/base/settings/fuzz_test.go
+++ b/base/settings/fuzz_test.go
@@ -13,10 +13,10 @@
 // --print-config writes down: that file, read again, gives the same settings.
 func FuzzFile(f *testing.F) {
 	for _, seed := range []string{
-		named,
-		named + "[limits]\nqueue = 20\nshare = 0.75\nstrict = true\n",
-		named + "[limits]\ntoken = \"a;b # c\"\n[keys]\nmanifest_public = a:x, b:y\n",
-		named + "[limits]\nqueue = 1000\n",
+		namedProcess,
+		namedProcess + "[limits]\nqueue = 20\nshare = 0.75\nstrict = true\n",
+		namedProcess + "[limits]\ntoken = \"a;b # c\"\n[keys]\nmanifest_public = a:x, b:y\n",
+		namedProcess + "[limits]\nqueue = 1000\n",
 		"[process]\nname = \"\"\"a\"\"\"\nname=b\n",
 		"[process]\nname = `x\ny`\n", "[proces]\nname=a", "name = 1", "[process\n", "\xff\xfe", "[process]\r\nname=\\\r\nx",
 		"[process]\nname = a\nregion = '''b'''", "[process]\nname = a\nregion = \"\"\"'`\"\"\"", "[process]\nname=%(region)s\nregion=r",
--- a/base/settings/print.go
+++ b/base/settings/print.go
@@ -8,24 +8,24 @@
 	"strings"
 )
 
-const hidden = "********"
+const redacted = "********"
 
 // sources finds out where each value came from: ff keeps it to itself.
 func sources(set *flag.FlagSet, args []string, fields []*field, file *fileParser) map[string]Source {
-	onLine := map[string]bool{}
-	for _, name := range flagsOn(args, set) {
-		onLine[name] = true
+	onCommandLine := map[string]bool{}
+	for _, name := range flagsSetBy(args, set) {
+		onCommandLine[name] = true
 	}
 	from := make(map[string]Source, len(fields))
 	for _, f := range fields {
-		from[f.name()] = sourceOf(f, onLine, file)
+		from[f.name()] = sourceOf(f, onCommandLine, file)
 	}
 	return from
 }
 
-func sourceOf(f *field, onLine map[string]bool, file *fileParser) Source {
+func sourceOf(f *field, onCommandLine map[string]bool, file *fileParser) Source {
 	switch {
-	case onLine[f.name()]:
+	case onCommandLine[f.name()]:
 		return FromFlag
 	case os.Getenv(envName(f.name())) != "":
 		return FromEnv
@@ -41,15 +41,15 @@
 	return envPrefix + "_" + strings.ToUpper(name)
 }
 
-// flagsOn lists the flags that a command line sets, by parsing it once more
+// flagsSetBy lists the flags that a command line sets, by parsing it once more
 // into a set that only takes notes.
-func flagsOn(args []string, set *flag.FlagSet) []string {
-	notes := flag.NewFlagSet(set.Name(), flag.ContinueOnError)
-	notes.SetOutput(io.Discard)
-	set.VisitAll(func(f *flag.Flag) { notes.Var(note{boolean: isBool(f.Value)}, f.Name, "") })
-	_ = notes.Parse(args) // the same line was parsed without an error before
+func flagsSetBy(args []string, set *flag.FlagSet) []string {
+	recorder := flag.NewFlagSet(set.Name(), flag.ContinueOnError)
+	recorder.SetOutput(io.Discard)
+	set.VisitAll(func(f *flag.Flag) { recorder.Var(anyValue{boolean: isBool(f.Value)}, f.Name, "") })
+	_ = recorder.Parse(args) // the same line was parsed without an error before
 	var names []string
-	notes.Visit(func(f *flag.Flag) { names = append(names, f.Name) })
+	recorder.Visit(func(f *flag.Flag) { names = append(names, f.Name) })
 	return names
 }
 
@@ -58,15 +58,15 @@
 	return ok && b.IsBoolFlag()
 }
 
-// note is a flag.Value that takes anything.
-type note struct{ boolean bool }
+// anyValue is a flag.Value that takes anything.
+type anyValue struct{ boolean bool }
 
-func (note) String() string     { return "" }
-func (note) Set(string) error   { return nil }
-func (n note) IsBoolFlag() bool { return n.boolean }
+func (anyValue) String() string     { return "" }
+func (anyValue) Set(string) error   { return nil }
+func (n anyValue) IsBoolFlag() bool { return n.boolean }
 
-// describe names the place where a field's value stands.
-func (r Result) describe(f *field) string {
+// describeSource names the place where a field's value stands.
+func (r Result) describeSource(f *field) string {
 	switch r.Sources[f.name()] {
 	case FromFlag:
 		return "flag --" + f.name()
@@ -100,9 +100,9 @@
 func printField(b *strings.Builder, f *field, result Result) {
 	value := f.String()
 	if f.secret && value != "" {
-		value = hidden
+		value = redacted
 	}
-	fmt.Fprintf(b, "; %s\n%s = %s\n", result.describe(f), f.key, quote(value))
+	fmt.Fprintf(b, "; %s\n%s = %s\n", result.describeSource(f), f.key, quote(value))
 }
 
 // quote wraps a value that INI would not give back as it is.
--- a/base/settings/settings.go
+++ b/base/settings/settings.go
@@ -45,8 +45,8 @@
 // Validator is implemented by settings that check themselves once filled.
 type Validator interface{ Validate() error }
 
-// meta are the flags that are not settings.
-type meta struct {
+// controlFlags are the flags that are not settings.
+type controlFlags struct {
 	config                string
 	check, print, version bool
 }
@@ -60,7 +60,7 @@
 	if err != nil {
 		return Result{}, jujuerrors.Trace(err)
 	}
-	var m meta
+	var m controlFlags
 	set := flagSet(binary, w, fields, &m)
 	file := &fileParser{fields: fields}
 	err = ff.Parse(set, args,
@@ -72,7 +72,7 @@
 		return Result{Done: true}, nil
 	}
 	if err != nil {
-		return Result{}, jujuerrors.Trace(hintFlag(err, fields))
+		return Result{}, jujuerrors.Trace(addFlagHint(err, fields))
 	}
 	if set.NArg() > 0 {
 		return Result{}, jujuerrors.Errorf("unexpected argument %q", set.Arg(0))
@@ -85,17 +85,17 @@
 		return Result{}, err
 	}
 	result := Result{File: m.config, Sources: sources(set, args, fields, file)}
-	if err := finish(dst, fields, result); err != nil {
+	if err := check(dst, fields, result); err != nil {
 		return result, err
 	}
-	return answer(w, m, fields, result)
+	return answerControlFlags(w, m, fields, result)
 }
 
-// finish checks the filled settings.
-func finish(dst any, fields []*field, result Result) error {
+// check checks the filled settings.
+func check(dst any, fields []*field, result Result) error {
 	for _, f := range fields {
 		if err := f.check(); err != nil {
-			return jujuerrors.Annotatef(err, "%s (from %s)", f.name(), result.describe(f))
+			return jujuerrors.Annotatef(err, "%s (from %s)", f.name(), result.describeSource(f))
 		}
 	}
 	return jujuerrors.Trace(validate(reflect.ValueOf(dst)))
@@ -119,8 +119,8 @@
 	return nil
 }
 
-// answer serves --check and --print-config.
-func answer(w io.Writer, m meta, fields []*field, result Result) (Result, error) {
+// answerControlFlags serves --check and --print-config.
+func answerControlFlags(w io.Writer, m controlFlags, fields []*field, result Result) (Result, error) {
 	switch {
 	case m.print:
 		result.Done = true
@@ -133,7 +133,7 @@
 	return result, nil
 }
 
-func flagSet(binary string, w io.Writer, fields []*field, m *meta) *flag.FlagSet {
+func flagSet(binary string, w io.Writer, fields []*field, m *controlFlags) *flag.FlagSet {
 	set := flag.NewFlagSet(binary, flag.ContinueOnError)
 	set.SetOutput(io.Discard) // errors are returned, help is printed by usage
 	set.Usage = func() {}
--- a/base/settings/settings_test.go
+++ b/base/settings/settings_test.go
@@ -34,13 +34,13 @@
 	return got, result, out.String(), err
 }
 
-const named = "[process]\nname = e1\n"
+const namedProcess = "[process]\nname = e1\n"
 
 func TestPrecedence(t *testing.T) {
 	t.Setenv("DANDELION_LIMITS_SHARE", "0.25")
 	t.Setenv("DANDELION_LIMITS_QUEUE", "30")
 	got, result, _, err := load(t, t.TempDir(),
-		named+"[limits]\nqueue = 20\nshare = 0.75\nstrict = true\n[keys]\nmanifest_public = a:x, b:y\n", "--limits.queue", "40")
+		namedProcess+"[limits]\nqueue = 20\nshare = 0.75\nstrict = true\n[keys]\nmanifest_public = a:x, b:y\n", "--limits.queue", "40")
 	require.NoError(t, err)
 	require.Equal(t, 40, got.Limits.Queue, "flag before env and file")
 	require.Equal(t, 0.25, got.Limits.Share, "env before file")
@@ -57,29 +57,29 @@
 
 // An operator mistypes a setting: the process must not start with the default
 // in its place. The error names the file, the place and what was likely meant.
-func TestRefusals(t *testing.T) {
+func TestInvalidSettingsAreRejected(t *testing.T) {
 	for name, c := range map[string]struct {
 		text string
 		args []string
 		want []string
 	}{
-		"unknown section":  {named + "[limit]\nqueue = 2\n", nil, []string{"entry.ini", "[limit]", `"limits"`}},
-		"unknown key":      {named + "[limits]\nqeue = 2\n", nil, []string{"entry.ini", "[limits]", `"qeue"`, `"queue"`}},
-		"key twice":        {named + "[limits]\nqueue = 2\n[process]\n[limits]\nqueue = 2\n", nil, []string{"entry.ini", "[limits]", `"queue"`, "twice"}},
-		"no section":       {"queue = 2\n" + named, nil, []string{"entry.ini", `"queue"`, "before any section"}},
-		"unknown flag":     {named, []string{"--limits.qeue=2"}, []string{"--limits.qeue", `"limits.queue"`}},
-		"flag's section":   {named, []string{"--region=x"}, []string{"--region", `"process.region"`}},
-		"argument":         {named, []string{"limits.queue=2"}, []string{"unexpected argument"}},
-		"no number at all": {named + "[limits]\nshare = NaN\n", nil, []string{"entry.ini", `"share"`, "not a number"}},
-		"not a number":     {named + "[limits]\nqueue = many\n", nil, []string{"entry.ini", `"queue"`, "whole number"}},
-		"too low":          {named + "[limits]\nqueue = 0\n", nil, []string{"limits.queue", "entry.ini", "lowest value, 1"}},
-		"too high":         {named, []string{"--limits.queue=101"}, []string{"flag --limits.queue", "highest value, 100"}},
-		"duration low":     {named, []string{"--limits.wait=10ms"}, []string{"limits.wait", "lowest value, 1s"}},
-		"host name":        {named + "listen = localhost:80\n", nil, []string{"process.listen", "host names"}},
-		"host in URL":      {named + "[platform]\nlog = http://log.local:80\n", nil, []string{"platform.log", "host names"}},
+		"unknown section":  {namedProcess + "[limit]\nqueue = 2\n", nil, []string{"entry.ini", "[limit]", `"limits"`}},
+		"unknown key":      {namedProcess + "[limits]\nqeue = 2\n", nil, []string{"entry.ini", "[limits]", `"qeue"`, `"queue"`}},
+		"key twice":        {namedProcess + "[limits]\nqueue = 2\n[process]\n[limits]\nqueue = 2\n", nil, []string{"entry.ini", "[limits]", `"queue"`, "twice"}},
+		"no section":       {"queue = 2\n" + namedProcess, nil, []string{"entry.ini", `"queue"`, "before any section"}},
+		"unknown flag":     {namedProcess, []string{"--limits.qeue=2"}, []string{"--limits.qeue", `"limits.queue"`}},
+		"flag's section":   {namedProcess, []string{"--region=x"}, []string{"--region", `"process.region"`}},
+		"argument":         {namedProcess, []string{"limits.queue=2"}, []string{"unexpected argument"}},
+		"no number at all": {namedProcess + "[limits]\nshare = NaN\n", nil, []string{"entry.ini", `"share"`, "not a number"}},
+		"not a number":     {namedProcess + "[limits]\nqueue = many\n", nil, []string{"entry.ini", `"queue"`, "whole number"}},
+		"too low":          {namedProcess + "[limits]\nqueue = 0\n", nil, []string{"limits.queue", "entry.ini", "lowest value, 1"}},
+		"too high":         {namedProcess, []string{"--limits.queue=101"}, []string{"flag --limits.queue", "highest value, 100"}},
+		"duration low":     {namedProcess, []string{"--limits.wait=10ms"}, []string{"limits.wait", "lowest value, 1s"}},
+		"host name":        {namedProcess + "listen = localhost:80\n", nil, []string{"process.listen", "host names"}},
+		"host in URL":      {namedProcess + "[platform]\nlog = http://log.local:80\n", nil, []string{"platform.log", "host names"}},
 		"no name":          {"", nil, []string{"process.name"}},
-		"log level":        {named, []string{"--process.log_level=loud"}, []string{"process.log_level", "loud"}},
-		"exporter":         {named + "[trace]\nexporter = file\n", nil, []string{"trace.file"}},
+		"log level":        {namedProcess, []string{"--process.log_level=loud"}, []string{"process.log_level", "loud"}},
+		"exporter":         {namedProcess + "[trace]\nexporter = file\n", nil, []string{"trace.file"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, result, out, err := load(t, t.TempDir(), c.text, c.args...)
@@ -95,7 +95,7 @@
 
 // An operator mistypes a variable, or leaves one in the VM's environment that a
 // release no longer knows: the start fails and names it, as for a file's key.
-func TestUnknownEnvironment(t *testing.T) {
+func TestUnknownEnvironmentVariableIsRejected(t *testing.T) {
 	for name, want := range map[string]string{
 		"DANDELION_LIMITS_QEUE": `unknown environment variable DANDELION_LIMITS_QEUE; did you mean "DANDELION_LIMITS_QUEUE"?`,
 		"DANDELION_":            "unknown environment variable DANDELION_",
@@ -103,13 +103,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Setenv(name, "1")
-			_, _, _, err := load(t, t.TempDir(), named)
+			_, _, _, err := load(t, t.TempDir(), namedProcess)
 			require.ErrorContains(t, err, want)
 		})
 	}
 	t.Setenv("DANDELIONCTL_LOG", "another program's")
 	t.Setenv("DANDELION_CHECK", "true")
-	_, result, _, err := load(t, t.TempDir(), named)
+	_, result, _, err := load(t, t.TempDir(), namedProcess)
 	require.NoError(t, err)
 	require.True(t, result.Done)
 }
@@ -120,13 +120,13 @@
 	require.ErrorContains(t, err, "/nonexistent/x.ini")
 }
 
-func TestAnswers(t *testing.T) {
+func TestControlFlags(t *testing.T) {
 	for flag, want := range map[string]string{
 		"--check":   "settings are valid",
 		"--version": "dandelion-entry ",
 		"--help":    "waiting requests",
 	} {
-		_, result, out, err := load(t, t.TempDir(), named, flag)
+		_, result, out, err := load(t, t.TempDir(), namedProcess, flag)
 		require.NoError(t, err)
 		require.True(t, result.Done)
 		require.Contains(t, out, want)
@@ -134,7 +134,7 @@
 }
 
 func TestPrintConfig(t *testing.T) {
-	_, result, out, err := load(t, t.TempDir(), named+"[limits]\ntoken = hunter2\n", "--print-config", "--limits.queue=7")
+	_, result, out, err := load(t, t.TempDir(), namedProcess+"[limits]\ntoken = hunter2\n", "--print-config", "--limits.queue=7")
 	require.NoError(t, err)
 	require.True(t, result.Done)
 	require.Contains(t, out, "; flag --limits.queue\nqueue = 7\n")
@@ -150,7 +150,7 @@
 		text := rapid.StringMatching(`[a-z0-9 ;#=:%$(){}/\\,'-]{1,20}`)
 		region := strings.TrimSpace(text.Draw(t, "region"))
 		queue := rapid.IntRange(1, 100).Draw(t, "queue")
-		want, _, out, err := load(t, dir, named, "--print-config", "--process.region", region,
+		want, _, out, err := load(t, dir, namedProcess, "--print-config", "--process.region", region,
 			"--limits.queue", strconv.Itoa(queue))
 		require.NoError(t, err)
 		got, _, _, err := load(t, dir, out)
--- a/ctl/ctl.go
+++ b/ctl/ctl.go
@@ -104,7 +104,7 @@
 		})
 	}
 	if name := settings.UnknownEnv(environ, envPrefix, known); name != "" {
-		return usageError("unknown environment variable %s%s", name, settings.Nearest(name, known))
+		return usageError("unknown environment variable %s%s", name, settings.NearestHint(name, known))
 	}
 	return nil
 }
@@ -116,7 +116,7 @@
 		return ExitOK
 	case errors.As(err, &noExec):
 		if len(args) > 0 {
-			fmt.Fprintf(t.err, "%s: there is no command %q%s\n", programName, args[0], settings.Nearest(args[0], names(root)))
+			fmt.Fprintf(t.err, "%s: there is no command %q%s\n", programName, args[0], settings.NearestHint(args[0], names(root)))
 		}
 		fmt.Fprintln(t.err, ffcli.DefaultUsageFunc(root))
 	default: // the flag set has printed the mistake and the usage, ff's own errors it has not
