--- a/base/logs/async.go
+++ b/base/logs/async.go
@@ -6,23 +6,23 @@
 	"sync/atomic"
 )
 
-// asyncLines is how many lines wait for the sink before lines are dropped: a
+// maxQueuedLines is how many lines wait for the sink before lines are dropped: a
 // second of a busy process's lines.
-const asyncLines = 4096
+const maxQueuedLines = 4096
 
 // Async writes lines to a sink from a goroutine of its own. Write never waits:
 // a sink that does not take lines (a full pipe) would else hold up requests.
 // Lines that find no room are counted and dropped.
 type Async struct {
-	lines   chan []byte
-	done    chan struct{}
-	dropped atomic.Int64
-	closing sync.Once
+	lines     chan []byte
+	done      chan struct{}
+	dropped   atomic.Int64
+	closeOnce sync.Once
 }
 
 // NewAsync returns a writer to w.
 func NewAsync(w io.Writer) *Async {
-	a := &Async{lines: make(chan []byte, asyncLines), done: make(chan struct{})}
+	a := &Async{lines: make(chan []byte, maxQueuedLines), done: make(chan struct{})}
 	go a.run(w)
 	return a
 }
@@ -57,6 +57,6 @@
 
 // Close writes what waits and ends the goroutine. No Write may follow.
 func (a *Async) Close() {
-	a.closing.Do(func() { a.lines <- nil })
+	a.closeOnce.Do(func() { a.lines <- nil })
 	<-a.done
 }
--- a/base/logs/lines_test.go
+++ b/base/logs/lines_test.go
@@ -11,24 +11,24 @@
 	"github.com/stretchr/testify/require"
 )
 
-const maxLine = 110 // bytes of a message; what varies goes into fields
+const maxMessageBytes = 110 // bytes of a message; what varies goes into fields
 
-// line is a call of a logger with a literal message.
-var line = regexp.MustCompile(`(?:[lL]og|[lL]ogger|\bl)\.(?:Debug|Info|Warn|Error)\(\s*"((?:[^"\\]|\\.)*)"`)
+// loggerCall is a call of a logger with a literal message.
+var loggerCall = regexp.MustCompile(`(?:[lL]og|[lL]ogger|\bl)\.(?:Debug|Info|Warn|Error)\(\s*"((?:[^"\\]|\\.)*)"`)
 
 // Operators read all parts' lines together: each is one short sentence, and
 // what varies stands in fields, so that lines can be grouped and limited.
-func TestLinesAreSentences(t *testing.T) {
+func TestMessagesAreSentences(t *testing.T) {
 	for _, part := range []string{"agent", "base", "confsync", "entry"} {
 		require.NoError(t, filepath.WalkDir(filepath.Join("../..", part), func(path string, d fs.DirEntry, err error) error {
 			if err != nil || d.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 				return err
 			}
 			text, err := os.ReadFile(path)
-			for _, m := range line.FindAllSubmatch(text, -1) {
+			for _, m := range loggerCall.FindAllSubmatch(text, -1) {
 				message := string(m[1])
 				first := message[:min(1, len(message))]
-				if first != strings.ToUpper(first) || !strings.HasSuffix(message, ".") || len(message) > maxLine {
+				if first != strings.ToUpper(first) || !strings.HasSuffix(message, ".") || len(message) > maxMessageBytes {
 					t.Errorf("%s: %q is not a short sentence", path, message)
 				}
 			}
--- a/base/logs/logs.go
+++ b/base/logs/logs.go
@@ -14,9 +14,9 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// limitedFirst is how many lines of one message Limited lets through in an
+// linesPerInterval is how many lines of one message Limited lets through in an
 // interval.
-const limitedFirst = 1
+const linesPerInterval = 1
 
 // New returns a logger that writes JSON lines to standard error, each message
 // behind the part's prefix. An unknown level logs at info.
@@ -30,23 +30,23 @@
 	if err != nil {
 		lvl = zapcore.InfoLevel
 	}
-	core := zapcore.NewCore(terse{zapcore.NewJSONEncoder(encoding())}, w, lvl)
-	return zap.New(prefixed{core, part + ": "})
+	core := zapcore.NewCore(shortErrorEncoder{zapcore.NewJSONEncoder(encoderConfig())}, w, lvl)
+	return zap.New(prefixCore{core, part + ": "})
 }
 
 // Part returns a logger of a part within l's part: its prefix comes behind l's.
 func Part(l *zap.Logger, part string) *zap.Logger {
 	return l.WithOptions(zap.WrapCore(func(c zapcore.Core) zapcore.Core {
-		return prefixed{c, part + ": "}
+		return prefixCore{c, part + ": "}
 	}))
 }
 
 // Limited returns a logger that lets each distinct message through once per
 // interval. It is for lines under failure: a log outage would otherwise write
 // one line per retry on every VM.
-func Limited(l *zap.Logger, every time.Duration) *zap.Logger {
+func Limited(l *zap.Logger, interval time.Duration) *zap.Logger {
 	return l.WithOptions(zap.WrapCore(func(c zapcore.Core) zapcore.Core {
-		return zapcore.NewSamplerWithOptions(c, every, limitedFirst, 0)
+		return zapcore.NewSamplerWithOptions(c, interval, linesPerInterval, 0)
 	}))
 }
 
@@ -60,45 +60,45 @@
 	return zap.String("trace_id", sc.TraceID().String())
 }
 
-func encoding() zapcore.EncoderConfig {
+func encoderConfig() zapcore.EncoderConfig {
 	cfg := zap.NewProductionEncoderConfig()
 	cfg.EncodeTime = zapcore.ISO8601TimeEncoder
 	cfg.EncodeDuration = zapcore.StringDurationEncoder
 	return cfg
 }
 
-// terse writes an error as its message. Errors that format themselves in detail
+// shortErrorEncoder writes an error as its message. Errors that format themselves in detail
 // (juju/errors) would add the places they came through to each line, and a line
 // of a failed call would be four times as long under an outage.
-type terse struct{ zapcore.Encoder }
+type shortErrorEncoder struct{ zapcore.Encoder }
 
 // Clone implements zapcore.Encoder.
-func (t terse) Clone() zapcore.Encoder { return terse{t.Encoder.Clone()} }
+func (t shortErrorEncoder) Clone() zapcore.Encoder { return shortErrorEncoder{t.Encoder.Clone()} }
 
 // EncodeEntry implements zapcore.Encoder.
-func (t terse) EncodeEntry(e zapcore.Entry, fields []zapcore.Field) (*buffer.Buffer, error) {
-	short := make([]zapcore.Field, len(fields))
+func (t shortErrorEncoder) EncodeEntry(e zapcore.Entry, fields []zapcore.Field) (*buffer.Buffer, error) {
+	shortened := make([]zapcore.Field, len(fields))
 	for i, f := range fields {
 		if err, ok := f.Interface.(error); ok && f.Type == zapcore.ErrorType {
 			f = zap.String(f.Key, err.Error())
 		}
-		short[i] = f
+		shortened[i] = f
 	}
-	return t.Encoder.EncodeEntry(e, short)
+	return t.Encoder.EncodeEntry(e, shortened)
 }
 
-// prefixed puts a part's prefix before each message. It does so in Check and
+// prefixCore puts a part's prefix before each message. It does so in Check and
 // leaves the decision to the core below, which may be a sampler.
-type prefixed struct {
+type prefixCore struct {
 	zapcore.Core
 	prefix string
 }
 
-func (p prefixed) With(fields []zapcore.Field) zapcore.Core {
-	return prefixed{p.Core.With(fields), p.prefix}
+func (p prefixCore) With(fields []zapcore.Field) zapcore.Core {
+	return prefixCore{p.Core.With(fields), p.prefix}
 }
 
-func (p prefixed) Check(e zapcore.Entry, ce *zapcore.CheckedEntry) *zapcore.CheckedEntry {
+func (p prefixCore) Check(e zapcore.Entry, ce *zapcore.CheckedEntry) *zapcore.CheckedEntry {
 	if !p.Enabled(e.Level) {
 		return ce
 	}
--- a/base/logs/logs_test.go
+++ b/base/logs/logs_test.go
@@ -13,21 +13,21 @@
 	"go.uber.org/zap/zapcore"
 )
 
-type sink struct{ strings.Builder }
+type bufferSink struct{ strings.Builder }
 
-func (*sink) Sync() error { return nil }
+func (*bufferSink) Sync() error { return nil }
 
 // A call fails in an outage, again and again. Each line tells the error's message
 // and not the places that it came through.
-func TestErrorsAreTheirMessages(t *testing.T) {
-	var w sink
+func TestErrorFieldIsTheMessageOnly(t *testing.T) {
+	var w bufferSink
 	NewTo(&w, "agent", "info").Warn("Failed.", zap.Error(errors.Annotate(errors.New("refused"), "store")))
 	require.Contains(t, w.String(), `"error":"store: refused"`)
 	require.NotContains(t, w.String(), "errorVerbose")
 }
 
 func TestPrefix(t *testing.T) {
-	var w sink
+	var w bufferSink
 	l := NewTo(&w, "agent", "info")
 	l.Info("Started.")
 	once := Part(l.With(zap.String("key", "k1")), "once")
@@ -42,7 +42,7 @@
 // interval is written, and other messages still come through, also from parts
 // made of the limited logger.
 func TestLimited(t *testing.T) {
-	var w sink
+	var w bufferSink
 	l := Limited(NewTo(zapcore.Lock(&w), "confsync", "info"), time.Hour)
 	for range 100 {
 		l.Warn("The log is down.")
