--- a/base/run/client.go
+++ b/base/run/client.go
@@ -15,11 +15,11 @@
 // Limits of gRPC connections. grpc-go's own reconnect delay grows to two
 // minutes; a replaced VM must be reached within seconds.
 const (
-	reconnectBase = 200 * time.Millisecond
-	reconnectMax  = 3 * time.Second
-	reconnectGrow = 1.6
-	reconnectRand = 0.2
-	dialTimeout   = 2 * time.Second
+	reconnectBaseDelay  = 200 * time.Millisecond
+	reconnectMaxDelay   = 3 * time.Second
+	reconnectMultiplier = 1.6
+	reconnectJitter     = 0.2
+	dialTimeout         = 2 * time.Second
 )
 
 // NewClient returns a connection to another process at addr (IP:port). It
@@ -35,10 +35,10 @@
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageBytes)),
 		grpc.WithConnectParams(grpc.ConnectParams{
 			Backoff: backoff.Config{
-				BaseDelay:  reconnectBase,
-				Multiplier: reconnectGrow,
-				Jitter:     reconnectRand,
-				MaxDelay:   reconnectMax,
+				BaseDelay:  reconnectBaseDelay,
+				Multiplier: reconnectMultiplier,
+				Jitter:     reconnectJitter,
+				MaxDelay:   reconnectMaxDelay,
 			},
 			MinConnectTimeout: dialTimeout,
 		}),
--- a/base/run/daemon.go
+++ b/base/run/daemon.go
@@ -14,8 +14,8 @@
 // be right, 0 where they were only asked about (settings.Result.Done), else
 // that of Main.
 func Daemon[S any](name string, args []string, build func(context.Context, S) (*Process, error)) int {
-	hangups, ignore := catchHangups()
-	defer ignore()
+	hangups, stopHangups := notifyHangups()
+	defer stopHangups()
 	var set S
 	result, err := settings.Load(name, args, &set, os.Stdout)
 	if err != nil {
--- a/base/run/grpc.go
+++ b/base/run/grpc.go
@@ -24,9 +24,9 @@
 	maxMessageBytes  = 64 << 20 // exported KV caches are the largest messages
 	maxStreams       = 4096     // streams at once per connection
 	connectTimeout   = 5 * time.Second
-	// closeGrace is the time for replies that are being written. After the
+	// closeGracePeriod is the time for replies that are being written. After the
 	// drain only endless streams (Watch) are left.
-	closeGrace = time.Second
+	closeGracePeriod = time.Second
 )
 
 var (
@@ -38,10 +38,10 @@
 type GRPCServer struct {
 	*grpc.Server
 
-	addr string
-	once sync.Once
-	lis  net.Listener
-	err  error
+	addr       string
+	listenOnce sync.Once
+	listener   net.Listener
+	listenErr  error
 }
 
 // NewGRPC returns a server that will listen on addr (IP:port; port 0 picks
@@ -61,13 +61,13 @@
 
 // Listen binds the address; Start does it otherwise.
 func (s *GRPCServer) Listen() (net.Addr, error) {
-	s.once.Do(func() {
-		s.lis, s.err = net.Listen("tcp", s.addr)
+	s.listenOnce.Do(func() {
+		s.listener, s.listenErr = net.Listen("tcp", s.addr)
 	})
-	if s.err != nil {
-		return nil, errors.Annotatef(s.err, "gRPC listener %s", s.addr)
+	if s.listenErr != nil {
+		return nil, errors.Annotatef(s.listenErr, "gRPC listener %s", s.addr)
 	}
-	return s.lis.Addr(), nil
+	return s.listener.Addr(), nil
 }
 
 // Endpoint returns the listener's address; kratos binds through it before it
@@ -85,7 +85,7 @@
 	if _, err := s.Listen(); err != nil {
 		return err
 	}
-	if err := s.Serve(s.lis); err != nil && !errors.Is(err, grpc.ErrServerStopped) {
+	if err := s.Serve(s.listener); err != nil && !errors.Is(err, grpc.ErrServerStopped) {
 		return errors.Trace(err)
 	}
 	return nil
@@ -94,7 +94,7 @@
 // Stop lets running calls end for a short while and then closes what is left.
 // It comes after the drain, so that this cuts off no request.
 func (s *GRPCServer) Stop(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, closeGrace)
+	ctx, cancel := context.WithTimeout(ctx, closeGracePeriod)
 	defer cancel()
 	done := make(chan struct{})
 	go func() {
--- a/base/run/http.go
+++ b/base/run/http.go
@@ -29,7 +29,7 @@
 
 // SetReady says whether /readyz answers 200. Once the stop has begun it
 // answers 503 whatever is set here.
-func SetReady(is bool) { ready.Store(is) }
+func SetReady(isReady bool) { ready.Store(isReady) }
 
 // IsReady tells what /readyz answers.
 func IsReady() bool { return ready.Load() && !stopping.Load() }
@@ -53,7 +53,7 @@
 	srv.ErrorLog = errorLog()
 	srv.HandleFunc("/livez", livez)
 	srv.HandleFunc("/readyz", readyz)
-	srv.HandleFunc("/debug/vars", vars)
+	srv.HandleFunc("/debug/vars", writeMetrics)
 	return srv
 }
 
@@ -71,9 +71,9 @@
 	_, _ = w.Write([]byte("ok\n"))
 }
 
-// vars writes the metrics as expvar's own handler does, but for the command
+// writeMetrics writes the metrics as expvar's own handler does, but for the command
 // line: whoever may reach this listener need not see a secret given as a flag.
-func vars(w http.ResponseWriter, _ *http.Request) {
+func writeMetrics(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json; charset=utf-8")
 	sep := "{\n"
 	expvar.Do(func(kv expvar.KeyValue) {
--- a/base/run/http_test.go
+++ b/base/run/http_test.go
@@ -12,7 +12,7 @@
 
 // The metrics stand on the callers' listener. A setting given as a flag, which
 // may be a secret, must not stand among them.
-func TestMetricsHideTheCommandLine(t *testing.T) {
+func TestMetricsOmitTheCommandLine(t *testing.T) {
 	metrics.Counter("test_total").Add(3)
 	w := httptest.NewRecorder()
 	NewHTTP("127.0.0.1:0").ServeHTTP(w, httptest.NewRequest("GET", "/debug/vars", nil))
--- a/base/run/kratoslog.go
+++ b/base/run/kratoslog.go
@@ -12,14 +12,14 @@
 
 // Log implements kratos's log.Logger.
 func (k kratosLogger) Log(level klog.Level, keyvals ...any) error {
-	line := fmt.Sprint(keyvals...)
+	message := fmt.Sprint(keyvals...)
 	switch {
 	case level >= klog.LevelError:
-		k.l.Error(line)
+		k.l.Error(message)
 	case level == klog.LevelWarn:
-		k.l.Warn(line)
+		k.l.Warn(message)
 	default:
-		k.l.Debug(line)
+		k.l.Debug(message)
 	}
 	return nil
 }
--- a/base/run/reload.go
+++ b/base/run/reload.go
@@ -15,14 +15,14 @@
 	"dandelionsill.org/base/settings"
 )
 
-// reloadEvery is how often the settings file is looked at: it may change
+// checkInterval is how often the settings file is looked at: it may change
 // without a signal, and a reading of it costs microseconds.
-const reloadEvery = 2 * time.Second
+const checkInterval = 2 * time.Second
 
-// catchHangups keeps SIGHUP from ending the process, from its first moment on.
+// notifyHangups keeps SIGHUP from ending the process, from its first moment on.
 // A hang-up means that the settings file has changed; unhandled it kills the
 // process with every request in flight.
-func catchHangups() (<-chan os.Signal, func()) {
+func notifyHangups() (<-chan os.Signal, func()) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	return hangups, func() { signal.Stop(hangups) }
@@ -30,13 +30,13 @@
 
 // reloader reads a daemon's settings anew when they may have changed.
 type reloader[S any] struct {
-	name    string
-	args    []string
-	file    string
-	current S
-	stamp   time.Time // of the file as it was read last
-	process *Process
-	log     *zap.Logger
+	name         string
+	args         []string
+	file         string
+	current      S
+	lastModified time.Time // of the file as it was read last
+	process      *Process
+	log          *zap.Logger
 }
 
 func newReloader[S any](name string, args []string, file string, current S, p *Process) *reloader[S] {
@@ -45,13 +45,13 @@
 		log = logs.New(name, "info")
 	}
 	r := &reloader[S]{name: name, args: args, file: file, current: current, process: p, log: logs.Part(log, "settings")}
-	r.stamp, _ = r.modified()
+	r.lastModified, _ = r.fileModTime()
 	return r
 }
 
 // run looks at the file at each hang-up and every reloadEvery until ctx ends.
 func (r *reloader[S]) run(ctx context.Context, hangups <-chan os.Signal) {
-	tick := time.NewTicker(reloadEvery)
+	tick := time.NewTicker(checkInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -60,15 +60,15 @@
 		case <-hangups:
 			r.reload("hang-up")
 		case <-tick.C:
-			if stamp, ok := r.modified(); ok && !stamp.Equal(r.stamp) {
-				r.stamp = stamp
+			if modTime, ok := r.fileModTime(); ok && !modTime.Equal(r.lastModified) {
+				r.lastModified = modTime
 				r.reload("file changed")
 			}
 		}
 	}
 }
 
-func (r *reloader[S]) modified() (time.Time, bool) {
+func (r *reloader[S]) fileModTime() (time.Time, bool) {
 	if r.file == "" {
 		return time.Time{}, false
 	}
@@ -81,18 +81,18 @@
 
 // reload takes new settings over; ones that can't be right change nothing.
 func (r *reloader[S]) reload(why string) {
-	names, next, err := r.load()
+	changed, next, err := r.load()
 	switch {
 	case err != nil:
 		r.log.Error("Settings can't be read and stay as they are.", zap.String("why", why), zap.Error(err))
-	case len(names) == 0:
+	case len(changed) == 0:
 		r.log.Info("Settings are unchanged.", zap.String("why", why))
 	case r.process.Reload == nil:
-		r.log.Warn("Changed settings are in force after a restart only.", zap.String("why", why), zap.Strings("changed", names))
+		r.log.Warn("Changed settings are in force after a restart only.", zap.String("why", why), zap.Strings("changed", changed))
 	default:
 		r.current = next
-		left := r.process.Reload(&next, names)
-		r.log.Info("Settings reloaded.", zap.String("why", why), zap.Strings("changed", names), zap.Strings("after_restart", left))
+		afterRestart := r.process.Reload(&next, changed)
+		r.log.Info("Settings reloaded.", zap.String("why", why), zap.Strings("changed", changed), zap.Strings("after_restart", afterRestart))
 	}
 }
 
@@ -101,6 +101,6 @@
 	if _, err := settings.Load(r.name, r.args, &next, io.Discard); err != nil {
 		return nil, next, errors.Trace(err)
 	}
-	names, err := settings.Changed(&r.current, &next)
-	return names, next, errors.Trace(err)
+	changed, err := settings.Changed(&r.current, &next)
+	return changed, next, errors.Trace(err)
 }
--- a/base/run/reload_test.go
+++ b/base/run/reload_test.go
@@ -17,13 +17,13 @@
 	Name string `ini:"process.name" default:"n"`
 }
 
-func settingsFile(t *testing.T, text string) string {
+func writeSettings(t *testing.T, text string) string {
 	path := filepath.Join(t.TempDir(), "settings.ini")
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 	return path
 }
 
-func reloaderOf(t *testing.T, path string, p *Process) (*reloader[reloadSettings], *observer.ObservedLogs) {
+func newTestReloader(t *testing.T, path string, p *Process) (*reloader[reloadSettings], *observer.ObservedLogs) {
 	core, lines := observer.New(zap.InfoLevel)
 	p.Logger = zap.New(core)
 	return newReloader("test", []string{"--config", path}, path, reloadSettings{Addr: "a", Name: "n"}, p), lines
@@ -32,30 +32,30 @@
 // The platform changes the settings file and sends a hang-up, which would end
 // a process without a handler together with its requests in flight.
 func TestHangupReloadsSettings(t *testing.T) {
-	hangups, ignore := catchHangups()
-	defer ignore()
-	path := settingsFile(t, "[store]\naddress = b\n")
-	took := make(chan []string, 1)
+	hangups, stopHangups := notifyHangups()
+	defer stopHangups()
+	path := writeSettings(t, "[store]\naddress = b\n")
+	reloaded := make(chan []string, 1)
 	p := &Process{Reload: func(next any, changed []string) []string {
 		require.Equal(t, "b", next.(*reloadSettings).Addr)
-		took <- changed
+		reloaded <- changed
 		return nil
 	}}
-	r, _ := reloaderOf(t, path, p)
+	r, _ := newTestReloader(t, path, p)
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() { defer close(done); r.run(ctx, hangups) }()
 	require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP))
-	require.Equal(t, []string{"store.address"}, <-took)
+	require.Equal(t, []string{"store.address"}, <-reloaded)
 	cancel()
 	<-done
 }
 
 // Settings that can't be right change nothing and are told.
-func TestBadSettingsStayOut(t *testing.T) {
-	path := settingsFile(t, "[store]\nadress = b\n")
+func TestInvalidSettingsAreNotApplied(t *testing.T) {
+	path := writeSettings(t, "[store]\nadress = b\n")
 	p := &Process{Reload: func(any, []string) []string { t.Fatal("reloaded"); return nil }}
-	r, lines := reloaderOf(t, path, p)
+	r, lines := newTestReloader(t, path, p)
 	r.reload("hang-up")
 	require.Equal(t, 1, lines.FilterMessage("settings: Settings can't be read and stay as they are.").Len())
 	require.NoError(t, os.WriteFile(path, nil, 0o600))
@@ -64,8 +64,8 @@
 }
 
 // A process that can't take new settings over says so.
-func TestSettingsThatWaitForARestartAreNamed(t *testing.T) {
-	r, lines := reloaderOf(t, settingsFile(t, "[process]\nname = other\n"), &Process{})
+func TestSettingsThatNeedARestartAreLogged(t *testing.T) {
+	r, lines := newTestReloader(t, writeSettings(t, "[process]\nname = other\n"), &Process{})
 	r.reload("hang-up")
 	require.Equal(t, 1, lines.FilterMessage("settings: Changed settings are in force after a restart only.").Len())
 }
--- a/base/run/run.go
+++ b/base/run/run.go
@@ -75,7 +75,7 @@
 	defer signal.Stop(signals)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	process, err := setUp(ctx, cancel, signals, setup)
+	process, err := runSetup(ctx, cancel, signals, setup)
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "%s: %v\n", name, err)
 		return exitFailed
@@ -100,11 +100,11 @@
 	return exitOK
 }
 
-// setUp runs setup and cancels ctx when a signal comes meanwhile.
-func setUp(ctx context.Context, cancel func(), signals <-chan os.Signal, setup func(context.Context) (*Process, error)) (*Process, error) {
+// runSetup runs setup and cancels ctx when a signal comes meanwhile.
+func runSetup(ctx context.Context, cancel func(), signals <-chan os.Signal, setup func(context.Context) (*Process, error)) (*Process, error) {
 	done := make(chan struct{})
-	var watching sync.WaitGroup
-	watching.Go(func() {
+	var watcher sync.WaitGroup
+	watcher.Go(func() {
 		select {
 		case <-signals:
 			cancel()
@@ -113,17 +113,17 @@
 	})
 	process, err := setup(ctx)
 	close(done)
-	watching.Wait()
+	watcher.Wait()
 	return process, err
 }
 
 // lifecycle is one run of a Process.
 type lifecycle struct {
-	process  *Process
-	log      *zap.Logger
-	app      *kratos.App
-	draining sync.Once // our signal handler and kratos's may both stop the app
-	drainErr error
+	process   *Process
+	log       *zap.Logger
+	app       *kratos.App
+	drainOnce sync.Once // our signal handler and kratos's may both stop the app
+	drainErr  error
 }
 
 func newLifecycle(name string, p *Process) *lifecycle {
@@ -140,7 +140,7 @@
 		kratos.StopTimeout(stopTimeout),
 		kratos.AfterStart(l.started),
 		kratos.BeforeStop(func(context.Context) error {
-			l.draining.Do(l.drain)
+			l.drainOnce.Do(l.drain)
 			return nil
 		}),
 	)
@@ -150,8 +150,8 @@
 // run blocks until the app has stopped.
 func (l *lifecycle) run(signals <-chan os.Signal) error {
 	done := make(chan struct{})
-	var watching sync.WaitGroup
-	watching.Go(func() {
+	var watcher sync.WaitGroup
+	watcher.Go(func() {
 		select {
 		case <-signals:
 			_ = l.app.Stop() // drain's error is kept in l
@@ -160,7 +160,7 @@
 	})
 	err := l.app.Run()
 	close(done)
-	watching.Wait()
+	watcher.Wait()
 	if err != nil {
 		return errors.Trace(err)
 	}
@@ -194,8 +194,8 @@
 	}
 }
 
-func (l *lifecycle) setReady(is bool) {
+func (l *lifecycle) setReady(isReady bool) {
 	if l.process.Ready != nil {
-		l.process.Ready(is)
+		l.process.Ready(isReady)
 	}
 }
--- a/base/run/run_test.go
+++ b/base/run/run_test.go
@@ -21,34 +21,34 @@
 	goleak.VerifyTestMain(m, goleak.IgnoreAnyFunction("os/signal.loop"))
 }
 
-// begin gives each test a process of its own: the stop is never taken back
+// resetReadiness gives each test a process of its own: the stop is never taken back
 // within one.
-func begin(t *testing.T) {
+func resetReadiness(t *testing.T) {
 	ready.Store(false)
 	stopping.Store(false)
 	t.Cleanup(http.DefaultClient.CloseIdleConnections)
 }
 
-func get(t *testing.T, url string) int {
+func getStatus(t *testing.T, url string) int {
 	resp, err := http.Get(url)
 	require.NoError(t, err)
 	require.NoError(t, resp.Body.Close())
 	return resp.StatusCode
 }
 
-// slowAgent holds Explain until told and streams Watch for ever.
-type slowAgent struct {
+// blockingAgent holds Explain until told and streams Watch for ever.
+type blockingAgent struct {
 	pb.UnimplementedAgentServer
 	entered, release chan struct{}
 }
 
-func (a slowAgent) Explain(context.Context, *pb.ExplainRequest) (*pb.ExplainReply, error) {
+func (a blockingAgent) Explain(context.Context, *pb.ExplainRequest) (*pb.ExplainReply, error) {
 	close(a.entered)
 	<-a.release
 	return &pb.ExplainReply{}, nil
 }
 
-func (a slowAgent) Watch(_ *pb.WatchRequest, stream pb.Agent_WatchServer) error {
+func (a blockingAgent) Watch(_ *pb.WatchRequest, stream pb.Agent_WatchServer) error {
 	_ = stream.Send(&pb.AgentState{})
 	<-stream.Context().Done()
 	return nil
@@ -60,8 +60,8 @@
 // endless stream doesn't hold the stop up; what runs beside the servers ends
 // before Close returns; the exit code is 0.
 func TestStopDrainsFirst(t *testing.T) {
-	begin(t)
-	agent := slowAgent{entered: make(chan struct{}), release: make(chan struct{})}
+	resetReadiness(t)
+	agent := blockingAgent{entered: make(chan struct{}), release: make(chan struct{})}
 	grpcServer, httpServer := NewGRPC("127.0.0.1:0"), NewHTTP("127.0.0.1:0")
 	pb.RegisterAgentServer(grpcServer, agent)
 	started, drained := make(chan struct{}), make(chan struct{})
@@ -72,9 +72,9 @@
 			return &Process{
 				Servers: []transport.Server{grpcServer, httpServer},
 				Logger:  zap.NewNop(),
-				Ready: func(is bool) {
-					SetReady(is)
-					if is {
+				Ready: func(isReady bool) {
+					SetReady(isReady)
+					if isReady {
 						close(started)
 						return
 					}
@@ -95,9 +95,9 @@
 	<-started
 	endpoint, err := httpServer.Endpoint()
 	require.NoError(t, err)
-	require.Equal(t, http.StatusOK, get(t, endpoint.String()+"/readyz"))
-	require.Equal(t, http.StatusOK, get(t, endpoint.String()+"/debug/vars"))
-	require.Equal(t, http.StatusNotFound, get(t, endpoint.String()+"/nothing"))
+	require.Equal(t, http.StatusOK, getStatus(t, endpoint.String()+"/readyz"))
+	require.Equal(t, http.StatusOK, getStatus(t, endpoint.String()+"/debug/vars"))
+	require.Equal(t, http.StatusNotFound, getStatus(t, endpoint.String()+"/nothing"))
 
 	addr, err := grpcServer.Listen()
 	require.NoError(t, err)
@@ -117,8 +117,8 @@
 	<-agent.entered
 
 	require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGTERM))
-	require.Eventually(t, func() bool { return get(t, endpoint.String()+"/readyz") == http.StatusServiceUnavailable }, 10*time.Second, time.Millisecond)
-	require.Equal(t, http.StatusOK, get(t, endpoint.String()+"/livez"))
+	require.Eventually(t, func() bool { return getStatus(t, endpoint.String()+"/readyz") == http.StatusServiceUnavailable }, 10*time.Second, time.Millisecond)
+	require.Equal(t, http.StatusOK, getStatus(t, endpoint.String()+"/livez"))
 	close(agent.release)
 	require.NoError(t, <-answered)
 	close(drained)
@@ -130,15 +130,15 @@
 
 // A request doesn't end within the drain timeout: the process stops all the
 // same, and its exit code tells the operator that something was cut off.
-func TestDrainTimeoutFailsTheExit(t *testing.T) {
-	begin(t)
+func TestDrainTimeoutReturnsFailure(t *testing.T) {
+	resetReadiness(t)
 	code := Main("test", func(context.Context) (*Process, error) {
 		return &Process{
 			Servers:      []transport.Server{NewHTTP("127.0.0.1:0")},
 			Logger:       zap.NewNop(),
 			DrainTimeout: time.Millisecond,
-			Ready: func(is bool) {
-				if is {
+			Ready: func(isReady bool) {
+				if isReady {
 					require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGTERM))
 				}
 			},
@@ -154,7 +154,7 @@
 // A port is taken or the settings are wrong: the process ends with an error
 // instead of running without a listener.
 func TestFailedStart(t *testing.T) {
-	begin(t)
+	resetReadiness(t)
 	code := Main("test", func(ctx context.Context) (*Process, error) {
 		require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGTERM))
 		<-ctx.Done() // setup waits for a platform that is down; SIGTERM ends the wait
@@ -164,7 +164,7 @@
 	taken := NewGRPC("127.0.0.1:0")
 	addr, err := taken.Listen()
 	require.NoError(t, err)
-	defer taken.lis.Close()
+	defer taken.listener.Close()
 	require.Equal(t, exitFailed, Main("test", func(context.Context) (*Process, error) {
 		return &Process{Servers: []transport.Server{NewGRPC(addr.String())}, Logger: zap.NewNop()}, nil
 	}))
@@ -177,7 +177,7 @@
 // exit code. Its Close waits for a goroutine that ends with setup's ctx; with
 // the ctx cancelled only after Close, the process hangs for ever.
 func TestCloseMayWaitForSetupsContext(t *testing.T) {
-	begin(t)
+	resetReadiness(t)
 	code := make(chan int)
 	go func() {
 		code <- Main("test", func(ctx context.Context) (*Process, error) {
@@ -189,8 +189,8 @@
 			return &Process{
 				Servers: []transport.Server{NewHTTP("127.0.0.1:0")},
 				Logger:  zap.NewNop(),
-				Ready: func(is bool) {
-					if is {
+				Ready: func(isReady bool) {
+					if isReady {
 						_ = syscall.Kill(os.Getpid(), syscall.SIGTERM)
 					}
 				},
