--- a/kinds/kinds.go
+++ b/kinds/kinds.go
@@ -1,12 +1,12 @@
-// Package kinds is the one closed list of error kinds, with the table from a
-// kind to what a caller is told: HTTP status, gRPC code, whether the request
-// is proven not to have run, and who may retry it.
+// Package kinds defines the closed list of error kinds and, for each kind, the
+// answer to the caller: HTTP status, gRPC code, whether the request is proven
+// not to have run, and who may retry it.
 //
-// The promise behind it: when a request is refused as "not run", it truly did
-// not run. The compiler carries most of it. A kind that says "not run" has the
-// type NotRunKind, and an error of such a kind is made only by a *Held (the
-// code still holds the unsent request) or decoded from the refusal of an agent
-// that had one. New takes a Kind and so cannot make the claim.
+// The package guarantees that a request refused as "not run" did not run. Most
+// of this is checked by the compiler: a kind that claims "not run" has the type
+// NotRunKind, and an error of such a kind is created only by a *Held (the code
+// still holds the unsent request) or decoded from the refusal of an agent that
+// had one. New takes a Kind and therefore cannot make the claim.
 package kinds
 
 import (
@@ -18,28 +18,28 @@
 	"google.golang.org/grpc/codes"
 )
 
-// Kind names a kind of error that makes no claim of "not run".
+// Kind is the name of an error kind that does not claim "not run".
 type Kind string
 
-// NotRunKind names a kind of error that says "not run".
+// NotRunKind is the name of an error kind that claims "not run".
 type NotRunKind string
 
-// Kinds without the claim.
+// Kinds that do not claim "not run".
 const (
 	// OutcomeUnknown: the request was sent and its answer was lost; it may
-	// have run. Never retried by us.
+	// have run. Our processes never retry it.
 	OutcomeUnknown Kind = "outcome_unknown"
 	// BackendFailed: an idempotent request failed on every server tried.
 	BackendFailed Kind = "backend_failed"
-	// DeadlineExceeded: an idempotent request ran out of time after it was sent.
+	// DeadlineExceeded: the deadline of an idempotent request passed after it was sent.
 	DeadlineExceeded Kind = "deadline_exceeded"
 	// SampleDiscarded: the sample's label or freshness could not be proved.
 	SampleDiscarded Kind = "sample_discarded"
-	// Superseded: a newer owner of the step has been seen.
+	// Superseded: the step has a newer owner.
 	Superseded Kind = "superseded"
-	// Cancelled: the caller went away or cancelled.
+	// Cancelled: the caller cancelled or disconnected.
 	Cancelled Kind = "cancelled"
-	// Internal: a fault of ours.
+	// Internal: a fault in our own processes.
 	Internal Kind = "internal"
 )
 
@@ -50,28 +50,28 @@
 	Forbidden        NotRunKind = "forbidden"
 	NotFound         NotRunKind = "not_found"
 	TooLarge         NotRunKind = "too_large"
-	KeyReused        NotRunKind = "key_reused"         // same idempotency key, other request
-	KeyTooOld        NotRunKind = "key_too_old"        // key issued before the window; this try did not run, an earlier one may have
+	KeyReused        NotRunKind = "key_reused"         // same idempotency key, different request
+	KeyTooOld        NotRunKind = "key_too_old"        // key issued before the window; this attempt did not run, an earlier one may have
 	ClaimedElsewhere NotRunKind = "claimed_elsewhere"  // another live agent owns the key
-	RateLimited      NotRunKind = "rate_limited"       // the caller's own limit
+	RateLimited      NotRunKind = "rate_limited"       // above the caller's own limit
 	Overloaded       NotRunKind = "overloaded"         // queues are full
-	DeadlineTooShort NotRunKind = "deadline_too_short" // can't be met; refused before queueing
-	Leaving          NotRunKind = "leaving"            // the server takes no new work
-	NoServer         NotRunKind = "no_server"          // nobody ready serves this now
+	DeadlineTooShort NotRunKind = "deadline_too_short" // the deadline can't be met; refused before queueing
+	Leaving          NotRunKind = "leaving"            // the server accepts no new work
+	NoServer         NotRunKind = "no_server"          // no ready server serves this now
 	StaleWeights     NotRunKind = "stale_weights"      // no server is fresh enough yet
 	LogUnavailable   NotRunKind = "log_unavailable"    // a claim can't be written now
-	RevisionConflict NotRunKind = "revision_conflict"  // a commit lost the race
+	RevisionConflict NotRunKind = "revision_conflict"  // another commit came first
 	NotReady         NotRunKind = "not_ready"          // the process is starting
-	Quarantined      NotRunKind = "quarantined"        // each server that runs it crashes
+	Quarantined      NotRunKind = "quarantined"        // each server that runs the request crashes
 )
 
-// Retrier may repeat a refused or failed request.
+// Retrier is the party that may repeat a refused or failed request.
 type Retrier uint8
 
 const (
-	// NoRetry: a repeat would fail alike.
+	// NoRetry: a repeat would fail in the same way.
 	NoRetry Retrier = iota
-	// Entry: the entry itself goes to another backend server.
+	// Entry: the entry itself retries on another backend server.
 	Entry
 	// Caller: the caller, after Retry-After.
 	Caller
@@ -79,13 +79,13 @@
 	CallerSameKey
 )
 
-// Answer is a row of the table: what an error of a kind tells the caller.
+// Answer is a row of the table: the answer to the caller for errors of one kind.
 type Answer struct {
 	HTTP   int
 	GRPC   codes.Code
 	NotRun bool
 	Retry  Retrier
-	// RetryAfter is the advice when the error itself carries none; 0: no header.
+	// RetryAfter is used when the error itself carries none; 0: no Retry-After header.
 	RetryAfter time.Duration
 }
 
@@ -118,7 +118,7 @@
 	string(Quarantined):      {http.StatusServiceUnavailable, codes.FailedPrecondition, true, NoRetry, time.Hour},
 }
 
-// All returns the names of every kind.
+// All returns the names of all kinds, in no particular order.
 func All() []string {
 	names := make([]string, 0, len(table))
 	for name := range table {
@@ -127,8 +127,8 @@
 	return names
 }
 
-// Error is an error of one kind. Its fields are private so that NotRun can't
-// be set by hand.
+// Error is an error of one kind. Its fields are unexported so that other
+// packages can't set notRun.
 type Error struct {
 	kind       string
 	msg        string
@@ -139,7 +139,7 @@
 	cause      error
 }
 
-// New makes an error that does not claim "not run".
+// New returns an error that does not claim "not run".
 func New(kind Kind, format string, args ...any) *Error {
 	return &Error{kind: string(kind), msg: fmt.Sprintf(format, args...)}
 }
@@ -157,34 +157,35 @@
 // Kind returns the kind's name.
 func (e *Error) Kind() string { return e.kind }
 
-// Message returns the text without the kind.
+// Message returns the text without the kind and the cause.
 func (e *Error) Message() string { return e.msg }
 
-// NotRun tells whether the request is proven not to have run.
+// NotRun reports whether the request is proven not to have run.
 func (e *Error) NotRun() bool { return e.notRun }
 
-// Holder names the agent that owns the idempotency key (ClaimedElsewhere).
+// Holder returns the name of the agent that owns the idempotency key (ClaimedElsewhere).
 func (e *Error) Holder() string { return e.holder }
 
-// WithCause returns a copy with a cause.
+// WithCause returns a copy whose cause is err.
 func (e *Error) WithCause(err error) *Error { c := *e; c.cause = err; return &c }
 
-// WithRetryAfter returns a copy that tells when to come back.
+// WithRetryAfter returns a copy that asks the caller to wait d before a retry.
 func (e *Error) WithRetryAfter(d time.Duration) *Error { c := *e; c.retryAfter = d; return &c }
 
-// EndedServer names the start of the backend server that ended under the request; empty:
-// none is known to have.
+// EndedServer returns the incarnation of the backend server that ended while it ran
+// the request; "" if none is known to have ended.
 func (e *Error) EndedServer() string { return e.ended }
 
-// WithEndedServer returns a copy that names the start of a backend server which ended under
-// the request.
+// WithEndedServer returns a copy with the incarnation of a backend server that ended
+// while it ran the request.
 func (e *Error) WithEndedServer(server string) *Error { c := *e; c.ended = server; return &c }
 
 // WithHolder returns a copy that names the key's owner.
 func (e *Error) WithHolder(name string) *Error { c := *e; c.holder = name; return &c }
 
-// Answer returns the table's row; an unknown kind (from a newer process)
-// answers as Internal but keeps its own NotRun.
+// Answer returns the table's row for the error's kind. An unknown kind (from a
+// newer process) gets the row of Internal. NotRun, and RetryAfter if set, are
+// taken from the error itself.
 func (e *Error) Answer() Answer {
 	a, ok := table[e.kind]
 	if !ok {
@@ -197,13 +198,13 @@
 	return a
 }
 
-// Is makes errors.Is(err, kinds.Overloaded-like sentinel) work by kind.
+// Is reports whether target is an *Error of the same kind; it serves errors.Is.
 func (e *Error) Is(target error) bool {
 	t, ok := target.(*Error)
 	return ok && t.kind == e.kind
 }
 
-// Of returns err's kind name, or "" when it has none.
+// Of returns the name of err's kind, or "" if err's chain has no *Error.
 func Of(err error) string {
 	if e, ok := As(err); ok {
 		return e.kind
@@ -211,38 +212,38 @@
 	return ""
 }
 
-// As finds the *Error in err's chain.
+// As returns the first *Error in err's chain.
 func As(err error) (*Error, bool) {
 	var e *Error
 	ok := errors.As(err, &e)
 	return e, ok
 }
 
-// Held is proof that the holder still has a request of which no byte went on.
-// It is not safe for concurrent use: it belongs to the one goroutine that
-// handles the request.
+// Held is the proof that no byte of a request has been sent to the next hop. It
+// is not safe for concurrent use: it belongs to the one goroutine that handles
+// the request.
 type Held struct{ sent bool }
 
-// Hold starts the custody of one request, before any byte of it goes on.
+// Hold returns the proof for one request of which nothing has been sent yet.
 func Hold() *Held { return &Held{} }
 
-// MarkSent gives the proof up. It is called before the first byte goes on, not
-// after: a failure in between then answers "outcome unknown", never a false
-// "not run".
+// MarkSent gives up the proof. It must be called before the first byte is sent,
+// not after: a failure in between is then answered with OutcomeUnknown, never
+// with a false "not run".
 func (h *Held) MarkSent() { h.sent = true }
 
-// Sent tells whether the proof was given up.
+// Sent reports whether the proof was given up.
 func (h *Held) Sent() bool { return h.sent }
 
-// RestoreProof takes the proof back after the next hop itself proved "not run".
+// RestoreProof restores the proof if the next hop's error proves "not run".
 func (h *Held) RestoreProof(proof *Error) {
 	if proof != nil && proof.notRun {
 		h.sent = false
 	}
 }
 
-// Refuse makes a "not run" error. Where the proof was given up it makes
-// OutcomeUnknown instead: the table can't be made to lie by a late refusal.
+// Refuse returns a "not run" error of the given kind. If the proof was given up
+// it returns OutcomeUnknown instead, so that a late refusal can't claim "not run".
 func (h *Held) Refuse(kind NotRunKind, format string, args ...any) *Error {
 	if h.sent {
 		return New(OutcomeUnknown, "%s after the request was sent: %s", kind, fmt.Sprintf(format, args...))
@@ -257,7 +258,8 @@
 	RetryAfter                   time.Duration
 }
 
-// ToWire returns the wire form of err; any other error becomes Internal.
+// ToWire returns the wire form of the *Error in err's chain; an err without one
+// becomes Internal.
 func ToWire(err error) Refusal {
 	e, ok := As(err)
 	if !ok {
@@ -266,7 +268,8 @@
 	return Refusal{Kind: e.kind, Message: e.Error()[len(e.kind)+2:], Holder: e.holder, Ended: e.ended, NotRun: e.notRun, RetryAfter: e.retryAfter}
 }
 
-// FromWire decodes a refusal of the next hop. NotRun is that hop's proof.
+// FromWire decodes a refusal of the next hop. NotRun is taken from that hop, which
+// had the proof.
 func FromWire(r Refusal) *Error {
 	return &Error{kind: r.Kind, msg: r.Message, holder: r.Holder, ended: r.Ended, notRun: r.NotRun, retryAfter: r.RetryAfter}
 }
--- a/kinds/kinds_test.go
+++ b/kinds/kinds_test.go
@@ -12,10 +12,10 @@
 	"pgregory.net/rapid"
 )
 
-// A refusal made after the request went on would tell the caller "not run"
-// about a request that may have run; the caller repeats it and an order is
-// doubled. Whatever the order of Send, Return and Refuse, only an unsent
-// request can be refused with the claim.
+// Guards against a false "not run" claim: a request refused after it was sent
+// may have run, and a caller that repeats it would, for example, double an order.
+// In any order of MarkSent, RestoreProof and Refuse, only an unsent request can be
+// refused with the claim.
 func TestRefuseClaimsNotRunOnlyWhileUnsent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := Hold()
@@ -39,8 +39,8 @@
 	})
 }
 
-// The claim "not run" by a plain constructor must not compile: that is the
-// promise of the two kind types.
+// New must not accept a NotRunKind, nor Refuse a Kind: the two types make the
+// compiler reject such calls.
 func TestFalseNotRunClaimDoesNotCompile(t *testing.T) {
 	for src, ok := range map[string]bool{
 		`package kinds; var e = New(OutcomeUnknown, "x")`:      true,
@@ -52,8 +52,8 @@
 	}
 }
 
-// compiles type-checks src as a further file of this package and tells
-// whether src itself has an error.
+// compiles type-checks src as an additional file of this package and reports
+// whether src itself is free of errors.
 func compiles(t *testing.T, src string) bool {
 	t.Helper()
 	fset := token.NewFileSet()
@@ -74,8 +74,8 @@
 	return ok
 }
 
-// codesStubImporter stubs the one import outside the standard library; the errors this
-// causes in kinds.go itself don't count.
+// codesStubImporter replaces the one import outside the standard library by an empty
+// package; the errors that this causes in kinds.go itself are ignored.
 type codesStubImporter struct{ types.Importer }
 
 func (s codesStubImporter) Import(path string) (*types.Package, error) {
@@ -98,7 +98,7 @@
 		require.True(t, a.NotRun, k)
 		require.True(t, table[string(k)].NotRun, k)
 		if a.Retry == Caller {
-			require.Positive(t, a.RetryAfter, "%s: a caller that may come back is told when", k)
+			require.Positive(t, a.RetryAfter, "%s: a caller that may retry needs a Retry-After", k)
 		}
 	}
 	for _, k := range others {
@@ -109,8 +109,8 @@
 	require.Equal(t, CallerSameKey, New(OutcomeUnknown, "x").Answer().Retry)
 }
 
-// A newer process may send a kind that this build does not know: the caller
-// gets an internal error, and the hop's proof is neither lost nor invented.
+// A newer process may send a kind that this build does not know. The caller must
+// get an internal error, and NotRun must stay as the hop sent it.
 func TestWireRoundTrip(t *testing.T) {
 	for _, notRun := range []bool{true, false} {
 		e := FromWire(Refusal{Kind: "from_the_future", Message: "m", NotRun: notRun, Holder: "h"})
--- a/wire/refusal/refusal.go
+++ b/wire/refusal/refusal.go
@@ -1,5 +1,5 @@
-// Package refusal turns errors into the message that carries them between our
-// processes, and back.
+// Package refusal converts errors to and from the protobuf message that carries
+// them between our processes.
 package refusal
 
 import (
@@ -9,7 +9,7 @@
 	"dandelionsill.org/wire/pb"
 )
 
-// Encode returns the message of an error.
+// Encode returns the message for err.
 func Encode(err *kinds.Error) *pb.Refusal {
 	w := kinds.ToWire(err)
 	return &pb.Refusal{
@@ -18,7 +18,7 @@
 	}
 }
 
-// Decode returns the error of a message.
+// Decode returns the error that r carries.
 func Decode(r *pb.Refusal) *kinds.Error {
 	return kinds.FromWire(kinds.Refusal{
 		Kind: r.GetKind(), Message: r.GetMessage(), NotRun: r.GetNotRun(),
