--- a/base/trace/grpc.go
+++ b/base/trace/grpc.go
@@ -14,10 +14,10 @@
 
 const grpcTracer = "grpc"
 
-// metadataCarrier puts the trace context into gRPC metadata.
+// metadataCarrier implements propagation.TextMapCarrier on gRPC metadata.
 type metadataCarrier metadata.MD
 
-// Get returns the first value of a key.
+// Get returns the first value of key, or "".
 func (c metadataCarrier) Get(key string) string {
 	if values := metadata.MD(c).Get(key); len(values) > 0 {
 		return values[0]
@@ -25,10 +25,10 @@
 	return ""
 }
 
-// Set replaces a key's values.
+// Set replaces the values of key.
 func (c metadataCarrier) Set(key, value string) { metadata.MD(c).Set(key, value) }
 
-// Keys lists the keys.
+// Keys returns all keys, in no particular order.
 func (c metadataCarrier) Keys() []string {
 	keys := make([]string, 0, len(c))
 	for key := range c {
@@ -37,7 +37,8 @@
 	return keys
 }
 
-// UnaryClient starts a client span for a unary call and sends its context.
+// UnaryClient is a client interceptor that starts a span for a unary call and
+// sends the span's context to the server.
 func UnaryClient(ctx context.Context, method string, req, reply any, cc *grpc.ClientConn, invoker grpc.UnaryInvoker, opts ...grpc.CallOption) error {
 	ctx, span := startClient(ctx, method)
 	err := invoker(ctx, method, req, reply, cc, opts...)
@@ -45,7 +46,8 @@
 	return err
 }
 
-// StreamClient starts a client span that lasts until the stream ends.
+// StreamClient is a client interceptor that starts a span which lasts until the
+// stream or ctx ends.
 func StreamClient(ctx context.Context, desc *grpc.StreamDesc, cc *grpc.ClientConn, method string, streamer grpc.Streamer, opts ...grpc.CallOption) (grpc.ClientStream, error) {
 	ctx, span := startClient(ctx, method)
 	stream, err := streamer(ctx, desc, cc, method, opts...)
@@ -54,12 +56,13 @@
 		return nil, err
 	}
 	traced := &clientStream{ClientStream: stream, span: span, singleReply: !desc.ServerStreams}
-	// A caller that gives the stream up cancels ctx without reading to the end.
+	// A caller that abandons the stream cancels ctx without reading to the end.
 	traced.stopAfterFunc = context.AfterFunc(ctx, func() { traced.end(ctx.Err()) })
 	return traced, nil
 }
 
-// UnaryServer continues the caller's trace with a server span.
+// UnaryServer is a server interceptor that continues the client's trace with a
+// server span.
 func UnaryServer(ctx context.Context, req any, info *grpc.UnaryServerInfo, handler grpc.UnaryHandler) (any, error) {
 	ctx, span := startServer(ctx, info.FullMethod)
 	reply, err := handler(ctx, req)
@@ -67,8 +70,8 @@
 	return reply, err
 }
 
-// StreamServer continues the caller's trace with a server span that lasts as
-// long as the handler.
+// StreamServer is a server interceptor that continues the client's trace with a
+// server span, which lasts as long as the handler.
 func StreamServer(srv any, stream grpc.ServerStream, info *grpc.StreamServerInfo, handler grpc.StreamHandler) error {
 	ctx, span := startServer(stream.Context(), info.FullMethod)
 	err := handler(srv, &serverStream{ServerStream: stream, ctx: ctx})
@@ -85,7 +88,7 @@
 	if !ok {
 		md = metadata.MD{}
 	}
-	// FromOutgoingContext returned a copy, so that writing to it is safe.
+	// FromOutgoingContext returned a copy, so writing to md is safe.
 	otel.GetTextMapPropagator().Inject(ctx, metadataCarrier(md))
 	return metadata.NewOutgoingContext(ctx, md), span
 }
@@ -100,7 +103,7 @@
 	return Tracer(grpcTracer).Start(ctx, method, oteltrace.WithSpanKind(oteltrace.SpanKindServer))
 }
 
-// hasNoTrace tells that ctx belongs to no trace. Its span is then one that does
+// hasNoTrace reports whether ctx belongs to no trace. The span of such a ctx does
 // nothing.
 func hasNoTrace(ctx context.Context) bool {
 	return !oteltrace.SpanContextFromContext(ctx).IsValid()
@@ -113,13 +116,13 @@
 	span.End()
 }
 
-// clientStream ends its span with the stream.
+// clientStream is a stream that ends its span when the stream ends.
 type clientStream struct {
 	grpc.ClientStream
 	span          oteltrace.Span
 	singleReply   bool
 	once          sync.Once
-	stopAfterFunc func() bool // releases the hook on the context
+	stopAfterFunc func() bool // stops the AfterFunc registered on the stream's context
 }
 
 func (s *clientStream) RecvMsg(m any) error {
@@ -133,7 +136,7 @@
 
 func (s *clientStream) end(err error) { s.once.Do(func() { endSpan(s.span, err) }) }
 
-// serverStream hands the span's context to the handler.
+// serverStream is a stream whose Context carries the server span.
 type serverStream struct {
 	grpc.ServerStream
 	ctx context.Context
--- a/base/trace/http.go
+++ b/base/trace/http.go
@@ -9,15 +9,17 @@
 	oteltrace "go.opentelemetry.io/otel/trace"
 )
 
-// FromHTTP continues the trace of an incoming HTTP request with a server span.
-// The caller ends the span.
+// FromHTTP starts a server span for an incoming HTTP request. The span continues
+// the trace of the request's headers, or starts a new trace. The caller must end
+// the span.
 func FromHTTP(r *http.Request, name string) (context.Context, oteltrace.Span) {
 	ctx := otel.GetTextMapPropagator().Extract(r.Context(), propagation.HeaderCarrier(r.Header))
 	return Tracer("http").Start(ctx, name, oteltrace.WithSpanKind(oteltrace.SpanKindServer))
 }
 
 // ToHTTP starts a client span for an outgoing request and writes its context
-// into the headers. The caller ends the span. Outside any trace it does nothing.
+// into the headers. The caller must end the span. Outside any trace ToHTTP starts
+// no span and leaves the headers unchanged.
 func ToHTTP(ctx context.Context, header http.Header, name string) (context.Context, oteltrace.Span) {
 	if hasNoTrace(ctx) {
 		return ctx, oteltrace.SpanFromContext(ctx)
@@ -27,7 +29,7 @@
 	return ctx, span
 }
 
-// ID returns the trace id of ctx in hex, or "".
+// ID returns the trace ID of ctx in hex, or "" if ctx has none.
 func ID(ctx context.Context) string {
 	sc := oteltrace.SpanContextFromContext(ctx)
 	if !sc.HasTraceID() {
--- a/base/trace/trace.go
+++ b/base/trace/trace.go
@@ -1,9 +1,10 @@
-// Package trace sets up OpenTelemetry for a process and carries the trace
+// Package trace sets up OpenTelemetry for a process and propagates the trace
 // context over gRPC and HTTP, with one span for each hop.
 //
-// A trace begins where a request comes in (FromHTTP) or where a part starts a
+// A trace starts where a request comes in (FromHTTP) or where a part starts a
 // span itself. A call outside any trace gets no span: exchanges with peers and
-// reads of the log, a few a second in each process, would bury the requests.
+// reads of the log, a few per second in each process, would outnumber the spans
+// of requests.
 package trace
 
 import (
@@ -25,15 +26,15 @@
 	"dandelionsill.org/base/logs"
 )
 
-// Exporters.
+// Values of Config.Exporter.
 const (
-	ExporterNone = "none" // trace ids are made for the logs, but no spans
+	ExporterNone = "none" // trace IDs are generated for the logs, but no spans are exported
 	ExporterFile = "file" // JSON spans appended to Config.File
 	ExporterOTLP = "otlp" // OTLP over HTTP to Config.Endpoint
 )
 
-// Bounds of the batch processor. When the collector is slow or gone, spans
-// beyond the queue are dropped: tracing never holds up a request.
+// Limits of the batch processor. When the collector is slow or unavailable, spans
+// that exceed the queue are dropped, so that tracing never blocks a request.
 const (
 	maxQueue      = 2048
 	maxBatch      = 256
@@ -43,17 +44,18 @@
 	errorLogInterval = time.Minute
 )
 
-// Config says where spans go.
+// Config selects the exporter of spans and the share of traces that is kept.
 type Config struct {
 	Exporter string `ini:"trace.exporter" default:"none" help:"where spans go: none, file or otlp"`
 	File     string `ini:"trace.file" help:"file that spans are appended to (exporter file)"`
 	Endpoint string `ini:"trace.endpoint" kind:"ip:port" help:"IP:port of the OTLP/HTTP collector (exporter otlp)"`
-	// Ratio of the traces begun here that are kept; a trace begun elsewhere
-	// is kept where its beginner kept it.
+	// Ratio is the share (0 to 1) of the traces started in this process that is
+	// kept. A trace started by another process is kept if that process keeps it.
 	Ratio float64 `ini:"trace.ratio" default:"1" min:"0" max:"1" help:"share of new traces that are kept, 0 to 1"`
 }
 
-// Validate checks that the exporter is known and has its target.
+// Validate returns an error if the exporter is unknown or its file or endpoint is
+// missing.
 func (c Config) Validate() error {
 	switch c.Exporter {
 	case "", ExporterNone:
@@ -72,8 +74,8 @@
 	return errors.Errorf("trace.exporter is %q; it must be none, file or otlp", c.Exporter)
 }
 
-// Start installs the process's tracer and the W3C propagator. stop flushes
-// what is queued and closes the exporter.
+// Start installs the process's tracer provider and the W3C propagator. stop
+// flushes the queued spans and closes the exporter.
 func Start(ctx context.Context, process string, cfg Config) (stop func(context.Context) error, err error) {
 	if err := cfg.Validate(); err != nil {
 		return nil, errors.Trace(err)
@@ -112,7 +114,8 @@
 			sdktrace.WithExportTimeout(exportTimeout)))
 }
 
-// setErrorHandler keeps a collector that is gone from writing a line per batch.
+// setErrorHandler limits the log lines about export errors: an unavailable
+// collector would otherwise cause one line per batch.
 func setErrorHandler(process string) {
 	log := logs.Limited(logs.New(process+": trace", "warn"), errorLogInterval)
 	otel.SetErrorHandler(otel.ErrorHandlerFunc(func(err error) {
@@ -120,7 +123,7 @@
 	}))
 }
 
-// Tracer returns the tracer of one part ("entry", "agent: calls").
+// Tracer returns the tracer of a part of a process, e.g. "entry" or "agent: calls".
 func Tracer(part string) oteltrace.Tracer {
 	return otel.Tracer("dandelionsill.org/" + part)
 }
--- a/base/trace/trace_test.go
+++ b/base/trace/trace_test.go
@@ -19,7 +19,7 @@
 	"dandelionsill.org/wire/pb"
 )
 
-// traceIDAgent answers Explain and Watch with the trace id that reached it.
+// traceIDAgent answers Explain and Watch with the trace ID that it received.
 type traceIDAgent struct{ pb.UnimplementedAgentServer }
 
 func (traceIDAgent) Explain(ctx context.Context, _ *pb.ExplainRequest) (*pb.ExplainReply, error) {
@@ -46,9 +46,9 @@
 	return pb.NewAgentClient(conn)
 }
 
-// An operator follows one request: caller → entry (HTTP) → agent (gRPC) has
-// one trace id, and the file holds one span per hop and side. A call outside
-// any trace leaves nothing there.
+// A request from the caller to the entry (HTTP) and on to the agent (gRPC) has one
+// trace ID, and the file holds one span per hop and side, so that an operator can
+// follow the request. A call outside any trace writes no span.
 func TestTraceSpansAllHops(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "spans")
 	stop, err := Start(context.Background(), "e1", Config{Exporter: ExporterFile, File: file, Ratio: 1})
@@ -88,8 +88,9 @@
 	require.Equal(t, 7, strings.Count(string(spans), `"SpanContext":`))
 }
 
-// A caller gives a stream up without reading to its end: the span must still
-// end, or the trace would miss just the hop that the operator looks for.
+// Guards against a span that is never exported: a caller may abandon a stream
+// without reading to its end, and the span must still end, or the trace would
+// lack the hop that an operator looks for.
 func TestAbandonedStreamEndsItsSpan(t *testing.T) {
 	ended := make(chan struct{})
 	provider := sdktrace.NewTracerProvider(sdktrace.WithSpanProcessor(clientSpanNotifier{ended}))
@@ -106,7 +107,8 @@
 	<-ended
 }
 
-// clientSpanNotifier closes a channel when a client's span ends.
+// clientSpanNotifier is a span processor that closes a channel when a client span
+// ends.
 type clientSpanNotifier struct{ ended chan struct{} }
 
 func (clientSpanNotifier) OnStart(context.Context, sdktrace.ReadWriteSpan) {}
