--- a/base/boottime/boottime.go
+++ b/base/boottime/boottime.go
@@ -1,5 +1,5 @@
-// Package boottime has the two clocks that a pause of the VM or a step of the time of
-// day does not mislead.
+// Package boottime provides two clocks: Now keeps counting while the VM is suspended,
+// and Clock ignores short jumps of the time of day.
 package boottime
 
 import (
@@ -9,12 +9,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now is the time since the VM started. Unlike the clock of time.Since it goes on while
-// the VM is suspended, so that a lease that has run out meanwhile is known to have.
+// Now returns the time since the VM was started. Unlike the monotonic clock of
+// time.Since it continues while the VM is suspended, so that a lease that expired
+// meanwhile is seen as expired.
 func Now() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		return time.Since(processStart) // a kernel without that clock suspends no VM
+		return time.Since(processStart) // kernels without CLOCK_BOOTTIME do not suspend the VM
 	}
 	return time.Duration(ts.Nano())
 }
@@ -22,25 +23,27 @@
 var processStart = time.Now()
 
 const (
-	// maxSlew is the largest change of the time of day, between two looks, that counts
-	// as its correction.
+	// maxSlew is the largest change of the time of day between two calls of Clock.Now
+	// that is treated as a normal clock correction and applied at once.
 	maxSlew = 100 * time.Millisecond
-	// minStepDuration is how long a step of the time of day has to last to be believed.
+	// minStepDuration is how long a larger change (a step) of the time of day must last
+	// before it is applied.
 	minStepDuration = 30 * time.Second
 )
 
-// Clock tells the time of day. A step of it is followed only once it has lasted: some
-// clocks jump by seconds, and back again. It is safe for concurrent use.
+// Clock returns the time of day. It applies a step only after the step has lasted for
+// minStepDuration, because some clocks jump by seconds and then back again. It is
+// safe for concurrent use.
 type Clock struct {
 	wall func() time.Time
 	boot func() time.Duration
 
 	mu         sync.Mutex
-	offset     time.Duration // of the time of day, in Unix time, to the time since boot
-	stepSeenAt time.Duration // when the time of day was first seen off; 0: it is not
+	offset     time.Duration // time of day (Unix time) minus time since boot
+	stepSeenAt time.Duration // time since boot at which a step was first seen; 0: no step pending
 }
 
-// NewClock returns a clock that starts with the VM's time of day.
+// NewClock returns a Clock that starts at the VM's current time of day.
 func NewClock() *Clock { return newClock(time.Now, Now) }
 
 func newClock(wall func() time.Time, boot func() time.Duration) *Clock {
--- a/base/boottime/boottime_test.go
+++ b/base/boottime/boottime_test.go
@@ -13,7 +13,8 @@
 	require.GreaterOrEqual(t, Now(), first)
 }
 
-// Guards against requests that count in a wrong window after the time of day has jumped.
+// Guards against requests that are counted in a wrong window after the time of day has
+// jumped.
 func TestClockFollowsOnlyLastingSteps(t *testing.T) {
 	var boot, step time.Duration
 	start := time.Unix(1_000_000, 0)
