--- a/base/metrics/histogram.go
+++ b/base/metrics/histogram.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// bucketBounds of a Histogram's buckets.
+// bucketBounds are the inclusive upper bounds of a Histogram's buckets.
 var bucketBounds = []time.Duration{
 	time.Millisecond, 2 * time.Millisecond, 5 * time.Millisecond, 10 * time.Millisecond, 20 * time.Millisecond,
 	50 * time.Millisecond, 100 * time.Millisecond, 200 * time.Millisecond, 500 * time.Millisecond,
@@ -17,12 +17,12 @@
 
 // Histogram counts latencies in fixed buckets. It is safe for concurrent use.
 type Histogram struct {
-	buckets [14]atomic.Int64 // the last one is above all bounds
+	buckets [14]atomic.Int64 // the last one counts latencies above all bounds
 	sum     atomic.Int64     // nanoseconds
 }
 
-// NewHistogram returns a histogram and publishes it; a second one of the same
-// name is returned instead of made.
+// NewHistogram returns the histogram with the given name; the first call creates
+// and publishes it.
 func NewHistogram(name string) *Histogram {
 	publishMu.Lock()
 	defer publishMu.Unlock()
@@ -34,7 +34,7 @@
 	return h
 }
 
-// Observe adds one latency.
+// Observe records one latency.
 func (h *Histogram) Observe(d time.Duration) {
 	bucket := 0
 	for bucket < len(bucketBounds) && d > bucketBounds[bucket] {
@@ -44,7 +44,8 @@
 	h.sum.Add(int64(d))
 }
 
-// String returns the counts as JSON, by the buckets' upper bounds in milliseconds.
+// String returns a JSON object with the count of each bucket (named by its upper
+// bound in milliseconds), the total count and the sum in milliseconds.
 func (h *Histogram) String() string {
 	var b strings.Builder
 	b.WriteString("{")
--- a/base/metrics/metrics.go
+++ b/base/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics publishes a process's numbers through expvar, at
-// /debug/vars. Names carry their unit: "entry_requests_total",
+// Package metrics publishes a process's metrics through expvar, at /debug/vars.
+// A metric's name includes its unit, e.g. "entry_requests_total" or
 // "confsync_exchange_bytes".
 package metrics
 
@@ -8,12 +8,12 @@
 	"sync"
 )
 
-// publishMu guards the check-then-publish: expvar itself panics on a name
-// that is published twice.
+// publishMu makes the check for a name and its publication atomic, because expvar
+// panics on a name that is published twice.
 var publishMu sync.Mutex
 
-// gauges holds the function behind each gauge, so that a second call with the
-// same name replaces it.
+// gauges holds the published gauges by name, so that a second call of Gauge can
+// replace the function.
 var gauges = map[string]*gauge{}
 
 type gauge struct {
@@ -34,7 +34,8 @@
 	g.fn = fn
 }
 
-// Counter returns the counter of that name and publishes it at the first call.
+// Counter returns the counter with the given name; the first call creates and
+// publishes it.
 func Counter(name string) *expvar.Int {
 	publishMu.Lock()
 	defer publishMu.Unlock()
@@ -44,8 +45,8 @@
 	return expvar.NewInt(name)
 }
 
-// Gauge publishes a number that is read when asked for. A second call with
-// the same name replaces the function: the newest instance of a part is the
+// Gauge publishes a value that fn computes at each read. A second call with the
+// same name replaces the function, so that the newest instance of a part is the
 // one that is shown.
 func Gauge(name string, fn func() any) {
 	publishMu.Lock()
--- a/base/metrics/metrics_test.go
+++ b/base/metrics/metrics_test.go
@@ -7,8 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// expvar panics on a name that is published twice, and a process may build a
-// part twice (a test, a reconnect): the second call gets the same counter.
+// Guards against the panic of expvar on a name that is published twice: a process
+// may create a part twice (in a test, after a reconnect), so the second call must
+// return the same counter or replace the gauge's function.
 func TestPublishingTwiceReusesTheName(t *testing.T) {
 	before := Counter("test_total").Value()
 	Counter("test_total").Add(2)
--- a/base/metrics/page_test.go
+++ b/base/metrics/page_test.go
@@ -20,8 +20,8 @@
 	backquoted = regexp.MustCompile("`([^`]+)`")
 )
 
-// Operators set their alerts by docs/METRICS.md: it names every metric of the
-// tree, and none that is gone.
+// Operators configure alerts from docs/METRICS.md, so it must list every metric
+// that the code publishes and no other.
 func TestPageNamesEveryMetric(t *testing.T) {
 	inCode := map[string]bool{}
 	require.NoError(t, filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
