--- a/base/explain/ring.go
+++ b/base/explain/ring.go
@@ -1,5 +1,5 @@
-// Package explain keeps the last decisions of a process, so that an operator
-// can ask why a request or sample was routed, refused or repeated.
+// Package explain keeps the latest decisions of a process, so that an operator
+// can query why a request or sample was routed, refused or repeated.
 package explain
 
 import (
@@ -15,16 +15,16 @@
 	"dandelionsill.org/wire/pb"
 )
 
-// Bounds of a Ring.
+// Sizes of a Ring.
 const (
 	minDecisions = 16
-	shardCount   = 16 // power of two; concurrent requests rarely meet on one lock
+	shardCount   = 16 // power of two; enough that concurrent requests rarely contend for one lock
 )
 
-// record is one decision as it is kept. It holds no pointer but its strings,
-// so that Add allocates nothing.
+// record is one stored decision. It has no pointers except those of its strings,
+// so that Add does not allocate.
 type record struct {
-	atMs           int64 // ms since 1970; 0: empty
+	atMs           int64 // Unix time in ms
 	part, id       string
 	what, why      string
 	traceID        trace.TraceID
@@ -37,15 +37,16 @@
 	next    int
 }
 
-// Ring holds a bounded number of decisions; new ones overwrite the oldest of
-// the same shard. It is safe for concurrent use.
+// Ring holds a bounded number of decisions; a new one overwrites the oldest of
+// its shard. It is safe for concurrent use.
 type Ring struct {
 	process string
 	shards  [shardCount]shard
 	now     func() time.Time
 }
 
-// New returns a ring for about size decisions of the named process.
+// New returns a ring for about size decisions (at least minDecisions) of the named
+// process.
 func New(process string, size int) *Ring {
 	r := &Ring{process: process, now: time.Now}
 	shardSize := max(size, minDecisions) / shardCount
@@ -55,8 +56,8 @@
 	return r
 }
 
-// Add keeps one decision: which part decided what about the request or sample
-// id, and why. It may be called on a nil Ring.
+// Add stores one decision: which part decided what about the request or sample
+// with the given ID, and why. It does nothing on a nil Ring.
 func (r *Ring) Add(ctx context.Context, part, id, what, why string) {
 	if r == nil {
 		return
@@ -68,8 +69,8 @@
 	r.shards[shardOf(id)].add(rec)
 }
 
-// Find returns the decisions about id and about what is below it (the tries of
-// a request or sample, the samples of a group) that are still kept, oldest first.
+// Find returns the stored decisions about id and about the IDs below it (the
+// attempts of a request or sample, the samples of a group), oldest first.
 func (r *Ring) Find(id string) []*pb.Decision {
 	if r == nil || id == "" {
 		return nil
@@ -82,7 +83,7 @@
 	return found
 }
 
-// find appends the shard's decisions about id.
+// find appends the shard's decisions about id and the IDs below it to found.
 func (s *shard) find(id, process string, found []*pb.Decision) []*pb.Decision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,8 +96,8 @@
 	return found
 }
 
-// isSameOrBelow tells whether an id is another one or made from it: the ids of a
-// request's and a sample's tries go on behind a "." or "/".
+// isSameOrBelow reports whether id equals parent or is derived from it: the ID of an
+// attempt at a request or sample is the parent's ID, a "." or "/", and a suffix.
 func isSameOrBelow(id, parent string) bool {
 	rest, ok := strings.CutPrefix(id, parent)
 	return ok && (rest == "" || rest[0] == '.' || rest[0] == '/')
@@ -117,8 +118,8 @@
 	s.next = (s.next + 1) % len(s.records)
 }
 
-// shardOf hashes an id (FNV-1a): all decisions about one id share a shard, so
-// that they stay in order.
+// shardOf returns the shard of an ID, by its FNV-1a hash. All decisions about one
+// ID are in one shard, so that they stay in order.
 func shardOf(id string) uint32 {
 	const offset, prime = 2166136261, 16777619
 	h := uint32(offset)
--- a/base/explain/ring_test.go
+++ b/base/explain/ring_test.go
@@ -31,9 +31,9 @@
 	require.Empty(t, (*Ring)(nil).Find("r1"))
 }
 
-// An operator asks about a request, sample or group. The processes know its
-// tries by longer ids; those come too, in order, but not another's whose id
-// only begins alike.
+// A query for a request, sample or group must also return its attempts, whose IDs
+// are longer, in order, but not the decisions about an unrelated ID that only has
+// the same prefix.
 func TestFindIncludesAttempts(t *testing.T) {
 	r := New("e1", 1024)
 	at := int64(0)
@@ -54,9 +54,9 @@
 	}
 }
 
-// A process decides millions of times while an operator asks about one id:
-// memory stays bounded, old decisions go first, and the reader sees whole
-// records only.
+// A process makes millions of decisions while an operator queries one ID: memory
+// must stay bounded, the oldest decisions are dropped first, and a reader must
+// never see a partly written record.
 func TestRingIsBoundedUnderConcurrency(t *testing.T) {
 	const writers, each = 8, 5000
 	r := New("e1", 256)
