--- a/base/settings/changed.go
+++ b/base/settings/changed.go
@@ -6,8 +6,8 @@
 	"github.com/juju/errors"
 )
 
-// Changed returns the names ("section.key") of the settings that differ
-// between two values of one type, both given as pointers to structs.
+// Changed returns the names ("section.key") of the settings that differ between
+// before and after, which must be pointers to structs of the same type.
 func Changed(before, after any) ([]string, error) {
 	old, err := collect(reflect.ValueOf(before).Elem(), nil)
 	if err != nil {
--- a/base/settings/check.go
+++ b/base/settings/check.go
@@ -10,8 +10,9 @@
 	"github.com/juju/errors"
 )
 
-// IPPort checks that s is IP:port. Processes talk by IP numbers: a host name
-// would make the start, and each reconnect, hang on a resolver.
+// IPPort returns an error unless s has the form IP:port. Processes connect by IP
+// address only: with a host name, the start and each reconnect would depend on a
+// resolver.
 func IPPort(s string) error {
 	if s == "" {
 		return errors.New("empty; want IP:port")
@@ -22,7 +23,7 @@
 	return nil
 }
 
-// check holds the value against its tags.
+// check returns an error if the value violates the field's kind, min or max tag.
 func (f *field) check() error {
 	if f.ipPort && f.value.String() != "" {
 		if err := IPPort(f.value.String()); err != nil {
@@ -35,13 +36,15 @@
 	return f.checkBound(f.maxText, func(x, limit float64) bool { return x <= limit }, "above the highest value")
 }
 
+// checkBound returns an error if the value is not within the limit given as text;
+// violation describes such a value. An empty limitText means no limit.
 func (f *field) checkBound(limitText string, within func(x, limit float64) bool, violation string) error {
 	if limitText == "" {
 		return nil
 	}
 	limit, err := f.parse(limitText)
 	if err != nil {
-		return errors.Annotate(err, "bound")
+		return errors.Annotate(err, "min or max tag")
 	}
 	if !within(number(f.value), number(limit)) {
 		return errors.Errorf("%s is %s, %s", f, violation, limitText)
@@ -56,8 +59,9 @@
 	return v.Float()
 }
 
-// checkEnv refuses environment variables that look like settings and are none:
-// a misspelt one would leave the default in force in silence.
+// checkEnv returns an error for an environment variable that has the settings'
+// prefix but is not a setting: a misspelt one would silently leave the default in
+// force.
 func checkEnv(environ []string, set *flag.FlagSet) error {
 	var known []string
 	set.VisitAll(func(f *flag.Flag) { known = append(known, envName(f.Name)) })
@@ -67,8 +71,8 @@
 	return nil
 }
 
-// UnknownEnv returns the first variable of a program's prefix that is set and
-// not known; "" means none.
+// UnknownEnv returns the name of the first variable in environ that starts with
+// prefix and "_" and is not in known, or "".
 func UnknownEnv(environ []string, prefix string, known []string) string {
 	for _, entry := range environ {
 		name, _, _ := strings.Cut(entry, "=")
--- a/base/settings/common.go
+++ b/base/settings/common.go
@@ -10,7 +10,7 @@
 	"dandelionsill.org/base/trace"
 )
 
-// Common holds the settings of every process; embed it.
+// Common holds the settings that every process has. It is meant to be embedded.
 type Common struct {
 	Process  Process
 	Trace    trace.Config
@@ -18,7 +18,7 @@
 	Keys     Keys
 }
 
-// Process says who this process is and where it listens.
+// Process identifies this process and configures its listeners, logging and stop.
 type Process struct {
 	Name          string        `ini:"process.name" help:"name of this VM, as the VM list has it"`
 	Region        string        `ini:"process.region" help:"region of this VM"`
@@ -37,12 +37,13 @@
 	Weights string `ini:"platform.weights" help:"base URL of the weight store, by IP"`
 }
 
-// Keys holds public keys.
+// Keys holds the public keys that this process trusts.
 type Keys struct {
 	ManifestPublic []string `ini:"keys.manifest_public" help:"ed25519 public keys that sign manifests, id:base64"`
 }
 
-// Validate checks what every process needs.
+// Validate returns an error if a setting that every process needs is missing or
+// invalid.
 func (c *Common) Validate() error {
 	if c.Process.Name == "" {
 		return errors.New("process.name is empty; it must be the VM's name in the VM list")
@@ -62,7 +63,8 @@
 	return errors.Trace(c.Trace.Validate())
 }
 
-// BaseURL checks that s is empty or an http(s) URL whose host is an IP number.
+// BaseURL returns an error unless s is empty or an http(s) URL whose host is an IP
+// address.
 func BaseURL(s string) error {
 	if s == "" {
 		return nil
@@ -75,7 +77,7 @@
 		return errors.Errorf("%q is not an http or https URL", s)
 	}
 	if _, err := netip.ParseAddr(u.Hostname()); err != nil {
-		return errors.Errorf("host of %q is not an IP number (host names are not resolved)", s)
+		return errors.Errorf("host of %q is not an IP address (host names are not resolved)", s)
 	}
 	return nil
 }
--- a/base/settings/field.go
+++ b/base/settings/field.go
@@ -13,7 +13,7 @@
 var durationType = reflect.TypeFor[time.Duration]()
 
 // field is one setting. It implements flag.Value, so that flags, environment
-// and file all set it by the same rules.
+// variables and the file are all parsed by the same rules.
 type field struct {
 	section, key string
 	help         string
@@ -25,10 +25,11 @@
 	value        reflect.Value
 }
 
-// name is the flag's name.
+// name returns the setting's name, which is also its flag's name.
 func (f *field) name() string { return f.section + "." + f.key }
 
-// fieldsOf collects the settings of a struct and sets their defaults.
+// fieldsOf returns the settings of dst, a pointer to a struct, after setting their
+// defaults.
 func fieldsOf(dst any) ([]*field, error) {
 	v := reflect.ValueOf(dst)
 	if v.Kind() != reflect.Pointer || v.Elem().Kind() != reflect.Struct {
@@ -41,7 +42,7 @@
 	seen := map[string]bool{}
 	for _, f := range fields {
 		if seen[f.name()] {
-			return nil, errors.Errorf("settings: %s stands twice in %T", f.name(), dst)
+			return nil, errors.Errorf("settings: %s is defined twice in %T", f.name(), dst)
 		}
 		seen[f.name()] = true
 		if f.defaultText == "" {
@@ -54,6 +55,7 @@
 	return fields, nil
 }
 
+// collect appends the settings of struct v, including those of nested structs.
 func collect(v reflect.Value, fields []*field) ([]*field, error) {
 	for i := range v.NumField() {
 		info, value := v.Type().Field(i), v.Field(i)
@@ -77,9 +79,10 @@
 	return fields, nil
 }
 
-// Tags besides ini, default and help: `min:"1" max:"10"` bound numbers and
-// durations, `kind:"ip:port"` takes IP:port only, `secret:"true"` is never
-// printed.
+// newField returns the setting for the struct field info with the ini tag. Further
+// tags are default and help; min and max, as in `min:"1" max:"10"`, which limit
+// numbers and durations; `kind:"ip:port"`, which allows only IP:port; and
+// `secret:"true"`, whose value is never printed.
 func newField(tag string, info reflect.StructField, v reflect.Value) (*field, error) {
 	section, key, ok := strings.Cut(tag, ".")
 	if !ok || section == "" || key == "" {
@@ -101,14 +104,14 @@
 	}, nil
 }
 
-// IsBoolFlag lets a flag stand without a value.
+// IsBoolFlag reports whether the flag may be given without a value.
 func (f *field) IsBoolFlag() bool {
 	return f.value.IsValid() && f.value.Kind() == reflect.Bool
 }
 
-// String returns the value as Set takes it.
+// String returns the value in the form that Set accepts.
 func (f *field) String() string {
-	if f == nil || !f.value.IsValid() { // the flag package asks a zero value
+	if f == nil || !f.value.IsValid() { // the flag package calls String on a zero value
 		return ""
 	}
 	if f.value.Type() == durationType {
@@ -154,7 +157,7 @@
 	case float64:
 		x, err := strconv.ParseFloat(text, 64)
 		if err == nil && (math.IsNaN(x) || math.IsInf(x, 0)) {
-			err = strconv.ErrRange // no bound holds against NaN
+			err = strconv.ErrRange // NaN passes no comparison with a bound
 		}
 		return reflect.ValueOf(x), invalidValue(err, text, "a number")
 	case []string:
@@ -170,7 +173,7 @@
 	return errors.Errorf("%q is not %s", text, want)
 }
 
-// splitList splits at commas; blanks around items and empty items are dropped.
+// splitList splits text at commas and drops spaces around items and empty items.
 func splitList(text string) []string {
 	var items []string
 	for item := range strings.SplitSeq(text, ",") {
--- a/base/settings/file.go
+++ b/base/settings/file.go
@@ -10,14 +10,15 @@
 	"gopkg.in/ini.v1"
 )
 
-// fileParser reads the INI file for ff and remembers which keys stood in it.
+// fileParser parses the INI file for ff and records which keys it contains.
 type fileParser struct {
 	fields []*field
 	found  map[string]bool
 }
 
-// iniOptions take values as they stand. Shadows are how the library keeps a
-// key's second value, which is refused here: of two values one would be ignored.
+// iniOptions make the library take values literally. With shadows the library keeps
+// the further values of a repeated key, so that parseSection can reject the key:
+// otherwise one of its values would be ignored.
 var iniOptions = ini.LoadOptions{
 	IgnoreInlineComment:        true,
 	IgnoreContinuation:         true,
@@ -25,8 +26,8 @@
 	AllowDuplicateShadowValues: true,
 }
 
-// parse returns ff's parser. name points at the file's name, which ff knows
-// only after the flags are read.
+// parse returns the parser that ff calls. name points at the file's name, which is
+// known only after the flags are parsed.
 func (p *fileParser) parse(name *string) func(io.Reader, func(name, value string) error) error {
 	return func(r io.Reader, set func(name, value string) error) error {
 		data, err := io.ReadAll(r)
@@ -53,14 +54,14 @@
 	}
 	for _, key := range section.Keys() {
 		if section.Name() == ini.DefaultSection {
-			return errors.Errorf("%s: key %q stands before any section", file, key.Name())
+			return errors.Errorf("%s: key %q is before any section", file, key.Name())
 		}
 		name := section.Name() + "." + key.Name()
 		if !p.has(name) {
 			return errors.Errorf("%s: section [%s]: unknown key %q%s", file, section.Name(), key.Name(), NearestHint(key.Name(), p.keys(section.Name())))
 		}
 		if len(key.ValueWithShadows()) > 1 {
-			return errors.Errorf("%s: section [%s]: key %q stands twice", file, section.Name(), key.Name())
+			return errors.Errorf("%s: section [%s]: key %q is given twice", file, section.Name(), key.Name())
 		}
 		if err := set(name, key.Value()); err != nil {
 			return errors.Annotatef(err, "%s: section [%s]: key %q", file, section.Name(), key.Name())
@@ -106,7 +107,8 @@
 	return names
 }
 
-// addFlagHint adds the nearest flag to the flag package's "not defined" error.
+// addFlagHint returns an error with a hint at the nearest flag if err is the flag
+// package's "not defined" error; otherwise it returns err.
 func addFlagHint(err error, fields []*field) error {
 	const undefined = "flag provided but not defined: -"
 	_, name, found := strings.Cut(err.Error(), undefined)
@@ -120,8 +122,9 @@
 	return errors.Errorf("unknown flag --%s%s", name, NearestHint(name, names))
 }
 
-// NearestHint words a hint at the valid name with the smallest edit distance. A
-// key without its section means the first section that has it.
+// NearestHint returns the text of a hint at the valid name with the smallest edit
+// distance to unknown, or "" if there is none. A key without its section matches
+// the first valid name that has that key.
 func NearestHint(unknown string, valid []string) string {
 	best, distance := "", len(unknown)+1
 	for _, name := range valid {
--- a/base/settings/fuzz_test.go
+++ b/base/settings/fuzz_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// FuzzFile: a settings file is refused with an error, or what it set is what
-// --print-config writes down: that file, read again, gives the same settings.
+// FuzzFile checks that a settings file is either rejected with an error or loaded
+// such that the output of --print-config, read again, yields the same settings.
 func FuzzFile(f *testing.F) {
 	for _, seed := range []string{
 		namedProcess,
--- a/base/settings/print.go
+++ b/base/settings/print.go
@@ -10,7 +10,7 @@
 
 const redacted = "********"
 
-// sources finds out where each value came from: ff keeps it to itself.
+// sources returns where each value came from, by "section.key"; ff does not report it.
 func sources(set *flag.FlagSet, args []string, fields []*field, file *fileParser) map[string]Source {
 	onCommandLine := map[string]bool{}
 	for _, name := range flagsSetBy(args, set) {
@@ -35,19 +35,19 @@
 	return FromDefault
 }
 
-// envName is the environment variable that ff reads for a flag.
+// envName returns the name of the environment variable that ff reads for a flag.
 func envName(flagName string) string {
 	name := strings.NewReplacer("-", "_", ".", "_", "/", "_").Replace(flagName)
 	return envPrefix + "_" + strings.ToUpper(name)
 }
 
-// flagsSetBy lists the flags that a command line sets, by parsing it once more
-// into a set that only takes notes.
+// flagsSetBy returns the names of the flags that args set, by parsing args again
+// with a flag set that accepts any value.
 func flagsSetBy(args []string, set *flag.FlagSet) []string {
 	recorder := flag.NewFlagSet(set.Name(), flag.ContinueOnError)
 	recorder.SetOutput(io.Discard)
 	set.VisitAll(func(f *flag.Flag) { recorder.Var(anyValue{boolean: isBool(f.Value)}, f.Name, "") })
-	_ = recorder.Parse(args) // the same line was parsed without an error before
+	_ = recorder.Parse(args) // the same arguments were parsed without an error before
 	var names []string
 	recorder.Visit(func(f *flag.Flag) { names = append(names, f.Name) })
 	return names
@@ -58,14 +58,15 @@
 	return ok && b.IsBoolFlag()
 }
 
-// anyValue is a flag.Value that takes anything.
+// anyValue is a flag.Value that accepts any text and stores nothing.
 type anyValue struct{ boolean bool }
 
 func (anyValue) String() string     { return "" }
 func (anyValue) Set(string) error   { return nil }
 func (n anyValue) IsBoolFlag() bool { return n.boolean }
 
-// describeSource names the place where a field's value stands.
+// describeSource returns where a field's value came from, for error texts and
+// --print-config.
 func (r Result) describeSource(f *field) string {
 	switch r.Sources[f.name()] {
 	case FromFlag:
@@ -78,8 +79,8 @@
 	return "default"
 }
 
-// printConfig writes an INI file that gives the same settings again, but for
-// secrets, each value below a comment with its source.
+// printConfig writes an INI file that yields the same settings, except secrets. Each
+// value is preceded by a comment with its source.
 func printConfig(w io.Writer, fields []*field, result Result) error {
 	var b strings.Builder
 	for i, section := range sectionsInOrder(fields) {
@@ -105,7 +106,8 @@
 	fmt.Fprintf(b, "; %s\n%s = %s\n", result.describeSource(f), f.key, quote(value))
 }
 
-// quote wraps a value that INI would not give back as it is.
+// quote wraps a value in triple quotes if the INI library would not read it back
+// unchanged.
 func quote(value string) string {
 	if value == strings.TrimSpace(value) && !strings.ContainsAny(value, "\"'`\n") {
 		return value
--- a/base/settings/settings.go
+++ b/base/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings reads a process's settings: flag before environment before
-// INI file before default. A value that can't be right is refused at the
-// start, with the place where it stands.
+// Package settings loads a process's settings from flags, environment variables, an
+// INI file and defaults, in this order of precedence. An invalid value fails the
+// start with an error that names the value's source.
 package settings
 
 import (
@@ -16,14 +16,14 @@
 	"github.com/peterbourgon/ff/v3"
 )
 
-// Prefix of the environment variables: section.key is read from
+// envPrefix is the prefix of the environment variables: section.key is read from
 // DANDELION_SECTION_KEY.
 const envPrefix = "DANDELION"
 
-// Source says where a value came from.
+// Source is where a value came from.
 type Source string
 
-// Sources, lowest precedence first.
+// The sources, lowest precedence first.
 const (
 	FromDefault Source = "default"
 	FromFile    Source = "file"
@@ -31,30 +31,31 @@
 	FromFlag    Source = "flag"
 )
 
-// Result tells what Load did besides filling dst.
+// Result is what Load returns besides the filled settings.
 type Result struct {
-	// Done: --check, --print-config or --version was answered; the process
-	// exits 0 without starting.
+	// Done is true if Load answered --help, --check, --print-config or --version;
+	// the process must then exit with 0 without starting.
 	Done bool
-	// File is the settings file; empty: none.
+	// File is the path of the settings file; empty: none.
 	File string
-	// Sources tells where each value came from, by "section.key".
+	// Sources maps "section.key" to the source of the value.
 	Sources map[string]Source
 }
 
-// Validator is implemented by settings that check themselves once filled.
+// Validator is implemented by settings structs that need checks beyond their tags.
+// Load calls Validate once all fields are filled.
 type Validator interface{ Validate() error }
 
-// controlFlags are the flags that are not settings.
+// controlFlags holds the values of the flags that are not settings.
 type controlFlags struct {
 	config                string
 	check, print, version bool
 }
 
-// Load fills dst, a pointer to a struct whose fields carry the tags
-// `ini:"section.key" default:"…" help:"…"`; structs in it are entered. args
-// are the command line without the program's name. Answers to --check,
-// --print-config and --version go to w.
+// Load fills dst, a pointer to a struct whose fields have the tags
+// `ini:"section.key" default:"…" help:"…"` (and those listed at newField); nested
+// structs are filled too. args is the command line without the program's name. The
+// output of --help, --check, --print-config and --version goes to w.
 func Load(binary string, args []string, dst any, w io.Writer) (Result, error) {
 	fields, err := fieldsOf(dst)
 	if err != nil {
@@ -91,7 +92,7 @@
 	return answerControlFlags(w, m, fields, result)
 }
 
-// check checks the filled settings.
+// check validates the filled settings against their tags and runs their Validate methods.
 func check(dst any, fields []*field, result Result) error {
 	for _, f := range fields {
 		if err := f.check(); err != nil {
@@ -101,8 +102,8 @@
 	return jujuerrors.Trace(validate(reflect.ValueOf(dst)))
 }
 
-// validate runs the Validate methods of all structs, inner ones first, so that
-// a dst with its own Validate can't forget that of Common.
+// validate runs the Validate methods of all structs, inner ones first. A dst with
+// its own Validate therefore need not call that of the embedded Common.
 func validate(ptr reflect.Value) error {
 	v := ptr.Elem()
 	for i := range v.NumField() {
@@ -119,7 +120,8 @@
 	return nil
 }
 
-// answerControlFlags serves --check and --print-config.
+// answerControlFlags writes the output of --check or --print-config to w and sets
+// Done if one of them is given.
 func answerControlFlags(w io.Writer, m controlFlags, fields []*field, result Result) (Result, error) {
 	switch {
 	case m.print:
@@ -153,7 +155,8 @@
 	set.PrintDefaults()
 }
 
-// Version returns the version that the build recorded.
+// Version returns the VCS revision that the build recorded, else the main module's
+// version, or "unknown" without build information.
 func Version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/base/settings/settings_test.go
+++ b/base/settings/settings_test.go
@@ -24,7 +24,8 @@
 	}
 }
 
-// load runs Load on a file with the given text and returns what it printed.
+// load runs Load with a settings file that contains text. Its third result is the
+// printed output.
 func load(t require.TestingT, dir, text string, args ...string) (testSettings, Result, string, error) {
 	file := filepath.Join(dir, "entry.ini")
 	require.NoError(t, os.WriteFile(file, []byte(text), 0o600))
@@ -55,8 +56,9 @@
 	require.False(t, result.Done)
 }
 
-// An operator mistypes a setting: the process must not start with the default
-// in its place. The error names the file, the place and what was likely meant.
+// A mistyped setting must fail the start instead of leaving the default in force.
+// The error names the source, the setting and, for an unknown name, the nearest
+// valid one.
 func TestInvalidSettingsAreRejected(t *testing.T) {
 	for name, c := range map[string]struct {
 		text string
@@ -93,8 +95,9 @@
 	}
 }
 
-// An operator mistypes a variable, or leaves one in the VM's environment that a
-// release no longer knows: the start fails and names it, as for a file's key.
+// An environment variable that is mistyped, or that a newer release no longer
+// knows, must fail the start with an error that names it, as an unknown key in the
+// file does.
 func TestUnknownEnvironmentVariableIsRejected(t *testing.T) {
 	for name, want := range map[string]string{
 		"DANDELION_LIMITS_QEUE": `unknown environment variable DANDELION_LIMITS_QEUE; did you mean "DANDELION_LIMITS_QUEUE"?`,
@@ -143,7 +146,7 @@
 	require.NotContains(t, out, "hunter2")
 }
 
-// What --print-config writes can be read again and means the same.
+// The output of --print-config, read as a settings file, yields the same settings.
 func TestPrintedConfigReadsBack(t *testing.T) {
 	dir := t.TempDir()
 	rapid.Check(t, func(t *rapid.T) {
