--- a/base/logs/async.go
+++ b/base/logs/async.go
@@ -6,13 +6,13 @@
 	"sync/atomic"
 )
 
-// maxQueuedLines is how many lines wait for the sink before lines are dropped: a
-// second of a busy process's lines.
+// maxQueuedLines is how many lines may wait for the sink before further lines are
+// dropped: what a busy process writes in about one second.
 const maxQueuedLines = 4096
 
-// Async writes lines to a sink from a goroutine of its own. Write never waits:
-// a sink that does not take lines (a full pipe) would else hold up requests.
-// Lines that find no room are counted and dropped.
+// Async writes lines to a sink in a separate goroutine. Write never blocks,
+// because a sink that accepts no lines (a full pipe) would otherwise block
+// requests. Lines that exceed the queue are dropped and counted.
 type Async struct {
 	lines     chan []byte
 	done      chan struct{}
@@ -20,7 +20,7 @@
 	closeOnce sync.Once
 }
 
-// NewAsync returns a writer to w.
+// NewAsync returns an Async that writes to w. Close must be called to stop it.
 func NewAsync(w io.Writer) *Async {
 	a := &Async{lines: make(chan []byte, maxQueuedLines), done: make(chan struct{})}
 	go a.run(w)
@@ -34,12 +34,12 @@
 			return
 		}
 		if _, err := w.Write(line); err != nil {
-			a.dropped.Add(1) // there is nowhere to log that logs are lost
+			a.dropped.Add(1) // a failure to write logs can't be logged
 		}
 	}
 }
 
-// Write takes one line.
+// Write queues a copy of one line. It never returns an error.
 func (a *Async) Write(line []byte) (int, error) {
 	select {
 	case a.lines <- append([]byte(nil), line...):
@@ -49,13 +49,16 @@
 	return len(line), nil
 }
 
-// Sync implements zapcore.WriteSyncer; lines are on their way already.
+// Sync implements zapcore.WriteSyncer. It does nothing: queued lines are written
+// without it.
 func (a *Async) Sync() error { return nil }
 
-// Dropped is the number of lines that were lost.
+// Dropped returns the number of lines that were not written, because the queue was
+// full or the sink returned an error.
 func (a *Async) Dropped() int64 { return a.dropped.Load() }
 
-// Close writes what waits and ends the goroutine. No Write may follow.
+// Close writes the queued lines and stops the goroutine. Write must not be called
+// after Close.
 func (a *Async) Close() {
 	a.closeOnce.Do(func() { a.lines <- nil })
 	<-a.done
--- a/base/logs/async_test.go
+++ b/base/logs/async_test.go
@@ -8,7 +8,7 @@
 	"go.uber.org/zap"
 )
 
-// blockedSink is a sink that takes nothing until it is released.
+// blockedSink is a sink whose Write blocks until release is closed.
 type blockedSink struct {
 	release chan struct{}
 	out     bytes.Buffer
@@ -19,8 +19,9 @@
 	return s.out.Write(p)
 }
 
-// Nobody reads the process's output and the pipe is full. Requests go on: lines
-// are dropped and counted, and those that found room come out later.
+// Guards against requests that block on logging when no process reads our output
+// and the pipe is full: further lines must be dropped and counted, and the queued
+// ones written later.
 func TestBlockedSinkDoesNotBlockWriters(t *testing.T) {
 	sink := &blockedSink{release: make(chan struct{})}
 	a := NewAsync(sink)
--- a/base/logs/lines_test.go
+++ b/base/logs/lines_test.go
@@ -11,13 +11,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-const maxMessageBytes = 110 // bytes of a message; what varies goes into fields
+const maxMessageBytes = 110 // variable parts belong in fields
 
-// loggerCall is a call of a logger with a literal message.
+// loggerCall matches a call of a logger with a literal message.
 var loggerCall = regexp.MustCompile(`(?:[lL]og|[lL]ogger|\bl)\.(?:Debug|Info|Warn|Error)\(\s*"((?:[^"\\]|\\.)*)"`)
 
-// Operators read all parts' lines together: each is one short sentence, and
-// what varies stands in fields, so that lines can be grouped and limited.
+// Operators read the log lines of all parts together, so each message must be one
+// short sentence. Values belong in fields, so that equal messages can be grouped
+// and rate-limited.
 func TestMessagesAreSentences(t *testing.T) {
 	for _, part := range []string{"agent", "base", "confsync", "entry"} {
 		require.NoError(t, filepath.WalkDir(filepath.Join("../..", part), func(path string, d fs.DirEntry, err error) error {
--- a/base/logs/logs.go
+++ b/base/logs/logs.go
@@ -1,6 +1,6 @@
-// Package logs makes the loggers of a process's parts. Every message starts
+// Package logs creates the loggers of a process's parts. Every message starts
 // with the fixed prefix of its part ("entry: ", "agent: once: "), so that one
-// grep finds all that a part said.
+// grep finds all lines of a part.
 package logs
 
 import (
@@ -14,17 +14,17 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// linesPerInterval is how many lines of one message Limited lets through in an
-// interval.
+// linesPerInterval is how many lines with the same message a logger of Limited
+// writes per interval.
 const linesPerInterval = 1
 
-// New returns a logger that writes JSON lines to standard error, each message
-// behind the part's prefix. An unknown level logs at info.
+// New returns a logger that writes JSON lines to standard error and prefixes each
+// message with the part. An unknown level means info.
 func New(part, level string) *zap.Logger {
 	return NewTo(zapcore.Lock(os.Stderr), part, level)
 }
 
-// NewTo is New with another sink.
+// NewTo is like New but writes to w.
 func NewTo(w zapcore.WriteSyncer, part, level string) *zap.Logger {
 	lvl, err := zapcore.ParseLevel(level)
 	if err != nil {
@@ -34,24 +34,24 @@
 	return zap.New(prefixCore{core, part + ": "})
 }
 
-// Part returns a logger of a part within l's part: its prefix comes behind l's.
+// Part returns a logger for a part within l's part; its prefix follows l's.
 func Part(l *zap.Logger, part string) *zap.Logger {
 	return l.WithOptions(zap.WrapCore(func(c zapcore.Core) zapcore.Core {
 		return prefixCore{c, part + ": "}
 	}))
 }
 
-// Limited returns a logger that lets each distinct message through once per
-// interval. It is for lines under failure: a log outage would otherwise write
-// one line per retry on every VM.
+// Limited returns a logger that writes each distinct message at most once per
+// interval. It is meant for messages about failures: an outage of the log service
+// would otherwise cause one line per retry on every VM.
 func Limited(l *zap.Logger, interval time.Duration) *zap.Logger {
 	return l.WithOptions(zap.WrapCore(func(c zapcore.Core) zapcore.Core {
 		return zapcore.NewSamplerWithOptions(c, interval, linesPerInterval, 0)
 	}))
 }
 
-// Trace returns the field that ties a line to the trace of ctx; it is skipped
-// where ctx carries none.
+// Trace returns a field with the trace ID of ctx, or a skipped field if ctx has
+// none.
 func Trace(ctx context.Context) zap.Field {
 	sc := trace.SpanContextFromContext(ctx)
 	if !sc.HasTraceID() {
@@ -67,9 +67,9 @@
 	return cfg
 }
 
-// shortErrorEncoder writes an error as its message. Errors that format themselves in detail
-// (juju/errors) would add the places they came through to each line, and a line
-// of a failed call would be four times as long under an outage.
+// shortErrorEncoder encodes an error as its message only. Errors with a verbose
+// format (juju/errors) would add their stack to each line, and in an outage the
+// line of each failed call would be four times as long.
 type shortErrorEncoder struct{ zapcore.Encoder }
 
 // Clone implements zapcore.Encoder.
@@ -87,8 +87,8 @@
 	return t.Encoder.EncodeEntry(e, shortened)
 }
 
-// prefixCore puts a part's prefix before each message. It does so in Check and
-// leaves the decision to the core below, which may be a sampler.
+// prefixCore adds a part's prefix to each message. It does so in Check, before the
+// inner core, which may be a sampler, decides whether to write the message.
 type prefixCore struct {
 	zapcore.Core
 	prefix string
--- a/base/logs/logs_test.go
+++ b/base/logs/logs_test.go
@@ -17,8 +17,8 @@
 
 func (*bufferSink) Sync() error { return nil }
 
-// A call fails in an outage, again and again. Each line tells the error's message
-// and not the places that it came through.
+// In an outage each failed call is logged: the error field must hold the message
+// without the stack, so that lines stay short.
 func TestErrorFieldIsTheMessageOnly(t *testing.T) {
 	var w bufferSink
 	NewTo(&w, "agent", "info").Warn("Failed.", zap.Error(errors.Annotate(errors.New("refused"), "store")))
@@ -38,9 +38,9 @@
 	require.NotContains(t, w.String(), "Hidden")
 }
 
-// The log service is down and every retry says so: one line per message and
-// interval is written, and other messages still come through, also from parts
-// made of the limited logger.
+// While the log service is down every retry logs the same message. It must be
+// written once per interval; other messages must still be written, also those of
+// loggers that Part derives from the limited one.
 func TestLimited(t *testing.T) {
 	var w bufferSink
 	l := Limited(NewTo(zapcore.Lock(&w), "confsync", "info"), time.Hour)
