--- a/base/sleep/sleep.go
+++ b/base/sleep/sleep.go
@@ -1,4 +1,4 @@
-// Package sleep holds pauses that the end of a context cuts short.
+// Package sleep provides pauses that end early with a context, and jitter for them.
 package sleep
 
 import (
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// For waits for d and tells whether ctx still stands. Where ctx ends first it
+// For waits for d and reports whether ctx is still active. If ctx ends first, For
 // returns false at once.
 func For(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
@@ -20,6 +20,7 @@
 	}
 }
 
-// Jitter returns a random time from d/2 up to 3d/2, d above zero. Without it
-// all VMs that lost one peer at one moment would ask it again together.
+// Jitter returns a random duration in [d/2, 3d/2); d must be positive. Without
+// jitter, all VMs that lose a peer at the same time would retry it at the same
+// time.
 func Jitter(d time.Duration) time.Duration { return d/2 + rand.N(d) }
--- a/base/sleep/sleep_test.go
+++ b/base/sleep/sleep_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A loop that retries every minute must end with its process, and not a minute
-// later.
+// Guards against a slow stop: a loop that retries every minute must end when its
+// process stops, not up to a minute later.
 func TestForReturnsWhenContextEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
@@ -20,7 +20,7 @@
 		defer cancel()
 		require.False(t, For(ctx, time.Minute))
 		require.Equal(t, time.Minute+time.Second, time.Since(start))
-		require.False(t, For(ctx, 0), "both at once: the end of ctx counts")
+		require.False(t, For(ctx, 0), "when both have ended, ctx decides")
 	})
 }
 
