--- a/base/run/client.go
+++ b/base/run/client.go
@@ -12,8 +12,8 @@
 	"dandelionsill.org/base/trace"
 )
 
-// Limits of gRPC connections. grpc-go's own reconnect delay grows to two
-// minutes; a replaced VM must be reached within seconds.
+// Reconnect delays and limits of gRPC connections. grpc-go's default reconnect delay
+// grows to two minutes, but a replaced VM must be reached within seconds.
 const (
 	reconnectBaseDelay  = 200 * time.Millisecond
 	reconnectMaxDelay   = 3 * time.Second
@@ -22,8 +22,8 @@
 	dialTimeout         = 2 * time.Second
 )
 
-// NewClient returns a connection to another process at addr (IP:port). It
-// dials at first use and traces each call; opts override the defaults.
+// NewClient returns a connection to the process at addr (IP:port). The connection
+// is established at first use and each call is traced. opts override the defaults.
 func NewClient(addr string, opts ...grpc.DialOption) (*grpc.ClientConn, error) {
 	defaults := []grpc.DialOption{
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
--- a/base/run/daemon.go
+++ b/base/run/daemon.go
@@ -8,11 +8,11 @@
 	"dandelionsill.org/base/settings"
 )
 
-// Daemon is the whole main of a process: it loads the settings S from the
-// command line args (without the program's name), environment and file, builds
-// the process and runs it. It returns the exit code: 2 where the settings can't
-// be right, 0 where they were only asked about (settings.Result.Done), else
-// that of Main.
+// Daemon is the complete main function of a process: it loads the settings S from
+// args (the command line without the program's name), the environment and the
+// settings file, builds the process, runs it, and reloads changed settings while it
+// runs. It returns the exit code: 2 if the settings are invalid, 0 if only a query
+// such as --check was answered (settings.Result.Done), else that of Main.
 func Daemon[S any](name string, args []string, build func(context.Context, S) (*Process, error)) int {
 	hangups, stopHangups := notifyHangups()
 	defer stopHangups()
--- a/base/run/grpc.go
+++ b/base/run/grpc.go
@@ -15,17 +15,17 @@
 	"dandelionsill.org/base/trace"
 )
 
-// Limits of the gRPC server. A peer behind a cut link is found after
-// keepaliveTime + keepaliveTimeout; its streams then end.
+// Limits of the gRPC server. The streams of a peer that can't be reached any more
+// end after keepaliveTime + keepaliveTimeout.
 const (
 	keepaliveTime    = 10 * time.Second
 	keepaliveTimeout = 5 * time.Second
 	minClientPing    = 5 * time.Second
 	maxMessageBytes  = 64 << 20 // exported KV caches are the largest messages
-	maxStreams       = 4096     // streams at once per connection
+	maxStreams       = 4096     // concurrent streams per connection
 	connectTimeout   = 5 * time.Second
-	// closeGracePeriod is the time for replies that are being written. After the
-	// drain only endless streams (Watch) are left.
+	// closeGracePeriod is the time that Stop allows for replies that are still being
+	// written. After the drain only endless streams (Watch) remain.
 	closeGracePeriod = time.Second
 )
 
@@ -34,7 +34,7 @@
 	_ transport.Endpointer = (*GRPCServer)(nil)
 )
 
-// GRPCServer is a grpc-go server as a kratos transport.Server.
+// GRPCServer is a grpc-go server that implements kratos's transport.Server.
 type GRPCServer struct {
 	*grpc.Server
 
@@ -44,8 +44,8 @@
 	listenErr  error
 }
 
-// NewGRPC returns a server that will listen on addr (IP:port; port 0 picks
-// one). It traces each call; opts come behind the defaults and override them.
+// NewGRPC returns a server that will listen on addr (IP:port; port 0 picks a free
+// port) and traces each call. opts override the defaults.
 func NewGRPC(addr string, opts ...grpc.ServerOption) *GRPCServer {
 	defaults := []grpc.ServerOption{
 		grpc.ChainUnaryInterceptor(trace.UnaryServer),
@@ -59,7 +59,8 @@
 	return &GRPCServer{Server: grpc.NewServer(append(defaults, opts...)...), addr: addr}
 }
 
-// Listen binds the address; Start does it otherwise.
+// Listen binds the address and returns it. Further calls return the same result.
+// Start calls Listen, so that calling it before is optional.
 func (s *GRPCServer) Listen() (net.Addr, error) {
 	s.listenOnce.Do(func() {
 		s.listener, s.listenErr = net.Listen("tcp", s.addr)
@@ -70,8 +71,8 @@
 	return s.listener.Addr(), nil
 }
 
-// Endpoint returns the listener's address; kratos binds through it before it
-// starts anything, so that a taken port fails the start.
+// Endpoint binds the address and returns it as a URL. kratos calls it before it
+// starts any server, so that a port in use fails the start.
 func (s *GRPCServer) Endpoint() (*url.URL, error) {
 	addr, err := s.Listen()
 	if err != nil {
@@ -80,7 +81,7 @@
 	return &url.URL{Scheme: "grpc", Host: addr.String()}, nil
 }
 
-// Start serves until Stop.
+// Start serves calls until Stop is called.
 func (s *GRPCServer) Start(context.Context) error {
 	if _, err := s.Listen(); err != nil {
 		return err
@@ -91,8 +92,8 @@
 	return nil
 }
 
-// Stop lets running calls end for a short while and then closes what is left.
-// It comes after the drain, so that this cuts off no request.
+// Stop waits up to closeGracePeriod for running calls to end and then closes the
+// rest. It is called after the drain, when no request is in flight any more.
 func (s *GRPCServer) Stop(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, closeGracePeriod)
 	defer cancel()
--- a/base/run/hangup_cgo.go
+++ b/base/run/hangup_cgo.go
@@ -3,9 +3,9 @@
 /*
 #include <signal.h>
 
-// A hang-up that comes while the process starts, before Go has installed any
-// handler, would end it by the system's default. This runs as the program is
-// loaded; catchHangups takes the signal over.
+// A SIGHUP that arrives before Go has installed a handler would terminate the
+// process, which is the signal's default action. This constructor runs when the
+// program is loaded and ignores the signal until notifyHangups handles it.
 __attribute__((constructor)) static void ignore_hangup(void) {
 	signal(SIGHUP, SIG_IGN);
 }
--- a/base/run/http.go
+++ b/base/run/http.go
@@ -14,8 +14,8 @@
 	"dandelionsill.org/base/logs"
 )
 
-// Limits of the HTTP server. There is no write or read timeout: completions
-// stream for minutes, and every handler has its own deadline.
+// Limits of the HTTP server. It has no read or write timeout, because completions
+// stream for minutes and every handler has its own deadline.
 const (
 	readHeaderTimeout = 5 * time.Second
 	idleTimeout       = 2 * time.Minute
@@ -24,26 +24,26 @@
 	errorLogInterval = time.Second
 )
 
-// readiness of this process; stopping is never taken back.
+// Readiness of this process. stopping is never reset, except by tests.
 var ready, stopping atomic.Bool
 
-// SetReady says whether /readyz answers 200. Once the stop has begun it
-// answers 503 whatever is set here.
+// SetReady sets whether /readyz answers 200. Once the stop has started, /readyz
+// answers 503 regardless.
 func SetReady(isReady bool) { ready.Store(isReady) }
 
-// IsReady tells what /readyz answers.
+// IsReady reports whether /readyz answers 200.
 func IsReady() bool { return ready.Load() && !stopping.Load() }
 
-// NewHTTP returns a kratos HTTP server with /livez, /readyz and /debug/vars;
-// options go before its own.
+// NewHTTP returns a kratos HTTP server for addr (IP:port) with /livez, /readyz and
+// /debug/vars. options override the defaults.
 func NewHTTP(addr string, options ...khttp.ServerOption) *khttp.Server {
 	srv := khttp.NewServer(append([]khttp.ServerOption{
 		khttp.Address(addr),
-		// kratos cancels each request after one second unless told otherwise.
+		// By default kratos cancels each request after one second.
 		khttp.Timeout(0),
 		khttp.StrictSlash(false),
-		// kratos falls back to http.DefaultServeMux, where any imported
-		// package may have left handlers.
+		// By default kratos falls back to http.DefaultServeMux, on which any
+		// imported package may have registered handlers.
 		khttp.NotFoundHandler(http.NotFoundHandler()),
 		khttp.MethodNotAllowedHandler(http.HandlerFunc(methodNotAllowed)),
 	}, options...)...)
@@ -57,11 +57,12 @@
 	return srv
 }
 
-// errorLog brings net/http's own lines (a panic in a handler, a failed accept)
-// into the form of all others; it would write them bare.
+// errorLog returns a logger for the messages of net/http itself (a panic in a
+// handler, a failed accept), which would otherwise be written as plain text instead
+// of JSON lines.
 func errorLog() *log.Logger {
 	l, err := zap.NewStdLogAt(logs.Limited(logs.New("http", "warn"), errorLogInterval), zap.WarnLevel)
-	if err != nil { // the level is a constant that zap knows
+	if err != nil { // can't happen: the level is a valid constant
 		panic(err)
 	}
 	return l
@@ -71,8 +72,9 @@
 	_, _ = w.Write([]byte("ok\n"))
 }
 
-// writeMetrics writes the metrics as expvar's own handler does, but for the command
-// line: whoever may reach this listener need not see a secret given as a flag.
+// writeMetrics writes the metrics in the format of expvar's handler but omits the
+// command line, because a flag may hold a secret that clients of this listener must
+// not see.
 func writeMetrics(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json; charset=utf-8")
 	sep := "{\n"
--- a/base/run/http_test.go
+++ b/base/run/http_test.go
@@ -10,8 +10,8 @@
 	"dandelionsill.org/base/metrics"
 )
 
-// The metrics stand on the callers' listener. A setting given as a flag, which
-// may be a secret, must not stand among them.
+// The metrics are served on the same listener as the callers' requests, so they must
+// not include the command line: a setting given as a flag may be a secret.
 func TestMetricsOmitTheCommandLine(t *testing.T) {
 	metrics.Counter("test_total").Add(3)
 	w := httptest.NewRecorder()
--- a/base/run/kratoslog.go
+++ b/base/run/kratoslog.go
@@ -7,7 +7,8 @@
 	"go.uber.org/zap"
 )
 
-// kratosLogger sends kratos's own lines to zap.
+// kratosLogger writes kratos's own log messages to zap. Messages below warn are
+// logged at debug.
 type kratosLogger struct{ l *zap.Logger }
 
 // Log implements kratos's log.Logger.
--- a/base/run/reload.go
+++ b/base/run/reload.go
@@ -15,26 +15,26 @@
 	"dandelionsill.org/base/settings"
 )
 
-// checkInterval is how often the settings file is looked at: it may change
-// without a signal, and a reading of it costs microseconds.
+// checkInterval is how often the settings file's modification time is checked: the
+// file may change without a signal, and the check takes microseconds.
 const checkInterval = 2 * time.Second
 
-// notifyHangups keeps SIGHUP from ending the process, from its first moment on.
-// A hang-up means that the settings file has changed; unhandled it kills the
-// process with every request in flight.
+// notifyHangups returns a channel that receives SIGHUP and a function that stops
+// this. SIGHUP means that the settings file has changed. It must be called first,
+// because an unhandled SIGHUP terminates the process and every request in flight.
 func notifyHangups() (<-chan os.Signal, func()) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	return hangups, func() { signal.Stop(hangups) }
 }
 
-// reloader reads a daemon's settings anew when they may have changed.
+// reloader reloads a daemon's settings when they may have changed.
 type reloader[S any] struct {
 	name         string
 	args         []string
 	file         string
 	current      S
-	lastModified time.Time // of the file as it was read last
+	lastModified time.Time // modification time of the file when it was last read
 	process      *Process
 	log          *zap.Logger
 }
@@ -49,7 +49,8 @@
 	return r
 }
 
-// run looks at the file at each hang-up and every reloadEvery until ctx ends.
+// run reloads the settings at each SIGHUP and, checked every checkInterval, when the
+// file's modification time has changed. It returns when ctx ends.
 func (r *reloader[S]) run(ctx context.Context, hangups <-chan os.Signal) {
 	tick := time.NewTicker(checkInterval)
 	defer tick.Stop()
@@ -68,18 +69,21 @@
 	}
 }
 
+// fileModTime returns the settings file's modification time, or false if there is no
+// file or it can't be read.
 func (r *reloader[S]) fileModTime() (time.Time, bool) {
 	if r.file == "" {
 		return time.Time{}, false
 	}
 	info, err := os.Stat(r.file)
 	if err != nil {
-		return time.Time{}, false // the next look or hang-up finds it again
+		return time.Time{}, false // the next check or SIGHUP tries again
 	}
 	return info.ModTime(), true
 }
 
-// reload takes new settings over; ones that can't be right change nothing.
+// reload loads the settings and applies what has changed. Invalid settings are logged
+// and change nothing.
 func (r *reloader[S]) reload(why string) {
 	changed, next, err := r.load()
 	switch {
@@ -96,6 +100,7 @@
 	}
 }
 
+// load returns the names of the changed settings and the new settings.
 func (r *reloader[S]) load() ([]string, S, error) {
 	var next S
 	if _, err := settings.Load(r.name, r.args, &next, io.Discard); err != nil {
--- a/base/run/reload_test.go
+++ b/base/run/reload_test.go
@@ -29,8 +29,9 @@
 	return newReloader("test", []string{"--config", path}, path, reloadSettings{Addr: "a", Name: "n"}, p), lines
 }
 
-// The platform changes the settings file and sends a hang-up, which would end
-// a process without a handler together with its requests in flight.
+// The platform changes the settings file and sends SIGHUP. The process must reload
+// the settings; without a handler the signal would terminate it together with its
+// requests in flight.
 func TestHangupReloadsSettings(t *testing.T) {
 	hangups, stopHangups := notifyHangups()
 	defer stopHangups()
@@ -51,7 +52,7 @@
 	<-done
 }
 
-// Settings that can't be right change nothing and are told.
+// Invalid settings must be logged and must change nothing.
 func TestInvalidSettingsAreNotApplied(t *testing.T) {
 	path := writeSettings(t, "[store]\nadress = b\n")
 	p := &Process{Reload: func(any, []string) []string { t.Fatal("reloaded"); return nil }}
@@ -63,7 +64,8 @@
 	require.Equal(t, 1, lines.FilterMessage("settings: Settings are unchanged.").Len())
 }
 
-// A process that can't take new settings over says so.
+// A process that can't apply new settings while it runs must log which ones need a
+// restart.
 func TestSettingsThatNeedARestartAreLogged(t *testing.T) {
 	r, lines := newTestReloader(t, writeSettings(t, "[process]\nname = other\n"), &Process{})
 	r.reload("hang-up")
--- a/base/run/run.go
+++ b/base/run/run.go
@@ -1,6 +1,6 @@
-// Package run carries a process from start to graceful stop: a kratos app
-// around its servers, readiness, and the drain that lets no planned stop cut
-// off a request in flight.
+// Package run runs a process from start to graceful stop: a kratos app with the
+// process's servers, readiness, and a drain, so that a planned stop interrupts no
+// request in flight.
 package run
 
 import (
@@ -20,12 +20,12 @@
 	"dandelionsill.org/base/logs"
 )
 
-// Times of the stop.
+// Timeouts of the stop.
 const (
-	// defaultDrainTimeout is the longest deadline that an entry grants by
-	// default. With 30 s every planned stop cut off what ran longer.
+	// defaultDrainTimeout equals the longest deadline that an entry grants by
+	// default. With 30 s every planned stop interrupted longer requests.
 	defaultDrainTimeout = time.Hour
-	// stopTimeout bounds the closing of servers that have already drained.
+	// stopTimeout limits how long closing the drained servers may take.
 	stopTimeout = 5 * time.Second
 )
 
@@ -35,41 +35,42 @@
 const (
 	exitOK     = 0
 	exitFailed = 1
-	exitUsage  = 2 // the settings can't be right
+	exitUsage  = 2 // the settings are invalid
 )
 
-// Process is what a main runs.
+// Process describes a process for Main: its servers and lifecycle hooks.
 type Process struct {
 	// Servers are started together and stopped after the drain.
 	Servers []transport.Server
 	// Ready is called with true once all servers listen and with false as the
 	// first step of the stop. Optional.
 	Ready func(bool)
-	// StopDelay lies between Ready(false) and Drain: the time in which the
-	// balancer sees /readyz fail and stops sending new callers.
+	// StopDelay is the wait between Ready(false) and Drain, in which the balancer
+	// sees /readyz fail and stops sending new requests.
 	StopDelay time.Duration
-	// Drain returns nil once nothing is in flight, or ctx's error. Optional.
+	// Drain waits until nothing is in flight and returns nil, or ctx's error if ctx
+	// ends first. Optional.
 	Drain func(ctx context.Context) error
-	// DrainTimeout bounds Drain; 0: 1 h.
+	// DrainTimeout limits Drain; 0: 1 h.
 	DrainTimeout time.Duration
-	// Close is called last, after the servers have stopped and setup's ctx is
-	// done. Optional.
+	// Close is called last, after the servers have stopped and setup's ctx has
+	// been cancelled. Optional.
 	Close func()
-	// Reload takes over settings (a pointer to their struct) of which those with
-	// the names changed differ; it returns the names that wait for a restart.
-	// Optional.
+	// Reload applies new settings, a pointer to their struct. changed lists the
+	// names of the settings that differ from the current ones; Reload returns those
+	// that need a restart. Optional.
 	Reload func(settings any, changed []string) []string
-	// Logger is where the lifecycle is logged; nil: standard error at info.
+	// Logger logs the lifecycle; nil: to standard error at level info.
 	Logger *zap.Logger
 }
 
 // Main runs the process that setup builds until SIGTERM or SIGINT and returns
 // the exit code: 0 only if nothing was in flight when the servers stopped.
-// setup's ctx lasts until the servers have stopped; a signal that comes during
-// setup cancels it.
+// setup's ctx is cancelled when the servers have stopped, or by a signal that
+// arrives during setup.
 func Main(name string, setup func(ctx context.Context) (*Process, error)) int {
-	// kratos listens for signals only once all has started; an earlier one
-	// would kill the process without Close.
+	// kratos handles signals only once all servers have started; an earlier signal
+	// would terminate the process without Close.
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, stopSignals...)
 	defer signal.Stop(signals)
@@ -80,15 +81,15 @@
 		fmt.Fprintf(os.Stderr, "%s: %v\n", name, err)
 		return exitFailed
 	}
-	// Close may wait for goroutines that end with setup's ctx: were it cancelled
-	// after Close, a stopped process would hang and never give its exit code.
+	// Close may wait for goroutines that end with setup's ctx. If ctx were cancelled
+	// only after Close, a stopped process would hang and never return its exit code.
 	defer func() {
 		cancel()
 		if process.Close != nil {
 			process.Close()
 		}
 	}()
-	if ctx.Err() != nil { // a signal came and nothing has been started
+	if ctx.Err() != nil { // a signal arrived during setup; no server has been started
 		return exitOK
 	}
 	l := newLifecycle(name, process)
@@ -100,7 +101,7 @@
 	return exitOK
 }
 
-// runSetup runs setup and cancels ctx when a signal comes meanwhile.
+// runSetup calls setup and calls cancel if a signal arrives meanwhile.
 func runSetup(ctx context.Context, cancel func(), signals <-chan os.Signal, setup func(context.Context) (*Process, error)) (*Process, error) {
 	done := make(chan struct{})
 	var watcher sync.WaitGroup
@@ -147,14 +148,15 @@
 	return l
 }
 
-// run blocks until the app has stopped.
+// run runs the app until it has stopped. It returns the app's error or else that of
+// the drain.
 func (l *lifecycle) run(signals <-chan os.Signal) error {
 	done := make(chan struct{})
 	var watcher sync.WaitGroup
 	watcher.Go(func() {
 		select {
 		case <-signals:
-			_ = l.app.Stop() // drain's error is kept in l
+			_ = l.app.Stop() // the drain's error is kept in l.drainErr
 		case <-done:
 		}
 	})
@@ -173,7 +175,8 @@
 	return nil
 }
 
-// drain is the stop's first half: no new work, then nothing in flight.
+// drain is the first part of the stop: it makes /readyz fail, waits StopDelay and then
+// waits until nothing is in flight.
 func (l *lifecycle) drain() {
 	stopping.Store(true)
 	l.setReady(false)
--- a/base/run/run_test.go
+++ b/base/run/run_test.go
@@ -21,8 +21,8 @@
 	goleak.VerifyTestMain(m, goleak.IgnoreAnyFunction("os/signal.loop"))
 }
 
-// resetReadiness gives each test a process of its own: the stop is never taken back
-// within one.
+// resetReadiness resets the process-wide readiness before a test, because a stop is
+// never reversed within one process.
 func resetReadiness(t *testing.T) {
 	ready.Store(false)
 	stopping.Store(false)
@@ -36,7 +36,8 @@
 	return resp.StatusCode
 }
 
-// blockingAgent holds Explain until told and streams Watch for ever.
+// blockingAgent blocks Explain until release is closed and keeps Watch streams open
+// until the client ends them.
 type blockingAgent struct {
 	pb.UnimplementedAgentServer
 	entered, release chan struct{}
@@ -54,11 +55,10 @@
 	return nil
 }
 
-// The platform stops a VM (SIGTERM) while a call is in flight and a Watch
-// stream is open. The balancer sees /readyz fail at once, while the call still
-// runs; the call gets its whole answer; only then do the servers stop; the
-// endless stream doesn't hold the stop up; what runs beside the servers ends
-// before Close returns; the exit code is 0.
+// The platform stops a VM (SIGTERM) while a call is in flight and a Watch stream is
+// open. /readyz must fail at once, while the call still runs; the call must get its
+// complete answer before the servers stop; the endless stream must not delay the
+// stop; setup's ctx must end before Close returns; the exit code must be 0.
 func TestStopDrainsFirst(t *testing.T) {
 	resetReadiness(t)
 	agent := blockingAgent{entered: make(chan struct{}), release: make(chan struct{})}
@@ -128,8 +128,8 @@
 	require.Error(t, err)
 }
 
-// A request doesn't end within the drain timeout: the process stops all the
-// same, and its exit code tells the operator that something was cut off.
+// If a request doesn't end within the drain timeout, the process must still stop,
+// and its exit code must show that a request was interrupted.
 func TestDrainTimeoutReturnsFailure(t *testing.T) {
 	resetReadiness(t)
 	code := Main("test", func(context.Context) (*Process, error) {
@@ -151,13 +151,13 @@
 	require.Equal(t, exitFailed, code)
 }
 
-// A port is taken or the settings are wrong: the process ends with an error
-// instead of running without a listener.
+// If setup fails, is interrupted by a signal, or a port is in use, Main must return
+// a failure instead of running without a listener.
 func TestFailedStart(t *testing.T) {
 	resetReadiness(t)
 	code := Main("test", func(ctx context.Context) (*Process, error) {
 		require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGTERM))
-		<-ctx.Done() // setup waits for a platform that is down; SIGTERM ends the wait
+		<-ctx.Done() // stands for a setup that waits for an unavailable platform; SIGTERM ends the wait
 		return nil, ctx.Err()
 	})
 	require.Equal(t, exitFailed, code)
@@ -173,9 +173,9 @@
 	}))
 }
 
-// The operator stops an entry: it drains, logs "Stopped." and has to give its
-// exit code. Its Close waits for a goroutine that ends with setup's ctx; with
-// the ctx cancelled only after Close, the process hangs for ever.
+// Guards against a stopped process that never exits. How it came about: Close waited
+// for a goroutine that ends with setup's ctx, and the ctx was cancelled only after
+// Close.
 func TestCloseMayWaitForSetupsContext(t *testing.T) {
 	resetReadiness(t)
 	code := make(chan int)
