--- a/base/trace/trace.go
+++ b/base/trace/trace.go
@@ -102,7 +102,7 @@
 		sdktrace.WithResource(resource.NewSchemaless(attribute.String("service.name", process))),
 	}
 	if exporter == nil {
-		// Nobody reads the spans: make ids, but record nothing.
+		// Without an exporter only trace IDs are generated and no spans are recorded.
 		return append(options, sdktrace.WithSampler(sdktrace.ParentBased(sdktrace.NeverSample())))
 	}
 	return append(options,
