--- a/base/run/reload.go
+++ b/base/run/reload.go
@@ -20,8 +20,9 @@
 const checkInterval = 2 * time.Second
 
 // notifyHangups returns a channel that receives SIGHUP and a function that stops
-// this. SIGHUP means that the settings file has changed. It must be called first,
-// because an unhandled SIGHUP terminates the process and every request in flight.
+// this. SIGHUP means that the settings file has changed. The function must be called
+// before anything else in main, because an unhandled SIGHUP terminates the process and
+// every request in flight.
 func notifyHangups() (<-chan os.Signal, func()) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
