--- a/agent/generate/handler.go
+++ b/agent/generate/handler.go
@@ -134,7 +134,7 @@
 		return err
 	}
 	h.adoptPartial(ctx, r, older)
-	proof.Send()
+	proof.MarkSent()
 	return h.produce(ctx, r, out)
 }
 
--- a/agent/generate/produce.go
+++ b/agent/generate/produce.go
@@ -276,7 +276,7 @@
 	ctx, cancel := context.WithTimeout(ctx, engineStateTimeout)
 	defer cancel()
 	if _, stateErr := h.cfg.Engine.State(ctx); errors.Is(stateErr, syscall.ECONNREFUSED) {
-		return err.WithEnded(o.boot)
+		return err.WithEndedServer(o.boot)
 	}
 	return err
 }
--- a/base/explain/ring.go
+++ b/base/explain/ring.go
@@ -1,5 +1,5 @@
-// Package explain keeps the last decisions of a process, so that an operator
-// can ask why a request or sample was routed, refused or repeated.
+// Package explain keeps the latest decisions of a process, so that an operator
+// can query why a request or sample was routed, refused or repeated.
 package explain
 
 import (
@@ -15,16 +15,16 @@
 	"dandelionsill.org/wire/pb"
 )
 
-// Bounds of a Ring.
+// Sizes of a Ring.
 const (
-	minSize = 16
-	shards  = 16 // power of two; concurrent requests rarely meet on one lock
+	minDecisions = 16
+	shardCount   = 16 // power of two; enough that concurrent requests rarely contend for one lock
 )
 
-// record is one decision as it is kept. It holds no pointer but its strings,
-// so that Add allocates nothing.
+// record is one stored decision. It has no pointers except those of its strings,
+// so that Add does not allocate.
 type record struct {
-	at             int64 // ms since 1970; 0: empty
+	atMs           int64 // Unix time in ms
 	part, id       string
 	what, why      string
 	traceID        trace.TraceID
@@ -37,39 +37,40 @@
 	next    int
 }
 
-// Ring holds a bounded number of decisions; new ones overwrite the oldest of
-// the same shard. It is safe for concurrent use.
+// Ring holds a bounded number of decisions; a new one overwrites the oldest of
+// its shard. It is safe for concurrent use.
 type Ring struct {
 	process string
-	shards  [shards]shard
+	shards  [shardCount]shard
 	now     func() time.Time
 }
 
-// New returns a ring for about size decisions of the named process.
+// New returns a ring for about size decisions (at least minDecisions) of the named
+// process.
 func New(process string, size int) *Ring {
 	r := &Ring{process: process, now: time.Now}
-	per := max(size, minSize) / shards
+	shardSize := max(size, minDecisions) / shardCount
 	for i := range r.shards {
-		r.shards[i].records = make([]record, per)
+		r.shards[i].records = make([]record, shardSize)
 	}
 	return r
 }
 
-// Add keeps one decision: which part decided what about the request or sample
-// id, and why. It may be called on a nil Ring.
+// Add stores one decision: which part decided what about the request or sample
+// with the given ID, and why. It does nothing on a nil Ring.
 func (r *Ring) Add(ctx context.Context, part, id, what, why string) {
 	if r == nil {
 		return
 	}
-	rec := record{at: r.now().UnixMilli(), part: part, id: id, what: what, why: why, used: true}
+	rec := record{atMs: r.now().UnixMilli(), part: part, id: id, what: what, why: why, used: true}
 	if sc := trace.SpanContextFromContext(ctx); sc.HasTraceID() {
 		rec.traceID, rec.hasTrace = sc.TraceID(), true
 	}
 	r.shards[shardOf(id)].add(rec)
 }
 
-// Find returns the decisions about id and about what is below it (the tries of
-// a request or sample, the samples of a group) that are still kept, oldest first.
+// Find returns the stored decisions about id and about the IDs below it (the
+// attempts of a request or sample, the samples of a group), oldest first.
 func (r *Ring) Find(id string) []*pb.Decision {
 	if r == nil || id == "" {
 		return nil
@@ -82,28 +83,28 @@
 	return found
 }
 
-// find appends the shard's decisions about id.
+// find appends the shard's decisions about id and the IDs below it to found.
 func (s *shard) find(id, process string, found []*pb.Decision) []*pb.Decision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i := range s.records {
 		rec := &s.records[(s.next+i)%len(s.records)]
-		if rec.used && within(rec.id, id) {
+		if rec.used && isSameOrBelow(rec.id, id) {
 			found = append(found, rec.decision(process))
 		}
 	}
 	return found
 }
 
-// within tells whether an id is another one or made from it: the ids of a
-// request's and a sample's tries go on behind a "." or "/".
-func within(id, of string) bool {
-	rest, ok := strings.CutPrefix(id, of)
+// isSameOrBelow reports whether id equals parent or is derived from it: the ID of an
+// attempt at a request or sample is the parent's ID, a "." or "/", and a suffix.
+func isSameOrBelow(id, parent string) bool {
+	rest, ok := strings.CutPrefix(id, parent)
 	return ok && (rest == "" || rest[0] == '.' || rest[0] == '/')
 }
 
 func (rec *record) decision(process string) *pb.Decision {
-	d := &pb.Decision{AtMs: rec.at, Process: process, Part: rec.part, Id: rec.id, What: rec.what, Why: rec.why}
+	d := &pb.Decision{AtMs: rec.atMs, Process: process, Part: rec.part, Id: rec.id, What: rec.what, Why: rec.why}
 	if rec.hasTrace {
 		d.TraceId = rec.traceID.String()
 	}
@@ -117,13 +118,13 @@
 	s.next = (s.next + 1) % len(s.records)
 }
 
-// shardOf hashes an id (FNV-1a): all decisions about one id share a shard, so
-// that they stay in order.
+// shardOf returns the shard of an ID, by its FNV-1a hash. All decisions about one
+// ID are in one shard, so that they stay in order.
 func shardOf(id string) uint32 {
 	const offset, prime = 2166136261, 16777619
 	h := uint32(offset)
 	for i := 0; i < len(id); i++ {
 		h = (h ^ uint32(id[i])) * prime
 	}
-	return h % shards
+	return h % shardCount
 }
--- a/base/logs/lines_test.go
+++ b/base/logs/lines_test.go
@@ -11,24 +11,25 @@
 	"github.com/stretchr/testify/require"
 )
 
-const maxLine = 110 // bytes of a message; what varies goes into fields
+const maxMessageBytes = 110 // variable parts belong in fields
 
-// line is a call of a logger with a literal message.
-var line = regexp.MustCompile(`(?:[lL]og|[lL]ogger|\bl)\.(?:Debug|Info|Warn|Error)\(\s*"((?:[^"\\]|\\.)*)"`)
+// loggerCall matches a call of a logger with a literal message.
+var loggerCall = regexp.MustCompile(`(?:[lL]og|[lL]ogger|\bl)\.(?:Debug|Info|Warn|Error)\(\s*"((?:[^"\\]|\\.)*)"`)
 
-// Operators read all parts' lines together: each is one short sentence, and
-// what varies stands in fields, so that lines can be grouped and limited.
-func TestLinesAreSentences(t *testing.T) {
+// Operators read the log lines of all parts together, so each message must be one
+// short sentence. Values belong in fields, so that equal messages can be grouped
+// and rate-limited.
+func TestMessagesAreSentences(t *testing.T) {
 	for _, part := range []string{"agent", "base", "confsync", "entry"} {
 		require.NoError(t, filepath.WalkDir(filepath.Join("../..", part), func(path string, d fs.DirEntry, err error) error {
 			if err != nil || d.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 				return err
 			}
 			text, err := os.ReadFile(path)
-			for _, m := range line.FindAllSubmatch(text, -1) {
+			for _, m := range loggerCall.FindAllSubmatch(text, -1) {
 				message := string(m[1])
 				first := message[:min(1, len(message))]
-				if first != strings.ToUpper(first) || !strings.HasSuffix(message, ".") || len(message) > maxLine {
+				if first != strings.ToUpper(first) || !strings.HasSuffix(message, ".") || len(message) > maxMessageBytes {
 					t.Errorf("%s: %q is not a short sentence", path, message)
 				}
 			}
--- a/base/logs/logs.go
+++ b/base/logs/logs.go
@@ -1,6 +1,6 @@
-// Package logs makes the loggers of a process's parts. Every message starts
+// Package logs creates the loggers of a process's parts. Every message starts
 // with the fixed prefix of its part ("entry: ", "agent: once: "), so that one
-// grep finds all that a part said.
+// grep finds all lines of a part.
 package logs
 
 import (
@@ -14,44 +14,44 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// limitedFirst is how many lines of one message Limited lets through in an
-// interval.
-const limitedFirst = 1
+// linesPerInterval is how many lines with the same message a logger of Limited
+// writes per interval.
+const linesPerInterval = 1
 
-// New returns a logger that writes JSON lines to standard error, each message
-// behind the part's prefix. An unknown level logs at info.
+// New returns a logger that writes JSON lines to standard error and prefixes each
+// message with the part. An unknown level means info.
 func New(part, level string) *zap.Logger {
 	return NewTo(zapcore.Lock(os.Stderr), part, level)
 }
 
-// NewTo is New with another sink.
+// NewTo is like New but writes to w.
 func NewTo(w zapcore.WriteSyncer, part, level string) *zap.Logger {
 	lvl, err := zapcore.ParseLevel(level)
 	if err != nil {
 		lvl = zapcore.InfoLevel
 	}
-	core := zapcore.NewCore(terse{zapcore.NewJSONEncoder(encoding())}, w, lvl)
-	return zap.New(prefixed{core, part + ": "})
+	core := zapcore.NewCore(shortErrorEncoder{zapcore.NewJSONEncoder(encoderConfig())}, w, lvl)
+	return zap.New(prefixCore{core, part + ": "})
 }
 
-// Part returns a logger of a part within l's part: its prefix comes behind l's.
+// Part returns a logger for a part within l's part; its prefix follows l's.
 func Part(l *zap.Logger, part string) *zap.Logger {
 	return l.WithOptions(zap.WrapCore(func(c zapcore.Core) zapcore.Core {
-		return prefixed{c, part + ": "}
+		return prefixCore{c, part + ": "}
 	}))
 }
 
-// Limited returns a logger that lets each distinct message through once per
-// interval. It is for lines under failure: a log outage would otherwise write
-// one line per retry on every VM.
-func Limited(l *zap.Logger, every time.Duration) *zap.Logger {
+// Limited returns a logger that writes each distinct message at most once per
+// interval. It is meant for messages about failures: an outage of the log service
+// would otherwise cause one line per retry on every VM.
+func Limited(l *zap.Logger, interval time.Duration) *zap.Logger {
 	return l.WithOptions(zap.WrapCore(func(c zapcore.Core) zapcore.Core {
-		return zapcore.NewSamplerWithOptions(c, every, limitedFirst, 0)
+		return zapcore.NewSamplerWithOptions(c, interval, linesPerInterval, 0)
 	}))
 }
 
-// Trace returns the field that ties a line to the trace of ctx; it is skipped
-// where ctx carries none.
+// Trace returns a field with the trace ID of ctx, or a skipped field if ctx has
+// none.
 func Trace(ctx context.Context) zap.Field {
 	sc := trace.SpanContextFromContext(ctx)
 	if !sc.HasTraceID() {
@@ -60,45 +60,45 @@
 	return zap.String("trace_id", sc.TraceID().String())
 }
 
-func encoding() zapcore.EncoderConfig {
+func encoderConfig() zapcore.EncoderConfig {
 	cfg := zap.NewProductionEncoderConfig()
 	cfg.EncodeTime = zapcore.ISO8601TimeEncoder
 	cfg.EncodeDuration = zapcore.StringDurationEncoder
 	return cfg
 }
 
-// terse writes an error as its message. Errors that format themselves in detail
-// (juju/errors) would add the places they came through to each line, and a line
-// of a failed call would be four times as long under an outage.
-type terse struct{ zapcore.Encoder }
+// shortErrorEncoder encodes an error as its message only. Errors with a verbose
+// format (juju/errors) would add their stack to each line, and in an outage the
+// line of each failed call would be four times as long.
+type shortErrorEncoder struct{ zapcore.Encoder }
 
 // Clone implements zapcore.Encoder.
-func (t terse) Clone() zapcore.Encoder { return terse{t.Encoder.Clone()} }
+func (t shortErrorEncoder) Clone() zapcore.Encoder { return shortErrorEncoder{t.Encoder.Clone()} }
 
 // EncodeEntry implements zapcore.Encoder.
-func (t terse) EncodeEntry(e zapcore.Entry, fields []zapcore.Field) (*buffer.Buffer, error) {
-	short := make([]zapcore.Field, len(fields))
+func (t shortErrorEncoder) EncodeEntry(e zapcore.Entry, fields []zapcore.Field) (*buffer.Buffer, error) {
+	shortened := make([]zapcore.Field, len(fields))
 	for i, f := range fields {
 		if err, ok := f.Interface.(error); ok && f.Type == zapcore.ErrorType {
 			f = zap.String(f.Key, err.Error())
 		}
-		short[i] = f
+		shortened[i] = f
 	}
-	return t.Encoder.EncodeEntry(e, short)
+	return t.Encoder.EncodeEntry(e, shortened)
 }
 
-// prefixed puts a part's prefix before each message. It does so in Check and
-// leaves the decision to the core below, which may be a sampler.
-type prefixed struct {
+// prefixCore adds a part's prefix to each message. It does so in Check, before the
+// inner core, which may be a sampler, decides whether to write the message.
+type prefixCore struct {
 	zapcore.Core
 	prefix string
 }
 
-func (p prefixed) With(fields []zapcore.Field) zapcore.Core {
-	return prefixed{p.Core.With(fields), p.prefix}
+func (p prefixCore) With(fields []zapcore.Field) zapcore.Core {
+	return prefixCore{p.Core.With(fields), p.prefix}
 }
 
-func (p prefixed) Check(e zapcore.Entry, ce *zapcore.CheckedEntry) *zapcore.CheckedEntry {
+func (p prefixCore) Check(e zapcore.Entry, ce *zapcore.CheckedEntry) *zapcore.CheckedEntry {
 	if !p.Enabled(e.Level) {
 		return ce
 	}
--- a/base/metrics/histogram.go
+++ b/base/metrics/histogram.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// bounds of a Histogram's buckets.
-var bounds = []time.Duration{
+// bucketBounds are the inclusive upper bounds of a Histogram's buckets.
+var bucketBounds = []time.Duration{
 	time.Millisecond, 2 * time.Millisecond, 5 * time.Millisecond, 10 * time.Millisecond, 20 * time.Millisecond,
 	50 * time.Millisecond, 100 * time.Millisecond, 200 * time.Millisecond, 500 * time.Millisecond,
 	time.Second, 2 * time.Second, 5 * time.Second, 10 * time.Second,
@@ -17,15 +17,15 @@
 
 // Histogram counts latencies in fixed buckets. It is safe for concurrent use.
 type Histogram struct {
-	buckets [14]atomic.Int64 // the last one is above all bounds
+	buckets [14]atomic.Int64 // the last one counts latencies above all bounds
 	sum     atomic.Int64     // nanoseconds
 }
 
-// NewHistogram returns a histogram and publishes it; a second one of the same
-// name is returned instead of made.
+// NewHistogram returns the histogram with the given name; the first call creates
+// and publishes it.
 func NewHistogram(name string) *Histogram {
-	publishing.Lock()
-	defer publishing.Unlock()
+	publishMu.Lock()
+	defer publishMu.Unlock()
 	if h, ok := expvar.Get(name).(*Histogram); ok {
 		return h
 	}
@@ -34,17 +34,18 @@
 	return h
 }
 
-// Observe adds one latency.
+// Observe records one latency.
 func (h *Histogram) Observe(d time.Duration) {
-	at := 0
-	for at < len(bounds) && d > bounds[at] {
-		at++
+	bucket := 0
+	for bucket < len(bucketBounds) && d > bucketBounds[bucket] {
+		bucket++
 	}
-	h.buckets[at].Add(1)
+	h.buckets[bucket].Add(1)
 	h.sum.Add(int64(d))
 }
 
-// String returns the counts as JSON, by the buckets' upper bounds in milliseconds.
+// String returns a JSON object with the count of each bucket (named by its upper
+// bound in milliseconds), the total count and the sum in milliseconds.
 func (h *Histogram) String() string {
 	var b strings.Builder
 	b.WriteString("{")
@@ -53,8 +54,8 @@
 		n := h.buckets[i].Load()
 		total += n
 		bound := "inf"
-		if i < len(bounds) {
-			bound = fmt.Sprint(bounds[i].Milliseconds())
+		if i < len(bucketBounds) {
+			bound = fmt.Sprint(bucketBounds[i].Milliseconds())
 		}
 		fmt.Fprintf(&b, "%q: %d, ", "le_"+bound+"_ms", n)
 	}
--- a/base/run/kratoslog.go
+++ b/base/run/kratoslog.go
@@ -7,19 +7,20 @@
 	"go.uber.org/zap"
 )
 
-// kratosLogger sends kratos's own lines to zap.
+// kratosLogger writes kratos's own log messages to zap. Messages below warn are
+// logged at debug.
 type kratosLogger struct{ l *zap.Logger }
 
 // Log implements kratos's log.Logger.
 func (k kratosLogger) Log(level klog.Level, keyvals ...any) error {
-	line := fmt.Sprint(keyvals...)
+	message := fmt.Sprint(keyvals...)
 	switch {
 	case level >= klog.LevelError:
-		k.l.Error(line)
+		k.l.Error(message)
 	case level == klog.LevelWarn:
-		k.l.Warn(line)
+		k.l.Warn(message)
 	default:
-		k.l.Debug(line)
+		k.l.Debug(message)
 	}
 	return nil
 }
--- a/base/settings/field.go
+++ b/base/settings/field.go
@@ -13,22 +13,23 @@
 var durationType = reflect.TypeFor[time.Duration]()
 
 // field is one setting. It implements flag.Value, so that flags, environment
-// and file all set it by the same rules.
+// variables and the file are all parsed by the same rules.
 type field struct {
 	section, key string
 	help         string
 	defaultText  string
 	secret       bool
-	lowest       string
-	highest      string
+	minText      string
+	maxText      string
 	ipPort       bool
 	value        reflect.Value
 }
 
-// name is the flag's name.
+// name returns the setting's name, which is also its flag's name.
 func (f *field) name() string { return f.section + "." + f.key }
 
-// fieldsOf collects the settings of a struct and sets their defaults.
+// fieldsOf returns the settings of dst, a pointer to a struct, after setting their
+// defaults.
 func fieldsOf(dst any) ([]*field, error) {
 	v := reflect.ValueOf(dst)
 	if v.Kind() != reflect.Pointer || v.Elem().Kind() != reflect.Struct {
@@ -41,7 +42,7 @@
 	seen := map[string]bool{}
 	for _, f := range fields {
 		if seen[f.name()] {
-			return nil, errors.Errorf("settings: %s stands twice in %T", f.name(), dst)
+			return nil, errors.Errorf("settings: %s is defined twice in %T", f.name(), dst)
 		}
 		seen[f.name()] = true
 		if f.defaultText == "" {
@@ -54,21 +55,22 @@
 	return fields, nil
 }
 
+// collect appends the settings of struct v, including those of nested structs.
 func collect(v reflect.Value, fields []*field) ([]*field, error) {
 	for i := range v.NumField() {
-		info, member := v.Type().Field(i), v.Field(i)
+		info, value := v.Type().Field(i), v.Field(i)
 		tag, tagged := info.Tag.Lookup("ini")
 		if !tagged {
-			if member.Kind() != reflect.Struct || !info.IsExported() {
+			if value.Kind() != reflect.Struct || !info.IsExported() {
 				continue
 			}
 			var err error
-			if fields, err = collect(member, fields); err != nil {
+			if fields, err = collect(value, fields); err != nil {
 				return nil, err
 			}
 			continue
 		}
-		f, err := newField(tag, info, member)
+		f, err := newField(tag, info, value)
 		if err != nil {
 			return nil, errors.Annotatef(err, "settings: field %s", info.Name)
 		}
@@ -77,9 +79,10 @@
 	return fields, nil
 }
 
-// Tags besides ini, default and help: `min:"1" max:"10"` bound numbers and
-// durations, `kind:"ip:port"` takes IP:port only, `secret:"true"` is never
-// printed.
+// newField returns the setting for the struct field info with the ini tag. Further
+// tags are default and help; min and max, as in `min:"1" max:"10"`, which limit
+// numbers and durations; `kind:"ip:port"`, which allows only IP:port; and
+// `secret:"true"`, whose value is never printed.
 func newField(tag string, info reflect.StructField, v reflect.Value) (*field, error) {
 	section, key, ok := strings.Cut(tag, ".")
 	if !ok || section == "" || key == "" {
@@ -94,21 +97,21 @@
 		help:        info.Tag.Get("help"),
 		defaultText: info.Tag.Get("default"),
 		secret:      info.Tag.Get("secret") == "true",
-		lowest:      info.Tag.Get("min"),
-		highest:     info.Tag.Get("max"),
+		minText:     info.Tag.Get("min"),
+		maxText:     info.Tag.Get("max"),
 		ipPort:      info.Tag.Get("kind") == "ip:port",
 		value:       v,
 	}, nil
 }
 
-// IsBoolFlag lets a flag stand without a value.
+// IsBoolFlag reports whether the flag may be given without a value.
 func (f *field) IsBoolFlag() bool {
 	return f.value.IsValid() && f.value.Kind() == reflect.Bool
 }
 
-// String returns the value as Set takes it.
+// String returns the value in the form that Set accepts.
 func (f *field) String() string {
-	if f == nil || !f.value.IsValid() { // the flag package asks a zero value
+	if f == nil || !f.value.IsValid() { // the flag package calls String on a zero value
 		return ""
 	}
 	if f.value.Type() == durationType {
@@ -140,37 +143,37 @@
 func (f *field) parse(text string) (reflect.Value, error) {
 	if f.value.Type() == durationType {
 		d, err := time.ParseDuration(text)
-		return reflect.ValueOf(d), wrong(err, text, "a duration such as 500ms or 30s")
+		return reflect.ValueOf(d), invalidValue(err, text, "a duration such as 500ms or 30s")
 	}
 	switch f.value.Interface().(type) {
 	case string:
 		return reflect.ValueOf(text), nil
 	case bool:
 		b, err := strconv.ParseBool(text)
-		return reflect.ValueOf(b), wrong(err, text, "true or false")
+		return reflect.ValueOf(b), invalidValue(err, text, "true or false")
 	case int:
 		n, err := strconv.Atoi(text)
-		return reflect.ValueOf(n), wrong(err, text, "a whole number")
+		return reflect.ValueOf(n), invalidValue(err, text, "a whole number")
 	case float64:
 		x, err := strconv.ParseFloat(text, 64)
 		if err == nil && (math.IsNaN(x) || math.IsInf(x, 0)) {
-			err = strconv.ErrRange // no bound holds against NaN
+			err = strconv.ErrRange // NaN passes no comparison with a bound
 		}
-		return reflect.ValueOf(x), wrong(err, text, "a number")
+		return reflect.ValueOf(x), invalidValue(err, text, "a number")
 	case []string:
 		return reflect.ValueOf(splitList(text)), nil
 	}
 	return reflect.Value{}, errors.Errorf("type %s is not supported", f.value.Type())
 }
 
-func wrong(err error, text, want string) error {
+func invalidValue(err error, text, want string) error {
 	if err == nil {
 		return nil
 	}
 	return errors.Errorf("%q is not %s", text, want)
 }
 
-// splitList splits at commas; blanks around items and empty items are dropped.
+// splitList splits text at commas and drops spaces around items and empty items.
 func splitList(text string) []string {
 	var items []string
 	for item := range strings.SplitSeq(text, ",") {
--- a/base/settings/file.go
+++ b/base/settings/file.go
@@ -10,30 +10,31 @@
 	"gopkg.in/ini.v1"
 )
 
-// fileParser reads the INI file for ff and remembers which keys stood in it.
+// fileParser parses the INI file for ff and records which keys it contains.
 type fileParser struct {
 	fields []*field
 	found  map[string]bool
 }
 
-// loadOptions take values as they stand. Shadows are how the library keeps a
-// key's second value, which is refused here: of two values one would be ignored.
-var loadOptions = ini.LoadOptions{
+// iniOptions make the library take values literally. With shadows the library keeps
+// the further values of a repeated key, so that parseSection can reject the key:
+// otherwise one of its values would be ignored.
+var iniOptions = ini.LoadOptions{
 	IgnoreInlineComment:        true,
 	IgnoreContinuation:         true,
 	AllowShadows:               true,
 	AllowDuplicateShadowValues: true,
 }
 
-// parse returns ff's parser. name points at the file's name, which ff knows
-// only after the flags are read.
+// parse returns the parser that ff calls. name points at the file's name, which is
+// known only after the flags are parsed.
 func (p *fileParser) parse(name *string) func(io.Reader, func(name, value string) error) error {
 	return func(r io.Reader, set func(name, value string) error) error {
 		data, err := io.ReadAll(r)
 		if err != nil {
 			return errors.Annotate(err, *name)
 		}
-		file, err := ini.LoadSources(loadOptions, data)
+		file, err := ini.LoadSources(iniOptions, data)
 		if err != nil {
 			return errors.Annotate(err, *name)
 		}
@@ -49,18 +50,18 @@
 
 func (p *fileParser) parseSection(file string, section *ini.Section, set func(name, value string) error) error {
 	if section.Name() != ini.DefaultSection && !p.hasSection(section.Name()) {
-		return errors.Errorf("%s: unknown section [%s]%s", file, section.Name(), Nearest(section.Name(), p.sections()))
+		return errors.Errorf("%s: unknown section [%s]%s", file, section.Name(), NearestHint(section.Name(), p.sections()))
 	}
 	for _, key := range section.Keys() {
 		if section.Name() == ini.DefaultSection {
-			return errors.Errorf("%s: key %q stands before any section", file, key.Name())
+			return errors.Errorf("%s: key %q is before any section", file, key.Name())
 		}
 		name := section.Name() + "." + key.Name()
 		if !p.has(name) {
-			return errors.Errorf("%s: section [%s]: unknown key %q%s", file, section.Name(), key.Name(), Nearest(key.Name(), p.keys(section.Name())))
+			return errors.Errorf("%s: section [%s]: unknown key %q%s", file, section.Name(), key.Name(), NearestHint(key.Name(), p.keys(section.Name())))
 		}
 		if len(key.ValueWithShadows()) > 1 {
-			return errors.Errorf("%s: section [%s]: key %q stands twice", file, section.Name(), key.Name())
+			return errors.Errorf("%s: section [%s]: key %q is given twice", file, section.Name(), key.Name())
 		}
 		if err := set(name, key.Value()); err != nil {
 			return errors.Annotatef(err, "%s: section [%s]: key %q", file, section.Name(), key.Name())
@@ -106,8 +107,9 @@
 	return names
 }
 
-// hintFlag adds the nearest flag to the flag package's "not defined" error.
-func hintFlag(err error, fields []*field) error {
+// addFlagHint returns an error with a hint at the nearest flag if err is the flag
+// package's "not defined" error; otherwise it returns err.
+func addFlagHint(err error, fields []*field) error {
 	const undefined = "flag provided but not defined: -"
 	_, name, found := strings.Cut(err.Error(), undefined)
 	if !found {
@@ -117,19 +119,20 @@
 	for _, f := range fields {
 		names = append(names, f.name())
 	}
-	return errors.Errorf("unknown flag --%s%s", name, Nearest(name, names))
+	return errors.Errorf("unknown flag --%s%s", name, NearestHint(name, names))
 }
 
-// Nearest words a hint at the valid name with the smallest edit distance. A
-// key without its section means the first section that has it.
-func Nearest(wrong string, valid []string) string {
-	best, distance := "", len(wrong)+1
+// NearestHint returns the text of a hint at the valid name with the smallest edit
+// distance to unknown, or "" if there is none. A key without its section matches
+// the first valid name that has that key.
+func NearestHint(unknown string, valid []string) string {
+	best, distance := "", len(unknown)+1
 	for _, name := range valid {
-		if strings.HasSuffix(name, "."+wrong) {
+		if strings.HasSuffix(name, "."+unknown) {
 			best = name
 			break
 		}
-		if d := levenshtein.ComputeDistance(strings.ToLower(wrong), strings.ToLower(name)); d < distance {
+		if d := levenshtein.ComputeDistance(strings.ToLower(unknown), strings.ToLower(name)); d < distance {
 			best, distance = name, d
 		}
 	}
--- a/kinds/kinds_test.go
+++ b/kinds/kinds_test.go
@@ -12,10 +12,10 @@
 	"pgregory.net/rapid"
 )
 
-// A refusal made after the request went on would tell the caller "not run"
-// about a request that may have run; the caller repeats it and an order is
-// doubled. Whatever the order of Send, Return and Refuse, only an unsent
-// request can be refused with the claim.
+// Guards against a false "not run" claim: a request refused after it was sent
+// may have run, and a caller that repeats it would, for example, double an order.
+// In any order of MarkSent, RestoreProof and Refuse, only an unsent request can be
+// refused with the claim.
 func TestRefuseClaimsNotRunOnlyWhileUnsent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := Hold()
@@ -23,12 +23,12 @@
 		for range rapid.IntRange(0, 8).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
-				h.Send()
+				h.MarkSent()
 				sent = true
 			case 1:
-				h.Return(New(OutcomeUnknown, "lost"))
+				h.RestoreProof(New(OutcomeUnknown, "lost"))
 			case 2:
-				h.Return(Hold().Refuse(Leaving, "going"))
+				h.RestoreProof(Hold().Refuse(Leaving, "going"))
 				sent = false
 			case 3:
 				err := h.Refuse(Overloaded, "full")
@@ -39,9 +39,9 @@
 	})
 }
 
-// The claim "not run" by a plain constructor must not compile: that is the
-// promise of the two kind types.
-func TestWrongClaimDoesNotCompile(t *testing.T) {
+// New must not accept a NotRunKind, nor Refuse a Kind: the two types make the
+// compiler reject such calls.
+func TestFalseNotRunClaimDoesNotCompile(t *testing.T) {
 	for src, ok := range map[string]bool{
 		`package kinds; var e = New(OutcomeUnknown, "x")`:      true,
 		`package kinds; var e = New(Overloaded, "x")`:          false,
@@ -52,8 +52,8 @@
 	}
 }
 
-// compiles type-checks src as a further file of this package and tells
-// whether src itself has an error.
+// compiles type-checks src as an additional file of this package and reports
+// whether src itself is free of errors.
 func compiles(t *testing.T, src string) bool {
 	t.Helper()
 	fset := token.NewFileSet()
@@ -63,7 +63,7 @@
 	require.NoError(t, err)
 	ok := true
 	cfg := types.Config{
-		Importer: stdOnly{importer.ForCompiler(fset, "source", nil)},
+		Importer: codesStubImporter{importer.ForCompiler(fset, "source", nil)},
 		Error: func(err error) {
 			if e, is := err.(types.Error); is && fset.Position(e.Pos).Filename == "extra.go" {
 				ok = false
@@ -74,18 +74,18 @@
 	return ok
 }
 
-// stdOnly stubs the one import outside the standard library; the errors this
-// causes in kinds.go itself don't count.
-type stdOnly struct{ types.Importer }
+// codesStubImporter replaces the one import outside the standard library by an empty
+// package; the errors that this causes in kinds.go itself are ignored.
+type codesStubImporter struct{ types.Importer }
 
-func (s stdOnly) Import(path string) (*types.Package, error) {
+func (s codesStubImporter) Import(path string) (*types.Package, error) {
 	if path == "google.golang.org/grpc/codes" {
 		return types.NewPackage(path, "codes"), nil
 	}
 	return s.Importer.Import(path)
 }
 
-func TestTableIsWhole(t *testing.T) {
+func TestTableCoversEveryKind(t *testing.T) {
 	notRun := []NotRunKind{
 		BadRequest, Unauthenticated, Forbidden, NotFound, TooLarge, KeyReused, KeyTooOld, ClaimedElsewhere,
 		RateLimited, Overloaded, DeadlineTooShort, Leaving, NoServer, StaleWeights, LogUnavailable,
@@ -98,7 +98,7 @@
 		require.True(t, a.NotRun, k)
 		require.True(t, table[string(k)].NotRun, k)
 		if a.Retry == Caller {
-			require.Positive(t, a.RetryAfter, "%s: a caller that may come back is told when", k)
+			require.Positive(t, a.RetryAfter, "%s: a caller that may retry needs a Retry-After", k)
 		}
 	}
 	for _, k := range others {
@@ -109,8 +109,8 @@
 	require.Equal(t, CallerSameKey, New(OutcomeUnknown, "x").Answer().Retry)
 }
 
-// A newer process may send a kind that this build does not know: the caller
-// gets an internal error, and the hop's proof is neither lost nor invented.
+// A newer process may send a kind that this build does not know. The caller must
+// get an internal error, and NotRun must stay as the hop sent it.
 func TestWireRoundTrip(t *testing.T) {
 	for _, notRun := range []bool{true, false} {
 		e := FromWire(Refusal{Kind: "from_the_future", Message: "m", NotRun: notRun, Holder: "h"})
