--- a/manifest/decode.go
+++ b/manifest/decode.go
@@ -118,10 +118,10 @@
 		route := s.route(name)
 		svc, ok := m.Services[service]
 		if !ok {
-			s.fail("", nearest(service, names(m.Services)), "there is no [service %s]", service)
+			s.fail("", nearest(service, sortedKeys(m.Services)), "there is no [service %s]", service)
 			continue
 		}
-		if earlier, ok := hiddenBy(route, svc.Routes); ok {
+		if earlier, ok := findShadowingRoute(route, svc.Routes); ok {
 			s.fail("", "", "is never reached: route %s before it matches all of it", earlier)
 		}
 		svc.Routes = append(svc.Routes, route)
@@ -129,10 +129,10 @@
 	}
 }
 
-// hiddenBy names an earlier route that leaves nothing for a later one. Such a
+// findShadowingRoute names an earlier route that leaves nothing for a later one. Such a
 // file most likely has its routes in the wrong order, and a write could pass
 // under the terms of a read.
-func hiddenBy(route Route, earlier []Route) (string, bool) {
+func findShadowingRoute(route Route, earlier []Route) (string, bool) {
 	for _, e := range earlier {
 		if e.covers(route.Prefix) && coversMethods(e.Methods, route.Methods) {
 			return e.Name, true
@@ -168,7 +168,7 @@
 	t := Trainer{
 		Name:         s.name,
 		TokenSHA256:  s.tokenHashes("token_sha256"),
-		Mixed:        s.boolean("mixed", false),
+		AllowMixed:        s.boolean("mixed", false),
 		ScorerPath:   s.path("scorer_path", "/score"),
 		HedgePercent: s.number("hedge_percent", 5, 0, 100),
 		Weight:       s.weight(),
@@ -191,7 +191,7 @@
 		TokenSHA256:  s.tokenHashes("token_sha256"),
 		Allow:        map[string]bool{},
 		Rate:         s.number("rate", 0, 0, 1e6),
-		Concurrent:   s.integer("concurrent", 0, 0, 1_000_000),
+		MaxConcurrent:   s.integer("concurrent", 0, 0, 1_000_000),
 		Weight:       s.weight(),
 		Priority:     s.integer("priority", 0, -maxPriority, maxPriority),
 		RetryPercent: s.number("retry_percent", 10, 0, 100),
@@ -242,7 +242,7 @@
 func (s *section) checkTrainer(m *Manifest) {
 	t := m.Trainers[s.name]
 	if _, ok := m.Models[t.Model]; !ok && t.Model != "" {
-		s.fail("model", nearest(t.Model, names(m.Models)), "there is no [model %s]", t.Model)
+		s.fail("model", nearest(t.Model, sortedKeys(m.Models)), "there is no [model %s]", t.Model)
 	}
 	if t.Scorer == "" {
 		if _, ok := s.values["scorer_path"]; ok {
@@ -252,7 +252,7 @@
 	}
 	scorer, ok := m.Services[t.Scorer]
 	if !ok {
-		s.fail("scorer", nearest(t.Scorer, names(m.Services)), "there is no [service %s]", t.Scorer)
+		s.fail("scorer", nearest(t.Scorer, sortedKeys(m.Services)), "there is no [service %s]", t.Scorer)
 		return
 	}
 	// A score whose answer is lost is asked for again.
@@ -265,7 +265,7 @@
 	if _, ok := m.Trainers[s.name]; ok {
 		s.fail("", "", "a trainer has the same name; their fair shares would be one")
 	}
-	known := append(names(m.Models), names(m.Services)...)
+	known := append(sortedKeys(m.Models), sortedKeys(m.Services)...)
 	for _, name := range slices.Sorted(maps.Keys(m.Callers[s.name].Allow)) {
 		if !slices.Contains(known, name) {
 			s.fail("allow", nearest(name, known), "there is no model or service %q", name)
@@ -273,6 +273,6 @@
 	}
 }
 
-func names[T any](m map[string]T) []string {
+func sortedKeys[T any](m map[string]T) []string {
 	return slices.Sorted(maps.Keys(m))
 }
--- a/manifest/doc_test.go
+++ b/manifest/doc_test.go
@@ -36,7 +36,7 @@
 
 // The page names every key. A manifest that writes each of its defaults out is
 // the same as one that leaves them all to the program.
-func TestPageNamesEveryKeyAndItsDefault(t *testing.T) {
+func TestDocsListEveryKeyAndDefault(t *testing.T) {
 	required := []string{
 		"fleet", "name = f",
 		"model m", "",
@@ -58,19 +58,19 @@
 			}
 		}
 	}
-	plain, err := Parse("implicit", []byte(implicit.String()))
+	implicitManifest, err := Parse("implicit", []byte(implicit.String()))
 	require.NoError(t, err)
-	full, err := Parse("explicit", []byte(explicit.String()))
+	explicitManifest, err := Parse("explicit", []byte(explicit.String()))
 	require.NoError(t, err)
-	require.Equal(t, plain.Settings(), full.Settings())
+	require.Equal(t, implicitManifest.Settings(), explicitManifest.Settings())
 	count := 0
-	for _, s := range plain.Settings() {
+	for _, s := range implicitManifest.Settings() {
 		kind, _, _ := strings.Cut(s.Section, " ")
 		require.Contains(t, keys[kind], s.Key, s.Section)
 		count++
 	}
-	for _, known := range keys {
-		count -= len(known)
+	for _, documented := range keys {
+		count -= len(documented)
 	}
 	require.Zero(t, count, "the page names a key that does not exist")
 }
--- a/manifest/fuzz_test.go
+++ b/manifest/fuzz_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// params are the path parameters that some servers cut off each segment.
-var params = regexp.MustCompile(`;[^/]*`)
+// pathParams are the path parameters that some servers cut off each segment.
+var pathParams = regexp.MustCompile(`;[^/]*`)
 
 // FuzzMatch: a path that matches a route reads the same to a backend server
 // that decodes and cleans it or cuts parameters off, so that no write passes under a read's terms.
@@ -30,10 +30,10 @@
 		sent, _, _ = strings.Cut(sent, "?")
 		decoded, err := url.PathUnescape(sent)
 		require.NoError(t, err)
-		bare := params.ReplaceAllString(decoded, "")
-		for _, reading := range []string{decoded, strings.ReplaceAll(decoded, `\`, "/"), bare} {
-			cleaned := path.Clean(reading)
-			require.Equal(t, strings.TrimSuffix(reading, "/"), cleaned, "%q", sent)
+		withoutParams := pathParams.ReplaceAllString(decoded, "")
+		for _, interpretation := range []string{decoded, strings.ReplaceAll(decoded, `\`, "/"), withoutParams} {
+			cleaned := path.Clean(interpretation)
+			require.Equal(t, strings.TrimSuffix(interpretation, "/"), cleaned, "%q", sent)
 			require.True(t, cleaned == "/status" || strings.HasPrefix(cleaned, "/status/"), "%q", sent)
 		}
 	})
--- a/manifest/keys.go
+++ b/manifest/keys.go
@@ -80,14 +80,14 @@
 }
 
 // Sign makes a signed revision of the exact bytes of a manifest.
-func Sign(priv ed25519.PrivateKey, keyID string, number, parent uint64, data []byte) *pb.SignedRevision {
+func Sign(private ed25519.PrivateKey, keyID string, number, parent uint64, data []byte) *pb.SignedRevision {
 	return &pb.SignedRevision{
 		Number:    number,
 		Parent:    parent,
 		Hash:      Hash(data),
 		Manifest:  data,
 		KeyId:     keyID,
-		Signature: ed25519.Sign(priv, signedMessage(keyID, number, parent, data)),
+		Signature: ed25519.Sign(private, signedMessage(keyID, number, parent, data)),
 	}
 }
 
--- a/manifest/lookup.go
+++ b/manifest/lookup.go
@@ -39,8 +39,8 @@
 	return trainer, ok
 }
 
-// OperatorToken tells whether a bearer token is an operator's.
-func (m *Manifest) OperatorToken(token string) bool {
+// IsOperatorToken tells whether a bearer token is an operator's.
+func (m *Manifest) IsOperatorToken(token string) bool {
 	index := tokenIndex{}
 	index.add(m.Fleet.OperatorSHA256, "operator")
 	return index.find(token) != ""
@@ -102,7 +102,7 @@
 // "//orders", "%2e%2e", a backslash) matches nothing: else a write that must
 // not be repeated could pass under the route of a read that may be.
 func (s *Service) Match(method, path string) (Route, bool) {
-	path, ok := plainPath(path)
+	path, ok := decodeUnambiguousPath(path)
 	if !ok {
 		return Route{}, false
 	}
@@ -127,8 +127,8 @@
 	return ok && (rest == "" || rest[0] == '/' || strings.HasSuffix(r.Prefix, "/"))
 }
 
-// plainPath decodes a path and refuses what is open to a second reading.
-func plainPath(escaped string) (string, bool) {
+// decodeUnambiguousPath decodes a path and refuses what is open to a second reading.
+func decodeUnambiguousPath(escaped string) (string, bool) {
 	escaped, _, _ = strings.Cut(escaped, "?")
 	path, err := url.PathUnescape(escaped)
 	if err != nil || !strings.HasPrefix(path, "/") || strings.ContainsAny(path, "\\\x00") {
--- a/manifest/parse.go
+++ b/manifest/parse.go
@@ -36,14 +36,14 @@
 	p := &parser{file: name}
 	p.read(data)
 	if len(p.problems) > 0 {
-		return nil, p.sorted() // what can't be read can't be checked
+		return nil, p.sortProblems() // what can't be read can't be checked
 	}
 	m := p.decode()
 	for _, s := range p.sections {
-		s.done()
+		s.reportUnknownKeys()
 	}
 	if len(p.problems) > 0 {
-		return nil, p.sorted()
+		return nil, p.sortProblems()
 	}
 	for _, s := range p.sections {
 		m.settings = append(m.settings, s.settings...)
@@ -58,7 +58,7 @@
 	p.problems = append(p.problems, problem)
 }
 
-func (p *parser) sorted() Problems {
+func (p *parser) sortProblems() Problems {
 	slices.SortStableFunc(p.problems, func(a, b Problem) int {
 		return cmp.Or(cmp.Compare(a.Line, b.Line), cmp.Compare(a.Key, b.Key), cmp.Compare(a.Message, b.Message))
 	})
@@ -121,10 +121,10 @@
 // openSection reads a section's title. It returns a section even for a bad
 // title, so that the keys below are not reported as homeless.
 func (p *parser) openSection(text string, line int, titles map[string]int) *section {
-	title, after, closed := strings.Cut(text[1:], "]")
+	title, rest, closed := strings.Cut(text[1:], "]")
 	s := &section{parser: p, title: title, line: line, values: map[string]string{}, lines: map[string]int{}}
-	after = strings.TrimSpace(after)
-	if !closed || after != "" && after[0] != '#' && after[0] != ';' || strings.Contains(after, "]") {
+	rest = strings.TrimSpace(rest)
+	if !closed || rest != "" && rest[0] != '#' && rest[0] != ';' || strings.Contains(rest, "]") {
 		s.fail("", "", "a section's line must be [TITLE], with at most a comment (without ]) behind it")
 		return s
 	}
@@ -139,12 +139,12 @@
 }
 
 func (s *section) parseTitle() {
-	kind, name, named := strings.Cut(s.title, " ")
+	kind, name, hasName := strings.Cut(s.title, " ")
 	s.kind, s.name = kind, name
 	form := nameForm
 	switch kind {
 	case "fleet", "leaving":
-		if named {
+		if hasName {
 			s.fail("", "", "the title is just [%s]", kind)
 		}
 		return
--- a/manifest/parse_test.go
+++ b/manifest/parse_test.go
@@ -24,7 +24,7 @@
 	return data
 }
 
-func TestExamplesParse(t *testing.T) {
+func TestParseExamples(t *testing.T) {
 	paths, err := filepath.Glob("../examples/manifests/*.ini")
 	require.NoError(t, err)
 	require.NotEmpty(t, paths)
@@ -42,17 +42,17 @@
 	require.Equal(t, 15*time.Minute, m.Fleet.KeyWindow)
 	require.Equal(t, 1, m.Callers["demo-app"].Burst)
 
-	stale := strings.Replace(string(readExample(t, "demo.ini")), "weigh = idle", "weigh = staleness", 1)
-	m, err = Parse("demo.ini", []byte(stale))
+	stalenessText := strings.Replace(string(readExample(t, "demo.ini")), "weigh = idle", "weigh = staleness", 1)
+	m, err = Parse("demo.ini", []byte(stalenessText))
 	require.NoError(t, err)
 	require.Equal(t, time.Second, m.Models["demo-lm"].SwapGrace)
 }
 
-func TestTokens(t *testing.T) {
+func TestTokenLookup(t *testing.T) {
 	m, err := Parse("demo.ini", readExample(t, "demo.ini"))
 	require.NoError(t, err)
-	literal := &Manifest{Callers: m.Callers, Trainers: m.Trainers}
-	for _, m := range []*Manifest{m, literal} {
+	unindexed := &Manifest{Callers: m.Callers, Trainers: m.Trainers}
+	for _, m := range []*Manifest{m, unindexed} {
 		c, ok := m.CallerByToken("demo-caller-token")
 		require.True(t, ok)
 		require.Equal(t, "demo-app", c.Name)
@@ -84,13 +84,13 @@
 			c, ok := m.CallerByToken(token)
 			require.Equal(t, want[i], ok, list)
 			require.Equal(t, want[i], c.Name == "demo-app")
-			require.False(t, m.OperatorToken(token))
+			require.False(t, m.IsOperatorToken(token))
 		}
 	}
 	m, err := Parse("demo.ini", []byte(strings.Replace(text, "[fleet]\n", "[fleet]\noperator_sha256 = "+sum("a")+", "+sum("b")+"\n", 1)))
 	require.NoError(t, err)
-	require.True(t, m.OperatorToken("a") && m.OperatorToken("b"))
-	require.False(t, m.OperatorToken("") || m.OperatorToken("c") || m.OperatorToken(old))
+	require.True(t, m.IsOperatorToken("a") && m.IsOperatorToken("b"))
+	require.False(t, m.IsOperatorToken("") || m.IsOperatorToken("c") || m.IsOperatorToken(old))
 }
 
 // A caller writes to a path which only looks like a read's. Were the route of
@@ -204,7 +204,7 @@
 	return b.String()
 }
 
-func TestEveryProblemIsReportedInFileOrder(t *testing.T) {
+func TestProblemsAreReportedInFileOrder(t *testing.T) {
 	_, err := Parse("m.ini", []byte("[fleet]\nname = f\nx = 1\nweigh = a\n[model m]\nmax_tokens = b\nswap_grace = c\n"))
 	var problems Problems
 	require.ErrorAs(t, err, &problems)
@@ -220,10 +220,10 @@
 	require.NoError(t, err)
 	keys, err := ParseKeys([]string{FormatPublicKey("k1", pub)})
 	require.NoError(t, err)
-	id, again, err := ParsePrivateKey(FormatPrivateKey("k1", priv) + "\n")
+	id, parsed, err := ParsePrivateKey(FormatPrivateKey("k1", priv) + "\n")
 	require.NoError(t, err)
 	require.Equal(t, "k1", id)
-	require.NoError(t, keys.Verify(Sign(again, id, 2, 1, []byte("x"))))
+	require.NoError(t, keys.Verify(Sign(parsed, id, 2, 1, []byte("x"))))
 
 	rev := Sign(priv, "k1", 2, 1, []byte("x"))
 	rev.Number = 3
--- a/manifest/section.go
+++ b/manifest/section.go
@@ -37,7 +37,7 @@
 	line   int
 	values map[string]string
 	lines  map[string]int
-	known  []string // the keys that were asked for
+	readKeys  []string // the keys that were asked for
 
 	settings []Setting
 }
@@ -55,9 +55,9 @@
 
 // value returns the raw value; ok is false where the key is absent or empty.
 func (s *section) value(key string) (string, bool) {
-	s.known = append(s.known, key)
-	v, given := s.values[key]
-	if given && v == "" {
+	s.readKeys = append(s.readKeys, key)
+	v, present := s.values[key]
+	if present && v == "" {
 		s.fail(key, "", "has no value; leave the key out for its default")
 	}
 	return v, v != ""
@@ -65,61 +65,61 @@
 
 // require reports a missing key that has no default.
 func (s *section) require(key string) {
-	if _, given := s.values[key]; !given {
+	if _, present := s.values[key]; !present {
 		s.fail(key, "", "is missing and has no default")
 	}
 }
 
-func (s *section) duration(key string, def, low, high time.Duration) (out time.Duration) {
-	defer note(s, key, &out)
+func (s *section) duration(key string, defaultValue, low, high time.Duration) (out time.Duration) {
+	defer recordValue(s, key, &out)
 	v, ok := s.value(key)
 	if !ok {
-		return def
+		return defaultValue
 	}
 	d, err := time.ParseDuration(v)
 	if err != nil {
 		s.fail(key, "", "%q is not a duration such as 500ms, 10s or 1h30m", v)
-		return def
+		return defaultValue
 	}
 	if d < low || d > high {
 		s.fail(key, "", "%s is outside %s to %s", v, low, high)
-		return def
+		return defaultValue
 	}
 	return d
 }
 
-func (s *section) integer(key string, def, low, high int) (out int) {
-	defer note(s, key, &out)
+func (s *section) integer(key string, defaultValue, low, high int) (out int) {
+	defer recordValue(s, key, &out)
 	v, ok := s.value(key)
 	if !ok {
-		return def
+		return defaultValue
 	}
 	n, err := strconv.Atoi(v)
 	if err != nil {
 		s.fail(key, "", "%q is not a whole number", v)
-		return def
+		return defaultValue
 	}
 	if n < low || n > high {
 		s.fail(key, "", "%s is outside %d to %d", v, low, high)
-		return def
+		return defaultValue
 	}
 	return n
 }
 
-func (s *section) number(key string, def, low, high float64) (out float64) {
-	defer note(s, key, &out)
+func (s *section) number(key string, defaultValue, low, high float64) (out float64) {
+	defer recordValue(s, key, &out)
 	v, ok := s.value(key)
 	if !ok {
-		return def
+		return defaultValue
 	}
 	f, err := strconv.ParseFloat(v, 64)
 	if err != nil {
 		s.fail(key, "", "%q is not a number", v)
-		return def
+		return defaultValue
 	}
 	if !(f >= low && f <= high) { // so that NaN fails too
 		s.fail(key, "", "%s is outside %g to %g", v, low, high)
-		return def
+		return defaultValue
 	}
 	return f
 }
@@ -132,11 +132,11 @@
 )
 
 // bytes reads a size: a whole number with an optional unit KiB, MiB or GiB.
-func (s *section) bytes(key string, def, low, high int64) (out int64) {
-	defer note(s, key, &out)
+func (s *section) bytes(key string, defaultValue, low, high int64) (out int64) {
+	defer recordValue(s, key, &out)
 	v, ok := s.value(key)
 	if !ok {
-		return def
+		return defaultValue
 	}
 	digits, unit := v, int64(1)
 	for suffix, factor := range map[string]int64{"KiB": kiB, "MiB": miB, "GiB": giB} {
@@ -147,35 +147,35 @@
 	n, err := strconv.ParseInt(digits, 10, 64)
 	if err != nil {
 		s.fail(key, "", "%q is not a size such as 65536, 64KiB or 1MiB", v)
-		return def
+		return defaultValue
 	}
 	if n < low/unit || n > high/unit || n*unit < low {
 		s.fail(key, "", "%s is outside %d to %d bytes", v, low, high)
-		return def
+		return defaultValue
 	}
 	return n * unit
 }
 
-func (s *section) boolean(key string, def bool) bool {
-	return s.oneOf(key, strconv.FormatBool(def), "true", "false") == "true"
+func (s *section) boolean(key string, defaultValue bool) bool {
+	return s.oneOf(key, strconv.FormatBool(defaultValue), "true", "false") == "true"
 }
 
-func (s *section) oneOf(key, def string, choices ...string) (out string) {
-	defer note(s, key, &out)
+func (s *section) oneOf(key, defaultValue string, choices ...string) (out string) {
+	defer recordValue(s, key, &out)
 	v, ok := s.value(key)
 	if !ok {
-		return def
+		return defaultValue
 	}
 	if !slices.Contains(choices, v) {
 		s.fail(key, nearest(v, choices), "%q is not one of %s", v, strings.Join(choices, ", "))
-		return def
+		return defaultValue
 	}
 	return v
 }
 
 // list reads comma-separated items of a form; none may stand twice.
 func (s *section) list(key string, form *regexp.Regexp) (items []string) {
-	defer func() { s.note(key, strings.Join(items, ", ")) }()
+	defer func() { s.recordSetting(key, strings.Join(items, ", ")) }()
 	v, ok := s.value(key)
 	if !ok {
 		return nil
@@ -195,22 +195,22 @@
 }
 
 // path reads a plain absolute path.
-func (s *section) path(key, def string) (out string) {
-	defer note(s, key, &out)
+func (s *section) path(key, defaultValue string) (out string) {
+	defer recordValue(s, key, &out)
 	v, ok := s.value(key)
 	if !ok {
-		return def
+		return defaultValue
 	}
-	if _, plain := plainPath(v); !plain || !pathForm.MatchString(v) {
+	if _, unambiguous := decodeUnambiguousPath(v); !unambiguous || !pathForm.MatchString(v) {
 		s.fail(key, "", "%q is not a plain path: it must start with / and hold letters, digits and -._~!$&()*+,;=:@/ but no escapes, query, empty or dot segments", v)
-		return def
+		return defaultValue
 	}
 	return v
 }
 
 // text reads any text; its user checks it.
 func (s *section) text(key string) (out string) {
-	defer note(s, key, &out)
+	defer recordValue(s, key, &out)
 	out, _ = s.value(key)
 	return out
 }
@@ -218,7 +218,7 @@
 // tokenHashes reads a list of sha256 sums of tokens. It returns them joined by
 // commas, in the form that tokenIndex takes.
 func (s *section) tokenHashes(key string) (out string) {
-	defer note(s, key, &out)
+	defer recordValue(s, key, &out)
 	v, ok := s.value(key)
 	if !ok {
 		return ""
@@ -242,18 +242,18 @@
 	return strings.Join(hashes, hashSeparator)
 }
 
-// note keeps a key's value as it will be in force.
-func (s *section) note(key, value string) {
+// recordSetting keeps a key's value as it will be in force.
+func (s *section) recordSetting(key, value string) {
 	s.settings = append(s.settings, Setting{Section: s.title, Key: key, Value: value})
 }
 
-func note[T any](s *section, key string, value *T) { s.note(key, fmt.Sprint(*value)) }
+func recordValue[T any](s *section, key string, value *T) { s.recordSetting(key, fmt.Sprint(*value)) }
 
-// done reports every key that nobody asked for.
-func (s *section) done() {
+// reportUnknownKeys reports every key that nobody asked for.
+func (s *section) reportUnknownKeys() {
 	for key := range s.values {
-		if !slices.Contains(s.known, key) {
-			s.fail(key, nearest(key, s.known), "is not a key of this section")
+		if !slices.Contains(s.readKeys, key) {
+			s.fail(key, nearest(key, s.readKeys), "is not a key of this section")
 		}
 	}
 }
