--- a/manifest/decode.go
+++ b/manifest/decode.go
@@ -168,7 +168,7 @@
 	t := Trainer{
 		Name:         s.name,
 		TokenSHA256:  s.tokenHashes("token_sha256"),
-		AllowMixed:        s.boolean("mixed", false),
+		AllowMixed:   s.boolean("mixed", false),
 		ScorerPath:   s.path("scorer_path", "/score"),
 		HedgePercent: s.number("hedge_percent", 5, 0, 100),
 		Weight:       s.weight(),
@@ -187,14 +187,14 @@
 
 func (s *section) caller() Caller {
 	c := Caller{
-		Name:         s.name,
-		TokenSHA256:  s.tokenHashes("token_sha256"),
-		Allow:        map[string]bool{},
-		Rate:         s.number("rate", 0, 0, 1e6),
-		MaxConcurrent:   s.integer("concurrent", 0, 0, 1_000_000),
-		Weight:       s.weight(),
-		Priority:     s.integer("priority", 0, -maxPriority, maxPriority),
-		RetryPercent: s.number("retry_percent", 10, 0, 100),
+		Name:          s.name,
+		TokenSHA256:   s.tokenHashes("token_sha256"),
+		Allow:         map[string]bool{},
+		Rate:          s.number("rate", 0, 0, 1e6),
+		MaxConcurrent: s.integer("concurrent", 0, 0, 1_000_000),
+		Weight:        s.weight(),
+		Priority:      s.integer("priority", 0, -maxPriority, maxPriority),
+		RetryPercent:  s.number("retry_percent", 10, 0, 100),
 	}
 	c.Burst = s.integer("burst", max(1, int(math.Ceil(c.Rate))), 1, 1_000_000)
 	s.require("token_sha256")
--- a/manifest/section.go
+++ b/manifest/section.go
@@ -30,14 +30,14 @@
 // range; a bad value is reported and the default stands in, so that one pass
 // finds every fault.
 type section struct {
-	parser *parser
-	title  string // as written between the brackets
-	kind   string // "fleet", "model", …
-	name   string // empty for fleet and leaving
-	line   int
-	values map[string]string
-	lines  map[string]int
-	readKeys  []string // the keys that were asked for
+	parser   *parser
+	title    string // as written between the brackets
+	kind     string // "fleet", "model", …
+	name     string // empty for fleet and leaving
+	line     int
+	values   map[string]string
+	lines    map[string]int
+	readKeys []string // the keys that were asked for
 
 	settings []Setting
 }
