--- a/ctl/check.go
+++ b/ctl/check.go
@@ -23,7 +23,7 @@
 		if err != nil {
 			return err
 		}
-		return t.check(output.form, *effective, args[0], data)
+		return t.check(output.format, *effective, args[0], data)
 	})
 }
 
@@ -35,22 +35,22 @@
 	Settings []manifest.Setting `json:"settings,omitempty"`
 }
 
-func (t *tool) check(form string, effective bool, name string, data []byte) error {
+func (t *tool) check(format string, effective bool, name string, data []byte) error {
 	report := checkReport{Hash: manifest.Hash(data)}
 	m, err := manifest.Parse(name, data)
 	if errors.As(err, &report.Problems) {
-		if form == outputJSON {
+		if format == outputJSON {
 			if err := t.printJSON(report); err != nil {
 				return err
 			}
 		}
-		return fail(ExitFailed, "mistakes: %d\n%w", len(report.Problems), err)
+		return newExitError(ExitFailed, "mistakes: %d\n%w", len(report.Problems), err)
 	}
 	report.OK = true
 	if effective {
 		report.Settings = m.Settings()
 	}
-	if form == outputJSON {
+	if format == outputJSON {
 		return t.printJSON(report)
 	}
 	if effective {
@@ -85,7 +85,7 @@
 			if err != nil {
 				return err
 			}
-			return t.printChanges(output.form, changes(base, changed.Settings()))
+			return t.printChanges(output.format, compareSettings(base, changed.Settings()))
 		})
 }
 
@@ -131,7 +131,7 @@
 		return nil, err
 	}
 	r := newReader(log, keys)
-	if _, err := r.toEnd(ctx); err != nil {
+	if _, err := r.readToEnd(ctx); err != nil {
 		return nil, errors.Annotate(err, "the log can't be read")
 	}
 	return r, r.rejectUnknownKeys()
@@ -145,39 +145,39 @@
 	After   string `json:"after"`
 }
 
-// changes compares settings in force, so that a default that moved shows too.
+// compareSettings compares settings in force, so that a default that moved shows too.
 // It goes by b's order; what only a has comes last.
-func changes(a, b []manifest.Setting) []change {
-	type place struct{ section, key string }
-	before := make(map[place]string, len(a))
+func compareSettings(a, b []manifest.Setting) []change {
+	type settingKey struct{ section, key string }
+	before := make(map[settingKey]string, len(a))
 	for _, s := range a {
-		before[place{s.Section, s.Key}] = s.Value
+		before[settingKey{s.Section, s.Key}] = s.Value
 	}
 	var list []change
 	for _, s := range b {
-		at := place{s.Section, s.Key}
-		old, had := before[at]
-		if !had || old != s.Value {
+		at := settingKey{s.Section, s.Key}
+		old, existed := before[at]
+		if !existed || old != s.Value {
 			list = append(list, change{s.Section, s.Key, old, s.Value})
 		}
 		delete(before, at)
 	}
 	for _, s := range a {
-		if _, gone := before[place{s.Section, s.Key}]; gone {
+		if _, removed := before[settingKey{s.Section, s.Key}]; removed {
 			list = append(list, change{s.Section, s.Key, s.Value, ""})
 		}
 	}
 	return list
 }
 
-func (t *tool) printChanges(form string, list []change) error {
-	if form == outputJSON {
+func (t *tool) printChanges(format string, list []change) error {
+	if format == outputJSON {
 		return t.printJSON(struct {
 			Changes []change `json:"changes"`
 		}{append([]change{}, list...)})
 	}
 	if len(list) == 0 {
-		_, err := fmt.Fprintln(t.out, "no changes")
+		_, err := fmt.Fprintln(t.stdout, "no changes")
 		return errors.Trace(err)
 	}
 	rows := make([][]string, len(list))
--- a/ctl/commit.go
+++ b/ctl/commit.go
@@ -21,14 +21,14 @@
 const (
 	outcomeAccepted    = "accepted"
 	outcomeInForce     = "already in force"
-	outcomeLost        = "lost the race"
+	outcomeRaceLost    = "lost the race"
 	outcomeUnknown     = "unknown"
 	outcomeNotAccepted = "not accepted"
 )
 
 const (
-	ratePause = 250 * time.Millisecond // before an append that the log's rate refused is tried again
-	pollWait  = 500 * time.Millisecond // longest wait of one read for our record
+	rateRetryDelay = 250 * time.Millisecond // before an append that the log's rate refused is tried again
+	maxPollWait    = 500 * time.Millisecond // longest wait of one read for our record
 )
 
 type signer struct {
@@ -81,24 +81,24 @@
 }
 
 func (t *tool) commit(ctx context.Context, f commitFlags, path string) error {
-	data, sign, r, err := t.prepareCommit(f, path)
+	data, signingKey, r, err := t.prepareCommit(f, path)
 	if err != nil {
 		return err
 	}
-	var list lister
+	var list targetLister
 	if f.wait { // find a mistake there before anything is committed
-		if list, err = f.lister(t); err != nil {
+		if list, err = f.newTargetLister(t); err != nil {
 			return err
 		}
 	}
-	report, err := commitOnce(ctx, r, sign, data, f)
+	report, err := commitOnce(ctx, r, signingKey, data, f)
 	if err == nil && f.wait {
-		err = awaitEverywhere(ctx, list, report)
+		err = waitUntilInForce(ctx, list, report)
 	}
 	if err != nil {
 		report.Reason = err.Error()
 	}
-	if printErr := t.printCommit(f.form, report); printErr != nil {
+	if printErr := t.printCommit(f.format, report); printErr != nil {
 		return printErr
 	}
 	return err
@@ -113,9 +113,9 @@
 		return nil, signer{}, nil, err
 	}
 	if _, err := manifest.Parse(path, data); err != nil {
-		return nil, signer{}, nil, fail(ExitFailed, "not committed, the manifest has mistakes:\n%w", err)
+		return nil, signer{}, nil, newExitError(ExitFailed, "not committed, the manifest has mistakes:\n%w", err)
 	}
-	sign, err := readPrivateKey(f.key)
+	signingKey, err := readPrivateKey(f.key)
 	if err != nil {
 		return nil, signer{}, nil, err
 	}
@@ -123,28 +123,28 @@
 	if err != nil {
 		return nil, signer{}, nil, err
 	}
-	public := sign.key.Public().(ed25519.PublicKey)
-	if known, ok := keys[sign.id]; ok && !known.Equal(public) {
-		return nil, signer{}, nil, usageError("--key is not the private half of key %q in --public: every process would reject the commit", sign.id)
+	public := signingKey.key.Public().(ed25519.PublicKey)
+	if known, ok := keys[signingKey.id]; ok && !known.Equal(public) {
+		return nil, signer{}, nil, usageError("--key is not the private half of key %q in --public: every process would reject the commit", signingKey.id)
 	}
-	keys[sign.id] = public
+	keys[signingKey.id] = public
 	log, err := f.logFlags.open(t)
 	if err != nil {
 		return nil, signer{}, nil, err
 	}
-	return data, sign, newReader(log, keys), nil
+	return data, signingKey, newReader(log, keys), nil
 }
 
 // commitOnce appends the revision at most once and finds its outcome.
-func commitOnce(ctx context.Context, r *reader, sign signer, data []byte, f commitFlags) (*commitReport, error) {
+func commitOnce(ctx context.Context, r *reader, signingKey signer, data []byte, f commitFlags) (*commitReport, error) {
 	report := &commitReport{Outcome: outcomeNotAccepted, Hash: manifest.Hash(data)}
-	if _, err := r.toEnd(ctx); err != nil {
-		return report, fail(ExitFailed, "not accepted: the log can't be read, so the revision to go on from is not known: %w", err)
+	if _, err := r.readToEnd(ctx); err != nil {
+		return report, newExitError(ExitFailed, "not accepted: the log can't be read, so the revision to go on from is not known: %w", err)
 	}
 	if err := r.rejectUnknownKeys(); err != nil {
 		return report, err
 	}
-	base, err := baseOf(r, f)
+	base, err := findBase(r, f)
 	if err != nil {
 		return report, err
 	}
@@ -153,17 +153,17 @@
 			Outcome: outcomeInForce, Number: head.Number, Parent: head.Parent, Hash: head.Hash, Offset: &head.Offset,
 		}, nil
 	}
-	rev := manifest.Sign(sign.key, sign.id, base+1, base, data)
+	rev := manifest.Sign(signingKey.key, signingKey.id, base+1, base, data)
 	id := "commit-" + uuid.Must(uuid.NewV7()).String()
 	report.ID, report.Number, report.Parent = id, rev.Number, rev.Parent
 	if err := appendOnce(ctx, r.log, encodeCommit(id, rev, r, f)); err != nil {
 		return report, err
 	}
-	return report, awaitOutcome(ctx, r, rev, report)
+	return report, waitForOutcome(ctx, r, rev, report)
 }
 
-// baseOf returns the number of the revision to commit over.
-func baseOf(r *reader, f commitFlags) (uint64, error) {
+// findBase returns the number of the revision to commit over.
+func findBase(r *reader, f commitFlags) (uint64, error) {
 	head := r.state.Head()
 	switch {
 	case f.after > 0 && (r.state.Settled() || head != nil):
@@ -171,7 +171,7 @@
 	case f.after > 0:
 		return f.after, nil
 	case !r.state.Settled():
-		return 0, fail(ExitFailed, "not accepted: the log has lost records, and none since tells the revision in force for sure. "+
+		return 0, newExitError(ExitFailed, "not accepted: the log has lost records, and none since tells the revision in force for sure. "+
 			"A running process reappends it; if none runs, give --after with the highest revision known")
 	}
 	var current uint64
@@ -179,14 +179,14 @@
 		current = head.Number
 	}
 	if f.parent > 0 && f.parent != current {
-		return 0, fail(ExitLost, "not accepted: revision %d is in force, not %d", current, f.parent)
+		return 0, newExitError(ExitRaceLost, "not accepted: revision %d is in force, not %d", current, f.parent)
 	}
 	return current, nil
 }
 
 func encodeCommit(id string, rev *pb.SignedRevision, r *reader, f commitFlags) []byte {
 	if f.after > 0 {
-		return control.EncodeRestart(id, rev, r.end)
+		return control.EncodeRestart(id, rev, r.endOffset)
 	}
 	return control.EncodeCommit(id, rev)
 }
@@ -199,44 +199,44 @@
 		_, err := log.Append(ctx, platform.StreamControl, data)
 		switch {
 		case errors.Is(err, platform.ErrLogUnavailable), errors.Is(err, platform.ErrLogRefused):
-			return fail(ExitFailed, "not accepted: %w", err)
+			return newExitError(ExitFailed, "not accepted: %w", err)
 		case !errors.Is(err, platform.ErrRate):
 			return nil
 		}
-		if !sleep.For(ctx, ratePause) {
-			return fail(ExitFailed, "not accepted in time: %w", err)
+		if !sleep.For(ctx, rateRetryDelay) {
+			return newExitError(ExitFailed, "not accepted in time: %w", err)
 		}
 	}
 }
 
-// awaitOutcome reads on until the record's outcome is known. Where the record
+// waitForOutcome reads on until the record's outcome is known. Where the record
 // is not in the log, it may still be under way to it; but once another
 // revision has taken its parent's place it can't be accepted any more.
-func awaitOutcome(ctx context.Context, r *reader, rev *pb.SignedRevision, report *commitReport) error {
-	var last error
+func waitForOutcome(ctx context.Context, r *reader, rev *pb.SignedRevision, report *commitReport) error {
+	var lastErr error
 	for ctx.Err() == nil {
-		events, err := r.step(ctx, pollWait)
+		events, err := r.readPage(ctx, maxPollWait)
 		if err != nil {
-			last = err
-			sleep.For(ctx, pollWait)
+			lastErr = err
+			sleep.For(ctx, maxPollWait)
 			continue
 		}
-		if done, err := judge(events, r.state.Head(), rev, report); done {
+		if done, err := findOutcome(events, r.state.Head(), rev, report); done {
 			return err
 		}
 	}
 	report.Outcome = outcomeUnknown
-	why := "the log does not show the record yet"
-	if last != nil {
-		why = last.Error()
+	reason := "the log does not show the record yet"
+	if lastErr != nil {
+		reason = lastErr.Error()
 	}
-	return fail(ExitUnknown, "outcome unknown: revision %d (%s) may stand in the log or come to: %s. "+
-		"Commit the same file again when the log is well: it finds the revision if it was accepted", rev.Number, short(rev.Hash), why)
+	return newExitError(ExitUnknown, "outcome unknown: revision %d (%s) may stand in the log or come to: %s. "+
+		"Commit the same file again when the log is well: it finds the revision if it was accepted", rev.Number, shortenHash(rev.Hash), reason)
 }
 
-// judge looks for the record's outcome among events; head is the newest
+// findOutcome looks for the record's outcome among events; head is the newest
 // revision after them.
-func judge(events []control.Event, head *control.Revision, rev *pb.SignedRevision, report *commitReport) (bool, error) {
+func findOutcome(events []control.Event, head *control.Revision, rev *pb.SignedRevision, report *commitReport) (bool, error) {
 	for _, event := range events {
 		switch e := event.(type) {
 		case control.Accepted:
@@ -247,21 +247,21 @@
 				report.Outcome, report.Offset = outcomeAccepted, &e.Revision.Offset
 				return true, nil
 			}
-			report.Outcome, report.Winner = outcomeLost, reportOf(e.Revision)
-			return true, fail(ExitLost, "not accepted: revision %d (%s, key %s, offset %d) won the race",
-				e.Revision.Number, short(e.Revision.Hash), e.Revision.Signed.KeyId, e.Revision.Offset)
+			report.Outcome, report.Winner = outcomeRaceLost, newRevisionReport(e.Revision)
+			return true, newExitError(ExitRaceLost, "not accepted: revision %d (%s, key %s, offset %d) won the race",
+				e.Revision.Number, shortenHash(e.Revision.Hash), e.Revision.Signed.KeyId, e.Revision.Offset)
 		case control.Rejected:
 			if e.ID == report.ID {
-				report.Outcome, report.Winner = outcomeLost, reportOf(head)
-				return true, fail(ExitLost, "not accepted: %s", e.Reason)
+				report.Outcome, report.Winner = outcomeRaceLost, newRevisionReport(head)
+				return true, newExitError(ExitRaceLost, "not accepted: %s", e.Reason)
 			}
 		}
 	}
 	return false, nil
 }
 
-func (t *tool) printCommit(form string, report *commitReport) error {
-	if form == outputJSON {
+func (t *tool) printCommit(format string, report *commitReport) error {
+	if format == outputJSON {
 		return t.printJSON(report)
 	}
 	if report.Outcome == outcomeNotAccepted {
--- a/ctl/ctl.go
+++ b/ctl/ctl.go
@@ -26,7 +26,7 @@
 	ExitOK            = 0
 	ExitFailed        = 1 // the command failed; a commit was not accepted
 	ExitUsage         = 2 // a mistake on the command line
-	ExitLost          = 3 // another revision won the race
+	ExitRaceLost      = 3 // another revision won the race
 	ExitUnknown       = 4 // the commit's outcome is unknown
 	ExitNotEverywhere = 5 // accepted, but not in force on every process in time
 )
@@ -45,24 +45,24 @@
 func (e *exitError) Error() string { return e.err.Error() }
 func (e *exitError) Unwrap() error { return e.err }
 
-func fail(code int, format string, args ...any) error {
+func newExitError(code int, format string, args ...any) error {
 	return &exitError{code, fmt.Errorf(format, args...)}
 }
 
-func usageError(format string, args ...any) error { return fail(ExitUsage, format, args...) }
+func usageError(format string, args ...any) error { return newExitError(ExitUsage, format, args...) }
 
 // tool is one run of dandelionctl. Its functions are replaced in tests.
 type tool struct {
-	out, err io.Writer
-	newLog   func(base string) platform.Log
-	newVMs   func(base string) platform.VMList
+	stdout, stderr io.Writer
+	newLog         func(base string) platform.Log
+	newVMs         func(base string) platform.VMList
 }
 
 // Main runs dandelionctl with the arguments behind the program's name and
 // returns the exit code.
 func Main(ctx context.Context, args []string, stdout, stderr io.Writer) int {
 	t := &tool{
-		out: stdout, err: stderr,
+		stdout: stdout, stderr: stderr,
 		newLog: func(base string) platform.Log { return httplog.New(base, programName) },
 		newVMs: func(base string) platform.VMList { return httpvms.New(base, programName) },
 	}
@@ -72,11 +72,11 @@
 func (t *tool) run(ctx context.Context, args []string) int {
 	root := t.commands()
 	if err := checkEnv(os.Environ(), root); err != nil {
-		fmt.Fprintf(t.err, "%s: %v\n", programName, err)
+		fmt.Fprintf(t.stderr, "%s: %v\n", programName, err)
 		return ExitUsage
 	}
 	if err := root.Parse(args); err != nil {
-		return t.parseFailed(root, args, err)
+		return t.reportParseError(root, args, err)
 	}
 	err := root.Run(ctx)
 	if err == nil {
@@ -87,9 +87,9 @@
 	if errors.As(err, &e) {
 		code = e.code
 	}
-	fmt.Fprintf(t.err, "%s: %v\n", programName, err)
+	fmt.Fprintf(t.stderr, "%s: %v\n", programName, err)
 	if code == ExitUsage {
-		fmt.Fprintf(t.err, "Run \"%s %s -h\" for its usage.\n", programName, commandName(root, args))
+		fmt.Fprintf(t.stderr, "Run \"%s %s -h\" for its usage.\n", programName, commandName(root, args))
 	}
 	return code
 }
@@ -109,23 +109,23 @@
 	return nil
 }
 
-func (t *tool) parseFailed(root *ffcli.Command, args []string, err error) int {
+func (t *tool) reportParseError(root *ffcli.Command, args []string, err error) int {
 	var noExec ffcli.NoExecError
 	switch {
 	case errors.Is(err, flag.ErrHelp):
 		return ExitOK
 	case errors.As(err, &noExec):
 		if len(args) > 0 {
-			fmt.Fprintf(t.err, "%s: there is no command %q%s\n", programName, args[0], settings.Nearest(args[0], names(root)))
+			fmt.Fprintf(t.stderr, "%s: there is no command %q%s\n", programName, args[0], settings.Nearest(args[0], commandNames(root)))
 		}
-		fmt.Fprintln(t.err, ffcli.DefaultUsageFunc(root))
+		fmt.Fprintln(t.stderr, ffcli.DefaultUsageFunc(root))
 	default: // the flag set has printed the mistake and the usage, ff's own errors it has not
-		fmt.Fprintf(t.err, "%s: %v\n", programName, err)
+		fmt.Fprintf(t.stderr, "%s: %v\n", programName, err)
 	}
 	return ExitUsage
 }
 
-func names(root *ffcli.Command) []string {
+func commandNames(root *ffcli.Command) []string {
 	list := make([]string, len(root.Subcommands))
 	for i, c := range root.Subcommands {
 		list[i] = c.Name
@@ -159,12 +159,12 @@
 
 func (t *tool) flagSet(name string) *flag.FlagSet {
 	set := flag.NewFlagSet(name, flag.ContinueOnError)
-	set.SetOutput(t.err)
+	set.SetOutput(t.stderr)
 	return set
 }
 
 // command makes a subcommand that takes min to max arguments.
-func (t *tool) command(set *flag.FlagSet, arguments, help string, min, max int, run func(context.Context, []string) error) *ffcli.Command {
+func (t *tool) command(set *flag.FlagSet, arguments, help string, minArgs, maxArgs int, run func(context.Context, []string) error) *ffcli.Command {
 	return &ffcli.Command{
 		Name:       set.Name(),
 		ShortUsage: strings.TrimSpace(fmt.Sprintf("%s %s [flags] %s", programName, set.Name(), arguments)),
@@ -177,15 +177,15 @@
 					return usageError("flag %s stands behind an argument; flags go first", arg)
 				}
 			}
-			if len(args) < min || len(args) > max {
-				return usageError("%s takes %s, not %d arguments", set.Name(), orNothing(arguments), len(args))
+			if len(args) < minArgs || len(args) > maxArgs {
+				return usageError("%s takes %s, not %d arguments", set.Name(), describeArguments(arguments), len(args))
 			}
 			return run(ctx, args)
 		},
 	}
 }
 
-func orNothing(arguments string) string {
+func describeArguments(arguments string) string {
 	if arguments == "" {
 		return "no arguments"
 	}
@@ -195,7 +195,7 @@
 func (t *tool) versionCommand() *ffcli.Command {
 	set := t.flagSet("version")
 	return t.command(set, "", "print the program's version", 0, 0, func(context.Context, []string) error {
-		_, err := fmt.Fprintln(t.out, settings.Version())
+		_, err := fmt.Fprintln(t.stdout, settings.Version())
 		return errors.Trace(err)
 	})
 }
--- a/ctl/ctl_test.go
+++ b/ctl/ctl_test.go
@@ -27,11 +27,11 @@
 
 // fakeLog is the control stream with faults.
 type fakeLog struct {
-	mu      sync.Mutex
-	records []platform.Record
-	first   uint64 // older ones are truncated
-	down    bool
-	appends int
+	mu          sync.Mutex
+	records     []platform.Record
+	first       uint64 // older ones are truncated
+	unavailable bool
+	appends     int
 	// onAppend stands in for an append; it may call add.
 	onAppend func(data []byte) error
 }
@@ -46,7 +46,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.appends++
-	if l.down {
+	if l.unavailable {
 		return 0, platform.ErrLogUnavailable
 	}
 	if l.onAppend != nil {
@@ -59,7 +59,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	page := platform.Page{Next: from, First: l.first, End: uint64(len(l.records))}
-	if l.down {
+	if l.unavailable {
 		return platform.Page{}, platform.ErrLogUnavailable
 	}
 	if from < l.first {
@@ -70,51 +70,51 @@
 	return page, nil
 }
 
-type vmRows []platform.VM
+type fakeVMList []platform.VM
 
-func (v vmRows) List(context.Context) ([]platform.VM, error) { return v, nil }
+func (v fakeVMList) List(context.Context) ([]platform.VM, error) { return v, nil }
 
-// bench runs dandelionctl against fakes.
-type bench struct {
+// harness runs dandelionctl against fakes.
+type harness struct {
 	t    *testing.T
 	log  *fakeLog
-	vms  vmRows
+	vms  fakeVMList
 	key  string // file
 	priv ed25519.PrivateKey
 	dir  string
 }
 
-func newBench(t *testing.T) *bench {
-	b := &bench{t: t, log: &fakeLog{}, dir: t.TempDir()}
+func newHarness(t *testing.T) *harness {
+	b := &harness{t: t, log: &fakeLog{}, dir: t.TempDir()}
 	b.priv = ed25519.NewKeyFromSeed(make([]byte, ed25519.SeedSize))
 	b.key = b.file("key", manifest.FormatPrivateKey("k", b.priv))
 	return b
 }
 
-func (b *bench) file(name, text string) string {
+func (b *harness) file(name, text string) string {
 	path := filepath.Join(b.dir, name)
 	require.NoError(b.t, os.WriteFile(path, []byte(text), 0o600))
 	return path
 }
 
-func (b *bench) manifest(tag string) string {
-	return b.file(tag+".ini", text(tag))
+func (b *harness) manifest(tag string) string {
+	return b.file(tag+".ini", manifestText(tag))
 }
 
-func text(tag string) string { return "[fleet]\nname = " + tag + "\n" }
+func manifestText(tag string) string { return "[fleet]\nname = " + tag + "\n" }
 
-func (b *bench) revision(number, parent uint64, tag string) *pb.SignedRevision {
-	return manifest.Sign(b.priv, "k", number, parent, []byte(text(tag)))
+func (b *harness) revision(number, parent uint64, tag string) *pb.SignedRevision {
+	return manifest.Sign(b.priv, "k", number, parent, []byte(manifestText(tag)))
 }
 
-func (b *bench) public() string {
+func (b *harness) public() string {
 	return manifest.FormatPublicKey("k", b.priv.Public().(ed25519.PublicKey))
 }
 
-func (b *bench) run(args ...string) (code int, stdout, stderr string) {
+func (b *harness) run(args ...string) (code int, stdout, stderr string) {
 	var out, err bytes.Buffer
 	t := &tool{
-		out: &out, err: &err,
+		stdout: &out, stderr: &err,
 		newLog: func(string) platform.Log { return b.log },
 		newVMs: func(string) platform.VMList { return b.vms },
 	}
@@ -122,7 +122,7 @@
 	return code, out.String(), err.String()
 }
 
-func (b *bench) commit(args ...string) (int, commitReport, string) {
+func (b *harness) commit(args ...string) (int, commitReport, string) {
 	code, out, stderr := b.run(append([]string{"commit", "--log", "http://127.0.0.1:1", "--key", b.key, "--output", "json"}, args...)...)
 	var report commitReport
 	if out != "" {
@@ -131,8 +131,8 @@
 	return code, report, stderr
 }
 
-func TestCommitOverTheNewest(t *testing.T) {
-	b := newBench(t)
+func TestCommitOverNewestRevision(t *testing.T) {
+	b := newHarness(t)
 	code, report, _ := b.commit(b.manifest("a"))
 	require.Equal(t, ExitOK, code)
 	require.Equal(t, uint64(1), report.Number)
@@ -145,30 +145,30 @@
 	require.Equal(t, outcomeInForce, report.Outcome)
 	require.Len(t, b.log.records, 2, "the pipeline runs twice: nothing is added")
 	code, _, stderr := b.commit("--parent", "1", b.manifest("c"))
-	require.Equal(t, ExitLost, code)
+	require.Equal(t, ExitRaceLost, code)
 	require.Contains(t, stderr, "revision 2 is in force, not 1")
 }
 
 // Two operators commit at once. The other one's record comes first; ours is
 // rejected by everyone, and we are told who won.
-func TestCommitLosesTheRace(t *testing.T) {
-	b := newBench(t)
+func TestCommitLosesRace(t *testing.T) {
+	b := newHarness(t)
 	b.log.onAppend = func(data []byte) error {
 		b.log.add(control.EncodeCommit("other", b.revision(1, 0, "other")))
 		b.log.add(data)
 		return nil
 	}
 	code, report, stderr := b.commit(b.manifest("mine"))
-	require.Equal(t, ExitLost, code)
-	require.Equal(t, manifest.Hash([]byte(text("other"))), report.Winner.Hash)
+	require.Equal(t, ExitRaceLost, code)
+	require.Equal(t, manifest.Hash([]byte(manifestText("other"))), report.Winner.Hash)
 	require.Contains(t, stderr, "not accepted: revision 1")
 	require.Contains(t, stderr, "won the race")
 }
 
 // The append ran but its answer was lost. The stream shows the record; a
 // second append would count twice, and there is none.
-func TestLostAppendAnswerIsReadBack(t *testing.T) {
-	b := newBench(t)
+func TestCommitFindsRecordAfterLostAnswer(t *testing.T) {
+	b := newHarness(t)
 	b.log.onAppend = func(data []byte) error {
 		b.log.add(data)
 		return platform.ErrAppendUnknown
@@ -181,8 +181,8 @@
 
 // The answer was lost and the record is not to be seen. It may still come, so
 // neither "accepted" nor "not accepted" would be true.
-func TestLostAppendThatIsNotToBeSeen(t *testing.T) {
-	b := newBench(t)
+func TestCommitOutcomeUnknownWithoutRecord(t *testing.T) {
+	b := newHarness(t)
 	b.log.onAppend = func([]byte) error { return platform.ErrAppendUnknown }
 	code, report, stderr := b.commit("--timeout", "100ms", b.manifest("a"))
 	require.Equal(t, ExitUnknown, code)
@@ -191,15 +191,15 @@
 	require.Equal(t, 1, b.log.appends)
 }
 
-func TestLogDownOrBusy(t *testing.T) {
-	b := newBench(t)
-	b.log.down = true
+func TestCommitWhileLogUnavailableOrRateLimited(t *testing.T) {
+	b := newHarness(t)
+	b.log.unavailable = true
 	code, report, stderr := b.commit(b.manifest("a"))
 	require.Equal(t, ExitFailed, code)
 	require.Equal(t, outcomeNotAccepted, report.Outcome)
 	require.Contains(t, stderr, "not accepted")
 
-	b.log.down = false
+	b.log.unavailable = false
 	b.log.onAppend = func([]byte) error { return platform.ErrLogUnavailable }
 	code, _, stderr = b.commit(b.manifest("a"))
 	require.Equal(t, ExitFailed, code)
@@ -218,7 +218,7 @@
 // the wrong one would be rejected by every process, so it is not even made
 // until a reappend tells; --after is for a log that will never tell.
 func TestCommitAfterTruncation(t *testing.T) {
-	b := newBench(t)
+	b := newHarness(t)
 	b.log.add(control.EncodeCommit("a", b.revision(1, 0, "winner")))
 	b.log.add(control.EncodeCommit("b", b.revision(1, 0, "loser")))
 	writer := control.New(manifest.Keys{"k": b.priv.Public().(ed25519.PublicKey)})
@@ -246,9 +246,9 @@
 // A colleague's key signs too. Without it ctl would take his revisions for
 // forged, commit over an old one, and see its own commit accepted.
 func TestUnknownKey(t *testing.T) {
-	b := newBench(t)
+	b := newHarness(t)
 	other := ed25519.NewKeyFromSeed(bytes.Repeat([]byte{1}, ed25519.SeedSize))
-	b.log.add(control.EncodeCommit("a", manifest.Sign(other, "other", 1, 0, []byte(text("a")))))
+	b.log.add(control.EncodeCommit("a", manifest.Sign(other, "other", 1, 0, []byte(manifestText("a")))))
 	code, _, stderr := b.commit(b.manifest("b"))
 	require.Equal(t, ExitFailed, code)
 	require.Contains(t, stderr, `signed by key "other"`)
@@ -260,8 +260,8 @@
 	require.Contains(t, stderr, "private half")
 }
 
-// processHTTP serves a process's status; its revision can be raised.
-func processHTTP(t *testing.T, name string, revision *atomic.Uint64) string {
+// startProcess serves a process's status; its revision can be raised.
+func startProcess(t *testing.T, name string, revision *atomic.Uint64) string {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Path {
 		case "/v1/status":
@@ -283,9 +283,9 @@
 }
 
 func TestWaitUntilInForce(t *testing.T) {
-	b := newBench(t)
+	b := newHarness(t)
 	var revision atomic.Uint64 // each poll finds the next one
-	addr := processHTTP(t, "entry-1", &revision)
+	addr := startProcess(t, "entry-1", &revision)
 	code, report, _ := b.commit("--wait", "--processes", addr, b.manifest("a"))
 	require.Equal(t, ExitOK, code)
 	require.True(t, *report.InForce)
@@ -300,25 +300,25 @@
 	require.Equal(t, "127.0.0.1:1", report.Behind[len(report.Behind)-1].Name)
 }
 
-// peer answers as a process that holds one revision.
-type peer struct {
+// fakePeer answers as a process that holds one revision.
+type fakePeer struct {
 	pb.UnimplementedPeerServer
 	revision uint64
 }
 
-func (p peer) Exchange(context.Context, *pb.ExchangeRequest) (*pb.ExchangeReply, error) {
+func (p fakePeer) Exchange(context.Context, *pb.ExchangeRequest) (*pb.ExchangeReply, error) {
 	return &pb.ExchangeReply{Revision: p.revision, Hash: "abc"}, nil
 }
 
 func TestStatusByVMList(t *testing.T) {
-	b := newBench(t)
+	b := newHarness(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	server := grpc.NewServer()
-	pb.RegisterPeerServer(server, peer{revision: 3})
+	pb.RegisterPeerServer(server, fakePeer{revision: 3})
 	go func() { _ = server.Serve(listener) }()
 	t.Cleanup(server.Stop)
-	b.vms = vmRows{{Name: "agent-1", Role: "agent", Addr: listener.Addr().String(), State: platform.VMLeaving}}
+	b.vms = fakeVMList{{Name: "agent-1", Role: "agent", Addr: listener.Addr().String(), State: platform.VMLeaving}}
 	b.log.add(control.EncodeCommit("a", b.revision(1, 0, "a")))
 	b.log.add(control.EncodeVersion("v", "m", 5))
 
@@ -327,7 +327,7 @@
 	require.Regexp(t, `(?m)^revision +1$`, out)
 	require.Regexp(t, `(?m)^weights of m +5$`, out)
 	require.Regexp(t, `(?m)^agent-1 +agent +\S+ +3 +abc +- +true`, out)
-	b.log.down = true
+	b.log.unavailable = true
 	code, out, stderr = b.run("status", "--log", "http://127.0.0.1:1", "--public", b.public(), "--vms", "http://127.0.0.1:1")
 	require.Equal(t, ExitFailed, code)
 	require.Contains(t, out, "agent-1", "the processes are shown though the log is down")
@@ -335,7 +335,7 @@
 }
 
 func TestWatchDiffExplainKeygen(t *testing.T) {
-	b := newBench(t)
+	b := newHarness(t)
 	b.log.add(control.EncodeCommit("a", b.revision(1, 0, "a")))
 	withLog := []string{"--log", "http://127.0.0.1:1", "--public", b.public()}
 	code, out, _ := b.run(append([]string{"watch", "--timeout", "50ms"}, withLog...)...)
@@ -345,13 +345,13 @@
 	code, out, _ = b.run(append(append([]string{"diff"}, withLog...), b.manifest("b"))...)
 	require.Equal(t, ExitOK, code)
 	require.Regexp(t, `\[fleet\] +name +a +→ +b`, out)
-	code, out, _ = b.run("diff", "--output", "json", b.manifest("a"), b.file("c.ini", text("a")+"weigh = staleness\n[model m]\n"))
+	code, out, _ = b.run("diff", "--output", "json", b.manifest("a"), b.file("c.ini", manifestText("a")+"weigh = staleness\n[model m]\n"))
 	require.Equal(t, ExitOK, code)
 	require.Contains(t, out, `{"section":"fleet","key":"weigh","before":"idle","after":"staleness"}`)
 	require.Contains(t, out, `{"section":"model m","key":"swap_grace","before":"","after":"1s"}`)
 
 	var revision atomic.Uint64
-	addr := processHTTP(t, "entry-1", &revision)
+	addr := startProcess(t, "entry-1", &revision)
 	code, out, _ = b.run("explain", "--token", "op", "--entries", addr, "r1")
 	require.Equal(t, ExitOK, code)
 	require.Regexp(t, `(?s)picked agent-1.*refused +queue full`, out)
@@ -370,7 +370,7 @@
 }
 
 func TestUsage(t *testing.T) {
-	b := newBench(t)
+	b := newHarness(t)
 	for args, want := range map[string]string{
 		"":                               "USAGE",
 		"chek":                           `no command "chek"; did you mean "check"?`,
@@ -413,8 +413,8 @@
 
 // The commands on logs read files, name what they can't read and fail where
 // nothing speaks of the id.
-func TestLogs(t *testing.T) {
-	b := newBench(t)
+func TestTraceAndLosses(t *testing.T) {
+	b := newHarness(t)
 	line := `{"ts":"2026-01-02T07:00:00.000Z","msg":"gateway: front: Request failed.","id":"q1","path":"/a/b","kind":"no_server","not_run":true}`
 	file := b.file("vm.log", line+"\n{\n")
 	code, out, errs := b.run("losses", file)
--- a/ctl/explain.go
+++ b/ctl/explain.go
@@ -35,7 +35,7 @@
 			}
 			ctx, cancel := context.WithTimeout(ctx, *timeout)
 			defer cancel()
-			return t.explain(ctx, output.form, addrs, *token, args[0])
+			return t.explain(ctx, output.format, addrs, *token, args[0])
 		})
 }
 
@@ -54,35 +54,35 @@
 type explanation struct {
 	ID        string     `json:"id"`
 	Decisions []decision `json:"decisions"`
-	Silent    []string   `json:"silent"` // processes that gave no answer; their records are missing
+	NoAnswer  []string   `json:"silent"` // processes that gave no answer; their records are missing
 }
 
 // explain asks every entry: only the one that had the request knows of it, and
 // several may have asked the same agent.
-func (t *tool) explain(ctx context.Context, form string, addrs []string, token, id string) error {
-	all := explanation{ID: id, Decisions: []decision{}, Silent: []string{}}
+func (t *tool) explain(ctx context.Context, format string, addrs []string, token, id string) error {
+	merged := explanation{ID: id, Decisions: []decision{}, NoAnswer: []string{}}
 	var lastErr error
 	for _, addr := range addrs {
 		var answer explanation
 		if err := getJSON(ctx, addr, "/v1/explain/"+url.PathEscape(id), token, &answer); err != nil {
 			lastErr = err
-			all.Silent = append(all.Silent, addr)
+			merged.NoAnswer = append(merged.NoAnswer, addr)
 			continue
 		}
-		all.Decisions = append(all.Decisions, answer.Decisions...)
-		all.Silent = append(all.Silent, answer.Silent...)
+		merged.Decisions = append(merged.Decisions, answer.Decisions...)
+		merged.NoAnswer = append(merged.NoAnswer, answer.NoAnswer...)
 	}
-	if len(all.Decisions) == 0 && lastErr != nil {
-		return fail(ExitFailed, "no records of %q, and not every process answered: %w", id, lastErr)
+	if len(merged.Decisions) == 0 && lastErr != nil {
+		return newExitError(ExitFailed, "no records of %q, and not every process answered: %w", id, lastErr)
 	}
-	slices.SortStableFunc(all.Decisions, compareDecisions)
-	all.Decisions = slices.Compact(all.Decisions)
-	slices.Sort(all.Silent)
-	all.Silent = slices.Compact(all.Silent)
-	if form == outputJSON {
-		return t.printJSON(all)
+	slices.SortStableFunc(merged.Decisions, compareDecisions)
+	merged.Decisions = slices.Compact(merged.Decisions)
+	slices.Sort(merged.NoAnswer)
+	merged.NoAnswer = slices.Compact(merged.NoAnswer)
+	if format == outputJSON {
+		return t.printJSON(merged)
 	}
-	return t.printExplanation(all)
+	return t.printExplanation(merged)
 }
 
 func compareDecisions(a, b decision) int {
@@ -90,20 +90,20 @@
 		cmp.Compare(a.Part, b.Part), cmp.Compare(a.What, b.What), cmp.Compare(a.Why, b.Why))
 }
 
-func (t *tool) printExplanation(all explanation) error {
-	if len(all.Decisions) == 0 {
-		return fail(ExitFailed, "no records of %q; processes keep them for a limited time only", all.ID)
+func (t *tool) printExplanation(result explanation) error {
+	if len(result.Decisions) == 0 {
+		return newExitError(ExitFailed, "no records of %q; processes keep them for a limited time only", result.ID)
 	}
-	rows := make([][]string, len(all.Decisions))
-	for i, d := range all.Decisions {
+	rows := make([][]string, len(result.Decisions))
+	for i, d := range result.Decisions {
 		at := time.UnixMilli(d.AtMS).UTC().Format("15:04:05.000")
 		rows[i] = []string{at, d.Process, d.Part, d.ID, d.What, d.Why}
 	}
 	if err := t.printTable([]string{"TIME", "PROCESS", "PART", "ID", "DECISION", "WHY"}, rows); err != nil {
 		return err
 	}
-	if len(all.Silent) > 0 {
-		return t.printTable(nil, [][]string{{"no answer from", strings.Join(all.Silent, ", ")}})
+	if len(result.NoAnswer) > 0 {
+		return t.printTable(nil, [][]string{{"no answer from", strings.Join(result.NoAnswer, ", ")}})
 	}
 	return nil
 }
--- a/ctl/flags.go
+++ b/ctl/flags.go
@@ -23,15 +23,15 @@
 )
 
 // outputFlag is --output.
-type outputFlag struct{ form string }
+type outputFlag struct{ format string }
 
 func (o *outputFlag) register(set *flag.FlagSet) {
-	set.StringVar(&o.form, "output", outputTable, "form of the output: table or json")
+	set.StringVar(&o.format, "output", outputTable, "form of the output: table or json")
 }
 
 func (o *outputFlag) check() error {
-	if o.form != outputTable && o.form != outputJSON {
-		return usageError("--output %q is not %s or %s", o.form, outputTable, outputJSON)
+	if o.format != outputTable && o.format != outputJSON {
+		return usageError("--output %q is not %s or %s", o.format, outputTable, outputJSON)
 	}
 	return nil
 }
--- a/ctl/keygen.go
+++ b/ctl/keygen.go
@@ -27,11 +27,11 @@
 			if !manifest.ValidKeyID(*id) {
 				return usageError("--id %q: an id has up to 63 letters, digits, - and _", *id)
 			}
-			return t.keygen(output.form, *id, args[0])
+			return t.keygen(output.format, *id, args[0])
 		})
 }
 
-func (t *tool) keygen(form, id, path string) error {
+func (t *tool) keygen(format, id, path string) error {
 	public, private, err := ed25519.GenerateKey(nil)
 	if err != nil {
 		return errors.Trace(err)
@@ -40,12 +40,12 @@
 		return err
 	}
 	text := manifest.FormatPublicKey(id, public)
-	if form == outputJSON {
+	if format == outputJSON {
 		return t.printJSON(struct {
 			Public string `json:"public"`
 		}{text})
 	}
-	_, err = fmt.Fprintln(t.out, text)
+	_, err = fmt.Fprintln(t.stdout, text)
 	return errors.Trace(err)
 }
 
@@ -56,10 +56,10 @@
 		return errors.Trace(err)
 	}
 	_, err = file.WriteString(text)
-	return errors.Trace(firstOf(err, file.Close()))
+	return errors.Trace(firstError(err, file.Close()))
 }
 
-func firstOf(errs ...error) error {
+func firstError(errs ...error) error {
 	for _, err := range errs {
 		if err != nil {
 			return err
--- a/ctl/logs.go
+++ b/ctl/logs.go
@@ -15,13 +15,13 @@
 	"dandelionsill.org/ctl/logscan"
 )
 
-// pathsMost bounds the arguments of the commands on logs.
-const pathsMost = 10_000
+// maxPaths bounds the arguments of the commands on logs.
+const maxPaths = 10_000
 
 func (t *tool) traceCommand() *ffcli.Command {
 	set := t.flagSet("trace")
 	asJSON := set.Bool("json", false, "print JSON")
-	return t.command(set, "ID LOGS…", "show each decision on a request, batch job, sample or duty, out of log files, folders or - for standard input", 1, pathsMost,
+	return t.command(set, "ID LOGS…", "show each decision on a request, batch job, sample or duty, out of log files, folders or - for standard input", 1, maxPaths,
 		func(_ context.Context, args []string) error {
 			tracer := logscan.NewTracer(args[0])
 			stats, err := t.scan(args[1:], tracer.Add)
@@ -29,7 +29,7 @@
 				return err
 			}
 			if tracer.Dropped > 0 {
-				fmt.Fprintf(t.err, "%d lines found no room and are left out\n", tracer.Dropped)
+				fmt.Fprintf(t.stderr, "%d lines found no room and are left out\n", tracer.Dropped)
 			}
 			if *asJSON {
 				return t.printJSON(struct {
@@ -38,8 +38,8 @@
 					Read      logscan.Stats      `json:"read"`
 				}{args[0], tracer.Decisions(), stats})
 			}
-			if err := tracer.Write(t.out); err != nil {
-				return fail(ExitFailed, "%w in %d lines", err, stats.Lines)
+			if err := tracer.Write(t.stdout); err != nil {
+				return newExitError(ExitFailed, "%w in %d lines", err, stats.Lines)
 			}
 			return nil
 		})
@@ -49,7 +49,7 @@
 	set := t.flagSet("losses")
 	asJSON := set.Bool("json", false, "print JSON, with the timeline by seconds")
 	svg := set.String("svg", "", "file for a timeline of what waits, runs, is refused and lost, of owners and outages of the store")
-	return t.command(set, "LOGS…", "show what failed, was late or was refused, by kind of request and cause, out of log files, folders or - for standard input", 0, pathsMost,
+	return t.command(set, "LOGS…", "show what failed, was late or was refused, by kind of request and cause, out of log files, folders or - for standard input", 0, maxPaths,
 		func(_ context.Context, args []string) error {
 			losses := logscan.NewLosses()
 			stats, err := t.scan(args, losses.Add)
@@ -61,8 +61,8 @@
 					return errors.Trace(err)
 				}
 			}
-			if losses.Crowded > 0 {
-				fmt.Fprintf(t.err, "%d samples or rows found no room and are left out\n", losses.Crowded)
+			if losses.Dropped > 0 {
+				fmt.Fprintf(t.stderr, "%d samples or rows found no room and are left out\n", losses.Dropped)
 			}
 			if *asJSON {
 				return t.printJSON(struct {
@@ -79,7 +79,7 @@
 	const clock = "15:04:05.000"
 	cells := make([][]string, len(rows))
 	for i, r := range rows {
-		cells[i] = []string{r.What, string(r.Fate), string(r.Cause), strconv.Itoa(r.Count), r.First.UTC().Format(clock), r.Last.UTC().Format(clock), r.Example}
+		cells[i] = []string{r.RequestKind, string(r.Outcome), string(r.Cause), strconv.Itoa(r.Count), r.First.UTC().Format(clock), r.Last.UTC().Format(clock), r.Example}
 	}
 	return t.printTable([]string{"WHAT", "FATE", "CAUSE", "COUNT", "FIRST", "LAST", "FIRST ID"}, cells)
 }
@@ -91,10 +91,10 @@
 	}
 	files, size, err := logscan.Files(paths)
 	if err != nil {
-		return logscan.Stats{}, fail(ExitUsage, "%w", err)
+		return logscan.Stats{}, newExitError(ExitUsage, "%w", err)
 	}
 	var progress io.Writer
-	if f, ok := t.err.(*os.File); ok && isatty.IsTerminal(f.Fd()) {
+	if f, ok := t.stderr.(*os.File); ok && isatty.IsTerminal(f.Fd()) {
 		if size == 0 {
 			size = -1 // unknown
 		}
@@ -107,10 +107,10 @@
 		return stats, errors.Trace(err)
 	}
 	for _, p := range stats.Problems {
-		fmt.Fprintf(t.err, "%s:%d: can't be read and is left out: %s\n", p.File, p.Line, p.Error)
+		fmt.Fprintf(t.stderr, "%s:%d: can't be read and is left out: %s\n", p.File, p.Line, p.Error)
 	}
-	if more := stats.Bad - len(stats.Problems); more > 0 {
-		fmt.Fprintf(t.err, "%d more lines can't be read\n", more)
+	if unlisted := stats.Bad - len(stats.Problems); unlisted > 0 {
+		fmt.Fprintf(t.stderr, "%d more lines can't be read\n", unlisted)
 	}
 	return stats, nil
 }
--- a/ctl/logscan/line.go
+++ b/ctl/logscan/line.go
@@ -74,49 +74,49 @@
 // timeLayout is how the processes write times.
 const timeLayout = "2006-01-02T15:04:05.000Z0700"
 
-// head is what each line has.
-type head struct {
+// lineHeader is what each line has.
+type lineHeader struct {
 	TS      string `json:"ts"`
 	Message string `json:"msg"`
 }
 
-// errNoRecord: the line is none of a process's log, but a remark of the platform.
-var errNoRecord = errors.New("no record")
+// errNotRecord: the line is none of a process's log, but a remark of the platform.
+var errNotRecord = errors.New("no record")
 
-// parse reads a line: a JSON object, as a process writes it, or with a time and the
+// parseLine reads a line: a JSON object, as a process writes it, or with a time and the
 // VM's name before it, as the platform prints it.
-func parse(text []byte, process string) (Line, error) {
+func parseLine(text []byte, process string) (Line, error) {
 	open := bytes.IndexByte(text, '{')
 	if open < 0 {
-		return Line{}, errNoRecord
+		return Line{}, errNotRecord
 	}
 	if before := strings.Fields(string(text[:open])); len(before) == 2 {
 		if _, err := strconv.ParseFloat(before[0], 64); err != nil {
-			return Line{}, errNoRecord
+			return Line{}, errNotRecord
 		}
 		process = before[1]
 	} else if len(before) != 0 {
-		return Line{}, errNoRecord
+		return Line{}, errNotRecord
 	}
 	l := Line{Process: process, Raw: bytes.TrimSpace(text[open:])}
-	var h head
-	if err := json.Unmarshal(l.Raw, &h); err != nil {
+	var header lineHeader
+	if err := json.Unmarshal(l.Raw, &header); err != nil {
 		return Line{}, errors.Annotate(err, "not JSON")
 	}
-	at, err := time.Parse(timeLayout, h.TS)
+	at, err := time.Parse(timeLayout, header.TS)
 	if err != nil {
 		return Line{}, errors.Annotate(err, "field ts")
 	}
 	l.At = at
-	l.Part, l.Message = split(h.Message)
+	l.Part, l.Message = splitMessage(header.Message)
 	if err := json.Unmarshal(l.Raw, &l.Fields); err != nil {
 		return Line{}, errors.Annotate(err, "a field has another type")
 	}
 	return l, nil
 }
 
-// split takes the prefixes of program and part off a message.
-func split(message string) (part, sentence string) {
+// splitMessage takes the prefixes of program and part off a message.
+func splitMessage(message string) (part, sentence string) {
 	at := strings.LastIndex(message, ": ")
 	if at < 0 {
 		return "", message
--- a/ctl/logscan/logscan_test.go
+++ b/ctl/logscan/logscan_test.go
@@ -19,36 +19,36 @@
 	return fmt.Sprintf(`{"level":"info","ts":"%s","msg":"gateway: %s",%s}`, at, message, strings.TrimSuffix(fields, ",")) + "\n"
 }
 
-func scan(t testing.TB, text string, add func(*Line)) Stats {
+func scanText(t testing.TB, text string, add func(*Line)) Stats {
 	stats, err := Read([]string{Stdin}, strings.NewReader(text), nil, add)
 	require.NoError(t, err)
 	return stats
 }
 
 func TestParse(t *testing.T) {
-	plain := record(0, "runner: Sample done.", `"id":"a","streamed":"1.5s","job":"j"`)
-	l, err := parse([]byte(plain), "vm-1")
+	jsonLine := record(0, "runner: Sample done.", `"id":"a","streamed":"1.5s","job":"j"`)
+	l, err := parseLine([]byte(jsonLine), "vm-1")
 	require.NoError(t, err)
 	require.Equal(t, "vm-1", l.Process)
 	require.Equal(t, "runner", l.Part)
 	require.Equal(t, "Sample done.", l.Message)
 	require.Equal(t, 1500*time.Millisecond, time.Duration(l.Streamed))
 
-	l, err = parse([]byte("  -8.9622 front-a-1 "+plain), "file")
+	l, err = parseLine([]byte("  -8.9622 front-a-1 "+jsonLine), "file")
 	require.NoError(t, err)
 	require.Equal(t, "front-a-1", l.Process, "as the platform prints it")
-	l, err = parse([]byte(record(0, "Started.", `"took":7`)), "")
+	l, err = parseLine([]byte(record(0, "Started.", `"took":7`)), "")
 	require.NoError(t, err, "a field of the same name with another meaning")
 	require.Equal(t, "Started.", l.Message)
 
-	for _, remark := range []string{"", "quiet-1  17/13  0.96", "worth {0.9} less prices", "a b c {}"} {
-		_, err := parse([]byte(remark), "")
-		require.ErrorIs(t, err, errNoRecord, remark)
+	for _, otherLine := range []string{"", "quiet-1  17/13  0.96", "worth {0.9} less prices", "a b c {}"} {
+		_, err := parseLine([]byte(otherLine), "")
+		require.ErrorIs(t, err, errNotRecord, otherLine)
 	}
 }
 
 // A line that can't be read is named by file and number, and costs no other.
-func TestBadLinesAreNamed(t *testing.T) {
+func TestUnreadableLinesAreReported(t *testing.T) {
 	dir := t.TempDir()
 	good := record(5, "Started.", `"id":"a"`)
 	file := filepath.Join(dir, "sub", "vm-2.log")
@@ -64,7 +64,7 @@
 	require.NoError(t, err)
 	require.Equal(t, []string{"vm-1 Starting.", "vm-2 Started.", "vm-2 Started."}, got, "in the order of time")
 	require.Equal(t, 3, stats.Bad)
-	require.Equal(t, 1, stats.Remarks)
+	require.Equal(t, 1, stats.OtherLines)
 	require.Equal(t, file, stats.Problems[0].File)
 	require.Equal(t, []int{2, 3, 4}, []int{stats.Problems[0].Line, stats.Problems[1].Line, stats.Problems[2].Line})
 	_, _, err = Files([]string{filepath.Join(dir, "nowhere")})
@@ -72,16 +72,16 @@
 }
 
 // A line of many megabytes is passed over without being kept.
-func TestEndlessLineIsBounded(t *testing.T) {
+func TestLongLineIsSkipped(t *testing.T) {
 	n := 0
-	stats := scan(t, `{"ts":"`+strings.Repeat("x", 3*longestLine)+"\n"+record(0, "Started.", `"id":"a"`), func(*Line) { n++ })
+	stats := scanText(t, `{"ts":"`+strings.Repeat("x", 3*maxLineBytes)+"\n"+record(0, "Started.", `"id":"a"`), func(*Line) { n++ })
 	require.Equal(t, 1, n)
 	require.Equal(t, 1, stats.Bad)
 }
 
-// day is the log of two processes about one sample that was lost to an outage, one
+// sampleLog is the log of two processes about one sample that was lost to an outage, one
 // that was late for want of a place, and requests of three kinds.
-func day() string {
+func sampleLog() string {
 	return record(0, "jobs: Batch job.", `"job":"j","model":"m","items":3,"due":"7.5s","owner":"a"`) +
 		record(1, "jobs: Batch job.", `"job":"j","model":"m","items":3,"due":"7.5s","owner":"a"`) +
 		record(10, "runner: Sample starts.", `"id":"s1","job":"j","waiting":3`) +
@@ -107,10 +107,10 @@
 // tell the kind, the moment and the cause, once, however many processes tell of it.
 func TestLosses(t *testing.T) {
 	losses := NewLosses()
-	scan(t, day(), losses.Add)
+	scanText(t, sampleLog(), losses.Add)
 	got := map[string]int{}
 	for _, r := range losses.Rows() {
-		got[fmt.Sprintf("%s %s: %s (%s)", r.What, r.Fate, r.Cause, r.Example)] = r.Count
+		got[fmt.Sprintf("%s %s: %s (%s)", r.RequestKind, r.Outcome, r.Cause, r.Example)] = r.Count
 	}
 	require.Equal(t, map[string]int{
 		"samples of m late: waited for a place (s2)":                       1,
@@ -125,7 +125,7 @@
 	require.Equal(t, 3, seconds[0].Waiting)
 	require.Equal(t, 1, seconds[0].Running)
 	require.Zero(t, seconds[5].Running)
-	require.Equal(t, 1, seconds[8].Away)
+	require.Equal(t, 1, seconds[8].WithoutLog)
 	require.Equal(t, 2, seconds[8].Lost+seconds[8].Refused)
 	require.Zero(t, seconds[12].Running)
 	file := filepath.Join(t.TempDir(), "timeline.svg")
@@ -136,36 +136,36 @@
 	require.Error(t, losses.Timeline.Plot(filepath.Join(t.TempDir(), "no", "such.svg")))
 }
 
-func TestCausesOfRequests(t *testing.T) {
+func TestRequestCauses(t *testing.T) {
 	for kind, want := range map[string]Cause{
-		"cancelled": CauseClientGone, "log_unavailable": CauseStarting, "not_ready": CauseStarting, "no_server": CauseNoServer, "quarantined": CausePoison,
-		"overloaded": CauseRefused, "deadline_exceeded": CauseSilent, "outcome_unknown": CauseUnknown, "too_large": CauseRoute,
+		"cancelled": CauseCallerGone, "log_unavailable": CauseStarting, "not_ready": CauseStarting, "no_server": CauseNoServer, "quarantined": CausePoisonRequest,
+		"overloaded": CauseRefused, "deadline_exceeded": CauseServerUnresponsive, "outcome_unknown": CauseUnknown, "too_large": CauseConfiguration,
 	} {
 		losses := NewLosses()
-		scan(t, record(0, "front: Request failed.", `"id":"q","path":"/a/b","kind":"`+kind+`"`), losses.Add)
+		scanText(t, record(0, "front: Request failed.", `"id":"q","path":"/a/b","kind":"`+kind+`"`), losses.Add)
 		require.Equal(t, want, losses.Rows()[0].Cause, kind)
 	}
-	for end, want := range map[string]Cause{"broken": CauseBroken, "never": CauseFailed, "too_old": CauseWeights, "refused": ""} {
-		require.Equal(t, want, causeOfEnd(end), end)
+	for end, want := range map[string]Cause{"broken": CauseConnectionBroken, "never": CauseServerFailed, "too_old": CauseStaleWeights, "refused": ""} {
+		require.Equal(t, want, streamEndCause(end), end)
 	}
 }
 
 // A request's name leads to all its attempts' ends of servers, in all processes.
-func TestTraceOfARequestThatEndsServers(t *testing.T) {
+func TestTracePoisonRequest(t *testing.T) {
 	tracer := NewTracer("0011223344556677")
 	lines := []string{
 		record(0, "forward: A server ended under a request.", `"id":"a1","request":"0011223344556677","server":"s1"`),
 		record(1, "forward: quarantine: A server's end is attributed to a request.", `"from":"peer","request":"0011223344556677","server":"s1"`),
 		record(2, "forward: A server ended under a request.", `"id":"b1","request":"ffffffffffffffff","server":"s1"`),
 	}
-	scan(t, strings.Join(lines, ""), tracer.Add)
+	scanText(t, strings.Join(lines, ""), tracer.Add)
 	require.Len(t, tracer.Decisions(), 2)
 }
 
 // The path of a sample holds the lines about its score and about its job's owners.
-func TestTrace(t *testing.T) {
+func TestTraceSampleAndJob(t *testing.T) {
 	tracer := NewTracer("s1")
-	scan(t, day(), tracer.Add)
+	scanText(t, sampleLog(), tracer.Add)
 	var messages []string
 	for _, d := range tracer.Decisions() {
 		messages = append(messages, d.Message)
@@ -177,56 +177,56 @@
 	require.NoError(t, tracer.Write(&out))
 	require.Contains(t, out.String(), "why=broken")
 
-	whole := NewTracer("j")
-	scan(t, day(), whole.Add)
-	require.Len(t, whole.Decisions(), 4, "a job's own lines")
-	require.ErrorIs(t, NewTracer("nobody").Write(&out), ErrNothing)
+	jobTracer := NewTracer("j")
+	scanText(t, sampleLog(), jobTracer.Add)
+	require.Len(t, jobTracer.Decisions(), 4, "a job's own lines")
+	require.ErrorIs(t, NewTracer("nobody").Write(&out), ErrNotFound)
 }
 
 // However many ids the logs name, what is remembered is bounded.
 func TestMemoryIsBounded(t *testing.T) {
 	losses := NewLosses()
-	for i := range 2 * triesMost {
+	for i := range 2 * maxFailedAttempts {
 		l := Line{Message: "Try failed.", At: time.Unix(int64(i), 0), Fields: Fields{ID: fmt.Sprint(i)}}
 		losses.Add(&l)
 	}
-	require.LessOrEqual(t, len(losses.tries), triesMost)
-	require.LessOrEqual(t, len(losses.Timeline.Seconds), secondsMost)
-	for i := range rowsMost + 10 {
+	require.LessOrEqual(t, len(losses.lastFailures), maxFailedAttempts)
+	require.LessOrEqual(t, len(losses.Timeline.Seconds), maxSeconds)
+	for i := range maxRows + 10 {
 		l := Line{Message: "Request failed.", Fields: Fields{Path: fmt.Sprintf("/p%d/x", i)}}
 		losses.Add(&l)
 	}
-	require.Len(t, losses.Rows(), rowsMost)
-	require.Equal(t, 10, losses.Crowded)
+	require.Len(t, losses.Rows(), maxRows)
+	require.Equal(t, 10, losses.Dropped)
 }
 
 // Whatever the bytes, reading them neither fails nor panics, and each line is
 // counted once.
-func TestAnyBytesAreRead(t *testing.T) {
+func TestReadAcceptsAnyBytes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		text := strings.Join(rapid.SliceOfN(rapid.OneOf(rapid.String(), rapid.Just(strings.TrimSpace(day()))), 0, 5).Draw(t, "text"), "\n")
+		text := strings.Join(rapid.SliceOfN(rapid.OneOf(rapid.String(), rapid.Just(strings.TrimSpace(sampleLog()))), 0, 5).Draw(t, "text"), "\n")
 		losses, tracer := NewLosses(), NewTracer("s1")
 		stats, err := Read([]string{Stdin}, strings.NewReader(text), nil, func(l *Line) { losses.Add(l); tracer.Add(l) })
 		require.NoError(t, err)
-		require.LessOrEqual(t, stats.Lines+stats.Remarks+stats.Bad, strings.Count(text, "\n")+1)
+		require.LessOrEqual(t, stats.Lines+stats.OtherLines+stats.Bad, strings.Count(text, "\n")+1)
 	})
 }
 
 // A line takes some 12 us: a gigabyte of logs is read in about 40 s.
 func BenchmarkLosses(b *testing.B) {
-	text := day()
+	text := sampleLog()
 	b.SetBytes(int64(len(text)))
 	b.ReportAllocs()
 	for b.Loop() {
 		losses := NewLosses()
-		scan(b, text, losses.Add)
+		scanText(b, text, losses.Add)
 	}
 }
 
 // A customer was billed twice: who reported, since when, and who had reported before.
-func TestTraceOfADuty(t *testing.T) {
+func TestTraceDuty(t *testing.T) {
 	tracer := NewTracer("usage")
-	scan(t, record(0, "usage: duties: This process has a duty.", `"duty":"usage","token":7`)+
+	scanText(t, record(0, "usage: duties: This process has a duty.", `"duty":"usage","token":7`)+
 		record(5, "usage: Usage reported.", `"duty":"usage","window":3,"token":7,"requests":2`)+
 		record(6, "usage: Usage reported.", `"duty":"other","window":3`)+
 		record(9, "usage: duties: This process no longer has a duty.", `"duty":"usage","token":7`), tracer.Add)
--- a/ctl/logscan/losses.go
+++ b/ctl/logscan/losses.go
@@ -14,345 +14,345 @@
 // The causes, in the order in which one is taken for another's: a sample that was
 // held up by an outage also waits.
 const (
-	CauseClientGone Cause = "client gone"
-	CauseStoreAway  Cause = "store away"
-	CauseOwnerGone  Cause = "owner gone"
-	CauseSilent     Cause = "server silent"
-	CauseBroken     Cause = "server broke off or restarted"
-	CauseFailed     Cause = "server failed"
-	CauseWeights    Cause = "weights too old"
-	CauseSlow       Cause = "server slow"
-	CauseScore      Cause = "no score in time"
-	CausePlace      Cause = "waited for a place"
-	CauseLong       Cause = "long text"
-	CauseRefused    Cause = "refused by servers"
-	CauseNoServer   Cause = "no server"
-	CausePoison     Cause = "crashes servers"
-	CauseStarting   Cause = "process starting"
-	CauseRoute      Cause = "refused by the configuration"
-	CauseUnknown    Cause = "not told"
+	CauseCallerGone         Cause = "client gone"
+	CauseLogUnavailable     Cause = "store away"
+	CauseOwnerChanged       Cause = "owner gone"
+	CauseServerUnresponsive Cause = "server silent"
+	CauseConnectionBroken   Cause = "server broke off or restarted"
+	CauseServerFailed       Cause = "server failed"
+	CauseStaleWeights       Cause = "weights too old"
+	CauseServerSlow         Cause = "server slow"
+	CauseScoreTimeout       Cause = "no score in time"
+	CauseSlotWait           Cause = "waited for a place"
+	CauseLongText           Cause = "long text"
+	CauseRefused            Cause = "refused by servers"
+	CauseNoServer           Cause = "no server"
+	CausePoisonRequest      Cause = "crashes servers"
+	CauseStarting           Cause = "process starting"
+	CauseConfiguration      Cause = "refused by the configuration"
+	CauseUnknown            Cause = "not told"
 )
 
-// Fate is what became of a request or sample.
-type Fate string
+// Outcome is what became of a request or sample.
+type Outcome string
 
 // Fates other than served in time.
 const (
-	FateFailed  Fate = "failed"
-	FateLate    Fate = "late"
-	FateRefused Fate = "refused"
+	OutcomeFailed  Outcome = "failed"
+	OutcomeLate    Outcome = "late"
+	OutcomeRefused Outcome = "refused"
 )
 
 // Loss is a row of the table.
 type Loss struct {
-	// What is the kind of request: "samples of MODEL", or the first part of a path.
-	What  string    `json:"what"`
-	Fate  Fate      `json:"fate"`
-	Cause Cause     `json:"cause"`
-	Count int       `json:"count"`
-	First time.Time `json:"first"`
-	Last  time.Time `json:"last"`
+	// RequestKind is the kind of request: "samples of MODEL", or the first part of a path.
+	RequestKind string    `json:"what"`
+	Outcome     Outcome   `json:"fate"`
+	Cause       Cause     `json:"cause"`
+	Count       int       `json:"count"`
+	First       time.Time `json:"first"`
+	Last        time.Time `json:"last"`
 	// Example is the id of the first.
 	Example string `json:"example"`
 }
 
 type lossKey struct {
-	what  string
-	fate  Fate
-	cause Cause
+	requestKind string
+	outcome     Outcome
+	cause       Cause
 }
 
 // Bounds of what is remembered at a time; what finds no room counts as "not told".
 const (
-	// samplesMost bounds the samples that are on their way: 24 trainers' steps of
+	// maxSamples bounds the samples that are on their way: 24 trainers' steps of
 	// 2,048 samples, twice over, with room. 200 B each.
-	samplesMost = 200_000
-	// triesMost bounds the requests whose tries are remembered until they fail.
-	triesMost = 50_000
-	// rowsMost bounds the table.
-	rowsMost = 1000
+	maxSamples = 200_000
+	// maxFailedAttempts bounds the requests whose tries are remembered until they fail.
+	maxFailedAttempts = 50_000
+	// maxRows bounds the table.
+	maxRows = 1000
 )
 
 // Losses makes the table and the timeline out of all lines.
 type Losses struct {
 	Timeline Timeline
 
-	rows    map[lossKey]*Loss
-	jobs    map[string]*job
-	samples int
-	tries   map[string]*list.Element // of *tried, by request
-	recent  *list.List               // the newest first
-	away    map[string]bool          // processes that can't follow the log
-	// Crowded counts what was not remembered for want of room.
-	Crowded int
+	rows           map[lossKey]*Loss
+	jobs           map[string]*job
+	sampleCount    int
+	lastFailures   map[string]*list.Element // of *tried, by request
+	recentFailures *list.List               // the newest first
+	withoutLog     map[string]bool          // processes that can't follow the log
+	// Dropped counts what was not remembered for want of room.
+	Dropped int
 }
 
 // NewLosses returns an empty table.
 func NewLosses() *Losses {
-	return &Losses{rows: map[lossKey]*Loss{}, jobs: map[string]*job{}, tries: map[string]*list.Element{}, recent: list.New(), away: map[string]bool{}}
+	return &Losses{rows: map[lossKey]*Loss{}, jobs: map[string]*job{}, lastFailures: map[string]*list.Element{}, recentFailures: list.New(), withoutLog: map[string]bool{}}
 }
 
 // job is a batch job that is not over.
 type job struct {
-	accepted time.Time
-	due      time.Duration // 0: not told
-	model    string
-	samples  map[string]*sample
-	taken    bool // its owner has changed
-	outage   bool // the log was lost while it was open
-	over     bool
+	accepted     time.Time
+	due          time.Duration // 0: not told
+	model        string
+	samples      map[string]*sample
+	ownerChanged bool // its owner has changed
+	logOutage    bool // the log was lost while it was open
+	ended        bool
 }
 
 // sample is a sample that was begun and is not done.
 type sample struct {
-	running bool
-	cause   Cause // of what has held it up so far; empty: nothing
-	gaveUp  bool
+	running   bool
+	cause     Cause // of what has held it up so far; empty: nothing
+	abandoned bool
 }
 
-// tried is how the tries of a request went.
-type tried struct {
+// failedAttempt is how the tries of a request went.
+type failedAttempt struct {
 	id    string
 	cause Cause
 }
 
 // Add takes the next line.
 func (s *Losses) Add(l *Line) {
-	s.Timeline.at(l.At)
+	s.Timeline.second(l.At)
 	switch l.Message {
 	case "Batch job.":
-		s.accepted(l)
+		s.jobAccepted(l)
 	case "Batch job has a new owner.":
-		s.owner(l)
+		s.jobOwnerChanged(l)
 	case "Batch job is over.":
-		s.over(l)
+		s.jobEnded(l)
 	case "Sample starts.":
-		s.starts(l)
+		s.sampleStarted(l)
 	case "Sample leaves a silent engine.":
-		s.leaves(l, CauseSilent)
+		s.streamEnded(l, CauseServerUnresponsive)
 	case "Sample leaves a slow engine.":
-		s.leaves(l, CauseSlow)
+		s.streamEnded(l, CauseServerSlow)
 	case "Stream ended early.":
-		s.leaves(l, causeOfEnd(l.Why))
+		s.streamEnded(l, streamEndCause(l.Why))
 	case "Sample given up.":
-		s.givenUp(l)
+		s.sampleAbandoned(l)
 	case "Sample done.":
-		s.done(l)
+		s.sampleDone(l)
 	case "Try failed.":
-		s.tryFailed(l)
+		s.attemptFailed(l)
 	case "Request failed.":
 		s.requestFailed(l)
 	case "Lost the log.":
-		s.lost(l)
+		s.logLost(l)
 	case "The log is back.", "Read the log to its end.":
-		delete(s.away, l.Process)
-		s.Timeline.away(l.At, len(s.away))
+		delete(s.withoutLog, l.Process)
+		s.Timeline.setWithoutLog(l.At, len(s.withoutLog))
 	}
 }
 
-func (s *Losses) accepted(l *Line) {
+func (s *Losses) jobAccepted(l *Line) {
 	if s.jobs[l.Job] == nil { // each process tells of it
-		s.jobs[l.Job] = &job{accepted: l.At, due: time.Duration(l.Due), model: l.Model, samples: map[string]*sample{}, outage: len(s.away) > 0}
+		s.jobs[l.Job] = &job{accepted: l.At, due: time.Duration(l.Due), model: l.Model, samples: map[string]*sample{}, logOutage: len(s.withoutLog) > 0}
 	}
 }
 
-func (s *Losses) owner(l *Line) {
-	if j := s.jobs[l.Job]; j != nil && !j.taken {
-		j.taken = true
-		s.Timeline.owner(l.At)
+func (s *Losses) jobOwnerChanged(l *Line) {
+	if j := s.jobs[l.Job]; j != nil && !j.ownerChanged {
+		j.ownerChanged = true
+		s.Timeline.addOwnerChange(l.At)
 	}
 }
 
-func (s *Losses) lost(l *Line) {
-	s.away[l.Process] = true
-	s.Timeline.away(l.At, len(s.away))
+func (s *Losses) logLost(l *Line) {
+	s.withoutLog[l.Process] = true
+	s.Timeline.setWithoutLog(l.At, len(s.withoutLog))
 	for _, j := range s.jobs {
-		j.outage = true
+		j.logOutage = true
 	}
 }
 
-// over ends a job. Samples without a result are lost to a trainer that gave it up;
+// jobEnded ends a job. Samples without a result are lost to a trainer that gave it up;
 // one that has enough wants no more of them.
-func (s *Losses) over(l *Line) {
+func (s *Losses) jobEnded(l *Line) {
 	j := s.jobs[l.Job]
-	if j == nil || j.over {
+	if j == nil || j.ended {
 		return
 	}
-	j.over = true
+	j.ended = true
 	late := j.due > 0 && l.At.Sub(j.accepted) > j.due
 	for id, x := range j.samples {
 		if x.running {
-			s.Timeline.running(l.At, -1)
+			s.Timeline.addRunning(l.At, -1)
 		}
 		if late {
-			s.lose(l.At, "samples of "+j.model, FateFailed, s.causeOf(j, x, CausePlace), id)
+			s.addLoss(l.At, "samples of "+j.model, OutcomeFailed, s.sampleCause(j, x, CauseSlotWait), id)
 		}
 	}
-	s.samples -= len(j.samples)
+	s.sampleCount -= len(j.samples)
 	j.samples = nil
-	s.forget(l.At)
+	s.removeEndedJobs(l.At)
 }
 
-// jobKept is how long a job that is over is remembered, for processes that tell
+// endedJobRetention is how long a job that is over is remembered, for processes that tell
 // of it late.
-const jobKept = time.Minute
+const endedJobRetention = time.Minute
 
-func (s *Losses) forget(now time.Time) {
+func (s *Losses) removeEndedJobs(now time.Time) {
 	for id, j := range s.jobs {
-		if j.over && now.Sub(j.accepted) > jobKept {
+		if j.ended && now.Sub(j.accepted) > endedJobRetention {
 			delete(s.jobs, id)
 		}
 	}
 }
 
-func (s *Losses) sample(l *Line) (*job, *sample) {
+func (s *Losses) findOrAddSample(l *Line) (*job, *sample) {
 	j := s.jobs[l.Job]
-	if j == nil || j.over {
+	if j == nil || j.ended {
 		return nil, nil
 	}
 	x := j.samples[l.ID]
 	if x != nil {
 		return j, x
 	}
-	if s.samples >= samplesMost {
-		s.Crowded++
+	if s.sampleCount >= maxSamples {
+		s.Dropped++
 		return nil, nil
 	}
 	x = &sample{}
 	j.samples[l.ID] = x
-	s.samples++
+	s.sampleCount++
 	return j, x
 }
 
-func (s *Losses) starts(l *Line) {
-	s.Timeline.waiting(l.At, l.Waiting)
-	if _, x := s.sample(l); x != nil && !x.running {
+func (s *Losses) sampleStarted(l *Line) {
+	s.Timeline.addWaiting(l.At, l.Waiting)
+	if _, x := s.findOrAddSample(l); x != nil && !x.running {
 		x.running = true
-		s.Timeline.running(l.At, 1)
+		s.Timeline.addRunning(l.At, 1)
 	}
 }
 
-func (s *Losses) leaves(l *Line, cause Cause) {
-	_, x := s.sample(l)
+func (s *Losses) streamEnded(l *Line, cause Cause) {
+	_, x := s.findOrAddSample(l)
 	if x == nil {
 		return
 	}
 	if x.running {
 		x.running = false
-		s.Timeline.running(l.At, -1)
+		s.Timeline.addRunning(l.At, -1)
 	}
 	x.cause = cmp.Or(cause, x.cause)
 }
 
-// causeOfEnd is what the end of a stream means for its sample; empty: nothing that
+// streamEndCause is what the end of a stream means for its sample; empty: nothing that
 // holds it up.
-func causeOfEnd(why string) Cause {
-	switch why {
+func streamEndCause(reason string) Cause {
+	switch reason {
 	case "broken", "unreached", "misdirected":
-		return CauseBroken
+		return CauseConnectionBroken
 	case "failed", "never":
-		return CauseFailed
+		return CauseServerFailed
 	case "too_old", "mixed":
-		return CauseWeights
+		return CauseStaleWeights
 	}
 	return ""
 }
 
-func (s *Losses) givenUp(l *Line) {
-	j, x := s.sample(l)
+func (s *Losses) sampleAbandoned(l *Line) {
+	j, x := s.findOrAddSample(l)
 	if x == nil {
 		return
 	}
-	x.gaveUp = true
-	cause := CauseFailed
+	x.abandoned = true
+	cause := CauseServerFailed
 	if l.Why == "score" {
-		cause = CauseScore
+		cause = CauseScoreTimeout
 	}
-	s.lose(l.At, "samples of "+j.model, FateFailed, cause, l.ID)
+	s.addLoss(l.At, "samples of "+j.model, OutcomeFailed, cause, l.ID)
 }
 
-func (s *Losses) done(l *Line) {
-	j, x := s.sample(l)
+func (s *Losses) sampleDone(l *Line) {
+	j, x := s.findOrAddSample(l)
 	if x == nil {
 		return
 	}
 	if x.running {
-		s.Timeline.running(l.At, -1)
+		s.Timeline.addRunning(l.At, -1)
 	}
-	if !x.gaveUp && j.due > 0 && l.At.Sub(j.accepted) > j.due {
-		s.lose(l.At, "samples of "+j.model, FateLate, s.causeOf(j, x, longest(l)), l.ID)
+	if !x.abandoned && j.due > 0 && l.At.Sub(j.accepted) > j.due {
+		s.addLoss(l.At, "samples of "+j.model, OutcomeLate, s.sampleCause(j, x, longestPhase(l)), l.ID)
 	}
 	delete(j.samples, l.ID)
-	s.samples--
+	s.sampleCount--
 }
 
-// longest is what took the most of a sample's time.
-func longest(l *Line) Cause {
-	switch most := max(l.Waited, l.Streamed, l.Scored); most {
+// longestPhase is what took the most of a sample's time.
+func longestPhase(l *Line) Cause {
+	switch longest := max(l.Waited, l.Streamed, l.Scored); longest {
 	case l.Waited:
-		return CausePlace
+		return CauseSlotWait
 	case l.Streamed:
-		return CauseLong
+		return CauseLongText
 	default:
-		return CauseScore
+		return CauseScoreTimeout
 	}
 }
 
-func (s *Losses) causeOf(j *job, x *sample, otherwise Cause) Cause {
+func (s *Losses) sampleCause(j *job, x *sample, otherwise Cause) Cause {
 	switch {
-	case j.outage:
-		return CauseStoreAway
-	case j.taken:
-		return CauseOwnerGone
+	case j.logOutage:
+		return CauseLogUnavailable
+	case j.ownerChanged:
+		return CauseOwnerChanged
 	}
 	return cmp.Or(x.cause, otherwise)
 }
 
-func (s *Losses) tryFailed(l *Line) {
-	cause := CauseFailed
+func (s *Losses) attemptFailed(l *Line) {
+	cause := CauseServerFailed
 	switch {
 	case l.NotRun:
 		cause = CauseRefused
 	case l.Error != "":
-		cause = CauseBroken
+		cause = CauseConnectionBroken
 	}
-	if e := s.tries[l.ID]; e != nil {
-		e.Value.(*tried).cause = cause
-		s.recent.MoveToFront(e)
+	if e := s.lastFailures[l.ID]; e != nil {
+		e.Value.(*failedAttempt).cause = cause
+		s.recentFailures.MoveToFront(e)
 		return
 	}
-	s.tries[l.ID] = s.recent.PushFront(&tried{l.ID, cause})
-	if s.recent.Len() > triesMost {
-		oldest := s.recent.Back()
-		delete(s.tries, oldest.Value.(*tried).id)
-		s.recent.Remove(oldest)
+	s.lastFailures[l.ID] = s.recentFailures.PushFront(&failedAttempt{l.ID, cause})
+	if s.recentFailures.Len() > maxFailedAttempts {
+		oldest := s.recentFailures.Back()
+		delete(s.lastFailures, oldest.Value.(*failedAttempt).id)
+		s.recentFailures.Remove(oldest)
 	}
 }
 
 func (s *Losses) requestFailed(l *Line) {
-	cause := s.causeOfKind(l)
-	fate := FateFailed
+	cause := s.requestCause(l)
+	outcome := OutcomeFailed
 	if l.NotRun {
-		fate = FateRefused
+		outcome = OutcomeRefused
 	}
-	what := kindOfPath(l.Path)
-	if cause == CauseRoute {
-		what = noRoute // callers choose such paths: a row for each would hide the others
+	label := pathGroup(l.Path)
+	if cause == CauseConfiguration {
+		label = noRoute // callers choose such paths: a row for each would hide the others
 	}
-	s.lose(l.At, what, fate, cause, l.ID)
-	if e := s.tries[l.ID]; e != nil {
-		delete(s.tries, l.ID)
-		s.recent.Remove(e)
+	s.addLoss(l.At, label, outcome, cause, l.ID)
+	if e := s.lastFailures[l.ID]; e != nil {
+		delete(s.lastFailures, l.ID)
+		s.recentFailures.Remove(e)
 	}
 }
 
-func (s *Losses) causeOfKind(l *Line) Cause {
+func (s *Losses) requestCause(l *Line) Cause {
 	switch l.Kind {
 	case "cancelled":
-		return CauseClientGone
+		return CauseCallerGone
 	case "log_unavailable":
-		if s.away[l.Process] {
-			return CauseStoreAway
+		if s.withoutLog[l.Process] {
+			return CauseLogUnavailable
 		}
 		return CauseStarting
 	case "not_ready":
@@ -360,17 +360,17 @@
 	case "no_server":
 		return CauseNoServer
 	case "quarantined":
-		return CausePoison
+		return CausePoisonRequest
 	case "overloaded":
 		return CauseRefused
 	case "not_found", "bad_request", "too_large":
-		return CauseRoute
+		return CauseConfiguration
 	}
-	if e := s.tries[l.ID]; e != nil {
-		return e.Value.(*tried).cause
+	if e := s.lastFailures[l.ID]; e != nil {
+		return e.Value.(*failedAttempt).cause
 	}
 	if l.Kind == "deadline_exceeded" {
-		return CauseSilent
+		return CauseServerUnresponsive
 	}
 	return CauseUnknown
 }
@@ -378,8 +378,8 @@
 // noRoute stands for all paths that the configuration refuses.
 const noRoute = "paths without a route"
 
-// kindOfPath is the part of a path that tells requests of one kind from others.
-func kindOfPath(path string) string {
+// pathGroup is the part of a path that tells requests of one kind from others.
+func pathGroup(path string) string {
 	parts := strings.SplitN(strings.TrimPrefix(path, "/"), "/", 3)
 	if len(parts) > 1 && parts[0] == "-" {
 		return "/-/" + parts[1]
@@ -387,16 +387,16 @@
 	return "/" + parts[0]
 }
 
-func (s *Losses) lose(at time.Time, what string, fate Fate, cause Cause, id string) {
-	s.Timeline.lose(at, fate)
-	key := lossKey{what, fate, cause}
+func (s *Losses) addLoss(at time.Time, requestKind string, outcome Outcome, cause Cause, id string) {
+	s.Timeline.addLoss(at, outcome)
+	key := lossKey{requestKind, outcome, cause}
 	row := s.rows[key]
 	if row == nil {
-		if len(s.rows) >= rowsMost {
-			s.Crowded++
+		if len(s.rows) >= maxRows {
+			s.Dropped++
 			return
 		}
-		row = &Loss{What: what, Fate: fate, Cause: cause, First: at, Example: id}
+		row = &Loss{RequestKind: requestKind, Outcome: outcome, Cause: cause, First: at, Example: id}
 		s.rows[key] = row
 	}
 	row.Count++
@@ -410,7 +410,7 @@
 		rows = append(rows, *row)
 	}
 	slices.SortFunc(rows, func(a, b Loss) int {
-		return cmp.Or(cmp.Compare(b.Count, a.Count), cmp.Compare(a.What, b.What), cmp.Compare(a.Fate, b.Fate), cmp.Compare(a.Cause, b.Cause))
+		return cmp.Or(cmp.Compare(b.Count, a.Count), cmp.Compare(a.RequestKind, b.RequestKind), cmp.Compare(a.Outcome, b.Outcome), cmp.Compare(a.Cause, b.Cause))
 	})
 	return rows
 }
--- a/ctl/logscan/source.go
+++ b/ctl/logscan/source.go
@@ -14,8 +14,8 @@
 	"github.com/juju/errors"
 )
 
-// longestLine bounds a line, in bytes. Processes write lines of a few hundred.
-const longestLine = 1 << 20
+// maxLineBytes bounds a line, in bytes. Processes write lines of a few hundred.
+const maxLineBytes = 1 << 20
 
 // Problem is a line that could not be read.
 type Problem struct {
@@ -26,19 +26,19 @@
 
 // Stats tells what was read.
 type Stats struct {
-	Lines   int `json:"lines"`   // records of processes
-	Remarks int `json:"remarks"` // lines that are none
-	Bad     int `json:"bad"`     // lines that could not be read
+	Lines      int `json:"lines"`   // records of processes
+	OtherLines int `json:"remarks"` // lines that are none
+	Bad        int `json:"bad"`     // lines that could not be read
 	// Problems are the first of the bad lines.
 	Problems []Problem `json:"problems,omitempty"`
 }
 
-// problemsKept bounds Stats.Problems.
-const problemsKept = 5
+// maxProblems bounds Stats.Problems.
+const maxProblems = 5
 
-func (s *Stats) bad(file string, line int, err error) {
+func (s *Stats) addProblem(file string, line int, err error) {
 	s.Bad++
-	if len(s.Problems) < problemsKept {
+	if len(s.Problems) < maxProblems {
 		s.Problems = append(s.Problems, Problem{file, line, err.Error()})
 	}
 }
@@ -77,14 +77,14 @@
 // bytes that were read; nil: nobody asks.
 func Read(files []string, stdin io.Reader, progress io.Writer, f func(*Line)) (Stats, error) {
 	var stats Stats
-	var queue readers
+	var queue readerHeap
 	defer func() { queue.close() }()
 	for _, file := range files {
-		r, err := open(file, stdin, progress)
+		opened, err := open(file, stdin, progress)
 		if err != nil {
 			return stats, err
 		}
-		queue = append(queue, r)
+		queue = append(queue, opened)
 	}
 	queue = slices.DeleteFunc(queue, func(r *reader) bool { return !r.next(&stats) })
 	heap.Init(&queue)
@@ -105,13 +105,13 @@
 
 // reader reads one file.
 type reader struct {
-	file    string
-	process string
-	in      *bufio.Reader
-	closer  io.Closer
-	number  int
-	line    Line
-	err     error
+	file       string
+	process    string
+	input      *bufio.Reader
+	closer     io.Closer
+	lineNumber int
+	line       Line
+	err        error
 }
 
 func open(file string, stdin io.Reader, progress io.Writer) (*reader, error) {
@@ -129,7 +129,7 @@
 	if progress != nil {
 		in = io.TeeReader(in, progress)
 	}
-	r.in = bufio.NewReaderSize(in, 64<<10)
+	r.input = bufio.NewReaderSize(in, 64<<10)
 	return r, nil
 }
 
@@ -142,7 +142,7 @@
 // next reads the next record; false: there is none, or r.err.
 func (r *reader) next(stats *Stats) bool {
 	for {
-		text, err := r.text()
+		text, err := r.readLine()
 		if err != nil && err != io.EOF {
 			r.err = errors.Trace(err)
 			return false
@@ -150,68 +150,68 @@
 		if len(text) == 0 && err == io.EOF {
 			return false
 		}
-		r.number++
-		line, parseErr := parse(text, r.process)
+		r.lineNumber++
+		line, parseErr := parseLine(text, r.process)
 		switch {
 		case parseErr == nil:
 			stats.Lines++
-			line.File, line.Number = r.file, r.number
+			line.File, line.Number = r.file, r.lineNumber
 			r.line = line
 			return true
-		case errors.Is(parseErr, errNoRecord):
-			stats.Remarks++
+		case errors.Is(parseErr, errNotRecord):
+			stats.OtherLines++
 		default:
-			stats.bad(r.file, r.number, parseErr)
+			stats.addProblem(r.file, r.lineNumber, parseErr)
 		}
 	}
 }
 
-// text reads one line. Of a line that is too long the rest is passed over; what is
+// readLine reads one line. Of a line that is too long the rest is passed over; what is
 // left of it can't be read as a record.
-func (r *reader) text() ([]byte, error) {
+func (r *reader) readLine() ([]byte, error) {
 	var text []byte
 	for {
-		piece, err := r.in.ReadSlice('\n')
-		if len(text) < longestLine {
-			text = append(text, piece[:min(len(piece), longestLine-len(text))]...)
+		piece, err := r.input.ReadSlice('\n')
+		if len(text) < maxLineBytes {
+			text = append(text, piece[:min(len(piece), maxLineBytes-len(text))]...)
 		}
 		if err != bufio.ErrBufferFull {
-			return bytes.TrimRight(text, "\r\n"), eofOf(err, len(text))
+			return bytes.TrimRight(text, "\r\n"), eofIfEmpty(err, len(text))
 		}
 	}
 }
 
-// eofOf tells the end of a file only where no line stands before it.
-func eofOf(err error, read int) error {
+// eofIfEmpty tells the end of a file only where no line stands before it.
+func eofIfEmpty(err error, read int) error {
 	if err == io.EOF && read > 0 {
 		return nil
 	}
 	return err
 }
 
-// readers is a heap by the times of the lines at hand.
-type readers []*reader
+// readerHeap is a heap by the times of the lines at hand.
+type readerHeap []*reader
 
 // Len implements heap.Interface.
-func (q readers) Len() int { return len(q) }
+func (q readerHeap) Len() int { return len(q) }
 
 // Less implements heap.Interface.
-func (q readers) Less(i, j int) bool { return q[i].line.At.Before(q[j].line.At) }
+func (q readerHeap) Less(i, j int) bool { return q[i].line.At.Before(q[j].line.At) }
 
 // Swap implements heap.Interface.
-func (q readers) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q readerHeap) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
 // Push implements heap.Interface.
-func (q *readers) Push(x any) { *q = append(*q, x.(*reader)) }
+func (q *readerHeap) Push(x any) { *q = append(*q, x.(*reader)) }
 
 // Pop implements heap.Interface.
-func (q *readers) Pop() any {
+func (q *readerHeap) Pop() any {
 	last := (*q)[len(*q)-1]
 	*q = (*q)[:len(*q)-1]
 	return last
 }
 
-func (q readers) close() {
+func (q readerHeap) close() {
 	for _, r := range q {
 		r.close()
 	}
--- a/ctl/logscan/timeline.go
+++ b/ctl/logscan/timeline.go
@@ -12,64 +12,64 @@
 
 // Second is what happened in one second.
 type Second struct {
-	At      time.Time `json:"at"`
-	Waiting int       `json:"waiting"` // the most samples that waited for a place
-	Running int       `json:"running"` // samples that ran at its end
-	Refused int       `json:"refused"`
-	Lost    int       `json:"lost"`   // failed or late
-	Owners  int       `json:"owners"` // batch jobs that got another owner
-	Away    int       `json:"away"`   // the most processes that could not follow the log
+	At           time.Time `json:"at"`
+	Waiting      int       `json:"waiting"` // the most samples that waited for a place
+	Running      int       `json:"running"` // samples that ran at its end
+	Refused      int       `json:"refused"`
+	Lost         int       `json:"lost"`   // failed or late
+	OwnerChanges int       `json:"owners"` // batch jobs that got another owner
+	WithoutLog   int       `json:"away"`   // the most processes that could not follow the log
 }
 
-// secondsMost bounds the timeline: two days.
-const secondsMost = 2 * 24 * 60 * 60
+// maxSeconds bounds the timeline: two days.
+const maxSeconds = 2 * 24 * 60 * 60
 
 // Timeline is the seconds of the logs, from the first line to the last.
 type Timeline struct {
-	Seconds []Second
-	run     int
-	lost    int // processes that can't follow the log
+	Seconds        []Second
+	runningSamples int
+	withoutLog     int // processes that can't follow the log
 }
 
-// at returns the second of a time. Lines come in the order of time; those of before
+// second returns the second of a time. Lines come in the order of time; those of before
 // the first or far behind it count for the end that is nearer.
-func (t *Timeline) at(at time.Time) *Second {
+func (t *Timeline) second(at time.Time) *Second {
 	at = at.Truncate(time.Second)
 	if len(t.Seconds) == 0 {
 		t.Seconds = append(t.Seconds, Second{At: at})
 	}
 	last := &t.Seconds[len(t.Seconds)-1]
-	for last.At.Before(at) && len(t.Seconds) < secondsMost {
-		t.Seconds = append(t.Seconds, Second{At: last.At.Add(time.Second), Running: t.run, Away: t.lost})
+	for last.At.Before(at) && len(t.Seconds) < maxSeconds {
+		t.Seconds = append(t.Seconds, Second{At: last.At.Add(time.Second), Running: t.runningSamples, WithoutLog: t.withoutLog})
 		last = &t.Seconds[len(t.Seconds)-1]
 	}
 	return last
 }
 
-func (t *Timeline) waiting(at time.Time, n int) {
-	s := t.at(at)
+func (t *Timeline) addWaiting(at time.Time, n int) {
+	s := t.second(at)
 	s.Waiting = max(s.Waiting, n)
 }
 
-func (t *Timeline) running(at time.Time, change int) {
-	t.run += change
-	t.at(at).Running = t.run
+func (t *Timeline) addRunning(at time.Time, change int) {
+	t.runningSamples += change
+	t.second(at).Running = t.runningSamples
 }
 
-func (t *Timeline) owner(at time.Time) { t.at(at).Owners++ }
+func (t *Timeline) addOwnerChange(at time.Time) { t.second(at).OwnerChanges++ }
 
-func (t *Timeline) away(at time.Time, n int) {
-	t.lost = n
-	s := t.at(at)
-	s.Away = max(s.Away, n)
+func (t *Timeline) setWithoutLog(at time.Time, n int) {
+	t.withoutLog = n
+	s := t.second(at)
+	s.WithoutLog = max(s.WithoutLog, n)
 }
 
-func (t *Timeline) lose(at time.Time, fate Fate) {
-	if fate == FateRefused {
-		t.at(at).Refused++
+func (t *Timeline) addLoss(at time.Time, outcome Outcome) {
+	if outcome == OutcomeRefused {
+		t.second(at).Refused++
 		return
 	}
-	t.at(at).Lost++
+	t.second(at).Lost++
 }
 
 const (
@@ -81,14 +81,14 @@
 var curves = []struct {
 	name  string
 	color color.Color
-	of    func(Second) int
+	value func(Second) int
 }{
 	{"waiting", color.RGBA{R: 0x9a, G: 0x9a, B: 0x9a, A: 0xff}, func(s Second) int { return s.Waiting }},
 	{"running", color.RGBA{R: 0x2f, G: 0x6f, B: 0xab, A: 0xff}, func(s Second) int { return s.Running }},
 	{"refused", color.RGBA{R: 0xe0, G: 0x8b, B: 0x2d, A: 0xff}, func(s Second) int { return s.Refused }},
 	{"lost", color.RGBA{R: 0xb0, G: 0x4a, B: 0x4a, A: 0xff}, func(s Second) int { return s.Lost }},
-	{"new owners", color.RGBA{R: 0x7d, G: 0x5b, B: 0xa6, A: 0xff}, func(s Second) int { return s.Owners }},
-	{"processes without the log", color.RGBA{R: 0x00, G: 0x00, B: 0x00, A: 0xff}, func(s Second) int { return s.Away }},
+	{"new owners", color.RGBA{R: 0x7d, G: 0x5b, B: 0xa6, A: 0xff}, func(s Second) int { return s.OwnerChanges }},
+	{"processes without the log", color.RGBA{R: 0x00, G: 0x00, B: 0x00, A: 0xff}, func(s Second) int { return s.WithoutLog }},
 }
 
 // Plot writes the timeline as an image; the file's ending says which kind.
@@ -99,7 +99,7 @@
 	for _, c := range curves {
 		points := make(plotter.XYs, len(t.Seconds))
 		for i, s := range t.Seconds {
-			points[i] = plotter.XY{X: s.At.Sub(t.Seconds[0].At).Seconds(), Y: float64(c.of(s))}
+			points[i] = plotter.XY{X: s.At.Sub(t.Seconds[0].At).Seconds(), Y: float64(c.value(s))}
 		}
 		line, err := plotter.NewLine(points)
 		if err != nil {
--- a/ctl/logscan/trace.go
+++ b/ctl/logscan/trace.go
@@ -21,14 +21,14 @@
 	// Fields are the inputs and the outcome, as name=value, in the line's order.
 	Fields []string `json:"fields"`
 
-	id string
+	owner string
 }
 
-// tracedMost bounds the lines of a trace, jobLinesMost those that are kept of jobs
+// maxDecisions bounds the lines of a trace, maxJobLines those that are kept of jobs
 // whose samples may turn out to be asked for. A line takes some 500 B.
 const (
-	tracedMost   = 20_000
-	jobLinesMost = 50_000
+	maxDecisions = 20_000
+	maxJobLines  = 50_000
 )
 
 // Tracer gathers the path of one request, batch job or sample. It is fed with all
@@ -38,9 +38,9 @@
 	id string
 	// scoreID is the request for the sample's score; job is the sample's, or the id.
 	scoreID, job string
-	found        []Decision
+	matched      []Decision
 	jobLines     map[string][]Decision
-	kept         int
+	jobLineCount int
 	// Dropped is the number of lines that found no room.
 	Dropped int
 }
@@ -52,20 +52,20 @@
 func (t *Tracer) Add(l *Line) {
 	switch {
 	case l.ID == t.id || l.ScoreID == t.id || l.ID != "" && l.ID == t.scoreID:
-		t.learn(l)
-		t.keep(l)
+		t.linkIDs(l)
+		t.addMatch(l)
 	case t.id != "" && (l.Request == t.id || l.Duty == t.id):
-		t.keep(l) // all attempts of one request, which ended servers; all holders of a duty
+		t.addMatch(l) // all attempts of one request, which ended servers; all holders of a duty
 	case l.Job == t.id && l.ID == "":
 		t.job = t.id
-		t.keep(l)
+		t.addMatch(l)
 	case l.Job != "" && l.ID == "":
-		t.keepJob(l)
+		t.addJobLine(l)
 	}
 }
 
-// learn notes what belongs to the id.
-func (t *Tracer) learn(l *Line) {
+// linkIDs notes what belongs to the id.
+func (t *Tracer) linkIDs(l *Line) {
 	if l.ScoreID != "" && l.ID == t.id {
 		t.scoreID = l.ScoreID
 	}
@@ -74,34 +74,34 @@
 	}
 }
 
-func (t *Tracer) keep(l *Line) {
-	if len(t.found) >= tracedMost {
+func (t *Tracer) addMatch(l *Line) {
+	if len(t.matched) >= maxDecisions {
 		t.Dropped++
 		return
 	}
-	t.found = append(t.found, decisionOf(l))
+	t.matched = append(t.matched, newDecision(l))
 }
 
-// keepJob keeps a line about a job as a whole. Each process tells of each job:
+// addJobLine keeps a line about a job as a whole. Each process tells of each job:
 // only the first to tell the same is kept.
-func (t *Tracer) keepJob(l *Line) {
+func (t *Tracer) addJobLine(l *Line) {
 	lines := t.jobLines[l.Job]
-	if l.Message == "Results read." || slices.ContainsFunc(lines, func(d Decision) bool { return d.Message == l.Message && d.id == l.Owner }) {
+	if l.Message == "Results read." || slices.ContainsFunc(lines, func(d Decision) bool { return d.Message == l.Message && d.owner == l.Owner }) {
 		return
 	}
-	if t.kept >= jobLinesMost {
+	if t.jobLineCount >= maxJobLines {
 		t.Dropped++
 		return
 	}
-	t.kept++
-	d := decisionOf(l)
-	d.id = l.Owner
+	t.jobLineCount++
+	d := newDecision(l)
+	d.owner = l.Owner
 	t.jobLines[l.Job] = append(lines, d)
 }
 
 // Decisions returns what is known of the id, in the order of time.
 func (t *Tracer) Decisions() []Decision {
-	all := slices.Clone(t.found)
+	all := slices.Clone(t.matched)
 	if len(all) > 0 && t.job != t.id {
 		all = append(all, t.jobLines[t.job]...)
 	}
@@ -109,13 +109,13 @@
 	return all
 }
 
-func decisionOf(l *Line) Decision {
-	return Decision{At: l.At, Process: l.Process, Part: l.Part, Message: l.Message, Fields: fieldsOf(l.Raw)}
+func newDecision(l *Line) Decision {
+	return Decision{At: l.At, Process: l.Process, Part: l.Part, Message: l.Message, Fields: listFields(l.Raw)}
 }
 
-// fieldsOf lists the fields of a line in its order, but for those that a decision
+// listFields lists the fields of a line in its order, but for those that a decision
 // shows by itself.
-func fieldsOf(raw []byte) []string {
+func listFields(raw []byte) []string {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	decoder.UseNumber()
 	if _, err := decoder.Token(); err != nil {
@@ -140,14 +140,14 @@
 	return fields
 }
 
-// ErrNothing: no line speaks of the id.
-var ErrNothing = errors.New("no line speaks of it")
+// ErrNotFound: no line speaks of the id.
+var ErrNotFound = errors.New("no line speaks of it")
 
 // Write prints a trace, a line a decision.
 func (t *Tracer) Write(w io.Writer) error {
 	decisions := t.Decisions()
 	if len(decisions) == 0 {
-		return errors.Annotatef(ErrNothing, "%q", t.id)
+		return errors.Annotatef(ErrNotFound, "%q", t.id)
 	}
 	for _, d := range decisions {
 		if _, err := fmt.Fprintf(w, "%s  %-20s %-8s %-28s %s\n", d.At.UTC().Format("15:04:05.000"), d.Process, d.Part, d.Message, strings.Join(d.Fields, " ")); err != nil {
--- a/ctl/output.go
+++ b/ctl/output.go
@@ -12,7 +12,7 @@
 	"dandelionsill.org/fold/control"
 )
 
-const shortHash = 12 // hex digits in tables
+const shortHashDigits = 12 // hex digits in tables
 
 // revisionReport is a revision in outputs.
 type revisionReport struct {
@@ -24,7 +24,7 @@
 	Error  string `json:"error,omitempty"` // this program can't read the manifest
 }
 
-func reportOf(rev *control.Revision) *revisionReport {
+func newRevisionReport(rev *control.Revision) *revisionReport {
 	if rev == nil {
 		return nil
 	}
@@ -35,17 +35,17 @@
 	return report
 }
 
-func short(hash string) string { return hash[:min(shortHash, len(hash))] }
+func shortenHash(hash string) string { return hash[:min(shortHashDigits, len(hash))] }
 
 func (t *tool) printJSON(v any) error {
-	encoder := json.NewEncoder(t.out)
+	encoder := json.NewEncoder(t.stdout)
 	encoder.SetEscapeHTML(false)
 	return errors.Trace(encoder.Encode(v))
 }
 
 // printTable prints aligned columns, "-" for an empty cell; header may be nil.
 func (t *tool) printTable(header []string, rows [][]string) error {
-	w := tabwriter.NewWriter(t.out, 0, 0, 2, ' ', 0)
+	w := tabwriter.NewWriter(t.stdout, 0, 0, 2, ' ', 0)
 	if header != nil {
 		fmt.Fprintln(w, strings.Join(header, "\t"))
 	}
--- a/ctl/processes.go
+++ b/ctl/processes.go
@@ -22,14 +22,14 @@
 )
 
 const (
-	askTimeout  = 2 * time.Second
-	askParallel = 64
-	askPause    = 200 * time.Millisecond // between two rounds
-	maxAnswer   = 4 << 20                // bytes
+	requestTimeout      = 2 * time.Second
+	maxParallelRequests = 64
+	pollInterval        = 200 * time.Millisecond // between two rounds
+	maxResponseBytes    = 4 << 20                // bytes
 )
 
-// client asks processes by IP, never through a proxy that the environment names.
-var client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
+// httpClient asks processes by IP, never through a proxy that the environment names.
+var httpClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 
 // processFlags name the processes to ask: by their HTTP addresses or by the VM
 // list, whose rows carry their gRPC addresses.
@@ -61,10 +61,10 @@
 	grpc bool
 }
 
-// lister returns the processes to ask now.
-type lister func(ctx context.Context) ([]target, error)
+// targetLister returns the processes to ask now.
+type targetLister func(ctx context.Context) ([]target, error)
 
-func (p *processFlags) lister(t *tool) (lister, error) {
+func (p *processFlags) newTargetLister(t *tool) (targetLister, error) {
 	switch {
 	case p.processes != "" && p.vms != "":
 		return nil, usageError("--processes and --vms can't both be given")
@@ -83,7 +83,7 @@
 	return nil, usageError("--processes or --vms is needed to know whom to ask")
 }
 
-func httpTargets(addrs []string) lister {
+func httpTargets(addrs []string) targetLister {
 	var list []target
 	for _, addr := range addrs {
 		list = append(list, target{processReport{Name: addr, Addr: addr}, false})
@@ -91,7 +91,7 @@
 	return func(context.Context) ([]target, error) { return list, nil }
 }
 
-func vmTargets(vms platform.VMList) lister {
+func vmTargets(vms platform.VMList) targetLister {
 	return func(ctx context.Context) ([]target, error) {
 		rows, err := vms.List(ctx)
 		if err != nil {
@@ -107,30 +107,30 @@
 	}
 }
 
-// askAll asks every process at once, within bounds, and sorts the answers.
-func askAll(ctx context.Context, list []target, revision uint64, hash string) []processReport {
+// queryAll asks every process at once, within bounds, and sorts the answers.
+func queryAll(ctx context.Context, list []target, revision uint64, hash string) []processReport {
 	reports := make([]processReport, len(list))
-	slots := make(chan struct{}, askParallel)
-	var all sync.WaitGroup
+	slots := make(chan struct{}, maxParallelRequests)
+	var pending sync.WaitGroup
 	for i, target := range list {
-		all.Go(func() {
+		pending.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			reports[i] = ask(ctx, target, revision, hash)
+			reports[i] = queryProcess(ctx, target, revision, hash)
 		})
 	}
-	all.Wait()
+	pending.Wait()
 	slices.SortFunc(reports, func(a, b processReport) int { return cmp.Compare(a.Name, b.Name) })
 	return reports
 }
 
-func ask(ctx context.Context, t target, revision uint64, hash string) processReport {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+func queryProcess(ctx context.Context, t target, revision uint64, hash string) processReport {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	report := t.processReport
 	var err error
 	if t.grpc {
-		err = askPeer(ctx, &report, revision, hash)
+		err = queryPeer(ctx, &report, revision, hash)
 	} else {
 		err = getJSON(ctx, t.Addr, "/v1/status", "", &report)
 	}
@@ -140,9 +140,9 @@
 	return report
 }
 
-// askPeer asks over the peers' own protocol. Telling our revision keeps the
+// queryPeer asks over the peers' own protocol. Telling our revision keeps the
 // answer small: a peer sends manifests only to who is behind.
-func askPeer(ctx context.Context, report *processReport, revision uint64, hash string) error {
+func queryPeer(ctx context.Context, report *processReport, revision uint64, hash string) error {
 	conn, err := run.NewClient(report.Addr)
 	if err != nil {
 		return errors.Trace(err)
@@ -165,12 +165,12 @@
 	if token != "" {
 		req.Header.Set("Authorization", "Bearer "+token)
 	}
-	resp, err := client.Do(req)
+	resp, err := httpClient.Do(req)
 	if err != nil {
 		return errors.Trace(err)
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return errors.Trace(err)
 	}
@@ -180,15 +180,15 @@
 	return errors.Annotate(json.Unmarshal(body, dst), addr+path)
 }
 
-// awaitEverywhere asks until every process that is there holds the revision or
+// waitUntilInForce asks until every process that is there holds the revision or
 // a later one. The list is asked for anew each round: VMs come and go.
-func awaitEverywhere(ctx context.Context, list lister, report *commitReport) error {
+func waitUntilInForce(ctx context.Context, list targetLister, report *commitReport) error {
 	start := time.Now()
 	var listErr error
 	for {
 		targets, err := list(ctx)
 		if err == nil {
-			report.Behind = behind(askAll(ctx, targets, report.Number, report.Hash), report.Number)
+			report.Behind = findBehind(queryAll(ctx, targets, report.Number, report.Hash), report.Number)
 		}
 		listErr = err
 		everywhere := err == nil && len(report.Behind) == 0 && len(targets) > 0
@@ -197,21 +197,21 @@
 			report.WaitedMS = time.Since(start).Milliseconds()
 			return nil
 		}
-		if !sleep.For(ctx, askPause) {
+		if !sleep.For(ctx, pollInterval) {
 			break
 		}
 	}
 	if listErr != nil {
-		return fail(ExitNotEverywhere, "accepted, but the VM list can't be read: %w", listErr)
+		return newExitError(ExitNotEverywhere, "accepted, but the VM list can't be read: %w", listErr)
 	}
-	return fail(ExitNotEverywhere, "accepted, but not in force in time on %d processes: %s", len(report.Behind), namesOf(report.Behind))
+	return newExitError(ExitNotEverywhere, "accepted, but not in force in time on %d processes: %s", len(report.Behind), joinNames(report.Behind))
 }
 
-func behind(reports []processReport, number uint64) []processReport {
+func findBehind(reports []processReport, number uint64) []processReport {
 	return slices.DeleteFunc(reports, func(p processReport) bool { return p.Error == "" && p.Revision >= number })
 }
 
-func namesOf(reports []processReport) string {
+func joinNames(reports []processReport) string {
 	text := ""
 	for i, p := range reports {
 		if i > 0 {
@@ -229,7 +229,7 @@
 		if p.Ready != nil {
 			ready = fmt.Sprint(*p.Ready)
 		}
-		rows[i] = []string{p.Name, p.Role, p.Addr, fmt.Sprint(p.Revision), short(p.Hash), ready, fmt.Sprint(p.Leaving), p.Error}
+		rows[i] = []string{p.Name, p.Role, p.Addr, fmt.Sprint(p.Revision), shortenHash(p.Hash), ready, fmt.Sprint(p.Leaving), p.Error}
 	}
 	return t.printTable([]string{"PROCESS", "ROLE", "ADDRESS", "REVISION", "HASH", "READY", "LEAVING", "ERROR"}, rows)
 }
--- a/ctl/read.go
+++ b/ctl/read.go
@@ -11,15 +11,15 @@
 	"dandelionsill.org/platform"
 )
 
-const readRecords = 256 // at once
+const maxPageRecords = 256 // at once
 
 // reader folds the control stream.
 type reader struct {
-	log   platform.Log
-	keys  manifest.Keys
-	state *control.State
-	from  uint64 // the next offset to read
-	end   uint64 // the stream's end at the last read
+	log        platform.Log
+	keys       manifest.Keys
+	state      *control.State
+	nextOffset uint64 // the next offset to read
+	endOffset  uint64 // the stream's end at the last read
 
 	// unknownKeys holds key ids which signed revisions that were rejected
 	// just because keys lacks them.
@@ -30,15 +30,15 @@
 	return &reader{log: log, keys: keys, state: control.New(keys), unknownKeys: map[string]bool{}}
 }
 
-// step reads one page and waits up to wait for its first record.
-func (r *reader) step(ctx context.Context, wait time.Duration) ([]control.Event, error) {
-	page, err := r.log.Read(ctx, platform.StreamControl, r.from, readRecords, wait)
+// readPage reads one page and waits up to wait for its first record.
+func (r *reader) readPage(ctx context.Context, wait time.Duration) ([]control.Event, error) {
+	page, err := r.log.Read(ctx, platform.StreamControl, r.nextOffset, maxPageRecords, wait)
 	if errors.Is(err, platform.ErrTruncated) {
-		if page.First <= r.from {
-			return nil, errors.Annotatef(err, "the log refuses offset %d but keeps records from %d on", r.from, page.First)
+		if page.First <= r.nextOffset {
+			return nil, errors.Annotatef(err, "the log refuses offset %d but keeps records from %d on", r.nextOffset, page.First)
 		}
 		r.state.HandleTruncation()
-		r.from, r.end = page.First, page.End
+		r.nextOffset, r.endOffset = page.First, page.End
 		return nil, nil
 	}
 	if err != nil {
@@ -47,14 +47,14 @@
 	var events []control.Event
 	for _, rec := range page.Records {
 		events = append(events, r.state.Apply(rec)...)
-		r.from = rec.Offset + 1
+		r.nextOffset = rec.Offset + 1
 	}
-	r.end = page.End
-	r.noteKeys(events)
+	r.endOffset = page.End
+	r.recordUnknownKeys(events)
 	return events, nil
 }
 
-func (r *reader) noteKeys(events []control.Event) {
+func (r *reader) recordUnknownKeys(events []control.Event) {
 	for _, e := range events {
 		if rejected, ok := e.(control.Rejected); ok {
 			if _, known := r.keys[rejected.KeyID]; !known {
@@ -64,21 +64,21 @@
 	}
 }
 
-// toEnd reads up to the end that the stream has now.
-func (r *reader) toEnd(ctx context.Context) ([]control.Event, error) {
+// readToEnd reads up to the end that the stream has now.
+func (r *reader) readToEnd(ctx context.Context) ([]control.Event, error) {
 	var all []control.Event
 	for {
-		before := r.from
-		events, err := r.step(ctx, 0)
+		before := r.nextOffset
+		events, err := r.readPage(ctx, 0)
 		if err != nil {
 			return all, err
 		}
 		all = append(all, events...)
-		if r.from >= r.end {
+		if r.nextOffset >= r.endOffset {
 			return all, nil
 		}
-		if r.from == before {
-			return all, errors.Errorf("the log keeps no record at offset %d, though it ends at %d", r.from, r.end)
+		if r.nextOffset == before {
+			return all, errors.Errorf("the log keeps no record at offset %d, though it ends at %d", r.nextOffset, r.endOffset)
 		}
 	}
 }
@@ -86,7 +86,7 @@
 // rejectUnknownKeys fails where the fold may be wrong because keys are missing.
 func (r *reader) rejectUnknownKeys() error {
 	for id := range r.unknownKeys {
-		return fail(ExitFailed, "the log holds revisions signed by key %q; name it in --public, else the revision in force can't be told", id)
+		return newExitError(ExitFailed, "the log holds revisions signed by key %q; name it in --public, else the revision in force can't be told", id)
 	}
 	return nil
 }
--- a/ctl/status.go
+++ b/ctl/status.go
@@ -31,7 +31,7 @@
 			}
 			ctx, cancel := context.WithTimeout(ctx, *timeout)
 			defer cancel()
-			return t.status(ctx, output.form, log, processes)
+			return t.status(ctx, output.format, log, processes)
 		})
 }
 
@@ -51,9 +51,9 @@
 }
 
 // status shows what it can get: the log may be down while processes answer.
-func (t *tool) status(ctx context.Context, form string, log logFlags, processes processFlags) error {
-	askProcesses := processes != (processFlags{})
-	if log.url == "" && !askProcesses {
+func (t *tool) status(ctx context.Context, format string, log logFlags, processes processFlags) error {
+	queryProcesses := processes != (processFlags{})
+	if log.url == "" && !queryProcesses {
 		return usageError("--log, --processes or --vms is needed")
 	}
 	var report statusReport
@@ -65,11 +65,11 @@
 		if err != nil {
 			report.LogError = err.Error()
 		} else {
-			report.Log = logReportOf(r)
+			report.Log = newLogReport(r)
 		}
 	}
-	if askProcesses {
-		list, err := processes.lister(t)
+	if queryProcesses {
+		list, err := processes.newTargetLister(t)
 		if err != nil {
 			return err
 		}
@@ -77,47 +77,47 @@
 		if err != nil {
 			return err
 		}
-		number, hash := report.newest()
-		report.Processes = askAll(ctx, targets, number, hash)
+		number, hash := report.newestRevision()
+		report.Processes = queryAll(ctx, targets, number, hash)
 	}
-	if err := t.printStatus(form, report); err != nil {
+	if err := t.printStatus(format, report); err != nil {
 		return err
 	}
-	return report.verdict()
+	return report.failure()
 }
 
-func logReportOf(r *reader) *logReport {
+func newLogReport(r *reader) *logReport {
 	return &logReport{
-		Settled: r.state.Settled(), Revision: reportOf(r.state.Head()), Versions: r.state.Versions(),
-		End: r.end, Skipped: r.state.Skipped(),
+		Settled: r.state.Settled(), Revision: newRevisionReport(r.state.Head()), Versions: r.state.Versions(),
+		End: r.endOffset, Skipped: r.state.Skipped(),
 	}
 }
 
-func (s *statusReport) newest() (uint64, string) {
+func (s *statusReport) newestRevision() (uint64, string) {
 	if s.Log == nil || s.Log.Revision == nil {
 		return 0, ""
 	}
 	return s.Log.Revision.Number, s.Log.Revision.Hash
 }
 
-func (s *statusReport) verdict() error {
+func (s *statusReport) failure() error {
 	if s.LogError != "" {
-		return fail(ExitFailed, "%s", s.LogError)
+		return newExitError(ExitFailed, "%s", s.LogError)
 	}
-	var silent []processReport
+	var unanswered []processReport
 	for _, p := range s.Processes {
 		if p.Error != "" {
-			silent = append(silent, p)
+			unanswered = append(unanswered, p)
 		}
 	}
-	if len(silent) > 0 {
-		return fail(ExitFailed, "%d processes gave no answer: %s", len(silent), namesOf(silent))
+	if len(unanswered) > 0 {
+		return newExitError(ExitFailed, "%d processes gave no answer: %s", len(unanswered), joinNames(unanswered))
 	}
 	return nil
 }
 
-func (t *tool) printStatus(form string, report statusReport) error {
-	if form == outputJSON {
+func (t *tool) printStatus(format string, report statusReport) error {
+	if format == outputJSON {
 		return t.printJSON(report)
 	}
 	if report.Log != nil {
@@ -150,7 +150,7 @@
 	return rows
 }
 
-const watchWait = 10 * time.Second // longest wait of one read
+const maxWatchWait = 10 * time.Second // longest wait of one read
 
 func (t *tool) watchCommand() *ffcli.Command {
 	var output outputFlag
@@ -169,7 +169,7 @@
 				ctx, cancel = context.WithTimeout(ctx, *timeout)
 				defer cancel()
 			}
-			return t.watch(ctx, output.form, log)
+			return t.watch(ctx, output.format, log)
 		})
 }
 
@@ -186,30 +186,30 @@
 
 // watch prints the newest revision, then every event that follows. While the
 // log can't be read it says so once and goes on trying.
-func (t *tool) watch(ctx context.Context, form string, f logFlags) error {
+func (t *tool) watch(ctx context.Context, format string, f logFlags) error {
 	r, err := t.readLog(ctx, f)
 	if err != nil {
 		return err
 	}
 	if head := r.state.Head(); head != nil {
-		if err := t.printEvent(form, control.Accepted{Revision: head}); err != nil {
+		if err := t.printEvent(format, control.Accepted{Revision: head}); err != nil {
 			return err
 		}
 	}
-	down := false
+	unavailable := false
 	for ctx.Err() == nil {
-		events, err := r.step(ctx, watchWait)
+		events, err := r.readPage(ctx, maxWatchWait)
 		if err != nil && ctx.Err() == nil {
-			if !down {
-				fmt.Fprintf(t.err, "%s: the log can't be read, trying on: %v\n", programName, err)
+			if !unavailable {
+				fmt.Fprintf(t.stderr, "%s: the log can't be read, trying on: %v\n", programName, err)
 			}
-			down = true
+			unavailable = true
 			sleep.For(ctx, time.Second)
 			continue
 		}
-		down = false
+		unavailable = false
 		for _, event := range events {
-			if err := t.printEvent(form, event); err != nil {
+			if err := t.printEvent(format, event); err != nil {
 				return err
 			}
 		}
@@ -217,15 +217,15 @@
 	return nil
 }
 
-func (t *tool) printEvent(form string, event control.Event) error {
-	line := lineOf(event)
-	if form == outputJSON {
+func (t *tool) printEvent(format string, event control.Event) error {
+	line := newWatchLine(event)
+	if format == outputJSON {
 		return t.printJSON(line)
 	}
 	row := []string{line.Event}
 	switch {
 	case line.Revision != nil:
-		row = append(row, fmt.Sprintf("revision %d", line.Revision.Number), short(line.Revision.Hash), "key "+line.Revision.KeyID)
+		row = append(row, fmt.Sprintf("revision %d", line.Revision.Number), shortenHash(line.Revision.Hash), "key "+line.Revision.KeyID)
 	case line.Model != "":
 		row = append(row, line.Model, fmt.Sprintf("version %d", line.Version))
 	default:
@@ -237,10 +237,10 @@
 	return t.printTable(nil, [][]string{row})
 }
 
-func lineOf(event control.Event) watchLine {
+func newWatchLine(event control.Event) watchLine {
 	switch e := event.(type) {
 	case control.Accepted:
-		return watchLine{Event: "accepted", ID: e.ID, Number: e.Revision.Number, Revision: reportOf(e.Revision)}
+		return watchLine{Event: "accepted", ID: e.ID, Number: e.Revision.Number, Revision: newRevisionReport(e.Revision)}
 	case control.Refreshed:
 		return watchLine{Event: "refreshed", ID: e.ID, Number: e.Number}
 	case control.Rejected:
