--- a/manifest/decode.go
+++ b/manifest/decode.go
@@ -8,10 +8,11 @@
 	"time"
 )
 
-// Defaults that hang on what the operators weigh more. Under WeighIdle a
-// running stream may finish before its engine swaps weights (a cancelled
-// sample is work a step waits for again); under WeighStaleness the swap goes
-// first. Both stay under the 15 s in which new weights must be on all servers.
+// Defaults of swap_grace, which depend on Fleet.Weigh. With WeighIdle a running
+// stream may finish before its engine swaps weights, because a step must wait
+// again for the work of a cancelled sample. With WeighStaleness the swap has
+// precedence. Both are shorter than the 15 s in which new weights must be on all
+// servers.
 const (
 	swapGraceIdle      = 8 * time.Second
 	swapGraceStaleness = time.Second
@@ -22,6 +23,8 @@
 	maxWeight   = 1000
 )
 
+// decode builds the manifest from the sections and reports the values that are
+// not valid.
 func (p *parser) decode() *Manifest {
 	m := &Manifest{
 		Models:   map[string]Model{},
@@ -30,7 +33,7 @@
 		Callers:  map[string]Caller{},
 		Leaving:  map[string]bool{},
 	}
-	p.decodeFleet(m) // first: other defaults hang on it
+	p.decodeFleet(m) // first: defaults of other sections depend on it
 	for _, s := range p.sections {
 		switch s.kind {
 		case "model":
@@ -109,6 +112,7 @@
 	}
 }
 
+// decodeRoutes adds each route to its service. The services must be decoded.
 func (p *parser) decodeRoutes(m *Manifest) {
 	for _, s := range p.sections {
 		if s.kind != "route" {
@@ -129,9 +133,9 @@
 	}
 }
 
-// findShadowingRoute names an earlier route that leaves nothing for a later one. Such a
-// file most likely has its routes in the wrong order, and a write could pass
-// under the terms of a read.
+// findShadowingRoute returns the name of an earlier route that matches everything
+// that route matches. Such a file most likely has its routes in the wrong order,
+// and a write could be handled by the rules of a read.
 func findShadowingRoute(route Route, earlier []Route) (string, bool) {
 	for _, e := range earlier {
 		if e.covers(route.Prefix) && coversMethods(e.Methods, route.Methods) {
@@ -141,6 +145,8 @@
 	return "", false
 }
 
+// coversMethods reports whether the methods all include every one of some. An
+// empty list stands for any method.
 func coversMethods(all, some []string) bool {
 	if len(all) == 0 {
 		return true
@@ -205,7 +211,7 @@
 	return c
 }
 
-// crossCheck finds what only two sections together get wrong.
+// crossCheck reports contradictions between sections.
 func (p *parser) crossCheck(m *Manifest) {
 	tokens := map[string]string{}
 	for _, s := range p.sections {
@@ -230,6 +236,8 @@
 	}
 }
 
+// checkTokens reports token hashes that another section has too. seen maps the
+// hashes so far to the titles of their sections.
 func (s *section) checkTokens(key, hashes string, seen map[string]string) {
 	for _, hash := range splitHashes(hashes) {
 		if owner, ok := seen[hash]; ok {
@@ -255,7 +263,7 @@
 		s.fail("scorer", nearest(t.Scorer, sortedKeys(m.Services)), "there is no [service %s]", t.Scorer)
 		return
 	}
-	// A score whose answer is lost is asked for again.
+	// A score request is sent again if its answer was lost.
 	if r, ok := scorer.Match("POST", t.ScorerPath); !ok || r.Repeat != RepeatAlways {
 		s.fail("scorer_path", "", "POST %s must match a route of service %s with repeat = always", t.ScorerPath, t.Scorer)
 	}
--- a/manifest/doc_test.go
+++ b/manifest/doc_test.go
@@ -16,7 +16,7 @@
 	docKey     = regexp.MustCompile("^\\| `(\\w+)` \\| ([^|]+) \\|")
 )
 
-// docKeys reads the page's tables: kind of section -> key -> default.
+// docKeys parses the tables of the docs page: kind of section -> key -> default.
 func docKeys(t *testing.T) map[string]map[string]string {
 	page, err := os.ReadFile("../docs/MANIFEST.md")
 	require.NoError(t, err)
@@ -34,8 +34,8 @@
 	return keys
 }
 
-// The page names every key. A manifest that writes each of its defaults out is
-// the same as one that leaves them all to the program.
+// The docs page must list every key with its default: a manifest that sets each
+// key to the listed default has the same settings as one that sets none.
 func TestDocsListEveryKeyAndDefault(t *testing.T) {
 	required := []string{
 		"fleet", "name = f",
@@ -72,5 +72,5 @@
 	for _, documented := range keys {
 		count -= len(documented)
 	}
-	require.Zero(t, count, "the page names a key that does not exist")
+	require.Zero(t, count, "the page lists a key that does not exist")
 }
--- a/manifest/errors.go
+++ b/manifest/errors.go
@@ -7,17 +7,18 @@
 	"github.com/agnivade/levenshtein"
 )
 
-// Problem is one fault of a manifest.
+// Problem is one mistake in a manifest.
 type Problem struct {
 	File    string `json:"file"`
-	Line    int    `json:"line,omitempty"` // from 1; 0: concerns no one line
+	Line    int    `json:"line,omitempty"` // starts at 1; 0: the problem belongs to no single line
 	Section string `json:"section,omitempty"`
 	Key     string `json:"key,omitempty"`
 	Message string `json:"message"`
-	Nearest string `json:"nearest,omitempty"` // the valid name that resembles the bad one most
+	Nearest string `json:"nearest,omitempty"` // the valid name that is most similar to the wrong one
 }
 
-// Error reads "file:line: [section] key: message (did you mean "nearest"?)".
+// Error returns `file:line: [section] key: message (did you mean "nearest"?)`,
+// without the parts that are empty.
 func (p Problem) Error() string {
 	var b strings.Builder
 	b.WriteString(p.File)
@@ -38,10 +39,10 @@
 	return b.String()
 }
 
-// Problems is every fault that Parse found, in the order of the file.
+// Problems holds every problem that Parse found, in file order.
 type Problems []Problem
 
-// Error joins the problems, one a line.
+// Error returns the problems, one per line.
 func (ps Problems) Error() string {
 	lines := make([]string, len(ps))
 	for i, p := range ps {
@@ -50,8 +51,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// nearest returns the candidate with the smallest edit distance to name, the
-// first of equals, or "" without candidates.
+// nearest returns the candidate with the smallest edit distance to name. Of
+// several, it returns the first; without candidates, "".
 func nearest(name string, candidates []string) string {
 	best, bestDistance := "", -1
 	for _, c := range candidates {
--- a/manifest/fuzz_test.go
+++ b/manifest/fuzz_test.go
@@ -10,11 +10,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// pathParams are the path parameters that some servers cut off each segment.
+// pathParams matches the path parameters that some servers remove from each segment.
 var pathParams = regexp.MustCompile(`;[^/]*`)
 
-// FuzzMatch: a path that matches a route reads the same to a backend server
-// that decodes and cleans it or cuts parameters off, so that no write passes under a read's terms.
+// FuzzMatch checks that a path which matches a route is the same path for a
+// backend server that decodes it, cleans it or removes its parameters, so that no
+// write is handled by the rules of a read.
 func FuzzMatch(f *testing.F) {
 	for _, seed := range []string{
 		"/orders/7", "/status/../orders", "//orders", "/status/%2e%2e/orders", "/status/..;/orders", `/status\..\orders`,
--- a/manifest/keys.go
+++ b/manifest/keys.go
@@ -13,14 +13,15 @@
 	"dandelionsill.org/wire/pb"
 )
 
-// signatureDomain opens every signed message, so that a signature made for
-// anything else with the same key never passes for a revision's.
+// signatureDomain is the prefix of every signed message, so that a signature that
+// the same key made for another purpose is never valid for a revision.
 const signatureDomain = "dandelionsill manifest revision v1\x00"
 
 // Keys maps a key id to the public key that may sign revisions.
 type Keys map[string]ed25519.PublicKey
 
-// ParseKeys reads "id:base64" ed25519 public keys.
+// ParseKeys parses ed25519 public keys of the form "id:base64". It returns an
+// error for a malformed key and for an id that occurs twice.
 func ParseKeys(list []string) (Keys, error) {
 	keys := make(Keys, len(list))
 	for _, item := range list {
@@ -39,16 +40,17 @@
 	return keys, nil
 }
 
-// FormatPublicKey is the inverse of ParseKeys for one key.
+// FormatPublicKey returns a public key in the form that ParseKeys parses.
 func FormatPublicKey(id string, key ed25519.PublicKey) string {
 	return id + ":" + base64.StdEncoding.EncodeToString(key)
 }
 
-// ParsePrivateKey reads an "id:base64" ed25519 seed, as FormatPrivateKey writes it.
+// ParsePrivateKey parses the "id:base64" of an ed25519 seed, as FormatPrivateKey
+// returns it. Its errors never contain the seed.
 func ParsePrivateKey(text string) (id string, key ed25519.PrivateKey, err error) {
 	id, seed, err := splitKey(strings.TrimSpace(text))
 	if err != nil {
-		return "", nil, errors.New("private key: want id:base64") // never quote the secret
+		return "", nil, errors.New("private key: want id:base64") // err could quote the secret
 	}
 	if len(seed) != ed25519.SeedSize {
 		return "", nil, errors.Errorf("private key %q: %d bytes, want a seed of %d", id, len(seed), ed25519.SeedSize)
@@ -56,12 +58,12 @@
 	return id, ed25519.NewKeyFromSeed(seed), nil
 }
 
-// FormatPrivateKey writes a private key as "id:base64" of its seed.
+// FormatPrivateKey returns the "id:base64" of a private key's seed.
 func FormatPrivateKey(id string, key ed25519.PrivateKey) string {
 	return id + ":" + base64.StdEncoding.EncodeToString(key.Seed())
 }
 
-// ValidKeyID tells whether id may name a key.
+// ValidKeyID reports whether id is a valid key id.
 func ValidKeyID(id string) bool { return nameForm.MatchString(id) }
 
 func splitKey(item string) (id string, raw []byte, err error) {
@@ -73,13 +75,13 @@
 	return id, raw, errors.Trace(err)
 }
 
-// Hash returns the sha256 of a manifest's bytes in hex.
+// Hash returns the sha256 of a manifest's bytes as lower-case hex.
 func Hash(data []byte) string {
 	sum := sha256.Sum256(data)
 	return hex.EncodeToString(sum[:])
 }
 
-// Sign makes a signed revision of the exact bytes of a manifest.
+// Sign returns a signed revision that contains the exact bytes of a manifest.
 func Sign(private ed25519.PrivateKey, keyID string, number, parent uint64, data []byte) *pb.SignedRevision {
 	return &pb.SignedRevision{
 		Number:    number,
@@ -91,8 +93,9 @@
 	}
 }
 
-// Verify checks a revision's hash and signature. The offset is not signed: it
-// is known only after the append, and nobody decides by another's word for it.
+// Verify returns an error unless the revision's hash and signature are valid and
+// its key is one of k. The offset is not signed, because it is known only after
+// the append; no process relies on an offset that another process reports.
 func (k Keys) Verify(rev *pb.SignedRevision) error {
 	if rev == nil {
 		return errors.New("no revision")
@@ -110,8 +113,9 @@
 	return nil
 }
 
-// signedMessage is what the signature covers: the domain, then the key id with
-// its length (so that no two inputs share an encoding), number, parent and data.
+// signedMessage returns the bytes that the signature covers: the domain, the key
+// id after its length (so that no two inputs have the same encoding), number,
+// parent and data.
 func signedMessage(keyID string, number, parent uint64, data []byte) []byte {
 	msg := make([]byte, 0, len(signatureDomain)+len(keyID)+3*8+len(data))
 	msg = append(msg, signatureDomain...)
--- a/manifest/lookup.go
+++ b/manifest/lookup.go
@@ -10,8 +10,8 @@
 	"strings"
 )
 
-// tokenIndex finds a name by the sha256 of its token. The map's key is only a
-// part of the sum; the rest is compared in constant time.
+// tokenIndex maps the sha256 of a token to a name. The map's key is the first
+// 8 bytes of the hash; the whole hash is then compared in constant time.
 type tokenIndex map[uint64][]tokenEntry
 
 type tokenEntry struct {
@@ -19,7 +19,7 @@
 	name string
 }
 
-// CallerByToken finds the caller that a bearer token belongs to.
+// CallerByToken returns the caller that a bearer token belongs to.
 func (m *Manifest) CallerByToken(token string) (Caller, bool) {
 	index := m.callersByToken
 	if index == nil {
@@ -29,7 +29,7 @@
 	return caller, ok
 }
 
-// TrainerByToken finds the trainer that a bearer token belongs to.
+// TrainerByToken returns the trainer that a bearer token belongs to.
 func (m *Manifest) TrainerByToken(token string) (Trainer, bool) {
 	index := m.trainersByToken
 	if index == nil {
@@ -39,14 +39,14 @@
 	return trainer, ok
 }
 
-// IsOperatorToken tells whether a bearer token is an operator's.
+// IsOperatorToken reports whether a bearer token belongs to an operator.
 func (m *Manifest) IsOperatorToken(token string) bool {
 	index := tokenIndex{}
 	index.add(m.Fleet.OperatorSHA256, "operator")
 	return index.find(token) != ""
 }
 
-// find returns the token's owner, or "".
+// find returns the name that a token belongs to, or "".
 func (x tokenIndex) find(token string) string {
 	sum := sha256.Sum256([]byte(token))
 	for _, entry := range x[bucket(sum)] {
@@ -57,12 +57,12 @@
 	return ""
 }
 
-// add takes a list of hashes as a manifest holds it.
+// add maps a list of token hashes, in the format of Trainer.TokenSHA256, to name.
 func (x tokenIndex) add(hashes, name string) {
 	for _, text := range splitHashes(hashes) {
 		sum, err := hex.DecodeString(text)
 		if err != nil || len(sum) != sha256.Size {
-			continue // no token can match; Parse has refused it
+			continue // Parse has rejected it; no token matches
 		}
 		entry := tokenEntry{[sha256.Size]byte(sum), name}
 		x[bucket(entry.sum)] = append(x[bucket(entry.sum)], entry)
@@ -94,13 +94,15 @@
 	return index
 }
 
-// Match finds the first route, in file order, for a method and a path as the
-// caller sent it (escaped; a query is ignored). Prefixes match whole path
-// segments: "/orders" matches "/orders" and "/orders/7", not "/orders-old".
+// Match returns the first route, in file order, that matches a method and a path.
+// The path is escaped, as the caller sent it; a query is ignored. Prefixes match
+// whole path segments: "/orders" matches "/orders" and "/orders/7", not
+// "/orders-old".
 //
-// A path that a backend server might read as another one ("/status/../orders",
-// "//orders", "%2e%2e", a backslash) matches nothing: else a write that must
-// not be repeated could pass under the route of a read that may be.
+// A path that a backend server could interpret as another path
+// ("/status/../orders", "//orders", "%2e%2e", a backslash) matches no route.
+// Otherwise a write that must not be repeated could match the route of a read
+// that may be repeated.
 func (s *Service) Match(method, path string) (Route, bool) {
 	path, ok := decodeUnambiguousPath(path)
 	if !ok {
@@ -121,13 +123,14 @@
 	return r.covers(path)
 }
 
-// covers tells whether the route's prefix matches a path.
+// covers reports whether the route's prefix matches a path.
 func (r *Route) covers(path string) bool {
 	rest, ok := strings.CutPrefix(path, r.Prefix)
 	return ok && (rest == "" || rest[0] == '/' || strings.HasSuffix(r.Prefix, "/"))
 }
 
-// decodeUnambiguousPath decodes a path and refuses what is open to a second reading.
+// decodeUnambiguousPath returns the unescaped path without its query. It returns
+// false for a path that servers could interpret in different ways.
 func decodeUnambiguousPath(escaped string) (string, bool) {
 	escaped, _, _ = strings.Cut(escaped, "?")
 	path, err := url.PathUnescape(escaped)
@@ -136,7 +139,7 @@
 	}
 	segments := strings.Split(path[1:], "/")
 	for i, segment := range segments {
-		name, _, _ := strings.Cut(segment, ";") // "..;x" is ".." to some servers
+		name, _, _ := strings.Cut(segment, ";") // some servers read "..;x" as ".."
 		last := i == len(segments)-1
 		if name == "." || name == ".." || name == "" && !last {
 			return "", false
--- a/manifest/parse.go
+++ b/manifest/parse.go
@@ -12,31 +12,34 @@
 	"gopkg.in/ini.v1"
 )
 
-// MaxBytes bounds a manifest's size. At 4,300 changes a day every process
-// reads the control stream, and a record of this size (a third more in
-// base64) every 20 s costs it about 17 KB/s, its whole budget for control.
+// MaxBytes is the largest size of a manifest in bytes. Every process reads the
+// control stream. With 4,300 changes a day, a record of this size (a third larger
+// in base64) every 20 s takes about 17 KB/s, which is the whole budget of a
+// process for control traffic.
 const MaxBytes = 256 * kiB
 
-// maxKeys is more than any section has. The library's time for a section goes
-// with the square of its keys: 256 KiB of them took 3.7 s.
+// maxKeys is the largest number of keys in a section; no valid section has so
+// many. The INI library's time grows with the square of a section's keys: 256 KiB
+// of keys took 3.7 s.
 const maxKeys = 64
 
-// kinds of sections, and whether the title goes on with a name.
+// sectionKinds are the valid kinds of sections.
 var sectionKinds = []string{"fleet", "model", "service", "route", "trainer", "caller", "leaving"}
 
+// parser collects the sections and the problems of one file.
 type parser struct {
 	file     string
 	problems Problems
 	sections []*section
 }
 
-// Parse reads a manifest in its INI form (docs/MANIFEST.md) and checks it. name
-// stands for the file in errors. The error is a Problems with every fault.
+// Parse parses and validates a manifest in INI syntax (docs/MANIFEST.md). name is
+// the file name in errors. The error is a Problems value with every problem found.
 func Parse(name string, data []byte) (*Manifest, error) {
 	p := &parser{file: name}
 	p.read(data)
 	if len(p.problems) > 0 {
-		return nil, p.sortProblems() // what can't be read can't be checked
+		return nil, p.sortProblems() // the sections are incomplete, so further checks would mislead
 	}
 	m := p.decode()
 	for _, s := range p.sections {
@@ -65,9 +68,9 @@
 	return p.problems
 }
 
-// read fills p.sections. The library does the syntax; the scan before it finds
-// what the library passes over in silence (sections and keys that stand twice)
-// and the line of each key.
+// read fills p.sections. The INI library parses the values. The scan before it
+// finds the line of each key, and duplicate sections and keys, which the library
+// accepts without an error.
 func (p *parser) read(data []byte) {
 	if len(data) > MaxBytes {
 		p.report(Problem{Message: fmt.Sprintf("%d bytes, more than %d", len(data), MaxBytes)})
@@ -86,7 +89,7 @@
 		IgnoreContinuation:       true,
 		SpaceBeforeInlineComment: true,
 		KeyValueDelimiters:       "=",
-		ChildSectionDelimiter:    "\x00", // no section inherits another's keys
+		ChildSectionDelimiter:    "\x00", // disables inheritance of keys between sections
 	}, data)
 	if err != nil {
 		p.report(Problem{Message: err.Error()})
@@ -118,8 +121,9 @@
 	}
 }
 
-// openSection reads a section's title. It returns a section even for a bad
-// title, so that the keys below are not reported as homeless.
+// openSection parses the line of a section's title. It returns a section even for
+// an invalid title, so that the keys below it are not reported as keys outside a
+// section.
 func (p *parser) openSection(text string, line int, titles map[string]int) *section {
 	title, rest, closed := strings.Cut(text[1:], "]")
 	s := &section{parser: p, title: title, line: line, values: map[string]string{}, lines: map[string]int{}}
@@ -138,6 +142,7 @@
 	return s
 }
 
+// parseTitle sets the kind and name from the title and reports an invalid title.
 func (s *section) parseTitle() {
 	kind, name, hasName := strings.Cut(s.title, " ")
 	s.kind, s.name = kind, name
@@ -174,6 +179,7 @@
 	}
 }
 
+// scanKey records the line of a key and reports syntax that is not allowed.
 func (s *section) scanKey(text string, line int) {
 	key, value, ok := strings.Cut(text, "=")
 	key, value = strings.TrimSpace(key), strings.TrimSpace(value)
--- a/manifest/parse_test.go
+++ b/manifest/parse_test.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// A caller's token is rotated: for a while the manifest holds two sums, and
-// both tokens are let in as the same caller; then the old one is shut out.
+// While a caller's token is rotated, the manifest holds two hashes and both
+// tokens identify the same caller. Afterwards the old token is rejected.
 func TestTokenRotation(t *testing.T) {
 	const old, fresh = "demo-caller-token", "new-token"
 	sum := func(token string) string { return fmt.Sprintf("%x", sha256.Sum256([]byte(token))) }
@@ -93,8 +93,8 @@
 	require.False(t, m.IsOperatorToken("") || m.IsOperatorToken("c") || m.IsOperatorToken(old))
 }
 
-// A caller writes to a path which only looks like a read's. Were the route of
-// the read to match, the write could be repeated after a lost answer.
+// A write whose path only looks like that of a read must not match the read's
+// route: otherwise the write could be repeated after a lost answer.
 func TestMatch(t *testing.T) {
 	s := Service{Routes: []Route{
 		{Name: "read", Methods: []string{"GET"}, Prefix: "/"},
@@ -246,7 +246,7 @@
 	}
 }
 
-// write writes a manifest with every value in force.
+// write formats a manifest with every effective value.
 func write(m *Manifest) []byte {
 	var b strings.Builder
 	section := ""
@@ -262,7 +262,8 @@
 	return []byte(b.String())
 }
 
-// Whatever Parse accepts is safe to serve by, and nothing makes it panic.
+// FuzzParse checks that Parse never panics, and that a manifest it accepts is
+// consistent and parses to the same settings again.
 func FuzzParse(f *testing.F) {
 	f.Add(readExample(f, "demo.ini"))
 	f.Add([]byte("[fleet]\nname = f\n[model m]\nmax_tokens = 1 # x\n"))
--- a/manifest/section.go
+++ b/manifest/section.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// nameForm is the form of every name in a manifest but a model's and a VM's,
-// which may hold dots too.
+// nameForm is the syntax of every name in a manifest except names of models and
+// VMs, which have dottedForm.
 var (
 	nameForm   = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9_-]{0,62}$`)
 	dottedForm = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
@@ -19,16 +19,17 @@
 	pathForm   = regexp.MustCompile(`^/[\p{L}\p{N}._~!$&()*+,;=:@/-]*$`)
 )
 
-// Bounds and form of a list of token hashes. Two let a token be rotated without
-// a gap; the third is for a rotation that begins before the last one has ended.
+// A list of token hashes has up to maxTokens items. Two allow the rotation of a
+// token without an interruption; the third is for a rotation that starts before
+// the previous one has ended.
 const (
 	maxTokens     = 3
 	hashSeparator = ","
 )
 
-// section reads the keys of one section. Each read takes the default and the
-// range; a bad value is reported and the default stands in, so that one pass
-// finds every fault.
+// section parses the values of one section. The methods that read a value take its
+// default and its range. For an invalid value they report a problem and return
+// the default, so that one pass finds every problem.
 type section struct {
 	parser   *parser
 	title    string // as written between the brackets
@@ -37,11 +38,13 @@
 	line     int
 	values   map[string]string
 	lines    map[string]int
-	readKeys []string // the keys that were asked for
+	readKeys []string // keys that were requested from this section
 
 	settings []Setting
 }
 
+// fail reports a problem at the line of key, or at the section's title if the key
+// is empty or missing.
 func (s *section) fail(key, nearest, format string, args ...any) {
 	line := s.lines[key]
 	if line == 0 {
@@ -53,7 +56,7 @@
 	})
 }
 
-// value returns the raw value; ok is false where the key is absent or empty.
+// value returns the raw value of a key, and false if the key is missing or empty.
 func (s *section) value(key string) (string, bool) {
 	s.readKeys = append(s.readKeys, key)
 	v, present := s.values[key]
@@ -63,7 +66,7 @@
 	return v, v != ""
 }
 
-// require reports a missing key that has no default.
+// require reports a problem if a key without a default is missing.
 func (s *section) require(key string) {
 	if _, present := s.values[key]; !present {
 		s.fail(key, "", "is missing and has no default")
@@ -117,7 +120,7 @@
 		s.fail(key, "", "%q is not a number", v)
 		return defaultValue
 	}
-	if !(f >= low && f <= high) { // so that NaN fails too
+	if !(f >= low && f <= high) { // rejects NaN too
 		s.fail(key, "", "%s is outside %g to %g", v, low, high)
 		return defaultValue
 	}
@@ -131,7 +134,7 @@
 	giB = 1 << 30
 )
 
-// bytes reads a size: a whole number with an optional unit KiB, MiB or GiB.
+// bytes reads a size in bytes: a whole number with an optional unit KiB, MiB or GiB.
 func (s *section) bytes(key string, defaultValue, low, high int64) (out int64) {
 	defer recordValue(s, key, &out)
 	v, ok := s.value(key)
@@ -173,7 +176,7 @@
 	return v
 }
 
-// list reads comma-separated items of a form; none may stand twice.
+// list reads a comma-separated list. Each item must match form and be unique.
 func (s *section) list(key string, form *regexp.Regexp) (items []string) {
 	defer func() { s.recordSetting(key, strings.Join(items, ", ")) }()
 	v, ok := s.value(key)
@@ -194,7 +197,7 @@
 	return items
 }
 
-// path reads a plain absolute path.
+// path reads an absolute path without escapes, query or ambiguous segments.
 func (s *section) path(key, defaultValue string) (out string) {
 	defer recordValue(s, key, &out)
 	v, ok := s.value(key)
@@ -208,15 +211,15 @@
 	return v
 }
 
-// text reads any text; its user checks it.
+// text reads a value without validation.
 func (s *section) text(key string) (out string) {
 	defer recordValue(s, key, &out)
 	out, _ = s.value(key)
 	return out
 }
 
-// tokenHashes reads a list of sha256 sums of tokens. It returns them joined by
-// commas, in the form that tokenIndex takes.
+// tokenHashes reads a list of sha256 hashes of tokens. It returns them joined by
+// commas, in the format that tokenIndex.add takes.
 func (s *section) tokenHashes(key string) (out string) {
 	defer recordValue(s, key, &out)
 	v, ok := s.value(key)
@@ -242,14 +245,16 @@
 	return strings.Join(hashes, hashSeparator)
 }
 
-// recordSetting keeps a key's value as it will be in force.
+// recordSetting adds a key with its effective value to the settings.
 func (s *section) recordSetting(key, value string) {
 	s.settings = append(s.settings, Setting{Section: s.title, Key: key, Value: value})
 }
 
+// recordValue records the value that a reading method returns; it is deferred, so
+// that it sees the result.
 func recordValue[T any](s *section, key string, value *T) { s.recordSetting(key, fmt.Sprint(*value)) }
 
-// reportUnknownKeys reports every key that nobody asked for.
+// reportUnknownKeys reports every key that no decoder requested.
 func (s *section) reportUnknownKeys() {
 	for key := range s.values {
 		if !slices.Contains(s.readKeys, key) {
