--- a/manifest/parse_test.go
+++ b/manifest/parse_test.go
@@ -246,8 +246,8 @@
 	}
 }
 
-// write formats a manifest with every effective value.
-func write(m *Manifest) []byte {
+// formatManifest formats a manifest with every effective value.
+func formatManifest(m *Manifest) []byte {
 	var b strings.Builder
 	section := ""
 	for _, s := range m.Settings() {
@@ -275,7 +275,7 @@
 			return
 		}
 		require.Less(t, 2*m.Fleet.KeyWindow, m.Fleet.LogRetention)
-		again, err := Parse("again.ini", write(m))
+		again, err := Parse("again.ini", formatManifest(m))
 		require.NoError(t, err)
 		require.Equal(t, m.Settings(), again.Settings())
 		for _, tr := range m.Trainers {
