--- a/manifest/parse_test.go
+++ b/manifest/parse_test.go
@@ -275,9 +275,9 @@
 			return
 		}
 		require.Less(t, 2*m.Fleet.KeyWindow, m.Fleet.LogRetention)
-		again, err := Parse("again.ini", formatManifest(m))
+		reparsed, err := Parse("again.ini", formatManifest(m))
 		require.NoError(t, err)
-		require.Equal(t, m.Settings(), again.Settings())
+		require.Equal(t, m.Settings(), reparsed.Settings())
 		for _, tr := range m.Trainers {
 			require.Contains(t, m.Models, tr.Model)
 			hashes := strings.Split(tr.TokenSHA256, ",")
