--- a/ctl/logscan/line.go
+++ b/ctl/logscan/line.go
@@ -1,6 +1,6 @@
-// Package logscan reads the structured logs of many processes and tells what
-// became of a request, a batch job or a sample, and where requests and samples
-// were lost. It needs nothing but the lines: on call there are only logs.
+// Package logscan reads the structured logs of many processes. It shows the
+// outcome of a request, a batch job or a sample, and why requests and samples
+// failed. It uses only the log lines, because an operator on call has nothing else.
 package logscan
 
 import (
@@ -13,12 +13,12 @@
 	"github.com/juju/errors"
 )
 
-// Line is one line of a process's log. Fields that a line does not have are zero.
+// Line is one line of a process's log. Fields that are not in the line are zero.
 type Line struct {
 	At      time.Time
 	Process string
-	Part    string // of the process: "runner", "front"
-	Message string // without the prefixes of program and part
+	Part    string // the component of the process, for example "runner" or "front"
+	Message string // without the prefixes of the program and the component
 	File    string
 	Number  int
 	Raw     []byte // the JSON object; valid until the next line is read
@@ -26,12 +26,12 @@
 	Fields
 }
 
-// Fields are those that decide something here; Raw has them all.
+// Fields holds the log fields that this package evaluates; Line.Raw has all of them.
 type Fields struct {
 	ID       string   `json:"id"`
-	Request  string   `json:"request"` // a request's name by its content
+	Request  string   `json:"request"` // the request's fingerprint
 	Job      string   `json:"job"`
-	Duty     string   `json:"duty"` // of one process at a time
+	Duty     string   `json:"duty"` // name of a task that exactly one process has at a time
 	ScoreID  string   `json:"score_id"`
 	Server   string   `json:"server"`
 	Model    string   `json:"model"`
@@ -55,11 +55,11 @@
 	Scored   duration `json:"scored"`
 }
 
-// duration is a time.Duration as the logs write it ("1.5s").
+// duration is a time.Duration in the format of the logs ("1.5s").
 type duration time.Duration
 
-// UnmarshalJSON implements json.Unmarshaler. What is no duration is left zero: other
-// lines may have a field of the same name with another meaning.
+// UnmarshalJSON implements json.Unmarshaler. A value that is not a duration is ignored,
+// because other lines may have a field of the same name with another meaning.
 func (d *duration) UnmarshalJSON(data []byte) error {
 	text, err := strconv.Unquote(string(data))
 	if err != nil {
@@ -71,20 +71,22 @@
 	return nil
 }
 
-// timeLayout is how the processes write times.
+// timeLayout is the time format of the log lines.
 const timeLayout = "2006-01-02T15:04:05.000Z0700"
 
-// lineHeader is what each line has.
+// lineHeader holds the fields that each line has.
 type lineHeader struct {
 	TS      string `json:"ts"`
 	Message string `json:"msg"`
 }
 
-// errNotRecord: the line is none of a process's log, but a remark of the platform.
+// errNotRecord is returned for a line that no process logged, for example a message
+// of the platform.
 var errNotRecord = errors.New("no record")
 
-// parseLine reads a line: a JSON object, as a process writes it, or with a time and the
-// VM's name before it, as the platform prints it.
+// parseLine parses a line: a JSON object, as a process writes it, or a time, the VM's
+// name and a JSON object, as the platform prints it. process is used for a line
+// without a VM's name.
 func parseLine(text []byte, process string) (Line, error) {
 	open := bytes.IndexByte(text, '{')
 	if open < 0 {
@@ -115,7 +117,8 @@
 	return l, nil
 }
 
-// splitMessage takes the prefixes of program and part off a message.
+// splitMessage separates the prefixes of the program and the component from the
+// sentence, and returns the component and the sentence.
 func splitMessage(message string) (part, sentence string) {
 	at := strings.LastIndex(message, ": ")
 	if at < 0 {
--- a/ctl/logscan/logscan_test.go
+++ b/ctl/logscan/logscan_test.go
@@ -13,7 +13,7 @@
 	"pgregory.net/rapid"
 )
 
-// record is a line as a process writes it, some milliseconds into the day.
+// record returns a line as a process writes it, ms milliseconds after a fixed time.
 func record(ms int, message, fields string) string {
 	at := time.UnixMilli(1_767_338_000_000 + int64(ms)).UTC().Format(timeLayout)
 	return fmt.Sprintf(`{"level":"info","ts":"%s","msg":"gateway: %s",%s}`, at, message, strings.TrimSuffix(fields, ",")) + "\n"
@@ -36,7 +36,7 @@
 
 	l, err = parseLine([]byte("  -8.9622 front-a-1 "+jsonLine), "file")
 	require.NoError(t, err)
-	require.Equal(t, "front-a-1", l.Process, "as the platform prints it")
+	require.Equal(t, "front-a-1", l.Process, "the platform's prefix names the process")
 	l, err = parseLine([]byte(record(0, "Started.", `"took":7`)), "")
 	require.NoError(t, err, "a field of the same name with another meaning")
 	require.Equal(t, "Started.", l.Message)
@@ -47,7 +47,8 @@
 	}
 }
 
-// A line that can't be read is named by file and number, and costs no other.
+// A line that can't be parsed is reported with its file and line number, and no other
+// line is lost.
 func TestUnreadableLinesAreReported(t *testing.T) {
 	dir := t.TempDir()
 	good := record(5, "Started.", `"id":"a"`)
@@ -71,7 +72,7 @@
 	require.Error(t, err)
 }
 
-// A line of many megabytes is passed over without being kept.
+// A line of many megabytes is skipped and not kept in memory.
 func TestLongLineIsSkipped(t *testing.T) {
 	n := 0
 	stats := scanText(t, `{"ts":"`+strings.Repeat("x", 3*maxLineBytes)+"\n"+record(0, "Started.", `"id":"a"`), func(*Line) { n++ })
@@ -79,8 +80,9 @@
 	require.Equal(t, 1, stats.Bad)
 }
 
-// sampleLog is the log of two processes about one sample that was lost to an outage, one
-// that was late for want of a place, and requests of three kinds.
+// sampleLog returns the log of two processes. It has one sample in time, one that was
+// late because it waited for a slot, one that failed because of an outage of the log,
+// and requests of three kinds.
 func sampleLog() string {
 	return record(0, "jobs: Batch job.", `"job":"j","model":"m","items":3,"due":"7.5s","owner":"a"`) +
 		record(1, "jobs: Batch job.", `"job":"j","model":"m","items":3,"due":"7.5s","owner":"a"`) +
@@ -103,8 +105,8 @@
 		record(12001, "jobs: Batch job is over.", `"job":"j","results":2,"items":3,"ended":true`)
 }
 
-// On call there are only the lines: of each request and sample that was lost they
-// tell the kind, the moment and the cause, once, however many processes tell of it.
+// From the lines alone, each request and sample that was lost is counted once with its
+// kind, time and cause, also if several processes log it.
 func TestLosses(t *testing.T) {
 	losses := NewLosses()
 	scanText(t, sampleLog(), losses.Add)
@@ -150,7 +152,7 @@
 	}
 }
 
-// A request's name leads to all its attempts' ends of servers, in all processes.
+// A request's fingerprint finds all crashes that its attempts caused, in all processes.
 func TestTracePoisonRequest(t *testing.T) {
 	tracer := NewTracer("0011223344556677")
 	lines := []string{
@@ -162,7 +164,7 @@
 	require.Len(t, tracer.Decisions(), 2)
 }
 
-// The path of a sample holds the lines about its score and about its job's owners.
+// The trace of a sample also has the lines about its score and about its job's owners.
 func TestTraceSampleAndJob(t *testing.T) {
 	tracer := NewTracer("s1")
 	scanText(t, sampleLog(), tracer.Add)
@@ -179,11 +181,11 @@
 
 	jobTracer := NewTracer("j")
 	scanText(t, sampleLog(), jobTracer.Add)
-	require.Len(t, jobTracer.Decisions(), 4, "a job's own lines")
+	require.Len(t, jobTracer.Decisions(), 4, "the lines about the job itself")
 	require.ErrorIs(t, NewTracer("nobody").Write(&out), ErrNotFound)
 }
 
-// However many ids the logs name, what is remembered is bounded.
+// The memory is bounded for any number of ids in the logs.
 func TestMemoryIsBounded(t *testing.T) {
 	losses := NewLosses()
 	for i := range 2 * maxFailedAttempts {
@@ -200,8 +202,7 @@
 	require.Equal(t, 10, losses.Dropped)
 }
 
-// Whatever the bytes, reading them neither fails nor panics, and each line is
-// counted once.
+// Reading arbitrary bytes neither fails nor panics, and counts each line at most once.
 func TestReadAcceptsAnyBytes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := strings.Join(rapid.SliceOfN(rapid.OneOf(rapid.String(), rapid.Just(strings.TrimSpace(sampleLog()))), 0, 5).Draw(t, "text"), "\n")
@@ -212,7 +213,8 @@
 	})
 }
 
-// A line takes some 12 us: a gigabyte of logs is read in about 40 s.
+// BenchmarkLosses measures the time per line: about 12 us, so a gigabyte of logs takes
+// about 40 s.
 func BenchmarkLosses(b *testing.B) {
 	text := sampleLog()
 	b.SetBytes(int64(len(text)))
@@ -223,7 +225,8 @@
 	}
 }
 
-// A customer was billed twice: who reported, since when, and who had reported before.
+// The trace of a duty shows which process had it and when, for example after usage was
+// reported twice.
 func TestTraceDuty(t *testing.T) {
 	tracer := NewTracer("usage")
 	scanText(t, record(0, "usage: duties: This process has a duty.", `"duty":"usage","token":7`)+
--- a/ctl/logscan/losses.go
+++ b/ctl/logscan/losses.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// Cause is why a request or sample failed, was late or was refused.
+// Cause is the reason why a request or sample failed, was late or was refused.
 type Cause string
 
-// The causes, in the order in which one is taken for another's: a sample that was
-// held up by an outage also waits.
+// The causes, by precedence: a sample that was delayed by an outage of the log, for
+// example, has also waited for a slot.
 const (
 	CauseCallerGone         Cause = "client gone"
 	CauseLogUnavailable     Cause = "store away"
@@ -33,17 +33,18 @@
 	CauseUnknown            Cause = "not told"
 )
 
-// Outcome is what became of a request or sample.
+// Outcome is the result of a request or sample.
 type Outcome string
 
-// Fates other than served in time.
+// The outcomes other than success in time.
 const (
 	OutcomeFailed  Outcome = "failed"
 	OutcomeLate    Outcome = "late"
 	OutcomeRefused Outcome = "refused"
 )
 
-// Loss is a row of the table.
+// Loss is a row of the table: the requests or samples of one kind with the same
+// outcome and cause.
 type Loss struct {
 	// RequestKind is the kind of request: "samples of MODEL", or the first part of a path.
 	RequestKind string    `json:"what"`
@@ -52,7 +53,7 @@
 	Count       int       `json:"count"`
 	First       time.Time `json:"first"`
 	Last        time.Time `json:"last"`
-	// Example is the id of the first.
+	// Example is the id of the first request or sample.
 	Example string `json:"example"`
 }
 
@@ -62,28 +63,31 @@
 	cause       Cause
 }
 
-// Bounds of what is remembered at a time; what finds no room counts as "not told".
+// Limits of the memory for unfinished work.
 const (
-	// maxSamples bounds the samples that are on their way: 24 trainers' steps of
-	// 2,048 samples, twice over, with room. 200 B each.
+	// maxSamples is the maximum number of unfinished samples. It is about twice what
+	// two steps of 2,048 samples for each of 24 trainers need. A sample takes 200 B.
 	maxSamples = 200_000
-	// maxFailedAttempts bounds the requests whose tries are remembered until they fail.
+	// maxFailedAttempts is the maximum number of requests whose last failed attempt
+	// is kept until the request fails; without it the cause is CauseUnknown or, for
+	// a deadline, CauseServerUnresponsive.
 	maxFailedAttempts = 50_000
-	// maxRows bounds the table.
+	// maxRows is the maximum number of rows of the table.
 	maxRows = 1000
 )
 
-// Losses makes the table and the timeline out of all lines.
+// Losses builds the table of losses and the timeline from all lines.
 type Losses struct {
 	Timeline Timeline
 
 	rows           map[lossKey]*Loss
 	jobs           map[string]*job
 	sampleCount    int
-	lastFailures   map[string]*list.Element // of *tried, by request
-	recentFailures *list.List               // the newest first
-	withoutLog     map[string]bool          // processes that can't follow the log
-	// Dropped counts what was not remembered for want of room.
+	lastFailures   map[string]*list.Element // values are *failedAttempt, by request id
+	recentFailures *list.List               // of *failedAttempt, newest first
+	withoutLog     map[string]bool          // processes that can't read the log
+	// Dropped counts the log lines of samples and the losses that were ignored
+	// because a limit was reached.
 	Dropped int
 }
 
@@ -92,31 +96,33 @@
 	return &Losses{rows: map[lossKey]*Loss{}, jobs: map[string]*job{}, lastFailures: map[string]*list.Element{}, recentFailures: list.New(), withoutLog: map[string]bool{}}
 }
 
-// job is a batch job that is not over.
+// job is a batch job that is unfinished, or has ended and is still kept (see
+// endedJobRetention).
 type job struct {
 	accepted     time.Time
-	due          time.Duration // 0: not told
+	due          time.Duration // from accepted; 0: no deadline known
 	model        string
 	samples      map[string]*sample
-	ownerChanged bool // its owner has changed
-	logOutage    bool // the log was lost while it was open
+	ownerChanged bool // another process has become its owner
+	logOutage    bool // a process could not read the log while the job was unfinished
 	ended        bool
 }
 
-// sample is a sample that was begun and is not done.
+// sample is a sample that was started and is not done.
 type sample struct {
 	running   bool
-	cause     Cause // of what has held it up so far; empty: nothing
+	cause     Cause // of its last delay; empty: none
 	abandoned bool
 }
 
-// failedAttempt is how the tries of a request went.
+// failedAttempt is the last failed attempt of a request.
 type failedAttempt struct {
 	id    string
 	cause Cause
 }
 
-// Add takes the next line.
+// Add processes the next line. The messages must also match the logs of earlier
+// releases, so they are kept as they are.
 func (s *Losses) Add(l *Line) {
 	s.Timeline.second(l.At)
 	switch l.Message {
@@ -151,7 +157,7 @@
 }
 
 func (s *Losses) jobAccepted(l *Line) {
-	if s.jobs[l.Job] == nil { // each process tells of it
+	if s.jobs[l.Job] == nil { // each process logs it
 		s.jobs[l.Job] = &job{accepted: l.At, due: time.Duration(l.Due), model: l.Model, samples: map[string]*sample{}, logOutage: len(s.withoutLog) > 0}
 	}
 }
@@ -171,8 +177,9 @@
 	}
 }
 
-// jobEnded ends a job. Samples without a result are lost to a trainer that gave it up;
-// one that has enough wants no more of them.
+// jobEnded ends a job. If the job has exceeded its deadline, its samples without a
+// result count as failed. Otherwise the trainer has enough results and does not need
+// these samples.
 func (s *Losses) jobEnded(l *Line) {
 	j := s.jobs[l.Job]
 	if j == nil || j.ended {
@@ -193,8 +200,8 @@
 	s.removeEndedJobs(l.At)
 }
 
-// endedJobRetention is how long a job that is over is remembered, for processes that tell
-// of it late.
+// endedJobRetention is how long after its acceptance a job that has ended is kept at
+// least, because other processes may log it later.
 const endedJobRetention = time.Minute
 
 func (s *Losses) removeEndedJobs(now time.Time) {
@@ -205,6 +212,8 @@
 	}
 }
 
+// findOrAddSample returns the line's job and sample. Both are nil if the job is not
+// known or has ended, or if there are too many samples.
 func (s *Losses) findOrAddSample(l *Line) (*job, *sample) {
 	j := s.jobs[l.Job]
 	if j == nil || j.ended {
@@ -244,8 +253,8 @@
 	x.cause = cmp.Or(cause, x.cause)
 }
 
-// streamEndCause is what the end of a stream means for its sample; empty: nothing that
-// holds it up.
+// streamEndCause returns the cause of the delay that the end of a stream means for its
+// sample, or "" if it causes no delay.
 func streamEndCause(reason string) Cause {
 	switch reason {
 	case "broken", "unreached", "misdirected":
@@ -286,7 +295,7 @@
 	s.sampleCount--
 }
 
-// longestPhase is what took the most of a sample's time.
+// longestPhase returns the cause that stands for the longest phase of a sample.
 func longestPhase(l *Line) Cause {
 	switch longest := max(l.Waited, l.Streamed, l.Scored); longest {
 	case l.Waited:
@@ -337,7 +346,7 @@
 	}
 	label := pathGroup(l.Path)
 	if cause == CauseConfiguration {
-		label = noRoute // callers choose such paths: a row for each would hide the others
+		label = noRoute // callers choose these paths; a row for each would hide the other rows
 	}
 	s.addLoss(l.At, label, outcome, cause, l.ID)
 	if e := s.lastFailures[l.ID]; e != nil {
@@ -375,10 +384,10 @@
 	return CauseUnknown
 }
 
-// noRoute stands for all paths that the configuration refuses.
+// noRoute is the request kind of all paths that the configuration refuses.
 const noRoute = "paths without a route"
 
-// pathGroup is the part of a path that tells requests of one kind from others.
+// pathGroup returns the start of a path that identifies the kind of request.
 func pathGroup(path string) string {
 	parts := strings.SplitN(strings.TrimPrefix(path, "/"), "/", 3)
 	if len(parts) > 1 && parts[0] == "-" {
@@ -403,7 +412,7 @@
 	row.Last = at
 }
 
-// Rows returns the table, what was lost most first.
+// Rows returns the table, with the highest count first.
 func (s *Losses) Rows() []Loss {
 	rows := make([]Loss, 0, len(s.rows))
 	for _, row := range s.rows {
--- a/ctl/logscan/source.go
+++ b/ctl/logscan/source.go
@@ -14,26 +14,27 @@
 	"github.com/juju/errors"
 )
 
-// maxLineBytes bounds a line, in bytes. Processes write lines of a few hundred.
+// maxLineBytes is the largest part of a line that is kept, in bytes. Processes write
+// lines of a few hundred bytes.
 const maxLineBytes = 1 << 20
 
-// Problem is a line that could not be read.
+// Problem is a line that could not be parsed.
 type Problem struct {
 	File  string `json:"file"`
 	Line  int    `json:"line"`
 	Error string `json:"error"`
 }
 
-// Stats tells what was read.
+// Stats counts the lines that were read.
 type Stats struct {
-	Lines      int `json:"lines"`   // records of processes
-	OtherLines int `json:"remarks"` // lines that are none
-	Bad        int `json:"bad"`     // lines that could not be read
-	// Problems are the first of the bad lines.
+	Lines      int `json:"lines"`   // log records of processes
+	OtherLines int `json:"remarks"` // lines that are not log records
+	Bad        int `json:"bad"`     // lines that could not be parsed
+	// Problems holds the first maxProblems of the bad lines.
 	Problems []Problem `json:"problems,omitempty"`
 }
 
-// maxProblems bounds Stats.Problems.
+// maxProblems is the maximum length of Stats.Problems.
 const maxProblems = 5
 
 func (s *Stats) addProblem(file string, line int, err error) {
@@ -43,11 +44,12 @@
 	}
 }
 
-// Stdin names standard input among the paths.
+// Stdin is the path that stands for standard input.
 const Stdin = "-"
 
-// Files returns the log files that paths name: files themselves, folders with all
-// files below them, and Stdin. Its size is in bytes; 0: not known.
+// Files returns the log files for paths: a path may be a file, a directory, which
+// stands for all files below it, or Stdin. size is the total size of the files in
+// bytes, without standard input.
 func Files(paths []string) (files []string, size int64, err error) {
 	for _, path := range paths {
 		if path == Stdin {
@@ -72,9 +74,9 @@
 	return files, size, nil
 }
 
-// Read calls f with the lines of all files in the order of their times. Each file
-// has to be in that order by itself, as processes write it. progress is told the
-// bytes that were read; nil: nobody asks.
+// Read calls f with the log records of all files in the order of their times. Each
+// file must be in that order already, as processes write it. If progress is not
+// nil, all bytes that are read are also written to it.
 func Read(files []string, stdin io.Reader, progress io.Writer, f func(*Line)) (Stats, error) {
 	var stats Stats
 	var queue readerHeap
@@ -103,7 +105,7 @@
 	return stats, nil
 }
 
-// reader reads one file.
+// reader reads the log records of one file.
 type reader struct {
 	file       string
 	process    string
@@ -135,11 +137,12 @@
 
 func (r *reader) close() {
 	if r.closer != nil {
-		_ = r.closer.Close() // it was only read
+		_ = r.closer.Close() // the file was only read
 	}
 }
 
-// next reads the next record; false: there is none, or r.err.
+// next reads the next record into r.line. It returns false at the end of the file
+// and after an error, which is then in r.err.
 func (r *reader) next(stats *Stats) bool {
 	for {
 		text, err := r.readLine()
@@ -166,8 +169,8 @@
 	}
 }
 
-// readLine reads one line. Of a line that is too long the rest is passed over; what is
-// left of it can't be read as a record.
+// readLine reads one line. A line longer than maxLineBytes is truncated, and then
+// can't be parsed as a record.
 func (r *reader) readLine() ([]byte, error) {
 	var text []byte
 	for {
@@ -181,7 +184,8 @@
 	}
 }
 
-// eofIfEmpty tells the end of a file only where no line stands before it.
+// eofIfEmpty drops an io.EOF that follows a last line without a line feed, so that
+// this line is returned before the end of the file.
 func eofIfEmpty(err error, read int) error {
 	if err == io.EOF && read > 0 {
 		return nil
@@ -189,7 +193,7 @@
 	return err
 }
 
-// readerHeap is a heap by the times of the lines at hand.
+// readerHeap is a heap of readers, ordered by the times of their current lines.
 type readerHeap []*reader
 
 // Len implements heap.Interface.
--- a/ctl/logscan/timeline.go
+++ b/ctl/logscan/timeline.go
@@ -10,29 +10,30 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Second is what happened in one second.
+// Second holds the counts of one second.
 type Second struct {
 	At           time.Time `json:"at"`
-	Waiting      int       `json:"waiting"` // the most samples that waited for a place
-	Running      int       `json:"running"` // samples that ran at its end
+	Waiting      int       `json:"waiting"` // maximum number of samples that waited for a slot
+	Running      int       `json:"running"` // samples that ran at the end of the second
 	Refused      int       `json:"refused"`
 	Lost         int       `json:"lost"`   // failed or late
-	OwnerChanges int       `json:"owners"` // batch jobs that got another owner
-	WithoutLog   int       `json:"away"`   // the most processes that could not follow the log
+	OwnerChanges int       `json:"owners"` // batch jobs whose owner changed
+	WithoutLog   int       `json:"away"`   // maximum number of processes that could not read the log
 }
 
-// maxSeconds bounds the timeline: two days.
+// maxSeconds is the maximum length of the timeline: two days.
 const maxSeconds = 2 * 24 * 60 * 60
 
-// Timeline is the seconds of the logs, from the first line to the last.
+// Timeline holds the seconds of the logs, from the first line to the last.
 type Timeline struct {
 	Seconds        []Second
 	runningSamples int
-	withoutLog     int // processes that can't follow the log
+	withoutLog     int // processes that can't read the log
 }
 
-// second returns the second of a time. Lines come in the order of time; those of before
-// the first or far behind it count for the end that is nearer.
+// second returns the second of a time and adds the seconds up to it. Lines come in the
+// order of time, so it returns the last second for an earlier time; likewise for a time
+// beyond maxSeconds.
 func (t *Timeline) second(at time.Time) *Second {
 	at = at.Truncate(time.Second)
 	if len(t.Seconds) == 0 {
@@ -77,7 +78,7 @@
 	plotHeight = 14 * vg.Centimeter
 )
 
-// curves are the lines of the plot.
+// curves defines the lines of the plot.
 var curves = []struct {
 	name  string
 	color color.Color
@@ -91,7 +92,8 @@
 	{"processes without the log", color.RGBA{R: 0x00, G: 0x00, B: 0x00, A: 0xff}, func(s Second) int { return s.WithoutLog }},
 }
 
-// Plot writes the timeline as an image; the file's ending says which kind.
+// Plot writes the timeline to an image file, whose format follows from the file name's
+// extension.
 func (t *Timeline) Plot(file string) error {
 	p := plot.New()
 	p.X.Label.Text = "seconds"
@@ -110,6 +112,6 @@
 		p.Add(line)
 		p.Legend.Add(c.name, line)
 	}
-	p.Y.Max = max(1, p.Y.Max) // an empty range can't be drawn
+	p.Y.Max = max(1, p.Y.Max) // the plot library can't draw an empty range
 	return errors.Annotate(p.Save(plotWidth, plotHeight, file), file)
 }
--- a/ctl/logscan/trace.go
+++ b/ctl/logscan/trace.go
@@ -12,50 +12,53 @@
 	"github.com/juju/errors"
 )
 
-// Decision is a line of a trace.
+// Decision is one line of a trace.
 type Decision struct {
 	At      time.Time `json:"at"`
 	Process string    `json:"process"`
 	Part    string    `json:"part"`
 	Message string    `json:"message"`
-	// Fields are the inputs and the outcome, as name=value, in the line's order.
+	// Fields holds the inputs and the outcome, as name=value, in the line's order.
 	Fields []string `json:"fields"`
 
-	owner string
+	owner string // of the batch job; only set for lines about a job
 }
 
-// maxDecisions bounds the lines of a trace, maxJobLines those that are kept of jobs
-// whose samples may turn out to be asked for. A line takes some 500 B.
+// maxDecisions is the maximum number of lines of a trace. maxJobLines is the maximum
+// number of lines that are kept about all jobs, because any of them may turn out to
+// be the job of the traced sample. A line takes about 500 B.
 const (
 	maxDecisions = 20_000
 	maxJobLines  = 50_000
 )
 
-// Tracer gathers the path of one request, batch job or sample. It is fed with all
-// lines and keeps those about the id, and of a sample's job the lines about its
-// owners.
+// Tracer collects the log lines about one request, batch job, sample or duty. Add
+// must be called with all lines. For a sample, the trace also has the lines about
+// its job as a whole, for example a change of the owner.
 type Tracer struct {
 	id string
-	// scoreID is the request for the sample's score; job is the sample's, or the id.
+	// scoreID is the id of the request for the sample's score. job is the sample's
+	// batch job, or the id itself if that is a batch job.
 	scoreID, job string
 	matched      []Decision
 	jobLines     map[string][]Decision
 	jobLineCount int
-	// Dropped is the number of lines that found no room.
+	// Dropped counts the lines that were ignored because a limit was reached.
 	Dropped int
 }
 
-// NewTracer returns a tracer of an id, of a request's name, or of a duty.
+// NewTracer returns a tracer for the id of a request, batch job or sample, for a
+// request's fingerprint, or for the name of a duty.
 func NewTracer(id string) *Tracer { return &Tracer{id: id, jobLines: map[string][]Decision{}} }
 
-// Add takes the next line.
+// Add processes the next line.
 func (t *Tracer) Add(l *Line) {
 	switch {
 	case l.ID == t.id || l.ScoreID == t.id || l.ID != "" && l.ID == t.scoreID:
 		t.linkIDs(l)
 		t.addMatch(l)
 	case t.id != "" && (l.Request == t.id || l.Duty == t.id):
-		t.addMatch(l) // all attempts of one request, which ended servers; all holders of a duty
+		t.addMatch(l) // all crashes of servers by one request; all processes that had a duty
 	case l.Job == t.id && l.ID == "":
 		t.job = t.id
 		t.addMatch(l)
@@ -64,7 +67,7 @@
 	}
 }
 
-// linkIDs notes what belongs to the id.
+// linkIDs records the score request and the job that belong to the id.
 func (t *Tracer) linkIDs(l *Line) {
 	if l.ScoreID != "" && l.ID == t.id {
 		t.scoreID = l.ScoreID
@@ -82,8 +85,8 @@
 	t.matched = append(t.matched, newDecision(l))
 }
 
-// addJobLine keeps a line about a job as a whole. Each process tells of each job:
-// only the first to tell the same is kept.
+// addJobLine keeps a line about a job as a whole. Each process logs each job: only the
+// first line with the same message and owner is kept.
 func (t *Tracer) addJobLine(l *Line) {
 	lines := t.jobLines[l.Job]
 	if l.Message == "Results read." || slices.ContainsFunc(lines, func(d Decision) bool { return d.Message == l.Message && d.owner == l.Owner }) {
@@ -99,7 +102,7 @@
 	t.jobLines[l.Job] = append(lines, d)
 }
 
-// Decisions returns what is known of the id, in the order of time.
+// Decisions returns the collected lines in the order of time.
 func (t *Tracer) Decisions() []Decision {
 	all := slices.Clone(t.matched)
 	if len(all) > 0 && t.job != t.id {
@@ -113,8 +116,8 @@
 	return Decision{At: l.At, Process: l.Process, Part: l.Part, Message: l.Message, Fields: listFields(l.Raw)}
 }
 
-// listFields lists the fields of a line in its order, but for those that a decision
-// shows by itself.
+// listFields returns the fields of a line, in its order, without those that a Decision
+// shows in fields of its own, and without the level.
 func listFields(raw []byte) []string {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	decoder.UseNumber()
@@ -140,10 +143,11 @@
 	return fields
 }
 
-// ErrNotFound: no line speaks of the id.
+// ErrNotFound is returned if no line has the id.
 var ErrNotFound = errors.New("no line speaks of it")
 
-// Write prints a trace, a line a decision.
+// Write prints the trace, one line per decision. Without any decision it returns
+// ErrNotFound.
 func (t *Tracer) Write(w io.Writer) error {
 	decisions := t.Decisions()
 	if len(decisions) == 0 {
