--- a/ctl/check.go
+++ b/ctl/check.go
@@ -27,7 +27,7 @@
 	})
 }
 
-// checkReport is the output of check.
+// checkReport is the output of the command check.
 type checkReport struct {
 	OK       bool               `json:"ok"`
 	Hash     string             `json:"hash"`
@@ -120,7 +120,8 @@
 	}
 }
 
-// readLog folds the whole stream for a command that only looks.
+// readLog returns a reader that has applied the whole control stream, for commands
+// that don't commit.
 func (t *tool) readLog(ctx context.Context, f logFlags) (*reader, error) {
 	keys, err := f.requireKeys()
 	if err != nil {
@@ -137,7 +138,8 @@
 	return r, r.rejectUnknownKeys()
 }
 
-// change is one setting that differs. An empty side lacks the setting.
+// change is one setting that differs. An empty Before or After means that the
+// setting is empty or does not exist there.
 type change struct {
 	Section string `json:"section"`
 	Key     string `json:"key"`
@@ -145,8 +147,9 @@
 	After   string `json:"after"`
 }
 
-// compareSettings compares settings in force, so that a default that moved shows too.
-// It goes by b's order; what only a has comes last.
+// compareSettings returns the changes from a to b. It compares effective values, so
+// that a changed default is listed too. The changes are in b's order, followed by the
+// settings that only a has.
 func compareSettings(a, b []manifest.Setting) []change {
 	type settingKey struct{ section, key string }
 	before := make(map[settingKey]string, len(a))
--- a/ctl/commit.go
+++ b/ctl/commit.go
@@ -27,10 +27,11 @@
 )
 
 const (
-	rateRetryDelay = 250 * time.Millisecond // before an append that the log's rate refused is tried again
-	maxPollWait    = 500 * time.Millisecond // longest wait of one read for our record
+	rateRetryDelay = 250 * time.Millisecond // before a retry of an append that the log's rate limit refused
+	maxPollWait    = 500 * time.Millisecond // longest wait of one read for the appended record, and between failed reads
 )
 
+// signer is a private key with its id.
 type signer struct {
 	id  string
 	key ed25519.PrivateKey
@@ -65,10 +66,10 @@
 	})
 }
 
-// commitReport is the output of commit.
+// commitReport is the output of the command commit.
 type commitReport struct {
 	Outcome  string          `json:"outcome"`
-	Reason   string          `json:"reason,omitempty"` // what standard error says
+	Reason   string          `json:"reason,omitempty"` // the error that is printed to standard error
 	ID       string          `json:"id,omitempty"`     // of the log record
 	Number   uint64          `json:"number"`
 	Parent   uint64          `json:"parent"`
@@ -86,7 +87,7 @@
 		return err
 	}
 	var list targetLister
-	if f.wait { // find a mistake there before anything is committed
+	if f.wait { // find mistakes in these flags before the commit
 		if list, err = f.newTargetLister(t); err != nil {
 			return err
 		}
@@ -135,7 +136,7 @@
 	return data, signingKey, newReader(log, keys), nil
 }
 
-// commitOnce appends the revision at most once and finds its outcome.
+// commitOnce appends the revision at most once and determines its outcome.
 func commitOnce(ctx context.Context, r *reader, signingKey signer, data []byte, f commitFlags) (*commitReport, error) {
 	report := &commitReport{Outcome: outcomeNotAccepted, Hash: manifest.Hash(data)}
 	if _, err := r.readToEnd(ctx); err != nil {
@@ -162,7 +163,7 @@
 	return report, waitForOutcome(ctx, r, rev, report)
 }
 
-// findBase returns the number of the revision to commit over.
+// findBase returns the number of the parent revision for the commit; 0: there is none.
 func findBase(r *reader, f commitFlags) (uint64, error) {
 	head := r.state.Head()
 	switch {
@@ -191,9 +192,9 @@
 	return control.EncodeCommit(id, rev)
 }
 
-// appendOnce appends a record. It repeats only what the log has refused; a
-// record whose answer is lost may stand in the log, or may yet come to, so a
-// nil error means "look for it".
+// appendOnce appends a record. It retries only an append that the log refused because
+// of its rate limit. An append without an answer may already be in the log or may
+// still arrive there, so after a nil error the caller must look for the record.
 func appendOnce(ctx context.Context, log platform.Log, data []byte) error {
 	for {
 		_, err := log.Append(ctx, platform.StreamControl, data)
@@ -209,9 +210,9 @@
 	}
 }
 
-// waitForOutcome reads on until the record's outcome is known. Where the record
-// is not in the log, it may still be under way to it; but once another
-// revision has taken its parent's place it can't be accepted any more.
+// waitForOutcome reads the log until the record's outcome is known. A record that is
+// not in the log may still arrive. Once another revision with the same number is
+// accepted, the record can no longer be accepted.
 func waitForOutcome(ctx context.Context, r *reader, rev *pb.SignedRevision, report *commitReport) error {
 	var lastErr error
 	for ctx.Err() == nil {
@@ -234,8 +235,8 @@
 		"Commit the same file again when the log is well: it finds the revision if it was accepted", rev.Number, shortenHash(rev.Hash), reason)
 }
 
-// findOutcome looks for the record's outcome among events; head is the newest
-// revision after them.
+// findOutcome looks for the record's outcome in events and reports whether it was
+// found. head is the newest revision after the events.
 func findOutcome(events []control.Event, head *control.Revision, rev *pb.SignedRevision, report *commitReport) (bool, error) {
 	for _, event := range events {
 		switch e := event.(type) {
@@ -243,7 +244,7 @@
 			if e.Revision.Number != rev.Number {
 				continue
 			}
-			if e.Revision.Hash == rev.Hash { // ours, or the same manifest by another run
+			if e.Revision.Hash == rev.Hash { // this record, or the same manifest from another run
 				report.Outcome, report.Offset = outcomeAccepted, &e.Revision.Offset
 				return true, nil
 			}
@@ -265,7 +266,7 @@
 		return t.printJSON(report)
 	}
 	if report.Outcome == outcomeNotAccepted {
-		return nil // standard error says it
+		return nil // the error is printed to standard error
 	}
 	rows := [][]string{
 		{"outcome", report.Outcome},
--- a/ctl/ctl.go
+++ b/ctl/ctl.go
@@ -1,5 +1,5 @@
-// Package ctl holds the commands of dandelionctl, the program with which the
-// pipeline and operators check, commit and watch manifests.
+// Package ctl implements the commands of dandelionctl, with which operators and their
+// pipeline check, commit and watch manifests, query processes and evaluate logs.
 package ctl
 
 import (
@@ -25,8 +25,8 @@
 const (
 	ExitOK            = 0
 	ExitFailed        = 1 // the command failed; a commit was not accepted
-	ExitUsage         = 2 // a mistake on the command line
-	ExitRaceLost      = 3 // another revision won the race
+	ExitUsage         = 2 // the command line is not valid
+	ExitRaceLost      = 3 // another revision was accepted first
 	ExitUnknown       = 4 // the commit's outcome is unknown
 	ExitNotEverywhere = 5 // accepted, but not in force on every process in time
 )
@@ -36,7 +36,7 @@
 	envPrefix   = "DANDELIONCTL"
 )
 
-// exitError is an error with its exit code.
+// exitError is an error with the exit code of the program.
 type exitError struct {
 	code int
 	err  error
@@ -51,15 +51,15 @@
 
 func usageError(format string, args ...any) error { return newExitError(ExitUsage, format, args...) }
 
-// tool is one run of dandelionctl. Its functions are replaced in tests.
+// tool is one run of dandelionctl. Tests replace newLog and newVMs by fakes.
 type tool struct {
 	stdout, stderr io.Writer
 	newLog         func(base string) platform.Log
 	newVMs         func(base string) platform.VMList
 }
 
-// Main runs dandelionctl with the arguments behind the program's name and
-// returns the exit code.
+// Main runs dandelionctl and returns its exit code. args are the arguments without
+// the program's name.
 func Main(ctx context.Context, args []string, stdout, stderr io.Writer) int {
 	t := &tool{
 		stdout: stdout, stderr: stderr,
@@ -94,8 +94,9 @@
 	return code
 }
 
-// checkEnv refuses a variable that no command takes. One that another command
-// takes may stand in the pipeline's environment.
+// checkEnv returns a usage error for an environment variable with the program's
+// prefix that no command has. A variable of another command is allowed, because the
+// pipeline may set it for all commands.
 func checkEnv(environ []string, root *ffcli.Command) error {
 	var known []string
 	for _, c := range root.Subcommands {
@@ -119,7 +120,7 @@
 			fmt.Fprintf(t.stderr, "%s: there is no command %q%s\n", programName, args[0], settings.Nearest(args[0], commandNames(root)))
 		}
 		fmt.Fprintln(t.stderr, ffcli.DefaultUsageFunc(root))
-	default: // the flag set has printed the mistake and the usage, ff's own errors it has not
+	default: // the flag set prints its errors itself, but not those of package ff
 		fmt.Fprintf(t.stderr, "%s: %v\n", programName, err)
 	}
 	return ExitUsage
@@ -163,7 +164,7 @@
 	return set
 }
 
-// command makes a subcommand that takes min to max arguments.
+// command returns a subcommand that takes minArgs to maxArgs arguments.
 func (t *tool) command(set *flag.FlagSet, arguments, help string, minArgs, maxArgs int, run func(context.Context, []string) error) *ffcli.Command {
 	return &ffcli.Command{
 		Name:       set.Name(),
@@ -200,7 +201,7 @@
 	})
 }
 
-// readFile reads a manifest, from standard input for "-".
+// readFile reads a manifest file; "-" stands for standard input.
 func readFile(path string) ([]byte, error) {
 	if path == "-" {
 		data, err := io.ReadAll(os.Stdin)
--- a/ctl/ctl_test.go
+++ b/ctl/ctl_test.go
@@ -25,14 +25,14 @@
 	"dandelionsill.org/wire/pb"
 )
 
-// fakeLog is the control stream with faults.
+// fakeLog is a control stream that can be made to fail.
 type fakeLog struct {
 	mu          sync.Mutex
 	records     []platform.Record
-	first       uint64 // older ones are truncated
+	first       uint64 // offset of the first record that is not truncated
 	unavailable bool
 	appends     int
-	// onAppend stands in for an append; it may call add.
+	// onAppend replaces the append if it is not nil; it may call add.
 	onAppend func(data []byte) error
 }
 
@@ -79,7 +79,7 @@
 	t    *testing.T
 	log  *fakeLog
 	vms  fakeVMList
-	key  string // file
+	key  string // path of the private key file
 	priv ed25519.PrivateKey
 	dir  string
 }
@@ -143,14 +143,14 @@
 	code, report, _ = b.commit(b.manifest("b"))
 	require.Equal(t, ExitOK, code)
 	require.Equal(t, outcomeInForce, report.Outcome)
-	require.Len(t, b.log.records, 2, "the pipeline runs twice: nothing is added")
+	require.Len(t, b.log.records, 2, "a repeated commit of the same manifest adds no record")
 	code, _, stderr := b.commit("--parent", "1", b.manifest("c"))
 	require.Equal(t, ExitRaceLost, code)
 	require.Contains(t, stderr, "revision 2 is in force, not 1")
 }
 
-// Two operators commit at once. The other one's record comes first; ours is
-// rejected by everyone, and we are told who won.
+// Two operators commit at the same time and the other one's record comes first. Every
+// process rejects the second record, and the command reports the revision that won.
 func TestCommitLosesRace(t *testing.T) {
 	b := newHarness(t)
 	b.log.onAppend = func(data []byte) error {
@@ -165,8 +165,8 @@
 	require.Contains(t, stderr, "won the race")
 }
 
-// The append ran but its answer was lost. The stream shows the record; a
-// second append would count twice, and there is none.
+// The append succeeded but its answer was lost. The command must find the record in
+// the stream and must not append a second one, which would be another commit.
 func TestCommitFindsRecordAfterLostAnswer(t *testing.T) {
 	b := newHarness(t)
 	b.log.onAppend = func(data []byte) error {
@@ -179,8 +179,8 @@
 	require.Equal(t, 1, b.log.appends)
 }
 
-// The answer was lost and the record is not to be seen. It may still come, so
-// neither "accepted" nor "not accepted" would be true.
+// The answer of the append was lost and the record is not in the stream. It may still
+// arrive, so the command must report neither "accepted" nor "not accepted".
 func TestCommitOutcomeUnknownWithoutRecord(t *testing.T) {
 	b := newHarness(t)
 	b.log.onAppend = func([]byte) error { return platform.ErrAppendUnknown }
@@ -214,9 +214,10 @@
 	require.Equal(t, uint64(1), report.Number)
 }
 
-// The log has truncated the winner of a race but not its loser. A commit over
-// the wrong one would be rejected by every process, so it is not even made
-// until a reappend tells; --after is for a log that will never tell.
+// The log has truncated the winner of a race but not its loser. Every process would
+// reject a commit over the loser, so the command refuses to commit until a process
+// has reappended the revision in force. --after is for a log without any revision,
+// where no process can reappend it.
 func TestCommitAfterTruncation(t *testing.T) {
 	b := newHarness(t)
 	b.log.add(control.EncodeCommit("a", b.revision(1, 0, "winner")))
@@ -243,8 +244,9 @@
 	require.Equal(t, uint64(8), report.Number)
 }
 
-// A colleague's key signs too. Without it ctl would take his revisions for
-// forged, commit over an old one, and see its own commit accepted.
+// Another operator's key signs revisions too. If that key is not given, the command
+// would ignore these revisions as forged, commit over an older one, and wrongly see
+// its own commit accepted.
 func TestUnknownKey(t *testing.T) {
 	b := newHarness(t)
 	other := ed25519.NewKeyFromSeed(bytes.Repeat([]byte{1}, ed25519.SeedSize))
@@ -260,7 +262,8 @@
 	require.Contains(t, stderr, "private half")
 }
 
-// startProcess serves a process's status; its revision can be raised.
+// startProcess serves the HTTP endpoints of a process and returns its address. Each
+// query of the status raises the revision by one.
 func startProcess(t *testing.T, name string, revision *atomic.Uint64) string {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Path {
@@ -284,7 +287,7 @@
 
 func TestWaitUntilInForce(t *testing.T) {
 	b := newHarness(t)
-	var revision atomic.Uint64 // each poll finds the next one
+	var revision atomic.Uint64 // raised by each poll
 	addr := startProcess(t, "entry-1", &revision)
 	code, report, _ := b.commit("--wait", "--processes", addr, b.manifest("a"))
 	require.Equal(t, ExitOK, code)
@@ -292,7 +295,7 @@
 	code, _, stderr := b.commit("--wait", b.manifest("b"))
 	require.Equal(t, ExitUsage, code)
 	require.Contains(t, stderr, "--processes or --vms")
-	require.Len(t, b.log.records, 1, "the mistake was found before the commit")
+	require.Len(t, b.log.records, 1, "the missing flag is reported before the commit")
 	code, report, stderr = b.commit("--wait", "--timeout", "300ms", "--processes", addr+",127.0.0.1:1", b.manifest("b"))
 	require.Equal(t, ExitNotEverywhere, code)
 	require.Contains(t, stderr, "127.0.0.1:1")
@@ -300,7 +303,7 @@
 	require.Equal(t, "127.0.0.1:1", report.Behind[len(report.Behind)-1].Name)
 }
 
-// fakePeer answers as a process that holds one revision.
+// fakePeer answers as a process with a fixed revision.
 type fakePeer struct {
 	pb.UnimplementedPeerServer
 	revision uint64
@@ -330,7 +333,7 @@
 	b.log.unavailable = true
 	code, out, stderr = b.run("status", "--log", "http://127.0.0.1:1", "--public", b.public(), "--vms", "http://127.0.0.1:1")
 	require.Equal(t, ExitFailed, code)
-	require.Contains(t, out, "agent-1", "the processes are shown though the log is down")
+	require.Contains(t, out, "agent-1", "the processes are listed although the log is unavailable")
 	require.Contains(t, stderr, "log")
 }
 
@@ -411,8 +414,8 @@
 	require.Equal(t, ExitOK, code)
 }
 
-// The commands on logs read files, name what they can't read and fail where
-// nothing speaks of the id.
+// The commands trace and losses read log files and report the lines that they can't
+// parse. trace fails if no line has the id.
 func TestTraceAndLosses(t *testing.T) {
 	b := newHarness(t)
 	line := `{"ts":"2026-01-02T07:00:00.000Z","msg":"gateway: front: Request failed.","id":"q1","path":"/a/b","kind":"no_server","not_run":true}`
--- a/ctl/explain.go
+++ b/ctl/explain.go
@@ -39,7 +39,7 @@
 		})
 }
 
-// decision is a decision record as an entry tells it.
+// decision is a decision record in the answer of an entry.
 type decision struct {
 	AtMS    int64  `json:"at_ms"`
 	Process string `json:"process"`
@@ -50,15 +50,15 @@
 	TraceID string `json:"trace_id,omitempty"`
 }
 
-// explanation is an entry's answer and the output of explain.
+// explanation is the answer of an entry and the output of the command explain.
 type explanation struct {
 	ID        string     `json:"id"`
 	Decisions []decision `json:"decisions"`
-	NoAnswer  []string   `json:"silent"` // processes that gave no answer; their records are missing
+	NoAnswer  []string   `json:"silent"` // processes that did not answer; their records are missing
 }
 
-// explain asks every entry: only the one that had the request knows of it, and
-// several may have asked the same agent.
+// explain queries every entry, because only the entry that handled the request has its
+// records. Duplicates are removed: several entries may return records of the same agent.
 func (t *tool) explain(ctx context.Context, format string, addrs []string, token, id string) error {
 	merged := explanation{ID: id, Decisions: []decision{}, NoAnswer: []string{}}
 	var lastErr error
--- a/ctl/flags.go
+++ b/ctl/flags.go
@@ -16,13 +16,13 @@
 
 const defaultTimeout = 30 * time.Second
 
-// Forms of output.
+// Output formats.
 const (
 	outputTable = "table"
 	outputJSON  = "json"
 )
 
-// outputFlag is --output.
+// outputFlag is the flag --output.
 type outputFlag struct{ format string }
 
 func (o *outputFlag) register(set *flag.FlagSet) {
@@ -36,7 +36,8 @@
 	return nil
 }
 
-// logFlags say where the log is and whose signatures count.
+// logFlags are the flags for the address of the log and for the public keys whose
+// signatures are accepted.
 type logFlags struct {
 	url    string
 	public string
@@ -65,7 +66,8 @@
 	return keys, nil
 }
 
-// requireKeys is keys for commands that have no signing key to fall back on.
+// requireKeys returns the keys, or a usage error without any. It is for commands
+// without a signing key, whose public half would be accepted too.
 func (l *logFlags) requireKeys() (manifest.Keys, error) {
 	if l.public == "" {
 		return nil, usageError("--public is missing: without it no revision's signature can be checked")
@@ -73,7 +75,7 @@
 	return l.keys()
 }
 
-// addresses checks a comma-separated list of IP:port.
+// addresses parses a comma-separated list of IP:port; name is the flag in errors.
 func addresses(name, list string) ([]string, error) {
 	items := splitList(list)
 	for _, item := range items {
--- a/ctl/keygen.go
+++ b/ctl/keygen.go
@@ -49,7 +49,8 @@
 	return errors.Trace(err)
 }
 
-// writeNewFile never overwrites: the old key may be the only one that signs.
+// writeNewFile creates a file and fails if it exists: an old key may be the only one
+// whose signatures are accepted.
 func writeNewFile(path, text string) error {
 	file, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, keyFileMode)
 	if err != nil {
--- a/ctl/logs.go
+++ b/ctl/logs.go
@@ -15,7 +15,7 @@
 	"dandelionsill.org/ctl/logscan"
 )
 
-// maxPaths bounds the arguments of the commands on logs.
+// maxPaths is the maximum number of arguments of the commands that read logs.
 const maxPaths = 10_000
 
 func (t *tool) traceCommand() *ffcli.Command {
@@ -84,7 +84,8 @@
 	return t.printTable([]string{"WHAT", "FATE", "CAUSE", "COUNT", "FIRST", "LAST", "FIRST ID"}, cells)
 }
 
-// scan reads logs, shows its progress on a terminal and tells what can't be read.
+// scan calls add with each line of the logs, shows the progress on a terminal and
+// prints which lines can't be parsed.
 func (t *tool) scan(paths []string, add func(*logscan.Line)) (logscan.Stats, error) {
 	if len(paths) == 0 {
 		paths = []string{logscan.Stdin}
@@ -99,7 +100,7 @@
 			size = -1 // unknown
 		}
 		bar := progressbar.DefaultBytes(size, "reading")
-		defer func() { _ = bar.Finish() }() // a bar that can't be drawn harms nothing
+		defer func() { _ = bar.Finish() }() // an error only affects the progress bar
 		progress = bar
 	}
 	stats, err := logscan.Read(files, os.Stdin, progress, add)
--- a/ctl/output.go
+++ b/ctl/output.go
@@ -12,16 +12,16 @@
 	"dandelionsill.org/fold/control"
 )
 
-const shortHashDigits = 12 // hex digits in tables
+const shortHashDigits = 12 // hex digits of a hash in tables
 
-// revisionReport is a revision in outputs.
+// revisionReport describes a revision in the output of several commands.
 type revisionReport struct {
 	Number uint64 `json:"number"`
 	Parent uint64 `json:"parent"`
 	Hash   string `json:"hash"`
 	KeyID  string `json:"key_id"`
 	Offset uint64 `json:"offset"`
-	Error  string `json:"error,omitempty"` // this program can't read the manifest
+	Error  string `json:"error,omitempty"` // why this program can't parse the manifest
 }
 
 func newRevisionReport(rev *control.Revision) *revisionReport {
@@ -43,7 +43,7 @@
 	return errors.Trace(encoder.Encode(v))
 }
 
-// printTable prints aligned columns, "-" for an empty cell; header may be nil.
+// printTable prints aligned columns, with "-" for an empty cell; header may be nil.
 func (t *tool) printTable(header []string, rows [][]string) error {
 	w := tabwriter.NewWriter(t.stdout, 0, 0, 2, ' ', 0)
 	if header != nil {
--- a/ctl/processes.go
+++ b/ctl/processes.go
@@ -24,15 +24,16 @@
 const (
 	requestTimeout      = 2 * time.Second
 	maxParallelRequests = 64
-	pollInterval        = 200 * time.Millisecond // between two rounds
+	pollInterval        = 200 * time.Millisecond // between two queries of all processes
 	maxResponseBytes    = 4 << 20                // bytes
 )
 
-// httpClient asks processes by IP, never through a proxy that the environment names.
+// httpClient sends requests to processes by IP. It ignores proxies that the
+// environment sets.
 var httpClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 
-// processFlags name the processes to ask: by their HTTP addresses or by the VM
-// list, whose rows carry their gRPC addresses.
+// processFlags are the flags for the processes to query: their HTTP addresses, or the
+// address of the VM list, whose rows have their gRPC addresses.
 type processFlags struct {
 	processes string
 	vms       string
@@ -43,25 +44,25 @@
 	set.StringVar(&p.vms, "vms", "", "base URL of the VM list, by IP: ask every process in it over gRPC")
 }
 
-// processReport is what a process says of itself.
+// processReport is the state that a process reports.
 type processReport struct {
 	Name     string `json:"name"`
 	Addr     string `json:"addr"`
 	Role     string `json:"role"`
 	Revision uint64 `json:"revision"`
 	Hash     string `json:"hash"`
-	Ready    *bool  `json:"ready,omitempty"` // nil: not asked
+	Ready    *bool  `json:"ready,omitempty"` // nil: not reported
 	Leaving  bool   `json:"leaving"`
-	Error    string `json:"error,omitempty"` // it gave no answer
+	Error    string `json:"error,omitempty"` // why there is no answer
 }
 
-// target is a process to ask.
+// target is a process to query, over gRPC or HTTP.
 type target struct {
 	processReport
 	grpc bool
 }
 
-// targetLister returns the processes to ask now.
+// targetLister returns the current list of processes to query.
 type targetLister func(ctx context.Context) ([]target, error)
 
 func (p *processFlags) newTargetLister(t *tool) (targetLister, error) {
@@ -107,7 +108,8 @@
 	}
 }
 
-// queryAll asks every process at once, within bounds, and sorts the answers.
+// queryAll queries all processes, at most maxParallelRequests at a time, and returns
+// their reports sorted by name. The revision and hash are those for queryPeer.
 func queryAll(ctx context.Context, list []target, revision uint64, hash string) []processReport {
 	reports := make([]processReport, len(list))
 	slots := make(chan struct{}, maxParallelRequests)
@@ -140,8 +142,9 @@
 	return report
 }
 
-// queryPeer asks over the peers' own protocol. Telling our revision keeps the
-// answer small: a peer sends manifests only to who is behind.
+// queryPeer queries a process with the protocol between peers. The request contains the
+// newest known revision to keep the answer small: a peer sends its manifest only to a
+// process with an older revision.
 func queryPeer(ctx context.Context, report *processReport, revision uint64, hash string) error {
 	conn, err := run.NewClient(report.Addr)
 	if err != nil {
@@ -156,7 +159,8 @@
 	return nil
 }
 
-// getJSON asks a process over HTTP; token may be empty.
+// getJSON sends a GET request to a process and decodes the answer into dst. With an
+// empty token, the request has no Authorization header.
 func getJSON(ctx context.Context, addr, path, token string, dst any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+path, nil)
 	if err != nil {
@@ -180,8 +184,8 @@
 	return errors.Annotate(json.Unmarshal(body, dst), addr+path)
 }
 
-// waitUntilInForce asks until every process that is there holds the revision or
-// a later one. The list is asked for anew each round: VMs come and go.
+// waitUntilInForce queries the processes until every listed process has the revision or
+// a later one. It reads the list again each time, because VMs are added and removed.
 func waitUntilInForce(ctx context.Context, list targetLister, report *commitReport) error {
 	start := time.Now()
 	var listErr error
--- a/ctl/read.go
+++ b/ctl/read.go
@@ -11,9 +11,9 @@
 	"dandelionsill.org/platform"
 )
 
-const maxPageRecords = 256 // at once
+const maxPageRecords = 256 // per read
 
-// reader folds the control stream.
+// reader reads the control stream and applies its records to a state.
 type reader struct {
 	log        platform.Log
 	keys       manifest.Keys
@@ -21,8 +21,8 @@
 	nextOffset uint64 // the next offset to read
 	endOffset  uint64 // the stream's end at the last read
 
-	// unknownKeys holds key ids which signed revisions that were rejected
-	// just because keys lacks them.
+	// unknownKeys holds the ids of keys that are missing in keys, and whose revisions
+	// were rejected for that reason.
 	unknownKeys map[string]bool
 }
 
@@ -30,7 +30,8 @@
 	return &reader{log: log, keys: keys, state: control.New(keys), unknownKeys: map[string]bool{}}
 }
 
-// readPage reads one page and waits up to wait for its first record.
+// readPage reads and applies one page of records. It waits up to wait for the first
+// record. If records were truncated, it skips to the first one that is left.
 func (r *reader) readPage(ctx context.Context, wait time.Duration) ([]control.Event, error) {
 	page, err := r.log.Read(ctx, platform.StreamControl, r.nextOffset, maxPageRecords, wait)
 	if errors.Is(err, platform.ErrTruncated) {
@@ -64,7 +65,7 @@
 	}
 }
 
-// readToEnd reads up to the end that the stream has now.
+// readToEnd reads and applies all records up to the current end of the stream.
 func (r *reader) readToEnd(ctx context.Context) ([]control.Event, error) {
 	var all []control.Event
 	for {
@@ -83,7 +84,7 @@
 	}
 }
 
-// rejectUnknownKeys fails where the fold may be wrong because keys are missing.
+// rejectUnknownKeys returns an error if the state may be wrong because keys are missing.
 func (r *reader) rejectUnknownKeys() error {
 	for id := range r.unknownKeys {
 		return newExitError(ExitFailed, "the log holds revisions signed by key %q; name it in --public, else the revision in force can't be told", id)
--- a/ctl/status.go
+++ b/ctl/status.go
@@ -35,7 +35,7 @@
 		})
 }
 
-// statusReport is the output of status.
+// statusReport is the output of the command status.
 type statusReport struct {
 	Log       *logReport      `json:"log,omitempty"`
 	LogError  string          `json:"log_error,omitempty"`
@@ -43,14 +43,14 @@
 }
 
 type logReport struct {
-	Settled  bool              `json:"settled"` // false: lost records leave the revision open
+	Settled  bool              `json:"settled"` // false: lost records leave the revision in force undetermined
 	Revision *revisionReport   `json:"revision"`
 	Versions map[string]uint64 `json:"versions"`
 	End      uint64            `json:"end"` // the next record's offset
 	Skipped  uint64            `json:"skipped"`
 }
 
-// status shows what it can get: the log may be down while processes answer.
+// status prints all that is available: processes may answer while the log does not.
 func (t *tool) status(ctx context.Context, format string, log logFlags, processes processFlags) error {
 	queryProcesses := processes != (processFlags{})
 	if log.url == "" && !queryProcesses {
@@ -173,7 +173,7 @@
 		})
 }
 
-// watchLine is one line of watch's output.
+// watchLine is one line of the output of the command watch.
 type watchLine struct {
 	Event    string          `json:"event"`
 	ID       string          `json:"id,omitempty"`
@@ -184,8 +184,8 @@
 	Reason   string          `json:"reason,omitempty"`
 }
 
-// watch prints the newest revision, then every event that follows. While the
-// log can't be read it says so once and goes on trying.
+// watch prints the newest revision and then every later event. If the log can't be
+// read, it prints that once and keeps retrying.
 func (t *tool) watch(ctx context.Context, format string, f logFlags) error {
 	r, err := t.readLog(ctx, f)
 	if err != nil {
