--- a/cmd/dandelion-agent/main.go
+++ b/cmd/dandelion-agent/main.go
@@ -1,5 +1,5 @@
-// Command dandelion-agent runs beside one backend server and is the only way
-// to it.
+// Command dandelion-agent runs beside one backend server; all requests to the backend
+// server go through it.
 package main
 
 import (
--- a/cmd/dandelion-entry/main.go
+++ b/cmd/dandelion-entry/main.go
@@ -1,5 +1,5 @@
-// Command dandelion-entry accepts callers, trainers and operators, and picks
-// the backend servers that serve them.
+// Command dandelion-entry accepts requests of callers, trainers and operators, and
+// selects the backend servers that handle them.
 package main
 
 import (
--- a/cmd/dandelion-gateway/main.go
+++ b/cmd/dandelion-gateway/main.go
@@ -1,5 +1,5 @@
-// Command dandelion-gateway takes callers and trainers on the prepared
-// machines, and owns batch jobs.
+// Command dandelion-gateway accepts requests of callers and trainers on the hosted
+// platform, and runs the batch jobs that it owns.
 package main
 
 import (
--- a/cmd/dandelion-load/main.go
+++ b/cmd/dandelion-load/main.go
@@ -1,5 +1,6 @@
-// Command dandelion-load loads a site, runs the bench's experiments and judges
-// what callers and trainers saw against the stand-ins' ground truth.
+// Command dandelion-load generates load on a site, runs the experiments of the bench
+// and checks the results that callers and trainers received against the stand-ins'
+// ground truth.
 package main
 
 import (
--- a/cmd/dandelion-orders/main.go
+++ b/cmd/dandelion-orders/main.go
@@ -1,5 +1,5 @@
-// Command dandelion-orders runs beside one engine on the prepared machines and
-// orders it to load weights.
+// Command dandelion-orders runs beside one engine on the hosted platform and orders it
+// to load weights.
 package main
 
 import (
--- a/cmd/dandelion-standin/main.go
+++ b/cmd/dandelion-standin/main.go
@@ -1,5 +1,5 @@
-// Command dandelion-standin runs one stand-in for the platform, for tests and
-// the demo only.
+// Command dandelion-standin runs one stand-in for a part of the platform. It is only
+// for tests and the demo.
 package main
 
 import (
@@ -73,7 +73,7 @@
 	}
 }
 
-// serve makes the subcommand of one stand-in.
+// serve returns the subcommand that serves one stand-in over HTTP.
 func serve(name, help string, flags func(*flag.FlagSet), build func() (http.Handler, error)) *ffcli.Command {
 	fs := flag.NewFlagSet(name, flag.ExitOnError)
 	listen := fs.String("listen", "127.0.0.1:0", "IP:port to listen on")
--- a/cmd/dandelionctl/main.go
+++ b/cmd/dandelionctl/main.go
@@ -1,4 +1,5 @@
-// Command dandelionctl checks, commits and watches manifests.
+// Command dandelionctl is the operators' command line: it checks, commits and watches
+// manifests, queries processes and evaluates logs.
 package main
 
 import (
