--- a/manifest/manifest.go
+++ b/manifest/manifest.go
@@ -32,7 +32,7 @@
 // order. It returns nil for a Manifest that Parse did not return.
 func (m *Manifest) Settings() []Setting { return m.settings }
 
-// Weigh selects the measure that operators want to keep low first.
+// Weigh selects the measure that has priority for the operators.
 type Weigh string
 
 const (
