--- a/ctl/flags.go
+++ b/ctl/flags.go
@@ -16,27 +16,28 @@
 
 const defaultTimeout = 30 * time.Second
 
-// Forms of output.
+// Output formats.
 const (
 	outputTable = "table"
 	outputJSON  = "json"
 )
 
-// outputFlag is --output.
-type outputFlag struct{ form string }
+// outputFlag is the flag --output.
+type outputFlag struct{ format string }
 
 func (o *outputFlag) register(set *flag.FlagSet) {
-	set.StringVar(&o.form, "output", outputTable, "form of the output: table or json")
+	set.StringVar(&o.format, "output", outputTable, "form of the output: table or json")
 }
 
 func (o *outputFlag) check() error {
-	if o.form != outputTable && o.form != outputJSON {
-		return usageError("--output %q is not %s or %s", o.form, outputTable, outputJSON)
+	if o.format != outputTable && o.format != outputJSON {
+		return usageError("--output %q is not %s or %s", o.format, outputTable, outputJSON)
 	}
 	return nil
 }
 
-// logFlags say where the log is and whose signatures count.
+// logFlags are the flags for the address of the log and for the public keys whose
+// signatures are accepted.
 type logFlags struct {
 	url    string
 	public string
@@ -65,7 +66,8 @@
 	return keys, nil
 }
 
-// requireKeys is keys for commands that have no signing key to fall back on.
+// requireKeys returns the keys, or a usage error without any. It is for commands
+// without a signing key, whose public half would be accepted too.
 func (l *logFlags) requireKeys() (manifest.Keys, error) {
 	if l.public == "" {
 		return nil, usageError("--public is missing: without it no revision's signature can be checked")
@@ -73,7 +75,7 @@
 	return l.keys()
 }
 
-// addresses checks a comma-separated list of IP:port.
+// addresses parses a comma-separated list of IP:port; name is the flag in errors.
 func addresses(name, list string) ([]string, error) {
 	items := splitList(list)
 	for _, item := range items {
--- a/ctl/logscan/source.go
+++ b/ctl/logscan/source.go
@@ -14,40 +14,42 @@
 	"github.com/juju/errors"
 )
 
-// longestLine bounds a line, in bytes. Processes write lines of a few hundred.
-const longestLine = 1 << 20
+// maxLineBytes is the largest part of a line that is kept, in bytes. Processes write
+// lines of a few hundred bytes.
+const maxLineBytes = 1 << 20
 
-// Problem is a line that could not be read.
+// Problem is a line that could not be parsed.
 type Problem struct {
 	File  string `json:"file"`
 	Line  int    `json:"line"`
 	Error string `json:"error"`
 }
 
-// Stats tells what was read.
+// Stats counts the lines that were read.
 type Stats struct {
-	Lines   int `json:"lines"`   // records of processes
-	Remarks int `json:"remarks"` // lines that are none
-	Bad     int `json:"bad"`     // lines that could not be read
-	// Problems are the first of the bad lines.
+	Lines      int `json:"lines"`   // log records of processes
+	OtherLines int `json:"remarks"` // lines that are not log records
+	Bad        int `json:"bad"`     // lines that could not be parsed
+	// Problems holds the first maxProblems of the bad lines.
 	Problems []Problem `json:"problems,omitempty"`
 }
 
-// problemsKept bounds Stats.Problems.
-const problemsKept = 5
+// maxProblems is the maximum length of Stats.Problems.
+const maxProblems = 5
 
-func (s *Stats) bad(file string, line int, err error) {
+func (s *Stats) addProblem(file string, line int, err error) {
 	s.Bad++
-	if len(s.Problems) < problemsKept {
+	if len(s.Problems) < maxProblems {
 		s.Problems = append(s.Problems, Problem{file, line, err.Error()})
 	}
 }
 
-// Stdin names standard input among the paths.
+// Stdin is the path that stands for standard input.
 const Stdin = "-"
 
-// Files returns the log files that paths name: files themselves, folders with all
-// files below them, and Stdin. Its size is in bytes; 0: not known.
+// Files returns the log files for paths: a path may be a file, a directory, which
+// stands for all files below it, or Stdin. size is the total size of the files in
+// bytes, without standard input.
 func Files(paths []string) (files []string, size int64, err error) {
 	for _, path := range paths {
 		if path == Stdin {
@@ -72,19 +74,19 @@
 	return files, size, nil
 }
 
-// Read calls f with the lines of all files in the order of their times. Each file
-// has to be in that order by itself, as processes write it. progress is told the
-// bytes that were read; nil: nobody asks.
+// Read calls f with the log records of all files in the order of their times. Each
+// file must be in that order already, as processes write it. If progress is not
+// nil, all bytes that are read are also written to it.
 func Read(files []string, stdin io.Reader, progress io.Writer, f func(*Line)) (Stats, error) {
 	var stats Stats
-	var queue readers
+	var queue readerHeap
 	defer func() { queue.close() }()
 	for _, file := range files {
-		r, err := open(file, stdin, progress)
+		opened, err := open(file, stdin, progress)
 		if err != nil {
 			return stats, err
 		}
-		queue = append(queue, r)
+		queue = append(queue, opened)
 	}
 	queue = slices.DeleteFunc(queue, func(r *reader) bool { return !r.next(&stats) })
 	heap.Init(&queue)
@@ -103,15 +105,15 @@
 	return stats, nil
 }
 
-// reader reads one file.
+// reader reads the log records of one file.
 type reader struct {
-	file    string
-	process string
-	in      *bufio.Reader
-	closer  io.Closer
-	number  int
-	line    Line
-	err     error
+	file       string
+	process    string
+	input      *bufio.Reader
+	closer     io.Closer
+	lineNumber int
+	line       Line
+	err        error
 }
 
 func open(file string, stdin io.Reader, progress io.Writer) (*reader, error) {
@@ -129,20 +131,21 @@
 	if progress != nil {
 		in = io.TeeReader(in, progress)
 	}
-	r.in = bufio.NewReaderSize(in, 64<<10)
+	r.input = bufio.NewReaderSize(in, 64<<10)
 	return r, nil
 }
 
 func (r *reader) close() {
 	if r.closer != nil {
-		_ = r.closer.Close() // it was only read
+		_ = r.closer.Close() // the file was only read
 	}
 }
 
-// next reads the next record; false: there is none, or r.err.
+// next reads the next record into r.line. It returns false at the end of the file
+// and after an error, which is then in r.err.
 func (r *reader) next(stats *Stats) bool {
 	for {
-		text, err := r.text()
+		text, err := r.readLine()
 		if err != nil && err != io.EOF {
 			r.err = errors.Trace(err)
 			return false
@@ -150,68 +153,69 @@
 		if len(text) == 0 && err == io.EOF {
 			return false
 		}
-		r.number++
-		line, parseErr := parse(text, r.process)
+		r.lineNumber++
+		line, parseErr := parseLine(text, r.process)
 		switch {
 		case parseErr == nil:
 			stats.Lines++
-			line.File, line.Number = r.file, r.number
+			line.File, line.Number = r.file, r.lineNumber
 			r.line = line
 			return true
-		case errors.Is(parseErr, errNoRecord):
-			stats.Remarks++
+		case errors.Is(parseErr, errNotRecord):
+			stats.OtherLines++
 		default:
-			stats.bad(r.file, r.number, parseErr)
+			stats.addProblem(r.file, r.lineNumber, parseErr)
 		}
 	}
 }
 
-// text reads one line. Of a line that is too long the rest is passed over; what is
-// left of it can't be read as a record.
-func (r *reader) text() ([]byte, error) {
+// readLine reads one line. A line longer than maxLineBytes is truncated, and then
+// can't be parsed as a record.
+func (r *reader) readLine() ([]byte, error) {
 	var text []byte
 	for {
-		piece, err := r.in.ReadSlice('\n')
-		if len(text) < longestLine {
-			text = append(text, piece[:min(len(piece), longestLine-len(text))]...)
+		piece, err := r.input.ReadSlice('\n')
+		if len(text) < maxLineBytes {
+			text = append(text, piece[:min(len(piece), maxLineBytes-len(text))]...)
 		}
 		if err != bufio.ErrBufferFull {
-			return bytes.TrimRight(text, "\r\n"), eofOf(err, len(text))
+			return bytes.TrimRight(text, "\r\n"), eofIfEmpty(err, len(text))
 		}
 	}
 }
 
-// eofOf tells the end of a file only where no line stands before it.
-func eofOf(err error, read int) error {
+// eofIfEmpty drops an io.EOF that follows a last line without a line feed, so that
+// this line is returned before the end of the file.
+func eofIfEmpty(err error, read int) error {
 	if err == io.EOF && read > 0 {
 		return nil
 	}
 	return err
 }
 
-// readers is a heap by the times of the lines at hand.
-type readers []*reader
+// readerHeap is a heap of readers, ordered by the times of their current lines.
+type readerHeap []*reader
 
 // Len implements heap.Interface.
-func (q readers) Len() int { return len(q) }
+func (q readerHeap) Len() int { return len(q) }
 
 // Less implements heap.Interface.
-func (q readers) Less(i, j int) bool { return q[i].line.At.Before(q[j].line.At) }
+func (q readerHeap) Less(i, j int) bool { return q[i].line.At.Before(q[j].line.At) }
 
 // Swap implements heap.Interface.
-func (q readers) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q readerHeap) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
 // Push implements heap.Interface.
-func (q *readers) Push(x any) { *q = append(*q, x.(*reader)) }
+func (q *readerHeap) Push(x any) { *q = append(*q, x.(*reader)) }
 
 // Pop implements heap.Interface.
-func (q *readers) Pop() any {
+func (q *readerHeap) Pop() any {
 	last := (*q)[len(*q)-1]
 	*q = (*q)[:len(*q)-1]
 	return last
 }
 
-func (q readers) close() {
+func (q readerHeap) close() {
 	for _, r := range q {
 		r.close()
 	}
--- a/manifest/decode.go
+++ b/manifest/decode.go
@@ -8,10 +8,11 @@
 	"time"
 )
 
-// Defaults that hang on what the operators weigh more. Under WeighIdle a
-// running stream may finish before its engine swaps weights (a cancelled
-// sample is work a step waits for again); under WeighStaleness the swap goes
-// first. Both stay under the 15 s in which new weights must be on all servers.
+// Defaults of swap_grace, which depend on Fleet.Weigh. With WeighIdle a running
+// stream may finish before its engine swaps weights, because a step must wait
+// again for the work of a cancelled sample. With WeighStaleness the swap has
+// precedence. Both are shorter than the 15 s in which new weights must be on all
+// servers.
 const (
 	swapGraceIdle      = 8 * time.Second
 	swapGraceStaleness = time.Second
@@ -22,6 +23,8 @@
 	maxWeight   = 1000
 )
 
+// decode builds the manifest from the sections and reports the values that are
+// not valid.
 func (p *parser) decode() *Manifest {
 	m := &Manifest{
 		Models:   map[string]Model{},
@@ -30,7 +33,7 @@
 		Callers:  map[string]Caller{},
 		Leaving:  map[string]bool{},
 	}
-	p.decodeFleet(m) // first: other defaults hang on it
+	p.decodeFleet(m) // first: defaults of other sections depend on it
 	for _, s := range p.sections {
 		switch s.kind {
 		case "model":
@@ -109,6 +112,7 @@
 	}
 }
 
+// decodeRoutes adds each route to its service. The services must be decoded.
 func (p *parser) decodeRoutes(m *Manifest) {
 	for _, s := range p.sections {
 		if s.kind != "route" {
@@ -118,10 +122,10 @@
 		route := s.route(name)
 		svc, ok := m.Services[service]
 		if !ok {
-			s.fail("", nearest(service, names(m.Services)), "there is no [service %s]", service)
+			s.fail("", nearest(service, sortedKeys(m.Services)), "there is no [service %s]", service)
 			continue
 		}
-		if earlier, ok := hiddenBy(route, svc.Routes); ok {
+		if earlier, ok := findShadowingRoute(route, svc.Routes); ok {
 			s.fail("", "", "is never reached: route %s before it matches all of it", earlier)
 		}
 		svc.Routes = append(svc.Routes, route)
@@ -129,10 +133,10 @@
 	}
 }
 
-// hiddenBy names an earlier route that leaves nothing for a later one. Such a
-// file most likely has its routes in the wrong order, and a write could pass
-// under the terms of a read.
-func hiddenBy(route Route, earlier []Route) (string, bool) {
+// findShadowingRoute returns the name of an earlier route that matches everything
+// that route matches. Such a file most likely has its routes in the wrong order,
+// and a write could be handled by the rules of a read.
+func findShadowingRoute(route Route, earlier []Route) (string, bool) {
 	for _, e := range earlier {
 		if e.covers(route.Prefix) && coversMethods(e.Methods, route.Methods) {
 			return e.Name, true
@@ -141,6 +145,8 @@
 	return "", false
 }
 
+// coversMethods reports whether the methods all include every one of some. An
+// empty list stands for any method.
 func coversMethods(all, some []string) bool {
 	if len(all) == 0 {
 		return true
@@ -168,7 +174,7 @@
 	t := Trainer{
 		Name:         s.name,
 		TokenSHA256:  s.tokenHashes("token_sha256"),
-		Mixed:        s.boolean("mixed", false),
+		AllowMixed:   s.boolean("mixed", false),
 		ScorerPath:   s.path("scorer_path", "/score"),
 		HedgePercent: s.number("hedge_percent", 5, 0, 100),
 		Weight:       s.weight(),
@@ -187,14 +193,14 @@
 
 func (s *section) caller() Caller {
 	c := Caller{
-		Name:         s.name,
-		TokenSHA256:  s.tokenHashes("token_sha256"),
-		Allow:        map[string]bool{},
-		Rate:         s.number("rate", 0, 0, 1e6),
-		Concurrent:   s.integer("concurrent", 0, 0, 1_000_000),
-		Weight:       s.weight(),
-		Priority:     s.integer("priority", 0, -maxPriority, maxPriority),
-		RetryPercent: s.number("retry_percent", 10, 0, 100),
+		Name:          s.name,
+		TokenSHA256:   s.tokenHashes("token_sha256"),
+		Allow:         map[string]bool{},
+		Rate:          s.number("rate", 0, 0, 1e6),
+		MaxConcurrent: s.integer("concurrent", 0, 0, 1_000_000),
+		Weight:        s.weight(),
+		Priority:      s.integer("priority", 0, -maxPriority, maxPriority),
+		RetryPercent:  s.number("retry_percent", 10, 0, 100),
 	}
 	c.Burst = s.integer("burst", max(1, int(math.Ceil(c.Rate))), 1, 1_000_000)
 	s.require("token_sha256")
@@ -205,7 +211,7 @@
 	return c
 }
 
-// crossCheck finds what only two sections together get wrong.
+// crossCheck reports contradictions between sections.
 func (p *parser) crossCheck(m *Manifest) {
 	tokens := map[string]string{}
 	for _, s := range p.sections {
@@ -230,6 +236,8 @@
 	}
 }
 
+// checkTokens reports token hashes that another section has too. seen maps the
+// hashes so far to the titles of their sections.
 func (s *section) checkTokens(key, hashes string, seen map[string]string) {
 	for _, hash := range splitHashes(hashes) {
 		if owner, ok := seen[hash]; ok {
@@ -242,7 +250,7 @@
 func (s *section) checkTrainer(m *Manifest) {
 	t := m.Trainers[s.name]
 	if _, ok := m.Models[t.Model]; !ok && t.Model != "" {
-		s.fail("model", nearest(t.Model, names(m.Models)), "there is no [model %s]", t.Model)
+		s.fail("model", nearest(t.Model, sortedKeys(m.Models)), "there is no [model %s]", t.Model)
 	}
 	if t.Scorer == "" {
 		if _, ok := s.values["scorer_path"]; ok {
@@ -252,10 +260,10 @@
 	}
 	scorer, ok := m.Services[t.Scorer]
 	if !ok {
-		s.fail("scorer", nearest(t.Scorer, names(m.Services)), "there is no [service %s]", t.Scorer)
+		s.fail("scorer", nearest(t.Scorer, sortedKeys(m.Services)), "there is no [service %s]", t.Scorer)
 		return
 	}
-	// A score whose answer is lost is asked for again.
+	// A score request is sent again if its answer was lost.
 	if r, ok := scorer.Match("POST", t.ScorerPath); !ok || r.Repeat != RepeatAlways {
 		s.fail("scorer_path", "", "POST %s must match a route of service %s with repeat = always", t.ScorerPath, t.Scorer)
 	}
@@ -265,7 +273,7 @@
 	if _, ok := m.Trainers[s.name]; ok {
 		s.fail("", "", "a trainer has the same name; their fair shares would be one")
 	}
-	known := append(names(m.Models), names(m.Services)...)
+	known := append(sortedKeys(m.Models), sortedKeys(m.Services)...)
 	for _, name := range slices.Sorted(maps.Keys(m.Callers[s.name].Allow)) {
 		if !slices.Contains(known, name) {
 			s.fail("allow", nearest(name, known), "there is no model or service %q", name)
@@ -273,6 +281,6 @@
 	}
 }
 
-func names[T any](m map[string]T) []string {
+func sortedKeys[T any](m map[string]T) []string {
 	return slices.Sorted(maps.Keys(m))
 }
--- a/manifest/parse_test.go
+++ b/manifest/parse_test.go
@@ -24,7 +24,7 @@
 	return data
 }
 
-func TestExamplesParse(t *testing.T) {
+func TestParseExamples(t *testing.T) {
 	paths, err := filepath.Glob("../examples/manifests/*.ini")
 	require.NoError(t, err)
 	require.NotEmpty(t, paths)
@@ -42,17 +42,17 @@
 	require.Equal(t, 15*time.Minute, m.Fleet.KeyWindow)
 	require.Equal(t, 1, m.Callers["demo-app"].Burst)
 
-	stale := strings.Replace(string(readExample(t, "demo.ini")), "weigh = idle", "weigh = staleness", 1)
-	m, err = Parse("demo.ini", []byte(stale))
+	stalenessText := strings.Replace(string(readExample(t, "demo.ini")), "weigh = idle", "weigh = staleness", 1)
+	m, err = Parse("demo.ini", []byte(stalenessText))
 	require.NoError(t, err)
 	require.Equal(t, time.Second, m.Models["demo-lm"].SwapGrace)
 }
 
-func TestTokens(t *testing.T) {
+func TestTokenLookup(t *testing.T) {
 	m, err := Parse("demo.ini", readExample(t, "demo.ini"))
 	require.NoError(t, err)
-	literal := &Manifest{Callers: m.Callers, Trainers: m.Trainers}
-	for _, m := range []*Manifest{m, literal} {
+	unindexed := &Manifest{Callers: m.Callers, Trainers: m.Trainers}
+	for _, m := range []*Manifest{m, unindexed} {
 		c, ok := m.CallerByToken("demo-caller-token")
 		require.True(t, ok)
 		require.Equal(t, "demo-app", c.Name)
@@ -66,8 +66,8 @@
 	}
 }
 
-// A caller's token is rotated: for a while the manifest holds two sums, and
-// both tokens are let in as the same caller; then the old one is shut out.
+// While a caller's token is rotated, the manifest holds two hashes and both
+// tokens identify the same caller. Afterwards the old token is rejected.
 func TestTokenRotation(t *testing.T) {
 	const old, fresh = "demo-caller-token", "new-token"
 	sum := func(token string) string { return fmt.Sprintf("%x", sha256.Sum256([]byte(token))) }
@@ -84,17 +84,17 @@
 			c, ok := m.CallerByToken(token)
 			require.Equal(t, want[i], ok, list)
 			require.Equal(t, want[i], c.Name == "demo-app")
-			require.False(t, m.OperatorToken(token))
+			require.False(t, m.IsOperatorToken(token))
 		}
 	}
 	m, err := Parse("demo.ini", []byte(strings.Replace(text, "[fleet]\n", "[fleet]\noperator_sha256 = "+sum("a")+", "+sum("b")+"\n", 1)))
 	require.NoError(t, err)
-	require.True(t, m.OperatorToken("a") && m.OperatorToken("b"))
-	require.False(t, m.OperatorToken("") || m.OperatorToken("c") || m.OperatorToken(old))
+	require.True(t, m.IsOperatorToken("a") && m.IsOperatorToken("b"))
+	require.False(t, m.IsOperatorToken("") || m.IsOperatorToken("c") || m.IsOperatorToken(old))
 }
 
-// A caller writes to a path which only looks like a read's. Were the route of
-// the read to match, the write could be repeated after a lost answer.
+// A write whose path only looks like that of a read must not match the read's
+// route: otherwise the write could be repeated after a lost answer.
 func TestMatch(t *testing.T) {
 	s := Service{Routes: []Route{
 		{Name: "read", Methods: []string{"GET"}, Prefix: "/"},
@@ -204,7 +204,7 @@
 	return b.String()
 }
 
-func TestEveryProblemIsReportedInFileOrder(t *testing.T) {
+func TestProblemsAreReportedInFileOrder(t *testing.T) {
 	_, err := Parse("m.ini", []byte("[fleet]\nname = f\nx = 1\nweigh = a\n[model m]\nmax_tokens = b\nswap_grace = c\n"))
 	var problems Problems
 	require.ErrorAs(t, err, &problems)
@@ -220,10 +220,10 @@
 	require.NoError(t, err)
 	keys, err := ParseKeys([]string{FormatPublicKey("k1", pub)})
 	require.NoError(t, err)
-	id, again, err := ParsePrivateKey(FormatPrivateKey("k1", priv) + "\n")
+	id, parsed, err := ParsePrivateKey(FormatPrivateKey("k1", priv) + "\n")
 	require.NoError(t, err)
 	require.Equal(t, "k1", id)
-	require.NoError(t, keys.Verify(Sign(again, id, 2, 1, []byte("x"))))
+	require.NoError(t, keys.Verify(Sign(parsed, id, 2, 1, []byte("x"))))
 
 	rev := Sign(priv, "k1", 2, 1, []byte("x"))
 	rev.Number = 3
@@ -246,8 +246,8 @@
 	}
 }
 
-// write writes a manifest with every value in force.
-func write(m *Manifest) []byte {
+// formatManifest formats a manifest with every effective value.
+func formatManifest(m *Manifest) []byte {
 	var b strings.Builder
 	section := ""
 	for _, s := range m.Settings() {
@@ -262,7 +262,8 @@
 	return []byte(b.String())
 }
 
-// Whatever Parse accepts is safe to serve by, and nothing makes it panic.
+// FuzzParse checks that Parse never panics, and that a manifest it accepts is
+// consistent and parses to the same settings again.
 func FuzzParse(f *testing.F) {
 	f.Add(readExample(f, "demo.ini"))
 	f.Add([]byte("[fleet]\nname = f\n[model m]\nmax_tokens = 1 # x\n"))
@@ -274,9 +275,9 @@
 			return
 		}
 		require.Less(t, 2*m.Fleet.KeyWindow, m.Fleet.LogRetention)
-		again, err := Parse("again.ini", write(m))
+		reparsed, err := Parse("again.ini", formatManifest(m))
 		require.NoError(t, err)
-		require.Equal(t, m.Settings(), again.Settings())
+		require.Equal(t, m.Settings(), reparsed.Settings())
 		for _, tr := range m.Trainers {
 			require.Contains(t, m.Models, tr.Model)
 			hashes := strings.Split(tr.TokenSHA256, ",")
