--- a/agent/generate/state.go
+++ b/agent/generate/state.go
@@ -158,7 +158,7 @@
 		}
 		w.seq = e.Seq
 		w.remove(e.Prefix)
-		if !e.Gone {
+		if !e.Evicted {
 			w.order = append(w.order, e.Prefix)
 		}
 		if len(w.order) > maxWarm {
--- a/gateway/duties/keeper.go
+++ b/gateway/duties/keeper.go
@@ -30,7 +30,7 @@
 type Config struct {
 	Duty   string // key of its lease
 	Self   lease.Holder
-	Store  platform.Register
+	Store  platform.ConditionalKeyedStore
 	Timing lease.Timing
 	// Renew is the pause between two renewals of a holder.
 	Renew time.Duration
--- a/gateway/orders/orders.go
+++ b/gateway/orders/orders.go
@@ -278,16 +278,16 @@
 	begin := time.Now()
 	o := hosted.LoadOrder{
 		Server: self.Name, Model: want.Model, Version: want.Version, Mode: a.mode(snap, self.Service),
-		Holder: a.cfg.Node, Fence: a.fence, After: report.Orders,
+		Holder: a.cfg.Node, Fence: a.fence, ExpectedOrders: report.Orders,
 	}
 	a.tell(ctx, jobs.Engine{Server: self.ID, Model: want.Model, Version: want.Version, Loading: true})
 	outcome, err := a.cfg.Engine.Order(ctx, o)
 	a.log.Info("Order to load weights.", zap.String("server", self.ID), zap.String("model", o.Model), zap.Uint64("version", o.Version),
 		zap.Uint64("from", report.Versions[o.Model]), zap.String("mode", string(o.Mode)), zap.Uint64("fence", o.Fence),
-		zap.Uint64("after", o.After), zap.Bool("urgent", want.Urgent), zap.Duration("load_time", a.loadTime.LoadTime()), zap.Int("running", report.Running),
+		zap.Uint64("after", o.ExpectedOrders), zap.Bool("urgent", want.Urgent), zap.Duration("load_time", a.loadTime.LoadTime()), zap.Int("running", report.Running),
 		zap.Uint8("outcome", uint8(outcome)), zap.Error(err))
 	switch outcome {
-	case hosted.OrderTaken, hosted.OrderHolds:
+	case hosted.OrderAccepted, hosted.OrderAlreadyLoaded:
 		ordersTaken.Add(1)
 	case hosted.OrderRefused:
 		ordersRefused.Add(1)
@@ -304,11 +304,11 @@
 		a.log.Info("The engine started again during an order.", zap.String("server", self.ID), zap.Time("born", after.StartedAt))
 		return lookBusy
 	}
-	if after.Versions[o.Model] >= o.Version && outcome == hosted.OrderTaken {
+	if after.Versions[o.Model] >= o.Version && outcome == hosted.OrderAccepted {
 		a.loadTime.ObserveOwn(time.Since(begin))
 	}
 	a.tellServed(ctx, self.ID, after)
-	if outcome != hosted.OrderTaken && outcome != hosted.OrderHolds {
+	if outcome != hosted.OrderAccepted && outcome != hosted.OrderAlreadyLoaded {
 		return lookBusy
 	}
 	return time.Millisecond
--- a/gateway/usage/counter.go
+++ b/gateway/usage/counter.go
@@ -47,7 +47,7 @@
 
 // Counter counts the requests of this process. It is safe for concurrent use.
 type Counter struct {
-	store   platform.Keyed
+	store   platform.KeyedStore
 	process string
 	length  time.Duration
 	now     func() time.Time
@@ -69,7 +69,7 @@
 
 // NewCounter returns a counter of windows of a length. process names this start of the
 // process, now is the time of day.
-func NewCounter(store platform.Keyed, process string, length time.Duration, now func() time.Time, processes func() int, log *zap.Logger) *Counter {
+func NewCounter(store platform.KeyedStore, process string, length time.Duration, now func() time.Time, processes func() int, log *zap.Logger) *Counter {
 	return &Counter{
 		store: store, process: process, length: length, now: now, processes: processes, log: log,
 		windows: map[usage.Window]usage.Counts{}, running: map[usage.Window]int{}, published: usage.WindowAt(now(), length),
--- a/gateway/usage/reporter.go
+++ b/gateway/usage/reporter.go
@@ -51,8 +51,8 @@
 // that whoever sends it, and how often, sends the same.
 type Reporter struct {
 	Keeper     *duties.Keeper
-	Store      platform.Register
-	Platform   platform.UsageReports
+	Store      platform.ConditionalKeyedStore
+	Platform   platform.UsageReporter
 	Node       string
 	Length     time.Duration    // of a window
 	WaitLimits usage.WaitLimits // but for Return
--- a/gateway/usage/usage_test.go
+++ b/gateway/usage/usage_test.go
@@ -41,7 +41,7 @@
 	s := &site{t: t, store: hostedtest.NewStore(), api: hostedtest.NewDuties(turns)}
 	t.Cleanup(s.store.Close)
 	t.Cleanup(s.api.Close)
-	t.Cleanup(func() { require.Empty(t, s.api.Broken()) })
+	t.Cleanup(func() { require.Empty(t, s.api.Violations()) })
 	return s
 }
 
@@ -134,7 +134,7 @@
 	a := s.start("a")
 	s.holder(a)
 	b := s.start("b")
-	s.api.Fail(hostedtest.DutyFaults{Lose: true})
+	s.api.Fail(hostedtest.DutyFaults{LoseAnswers: true})
 	a.request("shop")
 	b.request("shop")
 	calls := s.api.Calls()
@@ -175,10 +175,10 @@
 func TestTheFirstHolderReportsFromItsStart(t *testing.T) {
 	s := newSite(t)
 	const reports = "keyed.usage-reports"
-	s.store.Fail(hostedtest.StoreFaults{Away: []string{reports}})
+	s.store.Fail(hostedtest.StoreFaults{UnavailableTopics: []string{reports}})
 	a := s.start("a")
 	s.holder(a)
-	s.store.Fail(hostedtest.StoreFaults{Away: []string{reports}, ReadOnly: true})
+	s.store.Fail(hostedtest.StoreFaults{UnavailableTopics: []string{reports}, ReadOnly: true})
 	a.request("shop")
 	later := time.Now().Add(2 * window)
 	require.Eventually(t, func() bool { return time.Now().After(later) }, gatewaytest.Wait, time.Millisecond)
@@ -197,7 +197,7 @@
 	a := s.start("a")
 	s.holder(a)
 	term, _ := a.keeper.Term()
-	for _, fault := range []hostedtest.StoreFaults{{LoseAppends: true}, {Down: true}, {LateAppends: 300 * time.Millisecond}} {
+	for _, fault := range []hostedtest.StoreFaults{{LoseAppends: true}, {Down: true}, {DelayAppends: 300 * time.Millisecond}} {
 		s.store.Fail(fault)
 		a.request("shop")
 		require.Eventually(t, func() bool { return !a.keeper.MayAct(term, 0) || fault.LoseAppends }, gatewaytest.Wait, time.Millisecond)
--- a/soak/callers_test.go
+++ b/soak/callers_test.go
@@ -277,7 +277,7 @@
 func (w *world) madeBy(r result, n int) bool {
 	for _, e := range w.engines {
 		for _, v := range r.Versions {
-			if e.Made(r.ID, n, v) {
+			if e.HasGenerated(r.ID, n, v) {
 				return true
 			}
 		}
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -70,13 +70,13 @@
 		in.log("reset %s", l.name)
 		l.reset()
 	case 9:
-		faults := []hostedtest.ServerFaults{{Refuse: true}, {Mute: 3}, {BreakAfter: 4}, {Silent: true}}
+		faults := []hostedtest.ServerFaults{{Refuse: true}, {StallAfter: 3}, {BreakAfter: 4}, {Unresponsive: true}}
 		f := faults[in.rng.IntN(len(faults))]
 		in.log("engine %s %+v for %v", e.ID, f, lasts)
 		e.Fail(f)
 		in.after(lasts, func() { e.Fail(hostedtest.ServerFaults{}) })
 	case 10:
-		faults := []hostedtest.ServerFaults{{Refuse: true}, {Silent: true}, {NoSeal: true}}
+		faults := []hostedtest.ServerFaults{{Refuse: true}, {Unresponsive: true}, {NoSeal: true}}
 		f := faults[in.rng.IntN(len(faults))]
 		in.log("server %s %+v for %v", s.ID, f, lasts)
 		s.Fail(f)
@@ -122,7 +122,7 @@
 }
 
 func (in *injector) storeFault(lasts time.Duration) {
-	faults := []hostedtest.StoreFaults{{Down: true}, {LoseAppends: true}, {LateAppends: 700 * time.Millisecond}, {Slow: 150 * time.Millisecond}}
+	faults := []hostedtest.StoreFaults{{Down: true}, {LoseAppends: true}, {DelayAppends: 700 * time.Millisecond}, {CallTime: 150 * time.Millisecond}}
 	f := faults[in.rng.IntN(len(faults))]
 	in.log("store %+v for %v", f, lasts)
 	in.w.store.Fail(f)
--- a/soak/organisations_test.go
+++ b/soak/organisations_test.go
@@ -94,7 +94,7 @@
 func (w *world) settleUsage(rec *record) {
 	reports := len(w.duties.Reports())
 	require.Eventually(w.t, func() bool { return len(w.duties.Reports()) >= reports+2 }, 30*time.Second, 20*time.Millisecond, "usage is not reported")
-	for _, fault := range w.duties.Broken() {
+	for _, fault := range w.duties.Violations() {
 		rec.breach("duty: %s", fault)
 	}
 	began := map[string]bool{}
--- a/soak/world_test.go
+++ b/soak/world_test.go
@@ -66,7 +66,7 @@
 	w.configure()
 	for i := range engines {
 		e := hostedtest.NewEngine(fmt.Sprintf("e%d", i), "engines", models)
-		e.Pace, e.Events = 8*time.Millisecond, 60
+		e.EventInterval, e.Events = 8*time.Millisecond, 60
 		w.engines = append(w.engines, e)
 		w.register(e)
 	}
@@ -80,7 +80,7 @@
 		w.gates = append(w.gates, w.gateway(fmt.Sprintf("g%d", i)))
 	}
 	for i := range engines {
-		w.agents = append(w.agents, w.agent(fmt.Sprintf("a%d", i), w.engines[i].Via))
+		w.agents = append(w.agents, w.agent(fmt.Sprintf("a%d", i), w.engines[i].AdvertisedAddr))
 	}
 	for _, p := range w.all() {
 		p.start(t)
@@ -93,7 +93,7 @@
 
 func (w *world) register(s *hostedtest.Server) {
 	l := newLink(w.t, s.ID, s.Addr())
-	s.Via = l.addr
+	s.AdvertisedAddr = l.addr
 	w.links = append(w.links, l)
 	w.t.Cleanup(func() { s.CloseClientConnections(); s.Close() })
 	w.store.Put(hostedtest.TopicServers, s.ID, s.Entry("ready"))
--- a/standin/engine/cache.go
+++ b/standin/engine/cache.go
@@ -52,7 +52,7 @@
 	if c.order.Len() > c.limit {
 		oldest := c.order.Remove(c.order.Back()).(uint64)
 		delete(c.at, oldest)
-		events = append(events, platform.CacheEvent{Prefix: oldest, Gone: true})
+		events = append(events, platform.CacheEvent{Prefix: oldest, Evicted: true})
 	}
 	return events
 }
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -332,8 +332,8 @@
 	require.NoError(t, err)
 	mine, its := platform.PrefixHash(prompt), platform.PrefixHash(other.Prompt)
 	require.Equal(t, []platform.CacheEvent{
-		{Seq: 2, Prefix: its}, {Seq: 3, Prefix: mine, Gone: true},
-		{Seq: 4, Prefix: mine}, {Seq: 5, Prefix: its, Gone: true},
+		{Seq: 2, Prefix: its}, {Seq: 3, Prefix: mine, Evicted: true},
+		{Seq: 4, Prefix: mine}, {Seq: 5, Prefix: its, Evicted: true},
 	}, events)
 }
 
--- a/standin/engine/report.go
+++ b/standin/engine/report.go
@@ -68,12 +68,12 @@
 		kv += tokensOf(len(s.job.Prompt)) + s.next
 	}
 	return platform.EngineLoad{
-		AsOfMS:   now.UnixMilli(),
-		Slots:    e.cfg.Slots,
-		Running:  len(e.running),
-		Waiting:  len(e.waiting),
-		KVUsed:   min(1, float64(kv)/kvCapacity),
-		TokensPS: e.reports.rate,
+		AsOfMS:          now.UnixMilli(),
+		Slots:           e.cfg.Slots,
+		Running:         len(e.running),
+		Waiting:         len(e.waiting),
+		KVUsed:          min(1, float64(kv)/kvCapacity),
+		TokensPerSecond: e.reports.rate,
 	}
 }
 
