--- a/adapters/adapters_test.go
+++ b/adapters/adapters_test.go
@@ -23,7 +23,7 @@
 	"dandelionsill.org/platform"
 )
 
-const self = "entry-1"
+const clientName = "entry-1"
 
 func serve(t *testing.T, h http.HandlerFunc) string {
 	t.Helper()
@@ -40,8 +40,8 @@
 	}
 }
 
-// short declares more than it writes and drops the connection.
-func short(body string) http.HandlerFunc {
+// truncatedAnswer declares more than it writes and drops the connection.
+func truncatedAnswer(body string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		w.Header().Set("Content-Length", fmt.Sprint(len(body)+1))
@@ -49,7 +49,7 @@
 	}
 }
 
-func drop(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
+func dropConnection(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
 // closedAddr is an address at which nobody listens.
 func closedAddr(t *testing.T) string {
@@ -62,7 +62,7 @@
 // The process that appends a claim must know whether the claim may stand. It
 // sees "not taken" only when no byte went out or the log itself refused; every
 // other failure leaves the outcome unknown and is resolved by reading back.
-func TestAppendTellsNotTakenFromUnknown(t *testing.T) {
+func TestAppendDistinguishesNotTakenFromUnknown(t *testing.T) {
 	cases := map[string]struct {
 		handler http.HandlerFunc
 		want    error
@@ -72,24 +72,24 @@
 		"too large":            {answer(http.StatusRequestEntityTooLarge, ""), platform.ErrLogRefused},
 		"fault of the log":     {answer(http.StatusInternalServerError, ""), platform.ErrAppendUnknown},
 		"redirect":             {answer(http.StatusTemporaryRedirect, ""), platform.ErrAppendUnknown},
-		"connection dropped":   {drop, platform.ErrAppendUnknown},
-		"answer cut short":     {short(`{"offset":`), platform.ErrAppendUnknown},
+		"connection dropped":   {dropConnection, platform.ErrAppendUnknown},
+		"answer cut short":     {truncatedAnswer(`{"offset":`), platform.ErrAppendUnknown},
 		"answer without field": {answer(http.StatusOK, `{}`), platform.ErrAppendUnknown},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			_, err := httplog.New(serve(t, c.handler), self).Append(t.Context(), platform.StreamControl, []byte("x"))
+			_, err := httplog.New(serve(t, c.handler), clientName).Append(t.Context(), platform.StreamControl, []byte("x"))
 			require.ErrorIs(t, err, c.want)
 		})
 	}
 	t.Run("connection refused", func(t *testing.T) {
-		_, err := httplog.New(closedAddr(t), self).Append(t.Context(), platform.StreamControl, []byte("x"))
+		_, err := httplog.New(closedAddr(t), clientName).Append(t.Context(), platform.StreamControl, []byte("x"))
 		require.ErrorIs(t, err, platform.ErrLogUnavailable)
 	})
 	t.Run("cancelled before the send", func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
-		_, err := httplog.New(serve(t, drop), self).Append(ctx, platform.StreamControl, []byte("x"))
+		_, err := httplog.New(serve(t, dropConnection), clientName).Append(ctx, platform.StreamControl, []byte("x"))
 		require.ErrorIs(t, err, platform.ErrLogUnavailable)
 	})
 	t.Run("cancelled after the send", func(t *testing.T) {
@@ -98,20 +98,20 @@
 			_, _ = io.Copy(io.Discard, r.Body)
 			cancel()
 			<-r.Context().Done()
-		}), self)
+		}), clientName)
 		_, err := l.Append(ctx, platform.StreamControl, []byte("x"))
 		require.ErrorIs(t, err, platform.ErrAppendUnknown)
 		require.ErrorIs(t, err, context.Canceled)
 	})
 }
 
-// breaking answers the first request with ok and then drops the connection of
+// answerOnce answers the first request with ok and then drops the connection of
 // each further one after reading it; it counts the requests.
-func breaking(ok string, seen *atomic.Int64) http.HandlerFunc {
+func answerOnce(ok string, seen *atomic.Int64) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		if seen.Add(1) > 1 {
-			drop(w, r)
+			dropConnection(w, r)
 		}
 		_, _ = io.WriteString(w, ok)
 	}
@@ -125,7 +125,7 @@
 	var seen atomic.Int64
 	t.Run("append", func(t *testing.T) {
 		seen.Store(0)
-		l := httplog.New(serve(t, breaking(`{"offset":0}`, &seen)), self)
+		l := httplog.New(serve(t, answerOnce(`{"offset":0}`, &seen)), clientName)
 		_, err := l.Append(t.Context(), platform.StreamControl, []byte("a"))
 		require.NoError(t, err)
 		_, err = l.Append(t.Context(), platform.StreamControl, []byte("b"))
@@ -134,7 +134,7 @@
 	})
 	t.Run("empty append", func(t *testing.T) {
 		seen.Store(0)
-		l := httplog.New(serve(t, breaking(`{"offset":0}`, &seen)), self)
+		l := httplog.New(serve(t, answerOnce(`{"offset":0}`, &seen)), clientName)
 		_, err := l.Append(t.Context(), platform.StreamControl, nil)
 		require.NoError(t, err)
 		_, err = l.Append(t.Context(), platform.StreamControl, nil)
@@ -143,7 +143,7 @@
 	})
 	t.Run("orders", func(t *testing.T) {
 		seen.Store(0)
-		e := httpengine.New(serve(t, breaking(`{}`, &seen)), self)
+		e := httpengine.New(serve(t, answerOnce(`{}`, &seen)), clientName)
 		info := platform.WeightInfo{Model: "m", Version: 2, Bytes: 3}
 		require.NoError(t, e.LoadWeights(t.Context(), info, strings.NewReader("abc"), 1))
 		require.ErrorIs(t, e.LoadWeights(t.Context(), info, strings.NewReader("abc"), 2), platform.ErrOrderUnknown)
@@ -152,7 +152,7 @@
 	})
 	t.Run("control", func(t *testing.T) {
 		seen.Store(0)
-		url := serve(t, breaking(`{}`, &seen))
+		url := serve(t, answerOnce(`{}`, &seen))
 		client := &http.Client{Transport: &http.Transport{}}
 		for range 2 {
 			req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, url, bytes.NewReader([]byte("a")))
@@ -171,12 +171,12 @@
 func TestOrderErrors(t *testing.T) {
 	info := platform.WeightInfo{Model: "m", Version: 2, Bytes: 1}
 	order := func(url string) error {
-		return httpengine.New(url, self).LoadWeights(t.Context(), info, strings.NewReader("w"), 1)
+		return httpengine.New(url, clientName).LoadWeights(t.Context(), info, strings.NewReader("w"), 1)
 	}
 	require.ErrorIs(t, order(serve(t, answer(http.StatusConflict, ""))), platform.ErrFenced)
 	require.ErrorIs(t, order(serve(t, answer(http.StatusInternalServerError, ""))), platform.ErrLoadFailed)
 	require.ErrorIs(t, order(serve(t, answer(http.StatusBadGateway, ""))), platform.ErrOrderUnknown)
-	require.ErrorIs(t, order(serve(t, drop)), platform.ErrOrderUnknown)
+	require.ErrorIs(t, order(serve(t, dropConnection)), platform.ErrOrderUnknown)
 	for _, url := range []string{closedAddr(t), serve(t, answer(http.StatusBadRequest, ""))} {
 		err := order(url)
 		require.Error(t, err)
@@ -191,7 +191,7 @@
 
 func generate(t *testing.T, h http.HandlerFunc) platform.Stream {
 	t.Helper()
-	s, err := httpengine.New(serve(t, h), self).Generate(t.Context(), platform.GenerateJob{ID: "r", Prompt: "p"})
+	s, err := httpengine.New(serve(t, h), clientName).Generate(t.Context(), platform.GenerateJob{ID: "r", Prompt: "p"})
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = s.Close() })
 	return s
@@ -200,11 +200,11 @@
 // The sample looks whole to a reader that takes the end of the connection for
 // the end of the text. The engine died, or the stream was cancelled elsewhere:
 // the body ends cleanly or not, but no chunk named a finish reason.
-func TestStreamCutShortIsAnError(t *testing.T) {
+func TestTruncatedStreamIsAnError(t *testing.T) {
 	bodies := map[string]http.HandlerFunc{
 		"clean end":       answer(http.StatusOK, firstEvent),
 		"done mark alone": answer(http.StatusOK, firstEvent+"data: [DONE]\n\n"),
-		"connection lost": short(firstEvent),
+		"connection lost": truncatedAnswer(firstEvent),
 		"after a comment": answer(http.StatusOK, firstEvent+": ping\n\n"),
 	}
 	for name, h := range bodies {
@@ -242,18 +242,18 @@
 }
 
 func TestCloseEndsTheConnection(t *testing.T) {
-	gone := make(chan struct{})
+	disconnected := make(chan struct{})
 	s := generate(t, func(w http.ResponseWriter, r *http.Request) {
 		answer(http.StatusOK, firstEvent)(w, r)
 		_ = http.NewResponseController(w).Flush()
 		<-r.Context().Done()
-		close(gone)
+		close(disconnected)
 	})
 	_, err := s.Next()
 	require.NoError(t, err)
 	require.NoError(t, s.Close())
 	select {
-	case <-gone:
+	case <-disconnected:
 	case <-time.After(10 * time.Second):
 		t.Fatal("the engine never saw the client go")
 	}
@@ -270,7 +270,7 @@
 		r, _, err := httpstore.New(serve(t, func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set(protocol.WeightsDigest, digest)
 			h(w, r)
-		}), self).Fetch(t.Context(), "m", 1)
+		}), clientName).Fetch(t.Context(), "m", 1)
 		require.NoError(t, err)
 		defer r.Close()
 		return io.ReadAll(r)
@@ -280,18 +280,18 @@
 	require.Equal(t, "abc", string(data))
 	_, err = fetch(answer(http.StatusOK, "abd"))
 	require.ErrorIs(t, err, platform.ErrDigest)
-	_, err = fetch(short("abc"))
+	_, err = fetch(truncatedAnswer("abc"))
 	require.ErrorIs(t, err, io.ErrUnexpectedEOF)
 }
 
-func TestClientsNameThemselves(t *testing.T) {
+func TestClientsSendTheirName(t *testing.T) {
 	var name atomic.Value
 	url := serve(t, func(w http.ResponseWriter, r *http.Request) {
 		name.Store(r.Header.Get(protocol.Client))
 		_, _ = io.WriteString(w, `[{"name":"vm","addr":"127.0.0.1:1","state":"leaving"}]`)
 	})
-	vms, err := httpvms.New(url, self).List(t.Context())
+	vms, err := httpvms.New(url, clientName).List(t.Context())
 	require.NoError(t, err)
 	require.Equal(t, []platform.VM{{Name: "vm", Addr: "127.0.0.1:1", State: platform.VMLeaving}}, vms)
-	require.Equal(t, self, name.Load())
+	require.Equal(t, clientName, name.Load())
 }
--- a/adapters/httpengine/engine.go
+++ b/adapters/httpengine/engine.go
@@ -22,15 +22,15 @@
 )
 
 const (
-	askTimeout  = 3 * time.Second  // state, load, events, cancel
-	roleTimeout = 10 * time.Second // an order of a role
-	kvTimeout   = 30 * time.Second
-	maxKV       = 256 << 20 // bytes
-	maxEvents   = 8 << 20   // bytes
+	callTimeout   = 3 * time.Second  // state, load, events, cancel
+	roleTimeout   = 10 * time.Second // an order of a role
+	kvTimeout     = 30 * time.Second
+	maxKVBytes    = 256 << 20 // bytes
+	maxReplyBytes = 8 << 20   // bytes
 )
 
 // Engine implements platform.Engine.
-type Engine struct{ c *rest.Client }
+type Engine struct{ client *rest.Client }
 
 var _ platform.Engine = (*Engine)(nil)
 
@@ -39,9 +39,9 @@
 func New(base, name string) *Engine { return &Engine{rest.New(base, name)} }
 
 // Close closes idle connections.
-func (e *Engine) Close() { e.c.Close() }
+func (e *Engine) Close() { e.client.Close() }
 
-type completion struct {
+type completionRequest struct {
 	ID           string `json:"id"`
 	Model        string `json:"model"`
 	Prompt       string `json:"prompt"`
@@ -58,7 +58,7 @@
 // no other timeout, for an engine may queue a job for long. An answer that the
 // engine does not take the job is ErrEngineRefused.
 func (e *Engine) Generate(ctx context.Context, job platform.GenerateJob) (platform.Stream, error) {
-	data, err := json.Marshal(completion{
+	data, err := json.Marshal(completionRequest{
 		ID:           job.ID,
 		Model:        job.Model,
 		Prompt:       job.Prompt,
@@ -76,7 +76,7 @@
 	header := map[string]string{"Content-Type": "application/json", "Accept": "text/event-stream"}
 	otel.GetTextMapPropagator().Inject(ctx, propagation.MapCarrier(header))
 	ctx, cancel := context.WithCancel(ctx)
-	resp, _, err := e.c.Do(ctx, rest.Request{
+	resp, _, err := e.client.Do(ctx, rest.Request{
 		Method: http.MethodPost,
 		Path:   "/v1/completions",
 		Header: header,
@@ -89,8 +89,8 @@
 	}
 	if resp.StatusCode != http.StatusOK {
 		defer cancel()
-		defer rest.Finish(resp)
-		return nil, errors.Trace(fmt.Errorf("%w: %w", platform.ErrEngineRefused, rest.Status(resp)))
+		defer rest.DrainAndClose(resp)
+		return nil, errors.Trace(fmt.Errorf("%w: %w", platform.ErrEngineRefused, rest.NewStatusError(resp)))
 	}
 	return newStream(resp.Body, cancel), nil
 }
@@ -100,19 +100,19 @@
 	in := struct {
 		ID string `json:"id"`
 	}{id}
-	return e.ask(ctx, http.MethodPost, "/v1/cancel", in, nil)
+	return e.call(ctx, http.MethodPost, "/v1/cancel", in, nil)
 }
 
 // State implements platform.Engine.
 func (e *Engine) State(ctx context.Context) (platform.EngineState, error) {
 	var s platform.EngineState
-	return s, e.ask(ctx, http.MethodGet, "/admin/state", nil, &s)
+	return s, e.call(ctx, http.MethodGet, "/admin/state", nil, &s)
 }
 
 // Load implements platform.Engine.
 func (e *Engine) Load(ctx context.Context) (platform.EngineLoad, error) {
 	var l platform.EngineLoad
-	return l, e.ask(ctx, http.MethodGet, "/v1/load", nil, &l)
+	return l, e.call(ctx, http.MethodGet, "/v1/load", nil, &l)
 }
 
 // Events implements platform.Engine.
@@ -120,14 +120,14 @@
 	var out struct {
 		Events []platform.CacheEvent `json:"events"`
 	}
-	err := e.ask(ctx, http.MethodGet, "/v1/events?after="+strconv.FormatUint(after, 10), nil, &out)
+	err := e.call(ctx, http.MethodGet, "/v1/events?after="+strconv.FormatUint(after, 10), nil, &out)
 	return out.Events, err
 }
 
-func (e *Engine) ask(ctx context.Context, method, path string, in, out any) error {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+func (e *Engine) call(ctx context.Context, method, path string, in, out any) error {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	_, err := e.c.JSON(ctx, method, path, in, out, maxEvents)
+	_, err := e.client.JSON(ctx, method, path, in, out, maxReplyBytes)
 	return errors.Annotatef(err, "engine: %s %s", method, path)
 }
 
@@ -136,7 +136,7 @@
 // lost; any other error proves that the engine did not take the order. ctx
 // bounds it.
 func (e *Engine) LoadWeights(ctx context.Context, info platform.WeightInfo, data io.Reader, token uint64) error {
-	resp, sent, err := e.c.Do(ctx, rest.Request{
+	resp, sent, err := e.client.Do(ctx, rest.Request{
 		Method: http.MethodPost,
 		Path:   "/admin/weights",
 		Header: map[string]string{
@@ -152,9 +152,9 @@
 	if err != nil {
 		return orderError(sent, err)
 	}
-	defer rest.Finish(resp)
+	defer rest.DrainAndClose(resp)
 	if resp.StatusCode != http.StatusOK {
-		return orderError(true, rest.Status(resp))
+		return orderError(true, rest.NewStatusError(resp))
 	}
 	return nil
 }
@@ -167,7 +167,7 @@
 		Role  string `json:"role"`
 		Token uint64 `json:"token"`
 	}{role, token}
-	sent, err := e.c.JSON(ctx, http.MethodPost, "/admin/role", in, nil, 0)
+	sent, err := e.client.JSON(ctx, http.MethodPost, "/admin/role", in, nil, 0)
 	if err != nil {
 		return orderError(sent, err)
 	}
@@ -175,7 +175,7 @@
 }
 
 func orderError(sent bool, err error) error {
-	code := rest.Code(err)
+	code := rest.StatusCode(err)
 	switch {
 	case code == http.StatusConflict:
 		return errors.Trace(platform.ErrFenced)
@@ -191,18 +191,18 @@
 func (e *Engine) ExportKV(ctx context.Context, id string) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, kvTimeout)
 	defer cancel()
-	resp, _, err := e.c.Do(ctx, rest.Request{Method: http.MethodGet, Path: "/v1/kv/" + url.PathEscape(id)})
+	resp, _, err := e.client.Do(ctx, rest.Request{Method: http.MethodGet, Path: "/v1/kv/" + url.PathEscape(id)})
 	if err != nil {
 		return nil, errors.Annotate(err, "engine: export kv")
 	}
-	defer rest.Finish(resp)
+	defer rest.DrainAndClose(resp)
 	switch resp.StatusCode {
 	case http.StatusOK:
 	case http.StatusNotFound:
 		return nil, errors.Annotate(platform.ErrNotFound, "engine: export kv")
 	default:
-		return nil, errors.Annotate(rest.Status(resp), "engine: export kv")
+		return nil, errors.Annotate(rest.NewStatusError(resp), "engine: export kv")
 	}
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxKV))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxKVBytes))
 	return data, errors.Annotate(err, "engine: export kv")
 }
--- a/adapters/httpengine/fuzz_test.go
+++ b/adapters/httpengine/fuzz_test.go
@@ -23,19 +23,19 @@
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, body []byte) {
-		whole, wholeErr := readAll(bytes.NewReader(body))
-		pieces, piecesErr := readAll(iotest.OneByteReader(bytes.NewReader(body)))
-		require.Equal(t, whole, pieces)
-		require.Equal(t, errors.Is(wholeErr, io.EOF), errors.Is(piecesErr, io.EOF))
-		n := len(whole)
-		require.Equal(t, errors.Is(wholeErr, io.EOF), n > 0 && whole[n-1].Finish != "", "%v", wholeErr)
-		for _, c := range whole {
+		atOnce, atOnceErr := readChunks(bytes.NewReader(body))
+		byteByByte, byteByByteErr := readChunks(iotest.OneByteReader(bytes.NewReader(body)))
+		require.Equal(t, atOnce, byteByByte)
+		require.Equal(t, errors.Is(atOnceErr, io.EOF), errors.Is(byteByByteErr, io.EOF))
+		n := len(atOnce)
+		require.Equal(t, errors.Is(atOnceErr, io.EOF), n > 0 && atOnce[n-1].Finish != "", "%v", atOnceErr)
+		for _, c := range atOnce {
 			require.GreaterOrEqual(t, c.Tokens, 0)
 		}
 	})
 }
 
-func readAll(r io.Reader) ([]platform.Chunk, error) {
+func readChunks(r io.Reader) ([]platform.Chunk, error) {
 	s := newStream(io.NopCloser(r), func() {})
 	var chunks []platform.Chunk
 	for {
--- a/adapters/httpengine/stream.go
+++ b/adapters/httpengine/stream.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	firstLine = 16 << 10 // bytes, of the line buffer at the start
-	maxLine   = 4 << 20  // bytes
-	// tailWait bounds the reading of what follows the last chunk; it only
+	initialLineBytes = 16 << 10 // bytes, of the line buffer at the start
+	maxLineBytes     = 4 << 20  // bytes
+	// drainTimeout bounds the reading of what follows the last chunk; it only
 	// saves the connection for the next stream.
-	tailWait = 100 * time.Millisecond
+	drainTimeout = 100 * time.Millisecond
 )
 
 var (
-	dataField = []byte("data:")
-	doneMark  = []byte("[DONE]")
+	dataField  = []byte("data:")
+	doneMarker = []byte("[DONE]")
 )
 
 // stream reads server-sent events.
@@ -36,7 +36,7 @@
 
 func newStream(body io.ReadCloser, cancel context.CancelFunc) *stream {
 	lines := bufio.NewScanner(body)
-	lines.Buffer(make([]byte, 0, firstLine), maxLine)
+	lines.Buffer(make([]byte, 0, initialLineBytes), maxLineBytes)
 	return &stream{body: body, cancel: cancel, lines: lines}
 }
 
@@ -58,7 +58,7 @@
 // from a cut one. So an end without it is io.ErrUnexpectedEOF.
 func (s *stream) Next() (platform.Chunk, error) {
 	if s.finished {
-		s.tail()
+		s.drain()
 		return platform.Chunk{}, io.EOF
 	}
 	for s.lines.Scan() {
@@ -67,27 +67,27 @@
 			continue // blank line, comment or another field
 		}
 		field = bytes.TrimSpace(field)
-		if bytes.Equal(field, doneMark) {
+		if bytes.Equal(field, doneMarker) {
 			break
 		}
-		return s.chunk(field)
+		return s.decodeChunk(field)
 	}
 	if err := s.lines.Err(); err != nil {
-		return platform.Chunk{}, errors.Annotate(brokenOff{err}, "engine: stream")
+		return platform.Chunk{}, errors.Annotate(brokenStreamError{err}, "engine: stream")
 	}
 	return platform.Chunk{}, errors.Annotate(io.ErrUnexpectedEOF, "engine: stream ended without a finish")
 }
 
-// brokenOff is a read error in the middle of a stream. It counts as
+// brokenStreamError is a read error in the middle of a stream. It counts as
 // io.ErrUnexpectedEOF, whatever the connection died of, and names its cause
 // once: net/http's own error for a cut body is io.ErrUnexpectedEOF too.
-type brokenOff struct{ error }
+type brokenStreamError struct{ error }
 
-func (b brokenOff) Unwrap() error { return b.error }
+func (e brokenStreamError) Unwrap() error { return e.error }
 
-func (brokenOff) Is(target error) bool { return target == io.ErrUnexpectedEOF }
+func (brokenStreamError) Is(target error) bool { return target == io.ErrUnexpectedEOF }
 
-func (s *stream) chunk(data []byte) (platform.Chunk, error) {
+func (s *stream) decodeChunk(data []byte) (platform.Chunk, error) {
 	var ev event
 	if err := json.Unmarshal(data, &ev); err != nil {
 		return platform.Chunk{}, errors.Annotate(err, "engine: chunk")
@@ -111,10 +111,10 @@
 	return c, nil
 }
 
-// tail reads up to the end of the body, so that the connection can be used
+// drain reads up to the end of the body, so that the connection can be used
 // again; one that does not end soon is closed.
-func (s *stream) tail() {
-	timer := time.AfterFunc(tailWait, s.cancel)
+func (s *stream) drain() {
+	timer := time.AfterFunc(drainTimeout, s.cancel)
 	defer timer.Stop()
 	for s.lines.Scan() {
 	}
--- a/adapters/httplog/log.go
+++ b/adapters/httplog/log.go
@@ -17,12 +17,12 @@
 
 const (
 	appendTimeout = 5 * time.Second
-	readSlack     = 5 * time.Second // beyond the wait that was asked for
-	maxPage       = 64 << 20        // bytes
+	readExtraTime = 5 * time.Second // beyond the wait that was asked for
+	maxPageBytes  = 64 << 20        // bytes
 )
 
 // Log implements platform.Log.
-type Log struct{ c *rest.Client }
+type Log struct{ client *rest.Client }
 
 var _ platform.Log = (*Log)(nil)
 
@@ -31,7 +31,7 @@
 func New(base, name string) *Log { return &Log{rest.New(base, name)} }
 
 // Close closes idle connections.
-func (l *Log) Close() { l.c.Close() }
+func (l *Log) Close() { l.client.Close() }
 
 func path(stream, verb string) string {
 	return "/streams/" + url.PathEscape(stream) + "/" + verb
@@ -45,7 +45,7 @@
 func (l *Log) Append(ctx context.Context, stream string, data []byte) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
-	resp, sent, err := l.c.Do(ctx, rest.Request{
+	resp, sent, err := l.client.Do(ctx, rest.Request{
 		Method: http.MethodPost,
 		Path:   path(stream, "append"),
 		Body:   bytes.NewReader(data),
@@ -58,9 +58,9 @@
 		}
 		return 0, errors.Trace(fmt.Errorf("%w: %w", kind, err))
 	}
-	defer rest.Finish(resp)
+	defer rest.DrainAndClose(resp)
 	if resp.StatusCode != http.StatusOK {
-		return 0, errors.Trace(fmt.Errorf("%w: %w", appendError(resp.StatusCode), rest.Status(resp)))
+		return 0, errors.Trace(fmt.Errorf("%w: %w", appendError(resp.StatusCode), rest.NewStatusError(resp)))
 	}
 	var answer struct {
 		Offset *uint64 `json:"offset"`
@@ -97,32 +97,32 @@
 	End   *uint64 `json:"end"`
 }
 
-// decoded checks and converts a page. A 200 from something that is no log (a
+// decode checks and converts a page. A 200 from something that is no log (a
 // balancer's page, "{}") must not pass for one: with a missing end read as 0
 // every reader would take the log for reset, and each key that callers repeat
 // would answer "outcome unknown" for the whole key window.
-func (p page) decoded(from uint64) (platform.Page, error) {
+func (p page) decode(from uint64) (platform.Page, error) {
 	if p.Next == nil || p.First == nil || p.End == nil {
 		return platform.Page{}, errors.NotValidf("page without next, first or end")
 	}
 	out := platform.Page{Next: *p.Next, First: *p.First, End: *p.End}
-	least := from
+	minOffset := from
 	for _, r := range p.Records {
-		if r.Offset < least || r.Offset >= out.End {
-			return platform.Page{}, errors.NotValidf("page with a record at offset %d where at least %d and less than %d may be", r.Offset, least, out.End)
+		if r.Offset < minOffset || r.Offset >= out.End {
+			return platform.Page{}, errors.NotValidf("page with a record at offset %d where at least %d and less than %d may be", r.Offset, minOffset, out.End)
 		}
-		least = r.Offset + 1
+		minOffset = r.Offset + 1
 		out.Records = append(out.Records, platform.Record{Offset: r.Offset, Time: time.UnixMilli(r.TimeMS), Data: r.Data})
 	}
 	reset := out.End < from // the log lost records that were read; the reader sees it by End
-	if !reset && (out.Next < least || out.Next > out.End) {
+	if !reset && (out.Next < minOffset || out.Next > out.End) {
 		return platform.Page{}, errors.NotValidf("page that goes on at offset %d", out.Next)
 	}
 	return out, nil
 }
 
-// truncated converts the answer that an offset is no longer kept.
-func (p page) truncated() (platform.Page, error) {
+// decodeTruncated converts the answer that an offset is no longer kept.
+func (p page) decodeTruncated() (platform.Page, error) {
 	if p.First == nil || p.End == nil || *p.First > *p.End {
 		return platform.Page{}, errors.NotValidf("truncation without first and end")
 	}
@@ -131,32 +131,32 @@
 
 // Read implements platform.Log.
 func (l *Log) Read(ctx context.Context, stream string, from uint64, limit int, wait time.Duration) (platform.Page, error) {
-	ctx, cancel := context.WithTimeout(ctx, wait+readSlack)
+	ctx, cancel := context.WithTimeout(ctx, wait+readExtraTime)
 	defer cancel()
 	query := fmt.Sprintf("?from=%d&max=%d&wait_ms=%d", from, limit, wait.Milliseconds())
-	resp, _, err := l.c.Do(ctx, rest.Request{Method: http.MethodGet, Path: path(stream, "read") + query})
+	resp, _, err := l.client.Do(ctx, rest.Request{Method: http.MethodGet, Path: path(stream, "read") + query})
 	if err != nil {
 		return platform.Page{}, errors.Annotate(err, "log: read")
 	}
-	defer rest.Finish(resp)
+	defer rest.DrainAndClose(resp)
 	switch resp.StatusCode {
 	case http.StatusOK, http.StatusGone:
 	case http.StatusServiceUnavailable:
 		return platform.Page{}, errors.Annotate(platform.ErrLogUnavailable, "read")
 	default:
-		return platform.Page{}, errors.Annotate(rest.Status(resp), "log: read")
+		return platform.Page{}, errors.Annotate(rest.NewStatusError(resp), "log: read")
 	}
 	var p page
-	if err := rest.Decode(resp, &p, maxPage); err != nil {
+	if err := rest.Decode(resp, &p, maxPageBytes); err != nil {
 		return platform.Page{}, errors.Annotate(err, "log: read")
 	}
 	if resp.StatusCode == http.StatusGone {
-		out, err := p.truncated()
+		out, err := p.decodeTruncated()
 		if err != nil {
 			return out, errors.Annotate(err, "log: read")
 		}
 		return out, errors.Trace(platform.ErrTruncated)
 	}
-	out, err := p.decoded(from)
+	out, err := p.decode(from)
 	return out, errors.Annotate(err, "log: read")
 }
--- a/adapters/httpstore/store.go
+++ b/adapters/httpstore/store.go
@@ -22,7 +22,7 @@
 const latestTimeout = 5 * time.Second
 
 // Store implements platform.WeightStore.
-type Store struct{ c *rest.Client }
+type Store struct{ client *rest.Client }
 
 var _ platform.WeightStore = (*Store)(nil)
 
@@ -31,7 +31,7 @@
 func New(base, name string) *Store { return &Store{rest.New(base, name)} }
 
 // Close closes idle connections.
-func (s *Store) Close() { s.c.Close() }
+func (s *Store) Close() { s.client.Close() }
 
 func modelPath(model string) string { return "/models/" + url.PathEscape(model) }
 
@@ -44,22 +44,22 @@
 	ctx, cancel := context.WithTimeout(ctx, latestTimeout)
 	defer cancel()
 	var info platform.WeightInfo
-	_, err := s.c.JSON(ctx, http.MethodGet, modelPath(model)+"/latest", nil, &info, 0)
-	return info, failure(err, "latest")
+	_, err := s.client.JSON(ctx, http.MethodGet, modelPath(model)+"/latest", nil, &info, 0)
+	return info, annotate(err, "latest")
 }
 
-func failure(err error, what string) error {
-	if rest.Code(err) == http.StatusNotFound {
-		return errors.Annotatef(platform.ErrNotFound, "weights: %s", what)
+func annotate(err error, op string) error {
+	if rest.StatusCode(err) == http.StatusNotFound {
+		return errors.Annotatef(platform.ErrNotFound, "weights: %s", op)
 	}
-	return errors.Annotatef(err, "weights: %s", what)
+	return errors.Annotatef(err, "weights: %s", op)
 }
 
 // Fetch implements platform.WeightStore. The reader ends with io.EOF only when
 // length and digest are those of the info, else with ErrDigest or the
 // connection's error. ctx bounds the whole of the reading.
 func (s *Store) Fetch(ctx context.Context, model string, version uint64) (io.ReadCloser, platform.WeightInfo, error) {
-	resp, _, err := s.c.Do(ctx, rest.Request{Method: http.MethodGet, Path: versionPath(model, version)})
+	resp, _, err := s.client.Do(ctx, rest.Request{Method: http.MethodGet, Path: versionPath(model, version)})
 	if err != nil {
 		return nil, platform.WeightInfo{}, errors.Annotate(err, "weights: fetch")
 	}
@@ -70,39 +70,39 @@
 		Digest:  resp.Header.Get(protocol.WeightsDigest),
 	}
 	if resp.StatusCode != http.StatusOK {
-		defer rest.Finish(resp)
-		return nil, platform.WeightInfo{}, failure(rest.Status(resp), "fetch")
+		defer rest.DrainAndClose(resp)
+		return nil, platform.WeightInfo{}, annotate(rest.NewStatusError(resp), "fetch")
 	}
 	if info.Bytes < 0 || info.Digest == "" {
 		_ = resp.Body.Close()
 		return nil, platform.WeightInfo{}, errors.New("weights: fetch: answer without length or digest")
 	}
-	return &verified{body: resp.Body, sum: sha256.New(), want: info.Digest}, info, nil
+	return &verifyingReader{body: resp.Body, sum: sha256.New(), wantDigest: info.Digest}, info, nil
 }
 
-// verified checks the digest at the end. The HTTP client itself reports a
+// verifyingReader checks the digest at the end. The HTTP client itself reports a
 // body that is shorter than its declared length.
-type verified struct {
-	body io.ReadCloser
-	sum  hash.Hash
-	want string
+type verifyingReader struct {
+	body       io.ReadCloser
+	sum        hash.Hash
+	wantDigest string
 }
 
-func (v *verified) Read(p []byte) (int, error) {
+func (v *verifyingReader) Read(p []byte) (int, error) {
 	n, err := v.body.Read(p)
 	_, _ = v.sum.Write(p[:n])
-	if err == io.EOF && hex.EncodeToString(v.sum.Sum(nil)) != v.want {
+	if err == io.EOF && hex.EncodeToString(v.sum.Sum(nil)) != v.wantDigest {
 		return n, errors.Trace(platform.ErrDigest)
 	}
 	return n, err
 }
 
-func (v *verified) Close() error { return v.body.Close() }
+func (v *verifyingReader) Close() error { return v.body.Close() }
 
 // Put implements platform.WeightStore. A version's content never changes, so
 // a repeat after a lost answer is harmless.
 func (s *Store) Put(ctx context.Context, info platform.WeightInfo, data io.Reader) error {
-	resp, _, err := s.c.Do(ctx, rest.Request{
+	resp, _, err := s.client.Do(ctx, rest.Request{
 		Method: http.MethodPut,
 		Path:   versionPath(info.Model, info.Version),
 		Header: map[string]string{protocol.WeightsDigest: info.Digest},
@@ -112,9 +112,9 @@
 	if err != nil {
 		return errors.Annotate(err, "weights: put")
 	}
-	defer rest.Finish(resp)
+	defer rest.DrainAndClose(resp)
 	if resp.StatusCode != http.StatusOK {
-		return failure(rest.Status(resp), "put")
+		return annotate(rest.NewStatusError(resp), "put")
 	}
 	return nil
 }
--- a/adapters/httpvms/vms.go
+++ b/adapters/httpvms/vms.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	timeout = 5 * time.Second
-	maxList = 16 << 20 // bytes
+	timeout      = 5 * time.Second
+	maxListBytes = 16 << 20 // bytes
 )
 
 // List implements platform.VMList.
-type List struct{ c *rest.Client }
+type List struct{ client *rest.Client }
 
 var _ platform.VMList = (*List)(nil)
 
@@ -27,13 +27,13 @@
 func New(base, name string) *List { return &List{rest.New(base, name)} }
 
 // Close closes idle connections.
-func (l *List) Close() { l.c.Close() }
+func (l *List) Close() { l.client.Close() }
 
 // List implements platform.VMList.
 func (l *List) List(ctx context.Context) ([]platform.VM, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	var vms []platform.VM
-	_, err := l.c.JSON(ctx, http.MethodGet, "/vms", nil, &vms, maxList)
+	_, err := l.client.JSON(ctx, http.MethodGet, "/vms", nil, &vms, maxListBytes)
 	return vms, errors.Annotate(err, "vm list")
 }
--- a/adapters/internal/rest/rest.go
+++ b/adapters/internal/rest/rest.go
@@ -19,21 +19,21 @@
 )
 
 const (
-	dialTimeout   = 2 * time.Second
-	keepAlive     = 15 * time.Second
-	idleTimeout   = 30 * time.Second
-	idlePerHost   = 64
-	maxHeader     = 64 << 10 // bytes
-	maxErrorText  = 512      // bytes of an error's body that are told
-	drainLimit    = 64 << 10 // bytes read to keep a connection usable
-	maxSmallReply = 1 << 20  // bytes
+	dialTimeout     = 2 * time.Second
+	keepAlive       = 15 * time.Second
+	idleTimeout     = 30 * time.Second
+	maxIdlePerHost  = 64
+	maxHeaderBytes  = 64 << 10 // bytes
+	maxErrorBytes   = 512      // bytes of an error's body that are told
+	maxDrainBytes   = 64 << 10 // bytes read to keep a connection usable
+	defaultMaxReply = 1 << 20  // bytes
 )
 
 // Client talks to one platform service.
 type Client struct {
-	base string
-	name string
-	http *http.Client
+	baseURL string
+	name    string
+	http    *http.Client
 }
 
 // New makes a client of the service at base (http://IP:port); name is told in
@@ -42,15 +42,15 @@
 	dialer := &net.Dialer{Timeout: dialTimeout, KeepAlive: keepAlive}
 	transport := &http.Transport{
 		DialContext:            dialer.DialContext,
-		MaxIdleConnsPerHost:    idlePerHost,
+		MaxIdleConnsPerHost:    maxIdlePerHost,
 		IdleConnTimeout:        idleTimeout,
-		MaxResponseHeaderBytes: maxHeader,
+		MaxResponseHeaderBytes: maxHeaderBytes,
 		DisableCompression:     true,
 	}
 	return &Client{
-		base: strings.TrimSuffix(base, "/"),
-		name: name,
-		http: &http.Client{Transport: transport, CheckRedirect: noRedirect},
+		baseURL: strings.TrimSuffix(base, "/"),
+		name:    name,
+		http:    &http.Client{Transport: transport, CheckRedirect: noRedirect},
 	}
 }
 
@@ -68,24 +68,24 @@
 	Size   int64
 }
 
-// once hides a reader's concrete type from http.NewRequest, which would else
+// opaqueReader hides a reader's concrete type from http.NewRequest, which would else
 // set GetBody. With GetBody (or an Idempotency-Key header) http.Transport
 // silently sends a request again when a kept-alive connection breaks under
 // it: an append or an order would then stand twice. Without, a request with a
-// body is sent at most once.
-type once struct{ io.Reader }
+// body is sent at most opaqueReader.
+type opaqueReader struct{ io.Reader }
 
 // Do sends a request once. sent tells whether bytes of it may have gone out;
 // when it is false the service has certainly not seen it.
 func (c *Client) Do(ctx context.Context, r Request) (resp *http.Response, sent bool, err error) {
-	var got atomic.Bool
-	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { got.Store(true) }}
+	var connected atomic.Bool
+	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
 	ctx = httptrace.WithClientTrace(ctx, trace)
 	var body io.Reader
 	if r.Body != nil {
-		body = once{r.Body}
+		body = opaqueReader{r.Body}
 	}
-	req, err := http.NewRequestWithContext(ctx, r.Method, c.base+r.Path, body)
+	req, err := http.NewRequestWithContext(ctx, r.Method, c.baseURL+r.Path, body)
 	if err != nil {
 		return nil, false, errors.Trace(err)
 	}
@@ -97,7 +97,7 @@
 	}
 	req.Header.Set(protocol.Client, c.name)
 	resp, err = c.http.Do(req)
-	return resp, got.Load(), err
+	return resp, connected.Load(), err
 }
 
 // JSON sends in (nil: no body) and decodes a 200's body into out (nil:
@@ -117,9 +117,9 @@
 	if err != nil {
 		return sent, errors.Trace(err)
 	}
-	defer Finish(resp)
+	defer DrainAndClose(resp)
 	if resp.StatusCode != http.StatusOK {
-		return sent, Status(resp)
+		return sent, NewStatusError(resp)
 	}
 	return sent, errors.Trace(Decode(resp, out, limit))
 }
@@ -130,15 +130,15 @@
 		return nil
 	}
 	if limit <= 0 {
-		limit = maxSmallReply
+		limit = defaultMaxReply
 	}
 	return json.NewDecoder(io.LimitReader(resp.Body, limit)).Decode(out)
 }
 
-// Finish reads what is left of a small body, so that the connection can be
+// DrainAndClose reads what is left of a small body, so that the connection can be
 // used again, and closes it.
-func Finish(resp *http.Response) {
-	_, _ = io.CopyN(io.Discard, resp.Body, drainLimit)
+func DrainAndClose(resp *http.Response) {
+	_, _ = io.CopyN(io.Discard, resp.Body, maxDrainBytes)
 	_ = resp.Body.Close()
 }
 
@@ -152,14 +152,14 @@
 	return http.StatusText(e.Code) + ": " + e.Text
 }
 
-// Status makes a StatusError of an answer.
-func Status(resp *http.Response) error {
-	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorText))
+// NewStatusError makes a StatusError of an answer.
+func NewStatusError(resp *http.Response) error {
+	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBytes))
 	return &StatusError{Code: resp.StatusCode, Text: strings.TrimSpace(string(text))}
 }
 
-// Code returns the status of a StatusError in err's chain, or 0.
-func Code(err error) int {
+// StatusCode returns the status of a StatusError in err's chain, or 0.
+func StatusCode(err error) int {
 	var s *StatusError
 	if errors.As(err, &s) {
 		return s.Code
--- a/adapters/internal/rest/rest_test.go
+++ b/adapters/internal/rest/rest_test.go
@@ -16,7 +16,7 @@
 // The worst case for a silent repeat: a kept-alive connection breaks under a
 // request with an Idempotency-Key header. http.Transport would send it again
 // if it could rewind the body.
-func TestBodyIsNeverSentAgain(t *testing.T) {
+func TestBodyIsSentAtMostOnce(t *testing.T) {
 	var seen atomic.Int64
 	srv := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -35,7 +35,7 @@
 			Size:   4,
 		})
 		if err == nil {
-			rest.Finish(resp)
+			rest.DrainAndClose(resp)
 		}
 		return sent, err
 	}
