--- a/adapters/adapters_test.go
+++ b/adapters/adapters_test.go
@@ -40,7 +40,8 @@
 	}
 }
 
-// truncatedAnswer declares more than it writes and drops the connection.
+// truncatedAnswer returns a handler that declares a longer body than it writes, so that
+// the connection is closed within the body.
 func truncatedAnswer(body string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -51,7 +52,7 @@
 
 func dropConnection(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
-// closedAddr is an address at which nobody listens.
+// closedAddr returns an address at which no process listens.
 func closedAddr(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -59,21 +60,21 @@
 	return "http://" + l.Addr().String()
 }
 
-// The process that appends a claim must know whether the claim may stand. It
-// sees "not taken" only when no byte went out or the log itself refused; every
-// other failure leaves the outcome unknown and is resolved by reading back.
+// A process that appends a claim must know whether the claim may be in the log. The error
+// says "not taken" only when no byte was sent or the log itself refused; after any other
+// failure the outcome is unknown, and the process reads the log to find out.
 func TestAppendDistinguishesNotTakenFromUnknown(t *testing.T) {
 	cases := map[string]struct {
 		handler http.HandlerFunc
 		want    error
 	}{
-		"rate spent":           {answer(http.StatusTooManyRequests, ""), platform.ErrRate},
+		"rate exceeded":        {answer(http.StatusTooManyRequests, ""), platform.ErrRate},
 		"outage":               {answer(http.StatusServiceUnavailable, ""), platform.ErrLogUnavailable},
 		"too large":            {answer(http.StatusRequestEntityTooLarge, ""), platform.ErrLogRefused},
 		"fault of the log":     {answer(http.StatusInternalServerError, ""), platform.ErrAppendUnknown},
 		"redirect":             {answer(http.StatusTemporaryRedirect, ""), platform.ErrAppendUnknown},
 		"connection dropped":   {dropConnection, platform.ErrAppendUnknown},
-		"answer cut short":     {truncatedAnswer(`{"offset":`), platform.ErrAppendUnknown},
+		"answer truncated":     {truncatedAnswer(`{"offset":`), platform.ErrAppendUnknown},
 		"answer without field": {answer(http.StatusOK, `{}`), platform.ErrAppendUnknown},
 	}
 	for name, c := range cases {
@@ -105,8 +106,8 @@
 	})
 }
 
-// answerOnce answers the first request with ok and then drops the connection of
-// each further one after reading it; it counts the requests.
+// answerOnce returns a handler that answers the first request with ok, and reads each
+// further one and closes its connection. It counts the requests in seen.
 func answerOnce(ok string, seen *atomic.Int64) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -117,10 +118,10 @@
 	}
 }
 
-// A kept-alive connection breaks after the second append was sent over it.
-// Go's http.Transport repeats a request silently where it can rewind the body
-// and the request looks idempotent; the log would then hold the record twice,
-// the engine obey an order twice. The control shows that the trap is real.
+// A kept-alive connection breaks after the second append was sent over it. Go's
+// http.Transport silently repeats a request whose body it can rewind if the request looks
+// idempotent: the log would hold the record twice, or an engine carry out an order twice.
+// The control case shows that the transport does so for an ordinary request.
 func TestBrokenKeptAliveConnectionSendsOnce(t *testing.T) {
 	var seen atomic.Int64
 	t.Run("append", func(t *testing.T) {
@@ -197,15 +198,15 @@
 	return s
 }
 
-// The sample looks whole to a reader that takes the end of the connection for
-// the end of the text. The engine died, or the stream was cancelled elsewhere:
-// the body ends cleanly or not, but no chunk named a finish reason.
+// Guards against taking the end of the connection for the end of the text. When the engine
+// crashes or the stream is cancelled elsewhere, the body may end cleanly or not, but no
+// chunk has a finish reason.
 func TestTruncatedStreamIsAnError(t *testing.T) {
 	bodies := map[string]http.HandlerFunc{
-		"clean end":       answer(http.StatusOK, firstEvent),
-		"done mark alone": answer(http.StatusOK, firstEvent+"data: [DONE]\n\n"),
-		"connection lost": truncatedAnswer(firstEvent),
-		"after a comment": answer(http.StatusOK, firstEvent+": ping\n\n"),
+		"clean end":         answer(http.StatusOK, firstEvent),
+		"done marker alone": answer(http.StatusOK, firstEvent+"data: [DONE]\n\n"),
+		"connection lost":   truncatedAnswer(firstEvent),
+		"after a comment":   answer(http.StatusOK, firstEvent+": ping\n\n"),
 	}
 	for name, h := range bodies {
 		t.Run(name, func(t *testing.T) {
@@ -215,7 +216,7 @@
 			require.Equal(t, platform.Chunk{Text: "a@1 ", Tokens: 1, Version: 1, Boot: "b"}, c)
 			_, err = s.Next()
 			require.ErrorIs(t, err, io.ErrUnexpectedEOF)
-			require.Equal(t, 1, strings.Count(err.Error(), "unexpected EOF"), "the cause is named once: %v", err)
+			require.Equal(t, 1, strings.Count(err.Error(), "unexpected EOF"), "the text contains the cause once: %v", err)
 		})
 	}
 	t.Run("half an event", func(t *testing.T) {
@@ -255,15 +256,15 @@
 	select {
 	case <-disconnected:
 	case <-time.After(10 * time.Second):
-		t.Fatal("the engine never saw the client go")
+		t.Fatal("the engine was not notified that the client had disconnected")
 	}
 	_, err = s.Next()
 	require.Error(t, err)
 	require.NotErrorIs(t, err, io.EOF)
 }
 
-// Weights that arrive short or damaged must never reach an engine as whole:
-// the reader ends with an error in io.EOF's place.
+// Truncated or corrupted weights must never reach an engine as if they were complete: the
+// reader ends with an error instead of io.EOF.
 func TestFetchedWeightsAreVerified(t *testing.T) {
 	const digest = "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad" // of "abc"
 	fetch := func(h http.HandlerFunc) ([]byte, error) {
--- a/adapters/httpengine/engine.go
+++ b/adapters/httpengine/engine.go
@@ -23,10 +23,10 @@
 
 const (
 	callTimeout   = 3 * time.Second  // state, load, events, cancel
-	roleTimeout   = 10 * time.Second // an order of a role
+	roleTimeout   = 10 * time.Second // order to take a role
 	kvTimeout     = 30 * time.Second
-	maxKVBytes    = 256 << 20 // bytes
-	maxReplyBytes = 8 << 20   // bytes
+	maxKVBytes    = 256 << 20
+	maxReplyBytes = 8 << 20 // of an answer to state, load, events or cancel
 )
 
 // Engine implements platform.Engine.
@@ -34,8 +34,8 @@
 
 var _ platform.Engine = (*Engine)(nil)
 
-// New makes an adapter of the engine at base (http://IP:port); name is the
-// name of this process.
+// New returns an adapter of the engine at base (http://IP:port); name is the name of this
+// process.
 func New(base, name string) *Engine { return &Engine{rest.New(base, name)} }
 
 // Close closes idle connections.
@@ -54,9 +54,9 @@
 	KV           []byte `json:"kv,omitempty"`
 }
 
-// Generate implements platform.Engine. ctx bounds the whole stream; there is
-// no other timeout, for an engine may queue a job for long. An answer that the
-// engine does not take the job is ErrEngineRefused.
+// Generate implements platform.Engine. ctx bounds the whole stream; there is no other
+// timeout, because an engine may queue a job for a long time. If the engine answers that
+// it does not accept the job, the error is ErrEngineRefused.
 func (e *Engine) Generate(ctx context.Context, job platform.GenerateJob) (platform.Stream, error) {
 	data, err := json.Marshal(completionRequest{
 		ID:           job.ID,
@@ -95,7 +95,7 @@
 	return newStream(resp.Body, cancel), nil
 }
 
-// Cancel implements platform.Engine. An id that is not running is no error.
+// Cancel implements platform.Engine. It is no error if the job is not running.
 func (e *Engine) Cancel(ctx context.Context, id string) error {
 	in := struct {
 		ID string `json:"id"`
@@ -124,6 +124,7 @@
 	return out.Events, err
 }
 
+// call makes a short call with JSON bodies, bounded by callTimeout.
 func (e *Engine) call(ctx context.Context, method, path string, in, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -131,10 +132,9 @@
 	return errors.Annotatef(err, "engine: %s %s", method, path)
 }
 
-// LoadWeights implements platform.Engine. The order is sent at most once. It
-// returns ErrFenced, ErrLoadFailed, or ErrOrderUnknown when the answer was
-// lost; any other error proves that the engine did not take the order. ctx
-// bounds it.
+// LoadWeights implements platform.Engine. The order is sent at most once. The errors are
+// ErrFenced, ErrLoadFailed, and ErrOrderUnknown if the answer was lost; any other error
+// proves that the engine did not accept the order. ctx bounds the call.
 func (e *Engine) LoadWeights(ctx context.Context, info platform.WeightInfo, data io.Reader, token uint64) error {
 	resp, sent, err := e.client.Do(ctx, rest.Request{
 		Method: http.MethodPost,
@@ -159,7 +159,7 @@
 	return nil
 }
 
-// SetRole implements platform.Engine, with LoadWeights' errors.
+// SetRole implements platform.Engine. Its errors are those of LoadWeights.
 func (e *Engine) SetRole(ctx context.Context, role string, token uint64) error {
 	ctx, cancel := context.WithTimeout(ctx, roleTimeout)
 	defer cancel()
@@ -174,6 +174,8 @@
 	return nil
 }
 
+// orderError returns the error of a failed order; sent reports whether the engine may have
+// received it.
 func orderError(sent bool, err error) error {
 	code := rest.StatusCode(err)
 	switch {
@@ -187,7 +189,7 @@
 	return errors.Trace(fmt.Errorf("%w: %w", platform.ErrOrderUnknown, err))
 }
 
-// ExportKV implements platform.Engine; ErrNotFound for an unknown id.
+// ExportKV implements platform.Engine. The error is ErrNotFound for an unknown job.
 func (e *Engine) ExportKV(ctx context.Context, id string) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, kvTimeout)
 	defer cancel()
--- a/adapters/httpengine/fuzz_test.go
+++ b/adapters/httpengine/fuzz_test.go
@@ -12,8 +12,8 @@
 	"dandelionsill.org/platform"
 )
 
-// FuzzStream: an engine's bytes are read to the same chunks however they are
-// cut on the way, and only a finish reason makes an answer whole.
+// FuzzStream checks that an engine's bytes are decoded to the same chunks however they are
+// split in transit, and that only an answer with a finish reason ends with io.EOF.
 func FuzzStream(f *testing.F) {
 	for _, seed := range []string{
 		`data: {"choices":[{"text":"a","finish_reason":null}],"tokens":1,"weights_version":3,"boot":"b"}` + "\n\n" + `data: {"choices":[{"text":"","finish_reason":"length"}]}` + "\n\ndata: [DONE]\n\n",
--- a/adapters/httpengine/stream.go
+++ b/adapters/httpengine/stream.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	initialLineBytes = 16 << 10 // bytes, of the line buffer at the start
-	maxLineBytes     = 4 << 20  // bytes
-	// drainTimeout bounds the reading of what follows the last chunk; it only
-	// saves the connection for the next stream.
+	initialLineBytes = 16 << 10 // initial size of the line buffer
+	maxLineBytes     = 4 << 20
+	// drainTimeout bounds reading what follows the last chunk. Reading it is needed only
+	// to reuse the connection.
 	drainTimeout = 100 * time.Millisecond
 )
 
@@ -26,7 +26,7 @@
 	doneMarker = []byte("[DONE]")
 )
 
-// stream reads server-sent events.
+// stream implements platform.Stream over server-sent events.
 type stream struct {
 	body     io.ReadCloser
 	cancel   context.CancelFunc
@@ -53,9 +53,9 @@
 
 // Next implements platform.Stream.
 //
-// An engine that dies, or cancels a stream on its own, may end the body as
-// cleanly as one that is done; only the finish reason tells a whole answer
-// from a cut one. So an end without it is io.ErrUnexpectedEOF.
+// An engine that crashes or cancels a stream on its own may end the body as cleanly as one
+// that has completed: only the finish reason distinguishes a complete answer from a
+// truncated one. An end without it is io.ErrUnexpectedEOF.
 func (s *stream) Next() (platform.Chunk, error) {
 	if s.finished {
 		s.drain()
@@ -78,9 +78,10 @@
 	return platform.Chunk{}, errors.Annotate(io.ErrUnexpectedEOF, "engine: stream ended without a finish")
 }
 
-// brokenStreamError is a read error in the middle of a stream. It counts as
-// io.ErrUnexpectedEOF, whatever the connection died of, and names its cause
-// once: net/http's own error for a cut body is io.ErrUnexpectedEOF too.
+// brokenStreamError is a read error in the middle of a stream. It matches
+// io.ErrUnexpectedEOF whatever broke the connection. It does so by Is rather than by
+// wrapping that error in addition to its cause: net/http's error for a truncated body is
+// io.ErrUnexpectedEOF already, and the text would name it twice.
 type brokenStreamError struct{ error }
 
 func (e brokenStreamError) Unwrap() error { return e.error }
@@ -111,8 +112,8 @@
 	return c, nil
 }
 
-// drain reads up to the end of the body, so that the connection can be used
-// again; one that does not end soon is closed.
+// drain reads up to the end of the body, so that the connection can be reused, and closes
+// the connection if the end does not arrive within drainTimeout.
 func (s *stream) drain() {
 	timer := time.AfterFunc(drainTimeout, s.cancel)
 	defer timer.Stop()
@@ -121,8 +122,8 @@
 	_ = s.Close()
 }
 
-// Close implements platform.Stream: it closes the connection of a stream that
-// has not ended, by which the engine cancels it.
+// Close implements platform.Stream. It closes the connection of a stream that has not
+// ended, upon which the engine cancels the stream.
 func (s *stream) Close() error {
 	s.cancel()
 	return s.body.Close()
--- a/adapters/httpengine/trace_test.go
+++ b/adapters/httpengine/trace_test.go
@@ -14,8 +14,8 @@
 	"dandelionsill.org/platform"
 )
 
-// An engine that writes spans of its own continues the request's trace: the
-// agent's span is the parent that the engine is told.
+// The agent sends its span to the engine as the parent, so that an engine that writes
+// spans of its own continues the request's trace.
 func TestTraceReachesTheEngine(t *testing.T) {
 	otel.SetTextMapPropagator(propagation.TraceContext{})
 	var got string
--- a/adapters/httplog/fuzz_test.go
+++ b/adapters/httplog/fuzz_test.go
@@ -13,11 +13,10 @@
 	"dandelionsill.org/platform"
 )
 
-// FuzzPage: what answers in the log's place is no log, or a broken one. A page
-// that is taken carries a reader on: it names first, next and end, its records
-// stand at rising offsets from the one asked for, and it never sends the reader
-// back, unless the log itself ends before what was read. ErrTruncated comes
-// only with 410 and the bounds to go on from.
+// FuzzPage checks Read against a server that is not a log, or a faulty one. An accepted
+// page has first, next and end, its records have increasing offsets from the requested one
+// on, and next is not behind that offset unless the log itself ends before it. ErrTruncated
+// is returned only for status 410 with the bounds from which to continue.
 func FuzzPage(f *testing.F) {
 	const from = 5
 	for _, seed := range []string{
--- a/adapters/httplog/log.go
+++ b/adapters/httplog/log.go
@@ -17,8 +17,8 @@
 
 const (
 	appendTimeout = 5 * time.Second
-	readExtraTime = 5 * time.Second // beyond the wait that was asked for
-	maxPageBytes  = 64 << 20        // bytes
+	readExtraTime = 5 * time.Second // timeout of a read beyond its wait
+	maxPageBytes  = 64 << 20
 )
 
 // Log implements platform.Log.
@@ -26,8 +26,8 @@
 
 var _ platform.Log = (*Log)(nil)
 
-// New makes an adapter of the log at base (http://IP:port); name is the name
-// of this process.
+// New returns an adapter of the log at base (http://IP:port); name is the name of this
+// process.
 func New(base, name string) *Log { return &Log{rest.New(base, name)} }
 
 // Close closes idle connections.
@@ -39,9 +39,9 @@
 
 // Append implements platform.Log. The record is sent at most once.
 //
-// An answer that is lost, cut short or not understood leaves the outcome
-// unknown. Only a failure before a connection was had, or the log's own
-// refusal, proves that the record was not taken.
+// The outcome is unknown if the answer is lost, truncated or invalid. Only a failure
+// before a connection was established, or the log's own refusal, proves that the record
+// was not appended.
 func (l *Log) Append(ctx context.Context, stream string, data []byte) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
@@ -97,10 +97,10 @@
 	End   *uint64 `json:"end"`
 }
 
-// decode checks and converts a page. A 200 from something that is no log (a
-// balancer's page, "{}") must not pass for one: with a missing end read as 0
-// every reader would take the log for reset, and each key that callers repeat
-// would answer "outcome unknown" for the whole key window.
+// decode validates and converts a page. A 200 from a server that is not a log (a load
+// balancer's page, "{}") must be rejected: if a missing end were read as 0, every reader
+// would conclude that the log was reset, and each idempotency key that callers repeat would
+// be answered with "outcome unknown" for the whole key window.
 func (p page) decode(from uint64) (platform.Page, error) {
 	if p.Next == nil || p.First == nil || p.End == nil {
 		return platform.Page{}, errors.NotValidf("page without next, first or end")
@@ -114,14 +114,14 @@
 		minOffset = r.Offset + 1
 		out.Records = append(out.Records, platform.Record{Offset: r.Offset, Time: time.UnixMilli(r.TimeMS), Data: r.Data})
 	}
-	reset := out.End < from // the log lost records that were read; the reader sees it by End
+	reset := out.End < from // the log has lost records that were read; End shows it to the reader
 	if !reset && (out.Next < minOffset || out.Next > out.End) {
 		return platform.Page{}, errors.NotValidf("page that goes on at offset %d", out.Next)
 	}
 	return out, nil
 }
 
-// decodeTruncated converts the answer that an offset is no longer kept.
+// decodeTruncated converts the answer for an offset that is no longer kept.
 func (p page) decodeTruncated() (platform.Page, error) {
 	if p.First == nil || p.End == nil || *p.First > *p.End {
 		return platform.Page{}, errors.NotValidf("truncation without first and end")
--- a/adapters/httpstore/store.go
+++ b/adapters/httpstore/store.go
@@ -26,8 +26,8 @@
 
 var _ platform.WeightStore = (*Store)(nil)
 
-// New makes an adapter of the store at base (http://IP:port); name is the
-// name of this process.
+// New returns an adapter of the store at base (http://IP:port); name is the name of this
+// process.
 func New(base, name string) *Store { return &Store{rest.New(base, name)} }
 
 // Close closes idle connections.
@@ -39,7 +39,8 @@
 	return modelPath(model) + "/versions/" + strconv.FormatUint(version, 10)
 }
 
-// Latest implements platform.WeightStore; ErrNotFound when there is none.
+// Latest implements platform.WeightStore. The error is ErrNotFound if the model has no
+// version.
 func (s *Store) Latest(ctx context.Context, model string) (platform.WeightInfo, error) {
 	ctx, cancel := context.WithTimeout(ctx, latestTimeout)
 	defer cancel()
@@ -48,6 +49,7 @@
 	return info, annotate(err, "latest")
 }
 
+// annotate adds the failed operation to an error; a 404 becomes ErrNotFound.
 func annotate(err error, op string) error {
 	if rest.StatusCode(err) == http.StatusNotFound {
 		return errors.Annotatef(platform.ErrNotFound, "weights: %s", op)
@@ -55,9 +57,9 @@
 	return errors.Annotatef(err, "weights: %s", op)
 }
 
-// Fetch implements platform.WeightStore. The reader ends with io.EOF only when
-// length and digest are those of the info, else with ErrDigest or the
-// connection's error. ctx bounds the whole of the reading.
+// Fetch implements platform.WeightStore. The reader ends with io.EOF only if length and
+// digest match the info, else with ErrDigest or the connection's error. ctx bounds reading
+// too.
 func (s *Store) Fetch(ctx context.Context, model string, version uint64) (io.ReadCloser, platform.WeightInfo, error) {
 	resp, _, err := s.client.Do(ctx, rest.Request{Method: http.MethodGet, Path: versionPath(model, version)})
 	if err != nil {
@@ -80,8 +82,8 @@
 	return &verifyingReader{body: resp.Body, sum: sha256.New(), wantDigest: info.Digest}, info, nil
 }
 
-// verifyingReader checks the digest at the end. The HTTP client itself reports a
-// body that is shorter than its declared length.
+// verifyingReader checks the digest at the end of the body. The HTTP client itself reports
+// a body that is shorter than declared.
 type verifyingReader struct {
 	body       io.ReadCloser
 	sum        hash.Hash
@@ -99,8 +101,8 @@
 
 func (v *verifyingReader) Close() error { return v.body.Close() }
 
-// Put implements platform.WeightStore. A version's content never changes, so
-// a repeat after a lost answer is harmless.
+// Put implements platform.WeightStore. A version's content never changes, so repeating it
+// after a lost answer is harmless.
 func (s *Store) Put(ctx context.Context, info platform.WeightInfo, data io.Reader) error {
 	resp, _, err := s.client.Do(ctx, rest.Request{
 		Method: http.MethodPut,
--- a/adapters/httpvms/vms.go
+++ b/adapters/httpvms/vms.go
@@ -14,7 +14,7 @@
 
 const (
 	timeout      = 5 * time.Second
-	maxListBytes = 16 << 20 // bytes
+	maxListBytes = 16 << 20
 )
 
 // List implements platform.VMList.
@@ -22,8 +22,8 @@
 
 var _ platform.VMList = (*List)(nil)
 
-// New makes an adapter of the list at base (http://IP:port); name is the name
-// of this process.
+// New returns an adapter of the list at base (http://IP:port); name is the name of this
+// process.
 func New(base, name string) *List { return &List{rest.New(base, name)} }
 
 // Close closes idle connections.
--- a/adapters/internal/rest/rest.go
+++ b/adapters/internal/rest/rest.go
@@ -23,21 +23,21 @@
 	keepAlive       = 15 * time.Second
 	idleTimeout     = 30 * time.Second
 	maxIdlePerHost  = 64
-	maxHeaderBytes  = 64 << 10 // bytes
-	maxErrorBytes   = 512      // bytes of an error's body that are told
-	maxDrainBytes   = 64 << 10 // bytes read to keep a connection usable
-	defaultMaxReply = 1 << 20  // bytes
+	maxHeaderBytes  = 64 << 10
+	maxErrorBytes   = 512      // of an error's body in a StatusError
+	maxDrainBytes   = 64 << 10 // read after an answer, to reuse the connection
+	defaultMaxReply = 1 << 20  // bytes of an answer
 )
 
-// Client talks to one platform service.
+// Client calls one service of the platform.
 type Client struct {
 	baseURL string
 	name    string
 	http    *http.Client
 }
 
-// New makes a client of the service at base (http://IP:port); name is told in
-// the X-Client header.
+// New returns a client of the service at base (http://IP:port). It sends name in the
+// X-Client header.
 func New(base, name string) *Client {
 	dialer := &net.Dialer{Timeout: dialTimeout, KeepAlive: keepAlive}
 	transport := &http.Transport{
@@ -68,15 +68,14 @@
 	Size   int64
 }
 
-// opaqueReader hides a reader's concrete type from http.NewRequest, which would else
-// set GetBody. With GetBody (or an Idempotency-Key header) http.Transport
-// silently sends a request again when a kept-alive connection breaks under
-// it: an append or an order would then stand twice. Without, a request with a
-// body is sent at most opaqueReader.
+// opaqueReader hides a reader's concrete type from http.NewRequest, which would otherwise
+// set GetBody. With GetBody (or an Idempotency-Key header) http.Transport silently repeats
+// a request when its kept-alive connection breaks: an append or an order would then be
+// carried out twice. Without it, a request with a body is sent at most once.
 type opaqueReader struct{ io.Reader }
 
-// Do sends a request once. sent tells whether bytes of it may have gone out;
-// when it is false the service has certainly not seen it.
+// Do sends a request once. sent reports whether bytes of it may have been sent; if it is
+// false, the service has not received the request.
 func (c *Client) Do(ctx context.Context, r Request) (resp *http.Response, sent bool, err error) {
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
@@ -100,8 +99,8 @@
 	return resp, connected.Load(), err
 }
 
-// JSON sends in (nil: no body) and decodes a 200's body into out (nil:
-// ignored). Another status is a *StatusError.
+// JSON sends in (nil: no body) and decodes the body of a 200 answer, of at most limit
+// bytes, into out (nil: ignored). Any other status is a *StatusError. sent is as for Do.
 func (c *Client) JSON(ctx context.Context, method, path string, in, out any, limit int64) (sent bool, err error) {
 	r := Request{Method: method, Path: path}
 	if in != nil {
@@ -124,7 +123,7 @@
 	return sent, errors.Trace(Decode(resp, out, limit))
 }
 
-// Decode decodes a bounded body; limit 0 means small.
+// Decode decodes a JSON body of at most limit bytes; 0: defaultMaxReply.
 func Decode(resp *http.Response, out any, limit int64) error {
 	if out == nil {
 		return nil
@@ -135,8 +134,8 @@
 	return json.NewDecoder(io.LimitReader(resp.Body, limit)).Decode(out)
 }
 
-// DrainAndClose reads what is left of a small body, so that the connection can be
-// used again, and closes it.
+// DrainAndClose reads the rest of a small body, so that the connection can be reused, and
+// closes the body.
 func DrainAndClose(resp *http.Response) {
 	_, _ = io.CopyN(io.Discard, resp.Body, maxDrainBytes)
 	_ = resp.Body.Close()
@@ -152,7 +151,8 @@
 	return http.StatusText(e.Code) + ": " + e.Text
 }
 
-// NewStatusError makes a StatusError of an answer.
+// NewStatusError returns a *StatusError with the answer's status and the start of its
+// body.
 func NewStatusError(resp *http.Response) error {
 	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBytes))
 	return &StatusError{Code: resp.StatusCode, Text: strings.TrimSpace(string(text))}
--- a/adapters/internal/rest/rest_test.go
+++ b/adapters/internal/rest/rest_test.go
@@ -13,9 +13,8 @@
 	"dandelionsill.org/adapters/internal/rest"
 )
 
-// The worst case for a silent repeat: a kept-alive connection breaks under a
-// request with an Idempotency-Key header. http.Transport would send it again
-// if it could rewind the body.
+// Guards against silent repeats by http.Transport. It repeats a request with an
+// Idempotency-Key header when a kept-alive connection breaks, if it can rewind the body.
 func TestBodyIsSentAtMostOnce(t *testing.T) {
 	var seen atomic.Int64
 	srv := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
