--- a/adapters/httpengine/fuzz_test.go
+++ b/adapters/httpengine/fuzz_test.go
@@ -12,8 +12,8 @@
 	"dandelionsill.org/platform"
 )
 
-// FuzzStream: an engine's bytes are read to the same chunks however they are
-// cut on the way, and only a finish reason makes an answer whole.
+// FuzzStream checks that an engine's bytes are decoded to the same chunks however they are
+// split in transit, and that only an answer with a finish reason ends with io.EOF.
 func FuzzStream(f *testing.F) {
 	for _, seed := range []string{
 		`data: {"choices":[{"text":"a","finish_reason":null}],"tokens":1,"weights_version":3,"boot":"b"}` + "\n\n" + `data: {"choices":[{"text":"","finish_reason":"length"}]}` + "\n\ndata: [DONE]\n\n",
@@ -23,19 +23,19 @@
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, body []byte) {
-		whole, wholeErr := readAll(bytes.NewReader(body))
-		pieces, piecesErr := readAll(iotest.OneByteReader(bytes.NewReader(body)))
-		require.Equal(t, whole, pieces)
-		require.Equal(t, errors.Is(wholeErr, io.EOF), errors.Is(piecesErr, io.EOF))
-		n := len(whole)
-		require.Equal(t, errors.Is(wholeErr, io.EOF), n > 0 && whole[n-1].Finish != "", "%v", wholeErr)
-		for _, c := range whole {
+		atOnce, atOnceErr := readChunks(bytes.NewReader(body))
+		byteByByte, byteByByteErr := readChunks(iotest.OneByteReader(bytes.NewReader(body)))
+		require.Equal(t, atOnce, byteByByte)
+		require.Equal(t, errors.Is(atOnceErr, io.EOF), errors.Is(byteByByteErr, io.EOF))
+		n := len(atOnce)
+		require.Equal(t, errors.Is(atOnceErr, io.EOF), n > 0 && atOnce[n-1].Finish != "", "%v", atOnceErr)
+		for _, c := range atOnce {
 			require.GreaterOrEqual(t, c.Tokens, 0)
 		}
 	})
 }
 
-func readAll(r io.Reader) ([]platform.Chunk, error) {
+func readChunks(r io.Reader) ([]platform.Chunk, error) {
 	s := newStream(io.NopCloser(r), func() {})
 	var chunks []platform.Chunk
 	for {
--- a/adapters/httpengine/stream.go
+++ b/adapters/httpengine/stream.go
@@ -14,19 +14,19 @@
 )
 
 const (
-	firstLine = 16 << 10 // bytes, of the line buffer at the start
-	maxLine   = 4 << 20  // bytes
-	// tailWait bounds the reading of what follows the last chunk; it only
-	// saves the connection for the next stream.
-	tailWait = 100 * time.Millisecond
+	initialLineBytes = 16 << 10 // initial size of the line buffer
+	maxLineBytes     = 4 << 20
+	// drainTimeout bounds reading what follows the last chunk. Reading it is needed only
+	// to reuse the connection.
+	drainTimeout = 100 * time.Millisecond
 )
 
 var (
-	dataField = []byte("data:")
-	doneMark  = []byte("[DONE]")
+	dataField  = []byte("data:")
+	doneMarker = []byte("[DONE]")
 )
 
-// stream reads server-sent events.
+// stream implements platform.Stream over server-sent events.
 type stream struct {
 	body     io.ReadCloser
 	cancel   context.CancelFunc
@@ -36,7 +36,7 @@
 
 func newStream(body io.ReadCloser, cancel context.CancelFunc) *stream {
 	lines := bufio.NewScanner(body)
-	lines.Buffer(make([]byte, 0, firstLine), maxLine)
+	lines.Buffer(make([]byte, 0, initialLineBytes), maxLineBytes)
 	return &stream{body: body, cancel: cancel, lines: lines}
 }
 
@@ -53,12 +53,12 @@
 
 // Next implements platform.Stream.
 //
-// An engine that dies, or cancels a stream on its own, may end the body as
-// cleanly as one that is done; only the finish reason tells a whole answer
-// from a cut one. So an end without it is io.ErrUnexpectedEOF.
+// An engine that crashes or cancels a stream on its own may end the body as cleanly as one
+// that has completed: only the finish reason distinguishes a complete answer from a
+// truncated one. An end without it is io.ErrUnexpectedEOF.
 func (s *stream) Next() (platform.Chunk, error) {
 	if s.finished {
-		s.tail()
+		s.drain()
 		return platform.Chunk{}, io.EOF
 	}
 	for s.lines.Scan() {
@@ -67,27 +67,28 @@
 			continue // blank line, comment or another field
 		}
 		field = bytes.TrimSpace(field)
-		if bytes.Equal(field, doneMark) {
+		if bytes.Equal(field, doneMarker) {
 			break
 		}
-		return s.chunk(field)
+		return s.decodeChunk(field)
 	}
 	if err := s.lines.Err(); err != nil {
-		return platform.Chunk{}, errors.Annotate(brokenOff{err}, "engine: stream")
+		return platform.Chunk{}, errors.Annotate(brokenStreamError{err}, "engine: stream")
 	}
 	return platform.Chunk{}, errors.Annotate(io.ErrUnexpectedEOF, "engine: stream ended without a finish")
 }
 
-// brokenOff is a read error in the middle of a stream. It counts as
-// io.ErrUnexpectedEOF, whatever the connection died of, and names its cause
-// once: net/http's own error for a cut body is io.ErrUnexpectedEOF too.
-type brokenOff struct{ error }
+// brokenStreamError is a read error in the middle of a stream. It matches
+// io.ErrUnexpectedEOF whatever broke the connection. It does so by Is rather than by
+// wrapping that error in addition to its cause: net/http's error for a truncated body is
+// io.ErrUnexpectedEOF already, and the text would name it twice.
+type brokenStreamError struct{ error }
 
-func (b brokenOff) Unwrap() error { return b.error }
+func (e brokenStreamError) Unwrap() error { return e.error }
 
-func (brokenOff) Is(target error) bool { return target == io.ErrUnexpectedEOF }
+func (brokenStreamError) Is(target error) bool { return target == io.ErrUnexpectedEOF }
 
-func (s *stream) chunk(data []byte) (platform.Chunk, error) {
+func (s *stream) decodeChunk(data []byte) (platform.Chunk, error) {
 	var ev event
 	if err := json.Unmarshal(data, &ev); err != nil {
 		return platform.Chunk{}, errors.Annotate(err, "engine: chunk")
@@ -111,18 +112,18 @@
 	return c, nil
 }
 
-// tail reads up to the end of the body, so that the connection can be used
-// again; one that does not end soon is closed.
-func (s *stream) tail() {
-	timer := time.AfterFunc(tailWait, s.cancel)
+// drain reads up to the end of the body, so that the connection can be reused, and closes
+// the connection if the end does not arrive within drainTimeout.
+func (s *stream) drain() {
+	timer := time.AfterFunc(drainTimeout, s.cancel)
 	defer timer.Stop()
 	for s.lines.Scan() {
 	}
 	_ = s.Close()
 }
 
-// Close implements platform.Stream: it closes the connection of a stream that
-// has not ended, by which the engine cancels it.
+// Close implements platform.Stream. It closes the connection of a stream that has not
+// ended, upon which the engine cancels the stream.
 func (s *stream) Close() error {
 	s.cancel()
 	return s.body.Close()
--- a/adapters/internal/rest/rest.go
+++ b/adapters/internal/rest/rest.go
@@ -19,38 +19,38 @@
 )
 
 const (
-	dialTimeout   = 2 * time.Second
-	keepAlive     = 15 * time.Second
-	idleTimeout   = 30 * time.Second
-	idlePerHost   = 64
-	maxHeader     = 64 << 10 // bytes
-	maxErrorText  = 512      // bytes of an error's body that are told
-	drainLimit    = 64 << 10 // bytes read to keep a connection usable
-	maxSmallReply = 1 << 20  // bytes
+	dialTimeout     = 2 * time.Second
+	keepAlive       = 15 * time.Second
+	idleTimeout     = 30 * time.Second
+	maxIdlePerHost  = 64
+	maxHeaderBytes  = 64 << 10
+	maxErrorBytes   = 512      // of an error's body in a StatusError
+	maxDrainBytes   = 64 << 10 // read after an answer, to reuse the connection
+	defaultMaxReply = 1 << 20  // bytes of an answer
 )
 
-// Client talks to one platform service.
+// Client calls one service of the platform.
 type Client struct {
-	base string
-	name string
-	http *http.Client
+	baseURL string
+	name    string
+	http    *http.Client
 }
 
-// New makes a client of the service at base (http://IP:port); name is told in
-// the X-Client header.
+// New returns a client of the service at base (http://IP:port). It sends name in the
+// X-Client header.
 func New(base, name string) *Client {
 	dialer := &net.Dialer{Timeout: dialTimeout, KeepAlive: keepAlive}
 	transport := &http.Transport{
 		DialContext:            dialer.DialContext,
-		MaxIdleConnsPerHost:    idlePerHost,
+		MaxIdleConnsPerHost:    maxIdlePerHost,
 		IdleConnTimeout:        idleTimeout,
-		MaxResponseHeaderBytes: maxHeader,
+		MaxResponseHeaderBytes: maxHeaderBytes,
 		DisableCompression:     true,
 	}
 	return &Client{
-		base: strings.TrimSuffix(base, "/"),
-		name: name,
-		http: &http.Client{Transport: transport, CheckRedirect: noRedirect},
+		baseURL: strings.TrimSuffix(base, "/"),
+		name:    name,
+		http:    &http.Client{Transport: transport, CheckRedirect: noRedirect},
 	}
 }
 
@@ -68,24 +68,23 @@
 	Size   int64
 }
 
-// once hides a reader's concrete type from http.NewRequest, which would else
-// set GetBody. With GetBody (or an Idempotency-Key header) http.Transport
-// silently sends a request again when a kept-alive connection breaks under
-// it: an append or an order would then stand twice. Without, a request with a
-// body is sent at most once.
-type once struct{ io.Reader }
+// opaqueReader hides a reader's concrete type from http.NewRequest, which would otherwise
+// set GetBody. With GetBody (or an Idempotency-Key header) http.Transport silently repeats
+// a request when its kept-alive connection breaks: an append or an order would then be
+// carried out twice. Without it, a request with a body is sent at most once.
+type opaqueReader struct{ io.Reader }
 
-// Do sends a request once. sent tells whether bytes of it may have gone out;
-// when it is false the service has certainly not seen it.
+// Do sends a request once. sent reports whether bytes of it may have been sent; if it is
+// false, the service has not received the request.
 func (c *Client) Do(ctx context.Context, r Request) (resp *http.Response, sent bool, err error) {
-	var got atomic.Bool
-	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { got.Store(true) }}
+	var connected atomic.Bool
+	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
 	ctx = httptrace.WithClientTrace(ctx, trace)
 	var body io.Reader
 	if r.Body != nil {
-		body = once{r.Body}
+		body = opaqueReader{r.Body}
 	}
-	req, err := http.NewRequestWithContext(ctx, r.Method, c.base+r.Path, body)
+	req, err := http.NewRequestWithContext(ctx, r.Method, c.baseURL+r.Path, body)
 	if err != nil {
 		return nil, false, errors.Trace(err)
 	}
@@ -97,11 +96,11 @@
 	}
 	req.Header.Set(protocol.Client, c.name)
 	resp, err = c.http.Do(req)
-	return resp, got.Load(), err
+	return resp, connected.Load(), err
 }
 
-// JSON sends in (nil: no body) and decodes a 200's body into out (nil:
-// ignored). Another status is a *StatusError.
+// JSON sends in (nil: no body) and decodes the body of a 200 answer, of at most limit
+// bytes, into out (nil: ignored). Any other status is a *StatusError. sent is as for Do.
 func (c *Client) JSON(ctx context.Context, method, path string, in, out any, limit int64) (sent bool, err error) {
 	r := Request{Method: method, Path: path}
 	if in != nil {
@@ -117,28 +116,28 @@
 	if err != nil {
 		return sent, errors.Trace(err)
 	}
-	defer Finish(resp)
+	defer DrainAndClose(resp)
 	if resp.StatusCode != http.StatusOK {
-		return sent, Status(resp)
+		return sent, NewStatusError(resp)
 	}
 	return sent, errors.Trace(Decode(resp, out, limit))
 }
 
-// Decode decodes a bounded body; limit 0 means small.
+// Decode decodes a JSON body of at most limit bytes; 0: defaultMaxReply.
 func Decode(resp *http.Response, out any, limit int64) error {
 	if out == nil {
 		return nil
 	}
 	if limit <= 0 {
-		limit = maxSmallReply
+		limit = defaultMaxReply
 	}
 	return json.NewDecoder(io.LimitReader(resp.Body, limit)).Decode(out)
 }
 
-// Finish reads what is left of a small body, so that the connection can be
-// used again, and closes it.
-func Finish(resp *http.Response) {
-	_, _ = io.CopyN(io.Discard, resp.Body, drainLimit)
+// DrainAndClose reads the rest of a small body, so that the connection can be reused, and
+// closes the body.
+func DrainAndClose(resp *http.Response) {
+	_, _ = io.CopyN(io.Discard, resp.Body, maxDrainBytes)
 	_ = resp.Body.Close()
 }
 
@@ -152,14 +151,15 @@
 	return http.StatusText(e.Code) + ": " + e.Text
 }
 
-// Status makes a StatusError of an answer.
-func Status(resp *http.Response) error {
-	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorText))
+// NewStatusError returns a *StatusError with the answer's status and the start of its
+// body.
+func NewStatusError(resp *http.Response) error {
+	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBytes))
 	return &StatusError{Code: resp.StatusCode, Text: strings.TrimSpace(string(text))}
 }
 
-// Code returns the status of a StatusError in err's chain, or 0.
-func Code(err error) int {
+// StatusCode returns the status of a StatusError in err's chain, or 0.
+func StatusCode(err error) int {
 	var s *StatusError
 	if errors.As(err, &s) {
 		return s.Code
--- a/adapters/internal/rest/rest_test.go
+++ b/adapters/internal/rest/rest_test.go
@@ -13,10 +13,9 @@
 	"dandelionsill.org/adapters/internal/rest"
 )
 
-// The worst case for a silent repeat: a kept-alive connection breaks under a
-// request with an Idempotency-Key header. http.Transport would send it again
-// if it could rewind the body.
-func TestBodyIsNeverSentAgain(t *testing.T) {
+// Guards against silent repeats by http.Transport. It repeats a request with an
+// Idempotency-Key header when a kept-alive connection breaks, if it can rewind the body.
+func TestBodyIsSentAtMostOnce(t *testing.T) {
 	var seen atomic.Int64
 	srv := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -35,7 +34,7 @@
 			Size:   4,
 		})
 		if err == nil {
-			rest.Finish(resp)
+			rest.DrainAndClose(resp)
 		}
 		return sent, err
 	}
