--- a/e2e/chaos_config_test.go
+++ b/e2e/chaos_config_test.go
@@ -107,7 +107,7 @@
 	const seed, rounds, operators = 61, 4, 3
 	c := up(t, options{seed: seed})
 	watch := c.watchRevisions()
-	c.faults("log", logsvc.Faults{LoseAnswers: loseShare, Cut: []string{"entry-2", "service-1"}})
+	c.faults("log", logsvc.Faults{LoseAnswers: loseShare, DropClients: []string{"entry-2", "service-1"}})
 	first := configState{1, manifest.Hash(c.site.Manifest("first revision"))}
 	var ops collect[porcupine.Operation]
 	for round := range rounds {
--- a/e2e/figures_test.go
+++ b/e2e/figures_test.go
@@ -87,7 +87,7 @@
 	}
 	t.Logf("a commit in force everywhere, all well: %s", spread(commits(healthy)))
 	off := []string{"entry-2", "engine-1", "service-1"}
-	c.faults("log", logsvc.Faults{Cut: off})
+	c.faults("log", logsvc.Faults{DropClients: off})
 	t.Logf("with %v cut off from the log: %s", off, spread(commits(cut)))
 	c.faults("log", logsvc.Faults{})
 
--- a/load/judge/judge.go
+++ b/load/judge/judge.go
@@ -51,7 +51,7 @@
 
 // Tokens is how long the whole answer to (prompt, seed) is.
 func (l Lengths) Tokens(prompt string, seed uint64, maxTokens int) int {
-	return truth.Tokens(prompt, seed, l.Mean, l.Sigma, maxTokens)
+	return truth.OutputTokens(prompt, seed, l.Mean, l.Sigma, maxTokens)
 }
 
 // Sample is one delivered sample beside what was asked for.
@@ -200,8 +200,8 @@
 	for _, run := range runs {
 		byID[run.RequestID]++
 		answers[run.Answer] = true
-		if run.Key != "" {
-			byKey[run.Key]++
+		if run.IdempotencyKey != "" {
+			byKey[run.IdempotencyKey]++
 		}
 	}
 	keys := map[string]bool{}
@@ -234,7 +234,7 @@
 	if json.Unmarshal(c.Result.Body, &a) != nil || !answers[a] {
 		return false
 	}
-	own := a.RequestID == c.Result.RequestID || (c.Result.Key != "" && a.Key == c.Result.Key)
+	own := a.RequestID == c.Result.RequestID || (c.Result.Key != "" && a.IdempotencyKey == c.Result.Key)
 	return own && a.Method == c.Method && a.Path == c.Path && a.BodySHA256 == c.BodySHA256
 }
 
--- a/load/judge/judge_test.go
+++ b/load/judge/judge_test.go
@@ -64,7 +64,7 @@
 }
 
 func runOf(n int, id, key, method string) service.Run {
-	return service.Run{Answer: service.Answer{Run: n, Server: "s", Method: method, Path: "/x", BodySHA256: "h", RequestID: id, Key: key}}
+	return service.Run{Answer: service.Answer{Run: n, Server: "s", Method: method, Path: "/x", BodySHA256: "h", RequestID: id, IdempotencyKey: key}}
 }
 
 // A caller is told "not run", gets another's answer, or has a write doubled;
--- a/load/rollout/rollout.go
+++ b/load/rollout/rollout.go
@@ -100,7 +100,7 @@
 		step := p.step(ctx, n)
 		done := make(chan struct{})
 		trained = append(trained, done)
-		until := p.clock.Done()
+		until := p.clock.BusyUntil()
 		p.work.Go(func() {
 			defer close(done)
 			p.finish(ctx, n, until)
@@ -146,7 +146,7 @@
 			step.Error = err.Error()
 			break
 		}
-		step.Waited += p.clock.Arrived(time.Now())
+		step.Waited += p.clock.AddGroup(time.Now())
 		step.Trained += p.Train / time.Duration(p.Groups)
 		step.Samples = append(step.Samples, samples(specs[group.ID], group, p.Newest.Load())...)
 		if p.OnGroup != nil {
@@ -228,7 +228,7 @@
 
 // Put stores the deterministic weights of a version.
 func Put(ctx context.Context, store, model string, version uint64, size int) error {
-	data := weights.Bytes(model, version, size)
+	data := weights.GenerateBytes(model, version, size)
 	url := fmt.Sprintf("%s/models/%s/versions/%d", store, model, version)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPut, url, bytes.NewReader(data))
 	if err != nil {
--- a/standin/engine/batch.go
+++ b/standin/engine/batch.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	charsPerToken = 4
-	notStarted    = -1
-	// maxBehind bounds how far the step clock may trail the wall clock; a
+	bytesPerToken     = 4
+	prefillNotStarted = -1
+	// maxClockLag bounds how far the step clock may trail the wall clock; a
 	// process that was stopped does not make up for the pause.
-	maxBehind = 100 * time.Millisecond
+	maxClockLag = 100 * time.Millisecond
 )
 
 // job is the body of POST /v1/completions.
@@ -31,66 +31,66 @@
 
 // chunk is a run of tokens of one version.
 type chunk struct {
-	text    []byte
-	tokens  int
-	version uint64 // that made the tokens
-	label   uint64 // that the engine reports; 0: none
-	finish  string
-	since   time.Time
+	text            []byte
+	tokens          int
+	version         uint64 // that made the tokens
+	reportedVersion uint64 // that the engine reports; 0: none
+	finishReason    string
+	startedAt       time.Time
 }
 
 // stream is one generation. The engine's lock guards all of it but notify.
 type stream struct {
-	job         job
-	arrival     uint64
-	writer      truth.Writer
-	target      int // tokens of the whole output
-	next        int // index of the next token
-	prefillLeft int // tokens; notStarted until the first step looks at it
-	ready       bool
-	done        bool
-	cut         bool // the connection is dropped
-	cur         chunk
-	out         []chunk // for the handler
-	notify      chan struct{}
-	run         *Run
+	job            job
+	arrival        uint64
+	writer         truth.Writer
+	targetTokens   int // tokens of the whole output
+	nextToken      int // index of the next token
+	prefillLeft    int // tokens; notStarted until the first step looks at it
+	prefilled      bool
+	done           bool
+	dropConnection bool // the connection is dropped
+	current        chunk
+	unsent         []chunk // for the handler
+	notify         chan struct{}
+	run            *Run
 }
 
-func (s *stream) tell() {
+func (s *stream) notifyHandler() {
 	select {
 	case s.notify <- struct{}{}:
 	default:
 	}
 }
 
-func (s *stream) flush() {
-	if s.cur.tokens == 0 && s.cur.finish == "" {
+func (s *stream) flushChunk() {
+	if s.current.tokens == 0 && s.current.finishReason == "" {
 		return
 	}
-	s.out = append(s.out, s.cur)
-	s.cur = chunk{}
-	s.tell()
+	s.unsent = append(s.unsent, s.current)
+	s.current = chunk{}
+	s.notifyHandler()
 }
 
 func (e *Engine) newStream(j job) *stream {
 	return &stream{
-		job:         j,
-		writer:      truth.NewWriter(j.Prompt, j.Seed),
-		target:      truth.Tokens(j.Prompt, j.Seed, e.cfg.MeanTokens, e.cfg.Sigma, j.MaxTokens),
-		next:        j.ResumeTokens,
-		prefillLeft: notStarted,
-		notify:      make(chan struct{}, 1),
-		run:         newRun(j),
+		job:          j,
+		writer:       truth.NewWriter(j.Prompt, j.Seed),
+		targetTokens: truth.OutputTokens(j.Prompt, j.Seed, e.cfg.MeanTokens, e.cfg.Sigma, j.MaxTokens),
+		nextToken:    j.ResumeTokens,
+		prefillLeft:  prefillNotStarted,
+		notify:       make(chan struct{}, 1),
+		run:          newRun(j),
 	}
 }
 
-// run is the engine's one worker: plan a step, let its time pass, emit.
-func (e *Engine) run() {
+// runSteps is the engine's one worker: plan a step, let its time pass, emit.
+func (e *Engine) runSteps() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	var clock time.Time
 	for {
-		d, busy := e.plan()
+		d, busy := e.planStep()
 		if !busy {
 			select {
 			case <-e.wake:
@@ -100,7 +100,7 @@
 			}
 		}
 		now := time.Now()
-		if now.Sub(clock) > maxBehind {
+		if now.Sub(clock) > maxClockLag {
 			clock = now
 		}
 		clock = clock.Add(d)
@@ -110,28 +110,28 @@
 		case <-e.ctx.Done():
 			return
 		}
-		e.emit()
+		e.emitTokens()
 	}
 }
 
-func (e *Engine) stopped(now time.Time) bool {
+func (e *Engine) isPaused(now time.Time) bool {
 	return e.state == stateLoading || e.version == 0 || now.Before(e.frozenUntil)
 }
 
-// plan fills the batch, does its prefill and returns the step's wall time.
-func (e *Engine) plan() (time.Duration, bool) {
+// planStep fills the batch, does its prefill and returns the step's wall time.
+func (e *Engine) planStep() (time.Duration, bool) {
 	slow := e.Faults.Get().SlowFactor
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.stopped(time.Now()) {
+	if e.isPaused(time.Now()) {
 		return 0, false
 	}
-	e.admit()
+	e.fillBatch()
 	if len(e.running) == 0 {
 		return 0, false
 	}
 	d := e.cfg.StepBase + time.Duration(len(e.running))*e.cfg.StepPerStream
-	d += time.Duration(e.prefill()) * e.cfg.PrefillToken
+	d += time.Duration(e.runPrefill()) * e.cfg.PrefillToken
 	d = e.scaled(d)
 	if slow > 0 {
 		d = time.Duration(float64(d) * slow)
@@ -140,7 +140,7 @@
 	return d, true
 }
 
-func (e *Engine) admit() {
+func (e *Engine) fillBatch() {
 	n := min(e.cfg.Slots-len(e.running), len(e.waiting))
 	if n <= 0 {
 		return
@@ -153,27 +153,27 @@
 	e.waiting = append(e.waiting[:0], e.waiting[n:]...)
 }
 
-// prefill spends the step's prefill budget in batch order and returns the
+// runPrefill spends the step's runPrefill budget in batch order and returns the
 // tokens done.
-func (e *Engine) prefill() int {
+func (e *Engine) runPrefill() int {
 	used := 0
 	for _, s := range e.running {
-		if s.ready {
+		if s.prefilled {
 			continue
 		}
-		if used == e.cfg.PrefillChunk {
+		if used == e.cfg.MaxPrefillPerStep {
 			break
 		}
-		if s.prefillLeft == notStarted {
+		if s.prefillLeft == prefillNotStarted {
 			s.prefillLeft = e.prefillTokens(s)
 		}
-		n := min(s.prefillLeft, e.cfg.PrefillChunk-used)
+		n := min(s.prefillLeft, e.cfg.MaxPrefillPerStep-used)
 		s.prefillLeft -= n
 		s.run.Prefill += n
 		used += n
 		if s.prefillLeft == 0 {
-			s.ready = true
-			e.cacheEvents(e.cache.touch(platform.PrefixHash(s.job.Prompt)))
+			s.prefilled = true
+			e.publishCacheEvents(e.cache.touch(platform.PrefixHash(s.job.Prompt)))
 		}
 	}
 	e.truth.totals.PrefillTokens += used
@@ -183,32 +183,32 @@
 // prefillTokens is what a stream must compute before its first token. An
 // imported KV cache saves what it covers, a cached prefix its own part.
 func (e *Engine) prefillTokens(s *stream) int {
-	prompt := tokensOf(len(s.job.Prompt))
-	if covered, ok := kvCovers(s.job); ok {
+	prompt := tokensForBytes(len(s.job.Prompt))
+	if covered, ok := importedKVTokens(s.job); ok {
 		return max(0, s.job.ResumeTokens-covered)
 	}
-	if e.cache.has(platform.PrefixHash(s.job.Prompt)) {
+	if e.cache.contains(platform.PrefixHash(s.job.Prompt)) {
 		s.run.PrefixHit = true
-		prompt -= tokensOf(min(len(s.job.Prompt), platform.PrefixBytes))
+		prompt -= tokensForBytes(min(len(s.job.Prompt), platform.PrefixBytes))
 	}
 	return prompt + s.job.ResumeTokens
 }
 
-func tokensOf(chars int) int { return (chars + charsPerToken - 1) / charsPerToken }
+func tokensForBytes(bytes int) int { return (bytes + bytesPerToken - 1) / bytesPerToken }
 
-// emit gives each ready stream its token of the step that has passed.
-func (e *Engine) emit() {
+// emitTokens gives each ready stream its token of the step that has passed.
+func (e *Engine) emitTokens() {
 	now := time.Now()
 	faults := e.Faults.Get()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.stopped(now) {
+	if e.isPaused(now) {
 		return // the step was in the machine when the order came; it is void
 	}
 	keep := e.running[:0]
 	for _, s := range e.running {
-		if s.ready {
-			e.token(s, faults, now)
+		if s.prefilled {
+			e.emitToken(s, faults, now)
 		}
 		if !s.done {
 			keep = append(keep, s)
@@ -224,64 +224,64 @@
 	if e.state != stateFailed {
 		return e.version
 	}
-	if s.cur.tokens > 0 && (s.cur.version == e.mixed[0] || s.cur.version == e.mixed[1]) {
-		return s.cur.version
+	if s.current.tokens > 0 && (s.current.version == e.mixedVersions[0] || s.current.version == e.mixedVersions[1]) {
+		return s.current.version
 	}
-	return e.mixed[e.rng.IntN(len(e.mixed))]
+	return e.mixedVersions[e.rng.IntN(len(e.mixedVersions))]
 }
 
-func (e *Engine) token(s *stream, f Faults, now time.Time) {
-	if s.next < s.target {
+func (e *Engine) emitToken(s *stream, f Faults, now time.Time) {
+	if s.nextToken < s.targetTokens {
 		version := e.versionFor(s)
-		if s.cur.tokens > 0 && s.cur.version != version {
-			s.flush()
+		if s.current.tokens > 0 && s.current.version != version {
+			s.flushChunk()
 		}
-		if s.cur.tokens == 0 {
-			s.cur.since = now
-			s.cur.version = version
-			s.cur.label = e.label(version, f)
+		if s.current.tokens == 0 {
+			s.current.startedAt = now
+			s.current.version = version
+			s.current.reportedVersion = e.versionToReport(version, f)
 		}
-		s.cur.text = s.writer.Append(s.cur.text, s.next, version)
-		s.cur.tokens++
-		s.next++
-		e.count(s, version)
+		s.current.text = s.writer.Append(s.current.text, s.nextToken, version)
+		s.current.tokens++
+		s.nextToken++
+		e.countToken(s, version)
 	}
-	if s.next >= s.target {
-		s.cur.finish = finishOf(s)
-		s.flush()
-		e.end(s, finishOf(s))
+	if s.nextToken >= s.targetTokens {
+		s.current.finishReason = finishReasonOf(s)
+		s.flushChunk()
+		e.endStream(s, finishReasonOf(s))
 		return
 	}
-	if s.cur.tokens >= e.cfg.ChunkTokens || now.Sub(s.cur.since) >= e.cfg.ChunkInterval {
-		s.flush()
+	if s.current.tokens >= e.cfg.MaxChunkTokens || now.Sub(s.current.startedAt) >= e.cfg.MaxChunkDelay {
+		s.flushChunk()
 	}
 }
 
-func finishOf(s *stream) string {
-	if s.job.MaxTokens > 0 && s.target == s.job.MaxTokens {
+func finishReasonOf(s *stream) string {
+	if s.job.MaxTokens > 0 && s.targetTokens == s.job.MaxTokens {
 		return "length"
 	}
 	return "stop"
 }
 
-// label is the version that the engine reports for a chunk.
-func (e *Engine) label(version uint64, f Faults) uint64 {
+// versionToReport is the version that the engine reports for a chunk.
+func (e *Engine) versionToReport(version uint64, f Faults) uint64 {
 	if f.NoVersion {
 		return 0
 	}
-	if e.state == stateFailed && f.FailedLabel == labelIntended {
-		return e.mixed[1]
+	if e.state == stateFailed && f.FailedLabel == failedLabelIntended {
+		return e.mixedVersions[1]
 	}
 	return version
 }
 
-// end closes a stream's account; it stays known for KV export.
-func (e *Engine) end(s *stream, how string) {
+// endStream closes a stream's account; it stays known for KV export.
+func (e *Engine) endStream(s *stream, outcome string) {
 	if s.done {
 		return
 	}
 	s.done = true
-	e.kv.keep(s)
-	e.truth.end(s.run, how)
-	s.tell()
+	e.kv.add(s)
+	e.truth.recordEnd(s.run, outcome)
+	s.notifyHandler()
 }
--- a/standin/engine/cache.go
+++ b/standin/engine/cache.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	eventsKept = 4096
-	kvKept     = 512 // ended streams whose KV cache can still be exported
+	maxCacheEvents = 4096
+	maxKVHeaders   = 512 // ended streams whose KV cache can still be exported
 )
 
 // prefixCache is a bounded LRU of prompt prefixes.
 type prefixCache struct {
-	limit  int
-	order  *list.List // of uint64; most recent first
-	at     map[uint64]*list.Element
-	seq    uint64
-	events []timedEvent
+	maxPrefixes int
+	order       *list.List // of uint64; most recent first
+	elements    map[uint64]*list.Element
+	seq         uint64
+	events      []timedEvent
 }
 
 type timedEvent struct {
@@ -33,42 +33,42 @@
 }
 
 func newPrefixCache(limit int) prefixCache {
-	return prefixCache{limit: limit, order: list.New(), at: map[uint64]*list.Element{}}
+	return prefixCache{maxPrefixes: limit, order: list.New(), elements: map[uint64]*list.Element{}}
 }
 
-func (c *prefixCache) has(prefix uint64) bool { return c.at[prefix] != nil }
+func (c *prefixCache) contains(prefix uint64) bool { return c.elements[prefix] != nil }
 
 // touch makes a prefix the most recent one and returns what came and went.
 func (c *prefixCache) touch(prefix uint64) []platform.CacheEvent {
-	if el := c.at[prefix]; el != nil {
+	if el := c.elements[prefix]; el != nil {
 		c.order.MoveToFront(el)
 		return nil
 	}
-	if c.limit <= 0 {
+	if c.maxPrefixes <= 0 {
 		return nil
 	}
 	events := []platform.CacheEvent{{Prefix: prefix}}
-	c.at[prefix] = c.order.PushFront(prefix)
-	if c.order.Len() > c.limit {
+	c.elements[prefix] = c.order.PushFront(prefix)
+	if c.order.Len() > c.maxPrefixes {
 		oldest := c.order.Remove(c.order.Back()).(uint64)
-		delete(c.at, oldest)
+		delete(c.elements, oldest)
 		events = append(events, platform.CacheEvent{Prefix: oldest, Gone: true})
 	}
 	return events
 }
 
-// cacheEvents publishes events; a lost one leaves a gap in the sequence.
-func (e *Engine) cacheEvents(events []platform.CacheEvent) {
+// publishCacheEvents publishes events; a lost one leaves a gap in the sequence.
+func (e *Engine) publishCacheEvents(events []platform.CacheEvent) {
 	c := &e.cache
 	for _, ev := range events {
 		c.seq++
 		ev.Seq = c.seq
-		if e.rng.Float64() >= e.cfg.EventLoss {
+		if e.rng.Float64() >= e.cfg.EventLossShare {
 			c.events = append(c.events, timedEvent{time.Now(), ev})
 		}
 	}
-	if n := len(c.events); n > 2*eventsKept {
-		c.events = append([]timedEvent{}, c.events[n-eventsKept:]...)
+	if n := len(c.events); n > 2*maxCacheEvents {
+		c.events = append([]timedEvent{}, c.events[n-maxCacheEvents:]...)
 	}
 }
 
@@ -97,36 +97,36 @@
 
 // kvStore remembers the last ended streams.
 type kvStore struct {
-	byID map[string]kvHeader
-	ids  []string
+	byID     map[string]kvHeader
+	endOrder []string
 }
 
 func newKVStore() kvStore { return kvStore{byID: map[string]kvHeader{}} }
 
-func (k *kvStore) keep(s *stream) {
-	if !s.ready {
+func (k *kvStore) add(s *stream) {
+	if !s.prefilled {
 		return
 	}
-	if _, again := k.byID[s.job.ID]; !again {
-		k.ids = append(k.ids, s.job.ID)
+	if _, known := k.byID[s.job.ID]; !known {
+		k.endOrder = append(k.endOrder, s.job.ID)
 	}
-	k.byID[s.job.ID] = kvOf(s)
-	if len(k.ids) > kvKept {
-		delete(k.byID, k.ids[0])
-		k.ids = k.ids[1:]
+	k.byID[s.job.ID] = kvHeaderOf(s)
+	if len(k.endOrder) > maxKVHeaders {
+		delete(k.byID, k.endOrder[0])
+		k.endOrder = k.endOrder[1:]
 	}
 }
 
-func kvOf(s *stream) kvHeader {
-	return kvHeader{Prompt: truth.PromptHash(s.job.Prompt), Seed: s.job.Seed, Tokens: s.next}
+func kvHeaderOf(s *stream) kvHeader {
+	return kvHeader{Prompt: truth.PromptHash(s.job.Prompt), Seed: s.job.Seed, Tokens: s.nextToken}
 }
 
 func (e *Engine) findKV(id string) (kvHeader, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for _, s := range e.byID(id) {
-		if s.ready {
-			return kvOf(s), true
+	for _, s := range e.streamsByID(id) {
+		if s.prefilled {
+			return kvHeaderOf(s), true
 		}
 	}
 	h, ok := e.kv.byID[id]
@@ -145,15 +145,15 @@
 		return
 	}
 	data = append(data, '\n')
-	data = append(data, make([]byte, e.cfg.KVBytes*h.Tokens)...)
+	data = append(data, make([]byte, e.cfg.KVBytesPerToken*h.Tokens)...)
 	w.Header().Set("Content-Type", "application/octet-stream")
 	w.Header().Set("Content-Length", strconv.Itoa(len(data)))
 	_, _ = w.Write(data)
 }
 
-// kvCovers returns the output tokens that a job's imported KV cache covers. A
+// importedKVTokens returns the output tokens that a job's imported KV cache covers. A
 // cache of another prompt or seed is not used.
-func kvCovers(j job) (int, bool) {
+func importedKVTokens(j job) (int, bool) {
 	line, _, ok := bytes.Cut(j.KV, []byte("\n"))
 	var h kvHeader
 	if !ok || json.Unmarshal(line, &h) != nil {
--- a/standin/engine/completions.go
+++ b/standin/engine/completions.go
@@ -9,7 +9,7 @@
 	"dandelionsill.org/standin/web"
 )
 
-const maxJob = 64 << 20 // bytes, KV cache included
+const maxJobBytes = 64 << 20 // bytes, KV cache included
 
 // choice and event are the OpenAI-style chunk of a stream with the engine's
 // own fields beside.
@@ -19,7 +19,7 @@
 	FinishReason *string `json:"finish_reason"`
 }
 
-type event struct {
+type streamEvent struct {
 	ID             string   `json:"id"`
 	Object         string   `json:"object"`
 	Choices        []choice `json:"choices"`
@@ -43,9 +43,9 @@
 	return http.StatusOK, ""
 }
 
-func (e *Engine) completions(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) postCompletions(w http.ResponseWriter, r *http.Request) {
 	var j job
-	d := json.NewDecoder(io.LimitReader(r.Body, maxJob))
+	d := json.NewDecoder(io.LimitReader(r.Body, maxJobBytes))
 	if err := d.Decode(&j); err != nil {
 		web.Error(w, http.StatusBadRequest, err.Error())
 		return
@@ -55,24 +55,24 @@
 	_, _ = io.Copy(io.Discard, r.Body)
 	s := e.newStream(j)
 	e.mu.Lock()
-	status, why := e.checkJob(j)
-	boot := e.boot
+	status, message := e.checkJob(j)
+	boot := e.bootID
 	if status == http.StatusOK {
 		e.enqueue(s)
-		e.truth.begin(s.run)
+		e.truth.recordStart(s.run)
 	}
 	e.mu.Unlock()
 	if status != http.StatusOK {
-		web.Error(w, status, why)
+		web.Error(w, status, message)
 		return
 	}
-	e.poke()
-	e.stream(w, r, s, boot)
+	e.notifyWorker()
+	e.writeStream(w, r, s, boot)
 }
 
-// stream writes a stream's chunks until it ends or the client goes away.
-func (e *Engine) stream(w http.ResponseWriter, r *http.Request, s *stream, boot string) {
-	defer e.abandon(s)
+// writeStream writes a writeStream's chunks until it ends or the client goes away.
+func (e *Engine) writeStream(w http.ResponseWriter, r *http.Request, s *stream, boot string) {
+	defer e.handleDisconnect(s)
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set("Cache-Control", "no-store")
 	w.WriteHeader(http.StatusOK)
@@ -86,8 +86,8 @@
 		case <-r.Context().Done():
 			return
 		}
-		out, done, cut := e.take(s)
-		for _, c := range out {
+		chunks, done, drop := e.takeChunks(s)
+		for _, c := range chunks {
 			if writeEvent(w, s.job.ID, boot, c) != nil {
 				return
 			}
@@ -95,7 +95,7 @@
 		if flusher.Flush() != nil {
 			return
 		}
-		if cut {
+		if drop {
 			web.Drop()
 		}
 		if done {
@@ -104,57 +104,57 @@
 	}
 }
 
-func (e *Engine) take(s *stream) (out []chunk, done, cut bool) {
+func (e *Engine) takeChunks(s *stream) (chunks []chunk, done, drop bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	out = s.out
-	s.out = nil
-	return out, s.done, s.cut
+	chunks = s.unsent
+	s.unsent = nil
+	return chunks, s.done, s.dropConnection
 }
 
-// abandon ends a stream whose client went away; ended ones stay as they are.
-func (e *Engine) abandon(s *stream) {
+// handleDisconnect ends a stream whose client went away; ended ones stay as they are.
+func (e *Engine) handleDisconnect(s *stream) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.drop(s)
+	e.cancelStream(s)
 }
 
-func (e *Engine) drop(s *stream) bool {
+func (e *Engine) cancelStream(s *stream) bool {
 	if s.done {
 		return false
 	}
 	e.remove(s)
-	s.flush()
-	e.end(s, howCancelled)
+	s.flushChunk()
+	e.endStream(s, outcomeCancelled)
 	return true
 }
 
 func writeEvent(w io.Writer, id, boot string, c chunk) error {
-	ev := event{
+	ev := streamEvent{
 		ID:             id,
 		Object:         "text_completion",
 		Choices:        []choice{{Text: string(c.text)}},
 		Tokens:         c.tokens,
-		WeightsVersion: c.label,
+		WeightsVersion: c.reportedVersion,
 		Boot:           boot,
 	}
-	if c.finish != "" {
-		ev.Choices[0].FinishReason = &c.finish
+	if c.finishReason != "" {
+		ev.Choices[0].FinishReason = &c.finishReason
 	}
 	data, err := json.Marshal(ev)
 	if err != nil {
 		return err
 	}
 	data = append(append([]byte("data: "), data...), "\n\n"...)
-	if c.finish != "" {
+	if c.finishReason != "" {
 		data = append(data, "data: [DONE]\n\n"...)
 	}
 	_, err = w.Write(data)
 	return err
 }
 
-// cancelByID ends the streams of an id; their connections end without a finish.
-func (e *Engine) cancelByID(w http.ResponseWriter, r *http.Request) {
+// postCancel ends the streams of an id; their connections end without a finish.
+func (e *Engine) postCancel(w http.ResponseWriter, r *http.Request) {
 	var in struct {
 		ID string `json:"id"`
 	}
@@ -164,8 +164,8 @@
 	}
 	n := 0
 	e.mu.Lock()
-	for _, s := range e.byID(in.ID) {
-		if e.drop(s) {
+	for _, s := range e.streamsByID(in.ID) {
+		if e.cancelStream(s) {
 			n++
 		}
 	}
@@ -175,7 +175,7 @@
 	}{n})
 }
 
-func (e *Engine) byID(id string) []*stream {
+func (e *Engine) streamsByID(id string) []*stream {
 	var found []*stream
 	for _, list := range [][]*stream{e.running, e.waiting} {
 		for _, s := range list {
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -17,23 +17,23 @@
 )
 
 const (
-	prompt  = "Draft a tree preservation order for parcel 12."
-	tokens  = 60
-	patient = 20 * time.Second
+	prompt    = "Draft a tree preservation order for parcel 12."
+	maxTokens = 60
+	maxWait   = 20 * time.Second
 )
 
-// start runs a fast engine whose outputs are far longer than tokens.
-func start(t *testing.T, change func(*engine.Config)) (*engine.Engine, *httpengine.Engine) {
+// startEngine runs a fast engine whose outputs are far longer than tokens.
+func startEngine(t *testing.T, change func(*engine.Config)) (*engine.Engine, *httpengine.Engine) {
 	t.Helper()
 	cfg := engine.DefaultConfig()
 	cfg.MeanTokens = 1e6
 	cfg.StepBase = time.Millisecond
 	cfg.StepPerStream = 0
-	cfg.ChunkTokens = 4
+	cfg.MaxChunkTokens = 4
 	cfg.LoadTime = 5 * time.Millisecond
 	cfg.LoadLag = 0
 	cfg.EventLag = 0
-	cfg.EventLoss = 0
+	cfg.EventLossShare = 0
 	if change != nil {
 		change(&cfg)
 	}
@@ -44,24 +44,24 @@
 	return e, httpengine.New(srv.URL, "agent-1")
 }
 
-// endless is a job that no slow machine finishes before a test acts on it.
-func endless(id string) platform.GenerateJob {
-	j := job(id)
+// newEndlessJob is a job that no slow machine finishes before a test acts on it.
+func newEndlessJob(id string) platform.GenerateJob {
+	j := newJob(id)
 	j.MaxTokens = 0
 	return j
 }
 
-func job(id string) platform.GenerateJob {
-	return platform.GenerateJob{ID: id, Prompt: prompt, Seed: 7, MaxTokens: tokens}
+func newJob(id string) platform.GenerateJob {
+	return platform.GenerateJob{ID: id, Prompt: prompt, Seed: 7, MaxTokens: maxTokens}
 }
 
 // result is a stream read to its end.
 type result struct {
-	text   string
-	tokens int
-	labels []truth.Span
-	finish string
-	err    error // nil after io.EOF
+	text          string
+	tokens        int
+	reportedSpans []truth.Span
+	finish        string
+	err           error // nil after io.EOF
 }
 
 func (r *result) add(c platform.Chunk) {
@@ -69,17 +69,17 @@
 	r.text += c.Text
 	r.tokens += c.Tokens
 	r.finish = c.Finish
-	if k := len(r.labels) - 1; k >= 0 && r.labels[k].Version == c.Version {
-		r.labels[k].To = r.tokens
+	if k := len(r.reportedSpans) - 1; k >= 0 && r.reportedSpans[k].Version == c.Version {
+		r.reportedSpans[k].To = r.tokens
 	} else if c.Tokens > 0 {
-		r.labels = append(r.labels, truth.Span{Version: c.Version, From: from, To: r.tokens})
+		r.reportedSpans = append(r.reportedSpans, truth.Span{Version: c.Version, From: from, To: r.tokens})
 	}
 }
 
-// read reads a stream to its end; each runs after every chunk.
-func read(t *testing.T, c *httpengine.Engine, j platform.GenerateJob, each func(*result)) result {
+// readStream reads a stream to its end; each runs after every chunk.
+func readStream(t *testing.T, c *httpengine.Engine, j platform.GenerateJob, onChunk func(*result)) result {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), patient)
+	ctx, cancel := context.WithTimeout(t.Context(), maxWait)
 	defer cancel()
 	s, err := c.Generate(ctx, j)
 	require.NoError(t, err)
@@ -95,36 +95,36 @@
 			return r
 		}
 		r.add(chunk)
-		if each != nil {
-			each(&r)
+		if onChunk != nil {
+			onChunk(&r)
 		}
 	}
 }
 
-func load(t *testing.T, c *httpengine.Engine, version, token uint64) error {
+func loadWeights(t *testing.T, c *httpengine.Engine, version, token uint64) error {
 	t.Helper()
 	data := "weights"
 	return c.LoadWeights(t.Context(), platform.WeightInfo{Model: "drafter-lm", Version: version, Bytes: int64(len(data))}, strings.NewReader(data), token)
 }
 
-func state(t *testing.T, c *httpengine.Engine) platform.EngineState {
+func readState(t *testing.T, c *httpengine.Engine) platform.EngineState {
 	t.Helper()
 	s, err := c.State(t.Context())
 	require.NoError(t, err)
 	return s
 }
 
-func TestOutputIsTheTruth(t *testing.T) {
-	e, c := start(t, func(cfg *engine.Config) { cfg.MeanTokens, cfg.Sigma = 20, 0.5 })
+func TestOutputMatchesGroundTruth(t *testing.T) {
+	e, c := startEngine(t, func(cfg *engine.Config) { cfg.MeanTokens, cfg.Sigma = 20, 0.5 })
 	for seed := range uint64(8) {
-		j := job("r")
+		j := newJob("r")
 		j.Seed, j.MaxTokens = seed, 18
-		r := read(t, c, j, nil)
+		r := readStream(t, c, j, nil)
 		require.NoError(t, r.err)
 		spans, n, err := truth.Check(prompt, seed, r.text)
 		require.NoError(t, err)
-		require.Equal(t, truth.Tokens(prompt, seed, 20, 0.5, 18), n)
-		require.Equal(t, spans, r.labels)
+		require.Equal(t, truth.OutputTokens(prompt, seed, 20, 0.5, 18), n)
+		require.Equal(t, spans, r.reportedSpans)
 		require.Equal(t, n < 18, r.finish == "stop")
 	}
 	require.Equal(t, 8, e.Truth(0, true).Totals.RunsEnded)
@@ -132,15 +132,15 @@
 
 // A weight order arrives while a stream runs. The stream goes on with the new
 // weights, and each chunk names the version that truly made it.
-func TestStreamGoesOnWithNewWeights(t *testing.T) {
-	_, c := start(t, nil)
+func TestRunningStreamContinuesWithNewWeights(t *testing.T) {
+	_, c := startEngine(t, nil)
 	ordered := false
-	r := read(t, c, endless("r"), func(r *result) {
+	r := readStream(t, c, newEndlessJob("r"), func(r *result) {
 		if !ordered {
 			ordered = true
-			require.NoError(t, load(t, c, 2, 1))
+			require.NoError(t, loadWeights(t, c, 2, 1))
 		}
-		if len(r.labels) == 2 {
+		if len(r.reportedSpans) == 2 {
 			require.NoError(t, c.Cancel(t.Context(), "r"))
 		}
 	})
@@ -149,7 +149,7 @@
 	require.NoError(t, err)
 	require.Equal(t, r.tokens, n)
 	require.Len(t, spans, 2)
-	require.Equal(t, spans, r.labels)
+	require.Equal(t, spans, r.reportedSpans)
 }
 
 // A holder that lost its lease gives an order late. An engine that obeys
@@ -157,19 +157,19 @@
 // only its state and its chunks show it.
 func TestStaleOrder(t *testing.T) {
 	t.Run("obeys", func(t *testing.T) {
-		e, c := start(t, nil)
-		require.NoError(t, load(t, c, 3, 9))
-		require.ErrorIs(t, load(t, c, 2, 8), platform.ErrFenced)
+		e, c := startEngine(t, nil)
+		require.NoError(t, loadWeights(t, c, 3, 9))
+		require.ErrorIs(t, loadWeights(t, c, 2, 8), platform.ErrFenced)
 		require.ErrorIs(t, c.SetRole(t.Context(), "decode", 8), platform.ErrFenced)
-		s := state(t, c)
+		s := readState(t, c)
 		require.Equal(t, []uint64{3, 9}, []uint64{s.Version, s.Order})
 		require.Equal(t, 2, e.Truth(0, true).Totals.Fenced)
 	})
 	t.Run("ignores", func(t *testing.T) {
-		e, c := start(t, func(cfg *engine.Config) { cfg.Fencing = false })
-		require.NoError(t, load(t, c, 3, 9))
-		require.NoError(t, load(t, c, 2, 8))
-		s := state(t, c)
+		e, c := startEngine(t, func(cfg *engine.Config) { cfg.Fencing = false })
+		require.NoError(t, loadWeights(t, c, 3, 9))
+		require.NoError(t, loadWeights(t, c, 2, 8))
+		s := readState(t, c)
 		require.Equal(t, []uint64{2, 8}, []uint64{s.Version, s.Order})
 		require.Equal(t, 1, e.Truth(0, true).Totals.StaleObeyed)
 	})
@@ -177,74 +177,74 @@
 
 // A swap fails partway: the order answers with the failure, the state says so,
 // and the engine makes tokens with either version until a later order heals it.
-func TestPartialLoadServesEither(t *testing.T) {
-	e, c := start(t, func(cfg *engine.Config) { cfg.ChunkTokens = 1 })
+func TestPartialLoadServesEitherVersion(t *testing.T) {
+	e, c := startEngine(t, func(cfg *engine.Config) { cfg.MaxChunkTokens = 1 })
 	e.Faults.Apply(engine.Faults{FailNextLoad: true})
-	require.ErrorIs(t, load(t, c, 2, 1), platform.ErrLoadFailed)
-	require.Equal(t, "failed", state(t, c).State)
-	r := read(t, c, job("r"), nil)
+	require.ErrorIs(t, loadWeights(t, c, 2, 1), platform.ErrLoadFailed)
+	require.Equal(t, "failed", readState(t, c).State)
+	r := readStream(t, c, newJob("r"), nil)
 	spans, _, err := truth.Check(prompt, 7, r.text)
 	require.NoError(t, err)
 	require.Greater(t, len(spans), 2)
-	require.Equal(t, spans, r.labels)
+	require.Equal(t, spans, r.reportedSpans)
 
 	e.Faults.Apply(engine.Faults{FailedLabel: "intended"})
-	r = read(t, c, job("lie"), nil)
-	require.Equal(t, []truth.Span{{Version: 2, From: 0, To: tokens}}, r.labels)
+	r = readStream(t, c, newJob("lie"), nil)
+	require.Equal(t, []truth.Span{{Version: 2, From: 0, To: maxTokens}}, r.reportedSpans)
 	spans, _, err = truth.Check(prompt, 7, r.text)
 	require.NoError(t, err)
-	require.NotEqual(t, spans, r.labels)
+	require.NotEqual(t, spans, r.reportedSpans)
 
-	require.NoError(t, load(t, c, 3, 2))
-	require.Equal(t, "serving", state(t, c).State)
-	require.Equal(t, []truth.Span{{Version: 3, From: 0, To: tokens}}, read(t, c, job("healed"), nil).labels)
+	require.NoError(t, loadWeights(t, c, 3, 2))
+	require.Equal(t, "serving", readState(t, c).State)
+	require.Equal(t, []truth.Span{{Version: 3, From: 0, To: maxTokens}}, readStream(t, c, newJob("healed"), nil).reportedSpans)
 }
 
 // The order's answer is lost after the engine obeyed: the sender can only
 // learn it by reading the state back.
-func TestLostOrderAnswerIsObeyed(t *testing.T) {
-	e, c := start(t, nil)
+func TestOrderWithLostAnswerIsObeyed(t *testing.T) {
+	e, c := startEngine(t, nil)
 	e.Faults.Apply(engine.Faults{LoseNextOrder: true})
-	require.ErrorIs(t, load(t, c, 2, 1), platform.ErrOrderUnknown)
-	require.EqualValues(t, 2, state(t, c).Version)
+	require.ErrorIs(t, loadWeights(t, c, 2, 1), platform.ErrOrderUnknown)
+	require.EqualValues(t, 2, readState(t, c).Version)
 }
 
 func TestChunksWithoutVersion(t *testing.T) {
-	e, c := start(t, nil)
+	e, c := startEngine(t, nil)
 	e.Faults.Apply(engine.Faults{NoVersion: true})
-	r := read(t, c, job("r"), nil)
-	require.Equal(t, []truth.Span{{Version: 0, From: 0, To: tokens}}, r.labels)
+	r := readStream(t, c, newJob("r"), nil)
+	require.Equal(t, []truth.Span{{Version: 0, From: 0, To: maxTokens}}, r.reportedSpans)
 }
 
 // An engine leaves in the middle of a sample. Another goes on behind the text
 // that was received: the whole is the same as from one engine, and with the KV
 // cache nothing is computed again.
 func TestResumeContinuesTheSameText(t *testing.T) {
-	_, first := start(t, nil)
-	half := read(t, first, endless("r"), func(r *result) {
+	_, first := startEngine(t, nil)
+	firstPart := readStream(t, first, newEndlessJob("r"), func(r *result) {
 		if r.tokens >= 20 {
 			require.NoError(t, first.Cancel(t.Context(), "r"))
 		}
 	})
-	require.ErrorIs(t, half.err, io.ErrUnexpectedEOF)
+	require.ErrorIs(t, firstPart.err, io.ErrUnexpectedEOF)
 	kv, err := first.ExportKV(t.Context(), "r")
 	require.NoError(t, err)
 
-	all := job("whole")
-	all.MaxTokens += half.tokens
-	whole := read(t, first, all, nil)
+	all := newJob("whole")
+	all.MaxTokens += firstPart.tokens
+	whole := readStream(t, first, all, nil)
 	for name, kv := range map[string][]byte{"with KV": kv, "without": nil, "damaged": kv[:10]} {
 		t.Run(name, func(t *testing.T) {
-			e, second := start(t, nil)
+			e, second := startEngine(t, nil)
 			j := all
-			j.ResumeText, j.ResumeTokens, j.KV = half.text, half.tokens, kv
-			rest := read(t, second, j, nil)
+			j.ResumeText, j.ResumeTokens, j.KV = firstPart.text, firstPart.tokens, kv
+			rest := readStream(t, second, j, nil)
 			require.NoError(t, rest.err)
-			require.Equal(t, whole.text, half.text+rest.text)
+			require.Equal(t, whole.text, firstPart.text+rest.text)
 			prefill := e.Truth(0, false).Runs[0].Prefill
 			require.Equal(t, name == "with KV", prefill == 0)
 			if name != "with KV" {
-				require.Greater(t, prefill, half.tokens)
+				require.Greater(t, prefill, firstPart.tokens)
 			}
 		})
 	}
@@ -254,51 +254,51 @@
 
 // The engine process dies under a stream: the reader gets an error, never an
 // end, and the next start shows another boot id.
-func TestCrashCutsStreams(t *testing.T) {
-	e, c := start(t, nil)
-	boot := state(t, c).Boot
-	r := read(t, c, endless("r"), func(r *result) {
+func TestCrashDropsStreams(t *testing.T) {
+	e, c := startEngine(t, nil)
+	boot := readState(t, c).Boot
+	r := readStream(t, c, newEndlessJob("r"), func(r *result) {
 		if r.tokens == 4 {
 			e.Faults.Apply(engine.Faults{Crash: true})
 		}
 	})
 	require.ErrorIs(t, r.err, io.ErrUnexpectedEOF)
-	require.NotEqual(t, boot, state(t, c).Boot)
-	require.Equal(t, "crashed", e.Truth(0, false).Runs[0].How)
+	require.NotEqual(t, boot, readState(t, c).Boot)
+	require.Equal(t, "crashed", e.Truth(0, false).Runs[0].Outcome)
 }
 
 // The reader gives up. The engine must stop making tokens for it and keep the
 // tokens made in its account of waste.
 func TestClosedStreamIsCancelled(t *testing.T) {
-	e, c := start(t, func(cfg *engine.Config) { cfg.Slots = 1 })
+	e, c := startEngine(t, func(cfg *engine.Config) { cfg.Slots = 1 })
 	s, err := c.Generate(t.Context(), platform.GenerateJob{ID: "r", Prompt: prompt})
 	require.NoError(t, err)
 	_, err = s.Next()
 	require.NoError(t, err)
 	require.NoError(t, s.Close())
-	require.NoError(t, read(t, c, job("next"), nil).err)
+	require.NoError(t, readStream(t, c, newJob("next"), nil).err)
 	run := e.Truth(0, false).Runs[0]
-	require.Equal(t, []string{"r", "cancelled"}, []string{run.ID, run.How})
+	require.Equal(t, []string{"r", "cancelled"}, []string{run.ID, run.Outcome})
 	require.EqualValues(t, run.Tokens, e.Truth(0, true).Totals.TokensCancelled)
 	require.Positive(t, run.Tokens)
 }
 
 // One slot, frozen: three streams queue. Thawed, the batch admits the one that
 // runs already, then by priority, then by arrival.
-func TestHigherPriorityWaitsLess(t *testing.T) {
-	e, c := start(t, func(cfg *engine.Config) { cfg.Slots = 1 })
+func TestHigherPriorityIsAdmittedFirst(t *testing.T) {
+	e, c := startEngine(t, func(cfg *engine.Config) { cfg.Slots = 1 })
 	e.Faults.Apply(engine.Faults{Freeze: true})
 	done := make(chan string, 3)
 	for i, id := range []string{"low", "also low", "high"} {
-		j := job(id)
+		j := newJob(id)
 		if id == "high" {
 			j.Priority = 5
 		}
 		go func() {
-			read(t, c, j, nil)
+			readStream(t, c, j, nil)
 			done <- id
 		}()
-		require.Eventually(t, func() bool { return e.Truth(0, true).Totals.Runs == i+1 }, patient, time.Millisecond)
+		require.Eventually(t, func() bool { return e.Truth(0, true).Totals.Runs == i+1 }, maxWait, time.Millisecond)
 	}
 	l, err := c.Load(t.Context())
 	require.NoError(t, err)
@@ -316,12 +316,12 @@
 
 // The second sample of a group finds the first one's prefix; a cache of one
 // prefix forgets it for another prompt, and says so.
-func TestPrefixCacheAndItsEvents(t *testing.T) {
-	e, c := start(t, func(cfg *engine.Config) { cfg.PrefixCache = 1 })
-	other := job("c")
+func TestPrefixCacheEvents(t *testing.T) {
+	e, c := startEngine(t, func(cfg *engine.Config) { cfg.PrefixCacheSize = 1 })
+	other := newJob("c")
 	other.Prompt = "another"
-	for _, j := range []platform.GenerateJob{job("a"), job("b"), other, job("d")} {
-		require.NoError(t, read(t, c, j, nil).err)
+	for _, j := range []platform.GenerateJob{newJob("a"), newJob("b"), other, newJob("d")} {
+		require.NoError(t, readStream(t, c, j, nil).err)
 	}
 	var hits []bool
 	for _, r := range e.Truth(0, false).Runs {
@@ -330,22 +330,22 @@
 	require.Equal(t, []bool{false, true, false, false}, hits)
 	events, err := c.Events(t.Context(), 1)
 	require.NoError(t, err)
-	mine, its := platform.PrefixHash(prompt), platform.PrefixHash(other.Prompt)
+	prefix, otherPrefix := platform.PrefixHash(prompt), platform.PrefixHash(other.Prompt)
 	require.Equal(t, []platform.CacheEvent{
-		{Seq: 2, Prefix: its}, {Seq: 3, Prefix: mine, Gone: true},
-		{Seq: 4, Prefix: mine}, {Seq: 5, Prefix: its, Gone: true},
+		{Seq: 2, Prefix: otherPrefix}, {Seq: 3, Prefix: prefix, Gone: true},
+		{Seq: 4, Prefix: prefix}, {Seq: 5, Prefix: otherPrefix, Gone: true},
 	}, events)
 }
 
 func TestRefusedJobs(t *testing.T) {
-	_, c := start(t, func(cfg *engine.Config) { cfg.Version = 0 })
-	wrong := job("r")
+	_, c := startEngine(t, func(cfg *engine.Config) { cfg.Version = 0 })
+	wrong := newJob("r")
 	wrong.Model = "other"
-	gap := job("r")
+	gap := newJob("r")
 	gap.ResumeTokens = 3
-	for _, j := range []platform.GenerateJob{job("r"), wrong, gap} {
+	for _, j := range []platform.GenerateJob{newJob("r"), wrong, gap} {
 		_, err := c.Generate(t.Context(), j)
 		require.ErrorIs(t, err, platform.ErrEngineRefused)
 	}
-	require.Equal(t, "empty", state(t, c).State)
+	require.Equal(t, "empty", readState(t, c).State)
 }
--- a/standin/engine/orders.go
+++ b/standin/engine/orders.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	maxWeights = 1 << 30 // bytes
-	forever    = 100 * 365 * 24 * time.Hour
+	maxWeightsBytes = 1 << 30 // bytes
+	forever         = 100 * 365 * 24 * time.Hour
 
-	// labelIntended is the value of Faults.FailedLabel that makes the engine lie.
-	labelIntended = "intended"
+	// failedLabelIntended is the value of Faults.FailedLabel that makes the engine lie.
+	failedLabelIntended = "intended"
 )
 
 // Faults are the switches at POST /admin/faults. Those of the next order are
@@ -44,24 +44,24 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.failNext = f.FailNextLoad
-	e.loseNext = f.LoseNextOrder
-	e.freeze(f)
+	e.failNextLoad = f.FailNextLoad
+	e.loseNextAnswer = f.LoseNextOrder
+	e.setFreeze(f)
 	if f.Crash {
-		e.cutAll("crashed")
-		e.start()
+		e.dropAllStreams("crashed")
+		e.resetProcess()
 	}
-	e.poke()
+	e.notifyWorker()
 }
 
-func (e *Engine) freeze(f Faults) {
+func (e *Engine) setFreeze(f Faults) {
 	e.frozenUntil = time.Time{}
 	if f.Freeze {
 		e.frozenUntil = time.Now().Add(forever)
 	} else if f.FreezeMS > 0 {
 		d := time.Duration(f.FreezeMS) * time.Millisecond
 		e.frozenUntil = time.Now().Add(d)
-		time.AfterFunc(d+time.Millisecond, e.poke)
+		time.AfterFunc(d+time.Millisecond, e.notifyWorker)
 	}
 }
 
@@ -77,7 +77,7 @@
 
 func readOrder(w http.ResponseWriter, r *http.Request) (weightsRequest, error) {
 	var o weightsRequest
-	r.Body = http.MaxBytesReader(w, r.Body, maxWeights)
+	r.Body = http.MaxBytesReader(w, r.Body, maxWeightsBytes)
 	if kind, _, _ := mime.ParseMediaType(r.Header.Get("Content-Type")); kind == "application/json" {
 		err := web.ReadJSON(r, &o)
 		return o, err
@@ -91,7 +91,7 @@
 	return o, errors.Join(errs[:]...)
 }
 
-func (o weightsRequest) check() error {
+func (o weightsRequest) validate() error {
 	if o.Version == 0 {
 		return errors.New("version: want a number from 1")
 	}
@@ -102,11 +102,11 @@
 	return nil
 }
 
-// weightsOrder obeys an order to the end even when its sender goes away.
-func (e *Engine) weightsOrder(w http.ResponseWriter, r *http.Request) {
+// postWeights obeys an order to the end even when its sender goes away.
+func (e *Engine) postWeights(w http.ResponseWriter, r *http.Request) {
 	o, err := readOrder(w, r)
 	if err == nil {
-		err = o.check()
+		err = o.validate()
 	}
 	if err != nil {
 		web.Error(w, http.StatusBadRequest, err.Error())
@@ -114,26 +114,26 @@
 	}
 	f := e.Faults.Get()
 	web.Sleep(e.ctx, time.Duration(f.OrderDelayMS)*time.Millisecond)
-	e.orders.Lock()
-	defer e.orders.Unlock()
-	l, ok := e.beginLoad(o)
+	e.ordersMu.Lock()
+	defer e.ordersMu.Unlock()
+	l, ok := e.startLoad(o)
 	if !ok {
 		web.JSON(w, http.StatusConflict, e.State())
 		return
 	}
 	d := e.scaled(e.cfg.LoadTime)
-	if l.fail {
+	if l.failsHalfway {
 		d /= 2
 	}
 	web.Sleep(e.ctx, d)
-	done := e.endLoad(o, l)
-	e.answerOrder(w, !done)
+	done := e.finishLoad(o, l)
+	e.writeOrderAnswer(w, !done)
 }
 
-func (e *Engine) answerOrder(w http.ResponseWriter, failed bool) {
+func (e *Engine) writeOrderAnswer(w http.ResponseWriter, failed bool) {
 	e.mu.Lock()
-	lose := e.loseNext
-	e.loseNext = false
+	lose := e.loseNextAnswer
+	e.loseNextAnswer = false
 	e.mu.Unlock()
 	if lose {
 		web.Drop()
@@ -145,53 +145,53 @@
 	web.JSON(w, status, e.State())
 }
 
-// fence tells whether an order with this token is obeyed, and remembers it.
-func (e *Engine) fence(token uint64) bool {
-	if token < e.order {
+// acceptFencingToken tells whether an order with this token is obeyed, and remembers it.
+func (e *Engine) acceptFencingToken(token uint64) bool {
+	if token < e.fencingToken {
 		if e.cfg.Fencing {
 			e.truth.totals.Fenced++
 			return false
 		}
 		e.truth.totals.StaleObeyed++
 	}
-	e.order = token
+	e.fencingToken = token
 	return true
 }
 
 // loading is a load under way.
 type loading struct {
-	boot string // of the engine that began it
-	old  uint64 // version before it
-	fail bool   // it fails halfway
+	bootID       string // of the engine that began it
+	oldVersion   uint64 // version before it
+	failsHalfway bool   // it fails halfway
 }
 
-func (e *Engine) beginLoad(o weightsRequest) (loading, bool) {
+func (e *Engine) startLoad(o weightsRequest) (loading, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.fence(o.Token) {
+	if !e.acceptFencingToken(o.Token) {
 		return loading{}, false
 	}
-	l := loading{boot: e.boot, old: e.version, fail: e.failNext}
-	e.failNext = false
+	l := loading{bootID: e.bootID, oldVersion: e.version, failsHalfway: e.failNextLoad}
+	e.failNextLoad = false
 	e.state = stateLoading
 	e.truth.totals.Loads++
 	return l, true
 }
 
-// endLoad puts the load's result in force; it tells whether that is the whole
+// finishLoad puts the load's result in force; it tells whether that is the whole
 // new version.
-func (e *Engine) endLoad(o weightsRequest, l loading) bool {
+func (e *Engine) finishLoad(o weightsRequest, l loading) bool {
 	wrong := e.Faults.Get().LoadWrong
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.boot != l.boot {
+	if e.bootID != l.bootID {
 		return false // crashed while loading
 	}
-	defer e.poke()
+	defer e.notifyWorker()
 	if o.Model != "" {
 		e.model = o.Model
 	}
-	if !l.fail {
+	if !l.failsHalfway {
 		e.state = stateServing
 		e.version = o.Version
 		if wrong != 0 {
@@ -201,11 +201,11 @@
 	}
 	e.state = stateFailed
 	e.truth.totals.LoadsFailed++
-	e.mixed = [2]uint64{l.old, o.Version}
-	if l.old == 0 {
-		e.mixed[0] = o.Version
+	e.mixedVersions = [2]uint64{l.oldVersion, o.Version}
+	if l.oldVersion == 0 {
+		e.mixedVersions[0] = o.Version
 	}
-	e.version = e.mixed[e.rng.IntN(len(e.mixed))]
+	e.version = e.mixedVersions[e.rng.IntN(len(e.mixedVersions))]
 	return false
 }
 
@@ -214,11 +214,11 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return platform.EngineState{
-		Boot:    e.boot,
+		Boot:    e.bootID,
 		Model:   e.model,
 		Version: e.version,
 		State:   e.state,
-		Order:   e.order,
+		Order:   e.fencingToken,
 		Role:    e.role,
 	}
 }
@@ -227,9 +227,9 @@
 	web.JSON(w, http.StatusOK, e.State())
 }
 
-// roleOrder keeps the role and reports it; the stand-in's work is the same in
+// postRole keeps the role and reports it; the stand-in's work is the same in
 // every role.
-func (e *Engine) roleOrder(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) postRole(w http.ResponseWriter, r *http.Request) {
 	var in struct {
 		Role  string `json:"role"`
 		Token uint64 `json:"token"`
@@ -238,10 +238,10 @@
 		web.Error(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	e.orders.Lock()
-	defer e.orders.Unlock()
+	e.ordersMu.Lock()
+	defer e.ordersMu.Unlock()
 	e.mu.Lock()
-	ok := e.fence(in.Token)
+	ok := e.acceptFencingToken(in.Token)
 	if ok {
 		e.role = in.Role
 	}
@@ -250,5 +250,5 @@
 		web.JSON(w, http.StatusConflict, e.State())
 		return
 	}
-	e.answerOrder(w, false)
+	e.writeOrderAnswer(w, false)
 }
--- a/standin/engine/report.go
+++ b/standin/engine/report.go
@@ -11,61 +11,61 @@
 )
 
 const (
-	minReportEvery = 10 * time.Millisecond
-	maxReportEvery = 100 * time.Millisecond
-	reportsPerLag  = 4
-	rateSmoothing  = 0.2
-	kvCapacity     = 1 << 17 // tokens
+	minReportInterval = 10 * time.Millisecond
+	maxReportInterval = 100 * time.Millisecond
+	reportsPerLag     = 4
+	rateSmoothing     = 0.2
+	kvCapacity        = 1 << 17 // tokens
 
-	truthKept = 500_000 // ended runs
-	truthPage = 20_000
+	maxEndedRuns   = 500_000 // ended runs
+	maxRunsPerPage = 20_000
 
-	howCancelled = "cancelled"
+	outcomeCancelled = "cancelled"
 )
 
-// reports is the history that lagging load reports come from, oldest first.
-type reports struct {
-	list   []platform.EngineLoad
-	tokens int64
-	at     time.Time
-	rate   float64
+// loadHistory is the history that lagging load loadHistory come from, oldest first.
+type loadHistory struct {
+	reports         []platform.EngineLoad
+	lastTokens      int64
+	lastAt          time.Time
+	tokensPerSecond float64
 }
 
-func (e *Engine) report() {
-	every := min(max(e.scaled(e.cfg.LoadLag)/reportsPerLag, minReportEvery), maxReportEvery)
+func (e *Engine) sampleLoads() {
+	every := min(max(e.scaled(e.cfg.LoadLag)/reportsPerLag, minReportInterval), maxReportInterval)
 	tick := time.NewTicker(every)
 	defer tick.Stop()
 	for {
 		select {
 		case <-tick.C:
-			e.sample(time.Now())
+			e.recordLoad(time.Now())
 		case <-e.ctx.Done():
 			return
 		}
 	}
 }
 
-func (e *Engine) sample(now time.Time) {
+func (e *Engine) recordLoad(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	r := &e.reports
-	if !r.at.IsZero() {
-		made := float64(e.truth.totals.Tokens - r.tokens)
-		r.rate += rateSmoothing * (made/now.Sub(r.at).Seconds() - r.rate)
+	r := &e.loadReports
+	if !r.lastAt.IsZero() {
+		made := float64(e.truth.totals.Tokens - r.lastTokens)
+		r.tokensPerSecond += rateSmoothing * (made/now.Sub(r.lastAt).Seconds() - r.tokensPerSecond)
 	}
-	r.tokens = e.truth.totals.Tokens
-	r.at = now
-	r.list = append(r.list, e.load(now))
+	r.lastTokens = e.truth.totals.Tokens
+	r.lastAt = now
+	r.reports = append(r.reports, e.currentLoad(now))
 	visible := now.Add(-e.scaled(e.cfg.LoadLag)).UnixMilli()
-	for len(r.list) > 1 && r.list[1].AsOfMS <= visible {
-		r.list = r.list[1:]
+	for len(r.reports) > 1 && r.reports[1].AsOfMS <= visible {
+		r.reports = r.reports[1:]
 	}
 }
 
-func (e *Engine) load(now time.Time) platform.EngineLoad {
+func (e *Engine) currentLoad(now time.Time) platform.EngineLoad {
 	kv := 0
 	for _, s := range e.running {
-		kv += tokensOf(len(s.job.Prompt)) + s.next
+		kv += tokensForBytes(len(s.job.Prompt)) + s.nextToken
 	}
 	return platform.EngineLoad{
 		AsOfMS:   now.UnixMilli(),
@@ -73,16 +73,16 @@
 		Running:  len(e.running),
 		Waiting:  len(e.waiting),
 		KVUsed:   min(1, float64(kv)/kvCapacity),
-		TokensPS: e.reports.rate,
+		TokensPS: e.loadReports.tokensPerSecond,
 	}
 }
 
 func (e *Engine) getLoad(w http.ResponseWriter, _ *http.Request) {
 	now := time.Now()
 	e.mu.Lock()
-	load := e.load(now)
-	if e.cfg.LoadLag > 0 && len(e.reports.list) > 0 {
-		load = e.reports.list[0]
+	load := e.currentLoad(now)
+	if e.cfg.LoadLag > 0 && len(e.loadReports.reports) > 0 {
+		load = e.loadReports.reports[0]
 	}
 	e.mu.Unlock()
 	web.JSON(w, http.StatusOK, load)
@@ -107,7 +107,7 @@
 	StartedMS  int64           `json:"started_ms"`
 	AdmittedMS int64           `json:"admitted_ms"` // 0: never
 	EndedMS    int64           `json:"ended_ms"`    // 0: not yet
-	How        string          `json:"how"`         // "stop", "length", "cancelled", "crashed", "closed"; "": not yet
+	Outcome    string          `json:"how"`         // "stop", "length", "cancelled", "crashed", "closed"; "": not yet
 }
 
 func newRun(j job) *Run {
@@ -138,38 +138,38 @@
 
 // truthLog is the account of all runs.
 type truthLog struct {
-	totals Totals
-	ended  []*Run // the last truthKept, by the time of their end
-	first  int    // index of ended[0]
-	live   map[*Run]struct{}
+	totals     Totals
+	ended      []*Run // the last truthKept, by the time of their end
+	firstIndex int    // index of ended[0]
+	running    map[*Run]struct{}
 }
 
-func (t *truthLog) begin(r *Run) {
-	if t.live == nil {
-		t.live = map[*Run]struct{}{}
+func (t *truthLog) recordStart(r *Run) {
+	if t.running == nil {
+		t.running = map[*Run]struct{}{}
 		t.totals.TokensByVersion = map[uint64]int64{}
 	}
 	t.totals.Runs++
-	t.live[r] = struct{}{}
+	t.running[r] = struct{}{}
 }
 
-func (t *truthLog) end(r *Run, how string) {
-	delete(t.live, r)
-	r.How = how
+func (t *truthLog) recordEnd(r *Run, outcome string) {
+	delete(t.running, r)
+	r.Outcome = outcome
 	r.EndedMS = time.Now().UnixMilli()
 	t.totals.RunsEnded++
-	if how != "stop" && how != "length" {
+	if outcome != "stop" && outcome != "length" {
 		t.totals.RunsCancelled++
 		t.totals.TokensCancelled += int64(r.Tokens)
 	}
 	t.ended = append(t.ended, r)
-	if n := len(t.ended); n > 2*truthKept {
-		t.ended = append([]*Run{}, t.ended[n-truthKept:]...)
-		t.first += n - truthKept
+	if n := len(t.ended); n > 2*maxEndedRuns {
+		t.ended = append([]*Run{}, t.ended[n-maxEndedRuns:]...)
+		t.firstIndex += n - maxEndedRuns
 	}
 }
 
-func (e *Engine) count(s *stream, version uint64) {
+func (e *Engine) countToken(s *stream, version uint64) {
 	e.truth.totals.Tokens++
 	e.truth.totals.TokensByVersion[version]++
 	s.run.Tokens++
@@ -190,7 +190,7 @@
 }
 
 // Truth returns the totals and a page of runs; only totals when asked so.
-func (e *Engine) Truth(since int, totals bool) Truth {
+func (e *Engine) Truth(since int, totalsOnly bool) Truth {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	t := &e.truth
@@ -199,18 +199,18 @@
 	for v, n := range t.totals.TokensByVersion {
 		out.Totals.TokensByVersion[v] = n
 	}
-	if totals {
+	if totalsOnly {
 		return out
 	}
-	from := min(max(since-t.first, 0), len(t.ended))
-	to := min(from+truthPage, len(t.ended))
+	from := min(max(since-t.firstIndex, 0), len(t.ended))
+	to := min(from+maxRunsPerPage, len(t.ended))
 	for _, r := range t.ended[from:to] {
 		out.Runs = append(out.Runs, *r)
 	}
-	out.Next = t.first + to
+	out.Next = t.firstIndex + to
 	out.More = to < len(t.ended)
 	if !out.More {
-		for r := range t.live {
+		for r := range t.running {
 			out.Running = append(out.Running, copyRun(r))
 		}
 	}
--- a/standin/hosted/hosted.go
+++ b/standin/hosted/hosted.go
@@ -36,10 +36,10 @@
 
 // Times of the demo.
 const (
-	eventPace = 10 * time.Millisecond
-	events    = 120
-	pause     = 100 * time.Millisecond
-	stepMost  = 20 * time.Second
+	eventInterval = 10 * time.Millisecond
+	eventsPerItem = 120
+	retryInterval = 100 * time.Millisecond
+	stepTimeout   = 20 * time.Second
 )
 
 const model = "m"
@@ -82,24 +82,24 @@
 	d := &demo{Options: o, store: hostedtest.NewStore(), http: &http.Client{Timeout: 3 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}}
 	defer d.store.Close()
 	d.store.Put(hostedtest.TopicOperator, "config", hostedtest.Config(1))
-	plain := hostedtest.NewServer("p0", "plain")
-	defer plain.Close()
-	d.store.Put(hostedtest.TopicServers, plain.ID, plain.Entry("ready"))
+	server := hostedtest.NewServer("p0", "plain")
+	defer server.Close()
+	d.store.Put(hostedtest.TopicServers, server.ID, server.Entry("ready"))
 	if err := os.MkdirAll(o.Dir, 0o755); err != nil {
 		return errors.Trace(err)
 	}
 	for i := range o.Engines {
 		e := hostedtest.NewEngine(fmt.Sprintf("e%d", i), "engines", model)
 		defer e.Close()
-		e.Pace, e.Events = eventPace, events
+		e.Pace, e.Events = eventInterval, eventsPerItem
 		d.store.Put(hostedtest.TopicServers, e.ID, e.Entry("ready"))
-		if err := d.settings(fmt.Sprintf("orders-%d", i), "[engine]\naddress = "+e.Addr()+"\n"); err != nil {
+		if err := d.writeSettings(fmt.Sprintf("orders-%d", i), "[engine]\naddress = "+e.Addr()+"\n"); err != nil {
 			return err
 		}
 	}
 	for i, addr := range o.Gateways {
-		more := fmt.Sprintf("[listen]\ncallers = %s\nready = %s\npeers = %s\n", addr, o.Ready[i], o.Peers[i])
-		if err := d.settings(fmt.Sprintf("gateway-%d", i), more); err != nil {
+		extra := fmt.Sprintf("[listen]\ncallers = %s\nready = %s\npeers = %s\n", addr, o.Ready[i], o.Peers[i])
+		if err := d.writeSettings(fmt.Sprintf("gateway-%d", i), extra); err != nil {
 			return err
 		}
 	}
@@ -109,37 +109,37 @@
 	return d.train(ctx)
 }
 
-// settings writes the settings file of one process.
-func (d *demo) settings(name, more string) error {
-	text := fmt.Sprintf("[process]\nname = %s\nfailure_domain = zone-a\n[store]\naddress = %s\n%s", name, d.store.Addr(), more)
+// writeSettings writes the writeSettings file of one process.
+func (d *demo) writeSettings(name, extra string) error {
+	text := fmt.Sprintf("[process]\nname = %s\nfailure_domain = zone-a\n[store]\naddress = %s\n%s", name, d.store.Addr(), extra)
 	return errors.Trace(os.WriteFile(filepath.Join(d.Dir, name+".ini"), []byte(text), 0o644))
 }
 
 // train asks for one step after the other and checks each sample.
 func (d *demo) train(ctx context.Context) error {
 	for step := range d.Steps {
-		begin := time.Now()
+		started := time.Now()
 		if step > 0 {
 			d.store.Put(hostedtest.TopicOperator, "version/"+model, map[string]any{"model": model, "version": step + 1})
 		}
 		job := fmt.Sprintf("step-%d", step)
-		if err := d.step(ctx, job, uint64(max(1, step))); err != nil {
+		if err := d.runStep(ctx, job, uint64(max(1, step))); err != nil {
 			return errors.Annotatef(err, "step %d", step)
 		}
-		fmt.Printf("step %d: %d samples, whole and labelled, after %.1f s\n", step, d.Items, time.Since(begin).Seconds())
+		fmt.Printf("step %d: %d samples, whole and labelled, after %.1f s\n", step, d.Items, time.Since(started).Seconds())
 	}
 	return nil
 }
 
-func (d *demo) step(ctx context.Context, job string, floor uint64) error {
-	ctx, cancel := context.WithTimeout(ctx, stepMost)
+func (d *demo) runStep(ctx context.Context, job string, floor uint64) error {
+	ctx, cancel := context.WithTimeout(ctx, stepTimeout)
 	defer cancel()
 	body, err := json.Marshal(hostedtest.Job(job, model, d.Items, floor))
 	if err != nil {
 		return errors.Trace(err)
 	}
-	if err := d.until(ctx, func(gateway string) bool {
-		status, _ := d.ask(ctx, http.MethodPost, gateway, "/jobs/x", job, body)
+	if err := d.retryUntil(ctx, func(gateway string) bool {
+		status, _ := d.sendRequest(ctx, http.MethodPost, gateway, "/jobs/x", job, body)
 		return status == http.StatusAccepted
 	}); err != nil {
 		return errors.Annotate(err, "not accepted")
@@ -150,14 +150,14 @@
 			Versions []uint64
 		}
 	}
-	if err := d.until(ctx, func(gateway string) bool {
-		status, data := d.ask(ctx, http.MethodGet, gateway, hostedtest.PathJob+job, "", nil)
+	if err := d.retryUntil(ctx, func(gateway string) bool {
+		status, data := d.sendRequest(ctx, http.MethodGet, gateway, hostedtest.PathJob+job, "", nil)
 		return status == http.StatusOK && json.Unmarshal(data, &page) == nil && len(page.Results) == d.Items
 	}); err != nil {
 		return errors.Annotatef(err, "%d of %d results", len(page.Results), d.Items)
 	}
 	for _, r := range page.Results {
-		if r.Text != hostedtest.Text(r.ID, events) {
+		if r.Text != hostedtest.Text(r.ID, eventsPerItem) {
 			return errors.Errorf("the text of %s is not whole", r.ID)
 		}
 		for _, v := range r.Versions {
@@ -169,20 +169,20 @@
 	return nil
 }
 
-// until asks the gateways in turn until one does.
-func (d *demo) until(ctx context.Context, ok func(gateway string) bool) error {
+// retryUntil asks the gateways in turn retryUntil one does.
+func (d *demo) retryUntil(ctx context.Context, succeeds func(gateway string) bool) error {
 	for i := 0; ; i++ {
-		if ok(d.Gateways[i%len(d.Gateways)]) {
+		if succeeds(d.Gateways[i%len(d.Gateways)]) {
 			return nil
 		}
-		if !sleep.For(ctx, pause) {
+		if !sleep.For(ctx, retryInterval) {
 			return errors.Trace(ctx.Err())
 		}
 	}
 }
 
-// ask sends a request; status 0: there was no answer.
-func (d *demo) ask(ctx context.Context, method, gateway, path, id string, body []byte) (int, []byte) {
+// sendRequest sends a request; status 0: there was no answer.
+func (d *demo) sendRequest(ctx context.Context, method, gateway, path, id string, body []byte) (int, []byte) {
 	r, err := http.NewRequestWithContext(ctx, method, "http://"+gateway+path, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil
--- a/standin/logsvc/log.go
+++ b/standin/logsvc/log.go
@@ -20,9 +20,9 @@
 )
 
 const (
-	maxRecord   = 4 << 20 // bytes
-	maxReadWait = 60 * time.Second
-	maxPage     = 1000
+	maxRecordBytes = 4 << 20 // bytes
+	maxReadWait    = 60 * time.Second
+	maxPageRecords = 1000
 )
 
 // Config configures the log.
@@ -33,8 +33,8 @@
 	Seed      uint64
 }
 
-// Flags adds the configuration to fs.
-func (c *Config) Flags(fs *flag.FlagSet) {
+// AddFlags adds the configuration to fs.
+func (c *Config) AddFlags(fs *flag.FlagSet) {
 	fs.Float64Var(&c.Rate, "rate", 300, "appends a second over all streams; 0: no limit")
 	fs.IntVar(&c.Burst, "burst", 60, "appends at once")
 	fs.DurationVar(&c.Retention, "retention", 0, "drop records older than this; 0: keep")
@@ -47,7 +47,7 @@
 	SlowMS       int      `json:"slow_ms"`       // wait before each request
 	LoseAnswers  float64  `json:"lose_answers"`  // share of appends taken whose answer is lost
 	LoseRequests float64  `json:"lose_requests"` // share of appends not taken whose connection drops
-	Cut          []string `json:"cut"`           // clients (X-Client) whose connections drop
+	DropClients  []string `json:"cut"`           // clients (X-Client) whose connections drop
 }
 
 type record struct {
@@ -56,21 +56,21 @@
 	Data   []byte `json:"data"`
 }
 
-// Appended is one record in the truth.
-type Appended struct {
+// AppendedRecord is one record in the truth.
+type AppendedRecord struct {
 	Stream string `json:"stream"`
 	record
-	Client string `json:"client"`
-	Lost   bool   `json:"answer_lost"`
+	Client     string `json:"client"`
+	AnswerLost bool   `json:"answer_lost"`
 }
 
 type stream struct {
-	records []record
-	end     uint64
-	more    chan struct{} // closed at the next append
+	records   []record
+	endOffset uint64
+	appended  chan struct{} // closed at the next append
 }
 
-func (s *stream) first() uint64 { return s.end - uint64(len(s.records)) }
+func (s *stream) firstOffset() uint64 { return s.endOffset - uint64(len(s.records)) }
 
 // Log is the stand-in; it is an http.Handler.
 type Log struct {
@@ -79,34 +79,34 @@
 	cfg Config
 	mux *http.ServeMux
 
-	mu       sync.Mutex
-	rng      *rand.Rand
-	limit    *rate.Limiter
-	streams  map[string]*stream
-	appended []Appended
-	refused  map[string]int
-	reads    int
-	change   chan struct{} // closed when the faults change
+	mu           sync.Mutex
+	rng          *rand.Rand
+	limiter      *rate.Limiter
+	streams      map[string]*stream
+	appended     []AppendedRecord
+	refused      map[string]int
+	reads        int
+	faultsChange chan struct{} // closed when the faults change
 }
 
 // New makes an empty log.
 func New(cfg Config) *Log {
 	l := &Log{
-		cfg:     cfg,
-		mux:     http.NewServeMux(),
-		rng:     rand.New(rand.NewPCG(cfg.Seed, 0)),
-		limit:   rate.NewLimiter(rate.Inf, 1),
-		streams: map[string]*stream{},
-		refused: map[string]int{},
-		change:  make(chan struct{}),
+		cfg:          cfg,
+		mux:          http.NewServeMux(),
+		rng:          rand.New(rand.NewPCG(cfg.Seed, 0)),
+		limiter:      rate.NewLimiter(rate.Inf, 1),
+		streams:      map[string]*stream{},
+		refused:      map[string]int{},
+		faultsChange: make(chan struct{}),
 	}
 	if cfg.Rate > 0 {
-		l.limit = rate.NewLimiter(rate.Limit(cfg.Rate), max(1, cfg.Burst))
+		l.limiter = rate.NewLimiter(rate.Limit(cfg.Rate), max(1, cfg.Burst))
 	}
-	l.Faults.OnApply = func(Faults) { l.faultsChanged() }
-	l.mux.HandleFunc("POST /streams/{stream}/append", l.append)
-	l.mux.HandleFunc("GET /streams/{stream}/read", l.read)
-	l.mux.HandleFunc("GET /truth", l.truth)
+	l.Faults.OnApply = func(Faults) { l.wakeReaders() }
+	l.mux.HandleFunc("POST /streams/{stream}/append", l.postAppend)
+	l.mux.HandleFunc("GET /streams/{stream}/read", l.getRead)
+	l.mux.HandleFunc("GET /truth", l.getTruth)
 	l.mux.HandleFunc("GET /livez", web.Livez)
 	l.mux.Handle("/admin/faults", &l.Faults)
 	return l
@@ -114,18 +114,18 @@
 
 func (l *Log) ServeHTTP(w http.ResponseWriter, r *http.Request) { l.mux.ServeHTTP(w, r) }
 
-// faultsChanged wakes long polls, so that an outage reaches them too.
-func (l *Log) faultsChanged() {
+// wakeReaders wakes long polls, so that an outage reaches them too.
+func (l *Log) wakeReaders() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	close(l.change)
-	l.change = make(chan struct{})
+	close(l.faultsChange)
+	l.faultsChange = make(chan struct{})
 }
 
-// admitted applies the faults that come before anything is done.
-func (l *Log) admitted(w http.ResponseWriter, r *http.Request) bool {
+// applyFaults applies the faults that come before anything is done.
+func (l *Log) applyFaults(w http.ResponseWriter, r *http.Request) bool {
 	f := l.Faults.Get()
-	if slices.Contains(f.Cut, r.Header.Get(protocol.Client)) {
+	if slices.Contains(f.DropClients, r.Header.Get(protocol.Client)) {
 		web.Drop()
 	}
 	web.Sleep(r.Context(), time.Duration(f.SlowMS)*time.Millisecond)
@@ -136,33 +136,33 @@
 	return true
 }
 
-func (l *Log) refuse(w http.ResponseWriter, why string, status int) {
+func (l *Log) refuse(w http.ResponseWriter, reason string, status int) {
 	l.mu.Lock()
-	l.refused[why]++
+	l.refused[reason]++
 	l.mu.Unlock()
-	web.Error(w, status, why)
+	web.Error(w, status, reason)
 }
 
-func (l *Log) append(w http.ResponseWriter, r *http.Request) {
-	if !l.admitted(w, r) {
+func (l *Log) postAppend(w http.ResponseWriter, r *http.Request) {
+	if !l.applyFaults(w, r) {
 		return
 	}
-	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxRecord))
+	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxRecordBytes))
 	if err != nil {
 		l.refuse(w, "body", http.StatusRequestEntityTooLarge)
 		return
 	}
 	f := l.Faults.Get()
-	if l.chance(f.LoseRequests) {
+	if l.drawFault(f.LoseRequests) {
 		web.Drop()
 	}
-	if !l.limit.Allow() {
+	if !l.limiter.Allow() {
 		w.Header().Set("Retry-After", "1")
 		l.refuse(w, "rate", http.StatusTooManyRequests)
 		return
 	}
-	lost := l.chance(f.LoseAnswers)
-	offset := l.take(r.PathValue("stream"), data, r.Header.Get(protocol.Client), lost)
+	lost := l.drawFault(f.LoseAnswers)
+	offset := l.appendRecord(r.PathValue("stream"), data, r.Header.Get(protocol.Client), lost)
 	if lost {
 		web.Drop()
 	}
@@ -171,7 +171,7 @@
 	}{offset})
 }
 
-func (l *Log) chance(p float64) bool {
+func (l *Log) drawFault(p float64) bool {
 	if p <= 0 {
 		return false
 	}
@@ -183,22 +183,22 @@
 func (l *Log) stream(name string) *stream {
 	s := l.streams[name]
 	if s == nil {
-		s = &stream{more: make(chan struct{})}
+		s = &stream{appended: make(chan struct{})}
 		l.streams[name] = s
 	}
 	return s
 }
 
-func (l *Log) take(name string, data []byte, client string, lost bool) uint64 {
+func (l *Log) appendRecord(name string, data []byte, client string, lost bool) uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.stream(name)
-	rec := record{Offset: s.end, TimeMS: time.Now().UnixMilli(), Data: data}
+	rec := record{Offset: s.endOffset, TimeMS: time.Now().UnixMilli(), Data: data}
 	s.records = append(s.records, rec)
-	s.end++
-	close(s.more)
-	s.more = make(chan struct{})
-	l.appended = append(l.appended, Appended{Stream: name, record: rec, Client: client, Lost: lost})
+	s.endOffset++
+	close(s.appended)
+	s.appended = make(chan struct{})
+	l.appended = append(l.appended, AppendedRecord{Stream: name, record: rec, Client: client, AnswerLost: lost})
 	return rec.Offset
 }
 
@@ -207,12 +207,12 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.stream(name)
-	if first := s.first(); before > first {
+	if first := s.firstOffset(); before > first {
 		s.records = s.records[min(before-first, uint64(len(s.records))):]
 	}
 }
 
-func (l *Log) expire(s *stream) {
+func (l *Log) dropExpired(s *stream) {
 	if l.cfg.Retention <= 0 {
 		return
 	}
@@ -231,26 +231,26 @@
 	End     uint64   `json:"end"`
 }
 
-// page returns what can be read now and channels that tell of more.
-func (l *Log) page(name string, from uint64, limit int) (p page, gone bool, more, change <-chan struct{}) {
+// readNow returns what can be read now and channels that tell of more.
+func (l *Log) readNow(name string, from uint64, limit int) (p page, truncated bool, appended, faultsChange <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.stream(name)
-	l.expire(s)
+	l.dropExpired(s)
 	l.reads++
-	p = page{Records: []record{}, Next: from, First: s.first(), End: s.end}
+	p = page{Records: []record{}, Next: from, First: s.firstOffset(), End: s.endOffset}
 	if from < p.First {
-		return p, true, s.more, l.change
+		return p, true, s.appended, l.faultsChange
 	}
-	if from < s.end {
+	if from < s.endOffset {
 		i := int(from - p.First)
 		p.Records = s.records[i:min(i+limit, len(s.records))]
 		p.Next = from + uint64(len(p.Records))
 	}
-	return p, false, s.more, l.change
+	return p, false, s.appended, l.faultsChange
 }
 
-func (l *Log) read(w http.ResponseWriter, r *http.Request) {
+func (l *Log) getRead(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	from, err := strconv.ParseUint(q.Get("from"), 10, 64)
 	if err != nil {
@@ -258,19 +258,19 @@
 		return
 	}
 	limit, _ := strconv.Atoi(q.Get("max"))
-	if limit <= 0 || limit > maxPage {
-		limit = maxPage
+	if limit <= 0 || limit > maxPageRecords {
+		limit = maxPageRecords
 	}
 	waitMS, _ := strconv.Atoi(q.Get("wait_ms"))
 	timeout := time.NewTimer(min(time.Duration(waitMS)*time.Millisecond, maxReadWait))
 	defer timeout.Stop()
 	for last := waitMS <= 0; ; {
-		if !l.admitted(w, r) {
+		if !l.applyFaults(w, r) {
 			return
 		}
-		p, gone, more, change := l.page(r.PathValue("stream"), from, limit)
+		p, truncated, appended, faultsChange := l.readNow(r.PathValue("stream"), from, limit)
 		switch {
-		case gone:
+		case truncated:
 			web.JSON(w, http.StatusGone, p)
 			return
 		case len(p.Records) > 0 || last:
@@ -278,8 +278,8 @@
 			return
 		}
 		select {
-		case <-more:
-		case <-change:
+		case <-appended:
+		case <-faultsChange:
 		case <-timeout.C:
 			last = true
 		case <-r.Context().Done():
@@ -289,13 +289,13 @@
 }
 
 // Truth returns every record ever appended, from index since on.
-func (l *Log) Truth(since int) []Appended {
+func (l *Log) Truth(since int) []AppendedRecord {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Clone(l.appended[min(max(since, 0), len(l.appended)):])
 }
 
-func (l *Log) truth(w http.ResponseWriter, r *http.Request) {
+func (l *Log) getTruth(w http.ResponseWriter, r *http.Request) {
 	since, _ := strconv.Atoi(r.URL.Query().Get("since"))
 	list := l.Truth(since)
 	if r.URL.Query().Get("totals") != "" {
@@ -303,10 +303,10 @@
 	}
 	l.mu.Lock()
 	out := struct {
-		Appends  int            `json:"appends"`
-		Reads    int            `json:"reads"`
-		Refused  map[string]int `json:"refused"`
-		Appended []Appended     `json:"appended"`
+		Appends  int              `json:"appends"`
+		Reads    int              `json:"reads"`
+		Refused  map[string]int   `json:"refused"`
+		Appended []AppendedRecord `json:"appended"`
 	}{len(l.appended), l.reads, map[string]int{}, list}
 	for k, v := range l.refused {
 		out.Refused[k] = v
--- a/standin/scorer/scorer.go
+++ b/standin/scorer/scorer.go
@@ -22,8 +22,8 @@
 	ScoreTime time.Duration // time that one score takes
 }
 
-// Flags adds the configuration to fs.
-func (c *Config) Flags(fs *flag.FlagSet) {
+// AddFlags adds the configuration to fs.
+func (c *Config) AddFlags(fs *flag.FlagSet) {
 	fs.DurationVar(&c.ScoreTime, "score-time", 2*time.Millisecond, "time that one score takes")
 }
 
@@ -53,16 +53,16 @@
 	cfg Config
 	mux *http.ServeMux
 
-	mu    sync.Mutex
-	runs  int
-	texts map[string]int // sha256 of the text -> runs
+	mu         sync.Mutex
+	runs       int
+	runsByText map[string]int // sha256 of the text -> runs
 }
 
 // New makes a scorer.
 func New(cfg Config) *Scorer {
-	s := &Scorer{cfg: cfg, mux: http.NewServeMux(), texts: map[string]int{}}
-	s.mux.HandleFunc("/", s.score)
-	s.mux.HandleFunc("GET /truth", s.truth)
+	s := &Scorer{cfg: cfg, mux: http.NewServeMux(), runsByText: map[string]int{}}
+	s.mux.HandleFunc("/", s.handleScore)
+	s.mux.HandleFunc("GET /truth", s.getTruth)
 	s.mux.HandleFunc("GET /livez", web.Livez)
 	s.mux.Handle("/admin/faults", &s.Faults)
 	return s
@@ -70,8 +70,8 @@
 
 func (s *Scorer) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
-// text returns the "text" of a JSON body, or the whole body where there is none.
-func text(body []byte) string {
+// scoredText returns the "scoredText" of a JSON body, or the whole body where there is none.
+func scoredText(body []byte) string {
 	var in struct {
 		Text *string `json:"text"`
 	}
@@ -81,7 +81,7 @@
 	return string(body)
 }
 
-func (s *Scorer) score(w http.ResponseWriter, r *http.Request) {
+func (s *Scorer) handleScore(w http.ResponseWriter, r *http.Request) {
 	f := s.Faults.Get()
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
 	if err != nil {
@@ -92,8 +92,8 @@
 		web.Error(w, http.StatusServiceUnavailable, "down")
 		return
 	}
-	t := text(body)
-	s.count(t)
+	t := scoredText(body)
+	s.countRun(t)
 	web.Sleep(r.Context(), s.cfg.ScoreTime+time.Duration(f.SlowMS)*time.Millisecond)
 	answer := Answer{Score(t)}
 	web.JSON(w, http.StatusOK, answer)
@@ -102,19 +102,19 @@
 	}
 }
 
-func (s *Scorer) count(text string) {
+func (s *Scorer) countRun(text string) {
 	sum := sha256.Sum256([]byte(text))
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.runs++
-	s.texts[hex.EncodeToString(sum[:])]++
+	s.runsByText[hex.EncodeToString(sum[:])]++
 }
 
-func (s *Scorer) truth(w http.ResponseWriter, _ *http.Request) {
+func (s *Scorer) getTruth(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	web.JSON(w, http.StatusOK, struct {
 		Runs  int            `json:"runs"`
 		Texts map[string]int `json:"texts"`
-	}{s.runs, s.texts})
+	}{s.runs, s.runsByText})
 }
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -27,8 +27,8 @@
 	Seed        uint64
 }
 
-// Flags adds the configuration to fs.
-func (c *Config) Flags(fs *flag.FlagSet) {
+// AddFlags adds the configuration to fs.
+func (c *Config) AddFlags(fs *flag.FlagSet) {
 	fs.StringVar(&c.Name, "name", "service", "name told in each answer")
 	fs.DurationVar(&c.ServiceTime, "service-time", 5*time.Millisecond, "mean time of one run (exponential)")
 	fs.Float64Var(&c.TimeScale, "time-scale", 1, "factor on all durations")
@@ -37,25 +37,25 @@
 
 // Faults are the switches at POST /admin/faults. Shares are in [0, 1].
 type Faults struct {
-	SlowMS     int     `json:"slow_ms"`     // added to each run
-	HangBefore bool    `json:"hang_before"` // never runs, never answers
-	Hang       bool    `json:"hang"`        // runs, never answers
-	DropBefore float64 `json:"drop_before"` // share: connection dropped, not run
-	DropAfter  float64 `json:"drop_after"`  // share: run, connection dropped without an answer
-	CutBody    float64 `json:"cut_body"`    // share: run, connection dropped in the middle of the body
-	Times      int     `json:"times"`       // the faults end after this many faulty requests; 0: never
+	SlowMS            int     `json:"slow_ms"`     // added to each run
+	HangBefore        bool    `json:"hang_before"` // never runs, never answers
+	Hang              bool    `json:"hang"`        // runs, never answers
+	DropBefore        float64 `json:"drop_before"` // share: connection dropped, not run
+	DropAfter         float64 `json:"drop_after"`  // share: run, connection dropped without an answer
+	DropInBody        float64 `json:"cut_body"`    // share: run, connection dropped in the middle of the body
+	MaxFaultyRequests int     `json:"times"`       // the faults end after this many faulty requests; 0: never
 }
 
 // Answer is what a run answers.
 type Answer struct {
-	Run        int    `json:"run"` // counts runs of this process from 1
-	Server     string `json:"server"`
-	Method     string `json:"method"`
-	Path       string `json:"path"` // path and query
-	BodySHA256 string `json:"body_sha256"`
-	BodyBytes  int    `json:"body_bytes"`
-	RequestID  string `json:"request_id"`
-	Key        string `json:"idempotency_key"`
+	Run            int    `json:"run"` // counts runs of this process from 1
+	Server         string `json:"server"`
+	Method         string `json:"method"`
+	Path           string `json:"path"` // path and query
+	BodySHA256     string `json:"body_sha256"`
+	BodyBytes      int    `json:"body_bytes"`
+	RequestID      string `json:"request_id"`
+	IdempotencyKey string `json:"idempotency_key"`
 }
 
 // Run is one run in the truth.
@@ -63,7 +63,7 @@
 	Answer
 	StartedMS int64  `json:"started_ms"`
 	EndedMS   int64  `json:"ended_ms"` // 0: still running
-	How       string `json:"how"`      // "answered", "lost", "cut", "gone"; "": still running
+	Outcome   string `json:"how"`      // "answered", "lost", "cut", "gone"; "": still running
 }
 
 // Service is the stand-in; it is an http.Handler.
@@ -72,27 +72,27 @@
 
 	cfg Config
 
-	mu         sync.Mutex
-	rng        *rand.Rand
-	faulty     int // requests that a fault has met since the switches were set
-	runs       []*Run
-	byKey      map[string]int
-	byID       map[string]int
-	concurrent int
-	peak       int
-	hanging    int // requests that hang now
+	mu             sync.Mutex
+	rng            *rand.Rand
+	faultyRequests int // requests that a fault has met since the switches were set
+	runs           []*Run
+	byKey          map[string]int
+	byRequestID    map[string]int
+	concurrent     int
+	peakConcurrent int
+	hanging        int // requests that hang now
 }
 
 // New makes a service.
 func New(cfg Config) *Service {
-	s := &Service{cfg: cfg, byKey: map[string]int{}, byID: map[string]int{}}
+	s := &Service{cfg: cfg, byKey: map[string]int{}, byRequestID: map[string]int{}}
 	s.rng = rand.New(rand.NewPCG(cfg.Seed, 0))
 	if s.cfg.TimeScale <= 0 {
 		s.cfg.TimeScale = 1
 	}
 	s.Faults.OnApply = func(Faults) {
 		s.mu.Lock()
-		s.faulty = 0
+		s.faultyRequests = 0
 		s.mu.Unlock()
 	}
 	return s
@@ -104,11 +104,11 @@
 	case "/livez":
 		web.Livez(w, r)
 	case "/truth":
-		s.truth(w, r)
+		s.getTruth(w, r)
 	case "/admin/faults":
 		s.Faults.ServeHTTP(w, r)
 	default:
-		s.serve(w, r)
+		s.handleRun(w, r)
 	}
 }
 
@@ -116,32 +116,32 @@
 type fault uint8
 
 const (
-	none fault = iota
+	noFault fault = iota
 	hangBefore
 	dropBefore
 	hang
 	dropAfter
-	cutBody
+	dropInBody
 )
 
-// draw decides the fault and the duration of one request.
-func (s *Service) draw() (fault, time.Duration) {
+// drawFault decides the fault and the duration of one request.
+func (s *Service) drawFault() (fault, time.Duration) {
 	f := s.Faults.Get()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	d := time.Duration(s.rng.ExpFloat64() * float64(s.cfg.ServiceTime) * s.cfg.TimeScale)
-	if f.Times > 0 && s.faulty >= f.Times {
-		return none, d
+	if f.MaxFaultyRequests > 0 && s.faultyRequests >= f.MaxFaultyRequests {
+		return noFault, d
 	}
 	d += time.Duration(f.SlowMS) * time.Millisecond
-	met := s.pick(f)
-	if met != none || f.SlowMS > 0 {
-		s.faulty++
+	drawn := s.pickFault(f)
+	if drawn != noFault || f.SlowMS > 0 {
+		s.faultyRequests++
 	}
-	return met, d
+	return drawn, d
 }
 
-func (s *Service) pick(f Faults) fault {
+func (s *Service) pickFault(f Faults) fault {
 	x := s.rng.Float64()
 	switch {
 	case f.HangBefore:
@@ -152,58 +152,58 @@
 		return dropBefore
 	case x < f.DropBefore+f.DropAfter:
 		return dropAfter
-	case x < f.DropBefore+f.DropAfter+f.CutBody:
-		return cutBody
+	case x < f.DropBefore+f.DropAfter+f.DropInBody:
+		return dropInBody
 	}
-	return none
+	return noFault
 }
 
-func (s *Service) serve(w http.ResponseWriter, r *http.Request) {
+func (s *Service) handleRun(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
 	if err != nil {
 		web.Error(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	met, d := s.draw()
-	switch met {
+	drawn, d := s.drawFault()
+	switch drawn {
 	case hangBefore:
-		s.hang(r)
+		s.hangUntilClosed(r)
 	case dropBefore:
 		web.Drop()
 	}
-	run := s.start(r, body)
-	how := "gone"
-	defer func() { s.end(run, how) }()
+	run := s.startRun(r, body)
+	outcome := "gone"
+	defer func() { s.endRun(run, outcome) }()
 	web.Sleep(r.Context(), d)
-	switch met {
+	switch drawn {
 	case hang:
-		s.hang(r)
+		s.hangUntilClosed(r)
 	case dropAfter:
-		how = "lost"
+		outcome = "lost"
 		web.Drop()
 	}
 	if r.Context().Err() != nil {
 		return
 	}
-	how = "answered"
-	if met == cutBody {
-		how = "cut"
+	outcome = "answered"
+	if drawn == dropInBody {
+		outcome = "cut"
 	}
-	s.answer(w, run.Answer, met == cutBody)
+	s.writeAnswer(w, run.Answer, drawn == dropInBody)
 }
 
-// hang keeps a request until its client goes away, and gives no answer.
-func (s *Service) hang(r *http.Request) {
-	s.countHanging(1)
-	defer s.countHanging(-1)
+// hangUntilClosed keeps a request until its client goes away, and gives no answer.
+func (s *Service) hangUntilClosed(r *http.Request) {
+	s.addHanging(1)
+	defer s.addHanging(-1)
 	web.Hang(r)
 	web.Drop()
 }
 
-func (s *Service) countHanging(by int) {
+func (s *Service) addHanging(delta int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.hanging += by
+	s.hanging += delta
 }
 
 // Hanging is the number of requests that hang now.
@@ -213,7 +213,7 @@
 	return s.hanging
 }
 
-func (s *Service) answer(w http.ResponseWriter, a Answer, cut bool) {
+func (s *Service) writeAnswer(w http.ResponseWriter, a Answer, dropHalfway bool) {
 	data, err := json.Marshal(a)
 	if err != nil {
 		web.Error(w, http.StatusInternalServerError, err.Error())
@@ -221,7 +221,7 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(data)))
-	if !cut {
+	if !dropHalfway {
 		_, _ = w.Write(data)
 		return
 	}
@@ -230,65 +230,65 @@
 	web.Drop()
 }
 
-// start counts a run: from here on its effect stands, whatever happens to the
+// startRun counts a run: from here on its effect stands, whatever happens to the
 // answer.
-func (s *Service) start(r *http.Request, body []byte) *Run {
+func (s *Service) startRun(r *http.Request, body []byte) *Run {
 	sum := sha256.Sum256(body)
 	a := Answer{
-		Server:     s.cfg.Name,
-		Method:     r.Method,
-		Path:       r.URL.RequestURI(),
-		BodySHA256: hex.EncodeToString(sum[:]),
-		BodyBytes:  len(body),
-		RequestID:  r.Header.Get("X-Request-Id"),
-		Key:        r.Header.Get("Idempotency-Key"),
+		Server:         s.cfg.Name,
+		Method:         r.Method,
+		Path:           r.URL.RequestURI(),
+		BodySHA256:     hex.EncodeToString(sum[:]),
+		BodyBytes:      len(body),
+		RequestID:      r.Header.Get("X-Request-Id"),
+		IdempotencyKey: r.Header.Get("Idempotency-Key"),
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a.Run = len(s.runs) + 1
 	run := &Run{Answer: a, StartedMS: time.Now().UnixMilli()}
 	s.runs = append(s.runs, run)
-	if a.Key != "" {
-		s.byKey[a.Key]++
+	if a.IdempotencyKey != "" {
+		s.byKey[a.IdempotencyKey]++
 	}
 	if a.RequestID != "" {
-		s.byID[a.RequestID]++
+		s.byRequestID[a.RequestID]++
 	}
 	s.concurrent++
-	s.peak = max(s.peak, s.concurrent)
+	s.peakConcurrent = max(s.peakConcurrent, s.concurrent)
 	return run
 }
 
-func (s *Service) end(run *Run, how string) {
+func (s *Service) endRun(run *Run, outcome string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	run.EndedMS = time.Now().UnixMilli()
-	run.How = how
+	run.Outcome = outcome
 	s.concurrent--
 }
 
 // Truth is the answer of GET /truth.
 type Truth struct {
-	Runs        int            `json:"runs"`
-	Peak        int            `json:"peak"`          // most runs at once
-	ByKey       map[string]int `json:"by_key"`        // Idempotency-Key -> runs
-	ByRequestID map[string]int `json:"by_request_id"` // X-Request-Id -> runs
-	List        []Run          `json:"list"`
+	Runs           int            `json:"runs"`
+	PeakConcurrent int            `json:"peak"`          // most runs at once
+	ByKey          map[string]int `json:"by_key"`        // Idempotency-Key -> runs
+	ByRequestID    map[string]int `json:"by_request_id"` // X-Request-Id -> runs
+	List           []Run          `json:"list"`
 }
 
 // Truth returns all counts and the runs from index since on; no list and no
 // maps when totals is set.
-func (s *Service) Truth(since int, totals bool) Truth {
+func (s *Service) Truth(since int, totalsOnly bool) Truth {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t := Truth{Runs: len(s.runs), Peak: s.peak, ByKey: map[string]int{}, ByRequestID: map[string]int{}, List: []Run{}}
-	if totals {
+	t := Truth{Runs: len(s.runs), PeakConcurrent: s.peakConcurrent, ByKey: map[string]int{}, ByRequestID: map[string]int{}, List: []Run{}}
+	if totalsOnly {
 		return t
 	}
 	for k, n := range s.byKey {
 		t.ByKey[k] = n
 	}
-	for k, n := range s.byID {
+	for k, n := range s.byRequestID {
 		t.ByRequestID[k] = n
 	}
 	for _, run := range s.runs[min(max(since, 0), len(s.runs)):] {
@@ -297,7 +297,7 @@
 	return t
 }
 
-func (s *Service) truth(w http.ResponseWriter, r *http.Request) {
+func (s *Service) getTruth(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	since, _ := strconv.Atoi(q.Get("since"))
 	web.JSON(w, http.StatusOK, s.Truth(since, q.Get("totals") != ""))
--- a/standin/trainer/trainer.go
+++ b/standin/trainer/trainer.go
@@ -31,8 +31,8 @@
 	Entries []string // base URLs
 	Token   string
 	Model   string
-	// Weights is the weight store's base URL; needed to publish.
-	Weights     string
+	// WeightStore is the weight store's base URL; needed to publish.
+	WeightStore string
 	WeightBytes int64 // size of a published version
 	FirstStep   uint64
 	Steps       int
@@ -43,9 +43,9 @@
 	// TrainTime is how long the trainer computes on a step, spread evenly over
 	// its groups.
 	TrainTime time.Duration
-	// Ahead is how many steps may be whole but not trained when the next one
+	// MaxUntrainedSteps is how many steps may be whole but not trained when the next one
 	// is asked for.
-	Ahead int
+	MaxUntrainedSteps int
 	// PublishEvery steps a new version; 0: never.
 	PublishEvery int
 	// Version is the newest version at the begin; 0: the store's latest.
@@ -122,12 +122,12 @@
 
 type trainer struct {
 	Options
-	client *client.Client
-	clock  *Clock
-	newest uint64
-	report Report
-	out    *json.Encoder
-	stale  float64 // sum over tokens
+	client       *client.Client
+	clock        *Clock
+	newest       uint64
+	report       Report
+	out          *json.Encoder
+	stalenessSum float64 // sum over tokens
 }
 
 // Run trains until its steps are done or ctx ends; the report covers the
@@ -150,42 +150,42 @@
 	if err != nil {
 		return t.report, errors.Trace(err)
 	}
-	if t.newest == 0 && t.Weights != "" {
-		if t.newest, err = t.latest(ctx); err != nil {
+	if t.newest == 0 && t.WeightStore != "" {
+		if t.newest, err = t.latestVersion(ctx); err != nil {
 			return t.report, errors.Annotate(err, "latest version")
 		}
 	}
 	t.clock = NewClock(time.Now(), t.TrainTime/time.Duration(max(1, t.Groups)))
 	err = t.run(ctx)
-	t.sum()
+	t.summarize()
 	return t.report, err
 }
 
 func (t *trainer) run(ctx context.Context) error {
-	var ends []time.Time // of the steps' training
+	var trainedAt []time.Time // of the steps' training
 	for i := range t.Steps {
 		id := t.FirstStep + uint64(i)
-		if err := t.step(ctx, id); err != nil {
+		if err := t.runStep(ctx, id); err != nil {
 			return errors.Annotatef(err, "step %d", id)
 		}
-		ends = append(ends, t.clock.Done())
-		if k := i - t.Ahead; k >= 0 {
-			if err := t.trained(ctx, k, ends[k]); err != nil {
+		trainedAt = append(trainedAt, t.clock.BusyUntil())
+		if k := i - t.MaxUntrainedSteps; k >= 0 {
+			if err := t.finishTraining(ctx, k, trainedAt[k]); err != nil {
 				return err
 			}
 		}
 	}
-	for k := max(0, t.Steps-t.Ahead); k < t.Steps; k++ {
-		if err := t.trained(ctx, k, ends[k]); err != nil {
+	for k := max(0, t.Steps-t.MaxUntrainedSteps); k < t.Steps; k++ {
+		if err := t.finishTraining(ctx, k, trainedAt[k]); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// trained waits for the end of a step's training and publishes the version
+// finishTraining waits for the end of a step's training and publishes the version
 // that it makes.
-func (t *trainer) trained(ctx context.Context, step int, end time.Time) error {
+func (t *trainer) finishTraining(ctx context.Context, step int, end time.Time) error {
 	if err := sleep(ctx, time.Until(end)); err != nil {
 		return errors.Trace(err)
 	}
@@ -218,30 +218,30 @@
 	return groups
 }
 
-func (t *trainer) step(ctx context.Context, id uint64) error {
+func (t *trainer) runStep(ctx context.Context, id uint64) error {
 	groups := Groups(t.Options, id)
 	specs := make(map[string]client.GroupSpec, len(groups))
 	for _, g := range groups {
 		specs[g.ID] = g
 	}
-	rec := StepRecord{Step: id, StartedMS: time.Now().UnixMilli(), TrainMS: ms(t.TrainTime)}
-	began := time.Now()
-	got := map[string]int{}
-	stale := 0.0
+	rec := StepRecord{Step: id, StartedMS: time.Now().UnixMilli(), TrainMS: milliseconds(t.TrainTime)}
+	started := time.Now()
+	received := map[string]int{}
+	stalenessSum := 0.0
 	for g, err := range t.client.RunStep(ctx, client.Step{ID: id, NewestVersion: t.newest, Groups: groups}) {
 		if err != nil {
 			return err
 		}
-		rec.IdleMS += ms(t.clock.Arrived(time.Now()))
+		rec.IdleMS += milliseconds(t.clock.AddGroup(time.Now()))
 		for _, s := range g.Samples {
-			got[fmt.Sprintf("%s/%d", g.ID, s.Index)]++
-			stale += t.sample(&rec, specs[g.ID], s, time.Since(began))
+			received[fmt.Sprintf("%s/%d", g.ID, s.Index)]++
+			stalenessSum += t.recordSample(&rec, specs[g.ID], s, time.Since(started))
 		}
 	}
-	rec.MakespanMS = ms(time.Since(began))
+	rec.MakespanMS = milliseconds(time.Since(started))
 	for _, g := range groups {
 		for i := range g.Samples {
-			switch n := got[fmt.Sprintf("%s/%d", g.ID, i)]; {
+			switch n := received[fmt.Sprintf("%s/%d", g.ID, i)]; {
 			case n == 0:
 				rec.Lost++
 			case n > 1:
@@ -249,14 +249,14 @@
 			}
 		}
 	}
-	t.stale += stale
-	rec.StalenessMean = stale / float64(max(1, rec.Tokens))
+	t.stalenessSum += stalenessSum
+	rec.StalenessMean = stalenessSum / float64(max(1, rec.Tokens))
 	t.report.Steps = append(t.report.Steps, rec)
-	return t.write(Record{Step: &rec})
+	return t.writeRecord(Record{Step: &rec})
 }
 
-// sample records one sample and returns its staleness summed over tokens.
-func (t *trainer) sample(rec *StepRecord, g client.GroupSpec, s client.Sample, at time.Duration) float64 {
+// recordSample records one recordSample and returns its staleness summed over tokens.
+func (t *trainer) recordSample(rec *StepRecord, g client.GroupSpec, s client.Sample, at time.Duration) float64 {
 	line := SampleRecord{
 		Step: rec.Step, Group: g.ID, Index: s.Index, Prompt: g.Prompt, Seed: g.Seed + uint64(s.Index),
 		MaxTokens: g.MaxTokens, Tokens: s.Tokens, Text: s.Text, Spans: s.Spans, Score: s.Score,
@@ -264,49 +264,49 @@
 	}
 	sum := 0.0
 	for _, sp := range s.Spans {
-		behind := t.newest - min(t.newest, sp.Version)
-		line.Staleness = append(line.Staleness, behind)
-		rec.StalenessMax = max(rec.StalenessMax, behind)
-		sum += float64(behind) * float64(sp.To-sp.From)
+		staleness := t.newest - min(t.newest, sp.Version)
+		line.Staleness = append(line.Staleness, staleness)
+		rec.StalenessMax = max(rec.StalenessMax, staleness)
+		sum += float64(staleness) * float64(sp.To-sp.From)
 	}
 	rec.Samples++
 	rec.Tokens += int(s.Tokens)
 	rec.LongestTokens = max(rec.LongestTokens, int(s.Tokens))
-	_ = t.write(Record{Sample: &line})
+	_ = t.writeRecord(Record{Sample: &line})
 	return sum
 }
 
-func (t *trainer) write(r Record) error {
+func (t *trainer) writeRecord(r Record) error {
 	if t.out == nil {
 		return nil
 	}
 	return errors.Trace(t.out.Encode(r))
 }
 
-func (t *trainer) sum() {
-	idle, all := 0.0, 0.0
+func (t *trainer) summarize() {
+	idle, total := 0.0, 0.0
 	r := &t.report
 	for _, s := range r.Steps {
 		idle += s.IdleMS
-		all += s.IdleMS + s.TrainMS
+		total += s.IdleMS + s.TrainMS
 		r.Samples += s.Samples
 		r.Tokens += s.Tokens
 		r.Lost += s.Lost
 		r.Duplicated += s.Duplicated
 		r.StalenessMax = max(r.StalenessMax, s.StalenessMax)
 	}
-	if all > 0 {
-		r.IdleShare = idle / all
+	if total > 0 {
+		r.IdleShare = idle / total
 	}
-	r.StalenessMean = t.stale / float64(max(1, r.Tokens))
+	r.StalenessMean = t.stalenessSum / float64(max(1, r.Tokens))
 	r.Newest = t.newest
 }
 
 // publish puts a new version into the store, then tells the entries.
 func (t *trainer) publish(ctx context.Context) error {
 	version := t.newest + 1
-	if t.Weights != "" {
-		if err := t.put(ctx, version); err != nil {
+	if t.WeightStore != "" {
+		if err := t.putVersion(ctx, version); err != nil {
 			return err
 		}
 	}
@@ -315,19 +315,19 @@
 	if err := t.client.Publish(ctx, version); err != nil {
 		return err
 	}
-	return t.write(Record{Publish: &PublishRecord{Version: version, AtMS: time.Now().UnixMilli()}})
+	return t.writeRecord(Record{Publish: &PublishRecord{Version: version, AtMS: time.Now().UnixMilli()}})
 }
 
-func (t *trainer) put(ctx context.Context, version uint64) error {
+func (t *trainer) putVersion(ctx context.Context, version uint64) error {
 	data := make([]byte, max(1, t.WeightBytes))
 	copy(data, fmt.Sprintf("%s %d", t.Model, version))
-	url := fmt.Sprintf("%s/models/%s/versions/%d", t.Weights, t.Model, version)
-	_, err := t.store(ctx, http.MethodPut, url, bytes.NewReader(data))
+	url := fmt.Sprintf("%s/models/%s/versions/%d", t.WeightStore, t.Model, version)
+	_, err := t.requestStore(ctx, http.MethodPut, url, bytes.NewReader(data))
 	return err
 }
 
-func (t *trainer) latest(ctx context.Context) (uint64, error) {
-	data, err := t.store(ctx, http.MethodGet, fmt.Sprintf("%s/models/%s/latest", t.Weights, t.Model), nil)
+func (t *trainer) latestVersion(ctx context.Context) (uint64, error) {
+	data, err := t.requestStore(ctx, http.MethodGet, fmt.Sprintf("%s/models/%s/latest", t.WeightStore, t.Model), nil)
 	if err != nil {
 		return 0, err
 	}
@@ -337,11 +337,11 @@
 	return info.Version, errors.Trace(json.Unmarshal(data, &info))
 }
 
-// store repeats a request until the store answers: it may be down for long.
-func (t *trainer) store(ctx context.Context, method, url string, body *bytes.Reader) ([]byte, error) {
+// requestStore repeats a request until the requestStore answers: it may be down for long.
+func (t *trainer) requestStore(ctx context.Context, method, url string, body *bytes.Reader) ([]byte, error) {
 	const pause = 500 * time.Millisecond
 	for {
-		data, err := t.storeOnce(ctx, method, url, body)
+		data, err := t.requestStoreOnce(ctx, method, url, body)
 		if err == nil {
 			return data, nil
 		}
@@ -351,15 +351,15 @@
 	}
 }
 
-func (t *trainer) storeOnce(ctx context.Context, method, url string, body *bytes.Reader) ([]byte, error) {
+func (t *trainer) requestStoreOnce(ctx context.Context, method, url string, body *bytes.Reader) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	var from io.Reader
+	var reader io.Reader
 	if body != nil {
 		_, _ = body.Seek(0, io.SeekStart)
-		from = body
+		reader = body
 	}
-	req, err := http.NewRequestWithContext(ctx, method, url, from)
+	req, err := http.NewRequestWithContext(ctx, method, url, reader)
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
@@ -389,4 +389,4 @@
 	}
 }
 
-func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/standin/trainer/trainer_test.go
+++ b/standin/trainer/trainer_test.go
@@ -17,12 +17,12 @@
 	client "dandelionsill.org/trainer"
 )
 
-// site is an entry and a weight store behind one transport. Each step takes
+// platform is an entry and a weight store behind one transport. Each step takes
 // five seconds and all tokens are of version 7.
-type site struct{ log []string }
+type platform struct{ requests []string }
 
-func (s *site) RoundTrip(r *http.Request) (*http.Response, error) {
-	s.log = append(s.log, r.Method+" "+r.URL.Path)
+func (s *platform) RoundTrip(r *http.Request) (*http.Response, error) {
+	s.requests = append(s.requests, r.Method+" "+r.URL.Path)
 	body := `{}`
 	switch {
 	case r.URL.Path == "/models/m/latest":
@@ -49,12 +49,12 @@
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(strings.NewReader(body))}, nil
 }
 
-func TestRunReportsWhatItGot(t *testing.T) {
+func TestRunReportsStepsAndStaleness(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &site{}
+		s := &platform{}
 		var out bytes.Buffer
 		report, err := trainer.Run(t.Context(), trainer.Options{
-			Entries: []string{"http://e"}, Token: "x", Model: "m", Weights: "http://w", FirstStep: 1,
+			Entries: []string{"http://e"}, Token: "x", Model: "m", WeightStore: "http://w", FirstStep: 1,
 			Steps: 3, Groups: 2, Samples: 3, MaxTokens: 10, TrainTime: 5 * time.Second, PublishEvery: 1,
 			Out: &out, HTTP: &http.Client{Transport: s},
 		})
@@ -66,9 +66,9 @@
 		require.Equal(t, uint64(2), report.StalenessMax, "version 7 when 9 is the newest")
 		require.InDelta(t, 1, report.StalenessMean, 0.01)
 		require.Equal(t, 3+18+3, strings.Count(out.String(), "\n"), "a line for each step, sample and version")
-		put := strings.Index(strings.Join(s.log, " "), "PUT /models/m/versions/8")
-		said := strings.Index(strings.Join(s.log, " "), "POST /v1/versions")
-		require.Less(t, put, said, "the store has a version before the entries hear of it")
+		put := strings.Index(strings.Join(s.requests, " "), "PUT /models/m/versions/8")
+		announced := strings.Index(strings.Join(s.requests, " "), "POST /v1/versions")
+		require.Less(t, put, announced, "the store has a version before the entries hear of it")
 		require.Positive(t, put)
 	})
 }
--- a/standin/truth/truth.go
+++ b/standin/truth/truth.go
@@ -17,13 +17,13 @@
 	base36  = 36
 	digits  = "0123456789abcdefghijklmnopqrstuvwxyz"
 
-	// siblingShare is the part of the variance of the log length that
+	// sharedVariance is the part of the variance of the log length that
 	// samples of one prompt share.
-	siblingShare = 0.5
+	sharedVariance = 0.5
 
-	mix0 = 0x9e3779b97f4a7c15 // splitmix64
-	mix1 = 0xbf58476d1ce4e5b9
-	mix2 = 0x94d049bb133111eb
+	splitmixIncrement   = 0x9e3779b97f4a7c15 // splitmix64
+	splitmixMultiplier1 = 0xbf58476d1ce4e5b9
+	splitmixMultiplier2 = 0x94d049bb133111eb
 )
 
 // Span says that tokens [From, To) were made by Version.
@@ -34,9 +34,9 @@
 }
 
 func splitmix(x uint64) uint64 {
-	x += mix0
-	x = (x ^ (x >> 30)) * mix1
-	x = (x ^ (x >> 27)) * mix2
+	x += splitmixIncrement
+	x = (x ^ (x >> 30)) * splitmixMultiplier1
+	x = (x ^ (x >> 27)) * splitmixMultiplier2
 	return x ^ (x >> 31)
 }
 
@@ -97,13 +97,13 @@
 		if err != nil {
 			return spans, n, fmt.Errorf("token %d: version %q: %w", n, v, err)
 		}
-		spans = extend(spans, version, n)
+		spans = extendSpans(spans, version, n)
 		rest = tail
 	}
 	return spans, n, nil
 }
 
-func extend(spans []Span, version uint64, i int) []Span {
+func extendSpans(spans []Span, version uint64, i int) []Span {
 	if k := len(spans) - 1; k >= 0 && spans[k].Version == version {
 		spans[k].To = i + 1
 		return spans
@@ -116,16 +116,16 @@
 // Half of the variance belongs to the prompt, so siblings correlate.
 func NaturalTokens(prompt string, seed uint64, mean, sigma float64) int {
 	p := PromptHash(prompt)
-	shared := normal(p)
-	own := normal(splitmix(p) ^ splitmix(seed+1))
-	z := math.Sqrt(siblingShare)*shared + math.Sqrt(1-siblingShare)*own
+	shared := standardNormal(p)
+	own := standardNormal(splitmix(p) ^ splitmix(seed+1))
+	z := math.Sqrt(sharedVariance)*shared + math.Sqrt(1-sharedVariance)*own
 	n := mean * math.Exp(sigma*z-sigma*sigma/2)
 	return max(1, int(math.Round(n)))
 }
 
-// Tokens is the whole length of an answer to (prompt, seed) under maxTokens;
+// OutputTokens is the whole length of an answer to (prompt, seed) under maxTokens;
 // 0 means no limit.
-func Tokens(prompt string, seed uint64, mean, sigma float64, maxTokens int) int {
+func OutputTokens(prompt string, seed uint64, mean, sigma float64, maxTokens int) int {
 	n := NaturalTokens(prompt, seed, mean, sigma)
 	if maxTokens > 0 {
 		n = min(n, maxTokens)
@@ -133,10 +133,10 @@
 	return n
 }
 
-// normal maps a hash to a standard normal value (Box-Muller).
-func normal(x uint64) float64 {
+// standardNormal maps a hash to a standard standardNormal value (Box-Muller).
+func standardNormal(x uint64) float64 {
 	const unit = 1.0 / (1 << 53)
 	a := (float64(splitmix(x)>>11) + 1) * unit // in (0, 1]
-	b := float64(splitmix(x^mix2)>>11) * unit
+	b := float64(splitmix(x^splitmixMultiplier2)>>11) * unit
 	return math.Sqrt(-2*math.Log(a)) * math.Cos(2*math.Pi*b)
 }
--- a/standin/vms/vms.go
+++ b/standin/vms/vms.go
@@ -18,8 +18,8 @@
 	Lag time.Duration // age of what a reader gets
 }
 
-// Flags adds the configuration to fs.
-func (c *Config) Flags(fs *flag.FlagSet) {
+// AddFlags adds the configuration to fs.
+func (c *Config) AddFlags(fs *flag.FlagSet) {
 	fs.DurationVar(&c.Lag, "lag", 0, "age of the list that a reader gets")
 }
 
@@ -51,11 +51,11 @@
 // New makes an empty list.
 func New(cfg Config) *VMs {
 	v := &VMs{cfg: cfg, mux: http.NewServeMux(), history: []snapshot{{}}}
-	v.Faults.OnApply = v.applied
-	v.mux.HandleFunc("GET /vms", v.list)
-	v.mux.HandleFunc("PUT /vms/{name}", v.put)
-	v.mux.HandleFunc("DELETE /vms/{name}", v.remove)
-	v.mux.HandleFunc("GET /truth", v.truth)
+	v.Faults.OnApply = v.setStuck
+	v.mux.HandleFunc("GET /vms", v.getVMs)
+	v.mux.HandleFunc("PUT /vms/{name}", v.putVM)
+	v.mux.HandleFunc("DELETE /vms/{name}", v.deleteVM)
+	v.mux.HandleFunc("GET /truth", v.getTruth)
 	v.mux.HandleFunc("GET /livez", web.Livez)
 	v.mux.Handle("/admin/faults", &v.Faults)
 	return v
@@ -63,7 +63,7 @@
 
 func (v *VMs) ServeHTTP(w http.ResponseWriter, r *http.Request) { v.mux.ServeHTTP(w, r) }
 
-func (v *VMs) applied(f Faults) {
+func (v *VMs) setStuck(f Faults) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	switch {
@@ -75,12 +75,12 @@
 }
 
 // Put adds or replaces a VM.
-func (v *VMs) Put(vm platform.VM) { v.change(vm.Name, &vm) }
+func (v *VMs) Put(vm platform.VM) { v.replace(vm.Name, &vm) }
 
 // Delete removes a VM.
-func (v *VMs) Delete(name string) { v.change(name, nil) }
+func (v *VMs) Delete(name string) { v.replace(name, nil) }
 
-func (v *VMs) change(name string, vm *platform.VM) {
+func (v *VMs) replace(name string, vm *platform.VM) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	now := v.history[len(v.history)-1].vms
@@ -97,8 +97,8 @@
 	v.history = append(v.history, snapshot{time.Now(), next})
 }
 
-// seen returns the list as a reader gets it now.
-func (v *VMs) seen() []platform.VM {
+// visibleVMs returns the list as a reader gets it now.
+func (v *VMs) visibleVMs() []platform.VM {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	at := time.Now().Add(-v.cfg.Lag)
@@ -116,24 +116,24 @@
 	return v.history[i].vms
 }
 
-func (v *VMs) list(w http.ResponseWriter, r *http.Request) {
+func (v *VMs) getVMs(w http.ResponseWriter, r *http.Request) {
 	f := v.Faults.Get()
 	web.Sleep(r.Context(), time.Duration(f.SlowMS)*time.Millisecond)
 	if f.Down {
 		web.Error(w, http.StatusServiceUnavailable, "down")
 		return
 	}
-	web.JSON(w, http.StatusOK, nonNil(v.seen()))
+	web.JSON(w, http.StatusOK, emptyIfNil(v.visibleVMs()))
 }
 
-func nonNil(list []platform.VM) []platform.VM {
+func emptyIfNil(list []platform.VM) []platform.VM {
 	if list == nil {
 		return []platform.VM{}
 	}
 	return list
 }
 
-func (v *VMs) put(w http.ResponseWriter, r *http.Request) {
+func (v *VMs) putVM(w http.ResponseWriter, r *http.Request) {
 	var vm platform.VM
 	if err := web.ReadJSON(r, &vm); err != nil {
 		web.Error(w, http.StatusBadRequest, err.Error())
@@ -144,15 +144,15 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (v *VMs) remove(w http.ResponseWriter, r *http.Request) {
+func (v *VMs) deleteVM(w http.ResponseWriter, r *http.Request) {
 	v.Delete(r.PathValue("name"))
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// truth answers with the list without its lag.
-func (v *VMs) truth(w http.ResponseWriter, _ *http.Request) {
+// getTruth answers with the list without its lag.
+func (v *VMs) getTruth(w http.ResponseWriter, _ *http.Request) {
 	v.mu.Lock()
 	now := v.history[len(v.history)-1].vms
 	v.mu.Unlock()
-	web.JSON(w, http.StatusOK, nonNil(now))
+	web.JSON(w, http.StatusOK, emptyIfNil(now))
 }
--- a/standin/vms/vms_test.go
+++ b/standin/vms/vms_test.go
@@ -12,7 +12,7 @@
 	"dandelionsill.org/standin/vms"
 )
 
-func names(t *testing.T, v *vms.VMs) []string {
+func listNames(t *testing.T, v *vms.VMs) []string {
 	t.Helper()
 	srv := httptest.NewServer(v)
 	defer srv.Close()
@@ -29,15 +29,15 @@
 func TestListLags(t *testing.T) {
 	v := vms.New(vms.Config{Lag: time.Hour})
 	v.Put(platform.VM{Name: "b"})
-	require.Empty(t, names(t, v))
+	require.Empty(t, listNames(t, v))
 
 	now := vms.New(vms.Config{})
 	now.Put(platform.VM{Name: "b"})
 	now.Put(platform.VM{Name: "a"})
-	require.Equal(t, []string{"a", "b"}, names(t, now))
+	require.Equal(t, []string{"a", "b"}, listNames(t, now))
 	now.Faults.Apply(vms.Faults{Stuck: true})
 	now.Delete("a")
-	require.Equal(t, []string{"a", "b"}, names(t, now))
+	require.Equal(t, []string{"a", "b"}, listNames(t, now))
 	now.Faults.Apply(vms.Faults{})
-	require.Equal(t, []string{"b"}, names(t, now))
+	require.Equal(t, []string{"b"}, listNames(t, now))
 }
--- a/standin/web/web.go
+++ b/standin/web/web.go
@@ -19,7 +19,7 @@
 )
 
 const (
-	maxAdminBody      = 1 << 20
+	maxAdminBodyBytes = 1 << 20
 	readHeaderTimeout = 10 * time.Second
 )
 
@@ -40,20 +40,20 @@
 // ReadJSON decodes a bounded body. An unknown field is an error, so that a
 // test with a misspelt switch fails instead of testing nothing.
 func ReadJSON(r *http.Request, into any) error {
-	d := json.NewDecoder(io.LimitReader(r.Body, maxAdminBody))
+	d := json.NewDecoder(io.LimitReader(r.Body, maxAdminBodyBytes))
 	d.DisallowUnknownFields()
 	return d.Decode(into)
 }
 
 // Faults holds the fault switches of one stand-in. Readers see one whole set.
 type Faults[T any] struct {
-	set     atomic.Pointer[T]
-	OnApply func(T) // called after each change; may be nil
+	switches atomic.Pointer[T]
+	OnApply  func(T) // called after each change; may be nil
 }
 
 // Get returns the switches in force.
 func (f *Faults[T]) Get() T {
-	if p := f.set.Load(); p != nil {
+	if p := f.switches.Load(); p != nil {
 		return *p
 	}
 	var none T
@@ -62,7 +62,7 @@
 
 // Apply puts a whole new set in force; the zero value clears all faults.
 func (f *Faults[T]) Apply(set T) {
-	f.set.Store(&set)
+	f.switches.Store(&set)
 	if f.OnApply != nil {
 		f.OnApply(set)
 	}
--- a/standin/weights/weights.go
+++ b/standin/weights/weights.go
@@ -24,28 +24,28 @@
 )
 
 const (
-	maxWeights = 1 << 30  // bytes
-	piece      = 32 << 10 // bytes sent at once, the burst of the byte rate
+	maxWeightsBytes = 1 << 30  // bytes
+	maxWriteBytes   = 32 << 10 // bytes sent at once, the burst of the byte rate
 )
 
 // Config configures the store.
 type Config struct {
-	BytesPerS float64 // total rate of all fetches; 0: no limit
-	Initial   string  // MODEL:VERSION:BYTES, comma separated
+	BytesPerSecond float64 // total rate of all fetches; 0: no limit
+	Initial        string  // MODEL:VERSION:BYTES, comma separated
 }
 
-// Flags adds the configuration to fs.
-func (c *Config) Flags(fs *flag.FlagSet) {
-	fs.Float64Var(&c.BytesPerS, "bytes-per-s", 0, "total rate of all fetches; 0: no limit")
+// AddFlags adds the configuration to fs.
+func (c *Config) AddFlags(fs *flag.FlagSet) {
+	fs.Float64Var(&c.BytesPerSecond, "bytes-per-s", 0, "total rate of all fetches; 0: no limit")
 	fs.StringVar(&c.Initial, "initial", "", "weights held at the start: MODEL:VERSION:BYTES, comma separated")
 }
 
 // Faults are the switches at POST /admin/faults.
 type Faults struct {
-	Down     bool    `json:"down"`      // 503
-	SlowMS   int     `json:"slow_ms"`   // wait before each answer
-	CutBytes int64   `json:"cut_bytes"` // a fetch is cut after so many bytes; 0: never
-	Rate     float64 `json:"rate"`      // factor on the byte rate; 0: 1
+	Down           bool    `json:"down"`      // 503
+	SlowMS         int     `json:"slow_ms"`   // wait before each answer
+	DropAfterBytes int64   `json:"cut_bytes"` // a fetch is cut after so many bytes; 0: never
+	RateFactor     float64 `json:"rate"`      // factor on the byte rate; 0: 1
 }
 
 // Fetch is one fetch in the truth.
@@ -54,7 +54,7 @@
 	Version   uint64 `json:"version"`
 	Client    string `json:"client"`
 	Bytes     int64  `json:"bytes"`
-	Whole     bool   `json:"whole"`
+	Complete  bool   `json:"whole"`
 	StartedMS int64  `json:"started_ms"`
 	EndedMS   int64  `json:"ended_ms"`
 }
@@ -73,45 +73,45 @@
 type Weights struct {
 	Faults web.Faults[Faults]
 
-	mux   *http.ServeMux
-	limit *rate.Limiter
+	mux     *http.ServeMux
+	limiter *rate.Limiter
 
-	mu      sync.Mutex
-	entries map[key]entry
-	latest  map[string]uint64 // by model
-	fetches []Fetch
-	sent    int64
+	mu        sync.Mutex
+	entries   map[key]entry
+	latest    map[string]uint64 // by model
+	fetches   []Fetch
+	bytesSent int64
 }
 
 // New makes a store.
 func New(cfg Config) (*Weights, error) {
 	s := &Weights{
 		mux:     http.NewServeMux(),
-		limit:   rate.NewLimiter(rate.Inf, piece),
+		limiter: rate.NewLimiter(rate.Inf, maxWriteBytes),
 		entries: map[key]entry{},
 		latest:  map[string]uint64{},
 	}
-	if cfg.BytesPerS > 0 {
-		s.limit = rate.NewLimiter(rate.Limit(cfg.BytesPerS), piece)
+	if cfg.BytesPerSecond > 0 {
+		s.limiter = rate.NewLimiter(rate.Limit(cfg.BytesPerSecond), maxWriteBytes)
 	}
 	s.Faults.OnApply = func(f Faults) {
-		if cfg.BytesPerS > 0 {
-			s.limit.SetLimit(rate.Limit(cfg.BytesPerS * factor(f.Rate)))
+		if cfg.BytesPerSecond > 0 {
+			s.limiter.SetLimit(rate.Limit(cfg.BytesPerSecond * factorOrOne(f.RateFactor)))
 		}
 	}
-	if err := s.load(cfg.Initial); err != nil {
+	if err := s.putInitial(cfg.Initial); err != nil {
 		return nil, err
 	}
 	s.mux.HandleFunc("GET /models/{model}/latest", s.getLatest)
-	s.mux.HandleFunc("GET /models/{model}/versions/{version}", s.fetch)
-	s.mux.HandleFunc("PUT /models/{model}/versions/{version}", s.put)
-	s.mux.HandleFunc("GET /truth", s.truth)
+	s.mux.HandleFunc("GET /models/{model}/versions/{version}", s.getVersion)
+	s.mux.HandleFunc("PUT /models/{model}/versions/{version}", s.putVersion)
+	s.mux.HandleFunc("GET /truth", s.getTruth)
 	s.mux.HandleFunc("GET /livez", web.Livez)
 	s.mux.Handle("/admin/faults", &s.Faults)
 	return s, nil
 }
 
-func factor(f float64) float64 {
+func factorOrOne(f float64) float64 {
 	if f <= 0 {
 		return 1
 	}
@@ -120,7 +120,7 @@
 
 func (s *Weights) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
-func (s *Weights) load(initial string) error {
+func (s *Weights) putInitial(initial string) error {
 	if initial == "" {
 		return nil
 	}
@@ -137,13 +137,13 @@
 		if err != nil {
 			return fmt.Errorf("initial weights %q: %w", item, err)
 		}
-		s.Put(parts[0], version, Bytes(parts[0], version, size))
+		s.Put(parts[0], version, GenerateBytes(parts[0], version, size))
 	}
 	return nil
 }
 
-// Bytes makes deterministic weights of a version.
-func Bytes(model string, version uint64, size int) []byte {
+// GenerateBytes makes deterministic weights of a version.
+func GenerateBytes(model string, version uint64, size int) []byte {
 	var seed [32]byte
 	sum := sha256.Sum256([]byte(model))
 	copy(seed[:], sum[:])
@@ -164,7 +164,7 @@
 	return info
 }
 
-func (s *Weights) admitted(w http.ResponseWriter, r *http.Request) bool {
+func (s *Weights) applyFaults(w http.ResponseWriter, r *http.Request) bool {
 	f := s.Faults.Get()
 	web.Sleep(r.Context(), time.Duration(f.SlowMS)*time.Millisecond)
 	if f.Down {
@@ -181,7 +181,7 @@
 }
 
 func (s *Weights) getLatest(w http.ResponseWriter, r *http.Request) {
-	if !s.admitted(w, r) {
+	if !s.applyFaults(w, r) {
 		return
 	}
 	model := r.PathValue("model")
@@ -196,8 +196,8 @@
 	web.JSON(w, http.StatusOK, e.info)
 }
 
-func (s *Weights) put(w http.ResponseWriter, r *http.Request) {
-	if !s.admitted(w, r) {
+func (s *Weights) putVersion(w http.ResponseWriter, r *http.Request) {
+	if !s.applyFaults(w, r) {
 		return
 	}
 	version, err := strconv.ParseUint(r.PathValue("version"), 10, 64)
@@ -205,7 +205,7 @@
 		web.Error(w, http.StatusBadRequest, "version: want a number from 1")
 		return
 	}
-	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxWeights))
+	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxWeightsBytes))
 	if err != nil {
 		web.Error(w, http.StatusBadRequest, err.Error())
 		return
@@ -218,8 +218,8 @@
 	web.JSON(w, http.StatusOK, s.Put(r.PathValue("model"), version, data))
 }
 
-func (s *Weights) fetch(w http.ResponseWriter, r *http.Request) {
-	if !s.admitted(w, r) {
+func (s *Weights) getVersion(w http.ResponseWriter, r *http.Request) {
+	if !s.applyFaults(w, r) {
 		return
 	}
 	version, _ := strconv.ParseUint(r.PathValue("version"), 10, 64)
@@ -229,29 +229,29 @@
 		return
 	}
 	f := Fetch{Model: e.info.Model, Version: version, Client: r.Header.Get(protocol.Client), StartedMS: time.Now().UnixMilli()}
-	defer func() { s.record(f) }()
+	defer func() { s.recordFetch(f) }()
 	w.Header().Set("Content-Type", "application/octet-stream")
 	w.Header().Set("Content-Length", strconv.Itoa(len(e.data)))
 	w.Header().Set(protocol.WeightsModel, e.info.Model)
 	w.Header().Set(protocol.WeightsVersion, strconv.FormatUint(version, 10))
 	w.Header().Set(protocol.WeightsDigest, e.info.Digest)
-	f.Bytes = s.send(r.Context(), w, e.data)
-	f.Whole = f.Bytes == int64(len(e.data))
-	if !f.Whole {
+	f.Bytes = s.sendLimited(r.Context(), w, e.data)
+	f.Complete = f.Bytes == int64(len(e.data))
+	if !f.Complete {
 		web.Drop()
 	}
 }
 
-// send writes data at the store's rate and returns how much went out.
-func (s *Weights) send(ctx context.Context, w io.Writer, data []byte) int64 {
-	cut := s.Faults.Get().CutBytes
+// sendLimited writes data at the store's rate and returns how much went out.
+func (s *Weights) sendLimited(ctx context.Context, w io.Writer, data []byte) int64 {
+	dropAfter := s.Faults.Get().DropAfterBytes
 	var sent int64
 	for len(data) > 0 {
-		n := min(len(data), piece)
-		if cut > 0 {
-			n = int(min(int64(n), cut-sent))
+		n := min(len(data), maxWriteBytes)
+		if dropAfter > 0 {
+			n = int(min(int64(n), dropAfter-sent))
 		}
-		if n == 0 || s.limit.WaitN(ctx, n) != nil {
+		if n == 0 || s.limiter.WaitN(ctx, n) != nil {
 			break
 		}
 		n, err := w.Write(data[:n])
@@ -264,12 +264,12 @@
 	return sent
 }
 
-func (s *Weights) record(f Fetch) {
+func (s *Weights) recordFetch(f Fetch) {
 	f.EndedMS = time.Now().UnixMilli()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fetches = append(s.fetches, f)
-	s.sent += f.Bytes
+	s.bytesSent += f.Bytes
 }
 
 // Fetches returns every fetch that has ended.
@@ -279,7 +279,7 @@
 	return append([]Fetch{}, s.fetches...)
 }
 
-func (s *Weights) truth(w http.ResponseWriter, _ *http.Request) {
+func (s *Weights) getTruth(w http.ResponseWriter, _ *http.Request) {
 	fetches := s.Fetches()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -287,5 +287,5 @@
 		Fetches   []Fetch           `json:"fetches"`
 		BytesSent int64             `json:"bytes_sent"`
 		Latest    map[string]uint64 `json:"latest"`
-	}{fetches, s.sent, s.latest})
+	}{fetches, s.bytesSent, s.latest})
 }
--- a/standin/weights/weights_test.go
+++ b/standin/weights/weights_test.go
@@ -15,12 +15,12 @@
 )
 
 const (
-	model   = "drafter-lm"
-	patient = 20 * time.Second
-	tick    = time.Millisecond
+	model        = "drafter-lm"
+	maxWait      = 20 * time.Second
+	pollInterval = time.Millisecond
 )
 
-func start(t *testing.T, cfg weights.Config) (*weights.Weights, *httpstore.Store) {
+func startStore(t *testing.T, cfg weights.Config) (*weights.Weights, *httpstore.Store) {
 	t.Helper()
 	s, err := weights.New(cfg)
 	require.NoError(t, err)
@@ -30,8 +30,8 @@
 }
 
 func TestPutAndFetch(t *testing.T) {
-	s, c := start(t, weights.Config{Initial: model + ":1:100"})
-	data := weights.Bytes(model, 2, 100_000)
+	s, c := startStore(t, weights.Config{Initial: model + ":1:100"})
+	data := weights.GenerateBytes(model, 2, 100_000)
 	require.NoError(t, c.Put(t.Context(), platform.WeightInfo{Model: model, Version: 2, Bytes: int64(len(data))}, bytes.NewReader(data)))
 	latest, err := c.Latest(t.Context(), model)
 	require.NoError(t, err)
@@ -43,7 +43,7 @@
 	require.NoError(t, err)
 	require.Equal(t, latest, info)
 	require.True(t, bytes.Equal(data, got))
-	require.Eventually(t, func() bool { return len(s.Fetches()) == 1 }, patient, tick)
+	require.Eventually(t, func() bool { return len(s.Fetches()) == 1 }, maxWait, pollInterval)
 	require.Equal(t, "agent-1", s.Fetches()[0].Client)
 
 	_, err = c.Latest(t.Context(), "other")
@@ -54,16 +54,16 @@
 
 // The store's connection breaks in the middle of the weights. The fetcher gets
 // an error, and the truth does not count the fetch as whole.
-func TestCutFetchIsAnError(t *testing.T) {
-	s, c := start(t, weights.Config{Initial: model + ":1:100000"})
-	s.Faults.Apply(weights.Faults{CutBytes: 50_000})
+func TestInterruptedFetchIsAnError(t *testing.T) {
+	s, c := startStore(t, weights.Config{Initial: model + ":1:100000"})
+	s.Faults.Apply(weights.Faults{DropAfterBytes: 50_000})
 	r, _, err := c.Fetch(t.Context(), model, 1)
 	require.NoError(t, err)
 	defer r.Close()
 	_, err = io.ReadAll(r)
 	require.ErrorIs(t, err, io.ErrUnexpectedEOF)
-	require.Eventually(t, func() bool { return len(s.Fetches()) == 1 }, patient, tick)
-	require.False(t, s.Fetches()[0].Whole)
+	require.Eventually(t, func() bool { return len(s.Fetches()) == 1 }, maxWait, pollInterval)
+	require.False(t, s.Fetches()[0].Complete)
 
 	s.Faults.Apply(weights.Faults{Down: true})
 	_, err = c.Latest(t.Context(), model)
