--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -142,7 +142,7 @@
 	running        []*stream
 	cache          prefixCache
 	kv             kvStore
-	loadReports    loadHistory
+	loadHistory    loadHistory
 	truth          truthLog
 }
 
--- a/standin/engine/report.go
+++ b/standin/engine/report.go
@@ -48,7 +48,7 @@
 func (e *Engine) recordLoad(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	r := &e.loadReports
+	r := &e.loadHistory
 	if !r.lastAt.IsZero() {
 		made := float64(e.truth.totals.Tokens - r.lastTokens)
 		r.tokensPerSecond += rateSmoothing * (made/now.Sub(r.lastAt).Seconds() - r.tokensPerSecond)
@@ -73,7 +73,7 @@
 		Running:  len(e.running),
 		Waiting:  len(e.waiting),
 		KVUsed:   min(1, float64(kv)/kvCapacity),
-		TokensPS: e.loadReports.tokensPerSecond,
+		TokensPS: e.loadHistory.tokensPerSecond,
 	}
 }
 
@@ -81,8 +81,8 @@
 	now := time.Now()
 	e.mu.Lock()
 	load := e.currentLoad(now)
-	if e.cfg.LoadLag > 0 && len(e.loadReports.reports) > 0 {
-		load = e.loadReports.reports[0]
+	if e.cfg.LoadLag > 0 && len(e.loadHistory.reports) > 0 {
+		load = e.loadHistory.reports[0]
 	}
 	e.mu.Unlock()
 	web.JSON(w, http.StatusOK, load)
--- a/standin/logsvc/log.go
+++ b/standin/logsvc/log.go
@@ -65,9 +65,9 @@
 }
 
 type stream struct {
-	records   []record
-	endOffset uint64
-	appended  chan struct{} // closed at the next append
+	records    []record
+	endOffset  uint64
+	nextAppend chan struct{} // closed at the next append
 }
 
 func (s *stream) firstOffset() uint64 { return s.endOffset - uint64(len(s.records)) }
@@ -183,7 +183,7 @@
 func (l *Log) stream(name string) *stream {
 	s := l.streams[name]
 	if s == nil {
-		s = &stream{appended: make(chan struct{})}
+		s = &stream{nextAppend: make(chan struct{})}
 		l.streams[name] = s
 	}
 	return s
@@ -196,8 +196,8 @@
 	rec := record{Offset: s.endOffset, TimeMS: time.Now().UnixMilli(), Data: data}
 	s.records = append(s.records, rec)
 	s.endOffset++
-	close(s.appended)
-	s.appended = make(chan struct{})
+	close(s.nextAppend)
+	s.nextAppend = make(chan struct{})
 	l.appended = append(l.appended, AppendedRecord{Stream: name, record: rec, Client: client, AnswerLost: lost})
 	return rec.Offset
 }
@@ -232,7 +232,7 @@
 }
 
 // readNow returns what can be read now and channels that tell of more.
-func (l *Log) readNow(name string, from uint64, limit int) (p page, truncated bool, appended, faultsChange <-chan struct{}) {
+func (l *Log) readNow(name string, from uint64, limit int) (p page, truncated bool, nextAppend, faultsChange <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.stream(name)
@@ -240,14 +240,14 @@
 	l.reads++
 	p = page{Records: []record{}, Next: from, First: s.firstOffset(), End: s.endOffset}
 	if from < p.First {
-		return p, true, s.appended, l.faultsChange
+		return p, true, s.nextAppend, l.faultsChange
 	}
 	if from < s.endOffset {
 		i := int(from - p.First)
 		p.Records = s.records[i:min(i+limit, len(s.records))]
 		p.Next = from + uint64(len(p.Records))
 	}
-	return p, false, s.appended, l.faultsChange
+	return p, false, s.nextAppend, l.faultsChange
 }
 
 func (l *Log) getRead(w http.ResponseWriter, r *http.Request) {
@@ -268,7 +268,7 @@
 		if !l.applyFaults(w, r) {
 			return
 		}
-		p, truncated, appended, faultsChange := l.readNow(r.PathValue("stream"), from, limit)
+		p, truncated, nextAppend, faultsChange := l.readNow(r.PathValue("stream"), from, limit)
 		switch {
 		case truncated:
 			web.JSON(w, http.StatusGone, p)
@@ -278,7 +278,7 @@
 			return
 		}
 		select {
-		case <-appended:
+		case <-nextAppend:
 		case <-faultsChange:
 		case <-timeout.C:
 			last = true
