--- a/standin/engine/batch.go
+++ b/standin/engine/batch.go
@@ -10,8 +10,8 @@
 const (
 	bytesPerToken     = 4
 	prefillNotStarted = -1
-	// maxClockLag bounds how far the step clock may trail the wall clock; a
-	// process that was stopped does not make up for the pause.
+	// maxClockLag is the furthest that the step clock may lag the wall clock. A
+	// process that was suspended skips the steps that it missed.
 	maxClockLag = 100 * time.Millisecond
 )
 
@@ -20,42 +20,43 @@
 	ID           string `json:"id"`
 	Model        string `json:"model"`
 	Prompt       string `json:"prompt"`
-	MaxTokens    int    `json:"max_tokens"` // of the whole output, resumed tokens included; 0: no limit
+	MaxTokens    int    `json:"max_tokens"` // limit on the whole output including resumed tokens; 0: no limit
 	Seed         uint64 `json:"seed"`
 	Priority     int    `json:"priority"`
-	Stream       bool   `json:"stream"` // the answer is always a stream
+	Stream       bool   `json:"stream"` // ignored: the answer is always a stream
 	ResumeText   string `json:"resume_text"`
 	ResumeTokens int    `json:"resume_tokens"`
 	KV           []byte `json:"kv"`
 }
 
-// chunk is a run of tokens of one version.
+// chunk is a sequence of tokens that one version generated.
 type chunk struct {
 	text            []byte
 	tokens          int
-	version         uint64 // that made the tokens
-	reportedVersion uint64 // that the engine reports; 0: none
+	version         uint64 // version that generated the tokens
+	reportedVersion uint64 // version that the engine reports; 0: none
 	finishReason    string
 	startedAt       time.Time
 }
 
-// stream is one generation. The engine's lock guards all of it but notify.
+// stream is one generation. The engine's lock guards every field except notify.
 type stream struct {
 	job            job
 	arrival        uint64
 	writer         truth.Writer
-	targetTokens   int // tokens of the whole output
+	targetTokens   int // length of the whole output in tokens, including resumed ones
 	nextToken      int // index of the next token
-	prefillLeft    int // tokens; notStarted until the first step looks at it
+	prefillLeft    int // tokens; prefillNotStarted until the stream's first step
 	prefilled      bool
 	done           bool
-	dropConnection bool // the connection is dropped
+	dropConnection bool // the handler must drop the connection
 	current        chunk
-	unsent         []chunk // for the handler
+	unsent         []chunk // chunks that the handler has not yet written
 	notify         chan struct{}
 	run            *Run
 }
 
+// notifyHandler wakes the handler that writes the stream.
 func (s *stream) notifyHandler() {
 	select {
 	case s.notify <- struct{}{}:
@@ -63,6 +64,7 @@
 	}
 }
 
+// flushChunk hands the current chunk to the handler unless it is empty.
 func (s *stream) flushChunk() {
 	if s.current.tokens == 0 && s.current.finishReason == "" {
 		return
@@ -84,7 +86,8 @@
 	}
 }
 
-// runSteps is the engine's one worker: plan a step, let its time pass, emit.
+// runSteps is the engine's only worker. It plans a step, waits for the step's
+// duration and emits the step's tokens, until Close.
 func (e *Engine) runSteps() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -114,11 +117,14 @@
 	}
 }
 
+// isPaused reports whether the engine generates no tokens: it loads weights,
+// has none, or is frozen by a fault.
 func (e *Engine) isPaused(now time.Time) bool {
 	return e.state == stateLoading || e.version == 0 || now.Before(e.frozenUntil)
 }
 
-// planStep fills the batch, does its prefill and returns the step's wall time.
+// planStep fills the batch, runs its prefill and returns the step's wall time.
+// It returns false if there is nothing to do.
 func (e *Engine) planStep() (time.Duration, bool) {
 	slow := e.Faults.Get().SlowFactor
 	e.mu.Lock()
@@ -140,6 +146,7 @@
 	return d, true
 }
 
+// fillBatch moves waiting streams into free slots of the batch.
 func (e *Engine) fillBatch() {
 	n := min(e.cfg.Slots-len(e.running), len(e.waiting))
 	if n <= 0 {
@@ -153,8 +160,8 @@
 	e.waiting = append(e.waiting[:0], e.waiting[n:]...)
 }
 
-// runPrefill spends the step's runPrefill budget in batch order and returns the
-// tokens done.
+// runPrefill prefills at most MaxPrefillPerStep tokens in batch order and returns
+// how many it did.
 func (e *Engine) runPrefill() int {
 	used := 0
 	for _, s := range e.running {
@@ -180,8 +187,9 @@
 	return used
 }
 
-// prefillTokens is what a stream must compute before its first token. An
-// imported KV cache saves what it covers, a cached prefix its own part.
+// prefillTokens returns how many tokens a stream must prefill before it generates
+// its first token. It leaves out the prompt and the output tokens that an imported
+// KV cache covers, or else the prompt prefix if that is cached.
 func (e *Engine) prefillTokens(s *stream) int {
 	prompt := tokensForBytes(len(s.job.Prompt))
 	if covered, ok := importedKVTokens(s.job); ok {
@@ -194,16 +202,18 @@
 	return prompt + s.job.ResumeTokens
 }
 
+// tokensForBytes returns the number of tokens of a text, rounded up.
 func tokensForBytes(bytes int) int { return (bytes + bytesPerToken - 1) / bytesPerToken }
 
-// emitTokens gives each ready stream its token of the step that has passed.
+// emitTokens appends the token of the elapsed step to each prefilled stream and
+// removes the streams that end.
 func (e *Engine) emitTokens() {
 	now := time.Now()
 	faults := e.Faults.Get()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.isPaused(now) {
-		return // the step was in the machine when the order came; it is void
+		return // an order or a freeze arrived during the step: its tokens are discarded
 	}
 	keep := e.running[:0]
 	for _, s := range e.running {
@@ -218,8 +228,8 @@
 	e.running = keep
 }
 
-// versionFor is the version that makes the stream's next token. After a
-// partial load each chunk's is drawn anew.
+// versionFor returns the version that generates the stream's next token. After a
+// partial load it picks the old or new version at random for each chunk.
 func (e *Engine) versionFor(s *stream) uint64 {
 	if e.state != stateFailed {
 		return e.version
@@ -230,6 +240,8 @@
 	return e.mixedVersions[e.rng.IntN(len(e.mixedVersions))]
 }
 
+// emitToken generates the stream's next token, flushes the current chunk if it
+// is due and ends the stream after its last token.
 func (e *Engine) emitToken(s *stream, f Faults, now time.Time) {
 	if s.nextToken < s.targetTokens {
 		version := e.versionFor(s)
@@ -257,6 +269,7 @@
 	}
 }
 
+// finishReasonOf returns the finish reason of a stream that reached its target.
 func finishReasonOf(s *stream) string {
 	if s.job.MaxTokens > 0 && s.targetTokens == s.job.MaxTokens {
 		return "length"
@@ -264,7 +277,8 @@
 	return "stop"
 }
 
-// versionToReport is the version that the engine reports for a chunk.
+// versionToReport returns the version that the engine reports for a chunk that
+// version generates, or 0 for none. Faults can make it differ from version.
 func (e *Engine) versionToReport(version uint64, f Faults) uint64 {
 	if f.NoVersion {
 		return 0
@@ -275,7 +289,8 @@
 	return version
 }
 
-// endStream closes a stream's account; it stays known for KV export.
+// endStream records the end of a stream, whose KV cache can still be exported.
+// It does nothing if the stream has ended before.
 func (e *Engine) endStream(s *stream, outcome string) {
 	if s.done {
 		return
--- a/standin/engine/cache.go
+++ b/standin/engine/cache.go
@@ -15,13 +15,13 @@
 
 const (
 	maxCacheEvents = 4096
-	maxKVHeaders   = 512 // ended streams whose KV cache can still be exported
+	maxKVHeaders   = 512 // ended streams whose KV cache can be exported
 )
 
-// prefixCache is a bounded LRU of prompt prefixes.
+// prefixCache is a bounded LRU cache of prompt prefixes, identified by their hash.
 type prefixCache struct {
 	maxPrefixes int
-	order       *list.List // of uint64; most recent first
+	order       *list.List // values are uint64; most recently used first
 	elements    map[uint64]*list.Element
 	seq         uint64
 	events      []timedEvent
@@ -38,7 +38,8 @@
 
 func (c *prefixCache) contains(prefix uint64) bool { return c.elements[prefix] != nil }
 
-// touch makes a prefix the most recent one and returns what came and went.
+// touch makes a prefix the most recently used one, adding it if needed, and
+// returns events for the prefixes added and evicted.
 func (c *prefixCache) touch(prefix uint64) []platform.CacheEvent {
 	if el := c.elements[prefix]; el != nil {
 		c.order.MoveToFront(el)
@@ -57,7 +58,8 @@
 	return events
 }
 
-// publishCacheEvents publishes events; a lost one leaves a gap in the sequence.
+// publishCacheEvents numbers and publishes events. A random share of them is
+// lost, which leaves a gap in the sequence numbers.
 func (e *Engine) publishCacheEvents(events []platform.CacheEvent) {
 	c := &e.cache
 	for _, ev := range events {
@@ -88,14 +90,15 @@
 	web.JSON(w, http.StatusOK, out)
 }
 
-// kvHeader is the first line of an exported KV cache; padding follows it.
+// kvHeader is the first line of an exported KV cache. The rest is padding that
+// gives the export a realistic size.
 type kvHeader struct {
 	Prompt uint64 `json:"prompt"`
 	Seed   uint64 `json:"seed"`
-	Tokens int    `json:"tokens"` // output tokens covered
+	Tokens int    `json:"tokens"` // output tokens that the cache covers
 }
 
-// kvStore remembers the last ended streams.
+// kvStore holds the KV headers of the last maxKVHeaders ended streams.
 type kvStore struct {
 	byID     map[string]kvHeader
 	endOrder []string
@@ -103,6 +106,7 @@
 
 func newKVStore() kvStore { return kvStore{byID: map[string]kvHeader{}} }
 
+// add stores the header of an ended stream, unless its prefill was incomplete.
 func (k *kvStore) add(s *stream) {
 	if !s.prefilled {
 		return
@@ -151,8 +155,9 @@
 	_, _ = w.Write(data)
 }
 
-// importedKVTokens returns the output tokens that a job's imported KV cache covers. A
-// cache of another prompt or seed is not used.
+// importedKVTokens returns how many output tokens a job's imported KV cache
+// covers. It returns false if there is no cache, it is malformed, or it belongs to
+// another prompt or seed.
 func importedKVTokens(j job) (int, bool) {
 	line, _, ok := bytes.Cut(j.KV, []byte("\n"))
 	var h kvHeader
--- a/standin/engine/completions.go
+++ b/standin/engine/completions.go
@@ -9,16 +9,17 @@
 	"dandelionsill.org/standin/web"
 )
 
-const maxJobBytes = 64 << 20 // bytes, KV cache included
+const maxJobBytes = 64 << 20 // bytes, including the KV cache
 
-// choice and event are the OpenAI-style chunk of a stream with the engine's
-// own fields beside.
+// choice is the OpenAI-style choice of a streamEvent.
 type choice struct {
 	Index        int     `json:"index"`
 	Text         string  `json:"text"`
 	FinishReason *string `json:"finish_reason"`
 }
 
+// streamEvent is an OpenAI-style completion chunk with additional fields of the
+// engine.
 type streamEvent struct {
 	ID             string   `json:"id"`
 	Object         string   `json:"object"`
@@ -28,7 +29,8 @@
 	Boot           string   `json:"boot"`
 }
 
-// checkJob returns why a job can't be taken, with its HTTP status.
+// checkJob returns http.StatusOK if the engine accepts a job, and otherwise the
+// HTTP status and message of the refusal.
 func (e *Engine) checkJob(j job) (int, string) {
 	switch {
 	case j.ID == "":
@@ -50,8 +52,8 @@
 		web.Error(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	// net/http notices a client that goes away only once the body was read
-	// to its end.
+	// net/http detects that a client has disconnected only after the body was
+	// read to its end.
 	_, _ = io.Copy(io.Discard, r.Body)
 	s := e.newStream(j)
 	e.mu.Lock()
@@ -70,7 +72,7 @@
 	e.writeStream(w, r, s, boot)
 }
 
-// writeStream writes a writeStream's chunks until it ends or the client goes away.
+// writeStream writes the chunks of s until it ends or the client disconnects.
 func (e *Engine) writeStream(w http.ResponseWriter, r *http.Request, s *stream, boot string) {
 	defer e.handleDisconnect(s)
 	w.Header().Set("Content-Type", "text/event-stream")
@@ -104,6 +106,8 @@
 	}
 }
 
+// takeChunks removes and returns the unsent chunks, and reports whether the
+// stream has ended and whether its connection must be dropped.
 func (e *Engine) takeChunks(s *stream) (chunks []chunk, done, drop bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -112,13 +116,15 @@
 	return chunks, s.done, s.dropConnection
 }
 
-// handleDisconnect ends a stream whose client went away; ended ones stay as they are.
+// handleDisconnect cancels a stream unless it has ended.
 func (e *Engine) handleDisconnect(s *stream) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.cancelStream(s)
 }
 
+// cancelStream cancels a stream; it returns false if the stream has ended. The
+// caller holds the lock.
 func (e *Engine) cancelStream(s *stream) bool {
 	if s.done {
 		return false
@@ -153,7 +159,8 @@
 	return err
 }
 
-// postCancel ends the streams of an id; their connections end without a finish.
+// postCancel cancels all streams with an ID. Their responses end without a
+// finish reason.
 func (e *Engine) postCancel(w http.ResponseWriter, r *http.Request) {
 	var in struct {
 		ID string `json:"id"`
@@ -175,6 +182,7 @@
 	}{n})
 }
 
+// streamsByID returns the open streams with an ID. The caller holds the lock.
 func (e *Engine) streamsByID(id string) []*stream {
 	var found []*stream
 	for _, list := range [][]*stream{e.running, e.waiting} {
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -1,6 +1,7 @@
-// Package engine is a stand-in for a model engine: continuous batching,
-// priorities, a bounded prefix cache, weight orders with or without fencing,
-// KV export and resume, and faults. Its output is package truth's.
+// Package engine is a stand-in for a model engine. It models continuous
+// batching, priorities, a bounded prefix cache, weight orders with or without
+// fencing, KV cache export, resumed streams and faults. Package truth defines
+// the text that it generates.
 package engine
 
 import (
@@ -17,36 +18,36 @@
 	"dandelionsill.org/standin/web"
 )
 
-// Config configures an engine. Durations are in model time; TimeScale turns
-// them into wall time.
+// Config configures an engine. Durations are in model time, which TimeScale
+// converts to wall time, unless a field says otherwise.
 type Config struct {
 	Name              string
 	Model             string
-	Version           uint64 // weights served from the start; 0: none
-	Slots             int    // streams at once
-	StepBase          time.Duration
-	StepPerStream     time.Duration
-	PrefillToken      time.Duration // per prompt token
-	MaxPrefillPerStep int           // prompt tokens in one step at most
-	PrefixCacheSize   int           // prefixes kept
-	MeanTokens        float64       // mean natural length of an output
-	Sigma             float64       // of the length's logarithm
-	MaxChunkTokens    int           // tokens in a chunk at most
-	MaxChunkDelay     time.Duration // a chunk waits no longer (wall time)
-	LoadTime          time.Duration // of a weight order
+	Version           uint64        // weights version served at startup; 0: none
+	Slots             int           // maximum number of streams in the batch
+	StepBase          time.Duration // duration of a step, before streams and prefill
+	StepPerStream     time.Duration // added to a step per running stream
+	PrefillToken      time.Duration // prefill time per prompt token
+	MaxPrefillPerStep int           // maximum number of prompt tokens prefilled in one step
+	PrefixCacheSize   int           // maximum number of cached prefixes
+	MeanTokens        float64       // mean output length when no token limit applies
+	Sigma             float64       // standard deviation of the logarithm of the output length
+	MaxChunkTokens    int           // maximum number of tokens in a chunk
+	MaxChunkDelay     time.Duration // maximum time before a started chunk is sent (wall time)
+	LoadTime          time.Duration // time that a weight order takes
 	LoadLag           time.Duration // age of load reports
 	EventLag          time.Duration // age of cache events
 	EventLossShare    float64       // share of cache events lost
-	KVBytesPerToken   int           // size of exported KV cache per token
-	Fencing           bool          // refuse orders with an older fencing token
-	TimeScale         float64       // factor on model time; 0: 1
+	KVBytesPerToken   int           // size of an exported KV cache per output token
+	Fencing           bool          // whether orders with an older fencing token are refused
+	TimeScale         float64       // wall time per model time; 0 means 1
 	Seed              uint64
-	// Exit ends the process on the fault "crash". Without it (in tests) the
-	// engine drops every stream and starts anew under another boot id.
+	// Exit ends the process on the fault "crash". If it is nil, as in tests, the
+	// engine drops every stream and restarts with a new boot ID.
 	Exit func(code int)
 }
 
-// DefaultConfig is what the flags default to.
+// DefaultConfig returns the default values of the flags.
 func DefaultConfig() Config {
 	return Config{
 		Name:              "engine",
@@ -73,7 +74,7 @@
 	}
 }
 
-// AddFlags adds the configuration to fs, with DefaultConfig's values.
+// AddFlags sets c to DefaultConfig and defines a flag in fs for each setting.
 func (c *Config) AddFlags(fs *flag.FlagSet) {
 	*c = DefaultConfig()
 	fs.StringVar(&c.Name, "name", c.Name, "name, part of the boot id")
@@ -105,7 +106,7 @@
 	})
 }
 
-// States of an engine.
+// States of an engine as reported by GET /admin/state.
 const (
 	stateServing = "serving"
 	stateLoading = "loading"
@@ -113,7 +114,8 @@
 	stateEmpty   = "empty"
 )
 
-// Engine is the stand-in; it is an http.Handler. Close ends it.
+// Engine is a simulated model engine that serves its API as an http.Handler.
+// Close stops it.
 type Engine struct {
 	Faults web.Faults[Faults]
 
@@ -122,7 +124,7 @@
 	ctx      context.Context
 	cancel   context.CancelFunc
 	wake     chan struct{}
-	ordersMu sync.Mutex // held while an order is carried out
+	ordersMu sync.Mutex // held while an order is executed
 
 	mu             sync.Mutex
 	rng            *rand.Rand
@@ -133,12 +135,12 @@
 	version        uint64
 	state          string
 	fencingToken   uint64
-	mixedVersions  [2]uint64 // state failed: old and new version
+	mixedVersions  [2]uint64 // old and new version of a partial load; used in state failed
 	failNextLoad   bool
 	loseNextAnswer bool
 	frozenUntil    time.Time
 	arrivals       uint64
-	waiting        []*stream // by priority, then arrival
+	waiting        []*stream // sorted by descending priority, then by arrival
 	running        []*stream
 	cache          prefixCache
 	kv             kvStore
@@ -146,7 +148,7 @@
 	truth          truthLog
 }
 
-// New starts an engine.
+// New returns a running engine. The caller must call Close.
 func New(cfg Config) *Engine {
 	if cfg.TimeScale <= 0 {
 		cfg.TimeScale = 1
@@ -165,7 +167,7 @@
 	return e
 }
 
-// Close ends the engine's work; its open streams are cut.
+// Close stops the engine and drops the connections of its open streams.
 func (e *Engine) Close() {
 	e.mu.Lock()
 	e.dropAllStreams("closed")
@@ -189,7 +191,9 @@
 	e.mux.Handle("/admin/faults", &e.Faults)
 }
 
-// resetProcess puts the engine into the state of a fresh process.
+// resetProcess sets the engine to the state of a newly started process with a
+// new boot ID. It keeps queued and running streams, the totals and the load
+// history.
 func (e *Engine) resetProcess() {
 	e.incarnation++
 	e.bootID = fmt.Sprintf("%s-%x-%d", e.cfg.Name, time.Now().UnixNano(), e.incarnation)
@@ -205,10 +209,12 @@
 	e.kv = newKVStore()
 }
 
+// scaled converts model time to wall time.
 func (e *Engine) scaled(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * e.cfg.TimeScale)
 }
 
+// notifyWorker wakes runSteps if it waits for work.
 func (e *Engine) notifyWorker() {
 	select {
 	case e.wake <- struct{}{}:
@@ -216,7 +222,8 @@
 	}
 }
 
-// enqueue adds a stream to the queue: higher priority first, then arrival.
+// enqueue inserts a stream into the queue, which is sorted by descending
+// priority, then by arrival.
 func (e *Engine) enqueue(s *stream) {
 	e.arrivals++
 	s.arrival = e.arrivals
@@ -226,14 +233,15 @@
 	e.waiting = slices.Insert(e.waiting, i, s)
 }
 
-// remove takes a stream out of queue and batch.
+// remove removes a stream from the queue and from the batch.
 func (e *Engine) remove(s *stream) {
 	same := func(o *stream) bool { return o == s }
 	e.waiting = slices.DeleteFunc(e.waiting, same)
 	e.running = slices.DeleteFunc(e.running, same)
 }
 
-// dropAllStreams ends every stream without a finish.
+// dropAllStreams ends every stream without a finish reason and drops its
+// connection.
 func (e *Engine) dropAllStreams(outcome string) {
 	for _, s := range append(slices.Clone(e.waiting), e.running...) {
 		s.dropConnection = true
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -22,7 +22,8 @@
 	maxWait   = 20 * time.Second
 )
 
-// startEngine runs a fast engine whose outputs are far longer than tokens.
+// startEngine runs a fast engine whose natural outputs are far longer than
+// maxTokens.
 func startEngine(t *testing.T, change func(*engine.Config)) (*engine.Engine, *httpengine.Engine) {
 	t.Helper()
 	cfg := engine.DefaultConfig()
@@ -44,7 +45,8 @@
 	return e, httpengine.New(srv.URL, "agent-1")
 }
 
-// newEndlessJob is a job that no slow machine finishes before a test acts on it.
+// newEndlessJob returns a job without a token limit, which is still running when
+// a test acts on it, even on a slow machine.
 func newEndlessJob(id string) platform.GenerateJob {
 	j := newJob(id)
 	j.MaxTokens = 0
@@ -55,13 +57,13 @@
 	return platform.GenerateJob{ID: id, Prompt: prompt, Seed: 7, MaxTokens: maxTokens}
 }
 
-// result is a stream read to its end.
+// result is what a stream returned up to its end.
 type result struct {
 	text          string
 	tokens        int
 	reportedSpans []truth.Span
 	finish        string
-	err           error // nil after io.EOF
+	err           error // nil if the stream ended with io.EOF
 }
 
 func (r *result) add(c platform.Chunk) {
@@ -76,7 +78,8 @@
 	}
 }
 
-// readStream reads a stream to its end; each runs after every chunk.
+// readStream reads a stream to its end and calls onChunk, unless it is nil, after
+// every chunk.
 func readStream(t *testing.T, c *httpengine.Engine, j platform.GenerateJob, onChunk func(*result)) result {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), maxWait)
@@ -130,8 +133,8 @@
 	require.Equal(t, 8, e.Truth(0, true).Totals.RunsEnded)
 }
 
-// A weight order arrives while a stream runs. The stream goes on with the new
-// weights, and each chunk names the version that truly made it.
+// A weight order arrives while a stream runs. The stream continues with the new
+// weights, and each chunk reports the version that generated it.
 func TestRunningStreamContinuesWithNewWeights(t *testing.T) {
 	_, c := startEngine(t, nil)
 	ordered := false
@@ -152,9 +155,9 @@
 	require.Equal(t, spans, r.reportedSpans)
 }
 
-// A holder that lost its lease gives an order late. An engine that obeys
-// fencing refuses it; one that ignores fencing swaps back to old weights, and
-// only its state and its chunks show it.
+// A former lease holder's order arrives late. An engine that obeys fencing refuses
+// it. One that ignores fencing swaps back to old weights, which only its state and
+// its chunks show.
 func TestStaleOrder(t *testing.T) {
 	t.Run("obeys", func(t *testing.T) {
 		e, c := startEngine(t, nil)
@@ -175,8 +178,8 @@
 	})
 }
 
-// A swap fails partway: the order answers with the failure, the state says so,
-// and the engine makes tokens with either version until a later order heals it.
+// A swap fails halfway. The order's answer and the state report the failure, and
+// the engine generates tokens with either version until a later order succeeds.
 func TestPartialLoadServesEitherVersion(t *testing.T) {
 	e, c := startEngine(t, func(cfg *engine.Config) { cfg.MaxChunkTokens = 1 })
 	e.Faults.Apply(engine.Faults{FailNextLoad: true})
@@ -200,8 +203,8 @@
 	require.Equal(t, []truth.Span{{Version: 3, From: 0, To: maxTokens}}, readStream(t, c, newJob("healed"), nil).reportedSpans)
 }
 
-// The order's answer is lost after the engine obeyed: the sender can only
-// learn it by reading the state back.
+// The answer to an order is lost after the engine obeyed it. The sender can learn
+// the outcome only from the engine's state.
 func TestOrderWithLostAnswerIsObeyed(t *testing.T) {
 	e, c := startEngine(t, nil)
 	e.Faults.Apply(engine.Faults{LoseNextOrder: true})
@@ -216,9 +219,9 @@
 	require.Equal(t, []truth.Span{{Version: 0, From: 0, To: maxTokens}}, r.reportedSpans)
 }
 
-// An engine leaves in the middle of a sample. Another goes on behind the text
-// that was received: the whole is the same as from one engine, and with the KV
-// cache nothing is computed again.
+// A stream ends in the middle of a sample and another engine resumes after the
+// text that was received. The complete text equals that of a single engine, and
+// with the KV cache nothing is prefilled again.
 func TestResumeContinuesTheSameText(t *testing.T) {
 	_, first := startEngine(t, nil)
 	firstPart := readStream(t, first, newEndlessJob("r"), func(r *result) {
@@ -252,8 +255,8 @@
 	require.ErrorIs(t, err, platform.ErrNotFound)
 }
 
-// The engine process dies under a stream: the reader gets an error, never an
-// end, and the next start shows another boot id.
+// The engine crashes while a stream runs. The reader gets an error, not a regular
+// end, and the restarted engine has another boot ID.
 func TestCrashDropsStreams(t *testing.T) {
 	e, c := startEngine(t, nil)
 	boot := readState(t, c).Boot
@@ -267,8 +270,8 @@
 	require.Equal(t, "crashed", e.Truth(0, false).Runs[0].Outcome)
 }
 
-// The reader gives up. The engine must stop making tokens for it and keep the
-// tokens made in its account of waste.
+// The reader closes the stream. The engine must stop generating tokens for it and
+// count the tokens already generated as cancelled.
 func TestClosedStreamIsCancelled(t *testing.T) {
 	e, c := startEngine(t, func(cfg *engine.Config) { cfg.Slots = 1 })
 	s, err := c.Generate(t.Context(), platform.GenerateJob{ID: "r", Prompt: prompt})
@@ -283,8 +286,8 @@
 	require.Positive(t, run.Tokens)
 }
 
-// One slot, frozen: three streams queue. Thawed, the batch admits the one that
-// runs already, then by priority, then by arrival.
+// Three streams queue at a frozen engine with one slot. Once the fault is cleared,
+// they are admitted by priority, then by arrival.
 func TestHigherPriorityIsAdmittedFirst(t *testing.T) {
 	e, c := startEngine(t, func(cfg *engine.Config) { cfg.Slots = 1 })
 	e.Faults.Apply(engine.Faults{Freeze: true})
@@ -314,8 +317,8 @@
 	require.Equal(t, []string{"high", "low", "also low"}, order)
 }
 
-// The second sample of a group finds the first one's prefix; a cache of one
-// prefix forgets it for another prompt, and says so.
+// The second sample of a group hits the prefix that the first one cached. A cache
+// of one prefix evicts it for another prompt and reports the eviction.
 func TestPrefixCacheEvents(t *testing.T) {
 	e, c := startEngine(t, func(cfg *engine.Config) { cfg.PrefixCacheSize = 1 })
 	other := newJob("c")
--- a/standin/engine/orders.go
+++ b/standin/engine/orders.go
@@ -19,23 +19,24 @@
 	maxWeightsBytes = 1 << 30 // bytes
 	forever         = 100 * 365 * 24 * time.Hour
 
-	// failedLabelIntended is the value of Faults.FailedLabel that makes the engine lie.
+	// failedLabelIntended is the value of Faults.FailedLabel that makes the
+	// engine report the ordered version for every chunk after a partial load.
 	failedLabelIntended = "intended"
 )
 
-// Faults are the switches at POST /admin/faults. Those of the next order are
-// spent by it; the others stay until the next POST.
+// Faults are the fault switches set by POST /admin/faults. FailNextLoad and
+// LoseNextOrder apply to one order; the others apply until the next POST.
 type Faults struct {
-	FailNextLoad  bool    `json:"fail_next_load"`  // the next load fails halfway
-	LoseNextOrder bool    `json:"lose_next_order"` // the next order is obeyed, its answer lost
-	OrderDelayMS  int     `json:"order_delay_ms"`  // an order arrives so much later
-	SlowFactor    float64 `json:"slow_factor"`     // factor on step times; 0: 1
-	Freeze        bool    `json:"freeze"`          // no token until cleared
-	FreezeMS      int     `json:"freeze_ms"`       // no token for so long
+	FailNextLoad  bool    `json:"fail_next_load"`  // the next load fails halfway, which leaves a mix of two versions
+	LoseNextOrder bool    `json:"lose_next_order"` // the next order is obeyed but its answer is lost
+	OrderDelayMS  int     `json:"order_delay_ms"`  // delay before a weights order takes effect
+	SlowFactor    float64 `json:"slow_factor"`     // factor on step durations; 0 means 1
+	Freeze        bool    `json:"freeze"`          // no tokens until cleared
+	FreezeMS      int     `json:"freeze_ms"`       // no tokens for this time, unless Freeze is set
 	Crash         bool    `json:"crash"`           // the process exits
-	NoVersion     bool    `json:"no_version"`      // chunks carry no version
-	FailedLabel   string  `json:"failed_label"`    // after a partial load chunks say: "true" (default) or "intended" version
-	LoadWrong     uint64  `json:"load_wrong"`      // weights order says done but this version is served; 0: off
+	NoVersion     bool    `json:"no_version"`      // chunks report no version
+	FailedLabel   string  `json:"failed_label"`    // version that chunks report after a partial load: "true" (default) or "intended"
+	LoadWrong     uint64  `json:"load_wrong"`      // a weights order succeeds but the engine serves this version; 0: off
 }
 
 func (e *Engine) applyFaults(f Faults) {
@@ -54,6 +55,7 @@
 	e.notifyWorker()
 }
 
+// setFreeze applies the freeze switches. The caller holds the lock.
 func (e *Engine) setFreeze(f Faults) {
 	e.frozenUntil = time.Time{}
 	if f.Freeze {
@@ -65,8 +67,8 @@
 	}
 }
 
-// weightsRequest is the JSON form of POST /admin/weights; the other form has
-// the same in headers and the bytes as the body.
+// weightsRequest is the JSON body of POST /admin/weights. With any other
+// content type, headers carry the same fields and the body carries the data.
 type weightsRequest struct {
 	Model   string `json:"model"`
 	Version uint64 `json:"version"`
@@ -91,6 +93,7 @@
 	return o, errors.Join(errs[:]...)
 }
 
+// validate checks the version and, if given, the digest.
 func (o weightsRequest) validate() error {
 	if o.Version == 0 {
 		return errors.New("version: want a number from 1")
@@ -102,7 +105,8 @@
 	return nil
 }
 
-// postWeights obeys an order to the end even when its sender goes away.
+// postWeights executes a weights order to its end even if the client
+// disconnects.
 func (e *Engine) postWeights(w http.ResponseWriter, r *http.Request) {
 	o, err := readOrder(w, r)
 	if err == nil {
@@ -130,6 +134,8 @@
 	e.writeOrderAnswer(w, !done)
 }
 
+// writeOrderAnswer answers an order with the engine's state, or drops the
+// connection if the fault LoseNextOrder is set.
 func (e *Engine) writeOrderAnswer(w http.ResponseWriter, failed bool) {
 	e.mu.Lock()
 	lose := e.loseNextAnswer
@@ -145,7 +151,9 @@
 	web.JSON(w, status, e.State())
 }
 
-// acceptFencingToken tells whether an order with this token is obeyed, and remembers it.
+// acceptFencingToken reports whether an order with this token is to be obeyed,
+// and if so stores the token. Without fencing, older tokens are accepted too.
+// The caller holds the lock.
 func (e *Engine) acceptFencingToken(token uint64) bool {
 	if token < e.fencingToken {
 		if e.cfg.Fencing {
@@ -158,13 +166,14 @@
 	return true
 }
 
-// loading is a load under way.
+// loading is a load in progress.
 type loading struct {
-	bootID       string // of the engine that began it
-	oldVersion   uint64 // version before it
-	failsHalfway bool   // it fails halfway
+	bootID       string // boot ID when the load started
+	oldVersion   uint64 // version served before the load
+	failsHalfway bool   // the load is to fail halfway
 }
 
+// startLoad starts a load; it returns false if the fencing token is refused.
 func (e *Engine) startLoad(o weightsRequest) (loading, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -178,8 +187,8 @@
 	return l, true
 }
 
-// finishLoad puts the load's result in force; it tells whether that is the whole
-// new version.
+// finishLoad applies the result of a load and reports whether the load
+// succeeded.
 func (e *Engine) finishLoad(o weightsRequest, l loading) bool {
 	wrong := e.Faults.Get().LoadWrong
 	e.mu.Lock()
@@ -209,7 +218,8 @@
 	return false
 }
 
-// State is the engine's word on itself, as in GET /admin/state.
+// State returns the state that the engine reports at GET /admin/state. The
+// fault LoadWrong can make its version differ from the ordered one.
 func (e *Engine) State() platform.EngineState {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -227,8 +237,8 @@
 	web.JSON(w, http.StatusOK, e.State())
 }
 
-// postRole keeps the role and reports it; the stand-in's work is the same in
-// every role.
+// postRole stores the role, which State reports. The stand-in behaves the same
+// in every role.
 func (e *Engine) postRole(w http.ResponseWriter, r *http.Request) {
 	var in struct {
 		Role  string `json:"role"`
