--- a/standin/logsvc/log.go
+++ b/standin/logsvc/log.go
@@ -1,5 +1,5 @@
-// Package logsvc is a stand-in for the platform's append-only log service:
-// streams with offsets, one append rate over all streams, limited retention,
+// Package logsvc is a stand-in for the platform's append-only log service. It has
+// streams with offsets, one append rate limit for all streams, limited retention,
 // long-poll reads, outages and lost answers.
 package logsvc
 
@@ -27,13 +27,13 @@
 
 // Config configures the log.
 type Config struct {
-	Rate      float64       // appends a second over all streams; 0: no limit
-	Burst     int           // appends at once
-	Retention time.Duration // records older are dropped; 0: kept
+	Rate      float64       // appends per second over all streams; 0: no limit
+	Burst     int           // appends allowed in a burst
+	Retention time.Duration // age at which records are dropped; 0: never
 	Seed      uint64
 }
 
-// AddFlags adds the configuration to fs.
+// AddFlags defines a flag in fs for each setting.
 func (c *Config) AddFlags(fs *flag.FlagSet) {
 	fs.Float64Var(&c.Rate, "rate", 300, "appends a second over all streams; 0: no limit")
 	fs.IntVar(&c.Burst, "burst", 60, "appends at once")
@@ -41,13 +41,13 @@
 	fs.Uint64Var(&c.Seed, "seed", 1, "seed of the faults' randomness")
 }
 
-// Faults are the switches at POST /admin/faults.
+// Faults are the fault switches set by POST /admin/faults.
 type Faults struct {
-	Down         bool     `json:"down"`          // 503, nothing is taken
-	SlowMS       int      `json:"slow_ms"`       // wait before each request
-	LoseAnswers  float64  `json:"lose_answers"`  // share of appends taken whose answer is lost
-	LoseRequests float64  `json:"lose_requests"` // share of appends not taken whose connection drops
-	DropClients  []string `json:"cut"`           // clients (X-Client) whose connections drop
+	Down         bool     `json:"down"`          // every request is refused with 503
+	SlowMS       int      `json:"slow_ms"`       // delay before each request
+	LoseAnswers  float64  `json:"lose_answers"`  // share of appends that are stored but whose connection drops without an answer
+	LoseRequests float64  `json:"lose_requests"` // share of appends that are not stored and whose connection drops
+	DropClients  []string `json:"cut"`           // clients (header X-Client) whose connections drop
 }
 
 type record struct {
@@ -56,7 +56,7 @@
 	Data   []byte `json:"data"`
 }
 
-// AppendedRecord is one record in the truth.
+// AppendedRecord is a record in the ground truth, which retention does not affect.
 type AppendedRecord struct {
 	Stream string `json:"stream"`
 	record
@@ -67,12 +67,12 @@
 type stream struct {
 	records    []record
 	endOffset  uint64
-	nextAppend chan struct{} // closed at the next append
+	nextAppend chan struct{} // closed at the next append and then replaced
 }
 
 func (s *stream) firstOffset() uint64 { return s.endOffset - uint64(len(s.records)) }
 
-// Log is the stand-in; it is an http.Handler.
+// Log is a simulated log service that serves its API as an http.Handler.
 type Log struct {
 	Faults web.Faults[Faults]
 
@@ -86,10 +86,10 @@
 	appended     []AppendedRecord
 	refused      map[string]int
 	reads        int
-	faultsChange chan struct{} // closed when the faults change
+	faultsChange chan struct{} // closed when the faults change and then replaced
 }
 
-// New makes an empty log.
+// New returns an empty log.
 func New(cfg Config) *Log {
 	l := &Log{
 		cfg:          cfg,
@@ -114,7 +114,7 @@
 
 func (l *Log) ServeHTTP(w http.ResponseWriter, r *http.Request) { l.mux.ServeHTTP(w, r) }
 
-// wakeReaders wakes long polls, so that an outage reaches them too.
+// wakeReaders wakes all long polls so that changed faults affect them too.
 func (l *Log) wakeReaders() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -122,7 +122,8 @@
 	l.faultsChange = make(chan struct{})
 }
 
-// applyFaults applies the faults that come before anything is done.
+// applyFaults applies the faults that precede a request's execution. It returns
+// false if it has refused the request.
 func (l *Log) applyFaults(w http.ResponseWriter, r *http.Request) bool {
 	f := l.Faults.Get()
 	if slices.Contains(f.DropClients, r.Header.Get(protocol.Client)) {
@@ -136,6 +137,7 @@
 	return true
 }
 
+// refuse counts a refusal under its reason and answers with it.
 func (l *Log) refuse(w http.ResponseWriter, reason string, status int) {
 	l.mu.Lock()
 	l.refused[reason]++
@@ -171,6 +173,7 @@
 	}{offset})
 }
 
+// drawFault returns true with probability p.
 func (l *Log) drawFault(p float64) bool {
 	if p <= 0 {
 		return false
@@ -180,6 +183,7 @@
 	return l.rng.Float64() < p
 }
 
+// stream returns a stream, which it creates if needed. The caller holds the lock.
 func (l *Log) stream(name string) *stream {
 	s := l.streams[name]
 	if s == nil {
@@ -189,6 +193,7 @@
 	return s
 }
 
+// appendRecord stores a record, wakes the stream's readers and returns the offset.
 func (l *Log) appendRecord(name string, data []byte, client string, lost bool) uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -212,6 +217,7 @@
 	}
 }
 
+// dropExpired drops the records of s that are older than the retention.
 func (l *Log) dropExpired(s *stream) {
 	if l.cfg.Retention <= 0 {
 		return
@@ -224,6 +230,7 @@
 	s.records = s.records[n:]
 }
 
+// page is the answer of a read.
 type page struct {
 	Records []record `json:"records"`
 	Next    uint64   `json:"next"`
@@ -231,7 +238,9 @@
 	End     uint64   `json:"end"`
 }
 
-// readNow returns what can be read now and channels that tell of more.
+// readNow returns the records available from an offset on, at most limit. truncated
+// is true if records from that offset on were dropped. The channels close at the
+// next append and at the next change of the faults.
 func (l *Log) readNow(name string, from uint64, limit int) (p page, truncated bool, nextAppend, faultsChange <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -250,6 +259,8 @@
 	return p, false, s.nextAppend, l.faultsChange
 }
 
+// getRead answers as soon as there are records, the offset turns out to be
+// truncated, or wait_ms has passed.
 func (l *Log) getRead(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	from, err := strconv.ParseUint(q.Get("from"), 10, 64)
@@ -288,7 +299,7 @@
 	}
 }
 
-// Truth returns every record ever appended, from index since on.
+// Truth returns all records ever appended, starting at index since.
 func (l *Log) Truth(since int) []AppendedRecord {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/standin/logsvc/log_test.go
+++ b/standin/logsvc/log_test.go
@@ -32,8 +32,8 @@
 	return offset
 }
 
-// The log takes the record and its answer is lost. The appender can't tell
-// this from a record that never arrived; only reading back does.
+// The log stores a record but its answer is lost. The appender cannot distinguish
+// this from a record that never arrived, except by reading the stream.
 func TestLostAnswerAndLostRequestAreIndistinguishable(t *testing.T) {
 	l, c := startLog(t, logsvc.Config{}, "a")
 	l.Faults.Apply(logsvc.Faults{LoseAnswers: 1})
@@ -75,7 +75,8 @@
 	require.Len(t, l.Truth(0), 2)
 }
 
-// A reader that slept through the retention learns where the log now begins.
+// A reader whose offset has fallen out of retention learns the first available
+// offset.
 func TestTruncatedReadReturnsFirstOffset(t *testing.T) {
 	l, c := startLog(t, logsvc.Config{}, "a")
 	for _, s := range []string{"0", "1", "2"} {
@@ -99,7 +100,7 @@
 	}, maxWait, 5*time.Millisecond)
 }
 
-// Hundreds of daemons wait for the next record at once; one append wakes all.
+// Hundreds of processes wait for the next record, and one append wakes them all.
 func TestAppendWakesEveryLongPoll(t *testing.T) {
 	const readers = 200
 	_, c := startLog(t, logsvc.Config{}, "a")
@@ -119,8 +120,8 @@
 	}
 }
 
-// A cut process loses the long poll that it holds, and every later request;
-// others go on.
+// A client in DropClients loses its open long poll and every later request. Other
+// clients are not affected.
 func TestDroppedClientDoesNotAffectOthers(t *testing.T) {
 	l := logsvc.New(logsvc.Config{})
 	srv := httptest.NewServer(l)
