--- a/standin/weights/weights.go
+++ b/standin/weights/weights.go
@@ -25,30 +25,30 @@
 
 const (
 	maxWeightsBytes = 1 << 30  // bytes
-	maxWriteBytes   = 32 << 10 // bytes sent at once, the burst of the byte rate
+	maxWriteBytes   = 32 << 10 // bytes per write; also the burst of the byte rate, which a write must not exceed
 )
 
 // Config configures the store.
 type Config struct {
 	BytesPerSecond float64 // total rate of all fetches; 0: no limit
-	Initial        string  // MODEL:VERSION:BYTES, comma separated
+	Initial        string  // weights stored at startup: MODEL:VERSION:BYTES, comma separated
 }
 
-// AddFlags adds the configuration to fs.
+// AddFlags defines a flag in fs for each setting.
 func (c *Config) AddFlags(fs *flag.FlagSet) {
 	fs.Float64Var(&c.BytesPerSecond, "bytes-per-s", 0, "total rate of all fetches; 0: no limit")
 	fs.StringVar(&c.Initial, "initial", "", "weights held at the start: MODEL:VERSION:BYTES, comma separated")
 }
 
-// Faults are the switches at POST /admin/faults.
+// Faults are the fault switches set by POST /admin/faults.
 type Faults struct {
-	Down           bool    `json:"down"`      // 503
-	SlowMS         int     `json:"slow_ms"`   // wait before each answer
-	DropAfterBytes int64   `json:"cut_bytes"` // a fetch is cut after so many bytes; 0: never
-	RateFactor     float64 `json:"rate"`      // factor on the byte rate; 0: 1
+	Down           bool    `json:"down"`      // every request is refused with 503
+	SlowMS         int     `json:"slow_ms"`   // delay before each answer
+	DropAfterBytes int64   `json:"cut_bytes"` // a fetch's connection drops after this many bytes; 0: never
+	RateFactor     float64 `json:"rate"`      // factor on the byte rate; 0 means 1
 }
 
-// Fetch is one fetch in the truth.
+// Fetch is the ground truth about one fetch.
 type Fetch struct {
 	Model     string `json:"model"`
 	Version   uint64 `json:"version"`
@@ -69,7 +69,7 @@
 	data []byte
 }
 
-// Weights is the stand-in; it is an http.Handler.
+// Weights is a simulated weight store that serves its API as an http.Handler.
 type Weights struct {
 	Faults web.Faults[Faults]
 
@@ -78,12 +78,13 @@
 
 	mu        sync.Mutex
 	entries   map[key]entry
-	latest    map[string]uint64 // by model
+	latest    map[string]uint64 // newest version by model
 	fetches   []Fetch
 	bytesSent int64
 }
 
-// New makes a store.
+// New returns a store that holds the initial weights, or an error if their
+// configuration is malformed.
 func New(cfg Config) (*Weights, error) {
 	s := &Weights{
 		mux:     http.NewServeMux(),
@@ -111,6 +112,7 @@
 	return s, nil
 }
 
+// factorOrOne returns f, or 1 if f is not positive.
 func factorOrOne(f float64) float64 {
 	if f <= 0 {
 		return 1
@@ -120,6 +122,7 @@
 
 func (s *Weights) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
+// putInitial stores generated weights for each MODEL:VERSION:BYTES item.
 func (s *Weights) putInitial(initial string) error {
 	if initial == "" {
 		return nil
@@ -142,7 +145,8 @@
 	return nil
 }
 
-// GenerateBytes makes deterministic weights of a version.
+// GenerateBytes returns size bytes of weights. They are a pure function of model
+// and version.
 func GenerateBytes(model string, version uint64, size int) []byte {
 	var seed [32]byte
 	sum := sha256.Sum256([]byte(model))
@@ -153,7 +157,7 @@
 	return data
 }
 
-// Put stores a version.
+// Put stores a version and returns its description.
 func (s *Weights) Put(model string, version uint64, data []byte) platform.WeightInfo {
 	sum := sha256.Sum256(data)
 	info := platform.WeightInfo{Model: model, Version: version, Bytes: int64(len(data)), Digest: hex.EncodeToString(sum[:])}
@@ -164,6 +168,8 @@
 	return info
 }
 
+// applyFaults applies the faults that precede a request's execution. It returns
+// false if it has refused the request.
 func (s *Weights) applyFaults(w http.ResponseWriter, r *http.Request) bool {
 	f := s.Faults.Get()
 	web.Sleep(r.Context(), time.Duration(f.SlowMS)*time.Millisecond)
@@ -242,7 +248,8 @@
 	}
 }
 
-// sendLimited writes data at the store's rate and returns how much went out.
+// sendLimited writes data at the store's rate until an error, the end of ctx or
+// the fault DropAfterBytes stops it. It returns the number of bytes written.
 func (s *Weights) sendLimited(ctx context.Context, w io.Writer, data []byte) int64 {
 	dropAfter := s.Faults.Get().DropAfterBytes
 	var sent int64
@@ -272,7 +279,7 @@
 	s.bytesSent += f.Bytes
 }
 
-// Fetches returns every fetch that has ended.
+// Fetches returns all fetches that have ended.
 func (s *Weights) Fetches() []Fetch {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/weights/weights_test.go
+++ b/standin/weights/weights_test.go
@@ -52,8 +52,8 @@
 	require.ErrorIs(t, err, platform.ErrNotFound)
 }
 
-// The store's connection breaks in the middle of the weights. The fetcher gets
-// an error, and the truth does not count the fetch as whole.
+// The connection to the store drops in the middle of the weights. The fetcher gets
+// an error, and the ground truth does not count the fetch as complete.
 func TestInterruptedFetchIsAnError(t *testing.T) {
 	s, c := startStore(t, weights.Config{Initial: model + ":1:100000"})
 	s.Faults.Apply(weights.Faults{DropAfterBytes: 50_000})
