--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -1,5 +1,6 @@
-// Package service is a stand-in for a plain service (registry, ordering): it
-// answers any path, echoes what it was asked, and counts every run.
+// Package service is a stand-in for a backend service such as a registry or
+// ordering service. It answers requests to any path by describing them, and counts
+// every run.
 package service
 
 import (
@@ -21,13 +22,13 @@
 
 // Config configures the service.
 type Config struct {
-	Name        string        // told in each answer
-	ServiceTime time.Duration // mean time of one run
-	TimeScale   float64       // factor on ServiceTime; 0: 1
+	Name        string        // server name in each answer
+	ServiceTime time.Duration // mean duration of a run, which is exponentially distributed
+	TimeScale   float64       // factor on ServiceTime; 0 means 1
 	Seed        uint64
 }
 
-// AddFlags adds the configuration to fs.
+// AddFlags defines a flag in fs for each setting.
 func (c *Config) AddFlags(fs *flag.FlagSet) {
 	fs.StringVar(&c.Name, "name", "service", "name told in each answer")
 	fs.DurationVar(&c.ServiceTime, "service-time", 5*time.Millisecond, "mean time of one run (exponential)")
@@ -35,20 +36,21 @@
 	fs.Uint64Var(&c.Seed, "seed", 1, "seed of all randomness")
 }
 
-// Faults are the switches at POST /admin/faults. Shares are in [0, 1].
+// Faults are the fault switches set by POST /admin/faults. A share is the
+// probability in [0, 1] that the fault affects a request.
 type Faults struct {
-	SlowMS            int     `json:"slow_ms"`     // added to each run
-	HangBefore        bool    `json:"hang_before"` // never runs, never answers
-	Hang              bool    `json:"hang"`        // runs, never answers
-	DropBefore        float64 `json:"drop_before"` // share: connection dropped, not run
-	DropAfter         float64 `json:"drop_after"`  // share: run, connection dropped without an answer
-	DropInBody        float64 `json:"cut_body"`    // share: run, connection dropped in the middle of the body
-	MaxFaultyRequests int     `json:"times"`       // the faults end after this many faulty requests; 0: never
+	SlowMS            int     `json:"slow_ms"`     // added to the duration of each run
+	HangBefore        bool    `json:"hang_before"` // requests do not run and get no answer
+	Hang              bool    `json:"hang"`        // requests run but get no answer
+	DropBefore        float64 `json:"drop_before"` // share: the connection drops before the run
+	DropAfter         float64 `json:"drop_after"`  // share: the connection drops after the run, without an answer
+	DropInBody        float64 `json:"cut_body"`    // share: the connection drops after the run, in the middle of the body
+	MaxFaultyRequests int     `json:"times"`       // the faults end after affecting this many requests; 0: never
 }
 
-// Answer is what a run answers.
+// Answer is the answer of a run, which describes its request.
 type Answer struct {
-	Run            int    `json:"run"` // counts runs of this process from 1
+	Run            int    `json:"run"` // number of the run in this process, from 1
 	Server         string `json:"server"`
 	Method         string `json:"method"`
 	Path           string `json:"path"` // path and query
@@ -58,7 +60,7 @@
 	IdempotencyKey string `json:"idempotency_key"`
 }
 
-// Run is one run in the truth.
+// Run is the ground truth about one run.
 type Run struct {
 	Answer
 	StartedMS int64  `json:"started_ms"`
@@ -66,7 +68,7 @@
 	Outcome   string `json:"how"`      // "answered", "lost", "cut", "gone"; "": still running
 }
 
-// Service is the stand-in; it is an http.Handler.
+// Service is a simulated backend service that serves requests as an http.Handler.
 type Service struct {
 	Faults web.Faults[Faults]
 
@@ -74,16 +76,16 @@
 
 	mu             sync.Mutex
 	rng            *rand.Rand
-	faultyRequests int // requests that a fault has met since the switches were set
+	faultyRequests int // requests affected by a fault since the switches were set
 	runs           []*Run
 	byKey          map[string]int
 	byRequestID    map[string]int
 	concurrent     int
 	peakConcurrent int
-	hanging        int // requests that hang now
+	hanging        int // requests that are hanging
 }
 
-// New makes a service.
+// New returns a service.
 func New(cfg Config) *Service {
 	s := &Service{cfg: cfg, byKey: map[string]int{}, byRequestID: map[string]int{}}
 	s.rng = rand.New(rand.NewPCG(cfg.Seed, 0))
@@ -98,7 +100,8 @@
 	return s
 }
 
-// ServeHTTP does without http.ServeMux, which redirects uncommon paths.
+// ServeHTTP implements http.Handler. It does not use http.ServeMux, which redirects
+// paths that are not in canonical form.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch r.URL.Path {
 	case "/livez":
@@ -112,7 +115,7 @@
 	}
 }
 
-// fault is what happens to one request.
+// fault is the fault that affects one request.
 type fault uint8
 
 const (
@@ -124,7 +127,7 @@
 	dropInBody
 )
 
-// drawFault decides the fault and the duration of one request.
+// drawFault picks the fault and the duration of one request at random.
 func (s *Service) drawFault() (fault, time.Duration) {
 	f := s.Faults.Get()
 	s.mu.Lock()
@@ -141,6 +144,7 @@
 	return drawn, d
 }
 
+// pickFault picks a fault at random by the shares of f. The caller holds the lock.
 func (s *Service) pickFault(f Faults) fault {
 	x := s.rng.Float64()
 	switch {
@@ -192,7 +196,7 @@
 	s.writeAnswer(w, run.Answer, drawn == dropInBody)
 }
 
-// hangUntilClosed keeps a request until its client goes away, and gives no answer.
+// hangUntilClosed holds a request until its client disconnects and never answers it.
 func (s *Service) hangUntilClosed(r *http.Request) {
 	s.addHanging(1)
 	defer s.addHanging(-1)
@@ -206,13 +210,15 @@
 	s.hanging += delta
 }
 
-// Hanging is the number of requests that hang now.
+// Hanging returns the number of requests that are hanging.
 func (s *Service) Hanging() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.hanging
 }
 
+// writeAnswer writes the answer, or half of it before dropping the connection if
+// dropHalfway is set.
 func (s *Service) writeAnswer(w http.ResponseWriter, a Answer, dropHalfway bool) {
 	data, err := json.Marshal(a)
 	if err != nil {
@@ -230,8 +236,8 @@
 	web.Drop()
 }
 
-// startRun counts a run: from here on its effect stands, whatever happens to the
-// answer.
+// startRun records a run. From here on the request counts as executed, whatever
+// happens to its answer.
 func (s *Service) startRun(r *http.Request, body []byte) *Run {
 	sum := sha256.Sum256(body)
 	a := Answer{
@@ -270,14 +276,14 @@
 // Truth is the answer of GET /truth.
 type Truth struct {
 	Runs           int            `json:"runs"`
-	PeakConcurrent int            `json:"peak"`          // most runs at once
+	PeakConcurrent int            `json:"peak"`          // maximum number of concurrent runs
 	ByKey          map[string]int `json:"by_key"`        // Idempotency-Key -> runs
 	ByRequestID    map[string]int `json:"by_request_id"` // X-Request-Id -> runs
 	List           []Run          `json:"list"`
 }
 
-// Truth returns all counts and the runs from index since on; no list and no
-// maps when totals is set.
+// Truth returns the counts and the runs starting at index since. With totalsOnly
+// the list and the maps are empty.
 func (s *Service) Truth(since int, totalsOnly bool) Truth {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/service/service_test.go
+++ b/standin/service/service_test.go
@@ -61,9 +61,9 @@
 	}, a)
 }
 
-// The caller sees a broken connection each time. Only the service's own count
-// tells whether the write ran: not when dropped before, once when the answer
-// was lost or cut.
+// In each case the caller sees a broken connection. Only the service's own count
+// shows whether the write ran: not if the connection dropped before the run, once
+// if the answer was lost or incomplete.
 func TestRunsAreCountedWhenTheAnswerIsLost(t *testing.T) {
 	cases := map[string]struct {
 		faults  service.Faults
@@ -88,8 +88,8 @@
 				done <- err
 			}()
 			if c.faults.Hang || c.faults.HangBefore {
-				// No run is no sign that a request has come: faults that end before
-				// it comes let it run.
+				// Zero runs do not show that the request has arrived. If the faults
+				// were cleared before it arrives, it would run.
 				require.Eventually(t, func() bool { return s.Hanging() == 1 }, maxWait, time.Millisecond)
 				require.Equal(t, c.runs, s.Truth(0, true).Runs)
 				cancel()
