--- a/standin/scorer/scorer.go
+++ b/standin/scorer/scorer.go
@@ -19,34 +19,34 @@
 
 // Config configures the scorer.
 type Config struct {
-	ScoreTime time.Duration // time that one score takes
+	ScoreTime time.Duration // duration of scoring one text
 }
 
-// AddFlags adds the configuration to fs.
+// AddFlags defines a flag in fs for each setting.
 func (c *Config) AddFlags(fs *flag.FlagSet) {
 	fs.DurationVar(&c.ScoreTime, "score-time", 2*time.Millisecond, "time that one score takes")
 }
 
-// Faults are the switches at POST /admin/faults.
+// Faults are the fault switches set by POST /admin/faults.
 type Faults struct {
-	Down   bool `json:"down"`    // 503
-	SlowMS int  `json:"slow_ms"` // added to each answer
-	Twice  bool `json:"twice"`   // the answer's JSON stands twice in the body
+	Down   bool `json:"down"`    // every request is refused with 503
+	SlowMS int  `json:"slow_ms"` // added to the duration of each answer
+	Twice  bool `json:"twice"`   // the body contains the answer's JSON twice
 }
 
-// Answer is the scorer's answer.
+// Answer is the answer to a scoring request.
 type Answer struct {
 	Score float64 `json:"score"`
 }
 
-// Score is the deterministic score of a text, in [0, 1).
+// Score returns the score of a text in [0, 1), a pure function of the text.
 func Score(text string) float64 {
 	const unit = 1.0 / (1 << 53)
 	sum := sha256.Sum256([]byte(text))
 	return float64(binary.BigEndian.Uint64(sum[:])>>11) * unit
 }
 
-// Scorer is the stand-in; it is an http.Handler.
+// Scorer is a simulated scoring service that serves its API as an http.Handler.
 type Scorer struct {
 	Faults web.Faults[Faults]
 
@@ -55,10 +55,10 @@
 
 	mu         sync.Mutex
 	runs       int
-	runsByText map[string]int // sha256 of the text -> runs
+	runsByText map[string]int // SHA-256 of the text in hex -> runs
 }
 
-// New makes a scorer.
+// New returns a scorer.
 func New(cfg Config) *Scorer {
 	s := &Scorer{cfg: cfg, mux: http.NewServeMux(), runsByText: map[string]int{}}
 	s.mux.HandleFunc("/", s.handleScore)
@@ -70,7 +70,8 @@
 
 func (s *Scorer) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
-// scoredText returns the "scoredText" of a JSON body, or the whole body where there is none.
+// scoredText returns the field "text" of a JSON body, or the whole body if it has
+// no such field.
 func scoredText(body []byte) string {
 	var in struct {
 		Text *string `json:"text"`
@@ -102,6 +103,7 @@
 	}
 }
 
+// countRun counts one run for a text.
 func (s *Scorer) countRun(text string) {
 	sum := sha256.Sum256([]byte(text))
 	s.mu.Lock()
