--- a/standin/vms/vms.go
+++ b/standin/vms/vms.go
@@ -1,4 +1,5 @@
-// Package vms is a stand-in for the platform's list of VMs, which lags.
+// Package vms is a stand-in for the platform's list of VMs. Readers see changes of
+// the list after a delay.
 package vms
 
 import (
@@ -15,28 +16,28 @@
 
 // Config configures the list.
 type Config struct {
-	Lag time.Duration // age of what a reader gets
+	Lag time.Duration // age of the list that readers get
 }
 
-// AddFlags adds the configuration to fs.
+// AddFlags defines a flag in fs for each setting.
 func (c *Config) AddFlags(fs *flag.FlagSet) {
 	fs.DurationVar(&c.Lag, "lag", 0, "age of the list that a reader gets")
 }
 
-// Faults are the switches at POST /admin/faults.
+// Faults are the fault switches set by POST /admin/faults.
 type Faults struct {
-	Down   bool `json:"down"`    // 503
-	SlowMS int  `json:"slow_ms"` // wait before each answer
-	Stuck  bool `json:"stuck"`   // the list shows no further change
+	Down   bool `json:"down"`    // reads are refused with 503
+	SlowMS int  `json:"slow_ms"` // delay before each answer to a read
+	Stuck  bool `json:"stuck"`   // readers see no further changes of the list
 }
 
-// snapshot is the list from a moment on.
+// snapshot is the list of VMs as it is from a point in time on.
 type snapshot struct {
 	at  time.Time
 	vms []platform.VM
 }
 
-// VMs is the stand-in; it is an http.Handler.
+// VMs is a simulated VM list that serves its API as an http.Handler.
 type VMs struct {
 	Faults web.Faults[Faults]
 
@@ -44,11 +45,11 @@
 	mux *http.ServeMux
 
 	mu      sync.Mutex
-	history []snapshot // oldest first; the last is the truth
-	stuckAt time.Time  // zero: not stuck
+	history []snapshot // oldest first; the last is the current list
+	stuckAt time.Time  // point in time whose list readers get; zero: not stuck
 }
 
-// New makes an empty list.
+// New returns an empty list.
 func New(cfg Config) *VMs {
 	v := &VMs{cfg: cfg, mux: http.NewServeMux(), history: []snapshot{{}}}
 	v.Faults.OnApply = v.setStuck
@@ -63,6 +64,7 @@
 
 func (v *VMs) ServeHTTP(w http.ResponseWriter, r *http.Request) { v.mux.ServeHTTP(w, r) }
 
+// setStuck freezes the list that readers get, or releases it.
 func (v *VMs) setStuck(f Faults) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -74,12 +76,13 @@
 	}
 }
 
-// Put adds or replaces a VM.
+// Put adds a VM or replaces the one of the same name.
 func (v *VMs) Put(vm platform.VM) { v.replace(vm.Name, &vm) }
 
 // Delete removes a VM.
 func (v *VMs) Delete(name string) { v.replace(name, nil) }
 
+// replace removes the VM of a name and adds vm unless it is nil.
 func (v *VMs) replace(name string, vm *platform.VM) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -97,7 +100,8 @@
 	v.history = append(v.history, snapshot{time.Now(), next})
 }
 
-// visibleVMs returns the list as a reader gets it now.
+// visibleVMs returns the list that a reader gets now, and discards snapshots that
+// are no longer needed.
 func (v *VMs) visibleVMs() []platform.VM {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -126,6 +130,7 @@
 	web.JSON(w, http.StatusOK, emptyIfNil(v.visibleVMs()))
 }
 
+// emptyIfNil makes a nil list encode as [] instead of null.
 func emptyIfNil(list []platform.VM) []platform.VM {
 	if list == nil {
 		return []platform.VM{}
@@ -149,7 +154,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// getTruth answers with the list without its lag.
+// getTruth answers with the current list, without the lag.
 func (v *VMs) getTruth(w http.ResponseWriter, _ *http.Request) {
 	v.mu.Lock()
 	now := v.history[len(v.history)-1].vms
--- a/standin/vms/vms_test.go
+++ b/standin/vms/vms_test.go
@@ -25,7 +25,8 @@
 	return out
 }
 
-// The list still shows a VM that has gone, and not yet one that has come.
+// The list still shows a VM that was deleted, and does not yet show one that was
+// added.
 func TestListLags(t *testing.T) {
 	v := vms.New(vms.Config{Lag: time.Hour})
 	v.Put(platform.VM{Name: "b"})
