--- a/standin/truth/truth_test.go
+++ b/standin/truth/truth_test.go
@@ -19,8 +19,8 @@
 	return string(out)
 }
 
-// A text passes the check only as the beginning of its own request's output:
-// not with a token left out, doubled, cut, or taken from another request.
+// Check accepts only a prefix of the request's own output. It rejects a text with a
+// token missing, duplicated or incomplete, and the text of another request.
 func TestCheckRejectsWrongTexts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		prompt := rapid.String().Draw(t, "prompt")
@@ -48,8 +48,9 @@
 	})
 }
 
-// The stragglers of a step come from the tail; siblings share half of the
-// variance, so a group's lengths tell of each other.
+// The tail of the distribution produces the stragglers of a step. Samples of one
+// prompt share half of the variance, so one sample's length helps to predict the
+// others' in its group.
 func TestNaturalTokensAreHeavyTailed(t *testing.T) {
 	const prompts, mean, sigma = 4000, 300, 0.8
 	var sum, longCount float64
