--- a/standin/web/web.go
+++ b/standin/web/web.go
@@ -1,6 +1,5 @@
-// Package web holds what every stand-in shares: JSON answers, the fault
-// switches at POST /admin/faults, GET /livez, and a server that exits at once
-// on SIGTERM.
+// Package web holds what the stand-ins share: JSON answers, the fault switches at
+// POST /admin/faults, GET /livez, and a server that exits immediately on SIGTERM.
 package web
 
 import (
@@ -23,35 +22,37 @@
 	readHeaderTimeout = 10 * time.Second
 )
 
-// JSON answers with v.
+// JSON answers with status and v encoded as JSON.
 func JSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(v) // the client went away: nothing to tell it
+	_ = json.NewEncoder(w).Encode(v) // fails if the client has disconnected
 }
 
-// Error answers with {"error": message}.
+// Error answers with status and {"error": message}.
 func Error(w http.ResponseWriter, status int, message string) {
 	JSON(w, status, struct {
 		Error string `json:"error"`
 	}{message})
 }
 
-// ReadJSON decodes a bounded body. An unknown field is an error, so that a
-// test with a misspelt switch fails instead of testing nothing.
+// ReadJSON decodes the body, of which it reads at most maxAdminBodyBytes. An
+// unknown field is an error, so that a test with a misspelt switch fails instead
+// of testing nothing.
 func ReadJSON(r *http.Request, into any) error {
 	d := json.NewDecoder(io.LimitReader(r.Body, maxAdminBodyBytes))
 	d.DisallowUnknownFields()
 	return d.Decode(into)
 }
 
-// Faults holds the fault switches of one stand-in. Readers see one whole set.
+// Faults holds the fault switches of one stand-in. It is safe for concurrent use:
+// Get returns all switches as set by one Apply.
 type Faults[T any] struct {
 	switches atomic.Pointer[T]
-	OnApply  func(T) // called after each change; may be nil
+	OnApply  func(T) // called after each Apply; may be nil
 }
 
-// Get returns the switches in force.
+// Get returns the current switches.
 func (f *Faults[T]) Get() T {
 	if p := f.switches.Load(); p != nil {
 		return *p
@@ -60,7 +61,7 @@
 	return none
 }
 
-// Apply puts a whole new set in force; the zero value clears all faults.
+// Apply replaces all switches; the zero value clears all faults.
 func (f *Faults[T]) Apply(set T) {
 	f.switches.Store(&set)
 	if f.OnApply != nil {
@@ -68,7 +69,7 @@
 	}
 }
 
-// ServeHTTP implements GET and POST /admin/faults. A POST replaces the set.
+// ServeHTTP serves GET and POST /admin/faults. A POST replaces all switches.
 func (f *Faults[T]) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodPost {
 		var set T
@@ -84,7 +85,7 @@
 // Livez answers GET /livez.
 func Livez(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok\n") }
 
-// Sleep waits for d or until ctx ends.
+// Sleep waits for d or until ctx is done.
 func Sleep(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
@@ -97,14 +98,15 @@
 	}
 }
 
-// Hang blocks until the client goes away.
+// Hang blocks until the client disconnects.
 func Hang(r *http.Request) { <-r.Context().Done() }
 
-// Drop cuts the connection without an answer, or in the middle of one.
+// Drop closes the connection without completing the answer. It panics with
+// http.ErrAbortHandler and does not return.
 func Drop() { panic(http.ErrAbortHandler) }
 
-// Serve listens on addr until SIGTERM or SIGINT and then closes every
-// connection at once.
+// Serve serves h on addr until SIGTERM, SIGINT or the end of ctx, and then closes
+// every connection immediately.
 func Serve(ctx context.Context, addr string, h http.Handler) error {
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
