--- a/standin/trainer/clock.go
+++ b/standin/trainer/clock.go
@@ -2,19 +2,21 @@
 
 import "time"
 
-// Clock accounts for a trainer's time. The trainer trains on groups one after
-// the other as they arrive, and is idle while it holds nothing to train on.
+// Clock computes how a trainer spends its time. The trainer trains on groups one
+// after the other as they arrive, and is idle while it has no group to train on.
 type Clock struct {
 	groupTime time.Duration
-	busyUntil time.Time // when all groups so far are trained
+	busyUntil time.Time // when the training on all groups so far ends
 }
 
-// NewClock starts the account. perGroup is the training time of one group.
+// NewClock returns a clock that starts at now. groupTime is the training time of
+// one group.
 func NewClock(now time.Time, groupTime time.Duration) *Clock {
 	return &Clock{groupTime: groupTime, busyUntil: now}
 }
 
-// AddGroup takes a group in and returns how long the trainer was idle before it.
+// AddGroup adds a group that arrives at now and returns how long the trainer was
+// idle before it.
 func (c *Clock) AddGroup(now time.Time) (idle time.Duration) {
 	idle = max(0, now.Sub(c.busyUntil))
 	c.busyUntil = c.busyUntil.Add(idle + c.groupTime)
--- a/standin/trainer/clock_test.go
+++ b/standin/trainer/clock_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Groups come faster than the trainer trains, then late: it is idle only from
-// the end of what it held until the next group.
+// Groups arrive faster than the trainer trains, and then late. The trainer is idle
+// only between the end of training on all groups so far and the next arrival.
 func TestClockCountsIdleTime(t *testing.T) {
 	start := time.Unix(0, 0)
 	at := func(s int) time.Time { return start.Add(time.Duration(s) * time.Second) }
--- a/standin/trainer/trainer.go
+++ b/standin/trainer/trainer.go
@@ -1,6 +1,6 @@
-// Package trainer is a stand-in for a trainer: it asks for steps through the
-// client library, "trains" on a clock as the groups come, publishes new weight
-// versions, and records what it got, sample by sample, for checks against the
+// Package trainer is a stand-in for a trainer. It requests steps through the client
+// library, simulates the training time of the groups as they arrive, publishes new
+// weight versions, and records every sample it receives for checks against the
 // ground truth.
 package trainer
 
@@ -26,63 +26,65 @@
 	storeTimeout       = 30 * time.Second
 )
 
-// Options of a run.
+// Options configures a run.
 type Options struct {
-	Entries []string // base URLs
+	Entries []string // base URLs of the entries
 	Token   string
 	Model   string
-	// WeightStore is the weight store's base URL; needed to publish.
+	// WeightStore is the weight store's base URL. If empty, the trainer publishes
+	// versions without storing weights.
 	WeightStore string
 	WeightBytes int64 // size of a published version
 	FirstStep   uint64
 	Steps       int
 	Groups      int
-	Samples     int // of each group
+	Samples     int // samples per group
 	MaxTokens   int
 	PromptWords int
-	// TrainTime is how long the trainer computes on a step, spread evenly over
-	// its groups.
+	// TrainTime is the training time of a step, spread evenly over its groups.
 	TrainTime time.Duration
-	// MaxUntrainedSteps is how many steps may be whole but not trained when the next one
-	// is asked for.
+	// MaxUntrainedSteps is the maximum number of steps that are received but not
+	// yet trained on when the next step is requested.
 	MaxUntrainedSteps int
-	// PublishEvery steps a new version; 0: never.
+	// PublishEvery is the number of steps between new versions; 0: none are
+	// published.
 	PublishEvery int
-	// Version is the newest version at the begin; 0: the store's latest.
+	// Version is the newest version at the start; 0: the store's latest.
 	Version uint64
 	Seed    uint64
-	// Wait, Timeout and Tries go to the client; zero: its defaults.
+	// Wait, Timeout and Tries are passed to the client; zero: its defaults.
 	Wait, Timeout time.Duration
 	Tries         int
-	// Out takes JSON lines, one Record each; nil: none.
+	// Out receives the records as JSON lines; nil: none are written.
 	Out  io.Writer
 	HTTP *http.Client
 }
 
-// Record is a line of Out: one of its fields is set.
+// Record is a line of Out. Exactly one field is set.
 type Record struct {
 	Step    *StepRecord    `json:"step,omitempty"`
 	Sample  *SampleRecord  `json:"sample,omitempty"`
 	Publish *PublishRecord `json:"publish,omitempty"`
 }
 
-// StepRecord tells of one step.
+// StepRecord is the result of one step.
 type StepRecord struct {
 	Step          uint64  `json:"step"`
 	StartedMS     int64   `json:"started_ms"` // since 1970
 	MakespanMS    float64 `json:"makespan_ms"`
-	IdleMS        float64 `json:"idle_ms"` // with nothing to train on
+	IdleMS        float64 `json:"idle_ms"` // time without a group to train on
 	TrainMS       float64 `json:"train_ms"`
 	Samples       int     `json:"samples"`
 	Tokens        int     `json:"tokens"`
 	LongestTokens int     `json:"longest_tokens"`
 	Lost          int     `json:"lost"`
 	Duplicated    int     `json:"duplicated"`
-	StalenessMean float64 `json:"staleness_mean_versions"` // over tokens
+	StalenessMean float64 `json:"staleness_mean_versions"` // mean over tokens
 	StalenessMax  uint64  `json:"staleness_max_versions"`
 }
 
-// SampleRecord is one received sample with all that a check needs.
+// SampleRecord is one received sample with everything that is needed to check it
+// against the ground truth.
 type SampleRecord struct {
 	Step      uint64        `json:"step"`
 	Group     string        `json:"group"`
@@ -94,20 +96,20 @@
 	Text      string        `json:"text"`
 	Spans     []client.Span `json:"spans"`
 	Score     *float64      `json:"score,omitempty"`
-	// Newest is the trainer's newest version at the delivery; Staleness is
-	// Newest minus the version of each span.
+	// Newest is the trainer's newest version at the delivery. Staleness holds
+	// Newest minus the version for each span, but at least 0.
 	Newest    uint64   `json:"newest"`
 	Staleness []uint64 `json:"staleness_versions"`
-	AtMS      int64    `json:"at_ms"` // of the delivery, since the step's start
+	AtMS      int64    `json:"at_ms"` // time of the delivery since the start of the step
 }
 
-// PublishRecord tells of a published version.
+// PublishRecord is a published version.
 type PublishRecord struct {
 	Version uint64 `json:"version"`
-	AtMS    int64  `json:"at_ms"` // since 1970, when the entry had taken it
+	AtMS    int64  `json:"at_ms"` // since 1970, when an entry had accepted it
 }
 
-// Report sums a run up.
+// Report is the summary of a run.
 type Report struct {
 	Steps         []StepRecord `json:"steps"`
 	IdleShare     float64      `json:"trainer_idle_share"`
@@ -127,11 +129,11 @@
 	newest       uint64
 	report       Report
 	out          *json.Encoder
-	stalenessSum float64 // sum over tokens
+	stalenessSum float64 // sum over all tokens received
 }
 
-// Run trains until its steps are done or ctx ends; the report covers the
-// finished steps in either case.
+// Run requests and trains all steps until they are done, an error occurs or ctx is
+// done. In each case the report covers the steps that were received.
 func Run(ctx context.Context, o Options) (Report, error) {
 	t := &trainer{Options: o, newest: o.Version}
 	if t.HTTP == nil {
@@ -161,8 +163,10 @@
 	return t.report, err
 }
 
+// run requests the steps one after the other, waiting for the training of older
+// ones as MaxUntrainedSteps requires.
 func (t *trainer) run(ctx context.Context) error {
-	var trainedAt []time.Time // of the steps' training
+	var trainedAt []time.Time // when the training on each step ends
 	for i := range t.Steps {
 		id := t.FirstStep + uint64(i)
 		if err := t.runStep(ctx, id); err != nil {
@@ -183,8 +187,8 @@
 	return nil
 }
 
-// finishTraining waits for the end of a step's training and publishes the version
-// that it makes.
+// finishTraining waits until end, when the training on a step ends, and publishes
+// a new version if one is due. step is the number of earlier steps in this run.
 func (t *trainer) finishTraining(ctx context.Context, step int, end time.Time) error {
 	if err := sleep(ctx, time.Until(end)); err != nil {
 		return errors.Trace(err)
@@ -195,8 +199,8 @@
 	return errors.Annotate(t.publish(ctx), "publish")
 }
 
-// Groups returns the groups that a trainer with these options asks for in a
-// step. They are a pure function of the options and the step.
+// Groups returns the groups that a trainer with these options requests in a step.
+// They are a pure function of the options and the step.
 func Groups(o Options, step uint64) []client.GroupSpec {
 	words := o.PromptWords
 	if words == 0 {
@@ -218,6 +222,8 @@
 	return groups
 }
 
+// runStep requests a step, records its samples as they arrive and counts the lost
+// and duplicated ones.
 func (t *trainer) runStep(ctx context.Context, id uint64) error {
 	groups := Groups(t.Options, id)
 	specs := make(map[string]client.GroupSpec, len(groups))
@@ -255,7 +261,8 @@
 	return t.writeRecord(Record{Step: &rec})
 }
 
-// recordSample records one recordSample and returns its staleness summed over tokens.
+// recordSample records one sample, which arrived at after the start of the step, and
+// returns its staleness summed over its tokens.
 func (t *trainer) recordSample(rec *StepRecord, g client.GroupSpec, s client.Sample, at time.Duration) float64 {
 	line := SampleRecord{
 		Step: rec.Step, Group: g.ID, Index: s.Index, Prompt: g.Prompt, Seed: g.Seed + uint64(s.Index),
@@ -276,6 +283,7 @@
 	return sum
 }
 
+// writeRecord writes a record to Out, if there is one.
 func (t *trainer) writeRecord(r Record) error {
 	if t.out == nil {
 		return nil
@@ -283,6 +291,7 @@
 	return errors.Trace(t.out.Encode(r))
 }
 
+// summarize fills in the report's totals from its steps.
 func (t *trainer) summarize() {
 	idle, total := 0.0, 0.0
 	r := &t.report
@@ -302,7 +311,7 @@
 	r.Newest = t.newest
 }
 
-// publish puts a new version into the store, then tells the entries.
+// publish stores a new version in the weight store and then announces it to an entry.
 func (t *trainer) publish(ctx context.Context) error {
 	version := t.newest + 1
 	if t.WeightStore != "" {
@@ -310,7 +319,7 @@
 			return err
 		}
 	}
-	// From here on the trainer's newest is this version, whoever knows it.
+	// The version counts as the trainer's newest even if announcing it fails.
 	t.newest = version
 	if err := t.client.Publish(ctx, version); err != nil {
 		return err
@@ -318,6 +327,7 @@
 	return t.writeRecord(Record{Publish: &PublishRecord{Version: version, AtMS: time.Now().UnixMilli()}})
 }
 
+// putVersion stores a version of WeightBytes bytes in the weight store.
 func (t *trainer) putVersion(ctx context.Context, version uint64) error {
 	data := make([]byte, max(1, t.WeightBytes))
 	copy(data, fmt.Sprintf("%s %d", t.Model, version))
@@ -326,6 +336,7 @@
 	return err
 }
 
+// latestVersion returns the newest version in the weight store.
 func (t *trainer) latestVersion(ctx context.Context) (uint64, error) {
 	data, err := t.requestStore(ctx, http.MethodGet, fmt.Sprintf("%s/models/%s/latest", t.WeightStore, t.Model), nil)
 	if err != nil {
@@ -337,7 +348,8 @@
 	return info.Version, errors.Trace(json.Unmarshal(data, &info))
 }
 
-// requestStore repeats a request until the requestStore answers: it may be down for long.
+// requestStore repeats a request until it succeeds or ctx is done, because the
+// weight store may be unavailable for a long time. It returns the answer's body.
 func (t *trainer) requestStore(ctx context.Context, method, url string, body *bytes.Reader) ([]byte, error) {
 	const pause = 500 * time.Millisecond
 	for {
@@ -351,6 +363,8 @@
 	}
 }
 
+// requestStoreOnce sends one request to the weight store. Any status other than 2xx
+// is an error.
 func (t *trainer) requestStoreOnce(ctx context.Context, method, url string, body *bytes.Reader) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
@@ -378,6 +392,7 @@
 	return data, nil
 }
 
+// sleep waits for d; it returns the context's error if ctx is done before.
 func sleep(ctx context.Context, d time.Duration) error {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/standin/trainer/trainer_test.go
+++ b/standin/trainer/trainer_test.go
@@ -17,8 +17,8 @@
 	client "dandelionsill.org/trainer"
 )
 
-// platform is an entry and a weight store behind one transport. Each step takes
-// five seconds and all tokens are of version 7.
+// platform is a fake entry and weight store behind one transport. Each step takes
+// five seconds, and version 7 generates all tokens.
 type platform struct{ requests []string }
 
 func (s *platform) RoundTrip(r *http.Request) (*http.Response, error) {
@@ -68,12 +68,13 @@
 		require.Equal(t, 3+18+3, strings.Count(out.String(), "\n"), "a line for each step, sample and version")
 		put := strings.Index(strings.Join(s.requests, " "), "PUT /models/m/versions/8")
 		announced := strings.Index(strings.Join(s.requests, " "), "POST /v1/versions")
-		require.Less(t, put, announced, "the store has a version before the entries hear of it")
+		require.Less(t, put, announced, "the store has a version before it is announced to the entries")
 		require.Positive(t, put)
 	})
 }
 
-// Prompts are a function of seed and step: two policies get the same work.
+// Prompts are a pure function of seed and step, so that runs under different
+// policies get the same work.
 func TestGroupsAreReproducible(t *testing.T) {
 	o := trainer.Options{Model: "m", Groups: 4, Samples: 2, MaxTokens: 5, Seed: 9}
 	require.Equal(t, trainer.Groups(o, 3), trainer.Groups(o, 3))
