--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -233,17 +233,17 @@
 	kv, err := first.ExportKV(t.Context(), "r")
 	require.NoError(t, err)
 
-	all := newJob("whole")
-	all.MaxTokens += firstPart.tokens
-	whole := readStream(t, first, all, nil)
+	fullJob := newJob("whole")
+	fullJob.MaxTokens += firstPart.tokens
+	complete := readStream(t, first, fullJob, nil)
 	for name, kv := range map[string][]byte{"with KV": kv, "without": nil, "damaged": kv[:10]} {
 		t.Run(name, func(t *testing.T) {
 			e, second := startEngine(t, nil)
-			j := all
+			j := fullJob
 			j.ResumeText, j.ResumeTokens, j.KV = firstPart.text, firstPart.tokens, kv
 			rest := readStream(t, second, j, nil)
 			require.NoError(t, rest.err)
-			require.Equal(t, whole.text, firstPart.text+rest.text)
+			require.Equal(t, complete.text, firstPart.text+rest.text)
 			prefill := e.Truth(0, false).Runs[0].Prefill
 			require.Equal(t, name == "with KV", prefill == 0)
 			if name != "with KV" {
--- a/standin/logsvc/log.go
+++ b/standin/logsvc/log.go
@@ -84,7 +84,7 @@
 	limiter      *rate.Limiter
 	streams      map[string]*stream
 	appended     []AppendedRecord
-	refused      map[string]int
+	refusals     map[string]int
 	reads        int
 	faultsChange chan struct{} // closed when the faults change and then replaced
 }
@@ -97,7 +97,7 @@
 		rng:          rand.New(rand.NewPCG(cfg.Seed, 0)),
 		limiter:      rate.NewLimiter(rate.Inf, 1),
 		streams:      map[string]*stream{},
-		refused:      map[string]int{},
+		refusals:     map[string]int{},
 		faultsChange: make(chan struct{}),
 	}
 	if cfg.Rate > 0 {
@@ -140,7 +140,7 @@
 // refuse counts a refusal under its reason and answers with it.
 func (l *Log) refuse(w http.ResponseWriter, reason string, status int) {
 	l.mu.Lock()
-	l.refused[reason]++
+	l.refusals[reason]++
 	l.mu.Unlock()
 	web.Error(w, status, reason)
 }
@@ -319,7 +319,7 @@
 		Refused  map[string]int   `json:"refused"`
 		Appended []AppendedRecord `json:"appended"`
 	}{len(l.appended), l.reads, map[string]int{}, list}
-	for k, v := range l.refused {
+	for k, v := range l.refusals {
 		out.Refused[k] = v
 	}
 	l.mu.Unlock()
--- a/standin/truth/truth_test.go
+++ b/standin/truth/truth_test.go
@@ -26,8 +26,8 @@
 		prompt := rapid.String().Draw(t, "prompt")
 		seed := rapid.Uint64().Draw(t, "seed")
 		versions := rapid.SliceOfN(rapid.Uint64Range(1, 3), 4, 40).Draw(t, "versions")
-		whole := generateText(prompt, seed, versions)
-		spans, n, err := truth.Check(prompt, seed, whole)
+		complete := generateText(prompt, seed, versions)
+		spans, n, err := truth.Check(prompt, seed, complete)
 		require.NoError(t, err)
 		require.Equal(t, len(versions), n)
 		for _, s := range spans {
@@ -37,11 +37,11 @@
 		}
 		require.Equal(t, len(versions), spans[len(spans)-1].To)
 
-		tokens := strings.SplitAfter(whole, " ")
+		tokens := strings.SplitAfter(complete, " ")
 		k := rapid.IntRange(0, len(versions)-2).Draw(t, "at")
 		missing := strings.Join(tokens[:k], "") + strings.Join(tokens[k+1:], "")
-		doubled := strings.Join(tokens[:k+1], "") + strings.Join(tokens[k:], "")
-		for _, bad := range []string{missing, doubled, whole[:len(whole)-1], generateText(prompt, seed+1, versions)} {
+		duplicated := strings.Join(tokens[:k+1], "") + strings.Join(tokens[k:], "")
+		for _, bad := range []string{missing, duplicated, complete[:len(complete)-1], generateText(prompt, seed+1, versions)} {
 			_, _, err := truth.Check(prompt, seed, bad)
 			require.Error(t, err)
 		}
--- a/standin/web/web.go
+++ b/standin/web/web.go
@@ -39,10 +39,10 @@
 // ReadJSON decodes the body, of which it reads at most maxAdminBodyBytes. An
 // unknown field is an error, so that a test with a misspelt switch fails instead
 // of testing nothing.
-func ReadJSON(r *http.Request, into any) error {
+func ReadJSON(r *http.Request, target any) error {
 	d := json.NewDecoder(io.LimitReader(r.Body, maxAdminBodyBytes))
 	d.DisallowUnknownFields()
-	return d.Decode(into)
+	return d.Decode(target)
 }
 
 // Faults holds the fault switches of one stand-in. It is safe for concurrent use:
