--- a/standin/trainer/trainer.go
+++ b/standin/trainer/trainer.go
@@ -261,8 +261,8 @@
 	return t.writeRecord(Record{Step: &rec})
 }
 
-// recordSample records one sample, which arrived at after the start of the step, and
-// returns its staleness summed over its tokens.
+// recordSample records one sample and returns its staleness summed over its tokens.
+// at is the time from the start of the step to the delivery.
 func (t *trainer) recordSample(rec *StepRecord, g client.GroupSpec, s client.Sample, at time.Duration) float64 {
 	line := SampleRecord{
 		Step: rec.Step, Group: g.ID, Index: s.Index, Prompt: g.Prompt, Seed: g.Seed + uint64(s.Index),
