--- a/standin/engine/completions.go
+++ b/standin/engine/completions.go
@@ -9,17 +9,18 @@
 	"dandelionsill.org/standin/web"
 )
 
-const maxJob = 64 << 20 // bytes, KV cache included
+const maxJobBytes = 64 << 20 // bytes, including the KV cache
 
-// choice and event are the OpenAI-style chunk of a stream with the engine's
-// own fields beside.
+// choice is the OpenAI-style choice of a streamEvent.
 type choice struct {
 	Index        int     `json:"index"`
 	Text         string  `json:"text"`
 	FinishReason *string `json:"finish_reason"`
 }
 
-type event struct {
+// streamEvent is an OpenAI-style completion chunk with additional fields of the
+// engine.
+type streamEvent struct {
 	ID             string   `json:"id"`
 	Object         string   `json:"object"`
 	Choices        []choice `json:"choices"`
@@ -28,7 +29,8 @@
 	Boot           string   `json:"boot"`
 }
 
-// checkJob returns why a job can't be taken, with its HTTP status.
+// checkJob returns http.StatusOK if the engine accepts a job, and otherwise the
+// HTTP status and message of the refusal.
 func (e *Engine) checkJob(j job) (int, string) {
 	switch {
 	case j.ID == "":
@@ -43,36 +45,36 @@
 	return http.StatusOK, ""
 }
 
-func (e *Engine) completions(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) postCompletions(w http.ResponseWriter, r *http.Request) {
 	var j job
-	d := json.NewDecoder(io.LimitReader(r.Body, maxJob))
+	d := json.NewDecoder(io.LimitReader(r.Body, maxJobBytes))
 	if err := d.Decode(&j); err != nil {
 		web.Error(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	// net/http notices a client that goes away only once the body was read
-	// to its end.
+	// net/http detects that a client has disconnected only after the body was
+	// read to its end.
 	_, _ = io.Copy(io.Discard, r.Body)
 	s := e.newStream(j)
 	e.mu.Lock()
-	status, why := e.checkJob(j)
-	boot := e.boot
+	status, message := e.checkJob(j)
+	boot := e.bootID
 	if status == http.StatusOK {
 		e.enqueue(s)
-		e.truth.begin(s.run)
+		e.truth.recordStart(s.run)
 	}
 	e.mu.Unlock()
 	if status != http.StatusOK {
-		web.Error(w, status, why)
+		web.Error(w, status, message)
 		return
 	}
-	e.poke()
-	e.stream(w, r, s, boot)
+	e.notifyWorker()
+	e.writeStream(w, r, s, boot)
 }
 
-// stream writes a stream's chunks until it ends or the client goes away.
-func (e *Engine) stream(w http.ResponseWriter, r *http.Request, s *stream, boot string) {
-	defer e.abandon(s)
+// writeStream writes the chunks of s until it ends or the client disconnects.
+func (e *Engine) writeStream(w http.ResponseWriter, r *http.Request, s *stream, boot string) {
+	defer e.handleDisconnect(s)
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set("Cache-Control", "no-store")
 	w.WriteHeader(http.StatusOK)
@@ -86,8 +88,8 @@
 		case <-r.Context().Done():
 			return
 		}
-		out, done, cut := e.take(s)
-		for _, c := range out {
+		chunks, done, drop := e.takeChunks(s)
+		for _, c := range chunks {
 			if writeEvent(w, s.job.ID, boot, c) != nil {
 				return
 			}
@@ -95,7 +97,7 @@
 		if flusher.Flush() != nil {
 			return
 		}
-		if cut {
+		if drop {
 			web.Drop()
 		}
 		if done {
@@ -104,57 +106,62 @@
 	}
 }
 
-func (e *Engine) take(s *stream) (out []chunk, done, cut bool) {
+// takeChunks removes and returns the unsent chunks, and reports whether the
+// stream has ended and whether its connection must be dropped.
+func (e *Engine) takeChunks(s *stream) (chunks []chunk, done, drop bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	out = s.out
-	s.out = nil
-	return out, s.done, s.cut
+	chunks = s.unsent
+	s.unsent = nil
+	return chunks, s.done, s.dropConnection
 }
 
-// abandon ends a stream whose client went away; ended ones stay as they are.
-func (e *Engine) abandon(s *stream) {
+// handleDisconnect cancels a stream unless it has ended.
+func (e *Engine) handleDisconnect(s *stream) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.drop(s)
+	e.cancelStream(s)
 }
 
-func (e *Engine) drop(s *stream) bool {
+// cancelStream cancels a stream; it returns false if the stream has ended. The
+// caller holds the lock.
+func (e *Engine) cancelStream(s *stream) bool {
 	if s.done {
 		return false
 	}
 	e.remove(s)
-	s.flush()
-	e.end(s, howCancelled)
+	s.flushChunk()
+	e.endStream(s, outcomeCancelled)
 	return true
 }
 
 func writeEvent(w io.Writer, id, boot string, c chunk) error {
-	ev := event{
+	ev := streamEvent{
 		ID:             id,
 		Object:         "text_completion",
 		Choices:        []choice{{Text: string(c.text)}},
 		Tokens:         c.tokens,
-		WeightsVersion: c.label,
+		WeightsVersion: c.reportedVersion,
 		Boot:           boot,
 	}
-	if c.finish != "" {
-		ev.Choices[0].FinishReason = &c.finish
+	if c.finishReason != "" {
+		ev.Choices[0].FinishReason = &c.finishReason
 	}
 	data, err := json.Marshal(ev)
 	if err != nil {
 		return err
 	}
 	data = append(append([]byte("data: "), data...), "\n\n"...)
-	if c.finish != "" {
+	if c.finishReason != "" {
 		data = append(data, "data: [DONE]\n\n"...)
 	}
 	_, err = w.Write(data)
 	return err
 }
 
-// cancelByID ends the streams of an id; their connections end without a finish.
-func (e *Engine) cancelByID(w http.ResponseWriter, r *http.Request) {
+// postCancel cancels all streams with an ID. Their responses end without a
+// finish reason.
+func (e *Engine) postCancel(w http.ResponseWriter, r *http.Request) {
 	var in struct {
 		ID string `json:"id"`
 	}
@@ -164,8 +171,8 @@
 	}
 	n := 0
 	e.mu.Lock()
-	for _, s := range e.byID(in.ID) {
-		if e.drop(s) {
+	for _, s := range e.streamsByID(in.ID) {
+		if e.cancelStream(s) {
 			n++
 		}
 	}
@@ -175,7 +182,8 @@
 	}{n})
 }
 
-func (e *Engine) byID(id string) []*stream {
+// streamsByID returns the open streams with an ID. The caller holds the lock.
+func (e *Engine) streamsByID(id string) []*stream {
 	var found []*stream
 	for _, list := range [][]*stream{e.running, e.waiting} {
 		for _, s := range list {
--- a/standin/scorer/scorer.go
+++ b/standin/scorer/scorer.go
@@ -19,50 +19,50 @@
 
 // Config configures the scorer.
 type Config struct {
-	ScoreTime time.Duration // time that one score takes
+	ScoreTime time.Duration // duration of scoring one text
 }
 
-// Flags adds the configuration to fs.
-func (c *Config) Flags(fs *flag.FlagSet) {
+// AddFlags defines a flag in fs for each setting.
+func (c *Config) AddFlags(fs *flag.FlagSet) {
 	fs.DurationVar(&c.ScoreTime, "score-time", 2*time.Millisecond, "time that one score takes")
 }
 
-// Faults are the switches at POST /admin/faults.
+// Faults are the fault switches set by POST /admin/faults.
 type Faults struct {
-	Down   bool `json:"down"`    // 503
-	SlowMS int  `json:"slow_ms"` // added to each answer
-	Twice  bool `json:"twice"`   // the answer's JSON stands twice in the body
+	Down   bool `json:"down"`    // every request is refused with 503
+	SlowMS int  `json:"slow_ms"` // added to the duration of each answer
+	Twice  bool `json:"twice"`   // the body contains the answer's JSON twice
 }
 
-// Answer is the scorer's answer.
+// Answer is the answer to a scoring request.
 type Answer struct {
 	Score float64 `json:"score"`
 }
 
-// Score is the deterministic score of a text, in [0, 1).
+// Score returns the score of a text in [0, 1), a pure function of the text.
 func Score(text string) float64 {
 	const unit = 1.0 / (1 << 53)
 	sum := sha256.Sum256([]byte(text))
 	return float64(binary.BigEndian.Uint64(sum[:])>>11) * unit
 }
 
-// Scorer is the stand-in; it is an http.Handler.
+// Scorer is a simulated scoring service that serves its API as an http.Handler.
 type Scorer struct {
 	Faults web.Faults[Faults]
 
 	cfg Config
 	mux *http.ServeMux
 
-	mu    sync.Mutex
-	runs  int
-	texts map[string]int // sha256 of the text -> runs
+	mu         sync.Mutex
+	runs       int
+	runsByText map[string]int // SHA-256 of the text in hex -> runs
 }
 
-// New makes a scorer.
+// New returns a scorer.
 func New(cfg Config) *Scorer {
-	s := &Scorer{cfg: cfg, mux: http.NewServeMux(), texts: map[string]int{}}
-	s.mux.HandleFunc("/", s.score)
-	s.mux.HandleFunc("GET /truth", s.truth)
+	s := &Scorer{cfg: cfg, mux: http.NewServeMux(), runsByText: map[string]int{}}
+	s.mux.HandleFunc("/", s.handleScore)
+	s.mux.HandleFunc("GET /truth", s.getTruth)
 	s.mux.HandleFunc("GET /livez", web.Livez)
 	s.mux.Handle("/admin/faults", &s.Faults)
 	return s
@@ -70,8 +70,9 @@
 
 func (s *Scorer) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
-// text returns the "text" of a JSON body, or the whole body where there is none.
-func text(body []byte) string {
+// scoredText returns the field "text" of a JSON body, or the whole body if it has
+// no such field.
+func scoredText(body []byte) string {
 	var in struct {
 		Text *string `json:"text"`
 	}
@@ -81,7 +82,7 @@
 	return string(body)
 }
 
-func (s *Scorer) score(w http.ResponseWriter, r *http.Request) {
+func (s *Scorer) handleScore(w http.ResponseWriter, r *http.Request) {
 	f := s.Faults.Get()
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
 	if err != nil {
@@ -92,8 +93,8 @@
 		web.Error(w, http.StatusServiceUnavailable, "down")
 		return
 	}
-	t := text(body)
-	s.count(t)
+	t := scoredText(body)
+	s.countRun(t)
 	web.Sleep(r.Context(), s.cfg.ScoreTime+time.Duration(f.SlowMS)*time.Millisecond)
 	answer := Answer{Score(t)}
 	web.JSON(w, http.StatusOK, answer)
@@ -102,19 +103,20 @@
 	}
 }
 
-func (s *Scorer) count(text string) {
+// countRun counts one run for a text.
+func (s *Scorer) countRun(text string) {
 	sum := sha256.Sum256([]byte(text))
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.runs++
-	s.texts[hex.EncodeToString(sum[:])]++
+	s.runsByText[hex.EncodeToString(sum[:])]++
 }
 
-func (s *Scorer) truth(w http.ResponseWriter, _ *http.Request) {
+func (s *Scorer) getTruth(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	web.JSON(w, http.StatusOK, struct {
 		Runs  int            `json:"runs"`
 		Texts map[string]int `json:"texts"`
-	}{s.runs, s.texts})
+	}{s.runs, s.runsByText})
 }
--- a/standin/vms/vms.go
+++ b/standin/vms/vms.go
@@ -1,4 +1,5 @@
-// Package vms is a stand-in for the platform's list of VMs, which lags.
+// Package vms is a stand-in for the platform's list of VMs. Readers see changes of
+// the list after a delay.
 package vms
 
 import (
@@ -15,28 +16,28 @@
 
 // Config configures the list.
 type Config struct {
-	Lag time.Duration // age of what a reader gets
+	Lag time.Duration // age of the list that readers get
 }
 
-// Flags adds the configuration to fs.
-func (c *Config) Flags(fs *flag.FlagSet) {
+// AddFlags defines a flag in fs for each setting.
+func (c *Config) AddFlags(fs *flag.FlagSet) {
 	fs.DurationVar(&c.Lag, "lag", 0, "age of the list that a reader gets")
 }
 
-// Faults are the switches at POST /admin/faults.
+// Faults are the fault switches set by POST /admin/faults.
 type Faults struct {
-	Down   bool `json:"down"`    // 503
-	SlowMS int  `json:"slow_ms"` // wait before each answer
-	Stuck  bool `json:"stuck"`   // the list shows no further change
+	Down   bool `json:"down"`    // reads are refused with 503
+	SlowMS int  `json:"slow_ms"` // delay before each answer to a read
+	Stuck  bool `json:"stuck"`   // readers see no further changes of the list
 }
 
-// snapshot is the list from a moment on.
+// snapshot is the list of VMs as it is from a point in time on.
 type snapshot struct {
 	at  time.Time
 	vms []platform.VM
 }
 
-// VMs is the stand-in; it is an http.Handler.
+// VMs is a simulated VM list that serves its API as an http.Handler.
 type VMs struct {
 	Faults web.Faults[Faults]
 
@@ -44,18 +45,18 @@
 	mux *http.ServeMux
 
 	mu      sync.Mutex
-	history []snapshot // oldest first; the last is the truth
-	stuckAt time.Time  // zero: not stuck
+	history []snapshot // oldest first; the last is the current list
+	stuckAt time.Time  // point in time whose list readers get; zero: not stuck
 }
 
-// New makes an empty list.
+// New returns an empty list.
 func New(cfg Config) *VMs {
 	v := &VMs{cfg: cfg, mux: http.NewServeMux(), history: []snapshot{{}}}
-	v.Faults.OnApply = v.applied
-	v.mux.HandleFunc("GET /vms", v.list)
-	v.mux.HandleFunc("PUT /vms/{name}", v.put)
-	v.mux.HandleFunc("DELETE /vms/{name}", v.remove)
-	v.mux.HandleFunc("GET /truth", v.truth)
+	v.Faults.OnApply = v.setStuck
+	v.mux.HandleFunc("GET /vms", v.getVMs)
+	v.mux.HandleFunc("PUT /vms/{name}", v.putVM)
+	v.mux.HandleFunc("DELETE /vms/{name}", v.deleteVM)
+	v.mux.HandleFunc("GET /truth", v.getTruth)
 	v.mux.HandleFunc("GET /livez", web.Livez)
 	v.mux.Handle("/admin/faults", &v.Faults)
 	return v
@@ -63,7 +64,8 @@
 
 func (v *VMs) ServeHTTP(w http.ResponseWriter, r *http.Request) { v.mux.ServeHTTP(w, r) }
 
-func (v *VMs) applied(f Faults) {
+// setStuck freezes the list that readers get, or releases it.
+func (v *VMs) setStuck(f Faults) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	switch {
@@ -74,13 +76,14 @@
 	}
 }
 
-// Put adds or replaces a VM.
-func (v *VMs) Put(vm platform.VM) { v.change(vm.Name, &vm) }
+// Put adds a VM or replaces the one of the same name.
+func (v *VMs) Put(vm platform.VM) { v.replace(vm.Name, &vm) }
 
 // Delete removes a VM.
-func (v *VMs) Delete(name string) { v.change(name, nil) }
+func (v *VMs) Delete(name string) { v.replace(name, nil) }
 
-func (v *VMs) change(name string, vm *platform.VM) {
+// replace removes the VM of a name and adds vm unless it is nil.
+func (v *VMs) replace(name string, vm *platform.VM) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	now := v.history[len(v.history)-1].vms
@@ -97,8 +100,9 @@
 	v.history = append(v.history, snapshot{time.Now(), next})
 }
 
-// seen returns the list as a reader gets it now.
-func (v *VMs) seen() []platform.VM {
+// visibleVMs returns the list that a reader gets now, and discards snapshots that
+// are no longer needed.
+func (v *VMs) visibleVMs() []platform.VM {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	at := time.Now().Add(-v.cfg.Lag)
@@ -116,24 +120,25 @@
 	return v.history[i].vms
 }
 
-func (v *VMs) list(w http.ResponseWriter, r *http.Request) {
+func (v *VMs) getVMs(w http.ResponseWriter, r *http.Request) {
 	f := v.Faults.Get()
 	web.Sleep(r.Context(), time.Duration(f.SlowMS)*time.Millisecond)
 	if f.Down {
 		web.Error(w, http.StatusServiceUnavailable, "down")
 		return
 	}
-	web.JSON(w, http.StatusOK, nonNil(v.seen()))
+	web.JSON(w, http.StatusOK, emptyIfNil(v.visibleVMs()))
 }
 
-func nonNil(list []platform.VM) []platform.VM {
+// emptyIfNil makes a nil list encode as [] instead of null.
+func emptyIfNil(list []platform.VM) []platform.VM {
 	if list == nil {
 		return []platform.VM{}
 	}
 	return list
 }
 
-func (v *VMs) put(w http.ResponseWriter, r *http.Request) {
+func (v *VMs) putVM(w http.ResponseWriter, r *http.Request) {
 	var vm platform.VM
 	if err := web.ReadJSON(r, &vm); err != nil {
 		web.Error(w, http.StatusBadRequest, err.Error())
@@ -144,15 +149,15 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (v *VMs) remove(w http.ResponseWriter, r *http.Request) {
+func (v *VMs) deleteVM(w http.ResponseWriter, r *http.Request) {
 	v.Delete(r.PathValue("name"))
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// truth answers with the list without its lag.
-func (v *VMs) truth(w http.ResponseWriter, _ *http.Request) {
+// getTruth answers with the current list, without the lag.
+func (v *VMs) getTruth(w http.ResponseWriter, _ *http.Request) {
 	v.mu.Lock()
 	now := v.history[len(v.history)-1].vms
 	v.mu.Unlock()
-	web.JSON(w, http.StatusOK, nonNil(now))
+	web.JSON(w, http.StatusOK, emptyIfNil(now))
 }
--- a/standin/weights/weights.go
+++ b/standin/weights/weights.go
@@ -24,37 +24,37 @@
 )
 
 const (
-	maxWeights = 1 << 30  // bytes
-	piece      = 32 << 10 // bytes sent at once, the burst of the byte rate
+	maxWeightsBytes = 1 << 30  // bytes
+	maxWriteBytes   = 32 << 10 // bytes per write; also the burst of the byte rate, which a write must not exceed
 )
 
 // Config configures the store.
 type Config struct {
-	BytesPerS float64 // total rate of all fetches; 0: no limit
-	Initial   string  // MODEL:VERSION:BYTES, comma separated
+	BytesPerSecond float64 // total rate of all fetches; 0: no limit
+	Initial        string  // weights stored at startup: MODEL:VERSION:BYTES, comma separated
 }
 
-// Flags adds the configuration to fs.
-func (c *Config) Flags(fs *flag.FlagSet) {
-	fs.Float64Var(&c.BytesPerS, "bytes-per-s", 0, "total rate of all fetches; 0: no limit")
+// AddFlags defines a flag in fs for each setting.
+func (c *Config) AddFlags(fs *flag.FlagSet) {
+	fs.Float64Var(&c.BytesPerSecond, "bytes-per-s", 0, "total rate of all fetches; 0: no limit")
 	fs.StringVar(&c.Initial, "initial", "", "weights held at the start: MODEL:VERSION:BYTES, comma separated")
 }
 
-// Faults are the switches at POST /admin/faults.
+// Faults are the fault switches set by POST /admin/faults.
 type Faults struct {
-	Down     bool    `json:"down"`      // 503
-	SlowMS   int     `json:"slow_ms"`   // wait before each answer
-	CutBytes int64   `json:"cut_bytes"` // a fetch is cut after so many bytes; 0: never
-	Rate     float64 `json:"rate"`      // factor on the byte rate; 0: 1
+	Down           bool    `json:"down"`      // every request is refused with 503
+	SlowMS         int     `json:"slow_ms"`   // delay before each answer
+	DropAfterBytes int64   `json:"cut_bytes"` // a fetch's connection drops after this many bytes; 0: never
+	RateFactor     float64 `json:"rate"`      // factor on the byte rate; 0 means 1
 }
 
-// Fetch is one fetch in the truth.
+// Fetch is the ground truth about one fetch.
 type Fetch struct {
 	Model     string `json:"model"`
 	Version   uint64 `json:"version"`
 	Client    string `json:"client"`
 	Bytes     int64  `json:"bytes"`
-	Whole     bool   `json:"whole"`
+	Complete  bool   `json:"whole"`
 	StartedMS int64  `json:"started_ms"`
 	EndedMS   int64  `json:"ended_ms"`
 }
@@ -69,49 +69,51 @@
 	data []byte
 }
 
-// Weights is the stand-in; it is an http.Handler.
+// Weights is a simulated weight store that serves its API as an http.Handler.
 type Weights struct {
 	Faults web.Faults[Faults]
 
-	mux   *http.ServeMux
-	limit *rate.Limiter
+	mux     *http.ServeMux
+	limiter *rate.Limiter
 
-	mu      sync.Mutex
-	entries map[key]entry
-	latest  map[string]uint64 // by model
-	fetches []Fetch
-	sent    int64
+	mu        sync.Mutex
+	entries   map[key]entry
+	latest    map[string]uint64 // newest version by model
+	fetches   []Fetch
+	bytesSent int64
 }
 
-// New makes a store.
+// New returns a store that holds the initial weights, or an error if their
+// configuration is malformed.
 func New(cfg Config) (*Weights, error) {
 	s := &Weights{
 		mux:     http.NewServeMux(),
-		limit:   rate.NewLimiter(rate.Inf, piece),
+		limiter: rate.NewLimiter(rate.Inf, maxWriteBytes),
 		entries: map[key]entry{},
 		latest:  map[string]uint64{},
 	}
-	if cfg.BytesPerS > 0 {
-		s.limit = rate.NewLimiter(rate.Limit(cfg.BytesPerS), piece)
+	if cfg.BytesPerSecond > 0 {
+		s.limiter = rate.NewLimiter(rate.Limit(cfg.BytesPerSecond), maxWriteBytes)
 	}
 	s.Faults.OnApply = func(f Faults) {
-		if cfg.BytesPerS > 0 {
-			s.limit.SetLimit(rate.Limit(cfg.BytesPerS * factor(f.Rate)))
+		if cfg.BytesPerSecond > 0 {
+			s.limiter.SetLimit(rate.Limit(cfg.BytesPerSecond * factorOrOne(f.RateFactor)))
 		}
 	}
-	if err := s.load(cfg.Initial); err != nil {
+	if err := s.putInitial(cfg.Initial); err != nil {
 		return nil, err
 	}
 	s.mux.HandleFunc("GET /models/{model}/latest", s.getLatest)
-	s.mux.HandleFunc("GET /models/{model}/versions/{version}", s.fetch)
-	s.mux.HandleFunc("PUT /models/{model}/versions/{version}", s.put)
-	s.mux.HandleFunc("GET /truth", s.truth)
+	s.mux.HandleFunc("GET /models/{model}/versions/{version}", s.getVersion)
+	s.mux.HandleFunc("PUT /models/{model}/versions/{version}", s.putVersion)
+	s.mux.HandleFunc("GET /truth", s.getTruth)
 	s.mux.HandleFunc("GET /livez", web.Livez)
 	s.mux.Handle("/admin/faults", &s.Faults)
 	return s, nil
 }
 
-func factor(f float64) float64 {
+// factorOrOne returns f, or 1 if f is not positive.
+func factorOrOne(f float64) float64 {
 	if f <= 0 {
 		return 1
 	}
@@ -120,7 +122,8 @@
 
 func (s *Weights) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
-func (s *Weights) load(initial string) error {
+// putInitial stores generated weights for each MODEL:VERSION:BYTES item.
+func (s *Weights) putInitial(initial string) error {
 	if initial == "" {
 		return nil
 	}
@@ -137,13 +140,14 @@
 		if err != nil {
 			return fmt.Errorf("initial weights %q: %w", item, err)
 		}
-		s.Put(parts[0], version, Bytes(parts[0], version, size))
+		s.Put(parts[0], version, GenerateBytes(parts[0], version, size))
 	}
 	return nil
 }
 
-// Bytes makes deterministic weights of a version.
-func Bytes(model string, version uint64, size int) []byte {
+// GenerateBytes returns size bytes of weights. They are a pure function of model
+// and version.
+func GenerateBytes(model string, version uint64, size int) []byte {
 	var seed [32]byte
 	sum := sha256.Sum256([]byte(model))
 	copy(seed[:], sum[:])
@@ -153,7 +157,7 @@
 	return data
 }
 
-// Put stores a version.
+// Put stores a version and returns its description.
 func (s *Weights) Put(model string, version uint64, data []byte) platform.WeightInfo {
 	sum := sha256.Sum256(data)
 	info := platform.WeightInfo{Model: model, Version: version, Bytes: int64(len(data)), Digest: hex.EncodeToString(sum[:])}
@@ -164,7 +168,9 @@
 	return info
 }
 
-func (s *Weights) admitted(w http.ResponseWriter, r *http.Request) bool {
+// applyFaults applies the faults that precede a request's execution. It returns
+// false if it has refused the request.
+func (s *Weights) applyFaults(w http.ResponseWriter, r *http.Request) bool {
 	f := s.Faults.Get()
 	web.Sleep(r.Context(), time.Duration(f.SlowMS)*time.Millisecond)
 	if f.Down {
@@ -181,7 +187,7 @@
 }
 
 func (s *Weights) getLatest(w http.ResponseWriter, r *http.Request) {
-	if !s.admitted(w, r) {
+	if !s.applyFaults(w, r) {
 		return
 	}
 	model := r.PathValue("model")
@@ -196,8 +202,8 @@
 	web.JSON(w, http.StatusOK, e.info)
 }
 
-func (s *Weights) put(w http.ResponseWriter, r *http.Request) {
-	if !s.admitted(w, r) {
+func (s *Weights) putVersion(w http.ResponseWriter, r *http.Request) {
+	if !s.applyFaults(w, r) {
 		return
 	}
 	version, err := strconv.ParseUint(r.PathValue("version"), 10, 64)
@@ -205,7 +211,7 @@
 		web.Error(w, http.StatusBadRequest, "version: want a number from 1")
 		return
 	}
-	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxWeights))
+	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxWeightsBytes))
 	if err != nil {
 		web.Error(w, http.StatusBadRequest, err.Error())
 		return
@@ -218,8 +224,8 @@
 	web.JSON(w, http.StatusOK, s.Put(r.PathValue("model"), version, data))
 }
 
-func (s *Weights) fetch(w http.ResponseWriter, r *http.Request) {
-	if !s.admitted(w, r) {
+func (s *Weights) getVersion(w http.ResponseWriter, r *http.Request) {
+	if !s.applyFaults(w, r) {
 		return
 	}
 	version, _ := strconv.ParseUint(r.PathValue("version"), 10, 64)
@@ -229,29 +235,30 @@
 		return
 	}
 	f := Fetch{Model: e.info.Model, Version: version, Client: r.Header.Get(protocol.Client), StartedMS: time.Now().UnixMilli()}
-	defer func() { s.record(f) }()
+	defer func() { s.recordFetch(f) }()
 	w.Header().Set("Content-Type", "application/octet-stream")
 	w.Header().Set("Content-Length", strconv.Itoa(len(e.data)))
 	w.Header().Set(protocol.WeightsModel, e.info.Model)
 	w.Header().Set(protocol.WeightsVersion, strconv.FormatUint(version, 10))
 	w.Header().Set(protocol.WeightsDigest, e.info.Digest)
-	f.Bytes = s.send(r.Context(), w, e.data)
-	f.Whole = f.Bytes == int64(len(e.data))
-	if !f.Whole {
+	f.Bytes = s.sendLimited(r.Context(), w, e.data)
+	f.Complete = f.Bytes == int64(len(e.data))
+	if !f.Complete {
 		web.Drop()
 	}
 }
 
-// send writes data at the store's rate and returns how much went out.
-func (s *Weights) send(ctx context.Context, w io.Writer, data []byte) int64 {
-	cut := s.Faults.Get().CutBytes
+// sendLimited writes data at the store's rate until an error, the end of ctx or
+// the fault DropAfterBytes stops it. It returns the number of bytes written.
+func (s *Weights) sendLimited(ctx context.Context, w io.Writer, data []byte) int64 {
+	dropAfter := s.Faults.Get().DropAfterBytes
 	var sent int64
 	for len(data) > 0 {
-		n := min(len(data), piece)
-		if cut > 0 {
-			n = int(min(int64(n), cut-sent))
+		n := min(len(data), maxWriteBytes)
+		if dropAfter > 0 {
+			n = int(min(int64(n), dropAfter-sent))
 		}
-		if n == 0 || s.limit.WaitN(ctx, n) != nil {
+		if n == 0 || s.limiter.WaitN(ctx, n) != nil {
 			break
 		}
 		n, err := w.Write(data[:n])
@@ -264,22 +271,22 @@
 	return sent
 }
 
-func (s *Weights) record(f Fetch) {
+func (s *Weights) recordFetch(f Fetch) {
 	f.EndedMS = time.Now().UnixMilli()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fetches = append(s.fetches, f)
-	s.sent += f.Bytes
+	s.bytesSent += f.Bytes
 }
 
-// Fetches returns every fetch that has ended.
+// Fetches returns all fetches that have ended.
 func (s *Weights) Fetches() []Fetch {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]Fetch{}, s.fetches...)
 }
 
-func (s *Weights) truth(w http.ResponseWriter, _ *http.Request) {
+func (s *Weights) getTruth(w http.ResponseWriter, _ *http.Request) {
 	fetches := s.Fetches()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -287,5 +294,5 @@
 		Fetches   []Fetch           `json:"fetches"`
 		BytesSent int64             `json:"bytes_sent"`
 		Latest    map[string]uint64 `json:"latest"`
-	}{fetches, s.sent, s.latest})
+	}{fetches, s.bytesSent, s.latest})
 }
