--- a/trainer/frozen_entry_test.go
+++ b/trainer/frozen_entry_test.go
@@ -15,8 +15,8 @@
 	"dandelionsill.org/trainer"
 )
 
-// freezingTransport answers until entry a freezes: then a's connections stay open and
-// nothing comes.
+// freezingTransport answers for both entries. From the first GET to entry a on,
+// every request to a hangs until its context ends.
 type freezingTransport struct{ frozen bool }
 
 func (f *freezingTransport) RoundTrip(r *http.Request) (*http.Response, error) {
@@ -33,11 +33,11 @@
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(strings.NewReader(body))}, nil
 }
 
-// The entry that owns a step is frozen (SIGSTOP, its VM is suspended) while the
-// trainer waits for groups. The client asks it three times, each time for the
-// whole wait and the timeout, before it turns to entry b, which would answer at
-// once: the trainer idles 45 s and more. A greater attempt makes turning away
-// at the first silence as safe as at the third.
+// Guards against a client that idles for 45 s and more when the entry that owns
+// its step is frozen (SIGSTOP, suspended VM), although entry b would answer at
+// once. How it came about: the client sent three attempts to the frozen entry,
+// each for the whole MaxWait and Timeout. The greater attempt of the next post
+// makes it as safe to switch after the first timeout as after the third.
 func TestFrozenEntryIsReplacedAfterOneTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, err := trainer.New(trainer.Config{Entries: []string{"http://a", "http://b"}, Token: "x", HTTP: &http.Client{Transport: &freezingTransport{}}})
--- a/trainer/http.go
+++ b/trainer/http.go
@@ -15,7 +15,7 @@
 	"github.com/juju/errors"
 )
 
-// Kinds of errors that the client acts on.
+// Error kinds that the client handles.
 const (
 	kindBadRequest      = "bad_request"
 	kindUnauthenticated = "unauthenticated"
@@ -26,7 +26,7 @@
 	kindLeaving         = "leaving"
 )
 
-// AnswerError is an entry's refusal.
+// AnswerError is an error answer of an entry.
 type AnswerError struct {
 	Status     int
 	Kind       string
@@ -38,6 +38,7 @@
 	return fmt.Sprintf("entry answered %d %s: %s", e.Status, e.Kind, e.Message)
 }
 
+// kindOf returns the kind of an AnswerError, and "" for other errors.
 func kindOf(err error) string {
 	if e, ok := errors.AsType[*AnswerError](err); ok {
 		return e.Kind
@@ -45,7 +46,7 @@
 	return ""
 }
 
-// isFinal tells whether a repeat would fail alike.
+// isFinal reports whether a retry would fail in the same way.
 func isFinal(err error) bool {
 	switch kindOf(err) {
 	case kindBadRequest, kindUnauthenticated, kindForbidden, kindTooLarge:
@@ -54,8 +55,9 @@
 	return false
 }
 
-// do sends one request and decodes its answer into out. Nothing of a cut or
-// malformed answer is used.
+// do sends in as JSON, if not nil, and decodes the answer into out, if not nil.
+// It returns an *AnswerError for a status other than 200, and an error for an
+// incomplete or malformed answer.
 func (c *Client) do(ctx context.Context, timeout time.Duration, method, url string, in, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -91,6 +93,7 @@
 	return errors.Annotate(json.Unmarshal(data, out), "answer")
 }
 
+// parseError returns the AnswerError for an answer with a status other than 200.
 func parseError(res *http.Response, data []byte) error {
 	var body struct {
 		Error struct {
@@ -99,7 +102,7 @@
 			RetryAfterMS int64  `json:"retry_after_ms"`
 		} `json:"error"`
 	}
-	_ = json.Unmarshal(data, &body) // a balancer's own page has no kind
+	_ = json.Unmarshal(data, &body) // an error page of a balancer has no kind
 	e := &AnswerError{
 		Status: res.StatusCode, Kind: body.Error.Kind, Message: body.Error.Message,
 		RetryAfter: time.Duration(body.Error.RetryAfterMS) * time.Millisecond,
@@ -110,7 +113,7 @@
 	return e
 }
 
-// entryRotation is the list of entries with the one in use.
+// entryRotation holds the entries and the index of the one in use.
 type entryRotation struct {
 	entries []string
 	mu      sync.Mutex
@@ -123,7 +126,8 @@
 	return t.entries[t.index%len(t.entries)]
 }
 
-// advance turns to the next entry, unless another step did so already.
+// advance switches from entry to the next one, unless a concurrent step has
+// already switched.
 func (t *entryRotation) advance(entry string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -132,6 +136,7 @@
 	}
 }
 
+// backoff computes pauses that double from min to max.
 type backoff struct {
 	next, min, max time.Duration
 }
@@ -142,8 +147,10 @@
 
 func (b *backoff) reset() { b.next = b.min }
 
-// wait pauses before a try after err: as long as the entry asked for, or a
-// time that doubles with each call, jittered down by up to a half.
+// wait pauses before the attempt that follows err: for the entry's retry delay
+// or the current backoff, whichever is longer. The backoff doubles with each
+// call and is reduced by a random amount of up to one half. wait returns
+// ctx.Err() if ctx ends first.
 func (b *backoff) wait(ctx context.Context, err error) error {
 	d := b.next/2 + rand.N(b.next/2+1)
 	b.next = min(2*b.next, b.max)
--- a/trainer/leaving_test.go
+++ b/trainer/leaving_test.go
@@ -9,10 +9,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// All entries that the client knows are leaving for a few seconds, as in a
-// rolling replacement or behind one balancer address. The client posts its step
-// again without any pause: a hot loop of whole steps, each with a new attempt,
-// at entries that are about to stop, although each answer says when to come back.
+// Guards against a client that posts its step in a busy loop, each time with a
+// new attempt, while all its entries are leaving and each answer has a retry
+// delay. All entries leave at once for a few seconds in a rolling replacement or
+// behind a single balancer address.
 func TestAllEntriesLeaving(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		started, requests := time.Now(), 0
--- a/trainer/run.go
+++ b/trainer/run.go
@@ -34,17 +34,19 @@
 	Done   bool    `json:"done"`
 }
 
-// errNewOwnerNeeded: this owner is of no more use; post elsewhere, or again.
+// errNewOwnerNeeded means that the step must be posted again, with a greater
+// attempt, because its current owner cannot complete it.
 var errNewOwnerNeeded = errors.New("the step needs a new owner")
 
-// RunStep runs a step. Each group that was asked for and not in Have is
-// yielded exactly once, whole. It retries until ctx ends; the one error that
-// is yielded, last, is ctx's or a final refusal. A consumer that stops early
-// releases the step.
+// RunStep runs a step. It yields each requested group that is not in Have
+// exactly once, and only when it is complete. It retries until ctx ends; the
+// only error that it yields, as the last element, is ctx's or a final error of
+// an entry. If the consumer stops early, the step is released.
 //
-// A group is acknowledged to the entry only after the loop body returned: a
-// trainer that keeps groups durably in the body loses none when it dies, and
-// names them in Have when it comes back, with a greater Attempt.
+// A group is acknowledged to the entry only after the loop body has returned.
+// A trainer that stores groups durably in the loop body therefore loses none
+// when it crashes; after its restart it lists them in Have, with a greater
+// Attempt.
 func (c *Client) RunStep(ctx context.Context, step Step) iter.Seq2[Group, error] {
 	return func(yield func(Group, error) bool) {
 		r := newRunner(c, step)
@@ -62,8 +64,10 @@
 	}
 }
 
+// errConsumerStopped means that the consumer left the loop over RunStep.
 var errConsumerStopped = errors.New("the consumer stopped")
 
+// runner runs one step, with one owner after the other.
 type runner struct {
 	client       *Client
 	step         Step
@@ -74,7 +78,7 @@
 	epoch        Epoch
 	entry        string
 	posted       bool
-	leavingInRow int // entries in a row that are leaving
+	leavingInRow int // consecutive entries that are leaving
 	pause        *backoff
 }
 
@@ -97,8 +101,9 @@
 	return r
 }
 
-// runWithOwner goes with one owner of the step: post, then pull until all is here or
-// the owner is of no more use. It returns only final errors.
+// runWithOwner posts the step to the current entry and pulls groups until none
+// is missing or another owner is needed; it returns nil in both cases. The
+// errors that it returns are final.
 func (r *runner) runWithOwner(ctx context.Context, yield func(Group, error) bool) error {
 	r.entry = r.client.rotation.current()
 	err := r.post(ctx)
@@ -112,15 +117,15 @@
 	if ctx.Err() != nil {
 		return errors.Annotatef(ctx.Err(), "%d groups are missing, last answer: %v", len(r.missing), err)
 	}
-	// Only a greater attempt makes sure that nothing of this owner, late as
-	// it may come, is mixed up with the next one's.
+	// A greater attempt is needed to distinguish late answers of this owner
+	// from those of the next one.
 	r.attempt++
 	if kind := kindOf(err); kind != kindSuperseded && kind != kindNotFound {
 		r.client.rotation.advance(r.entry)
 	}
 	if kindOf(err) == kindLeaving && r.leavingInRow < len(r.client.cfg.Entries)-1 {
 		r.leavingInRow++
-		return nil // another entry may stay; no reason to wait
+		return nil // another entry may be available at once
 	}
 	r.leavingInRow = 0
 	if werr := r.pause.wait(ctx, err); werr != nil {
@@ -129,8 +134,8 @@
 	return nil
 }
 
-// post asks the entry to own the step. A lost answer is asked for again with
-// the same attempt, which the entry answers alike.
+// post asks the entry to own the step. After a lost answer it posts the same
+// attempt again, to which the entry gives the same answer.
 func (r *runner) post(ctx context.Context) error {
 	body := postBody{
 		Step: r.step.ID, Attempt: r.attempt, NewestVersion: r.step.NewestVersion,
@@ -151,13 +156,14 @@
 	return nil
 }
 
-// retry tries a request up to Tries times while no answer comes. A refusal
-// is an answer.
+// retry sends a request up to MaxAttempts times while no answer arrives. An
+// error answer of the entry is an answer too and is returned at once.
 func (r *runner) retry(ctx context.Context, send func() error) error {
 	for attempt := 1; ; attempt++ {
 		err := send()
-		// An entry that is timedOut for the whole time is frozen or cut off:
-		// with a greater attempt it is as safe to leave it now as later.
+		// An entry that does not answer within the timeout is suspended or
+		// unreachable. The greater attempt that follows makes it safe to switch
+		// after the first timeout, without further attempts here.
 		timedOut := stderrors.Is(err, context.DeadlineExceeded)
 		if err == nil || kindOf(err) != "" || ctx.Err() != nil || timedOut || attempt >= r.client.cfg.MaxAttempts {
 			return err
@@ -168,6 +174,7 @@
 	}
 }
 
+// pullAll pulls and yields groups until none is missing.
 func (r *runner) pullAll(ctx context.Context, yield func(Group, error) bool) error {
 	for cursor := 0; len(r.missing) > 0; {
 		url := fmt.Sprintf("%s/v1/steps/%d/groups?attempt=%d&cursor=%d&wait_ms=%d",
@@ -192,14 +199,15 @@
 		}
 		cursor = answer.Cursor
 		if answer.Done && len(r.missing) > 0 {
-			return errNewOwnerNeeded // the owner believes that more is held than is
+			return errNewOwnerNeeded // the owner counts groups as delivered that are still missing
 		}
 	}
 	return nil
 }
 
-// isCurrent tells whether an answer is the present owner's. An old owner that
-// was paused may answer late, with groups of an epoch that was left.
+// isCurrent reports whether an answer with epoch e comes from the current owner,
+// and records the epoch if so. An earlier owner that was suspended may answer
+// late, with groups of an earlier epoch.
 func (r *runner) isCurrent(e Epoch) bool {
 	if e.Attempt != r.attempt || e.Claim < r.epoch.Claim {
 		return false
@@ -208,15 +216,16 @@
 	return true
 }
 
-// yieldMissing yields the groups that are missing, after checking that each is
-// whole. A repeat, as after a lost answer or a take-over, is passed over.
+// yieldMissing checks that each group that is still missing is complete and
+// yields it. It skips duplicates, which follow lost answers and changes of the
+// owner.
 func (r *runner) yieldMissing(groups []Group, yield func(Group, error) bool) error {
 	for _, g := range groups {
 		if !r.missing[g.ID] {
 			continue
 		}
 		if !isComplete(g, r.specs[g.ID]) {
-			return errors.Annotatef(errNewOwnerNeeded, "group %s is not whole", g.ID)
+			return errors.Annotatef(errNewOwnerNeeded, "group %q is incomplete or wrongly labelled", g.ID)
 		}
 		delete(r.missing, g.ID)
 		r.have = append(r.have, g.ID)
@@ -227,8 +236,8 @@
 	return nil
 }
 
-// isComplete tells whether the group has each sample that was asked for exactly
-// once, and each token its label.
+// isComplete reports whether the group has each requested sample exactly once
+// and each token has a version label.
 func isComplete(g Group, spec GroupSpec) bool {
 	if len(g.Samples) != spec.Samples {
 		return false
@@ -243,6 +252,8 @@
 	return true
 }
 
+// isLabelled reports whether the spans cover all tokens of the sample without
+// gaps or overlaps, each with a version.
 func isLabelled(s Sample) bool {
 	next := uint32(0)
 	for _, sp := range s.Spans {
@@ -254,8 +265,8 @@
 	return next == s.Tokens
 }
 
-// release frees the step at its last owner. Losing it costs the entry some
-// memory until it gives the step up.
+// release frees the step at its last owner, without retries: if the request is
+// lost, the entry only keeps the step in memory until it abandons it.
 func (r *runner) release(ctx context.Context) {
 	if !r.posted {
 		return
--- a/trainer/trainer.go
+++ b/trainer/trainer.go
@@ -1,7 +1,7 @@
-// Package trainer is the client library of a trainer: it posts a step of
-// sample groups to an entry, pulls whole groups, and hands each one on exactly
-// once, through entries that die, answers that are lost and old owners that
-// wake up.
+// Package trainer is the client library for trainers. It posts a step of
+// sample groups to an entry, pulls complete groups and yields each of them
+// exactly once, also when entries crash, answers are lost or an earlier owner
+// resumes after suspension.
 //
 // # The protocol, for clients in other languages
 //
@@ -11,32 +11,35 @@
 //  1. POST /v1/steps {"step","attempt","newest_version","groups":[{"id",
 //     "prompt","samples","max_tokens","seed","expected_tokens"}],"have":[ids]}
 //     asks an entry to own the step. Sample i of a group is generated with
-//     seed+i. expected_tokens is an optional hint. "have" names the groups
-//     that the trainer holds; they are not made again. The answer is
-//     {"epoch":{"attempt","claim"},"step","groups"}, groups being how many
-//     will come. The same attempt may be posted again to the same entry.
-//  2. GET /v1/steps/{step}/groups?attempt=&cursor=&wait_ms= pulls. Begin with
-//     cursor 0; go on with the cursor of the last answer whose groups you
-//     hold: asking with a cursor acknowledges, and frees, all before it. An
-//     answer that was lost is asked for again with the same cursor. "done" is
-//     true with the last group.
+//     seed+i. expected_tokens is an optional hint. "have" lists the groups
+//     that the trainer has already; they are not generated again. The answer
+//     is {"epoch":{"attempt","claim"},"step","groups"}, where groups is the
+//     number of groups that will be delivered. The same attempt may be posted
+//     again to the same entry.
+//  2. GET /v1/steps/{step}/groups?attempt=&cursor=&wait_ms= pulls groups.
+//     Start with cursor 0 and continue with the cursor of the last answer
+//     whose groups you have stored: a request with a cursor acknowledges, and
+//     frees, everything before it. After a lost answer, repeat the request
+//     with the same cursor. "done" is true with the last group.
 //  3. DELETE /v1/steps/{step}?attempt= frees the step.
-//  4. POST /v1/versions {"version"} tells that newer weights stand in the
-//     weight store. The order matters: first the store, then the word.
+//  4. POST /v1/versions {"version"} announces newer weights. The weights must
+//     be in the weight store before they are announced.
 //
-// What the trainer holds is the only durable state of a step, so it must:
+// The groups that the trainer has stored are the only durable state of a step.
+// Therefore a trainer must:
 //
-//   - raise the attempt, by one or more, whenever it turns to another entry or
-//     comes back after a restart, with "have" naming what it kept;
-//   - take answers only of its current attempt, and never of a smaller claim
-//     than it saw for it: anything else comes from an owner of the past;
-//   - take each group id once, only if it asked for it, and only whole, with
-//     each index from 0 to samples-1 exactly once.
+//   - raise the attempt, by one or more, whenever it switches to another entry
+//     or resumes after a restart, and list the stored groups in "have";
+//   - accept only answers for its current attempt, and none with a smaller
+//     claim than it has seen for that attempt: these come from an earlier
+//     owner;
+//   - accept each group id once, only if it was requested and only if it is
+//     complete, with each index from 0 to samples-1 exactly once.
 //
-// On kind "superseded" or "not_found" it posts with a greater attempt. On
-// "leaving" it does so at another entry. Other errors with a retry advice are
-// repeated after it. "bad_request", "unauthenticated" and "forbidden" are
-// final.
+// On kind "superseded" or "not_found", post the step with a greater attempt.
+// On "leaving", do so at another entry. After other errors with a retry delay,
+// repeat the request after that delay. "bad_request", "unauthenticated" and
+// "forbidden" are final.
 package trainer
 
 import (
@@ -56,31 +59,34 @@
 	defaultMaxBackoff  = 5 * time.Second
 )
 
-// Config of a Client. Zero fields but Entries and Token take defaults.
+// Config holds the settings of a Client. Entries and Token are required; other
+// zero fields take defaults.
 type Config struct {
 	// Entries are the base URLs of the entries, "http://IP:port".
 	Entries []string
 	// Token is the trainer's bearer token.
 	Token string
-	// MaxWait is how long an entry may hold a pull that has nothing to tell.
+	// MaxWait is how long an entry may hold a pull while no group is ready.
 	MaxWait time.Duration
-	// Timeout bounds a request, beyond Wait for a pull. An entry that exceeds
-	// it Tries times in a row is left for another.
+	// Timeout limits each request; for a pull it is added to MaxWait. After
+	// one timeout the client switches to another entry.
 	Timeout time.Duration
-	// MaxAttempts at one entry before the client turns to the next.
+	// MaxAttempts is how often a request is sent to one entry, while no answer
+	// arrives, before the client switches to the next.
 	MaxAttempts int
-	// MinBackoff and MaxBackoff bound the pause between tries.
+	// MinBackoff and MaxBackoff limit the pause between attempts.
 	MinBackoff, MaxBackoff time.Duration
-	HTTP                   *http.Client
+	// HTTP sends the requests; nil means a new client without a timeout.
+	HTTP *http.Client
 }
 
-// Client runs steps. It is safe for concurrent use by several steps.
+// Client runs steps and publishes versions. It is safe for concurrent use.
 type Client struct {
 	cfg      Config
 	rotation *entryRotation
 }
 
-// New returns a client.
+// New returns a client for cfg. It fails if cfg has no entries.
 func New(cfg Config) (*Client, error) {
 	if len(cfg.Entries) == 0 {
 		return nil, errors.NotValidf("config without entries")
@@ -106,7 +112,7 @@
 	return &Client{cfg: cfg, rotation: &entryRotation{entries: cfg.Entries}}, nil
 }
 
-// GroupSpec is one group that is asked for.
+// GroupSpec describes one requested group.
 type GroupSpec struct {
 	ID             string `json:"id"`
 	Prompt         string `json:"prompt"`
@@ -116,28 +122,28 @@
 	ExpectedTokens int    `json:"expected_tokens,omitempty"`
 }
 
-// Step is what a trainer asks for.
+// Step is a trainer's request for sample groups.
 type Step struct {
 	ID uint64
-	// Attempt to begin with; 0: one. After the trainer's own restart it must
-	// be greater than any that the step was posted with before.
+	// Attempt is the first attempt to post; 0 means 1. After a restart of the
+	// trainer it must be greater than every attempt posted before.
 	Attempt uint64
 	// NewestVersion is the trainer's newest weight version.
 	NewestVersion uint64
 	Groups        []GroupSpec
-	// Have names the groups that the trainer holds already.
+	// Have lists the IDs of the groups that the trainer has already.
 	Have []string
 }
 
-// Span is a label: tokens [From, To) were made by weight version Version.
+// Span states that weight version Version generated tokens [From, To).
 type Span struct {
 	Version uint64 `json:"version"`
 	From    uint32 `json:"from"`
 	To      uint32 `json:"to"`
 }
 
-// Sample is one generated sample. Score is nil where the manifest names no
-// scorer.
+// Sample is one generated sample. Score is nil if the manifest names no scorer
+// for the trainer.
 type Sample struct {
 	Index  uint32   `json:"index"`
 	Text   string   `json:"text"`
@@ -146,20 +152,22 @@
 	Score  *float64 `json:"score,omitempty"`
 }
 
-// Group is one whole group.
+// Group is one complete group.
 type Group struct {
 	ID      string   `json:"id"`
 	Samples []Sample `json:"samples"`
 }
 
-// Epoch names an owner of a step.
+// Epoch identifies an owner of a step: a later owner has a greater attempt, or
+// the same attempt and a greater claim.
 type Epoch struct {
 	Attempt uint64 `json:"attempt"`
 	Claim   uint64 `json:"claim"`
 }
 
-// Publish tells the entries that a newer weight version stands in the store.
-// It returns once an entry took it.
+// Publish announces a weight version that is already in the weight store. It
+// retries at one entry after the other until one accepts the announcement,
+// refuses it for good, or ctx ends.
 func (c *Client) Publish(ctx context.Context, version uint64) error {
 	body := struct {
 		Version uint64 `json:"version"`
--- a/trainer/trainer_test.go
+++ b/trainer/trainer_test.go
@@ -18,7 +18,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// entryFunc answers requests by a function.
+// entryFunc is an http.RoundTripper that answers each request by calling the
+// function.
 type entryFunc func(r *http.Request) (status int, header http.Header, body string)
 
 func (e entryFunc) RoundTrip(r *http.Request) (*http.Response, error) {
@@ -54,8 +55,9 @@
 	{"index":0,"text":"a","tokens":1,"spans":[{"version":1,"from":0,"to":1}]},
 	{"index":1,"text":"b","tokens":1,"spans":[{"version":1,"from":0,"to":1}]}]}]}`
 
-// The first owner delivers a group with a sample twice and another missing.
-// The client takes none of it and posts the step with a greater attempt.
+// The first owner delivers a group with a duplicate sample, a missing sample or
+// an unlabelled token. The client rejects the group and posts the step with a
+// greater attempt.
 func TestIncompleteGroupIsRejected(t *testing.T) {
 	for name, broken := range map[string]string{
 		"sample doubled": strings.Replace(completeAnswer, `"index":1`, `"index":0`, 1),
@@ -85,8 +87,8 @@
 	}
 }
 
-// The entries are overloaded and say when to come back; the client does not
-// come before.
+// The entries are overloaded and answer with Retry-After. The client must not
+// retry earlier.
 func TestRetryAfterIsRespected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var requestTimes []time.Time
@@ -104,7 +106,7 @@
 	})
 }
 
-// The entry that takes the word of a new version is gone; another gets it.
+// The first entry is unavailable. The client publishes the version at the next.
 func TestPublishFailsOverToNextEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var hosts []string
