--- a/load/judge/judge.go
+++ b/load/judge/judge.go
@@ -1,6 +1,7 @@
-// Package judge compares what callers and trainers saw with the ground truth
-// of the stand-ins, and counts broken promises. It believes no process of the
-// system: versions come from the tokens' own text, runs from the services.
+// Package judge compares what callers and trainers received with the ground
+// truth of the stand-ins and counts violated guarantees. It relies on no report
+// of the system under test: weight versions are read from the text of the
+// tokens, and runs are those that the service stand-ins recorded.
 package judge
 
 import (
@@ -12,20 +13,20 @@
 	"dandelionsill.org/standin/truth"
 )
 
-// Counts are the eight counts of broken promises. All are zero in a system
-// that keeps its word.
+// Counts holds the number of violations of each of the eight guarantees. All are
+// zero for a correct system.
 type Counts struct {
-	SamplesLost       int `json:"samples_lost"`       // asked for and never delivered
+	SamplesLost       int `json:"samples_lost"`       // requested and never delivered
 	SamplesDuplicated int `json:"samples_duplicated"` // delivered more than once
-	LabelsWrong       int `json:"labels_wrong"`       // samples and answers whose label is not the truth
-	OverBound         int `json:"over_bound"`         // samples with a token older than the bound
+	LabelsWrong       int `json:"labels_wrong"`       // samples and answers whose label differs from the ground truth
+	OverBound         int `json:"over_bound"`         // samples with a token from a version older than the staleness bound
 	WritesDoubled     int `json:"writes_doubled"`     // runs beyond the first of one write
-	FalseNotRun       int `json:"false_not_run"`      // "not run" was said and it ran
-	CutInFlight       int `json:"cut_in_flight"`      // cut off where nothing had crashed
-	AnswersWrong      int `json:"answers_wrong"`      // another's answer, or not a whole one
+	FalseNotRun       int `json:"false_not_run"`      // requests answered with "not run" that ran
+	CutInFlight       int `json:"cut_in_flight"`      // interrupted although no process had crashed
+	AnswersWrong      int `json:"answers_wrong"`      // the answer to another request, or an incomplete one
 }
 
-// Add adds other's counts.
+// Add adds the counts of other to c.
 func (c *Counts) Add(other Counts) {
 	c.SamplesLost += other.SamplesLost
 	c.SamplesDuplicated += other.SamplesDuplicated
@@ -37,24 +38,25 @@
 	c.AnswersWrong += other.AnswersWrong
 }
 
-// Total sums all counts.
+// Total returns the sum of all counts.
 func (c Counts) Total() int {
 	return c.SamplesLost + c.SamplesDuplicated + c.LabelsWrong + c.OverBound +
 		c.WritesDoubled + c.FalseNotRun + c.CutInFlight + c.AnswersWrong
 }
 
-// LengthModel is the engine stand-in's model of natural lengths.
+// LengthModel holds the parameters from which the engine stand-in derives the
+// lengths of its answers.
 type LengthModel struct {
 	Mean  float64
 	Sigma float64
 }
 
-// Tokens is how long the whole answer to (prompt, seed) is.
+// Tokens returns the number of tokens in the complete answer to prompt and seed.
 func (l LengthModel) Tokens(prompt string, seed uint64, maxTokens int) int {
 	return truth.Tokens(prompt, seed, l.Mean, l.Sigma, maxTokens)
 }
 
-// Sample is one delivered sample beside what was asked for.
+// Sample is one delivered sample together with its request.
 type Sample struct {
 	Group     string       `json:"group"`
 	Index     int          `json:"index"`
@@ -63,26 +65,27 @@
 	MaxTokens int          `json:"max_tokens"`
 	Text      string       `json:"text"`
 	Spans     []truth.Span `json:"spans"` // the label
-	// Newest is the trainer's newest version at the delivery; 0: as the step's.
+	// Newest is the trainer's newest version at the delivery; 0 means that of
+	// the step.
 	Newest uint64 `json:"newest,omitempty"`
 }
 
-// Step is what a trainer asked for in one step and what it got.
+// Step records what a trainer requested in one step and what it received.
 type Step struct {
 	Trainer   string        `json:"trainer"`
 	Step      uint64        `json:"step"`
-	Newest    uint64        `json:"newest"` // the trainer's newest version when it asked
+	Newest    uint64        `json:"newest"` // the trainer's newest version at the request
 	Bound     uint64        `json:"bound"`  // the manifest's staleness bound
 	Requested int           `json:"asked"`  // samples
 	Started   time.Time     `json:"started"`
 	Duration  time.Duration `json:"took"`
-	IdleTime  time.Duration `json:"waited"`  // time that the trainer had nothing to train on
-	TrainTime time.Duration `json:"trained"` // time that the trainer trained on it
+	IdleTime  time.Duration `json:"waited"`  // time during which the trainer had nothing to train on
+	TrainTime time.Duration `json:"trained"` // time during which the trainer trained on the step
 	Samples   []Sample      `json:"samples"`
-	Error     string        `json:"error"` // why the step was not whole
+	Error     string        `json:"error"` // why the step is incomplete; empty if it is complete
 }
 
-// IsComplete tells whether every sample came.
+// IsComplete reports whether every requested sample was delivered.
 func (s *Step) IsComplete() bool { return len(s.countByID()) == s.Requested }
 
 type sampleID struct {
@@ -90,6 +93,7 @@
 	index int
 }
 
+// countByID returns how often each sample was delivered.
 func (s *Step) countByID() map[sampleID]int {
 	seen := map[sampleID]int{}
 	for _, m := range s.Samples {
@@ -98,7 +102,7 @@
 	return seen
 }
 
-// CheckSteps judges trainers' steps.
+// CheckSteps counts the violations in trainers' steps.
 func CheckSteps(steps []Step, lengths LengthModel) Counts {
 	var c Counts
 	for i := range steps {
@@ -113,6 +117,8 @@
 	return c
 }
 
+// check compares the sample with the ground truth. A token violates the bound if
+// its version is more than bound older than newest.
 func (m *Sample) check(newest, bound uint64, lengths LengthModel) Counts {
 	var c Counts
 	spans, tokens, err := truth.Check(m.Prompt, m.Seed, m.Text)
@@ -131,7 +137,8 @@
 	return c
 }
 
-// sameSpans compares two labels; neighbours of one version count as one span.
+// sameSpans reports whether two labels are equal; adjacent spans of the same
+// version count as one span.
 func sameSpans(a, b []truth.Span) bool {
 	a, b = mergeSpans(a), mergeSpans(b)
 	if len(a) != len(b) {
@@ -145,6 +152,7 @@
 	return true
 }
 
+// mergeSpans joins adjacent spans of the same version.
 func mergeSpans(spans []truth.Span) []truth.Span {
 	var out []truth.Span
 	for _, s := range spans {
@@ -157,7 +165,7 @@
 	return out
 }
 
-// Completion is one answer from a model beside what was asked for.
+// Completion is one answer of a model together with its request.
 type Completion struct {
 	Prompt    string        `json:"prompt"`
 	Seed      uint64        `json:"seed"`
@@ -167,8 +175,9 @@
 	Spans     []truth.Span  `json:"spans"`
 }
 
-// CheckCompletions judges callers' completions. Only answers that claim to be
-// whole are held to it; a cut one says so itself.
+// CheckCompletions counts the violations in callers' completions. It checks only
+// answers that were received as complete; an interrupted one is visible as such
+// to the caller.
 func CheckCompletions(list []Completion, lengths LengthModel) Counts {
 	var c Counts
 	for i := range list {
@@ -182,7 +191,7 @@
 	return c
 }
 
-// Call is one request to a plain service beside its result.
+// Call is one request to a plain service together with its result.
 type Call struct {
 	Method     string        `json:"method"`
 	Path       string        `json:"path"`
@@ -191,7 +200,8 @@
 	Result     client.Result `json:"result"`
 }
 
-// CheckCalls judges callers' requests against the runs that the services counted.
+// CheckCalls counts the violations in callers' requests, compared with the runs
+// that the services recorded.
 func CheckCalls(calls []Call, runs []service.Run) Counts {
 	var c Counts
 	byID := map[string]int{}
@@ -227,8 +237,8 @@
 	return c
 }
 
-// isAnsweredBy tells whether the answer is a whole one and this request's own:
-// what some run of this request, or of its key, answered.
+// isAnsweredBy reports whether the received answer is complete and belongs to
+// this request: one of answers, given by a run of this request or of its key.
 func (c *Call) isAnsweredBy(answers map[service.Answer]bool) bool {
 	var a service.Answer
 	if json.Unmarshal(c.Result.Body, &a) != nil || !answers[a] {
@@ -238,8 +248,8 @@
 	return sameRequest && a.Method == c.Method && a.Path == c.Path && a.BodySHA256 == c.BodySHA256
 }
 
-// CountInterrupted counts requests that were cut off in flight: their answer broke off, or
-// the system gave them up after they had been sent.
+// CountInterrupted counts the requests that were interrupted in flight: the
+// answer was incomplete, or the system abandoned the request after it was sent.
 func CountInterrupted(results []client.Result) int {
 	n := 0
 	for i := range results {
--- a/load/openloop/openloop.go
+++ b/load/openloop/openloop.go
@@ -1,5 +1,5 @@
-// Package openloop fires requests at times that do not wait for answers, so
-// that a slow system meets the same load as a fast one.
+// Package openloop starts requests at times that do not depend on the answers,
+// so that a slow system receives the same load as a fast one.
 package openloop
 
 import (
@@ -9,16 +9,17 @@
 	"time"
 )
 
-// Config says how to fire.
+// Config defines the arrivals of requests.
 type Config struct {
-	Rate        float64       // requests a second (Poisson)
-	Duration    time.Duration // how long
-	MaxInFlight int           // beyond it a request counts as dropped
+	Rate        float64       // requests per second (Poisson arrivals)
+	Duration    time.Duration // no request starts later
+	MaxInFlight int           // a request beyond this is dropped and counted
 	Seed        uint64
 }
 
-// Run fires requests 0, 1, 2 … and returns when the last has ended. It
-// returns how many were fired and how many were dropped.
+// Run calls fire for requests 0, 1, 2 …, each in a goroutine of its own, until
+// the configured duration has passed or ctx ends. It waits for the calls to
+// return and returns how many requests were fired and how many were dropped.
 func Run(ctx context.Context, cfg Config, fire func(ctx context.Context, i int)) (fired, dropped int) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
--- a/load/openloop/openloop_test.go
+++ b/load/openloop/openloop_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Requests that hang must not slow the arrivals down: a loop that waited for
-// answers would hide a slow system by asking it less.
+// Requests that hang must not slow down the arrivals: a loop that waited for
+// answers would reduce the load on a slow system and so hide its slowness.
 func TestArrivalsDoNotWaitForAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var mu sync.Mutex
--- a/load/report/plot.go
+++ b/load/report/plot.go
@@ -15,8 +15,8 @@
 	plotWidth     = 24 * vg.Centimeter
 	plotHeight    = 13 * vg.Centimeter
 	maxBarWidth   = 14.0 // points
-	barWidthShare = 0.8  // of the width
-	headroom      = 1.7  // above the highest bar, for the legend
+	barWidthShare = 0.8  // share of the plot width that the bars take
+	headroom      = 1.7  // factor on the highest bar; leaves space for the legend
 )
 
 var barColors = []color.Color{
@@ -30,7 +30,7 @@
 	color.RGBA{R: 0xc9, G: 0xa2, B: 0x27, A: 0xff},
 }
 
-// measure is what one plot shows of a row.
+// measure defines the value of a row that one plot shows.
 type measure struct {
 	file, title, unit string
 	value             func(Row) float64
@@ -44,8 +44,9 @@
 	{"app_p99", "application calls, p99", "ms", func(r Row) float64 { return r.AppP99MS }},
 }
 
-// Plots writes one SVG and one PNG for each deployment and measure into dir:
-// a group of bars for each scenario, a bar for each policy, seeds averaged.
+// Plots writes one SVG and one PNG file for each deployment and measure into
+// dir: a group of bars for each scenario, with one bar for each policy that shows
+// the mean over the seeds.
 func Plots(dir string, rows []Row) error {
 	for _, deployment := range distinct(rows, func(r Row) string { return r.Deployment }) {
 		selected := slices.DeleteFunc(slices.Clone(rows), func(r Row) bool { return r.Deployment != deployment })
@@ -86,7 +87,7 @@
 	}
 	p.NominalX(scenarios...)
 	p.X.Min, p.X.Max = -0.5, float64(len(scenarios))-0.5
-	p.Y.Max = max(1e-9, headroom*highest) // an empty range can't be drawn
+	p.Y.Max = max(1e-9, headroom*highest) // an empty range cannot be drawn
 	for _, suffix := range []string{".svg", ".png"} {
 		if err := p.Save(plotWidth, plotHeight, filepath.Join(dir, deployment+"-"+m.file+suffix)); err != nil {
 			return errors.Trace(err)
@@ -95,7 +96,7 @@
 	return nil
 }
 
-// mean averages the measure over the seeds; 0 where there is no such row.
+// mean returns the mean of the measure over the seeds, 0 if there is no such row.
 func (m measure) mean(rows []Row, scenario, policy string) float64 {
 	sum, n := 0.0, 0
 	for _, r := range rows {
@@ -110,7 +111,7 @@
 	return sum / float64(n)
 }
 
-// distinct returns the values of a key in the order of their first row.
+// distinct returns the values of key in the order of their first occurrence.
 func distinct(rows []Row, key func(Row) string) []string {
 	var list []string
 	for _, r := range rows {
--- a/load/report/report_test.go
+++ b/load/report/report_test.go
@@ -13,7 +13,7 @@
 	"dandelionsill.org/load/judge"
 )
 
-// rowKeys are those that readers of summary.json rely on, no more and no fewer.
+// rowKeys are exactly the keys that readers of summary.json rely on.
 const rowKeys = `deployment scenario policy seed step_p50_ms step_p99_ms trainer_idle_share staleness_mean_versions
 staleness_max_versions ideal_step_ms ideal_ratio wasted_token_share app_p50_ms app_p99_ms app_ok_share samples_lost
 samples_duplicated labels_wrong over_bound writes_doubled false_not_run cut_in_flight answers_wrong config_seconds`
--- a/load/report/row.go
+++ b/load/report/row.go
@@ -1,5 +1,5 @@
-// Package report holds the bench's results: the rows of summary.json, tables
-// and plots.
+// Package report defines the rows of the benchmark's summary.json and writes them
+// as tables and plots.
 package report
 
 import (
@@ -11,8 +11,8 @@
 	"dandelionsill.org/load/judge"
 )
 
-// Row is one run of one policy. Times are wall times of the run; the time
-// scale stands in bench-out/bench.json.
+// Row is the result of one run of one policy. Times are wall times of the run;
+// the time scale is in bench-out/bench.json.
 type Row struct {
 	Deployment string `json:"deployment"`
 	Scenario   string `json:"scenario"`
@@ -36,7 +36,7 @@
 	ConfigSeconds float64 `json:"config_seconds"`
 }
 
-// Read reads rows.
+// Read reads the rows that Write wrote to file.
 func Read(file string) ([]Row, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -46,7 +46,7 @@
 	return rows, errors.Annotate(json.Unmarshal(data, &rows), file)
 }
 
-// Write writes rows as a JSON array.
+// Write writes rows to file as a JSON array.
 func Write(file string, rows []Row) error {
 	data, err := json.MarshalIndent(rows, "", "  ")
 	if err != nil {
--- a/load/report/table.go
+++ b/load/report/table.go
@@ -9,7 +9,7 @@
 	"text/tabwriter"
 )
 
-// Scenarios and Policies in the order in which tables show them.
+// Scenarios and Policies are in the order in which tables show them.
 var (
 	Scenarios = strings.Fields("steady stragglers weights shared apps crash freeze log-outage leave overload")
 	Policies  = strings.Fields("baseline dandelionsill hints no-hedge no-move no-affinity no-longest-first no-late-binding no-resume no-waves")
@@ -27,7 +27,7 @@
 	})
 }
 
-// rank is an item's index; unknown ones come last.
+// rank returns the index of item in list; unknown items rank last.
 func rank(list []string, item string) int {
 	if i := slices.Index(list, item); i >= 0 {
 		return i
@@ -35,7 +35,7 @@
 	return len(list)
 }
 
-// Table writes the rows as a table, one line each.
+// Table writes the rows as a table, with one line for each.
 func Table(w io.Writer, rows []Row) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "deployment\tscenario\tpolicy\tseed\tstep p50\tp99 ms\tideal\tratio\tidle\tstale\tmax\twasted\tapp p50\tp99 ms\tok\tbroken\tconfig s\t")
@@ -48,7 +48,8 @@
 	return t.Flush()
 }
 
-// formatFaults names the formatFaults promises of a row.
+// formatFaults lists the violated guarantees of a row with their counts, "0" if
+// there are none.
 func formatFaults(r Row) string {
 	var list []string
 	for _, c := range []struct {
