--- a/load/client/balancer.go
+++ b/load/client/balancer.go
@@ -1,5 +1,6 @@
-// Package client sends requests to the system's entries as callers do: through
-// a stand-in for the platform's balancer, and without repeats of its own.
+// Package client sends requests to the entries as callers do: through a stand-in
+// for the platform's balancer and without retries of requests that may have been
+// received.
 package client
 
 import (
@@ -15,8 +16,9 @@
 	probeTimeout  = 400 * time.Millisecond
 )
 
-// Balancer spreads requests over the entries whose /readyz answers 200, as
-// the platform's balancer does. Run keeps its picture up to date.
+// Balancer distributes requests over the entries whose /readyz answers 200, as
+// the platform's balancer does. Run keeps the readiness of the entries up to
+// date.
 type Balancer struct {
 	entries []string
 	ready   []atomic.Bool
@@ -24,7 +26,8 @@
 	http    *http.Client
 }
 
-// NewBalancer balances over entries' base URLs; all count as ready at first.
+// NewBalancer returns a balancer for the entries with these base URLs. All count
+// as ready until the first probe.
 func NewBalancer(entries []string) *Balancer {
 	b := &Balancer{entries: entries, ready: make([]atomic.Bool, len(entries))}
 	b.http = &http.Client{Timeout: probeTimeout}
@@ -34,7 +37,7 @@
 	return b
 }
 
-// Run probes the entries until ctx ends.
+// Run probes the entries periodically until ctx ends.
 func (b *Balancer) Run(ctx context.Context) {
 	tick := time.NewTicker(probeInterval)
 	defer tick.Stop()
@@ -50,6 +53,7 @@
 	}
 }
 
+// probe updates the readiness of entry i.
 func (b *Balancer) probe(ctx context.Context, i int) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, b.entries[i]+"/readyz", nil)
 	if err != nil {
@@ -68,8 +72,7 @@
 	b.ready[i].Store(resp.StatusCode == http.StatusOK)
 }
 
-// Order returns every entry, the ready ones first, starting at the next in
-// turn.
+// Order returns all entries in round-robin order, the ready ones first.
 func (b *Balancer) Order() []string {
 	n := uint64(len(b.entries))
 	first := b.next.Add(1)
--- a/load/client/client.go
+++ b/load/client/client.go
@@ -25,7 +25,7 @@
 	http     *http.Client
 }
 
-// New makes a client; maxConns bounds idle connections for each entry.
+// New returns a client that keeps at most maxConns idle connections per entry.
 func New(b *Balancer, token string, maxConns int) *Client {
 	transport := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: time.Second}).DialContext,
@@ -42,35 +42,38 @@
 	Method    string
 	Path      string
 	Body      []byte
-	Timeout   time.Duration // deadline told to the entry; 0: the fleet's default
+	Timeout   time.Duration // deadline sent to the entry; 0: the fleet's default
 }
 
-// Result is what a caller saw of one request. It is whole when Fault is empty.
+// Result is the result of one request as a caller sees it. The answer is complete
+// if Fault is empty.
 type Result struct {
 	RequestID string
 	Key       string
 	Sent      time.Time
 	Took      time.Duration
 	Entry     string // base URL of the entry that answered
-	Status    int    // 0: no answer began
-	Replayed  bool   // the answer is the key's first run's
+	Status    int    // 0: no answer started
+	Replayed  bool   // the answer is the stored one of the key's first run
 	Body      []byte
-	Error     *answer.ErrorDetail // the entry's own error
-	// Fault is a transport's error: the answer did not come whole.
+	Error     *answer.ErrorDetail // the error that the entry itself returned
+	// Fault is a transport error: no complete answer was received.
 	Fault string
-	// NeverSent: no entry took the connection, so no request went out.
+	// NeverSent means that no entry accepted a connection, so that no request was
+	// sent.
 	NeverSent bool
 }
 
-// OK tells whether a whole answer came and was no error of the system.
+// OK reports whether a complete answer with a 2xx status was received.
 func (r *Result) OK() bool {
 	return r.Fault == "" && r.Error == nil && r.Status/100 == 2
 }
 
-// NotRun tells whether the system said that the request did not run.
+// NotRun reports whether the system answered that the request did not run.
 func (r *Result) NotRun() bool { return r.Error != nil && r.Error.NotRun }
 
-// Kind is the error's kind, "fault" for a broken transport, or "".
+// Kind returns the kind of the entry's error, "fault" for a transport error, or
+// "".
 func (r *Result) Kind() string {
 	switch {
 	case r.Error != nil:
@@ -81,7 +84,7 @@
 	return ""
 }
 
-// Call sends one request to a plain service and waits for its whole answer.
+// Call sends one request to a plain service and waits for the complete answer.
 func (c *Client) Call(ctx context.Context, call Call) Result {
 	r := Result{RequestID: call.RequestID, Key: call.Key, Sent: time.Now()}
 	resp := c.send(ctx, &r, call.Method, "/svc/"+call.Service+call.Path, call.Body, call.Timeout)
@@ -92,8 +95,9 @@
 	return r
 }
 
-// send goes to the first entry that takes the connection, as a balancer
-// would: a refused connection has carried nothing.
+// send sends the request to the first entry that accepts the connection, as a
+// balancer would: nothing was sent on a refused connection. It returns nil, with
+// the reason in r.Fault, if there is no answer.
 func (c *Client) send(ctx context.Context, r *Result, method, path string, body []byte, timeout time.Duration) *http.Response {
 	for _, base := range c.balancer.Order() {
 		req, err := http.NewRequestWithContext(ctx, method, base+path, bytes.NewReader(body))
@@ -124,11 +128,13 @@
 	return nil
 }
 
+// isConnectionRefused reports whether err is a refused dial.
 func isConnectionRefused(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial" && errors.Is(err, syscall.ECONNREFUSED)
 }
 
+// readAnswer reads the body of an answer, and the entry's error in it, into r.
 func (c *Client) readAnswer(resp *http.Response, r *Result) {
 	defer func() { _ = resp.Body.Close() }()
 	r.Replayed = resp.Header.Get(answer.HeaderReplayed) == "true"
@@ -141,8 +147,8 @@
 	r.Error = entryError(resp, body)
 }
 
-// entryError finds the entry's error in an answer. A backend server's own
-// error answer has no "kind".
+// entryError returns the entry's error in an answer, nil if there is none. The
+// error answer of a backend server has no "kind".
 func entryError(resp *http.Response, body []byte) *answer.ErrorDetail {
 	if resp.StatusCode < http.StatusBadRequest {
 		return nil
@@ -154,8 +160,9 @@
 	return &e.Error
 }
 
-// WasInterrupted tells whether the request was cut off after it had been sent. A
-// refusal, a deadline and a backend server's own error are no cut.
+// WasInterrupted reports whether the request was interrupted after it had been
+// sent. Refusals, exceeded deadlines and errors of the backend server itself do
+// not count as interruptions.
 func (r *Result) WasInterrupted() bool {
 	if r.Fault != "" {
 		return !r.NeverSent
--- a/load/client/completion.go
+++ b/load/client/completion.go
@@ -31,15 +31,15 @@
 	Timeout   time.Duration `json:"-"`
 }
 
-// Text is the content of a completion's answer.
+// Text is the content of the answer to a completion.
 type Text struct {
 	Text       string
 	Spans      []truth.Span
-	Finish     string // "" when the answer broke off
+	Finish     string // finish reason; "" if the answer is incomplete
 	TextEvents int    // SSE events with text
 }
 
-// completionEvent is an answer, or one event of a streamed one.
+// completionEvent is a complete answer or one event of a streamed answer.
 type completionEvent struct {
 	Choices []struct {
 		Text         string  `json:"text"`
@@ -66,8 +66,8 @@
 	}
 }
 
-// Complete asks for a completion and waits for its end. OnText, if not nil,
-// is called for each piece of a stream.
+// Complete requests a completion and waits for the end of the answer. onText, if
+// not nil, is called with each piece of text of a streamed answer.
 func (c *Client) Complete(ctx context.Context, in Completion, onText func(string)) (Result, Text) {
 	r := Result{RequestID: in.RequestID, Sent: time.Now()}
 	var content Text
@@ -89,6 +89,7 @@
 	return r, content
 }
 
+// parseContent reads the content of an answer that is not streamed.
 func parseContent(r *Result, content *Text) {
 	if !r.OK() {
 		return
@@ -104,6 +105,8 @@
 	}
 }
 
+// readStream reads a streamed answer. It sets r.Fault if the stream ends without
+// a finish reason and the final event.
 func readStream(resp *http.Response, r *Result, content *Text, onText func(string)) {
 	defer func() { _ = resp.Body.Close() }()
 	lines := bufio.NewScanner(resp.Body)
--- a/load/rollout/rollout.go
+++ b/load/rollout/rollout.go
@@ -1,5 +1,5 @@
-// Package rollout plays trainers: each asks for a step of samples, trains on
-// its groups as they come, and now and then brings new weights.
+// Package rollout simulates trainers. Each requests steps of samples, trains on
+// the groups as they arrive and publishes new weights from time to time.
 package rollout
 
 import (
@@ -26,7 +26,7 @@
 	"dandelionsill.org/trainer"
 )
 
-// Config of one trainer.
+// Config holds the settings of one trainer.
 type Config struct {
 	Name    string
 	Token   string
@@ -34,46 +34,49 @@
 	Entries []string // base URLs
 	Store   string   // base URL of the weight store
 
-	Groups      int // of one step
-	Samples     int // of one group
+	Groups      int // per step
+	Samples     int // per group
 	MaxTokens   int
 	PromptChars int
-	Bound       uint64 // the manifest's staleness bound, for the judge
+	Bound       uint64 // the manifest's staleness bound; recorded for package judge
 	Seed        uint64
 
-	Steps       int           // at most; 0: until For is over
-	Duration    time.Duration // no step begins later; 0: no limit
-	StepTimeout time.Duration // a step that takes longer is lost
+	Steps       int           // maximum number of steps; 0: no limit
+	Duration    time.Duration // no step starts later; 0: no limit
+	StepTimeout time.Duration // a step that takes longer fails
 	TrainTime   time.Duration // training time of a step, spread evenly over its groups
-	// MaxAhead is how many steps may be whole but not trained when the next one
-	// is asked for.
+	// MaxAhead is how many delivered steps may wait for their training when the
+	// next step is requested.
 	MaxAhead int
-	// PublishEvery brings a new weight version after so many steps; 0: never.
+	// PublishEvery is the number of steps between weight versions; 0: no new
+	// versions.
 	PublishEvery int
 	WeightBytes  int
 	// NewestVersion is the model's newest version, shared by its trainers.
 	NewestVersion *atomic.Uint64
-	// KnownLengths, if set, is what the trainer remembers of the samples of its last
-	// epoch: it tells their mean length as its guess for the prompt.
+	// KnownLengths, if set, stands for what the trainer knows from its previous
+	// training epoch: it sends the mean length of earlier samples of a prompt as
+	// the expected length.
 	KnownLengths *judge.LengthModel
-	// OnStep is called after each step; may be nil.
+	// OnStep, if not nil, is called after each step.
 	OnStep func(judge.Step)
-	// OnGroup is called for each group as it comes; may be nil.
+	// OnGroup, if not nil, is called for each group as it arrives.
 	OnGroup func(step uint64, group trainer.Group)
 }
 
-// runner is a trainer at work.
+// runner is the state of one running trainer.
 type runner struct {
 	Config
 	client     *trainer.Client
 	clock      *standin.Clock
 	training   sync.WaitGroup
-	mu         sync.Mutex // one publication at a time
-	publishErr error      // the first of a publication
+	mu         sync.Mutex // serializes publications
+	publishErr error      // the first error of a publication
 }
 
-// Run runs steps one after the other and returns what came of them. It returns
-// when the last one is trained.
+// Run runs steps one after the other and returns their records once the training
+// on the last one has ended. The error is that of the first failed publication;
+// the error of a step is in its record.
 func Run(ctx context.Context, cfg Config) ([]judge.Step, error) {
 	client, err := trainer.New(trainer.Config{Entries: cfg.Entries, Token: cfg.Token, MaxWait: time.Second})
 	if err != nil {
@@ -86,6 +89,7 @@
 	return steps, errors.Trace(p.publishErr)
 }
 
+// runSteps requests steps until Steps or Duration is reached or ctx ends.
 func (p *runner) runSteps(ctx context.Context) []judge.Step {
 	var steps []judge.Step
 	var trained []chan struct{}
@@ -113,7 +117,8 @@
 	return steps
 }
 
-// finishTraining waits until the step is trained and publishes the new weights.
+// finishTraining waits until the training on step n has ended and publishes new
+// weights if they are due after it.
 func (p *runner) finishTraining(ctx context.Context, n uint64, until time.Time) {
 	timer := time.NewTimer(time.Until(until))
 	defer timer.Stop()
@@ -130,7 +135,8 @@
 	p.publishErr = cmp.Or(p.publishErr, p.publish(ctx))
 }
 
-// runStep asks for one runStep and waits for it.
+// runStep requests step n and waits until it is complete, fails or exceeds
+// StepTimeout.
 func (p *runner) runStep(ctx context.Context, n uint64) judge.Step {
 	ctx, cancel := context.WithTimeout(ctx, p.StepTimeout)
 	defer cancel()
@@ -157,6 +163,7 @@
 	return step
 }
 
+// judgeSamples converts a received group to judge's samples.
 func judgeSamples(spec trainer.GroupSpec, group trainer.Group, newest uint64) []judge.Sample {
 	out := make([]judge.Sample, 0, len(group.Samples))
 	for _, s := range group.Samples {
@@ -172,7 +179,7 @@
 	return out
 }
 
-// makeGroups makes the step's makeGroups; the same seed gives the same ones.
+// makeGroups returns the groups of step n, which depend only on the settings.
 func (cfg *Config) makeGroups(n uint64) []trainer.GroupSpec {
 	rng := rand.New(rand.NewPCG(cfg.Seed, n))
 	list := make([]trainer.GroupSpec, cfg.Groups)
@@ -190,7 +197,8 @@
 	return list
 }
 
-// expectedTokens is the mean length of as many samples of the prompt with other seeds.
+// expectedTokens returns the mean length of as many samples of the prompt with
+// other seeds, 0 if no lengths are known.
 func (cfg *Config) expectedTokens(g trainer.GroupSpec) int {
 	if cfg.KnownLengths == nil {
 		return 0
@@ -204,6 +212,7 @@
 
 var fillerWords = strings.Fields("oak lime parcel felling notice review boundary permit annex municipality crown root survey")
 
+// fillerText returns random words with at least length bytes in total.
 func fillerText(rng *rand.Rand, length int) string {
 	var b strings.Builder
 	for b.Len() < length {
@@ -213,7 +222,7 @@
 	return b.String()
 }
 
-// publish brings new weights into the store and announces them.
+// publish puts a new weight version into the store and announces it.
 func (p *runner) publish(ctx context.Context) error {
 	version := p.NewestVersion.Load() + 1
 	if err := PutWeights(ctx, p.Store, p.Model, version, p.WeightBytes); err != nil {
@@ -226,7 +235,8 @@
 	return nil
 }
 
-// PutWeights stores the deterministic weights of a version.
+// PutWeights puts a version's deterministic weights of size bytes into the weight
+// store at the base URL store.
 func PutWeights(ctx context.Context, store, model string, version uint64, size int) error {
 	data := weights.Bytes(model, version, size)
 	url := fmt.Sprintf("%s/models/%s/versions/%d", store, model, version)
@@ -242,7 +252,7 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		return errors.Errorf("store answered %s", resp.Status)
+		return errors.Errorf("weight store answered %s", resp.Status)
 	}
 	return nil
 }
