--- a/load/site/build.go
+++ b/load/site/build.go
@@ -10,10 +10,11 @@
 	"github.com/juju/errors"
 )
 
-// firstVersion is the weight version that engines serve from the start.
+// firstVersion is the weight version that engines serve after their start.
 const firstVersion = 1
 
-// builder lays processes out; the first error stops the writing.
+// builder adds processes to a site. After the first error it writes no more
+// settings files.
 type builder struct {
 	site    *Site
 	options Options
@@ -26,6 +27,7 @@
 
 func (b *builder) add(p Process) { b.site.Processes = append(b.site.Processes, p) }
 
+// newStandin returns a stand-in process that listens on addr.
 func (b *builder) newStandin(name, role string, addr string, args ...string) Process {
 	return Process{
 		Name: name, Role: role, Binary: filepath.Join(b.options.BinDir, "dandelion-standin"), URL: "http://" + addr,
@@ -33,6 +35,7 @@
 	}
 }
 
+// addPlatform adds the stand-ins of the platform: log, weight store, VM list.
 func (b *builder) addPlatform() {
 	ip := b.ip(0, 1)
 	seed := strconv.FormatUint(b.options.Seed, 10)
@@ -47,15 +50,16 @@
 	b.add(b.newStandin("vms", RoleVMs, hostPort(ip, portVMs), "--lag", "500ms"))
 }
 
-// placeVM returns the failure domain of the i-th VM of a pool and its address.
-// Pools go round the domains, each from another one on, so that no domain
-// holds all the large shares.
+// placeVM returns the failure domain and the address of the i-th VM of a pool.
+// Each pool is spread round-robin over the domains and starts at another domain,
+// so that the larger shares of the pools are not all in one domain.
 func (b *builder) placeVM(pool, i int) (domain, ip string) {
 	domains := b.options.Deployment.Domains
 	k := (i + pool) % len(domains)
 	return domains[k], b.ip(10+k, 1+pool*60+i)
 }
 
+// addBackends adds the engines, service servers and scorers with their agents.
 func (b *builder) addBackends() {
 	d := b.options.Deployment
 	scale := strconv.FormatFloat(b.options.TimeScale, 'g', -1, 64)
@@ -71,7 +75,7 @@
 	}
 }
 
-// addBackend adds a addBackend server and the agent beside it.
+// addBackend adds a backend server and its agent on the same VM.
 func (b *builder) addBackend(role, serves string, pool, i int, args []string) {
 	domain, ip := b.placeVM(pool, i)
 	vm := fmt.Sprintf("%s-%d", role, i+1)
@@ -88,6 +92,7 @@
 	b.add(agent)
 }
 
+// addEntries adds the entries, spread over the failure domains.
 func (b *builder) addEntries() {
 	for i := range b.options.Deployment.Entries {
 		domain, _ := b.placeVM(0, i)
@@ -124,8 +129,9 @@
 	return p
 }
 
-// stopDelay is how long a stopping entry goes on taking requests: the time in
-// which balancers see it unready. Agents refuse by themselves.
+// stopDelay returns how long a stopping process continues to accept requests. An
+// entry does so until the balancers have seen that it is not ready. Agents need no
+// delay, as they refuse requests themselves.
 func stopDelay(role string) string {
 	if role == RoleEntry {
 		return "300ms"
--- a/load/site/control.go
+++ b/load/site/control.go
@@ -28,12 +28,13 @@
 const (
 	pollInterval    = 20 * time.Millisecond
 	pollTimeout     = 2 * time.Second
-	maxErrorExcerpt = 300 // bytes of an error answer that are told
+	maxErrorExcerpt = 300 // bytes of an error answer that are included in an error
 )
 
 var httpClient = &http.Client{Timeout: 10 * time.Second}
 
-// SigningKey makes the test key that signs a site's manifests. It is no secret.
+// SigningKey returns the key pair that signs the manifests of test sites. It is
+// not secret.
 func SigningKey() (public, private string) {
 	const id = "load"
 	seed := sha256.Sum256([]byte("dandelionsill load and test key"))
@@ -41,7 +42,7 @@
 	return manifest.FormatPublicKey(id, key.Public().(ed25519.PublicKey)), manifest.FormatPrivateKey(id, key)
 }
 
-// Register puts every agent and entry into the VM list.
+// Register puts all agents and entries into the VM list.
 func (s *Site) Register(ctx context.Context) error {
 	for _, p := range s.Processes {
 		if p.Role != RoleAgent && p.Role != RoleEntry {
@@ -54,7 +55,7 @@
 	return nil
 }
 
-// SetVM puts one VM into the list in a state.
+// SetVM puts the VM of p into the VM list with the given state.
 func (s *Site) SetVM(ctx context.Context, p Process, state platform.VMState) error {
 	vm := platform.VM{
 		Name: p.Name, Role: p.Role, Addr: p.GRPC, Region: s.Deployment.Region, FailureDomain: p.Domain, State: state,
@@ -62,12 +63,13 @@
 	return SendJSON(ctx, http.MethodPut, s.ByName("vms").URL+"/vms/"+p.Name, vm, nil)
 }
 
-// SetFaults posts a stand-in's fault switches.
+// SetFaults posts fault settings to a stand-in.
 func SetFaults(ctx context.Context, p Process, faults any) error {
 	return errors.Annotate(SendJSON(ctx, http.MethodPost, p.URL+"/admin/faults", faults, nil), p.Name)
 }
 
-// SendJSON sends in as JSON, if not nil, and decodes the answer into out, if not nil.
+// SendJSON sends in as JSON, if not nil, and decodes the answer into out, if not
+// nil. A status other than 2xx is an error.
 func SendJSON(ctx context.Context, method, url string, in, out any) error {
 	var body io.Reader
 	if in != nil {
@@ -99,7 +101,8 @@
 	return errors.Annotate(json.Unmarshal(data, out), url)
 }
 
-// WaitAnswering waits until each process of the roles answers 200 at path.
+// WaitAnswering waits until each process of the roles answers path with a 2xx
+// status.
 func (s *Site) WaitAnswering(ctx context.Context, path string, roles ...string) error {
 	var waiting []Process
 	for _, role := range roles {
@@ -110,7 +113,7 @@
 	})
 }
 
-// Status is the part of an entry's or agent's GET /v1/status that load reads.
+// Status holds the fields of an entry's or agent's GET /v1/status that load reads.
 type Status struct {
 	Name     string `json:"name"`
 	Revision uint64 `json:"revision"`
@@ -119,8 +122,8 @@
 	Leaving  bool   `json:"leaving"`
 }
 
-// WaitRevision waits until the processes say that revision number is in force
-// there. A process that is gone is waited for too.
+// WaitRevision waits until each process reports that revision number, or a later
+// one, is in force. It waits for stopped processes too.
 func WaitRevision(ctx context.Context, list []Process, number uint64) error {
 	return pollAll(ctx, list, fmt.Sprintf("hold revision %d", number), func(ctx context.Context, p Process) error {
 		var status Status
@@ -134,7 +137,8 @@
 	})
 }
 
-// pollAll polls every process until check passes or ctx ends, all at once.
+// pollAll polls all processes concurrently, each until check succeeds or ctx ends.
+// Its error names the processes that failed and what they were expected to do.
 func pollAll(ctx context.Context, list []Process, what string, check func(context.Context, Process) error) error {
 	var (
 		mu     sync.Mutex
@@ -152,11 +156,13 @@
 	}
 	wg.Wait()
 	if failed != nil {
-		return errors.Errorf("these do not %s: %s", what, strings.Join(failed, "; "))
+		return errors.Errorf("processes do not %s: %s", what, strings.Join(failed, "; "))
 	}
 	return nil
 }
 
+// pollUntil polls p until check succeeds or ctx ends, and then returns the last
+// error.
 func pollUntil(ctx context.Context, p Process, check func(context.Context, Process) error) error {
 	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
@@ -175,13 +181,13 @@
 	}
 }
 
-// AgentsAndEntries returns the agents and entries.
+// AgentsAndEntries returns all agents, followed by all entries.
 func (s *Site) AgentsAndEntries() []Process {
 	return append(s.ByRole(RoleAgent), s.ByRole(RoleEntry)...)
 }
 
-// Commit signs a manifest as revision number after number-1 with the site's
-// test key and appends it to the log.
+// Commit signs a manifest with the test key, as revision number that follows
+// number-1, and appends it to the log.
 func (s *Site) Commit(ctx context.Context, number uint64, data []byte) error {
 	_, private := SigningKey()
 	id, key, err := manifest.ParsePrivateKey(private)
@@ -195,8 +201,8 @@
 	return errors.Annotatef(err, "commit revision %d", number)
 }
 
-// BringUp brings a site whose processes were started into service: the VM list,
-// the first revision, and a wait until every entry and agent is ready.
+// BringUp puts a site with started processes into service: it fills the VM list,
+// commits the first revision and waits until all agents and entries serve.
 func (s *Site) BringUp(ctx context.Context) error {
 	platformRoles := []string{RoleLog, RoleWeights, RoleVMs, RoleEngine, RoleService, RoleScorer}
 	if err := s.WaitAnswering(ctx, "/livez", platformRoles...); err != nil {
@@ -217,8 +223,8 @@
 	return errors.Trace(s.waitServing(ctx))
 }
 
-// waitServing waits until each entry has served a read and a completion: all
-// start at once, and the VM list lags.
+// waitServing waits until each entry has served a read and a completion. Entries
+// can be ready earlier, as all processes start at once and the VM list lags.
 func (s *Site) waitServing(ctx context.Context) error {
 	return pollAll(ctx, s.ByRole(RoleEntry), "serve", func(ctx context.Context, p Process) error {
 		b := client.NewBalancer([]string{p.URL})
@@ -236,10 +242,11 @@
 	})
 }
 
-// PIDFile is where whoever starts a process writes its pid.
+// PIDFile returns the path of the file to which the starter of a process writes
+// its PID.
 func (s *Site) PIDFile(name string) string { return filepath.Join(s.Dir, "pids", name) }
 
-// PID reads a process's pid.
+// PID reads the PID of a process from its PID file.
 func (s *Site) PID(name string) (int, error) {
 	data, err := os.ReadFile(s.PIDFile(name))
 	if err != nil {
@@ -252,7 +259,7 @@
 	return pid, nil
 }
 
-// WaitURLs waits until each URL answers 200.
+// WaitURLs waits until each URL answers with a 2xx status.
 func WaitURLs(ctx context.Context, urls []string) error {
 	list := make([]Process, len(urls))
 	for i, url := range urls {
--- a/load/site/deployment.go
+++ b/load/site/deployment.go
@@ -1,7 +1,7 @@
-// Package site lays a whole site out on loopback addresses: which processes
-// run where, with which settings and which manifest. Every VM gets an address
-// of its own in 127.NET.0.0/16. The package starts nothing: bench/run and the
-// end-to-end tests start what it lists.
+// Package site plans a complete site on loopback addresses: which processes run
+// where, with which settings and which manifest. Each VM has an address of its own
+// in 127.NET.0.0/16. The package starts no process: bench/run and the end-to-end
+// tests start the processes that it lists.
 package site
 
 import (
@@ -12,7 +12,7 @@
 	"dandelionsill.org/manifest"
 )
 
-// Deployment is a site's size and what it serves.
+// Deployment defines the size of a site and what it serves.
 type Deployment struct {
 	Name     string
 	Region   string
@@ -20,16 +20,16 @@
 	Model    string
 	Engines  int
 	Service  string // plain service
-	Services int    // its servers
-	Scorers  int    // servers of the service "scorer"; 0: samples aren't scored
+	Services int    // number of the service's backend servers
+	Scorers  int    // backend servers of the service "scorer"; 0: samples are not scored
 	Entries  int
 	Weigh    manifest.Weigh
-	Bound    uint64 // staleness bound of the trainers
-	Mixed    bool   // one sample may span weight versions
+	Bound    uint64 // staleness bound of the trainers, in versions
+	Mixed    bool   // a sample may span several weight versions
 	Trainers int
 }
 
-// Spolek and Lentelar are the sites of today; Small is for tests.
+// Spolek and Lentelar match the existing sites; Small is for tests.
 var (
 	Spolek = Deployment{
 		Name: "spolek", Region: "brno", Domains: []string{"brno-a", "brno-b", "brno-c"},
@@ -48,7 +48,8 @@
 	}
 )
 
-// Find returns a deployment by name.
+// Find returns the deployment with the given name. The error for an unknown name
+// lists the known ones.
 func Find(name string) (Deployment, error) {
 	var names []string
 	for _, d := range []Deployment{Spolek, Lentelar, Small} {
@@ -60,32 +61,33 @@
 	return Deployment{}, fmt.Errorf("deployment %q: want one of %s", name, strings.Join(names, ", "))
 }
 
-// Caller is the name of the one application caller.
+// Caller is the name of the only application caller.
 const Caller = "app"
 
-// Token is the bearer token of a caller or trainer. It is no secret.
+// Token returns the bearer token of a caller or trainer. It is not secret.
 func Token(name string) string { return name + "-token" }
 
-// TrainerName names trainer i, from 1.
+// TrainerName returns the name of trainer i, counted from 1.
 func TrainerName(i int) string { return fmt.Sprintf("trainer-%d", i) }
 
-// Grace that a running stream gets before a swap, in model time: the defaults
-// of manifests that weigh idle time and staleness.
+// Grace period for running streams before a weight swap, in model time: the
+// defaults of manifests that prefer less idle time and less staleness.
 const (
 	idleSwapGrace      = 8 * time.Second
 	stalenessSwapGrace = time.Second
 )
 
-// serviceConcurrency is how many requests a plain service's server runs at once.
+// serviceConcurrency is how many requests a backend server of the plain service
+// runs concurrently.
 const serviceConcurrency = 8
 
-// ServiceCapacity is how many requests a second the plain service can run.
+// ServiceCapacity returns how many requests per second the plain service can run.
 func (s *Site) ServiceCapacity() float64 {
 	return float64(s.Deployment.Services*serviceConcurrency) / s.Service.Mean.Seconds()
 }
 
-// Manifest is the site's manifest in INI form. The note stands in a comment:
-// two notes make two revisions with the same meaning.
+// Manifest returns the site's manifest as INI. The note is written into a comment:
+// two notes give two different revisions with the same meaning.
 func (s *Site) Manifest(note string) []byte {
 	grace := idleSwapGrace
 	if s.Deployment.Weigh == manifest.WeighStaleness {
--- a/load/site/model.go
+++ b/load/site/model.go
@@ -7,8 +7,8 @@
 	"dandelionsill.org/load/judge"
 )
 
-// EngineModel is the speed model of the engine stand-ins, in model time. Zero
-// fields take defaults.
+// EngineModel holds the parameters of the engine stand-ins, with durations in
+// model time. Zero fields take defaults.
 type EngineModel struct {
 	Slots         int           `json:"slots"`
 	StepBase      time.Duration `json:"step_base"`
@@ -52,20 +52,21 @@
 	return m
 }
 
-// LengthModel is the part of the model that the judge needs.
+// LengthModel returns the parameters from which answer lengths follow.
 func (m EngineModel) LengthModel() judge.LengthModel {
 	return judge.LengthModel{Mean: m.MeanTokens, Sigma: m.Sigma}
 }
 
-// TokenTime is the model time of one token of a stream among n.
+// TokenTime returns the model time for one token of a stream while n streams run
+// on the engine.
 func (m EngineModel) TokenTime(n int) time.Duration {
 	return m.StepBase + time.Duration(n)*m.StepPerStream
 }
 
-// IdealTime is the shortest model time in which so many engines could make
-// samples of these lengths: all tokens at the engines' total rate, or the
-// longest sample as the only stream of an engine, whichever is longer. An
-// engine that is n times slower counts as 1/n.
+// IdealTime returns a lower bound on the model time in which the engines can
+// generate samples of these lengths: the time for all tokens at the engines' total
+// rate, or the time for the longest sample as the only stream of an engine,
+// whichever is longer. An engine that is n times slower counts as 1/n.
 func (m EngineModel) IdealTime(lengths []int, engines float64) time.Duration {
 	total, longest := 0, 0
 	for _, n := range lengths {
@@ -93,9 +94,9 @@
 	}
 }
 
-// ServiceModel is the speed of the plain services' stand-ins, in wall time.
+// ServiceModel holds the parameters of the plain services' stand-ins, in wall time.
 type ServiceModel struct {
-	Mean time.Duration `json:"mean"` // mean time of one run (exponential)
+	Mean time.Duration `json:"mean"` // mean duration of one run (exponential distribution)
 }
 
 func (m ServiceModel) withDefaults() ServiceModel {
--- a/load/site/settings.go
+++ b/load/site/settings.go
@@ -8,10 +8,11 @@
 	"time"
 )
 
-// setting is one line of a settings file: "section.key" and its value.
+// setting is one line of a settings file. Its name has the form "section.key".
 type setting struct{ name, value string }
 
-// renderINI writes settings as INI, section by section in order of appearance.
+// renderINI returns the settings as INI, with the sections in the order of their
+// first setting.
 func renderINI(list []setting) string {
 	var order []string
 	bySection := map[string][]string{}
@@ -29,11 +30,12 @@
 	return b.String()
 }
 
-// waveSlotLength is the agents' default for a wave of weight swaps, in model time.
+// waveSlotLength is the agents' default time slot for a wave of weight swaps, in
+// model time.
 const waveSlotLength = 4 * time.Second
 
-// agentSettings are the settings of an agent beyond the common ones. What is
-// measured in the engine's time goes with its time scale.
+// agentSettings returns the settings of an agent in addition to the common ones.
+// Durations in model time are converted with the site's time scale.
 func (b *builder) agentSettings(role, serves, backend string) []setting {
 	list := []setting{
 		{"backend.kind", "service"}, {"backend.serves", serves},
@@ -49,20 +51,22 @@
 		setting{"weights.slot", b.scaled(waveSlotLength).String()})
 }
 
-// scaled turns model time into wall time.
+// scaled converts model time to wall time.
 func (b *builder) scaled(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * b.options.TimeScale)
 }
 
-// policySwitches are settings that turn mechanisms off, by role of process.
+// policySwitches names the boolean settings that disable mechanisms, by the role
+// of the process.
 type policySwitches struct{ entry, agent []string }
 
-// PolicyHints is "dandelionsill" with trainers that know earlier lengths of
-// their prompts.
+// PolicyHints is "dandelionsill" with trainers that send expected lengths, which
+// they know from earlier samples of their prompts.
 const PolicyHints = "hints"
 
-// policies are what the bench compares. "dandelionsill" has everything on,
-// "baseline" everything off, the others one mechanism off.
+// policies are the configurations that the benchmark compares. "dandelionsill" has
+// all mechanisms enabled and "baseline" none; each of the "no-…" policies disables
+// one mechanism.
 var policies = map[string]policySwitches{
 	"dandelionsill":    {},
 	PolicyHints:        {},
@@ -76,7 +80,7 @@
 	"baseline":         {entry: []string{"steps.baseline"}, agent: []string{"weights.no_waves"}},
 }
 
-// CheckPolicy tells whether a policy is known.
+// CheckPolicy returns an error that lists the known policies if name is unknown.
 func CheckPolicy(name string) error {
 	if _, ok := policies[name]; ok {
 		return nil
@@ -84,7 +88,8 @@
 	return fmt.Errorf("policy %q: want one of %s", name, strings.Join(slices.Sorted(maps.Keys(policies)), ", "))
 }
 
-// policySettings are a policy's settings of a process.
+// policySettings returns the settings of a policy for a process with the given
+// role; engine reports whether it is an engine's agent.
 func policySettings(role string, engine bool, policy string) []setting {
 	names := policies[policy].entry
 	if role == RoleAgent {
--- a/load/site/site.go
+++ b/load/site/site.go
@@ -12,7 +12,7 @@
 	"github.com/juju/errors"
 )
 
-// Ports on each VM's own address.
+// Ports on the address of each VM.
 const (
 	portGRPC    = 7100
 	portHTTP    = 7180
@@ -38,33 +38,33 @@
 type Process struct {
 	Name          string   `json:"name"`
 	Role          string   `json:"role"`
-	Domain        string   `json:"domain,omitempty"` // failure domain; empty for the platform
-	Serves        string   `json:"serves,omitempty"` // model or service, of agents and backend servers
+	Domain        string   `json:"domain,omitempty"` // failure domain; empty for the platform's processes
+	Serves        string   `json:"serves,omitempty"` // model or service; only for agents and backend servers
 	Binary        string   `json:"binary"`
 	Args          []string `json:"args"`
-	GRPC          string   `json:"grpc,omitempty"` // IP:port
-	URL           string   `json:"url"`            // base URL of its HTTP listener
-	BackendServer string   `json:"beside,omitempty"`
+	GRPC          string   `json:"grpc,omitempty"`   // IP:port
+	URL           string   `json:"url"`              // base URL of its HTTP listener
+	BackendServer string   `json:"beside,omitempty"` // name of the backend server on an agent's VM
 }
 
-// Options says what to lay out.
+// Options defines the site that New plans.
 type Options struct {
 	Deployment          Deployment
 	NetOctet            int    // second octet of the addresses, 1 to 250
-	Dir                 string // where settings go
-	BinDir              string // folder of the binaries
+	Dir                 string // directory for the settings files
+	BinDir              string // directory of the binaries
 	Seed                uint64
-	TimeScale           float64 // of engines; 0: 1
-	PublicKey           string  // "id:base64", that signs manifests
+	TimeScale           float64 // factor on the engines' durations; 0 means 1
+	PublicKey           string  // public key of the manifests' signatures, "id:base64"
 	Policy              string
 	Engine              EngineModel
 	Service             ServiceModel
-	StoreBytesPerSecond float64 // byte rate of the weight store
+	StoreBytesPerSecond float64 // rate of the weight store
 	WeightSize          int     // bytes of a weight version
-	LogRate             float64 // appends a second; 0: the stand-in's default
+	LogRate             float64 // the log's appends per second; 0: the stand-in's default
 }
 
-// Site is a laid-out site.
+// Site is the plan of a site: its parameters and processes.
 type Site struct {
 	Deployment Deployment   `json:"deployment"`
 	Dir        string       `json:"dir"`
@@ -74,11 +74,11 @@
 	Engine     EngineModel  `json:"engine"`
 	Service    ServiceModel `json:"service"`
 	WeightSize int          `json:"weight_size"`
-	// Processes in the order in which they start.
+	// Processes are in the order in which they must be started.
 	Processes []Process `json:"processes"`
 }
 
-// ByRole returns the processes of a role.
+// ByRole returns the processes with the given role.
 func (s *Site) ByRole(role string) []Process {
 	var list []Process
 	for _, p := range s.Processes {
@@ -89,7 +89,7 @@
 	return list
 }
 
-// URLs returns the base URLs of a role's processes.
+// URLs returns the base URLs of the processes with the given role.
 func (s *Site) URLs(role string) []string {
 	var list []string
 	for _, p := range s.ByRole(role) {
@@ -98,7 +98,7 @@
 	return list
 }
 
-// ByName returns a process by name; the zero Process when there is none.
+// ByName returns the process with the given name, the zero Process if there is none.
 func (s *Site) ByName(name string) Process {
 	for _, p := range s.Processes {
 		if p.Name == name {
@@ -108,7 +108,7 @@
 	return Process{}
 }
 
-// New lays a site out and writes its settings files into Dir.
+// New plans a site and writes its settings files into Dir.
 func New(o Options) (*Site, error) {
 	if o.TimeScale <= 0 {
 		o.TimeScale = 1
@@ -136,8 +136,8 @@
 	return s, nil
 }
 
-// Save writes the site as JSON, for Load, and as a plan for shell scripts:
-// one line for each process, "NAME BINARY ARG…", separated by tabs.
+// Save writes the site to Dir: as site.json for Load, and as plan.txt for shell
+// scripts, with a line "NAME BINARY ARG…", separated by tabs, for each process.
 func (s *Site) Save() error {
 	data, err := json.MarshalIndent(s, "", "  ")
 	if err != nil {
@@ -153,7 +153,7 @@
 	return errors.Trace(os.WriteFile(filepath.Join(s.Dir, "plan.txt"), []byte(plan.String()), 0o644))
 }
 
-// Load reads a site that Save wrote.
+// Load reads the site that Save wrote to dir.
 func Load(dir string) (*Site, error) {
 	data, err := os.ReadFile(filepath.Join(dir, "site.json"))
 	if err != nil {
@@ -163,7 +163,8 @@
 	return &s, errors.Trace(json.Unmarshal(data, &s))
 }
 
-// CheckAddressesFree tells which of the site's addresses are taken, if any.
+// CheckAddressesFree returns an error that lists the addresses of the site that
+// are in use, nil if all are free.
 func (s *Site) CheckAddressesFree() error {
 	var taken []string
 	for _, p := range s.Processes {
@@ -180,7 +181,7 @@
 		}
 	}
 	if len(taken) > 0 {
-		return errors.Errorf("addresses are taken: %s; is another run still there?", strings.Join(taken, ", "))
+		return errors.Errorf("addresses are in use: %s; is another run still active?", strings.Join(taken, ", "))
 	}
 	return nil
 }
--- a/load/site/site_test.go
+++ b/load/site/site_test.go
@@ -50,7 +50,8 @@
 
 func TestIdeal(t *testing.T) {
 	m := EngineModel{Slots: 2, StepBase: 9 * time.Millisecond, StepPerStream: time.Millisecond}
-	// Two engines with two slots make a token in 11/4 ms; alone one takes 10 ms.
+	// Two engines with two slots each generate a token every 11/4 ms; a single
+	// stream takes 10 ms for a token.
 	require.Equal(t, 11*time.Second, m.IdealTime([]int{1000, 1000, 1000, 1000}, 2))
 	require.Equal(t, 30*time.Second, m.IdealTime([]int{3000, 10}, 2))
 }
