--- a/load/commands/commands.go
+++ b/load/commands/commands.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// newCommand puts a subcommand together. Operands are not expected.
+// newCommand returns a subcommand that accepts flags but no operands.
 func newCommand(name, help string, flags func(*flag.FlagSet), exec func(context.Context) error) *ffcli.Command {
 	fs := flag.NewFlagSet(name, flag.ExitOnError)
 	flags(fs)
@@ -79,7 +79,7 @@
 		})
 }
 
-// siteFlags adds the flag that names a laid-out site's folder.
+// siteFlags adds the flag for the directory of a planned site.
 func siteFlags(fs *flag.FlagSet, dir *string) {
 	fs.StringVar(dir, "dir", "run/site", "folder that \"dandelion-load site\" wrote")
 }
--- a/load/commands/judge.go
+++ b/load/commands/judge.go
@@ -24,7 +24,8 @@
 
 const maxLine = 64 << 20 // bytes of one JSON line
 
-// judgeFlags name what judge compares.
+// judgeFlags holds the flags of judge: which records it compares with which ground
+// truth.
 type judgeFlags struct {
 	calls, completions, steps string // records of this program
 	trainer                   string // records of the trainer stand-in
@@ -51,6 +52,7 @@
 		func(ctx context.Context) error { return f.run(ctx, w) })
 }
 
+// run prints the counts of violated guarantees; any violation is an error.
 func (f *judgeFlags) run(ctx context.Context, w io.Writer) error {
 	var (
 		calls       []judge.Call
@@ -91,7 +93,7 @@
 	return nil
 }
 
-// trainerSteps reads the trainer stand-in's JSON lines.
+// trainerSteps reads steps from the JSON lines of the trainer stand-in.
 func trainerSteps(file string, bound uint64) ([]judge.Step, error) {
 	if file == "" {
 		return nil, nil
@@ -103,7 +105,7 @@
 	defer func() { _ = f.Close() }()
 	var (
 		steps   []judge.Step
-		samples []judge.Sample // of the step whose own line is still to come
+		samples []judge.Sample // of the step whose line has not been read yet
 		newest  uint64
 	)
 	lines := bufio.NewScanner(f)
@@ -158,7 +160,7 @@
 }
 
 // printSteps prints a line for each step and returns the newest version that
-// made a token of the last one.
+// generated a token of the last step.
 func printSteps(w io.Writer, steps []judge.Step) (newest uint64) {
 	for i := range steps {
 		s := &steps[i]
@@ -177,6 +179,7 @@
 	return newest
 }
 
+// printCounts prints the counts as JSON. Any violation is an error.
 func printCounts(w io.Writer, c judge.Counts) error {
 	data, err := json.Marshal(c)
 	if err != nil {
@@ -189,6 +192,7 @@
 	return nil
 }
 
+// readJSON decodes a file into out; an empty name reads nothing.
 func readJSON(file string, out any) error {
 	if file == "" {
 		return nil
@@ -200,6 +204,8 @@
 	return errors.Annotate(json.Unmarshal(data, out), file)
 }
 
+// fetchServiceRuns returns all runs that the service stand-ins at the comma-separated
+// base URLs recorded.
 func fetchServiceRuns(ctx context.Context, urls string) ([]service.Run, error) {
 	var runs []service.Run
 	for _, url := range strings.Split(urls, ",") {
--- a/load/commands/setup.go
+++ b/load/commands/setup.go
@@ -16,7 +16,7 @@
 	"dandelionsill.org/platform"
 )
 
-// waitCommand waits for URLs: scripts need no other HTTP client.
+// waitCommand waits for URLs, so that scripts need no other HTTP client.
 func waitCommand() *ffcli.Command {
 	fs := flag.NewFlagSet("wait", flag.ExitOnError)
 	timeout := fs.Duration("timeout", 20*time.Second, "longest wait")
@@ -30,8 +30,8 @@
 	}
 }
 
-// registerCommand puts VMs into the VM list's stand-in, as the platform does
-// with the real one when it starts a VM.
+// registerCommand puts VMs into the stand-in of the VM list, as the platform does
+// in the real list when it starts a VM.
 func registerCommand(w io.Writer) *ffcli.Command {
 	fs := flag.NewFlagSet("register", flag.ExitOnError)
 	vms := fs.String("vms", "", "base URL of the VM list")
@@ -55,7 +55,7 @@
 	}
 }
 
-// vmFromSettings reads a VM's row from its process's settings.
+// vmFromSettings returns the VM list's row for the process with this settings file.
 func vmFromSettings(file string, state platform.VMState) (platform.VM, error) {
 	f, err := ini.Load(file)
 	if err != nil {
--- a/load/commands/traffic.go
+++ b/load/commands/traffic.go
@@ -27,10 +27,10 @@
 	maxInFlight  = 4000
 	maxConns     = 512
 	maxLatencyUS = int64(10 * time.Minute / time.Microsecond)
-	maxExcerpt   = 90 // bytes of an answer that are shown
+	maxExcerpt   = 90 // bytes of an answer that are printed
 )
 
-// trafficFlags are the flags that call and complete share.
+// trafficFlags holds the flags that call and complete share.
 type trafficFlags struct {
 	entries  string
 	token    string
@@ -55,7 +55,7 @@
 type outcomes struct {
 	mu      sync.Mutex
 	byKind  map[string]int
-	latency *hdrhistogram.Histogram // µs, of whole answers
+	latency *hdrhistogram.Histogram // µs, of successful requests
 }
 
 func newOutcomes() *outcomes {
@@ -70,7 +70,7 @@
 		return
 	}
 	o.byKind["ok"]++
-	_ = o.latency.RecordValue(min(r.Took.Microseconds(), maxLatencyUS)) // in range by min
+	_ = o.latency.RecordValue(min(r.Took.Microseconds(), maxLatencyUS)) // cannot fail, as min keeps the value in range
 }
 
 func (o *outcomes) print(w io.Writer, dropped int) {
@@ -79,7 +79,8 @@
 		float64(o.latency.ValueAtQuantile(99))/1000, float64(o.latency.Max())/1000)
 }
 
-// send fires one request, or many at the rate, over the balanced entries.
+// send sends one request, or many at the given rate, to the entries through the
+// balancer.
 func (t *trafficFlags) send(ctx context.Context, w io.Writer, sendOne func(context.Context, *client.Client, *rand.Rand) client.Result) error {
 	if t.entries == "" {
 		return errors.New("--entries is empty")
@@ -101,7 +102,7 @@
 	return nil
 }
 
-// printResult prints one result; one that is not whole is an error.
+// printResult prints a successful result and returns an error for any other.
 func printResult(w io.Writer, r client.Result) error {
 	if !r.OK() {
 		return errors.Errorf("status %d, kind %q: %s%s", r.Status, r.Kind(), r.Fault, r.Body)
@@ -198,7 +199,7 @@
 		})
 }
 
-// writeJSON writes records as JSON; an empty name writes none.
+// writeJSON writes records to a file as JSON; an empty name writes nothing.
 func writeJSON(file string, records any) error {
 	if file == "" {
 		return nil
--- a/load/experiment/account.go
+++ b/load/experiment/account.go
@@ -18,7 +18,8 @@
 	"dandelionsill.org/standin/truth"
 )
 
-// buildRow puts the row of a run together.
+// buildRow computes the row of a run from the records, the stand-ins' ground truth
+// and the totals of the engines.
 func (r *run) buildRow(ctx context.Context, a *apps) (report.Row, error) {
 	runs, err := serviceRuns(ctx, r.site)
 	if err != nil {
@@ -46,6 +47,7 @@
 	return row, nil
 }
 
+// results returns the results of all calls and completions.
 func (a *apps) results() []client.Result {
 	var list []client.Result
 	for i := range a.calls {
@@ -57,6 +59,7 @@
 	return list
 }
 
+// addStepFigures fills in the columns that are computed from the trainers' steps.
 func (r *run) addStepFigures(row *report.Row) {
 	var durations, ideals []float64
 	var idle, trained time.Duration
@@ -85,8 +88,8 @@
 	row.StalenessMaxVersions = maxAge
 }
 
-// deliveredTokens counts the tokens that reached a trainer or a caller in whole
-// answers, each sample once.
+// deliveredTokens returns the number of tokens that trainers and callers received
+// in complete answers. Each sample counts once.
 func (r *run) deliveredTokens(a *apps) int {
 	delivered := 0
 	count := func(prompt string, seed uint64, text string) {
@@ -106,7 +109,8 @@
 	return delivered
 }
 
-// generatedTokens sums what all engines made, those killed included.
+// generatedTokens returns the number of tokens that all engines generated,
+// including the killed ones.
 func (r *run) generatedTokens(ctx context.Context) (int64, error) {
 	r.mu.Lock()
 	generated := r.killedTotals.Tokens
@@ -130,7 +134,7 @@
 	return t.Totals, errors.Annotate(err, p.Name)
 }
 
-// serviceRuns reads every run of the plain services' stand-ins.
+// serviceRuns returns all runs that the plain services' stand-ins recorded.
 func serviceRuns(ctx context.Context, s *site.Site) ([]service.Run, error) {
 	var runs []service.Run
 	for _, p := range s.ByRole(site.RoleService) {
@@ -145,7 +149,7 @@
 
 func microsToMillis(micros int64) float64 { return float64(micros) / 1000 }
 
-// ratio is a/b, 0 where b is 0.
+// ratio returns a/b, 0 if b is 0.
 func ratio(a, b float64) float64 {
 	if b == 0 {
 		return 0
@@ -153,8 +157,8 @@
 	return a / b
 }
 
-// quantile is the smallest value that at least share q of the values do not
-// exceed.
+// quantile returns the smallest value v for which at least a share q of the values
+// is less than or equal to v, and 0 if there are no values.
 func quantile(values []float64, q float64) float64 {
 	if len(values) == 0 {
 		return 0
--- a/load/experiment/apps.go
+++ b/load/experiment/apps.go
@@ -19,7 +19,7 @@
 	"dandelionsill.org/manifest"
 )
 
-// Shares of application calls; the rest are writes without a key.
+// Shares of application calls; the rest are writes without an idempotency key.
 const (
 	readShare  = 0.6
 	keyedShare = 0.25
@@ -32,11 +32,11 @@
 	maxInFlight       = 4000
 	maxConns          = 512
 	retryPause        = 100 * time.Millisecond
-	callBodyBytes     = 200 // bytes
+	callBodyBytes     = 200
 	maxLatencyUS      = int64(60 * time.Second / time.Microsecond)
 )
 
-// apps plays the application callers of a run.
+// apps simulates the application callers of a run.
 type apps struct {
 	run      *run
 	balancer *client.Balancer
@@ -58,7 +58,7 @@
 	}
 }
 
-// sendAll fires both kinds of requests and returns when all have ended.
+// sendAll sends calls and completions and returns when all have ended.
 func (a *apps) sendAll(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -69,6 +69,8 @@
 	wg.Wait()
 }
 
+// sendOpenLoop calls send at the given rate. stream distinguishes the random
+// numbers of the two kinds of requests.
 func (a *apps) sendOpenLoop(ctx context.Context, rate float64, stream uint64, send func(context.Context, *rand.Rand)) {
 	cfg := openloop.Config{Rate: rate, Duration: a.run.cfg.Duration, MaxInFlight: maxInFlight, Seed: a.run.cfg.Seed + stream}
 	_, dropped := openloop.Run(ctx, cfg, func(ctx context.Context, i int) {
@@ -80,19 +82,20 @@
 	a.requested += dropped
 }
 
-// record takes a request's end, repeats included.
+// record counts the end of a request. took includes the retry, if there was one.
 func (a *apps) record(ok bool, took time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.requested++
 	if ok {
 		a.ok++
-		_ = a.latency.RecordValue(min(took.Microseconds(), maxLatencyUS)) // in range by min
+		_ = a.latency.RecordValue(min(took.Microseconds(), maxLatencyUS)) // cannot fail, as min keeps the value in range
 	}
 }
 
-// sendCall sends one request to the plain service. A caller with a key repeats it
-// once when its outcome is open, as the key allows.
+// sendCall sends one request to the plain service. If a request with an
+// idempotency key is interrupted, sendCall retries it once, which the key makes
+// safe.
 func (a *apps) sendCall(ctx context.Context, rng *rand.Rand) {
 	c := client.Call{Service: a.run.site.Deployment.Service, Method: http.MethodGet, Timeout: callTimeout}
 	kind := rng.Float64()
@@ -117,6 +120,7 @@
 	a.record(r.OK(), time.Since(started))
 }
 
+// attemptCall sends one attempt of a call and records it.
 func (a *apps) attemptCall(ctx context.Context, c client.Call) client.Result {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout+time.Second)
 	defer cancel()
@@ -132,7 +136,7 @@
 	return r
 }
 
-// sendCompletion asks for one streamed completion.
+// sendCompletion requests one streamed completion.
 func (a *apps) sendCompletion(ctx context.Context, rng *rand.Rand) {
 	ctx, cancel := context.WithTimeout(ctx, completionTimeout+time.Second)
 	defer cancel()
@@ -150,7 +154,7 @@
 	a.record(r.OK(), r.Took)
 }
 
-// countOutcomes counts what callers were told, by kind of request and of answer.
+// countOutcomes returns the number of answers by kind of request and outcome.
 func (a *apps) countOutcomes() map[string]int {
 	counts := map[string]int{}
 	for i := range a.calls {
@@ -170,7 +174,8 @@
 	return counts
 }
 
-// goodput is how many calls a second the plain service answered well.
+// goodput returns how many calls per second the plain service answered
+// successfully.
 func (a *apps) goodput() float64 {
 	ok := 0
 	for i := range a.calls {
@@ -181,6 +186,7 @@
 	return float64(ok) / a.run.cfg.Duration.Seconds()
 }
 
+// outcome returns "ok" or the kind of the error.
 func outcome(r client.Result) string {
 	if r.OK() {
 		return "ok"
--- a/load/experiment/run.go
+++ b/load/experiment/run.go
@@ -1,6 +1,7 @@
-// Package experiment runs one scenario against a site of real processes: the
-// trainers and callers, the faults, and at the end the account. It starts no
-// process; it signals those whose pids their starter wrote down.
+// Package experiment runs one scenario against a site of real processes: it runs
+// the trainers and callers, injects the faults and computes the result row. It
+// starts no process and signals only those whose PIDs their starter wrote to the
+// PID files.
 package experiment
 
 import (
@@ -23,22 +24,23 @@
 )
 
 const (
-	configCommitShare = 0.75 // of the run: when a new revision is committed
+	configCommitShare = 0.75 // share of the run after which a new revision is committed
 	configTimeout     = 10 * time.Second
 	stepTimeout       = 45 * time.Second
 )
 
-// Workload is the size of a trainer's step. Zero fields take defaults.
+// Workload defines the steps of a trainer. Zero fields take defaults, except
+// MaxAhead.
 type Workload struct {
-	Groups      int
-	Samples     int
-	MaxTokens   int
+	Groups      int // per step
+	Samples     int // per group
+	MaxTokens   int // per sample
 	PromptChars int
-	// MaxAhead is how many steps may be whole but not trained when a trainer asks
-	// for the next one.
+	// MaxAhead is how many delivered steps may wait for their training when a
+	// trainer requests the next step.
 	MaxAhead int
-	// TrainTime is the model time of the training on a step; 0: that of the ideal
-	// step, so that trainer and engines are in balance.
+	// TrainTime is the model time of the training on a step; 0 means the ideal time
+	// of a step, so that trainer and engines are balanced.
 	TrainTime time.Duration
 }
 
@@ -58,16 +60,16 @@
 	return w
 }
 
-// Config of a run.
+// Config holds the settings of a run.
 type Config struct {
 	Site     *site.Site
 	Scenario Scenario
 	Seed     uint64
-	Duration time.Duration // no step and no call begins later
+	Duration time.Duration // no step and no call starts later
 	Workload Workload
 }
 
-// run is one run in progress.
+// run is the state of one run.
 type run struct {
 	cfg     Config
 	site    *site.Site
@@ -75,15 +77,16 @@
 	newest  atomic.Uint64
 
 	mu           sync.Mutex
-	stopped      map[string]bool    // killed or told to leave
-	slowFactors  map[string]float64 // engines that are so many times slower
-	killedTotals engine.Totals      // totals of engines that were killed, read just before
+	stopped      map[string]bool    // processes that were killed or terminated
+	slowFactors  map[string]float64 // by how much engines were slowed down
+	killedTotals engine.Totals      // totals of the killed engines, read just before the kill
 	steps        []judge.Step
 	idealTimes   []time.Duration
 	configTime   time.Duration
 }
 
-// Run runs the scenario and returns its row. What callers were told goes to w.
+// Run runs the scenario and returns its row. It prints the outcomes of the calls
+// and the times of the steps to w.
 func Run(ctx context.Context, cfg Config, w io.Writer) (report.Row, error) {
 	cfg.Workload = cfg.Workload.withDefaults()
 	r := &run{cfg: cfg, site: cfg.Site, started: time.Now(), stopped: map[string]bool{}, slowFactors: map[string]float64{}}
@@ -123,15 +126,15 @@
 	return r.buildRow(ctx, apps)
 }
 
-// waitUntil waits for a share of the run to pass; false when ctx ended or the run
-// is over.
+// waitUntil waits until a share of the run's duration has passed. It returns false
+// if ctx has ended or share is 1 or more.
 func (r *run) waitUntil(ctx context.Context, share float64) bool {
 	due := r.started.Add(time.Duration(share * float64(r.cfg.Duration)))
 	sleep.For(ctx, time.Until(due))
 	return ctx.Err() == nil && share < 1
 }
 
-// runTrainer runs trainer i.
+// runTrainer runs trainer i, counted from 0.
 func (r *run) runTrainer(ctx context.Context, i int) error {
 	w := r.cfg.Workload
 	name := site.TrainerName(i + 1)
@@ -155,8 +158,8 @@
 	return errors.Annotate(err, name)
 }
 
-// trainTime is the wall time of the training on one step. Two trainers that
-// share the engines have a half of the step each and the same time for it.
+// trainTime returns the wall time of the training on one step. Two trainers that
+// share the engines each have one half of the step's groups, and the same time.
 func (r *run) trainTime() time.Duration {
 	w := r.cfg.Workload
 	train := w.TrainTime
@@ -170,7 +173,8 @@
 	return time.Duration(float64(train) * r.site.TimeScale)
 }
 
-// relativeSpeed is what an engine does at present, as a share of a whole one.
+// relativeSpeed returns the current speed of the engine beside agent as a share of
+// the speed without faults. The caller holds r.mu.
 func (r *run) relativeSpeed(agent site.Process) float64 {
 	switch slow := r.slowFactors[agent.BackendServer]; {
 	case r.stopped[agent.Name]:
@@ -181,6 +185,8 @@
 	return 1
 }
 
+// recordStep stores a step with the ideal time for its samples on the engines that
+// run at present.
 func (r *run) recordStep(s judge.Step) {
 	lengths := make([]int, 0, len(s.Samples))
 	for _, m := range s.Samples {
@@ -199,8 +205,8 @@
 	r.idealTimes = append(r.idealTimes, time.Duration(ideal))
 }
 
-// commitRevision brings a new revision and measures how long it takes until every
-// process that lives holds it.
+// commitRevision commits a new revision and measures how long it takes until the
+// revision is in force at all running agents and entries.
 func (r *run) commitRevision(ctx context.Context) error {
 	if !r.waitUntil(ctx, configCommitShare) {
 		return ctx.Err()
@@ -227,8 +233,8 @@
 	return errors.Trace(err)
 }
 
-// kill ends processes as a crash of their VM does. An engine's account is
-// read first: it dies with it.
+// kill kills processes, as a crash of their VM does. It reads the totals of an
+// engine first, as they are lost with the process.
 func (r *run) kill(ctx context.Context, names ...string) error {
 	for _, name := range names {
 		p := r.site.ByName(name)
@@ -247,6 +253,7 @@
 	return r.signal(syscall.SIGKILL, names...)
 }
 
+// terminate sends SIGTERM to a process.
 func (r *run) terminate(name string) error {
 	r.markStopped(name)
 	return r.signal(syscall.SIGTERM, name)
@@ -260,8 +267,8 @@
 	}
 }
 
-// signal sends a signal to processes of the site by the pids that their
-// starter wrote down.
+// signal sends a signal to processes of the site, using the PIDs that their
+// starter wrote to the PID files.
 func (r *run) signal(sig syscall.Signal, names ...string) error {
 	for _, name := range names {
 		pid, err := r.site.PID(name)
--- a/load/experiment/scenario.go
+++ b/load/experiment/scenario.go
@@ -18,28 +18,28 @@
 
 // Load of one run, in wall time.
 const (
-	defaultCalls        = 60 // requests a second to the plain service
-	defaultCompletions  = 8  // a second
-	sharedFactor        = 3  // more of both beside two trainers
-	overloadFactor      = 2  // requests to the plain service for each that it can run
+	defaultCalls        = 60 // requests per second to the plain service
+	defaultCompletions  = 8  // per second
+	sharedFactor        = 3  // factor on both rates in the scenarios shared and apps
+	overloadFactor      = 2  // rate as a multiple of the plain service's capacity
 	overloadCompletions = 40
 )
 
 const stallTime = float64(4 * time.Second) // model time
 
-// Scenario is what happens during a run.
+// Scenario defines the load and the faults of a run.
 type Scenario struct {
 	Name           string
 	Trainers       int
-	NoTrainer      bool    // no trainer: what the application's latency is compared with
-	PublishEvery   int     // steps between weight versions; 0: none
+	NoTrainer      bool    // no trainer runs; the reference for the application's latency
+	PublishEvery   int     // steps between weight versions; 0: no new versions
 	Calls          float64 // a second
-	OverloadFactor float64 // calls in place of Calls, as a multiple of the plain service's capacity
+	OverloadFactor float64 // if not 0, sets Calls to this multiple of the plain service's capacity
 	Completions    float64 // a second
-	// Crashes: processes die or stand still without notice, so requests in
-	// flight there may be cut off.
+	// Crashes means that processes crash or freeze without notice, so that requests
+	// in flight there may be interrupted.
 	Crashes bool
-	// injectFaults brings the faults about; nil: none.
+	// injectFaults causes the faults during the run; nil: no faults.
 	injectFaults func(ctx context.Context, r *run) error
 }
 
@@ -56,7 +56,8 @@
 	{Name: "overload", OverloadFactor: overloadFactor, Completions: overloadCompletions},
 }
 
-// Find returns a scenario by name.
+// Find returns the scenario with the given name. The error for an unknown name
+// lists the known ones.
 func Find(name string) (Scenario, error) {
 	var names []string
 	for _, s := range scenarios {
@@ -81,8 +82,8 @@
 	return s
 }
 
-// stragglers: one engine is four times slower throughout, and every now and
-// then another one stands still for a moment.
+// stragglers slows one engine down by a factor of four for the whole run and
+// repeatedly freezes one of the others for a short time.
 func stragglers(ctx context.Context, r *run) error {
 	const slow = 4
 	stall := time.Duration(stallTime * r.site.TimeScale)
@@ -102,8 +103,8 @@
 	return nil
 }
 
-// crash: the VM of an engine dies whole, then the agent beside a plain
-// service, then an entry.
+// crash kills the backend server and the agent of an engine, then the agent of a
+// plain service, then an entry.
 func crash(ctx context.Context, r *run) error {
 	r.waitUntil(ctx, 0.25)
 	vm := r.site.ByName("engine-2")
@@ -118,8 +119,8 @@
 	return r.kill(ctx, "entry-1")
 }
 
-// freeze: the VM of an engine, an entry, and the agent beside a plain service
-// stand still for a while, one after the other, and go on.
+// freeze suspends and resumes, one after the other, the VM of an engine, an entry
+// and the agent of a plain service.
 func freeze(ctx context.Context, r *run) error {
 	vm := r.site.ByName("engine-1")
 	for _, f := range []struct {
@@ -142,7 +143,7 @@
 	return nil
 }
 
-// logOutage: the log takes and tells nothing for half of the run.
+// logOutage makes the log unavailable for almost half of the run.
 func logOutage(ctx context.Context, r *run) error {
 	log := r.site.ByName("log")
 	r.waitUntil(ctx, 0.2)
@@ -153,8 +154,9 @@
 	return site.SetFaults(ctx, log, logsvc.Faults{})
 }
 
-// leave: an engine, an entry and a plain service's server leave as planned:
-// the VM list says so, a moment later SIGTERM comes.
+// leave stops the agents of an engine and of a plain service and an entry as
+// planned: each is marked as leaving in the VM list and receives SIGTERM shortly
+// after.
 func leave(ctx context.Context, r *run) error {
 	const notice = 200 * time.Millisecond
 	for _, f := range []struct {
