--- a/load/client/balancer.go
+++ b/load/client/balancer.go
@@ -75,16 +75,16 @@
 // Order returns all entries in round-robin order, the ready ones first.
 func (b *Balancer) Order() []string {
 	n := uint64(len(b.entries))
-	first := b.next.Add(1)
+	start := b.next.Add(1)
 	ready := make([]string, 0, n)
-	var rest []string
+	var unready []string
 	for k := range n {
-		i := (first + k) % n
+		i := (start + k) % n
 		if b.ready[i].Load() {
 			ready = append(ready, b.entries[i])
 		} else {
-			rest = append(rest, b.entries[i])
+			unready = append(unready, b.entries[i])
 		}
 	}
-	return append(ready, rest...)
+	return append(ready, unready...)
 }
--- a/load/client/client.go
+++ b/load/client/client.go
@@ -26,10 +26,10 @@
 }
 
 // New returns a client that keeps at most maxConns idle connections per entry.
-func New(b *Balancer, token string, maxConns int) *Client {
+func New(b *Balancer, token string, maxIdleConns int) *Client {
 	transport := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: time.Second}).DialContext,
-		MaxIdleConnsPerHost: maxConns,
+		MaxIdleConnsPerHost: maxIdleConns,
 	}
 	return &Client{balancer: b, token: token, http: &http.Client{Transport: transport}}
 }
--- a/load/commands/commands.go
+++ b/load/commands/commands.go
@@ -169,11 +169,11 @@
 			}
 			var all []report.Row
 			for _, file := range files {
-				some, err := report.Read(file)
+				batch, err := report.Read(file)
 				if err != nil {
 					return errors.Trace(err)
 				}
-				all = append(all, some...)
+				all = append(all, batch...)
 			}
 			if len(all) == 0 {
 				return errors.Errorf("no rows in %s", rows)
--- a/load/commands/judge.go
+++ b/load/commands/judge.go
@@ -60,11 +60,11 @@
 		steps       []judge.Step
 	)
 	for _, file := range strings.Split(f.calls, ",") {
-		var some []judge.Call
-		if err := readJSON(file, &some); err != nil {
+		var batch []judge.Call
+		if err := readJSON(file, &batch); err != nil {
 			return errors.Trace(err)
 		}
-		calls = append(calls, some...)
+		calls = append(calls, batch...)
 	}
 	if err := firstError(readJSON(f.completions, &completions), readJSON(f.steps, &steps)); err != nil {
 		return errors.Trace(err)
@@ -134,8 +134,8 @@
 	out := judge.Sample{
 		Group: m.Group, Index: int(m.Index), Prompt: m.Prompt, Seed: m.Seed, MaxTokens: m.MaxTokens, Text: m.Text,
 	}
-	for _, sp := range m.Spans {
-		out.Spans = append(out.Spans, truth.Span{Version: sp.Version, From: int(sp.From), To: int(sp.To)})
+	for _, span := range m.Spans {
+		out.Spans = append(out.Spans, truth.Span{Version: span.Version, From: int(span.From), To: int(span.To)})
 	}
 	return out
 }
--- a/load/experiment/run.go
+++ b/load/experiment/run.go
@@ -94,7 +94,7 @@
 	if factor := cfg.Scenario.OverloadFactor; factor > 0 {
 		r.cfg.Scenario.Calls = factor * r.site.ServiceCapacity()
 	}
-	apps := newApps(r)
+	callers := newApps(r)
 	var wg sync.WaitGroup
 	errs := make(chan error, 2+cfg.Scenario.Trainers)
 	start := func(f func(context.Context) error) {
@@ -107,7 +107,7 @@
 	for i := range cfg.Scenario.Trainers {
 		start(func(ctx context.Context) error { return r.runTrainer(ctx, i) })
 	}
-	apps.sendAll(ctx)
+	callers.sendAll(ctx)
 	wg.Wait()
 	close(errs)
 	for err := range errs {
@@ -115,15 +115,15 @@
 			return report.Row{}, errors.Annotatef(err, "%s %s", cfg.Scenario.Name, cfg.Site.Policy)
 		}
 	}
-	fmt.Fprintf(w, "answers %v, dropped %d\n", apps.countOutcomes(), apps.dropped)
+	fmt.Fprintf(w, "answers %v, dropped %d\n", callers.countOutcomes(), callers.dropped)
 	fmt.Fprintf(w, "plain service: %.0f calls/s asked, %.0f/s answered, %.0f/s can be run\n",
-		r.cfg.Scenario.Calls, apps.goodput(), r.site.ServiceCapacity())
+		r.cfg.Scenario.Calls, callers.goodput(), r.site.ServiceCapacity())
 	for i := range r.steps {
 		s := &r.steps[i]
 		fmt.Fprintf(w, "%s step %d: %d ms, ideal %d ms, trainer idle %d ms\n",
 			s.Trainer, s.Step, s.Duration.Milliseconds(), r.idealTimes[i].Milliseconds(), s.IdleTime.Milliseconds())
 	}
-	return r.buildRow(ctx, apps)
+	return r.buildRow(ctx, callers)
 }
 
 // waitUntil waits until a share of the run's duration has passed. It returns false
--- a/load/rollout/rollout.go
+++ b/load/rollout/rollout.go
@@ -171,8 +171,8 @@
 			Group: group.ID, Index: int(s.Index), Prompt: spec.Prompt,
 			Seed: spec.Seed + uint64(s.Index), MaxTokens: spec.MaxTokens, Text: s.Text, Newest: newest,
 		}
-		for _, sp := range s.Spans {
-			m.Spans = append(m.Spans, truth.Span{Version: sp.Version, From: int(sp.From), To: int(sp.To)})
+		for _, span := range s.Spans {
+			m.Spans = append(m.Spans, truth.Span{Version: span.Version, From: int(span.From), To: int(span.To)})
 		}
 		out = append(out, m)
 	}
--- a/load/site/build.go
+++ b/load/site/build.go
@@ -21,8 +21,8 @@
 	err     error
 }
 
-func (b *builder) ip(pool, host int) string {
-	return fmt.Sprintf("127.%d.%d.%d", b.options.NetOctet, pool, host)
+func (b *builder) ip(third, fourth int) string {
+	return fmt.Sprintf("127.%d.%d.%d", b.options.NetOctet, third, fourth)
 }
 
 func (b *builder) add(p Process) { b.site.Processes = append(b.site.Processes, p) }
--- a/load/site/control.go
+++ b/load/site/control.go
@@ -139,7 +139,7 @@
 
 // pollAll polls all processes concurrently, each until check succeeds or ctx ends.
 // Its error names the processes that failed and what they were expected to do.
-func pollAll(ctx context.Context, list []Process, what string, check func(context.Context, Process) error) error {
+func pollAll(ctx context.Context, list []Process, expected string, check func(context.Context, Process) error) error {
 	var (
 		mu     sync.Mutex
 		failed []string
@@ -156,7 +156,7 @@
 	}
 	wg.Wait()
 	if failed != nil {
-		return errors.Errorf("processes do not %s: %s", what, strings.Join(failed, "; "))
+		return errors.Errorf("processes do not %s: %s", expected, strings.Join(failed, "; "))
 	}
 	return nil
 }
--- a/load/site/settings.go
+++ b/load/site/settings.go
@@ -95,11 +95,11 @@
 	if role == RoleAgent {
 		names = policies[policy].agent
 	}
-	var list []setting
+	var settings []setting
 	for _, name := range names {
 		if role == RoleEntry || engine {
-			list = append(list, setting{name, "true"})
+			settings = append(settings, setting{name, "true"})
 		}
 	}
-	return list
+	return settings
 }
--- a/trainer/run.go
+++ b/trainer/run.go
@@ -187,7 +187,7 @@
 		if err != nil {
 			return err
 		}
-		if !r.isCurrent(answer.Epoch) || answer.Cursor < cursor {
+		if !r.acceptEpoch(answer.Epoch) || answer.Cursor < cursor {
 			if err := r.pause.wait(ctx, errNewOwnerNeeded); err != nil {
 				return err
 			}
@@ -205,10 +205,10 @@
 	return nil
 }
 
-// isCurrent reports whether an answer with epoch e comes from the current owner,
+// acceptEpoch reports whether an answer with epoch e comes from the current owner,
 // and records the epoch if so. An earlier owner that was suspended may answer
 // late, with groups of an earlier epoch.
-func (r *runner) isCurrent(e Epoch) bool {
+func (r *runner) acceptEpoch(e Epoch) bool {
 	if e.Attempt != r.attempt || e.Claim < r.epoch.Claim {
 		return false
 	}
@@ -256,11 +256,11 @@
 // gaps or overlaps, each with a version.
 func isLabelled(s Sample) bool {
 	next := uint32(0)
-	for _, sp := range s.Spans {
-		if sp.From != next || sp.To <= sp.From || sp.Version == 0 {
+	for _, span := range s.Spans {
+		if span.From != next || span.To <= span.From || span.Version == 0 {
 			return false
 		}
-		next = sp.To
+		next = span.To
 	}
 	return next == s.Tokens
 }
