--- a/load/judge/judge.go
+++ b/load/judge/judge.go
@@ -76,7 +76,7 @@
 	Step      uint64        `json:"step"`
 	Newest    uint64        `json:"newest"` // the trainer's newest version at the request
 	Bound     uint64        `json:"bound"`  // the manifest's staleness bound
-	Requested int           `json:"asked"`  // samples
+	Requested int           `json:"asked"`  // number of requested samples
 	Started   time.Time     `json:"started"`
 	Duration  time.Duration `json:"took"`
 	IdleTime  time.Duration `json:"waited"`  // time during which the trainer had nothing to train on
