--- a/load/commands/judge.go
+++ b/load/commands/judge.go
@@ -24,19 +24,20 @@
 
 const maxLine = 64 << 20 // bytes of one JSON line
 
-// judgeFlags name what judge compares.
+// judgeFlags holds the flags of judge: which records it compares with which ground
+// truth.
 type judgeFlags struct {
 	calls, completions, steps string // records of this program
 	trainer                   string // records of the trainer stand-in
 	services                  string
-	lengths                   judge.Lengths
+	lengths                   judge.LengthModel
 	bound                     uint64
 	version                   uint64
 }
 
 func judgeCommand(w io.Writer) *ffcli.Command {
 	var f judgeFlags
-	return command("judge", "Compare records with the stand-ins' ground truth; fails on a broken promise.",
+	return newCommand("judge", "Compare records with the stand-ins' ground truth; fails on a broken promise.",
 		func(fs *flag.FlagSet) {
 			fs.StringVar(&f.calls, "calls", "", "records of call, comma separated files")
 			fs.StringVar(&f.completions, "completions", "", "records of complete")
@@ -48,23 +49,24 @@
 			fs.Uint64Var(&f.bound, "bound", 2, "the trainer's staleness bound in the manifest")
 			fs.Uint64Var(&f.version, "version", 0, "weights that must have made part of the last step; 0: any")
 		},
-		func(ctx context.Context) error { return f.judge(ctx, w) })
+		func(ctx context.Context) error { return f.run(ctx, w) })
 }
 
-func (f *judgeFlags) judge(ctx context.Context, w io.Writer) error {
+// run prints the counts of violated guarantees; any violation is an error.
+func (f *judgeFlags) run(ctx context.Context, w io.Writer) error {
 	var (
 		calls       []judge.Call
 		completions []judge.Completion
 		steps       []judge.Step
 	)
 	for _, file := range strings.Split(f.calls, ",") {
-		var some []judge.Call
-		if err := read(file, &some); err != nil {
+		var batch []judge.Call
+		if err := readJSON(file, &batch); err != nil {
 			return errors.Trace(err)
 		}
-		calls = append(calls, some...)
+		calls = append(calls, batch...)
 	}
-	if err := firstError(read(f.completions, &completions), read(f.steps, &steps)); err != nil {
+	if err := firstError(readJSON(f.completions, &completions), readJSON(f.steps, &steps)); err != nil {
 		return errors.Trace(err)
 	}
 	trained, err := trainerSteps(f.trainer, f.bound)
@@ -72,17 +74,17 @@
 		return errors.Trace(err)
 	}
 	steps = append(steps, trained...)
-	runs, err := runsOf(ctx, f.services)
+	runs, err := fetchServiceRuns(ctx, f.services)
 	if err != nil {
 		return errors.Trace(err)
 	}
-	var c judge.Counts
-	c.Add(judge.Calls(calls, runs))
-	c.Add(judge.Completions(completions, f.lengths))
-	c.Add(judge.Steps(steps, f.lengths))
-	tellCalls(w, calls, completions, len(runs))
-	newest := tellSteps(w, steps)
-	if err := tell(w, c); err != nil {
+	var counts judge.Counts
+	counts.Add(judge.CheckCalls(calls, runs))
+	counts.Add(judge.CheckCompletions(completions, f.lengths))
+	counts.Add(judge.CheckSteps(steps, f.lengths))
+	printCalls(w, calls, completions, len(runs))
+	newest := printSteps(w, steps)
+	if err := printCounts(w, counts); err != nil {
 		return err
 	}
 	if newest < f.version {
@@ -91,7 +93,7 @@
 	return nil
 }
 
-// trainerSteps reads the trainer stand-in's JSON lines.
+// trainerSteps reads steps from the JSON lines of the trainer stand-in.
 func trainerSteps(file string, bound uint64) ([]judge.Step, error) {
 	if file == "" {
 		return nil, nil
@@ -103,7 +105,7 @@
 	defer func() { _ = f.Close() }()
 	var (
 		steps   []judge.Step
-		samples []judge.Sample // of the step whose own line is still to come
+		samples []judge.Sample // of the step whose line has not been read yet
 		newest  uint64
 	)
 	lines := bufio.NewScanner(f)
@@ -114,13 +116,13 @@
 			return nil, errors.Annotate(err, file)
 		}
 		if m := rec.Sample; m != nil {
-			samples = append(samples, sampleOf(m))
+			samples = append(samples, judgeSample(m))
 			newest = m.Newest
 		}
 		if s := rec.Step; s != nil {
 			steps = append(steps, judge.Step{
-				Trainer: "trainer", Step: s.Step, Newest: newest, Bound: bound, Asked: s.Samples - s.Duplicated + s.Lost,
-				Took: time.Duration(s.MakespanMS * float64(time.Millisecond)), Samples: samples,
+				Trainer: "trainer", Step: s.Step, Newest: newest, Bound: bound, Requested: s.Samples - s.Duplicated + s.Lost,
+				Duration: time.Duration(s.MakespanMS * float64(time.Millisecond)), Samples: samples,
 			})
 			samples = nil
 		}
@@ -128,38 +130,38 @@
 	return steps, errors.Annotate(lines.Err(), file)
 }
 
-func sampleOf(m *standin.SampleRecord) judge.Sample {
+func judgeSample(m *standin.SampleRecord) judge.Sample {
 	out := judge.Sample{
 		Group: m.Group, Index: int(m.Index), Prompt: m.Prompt, Seed: m.Seed, MaxTokens: m.MaxTokens, Text: m.Text,
 	}
-	for _, sp := range m.Spans {
-		out.Spans = append(out.Spans, truth.Span{Version: sp.Version, From: int(sp.From), To: int(sp.To)})
+	for _, span := range m.Spans {
+		out.Spans = append(out.Spans, truth.Span{Version: span.Version, From: int(span.From), To: int(span.To)})
 	}
 	return out
 }
 
-func tellCalls(w io.Writer, calls []judge.Call, completions []judge.Completion, runs int) {
-	sums := newOutcomes()
+func printCalls(w io.Writer, calls []judge.Call, completions []judge.Completion, runs int) {
+	counts := newOutcomes()
 	for i := range calls {
-		sums.add(calls[i].Result)
+		counts.add(calls[i].Result)
 	}
 	if len(calls) > 0 {
 		fmt.Fprintf(w, "%d calls, %d runs at the services: ", len(calls), runs)
-		sums.print(w, 0)
+		counts.print(w, 0)
 	}
-	sums = newOutcomes()
+	counts = newOutcomes()
 	for i := range completions {
-		sums.add(completions[i].Result)
+		counts.add(completions[i].Result)
 	}
 	if len(completions) > 0 {
 		fmt.Fprintf(w, "%d completions: ", len(completions))
-		sums.print(w, 0)
+		counts.print(w, 0)
 	}
 }
 
-// tellSteps prints a line for each step and returns the newest version that
-// made a token of the last one.
-func tellSteps(w io.Writer, steps []judge.Step) (newest uint64) {
+// printSteps prints a line for each step and returns the newest version that
+// generated a token of the last step.
+func printSteps(w io.Writer, steps []judge.Step) (newest uint64) {
 	for i := range steps {
 		s := &steps[i]
 		tokens := map[uint64]int{}
@@ -172,12 +174,13 @@
 			}
 		}
 		fmt.Fprintf(w, "%s step %d: %d of %d samples after %.0f ms, newest weights %d, tokens by version %v %s\n",
-			s.Trainer, s.Step, len(s.Samples), s.Asked, s.Took.Seconds()*1000, s.Newest, tokens, s.Error)
+			s.Trainer, s.Step, len(s.Samples), s.Requested, s.Duration.Seconds()*1000, s.Newest, tokens, s.Error)
 	}
 	return newest
 }
 
-func tell(w io.Writer, c judge.Counts) error {
+// printCounts prints the counts as JSON. Any violation is an error.
+func printCounts(w io.Writer, c judge.Counts) error {
 	data, err := json.Marshal(c)
 	if err != nil {
 		return errors.Trace(err)
@@ -189,7 +192,8 @@
 	return nil
 }
 
-func read(file string, into any) error {
+// readJSON decodes a file into out; an empty name reads nothing.
+func readJSON(file string, out any) error {
 	if file == "" {
 		return nil
 	}
@@ -197,17 +201,19 @@
 	if err != nil {
 		return errors.Trace(err)
 	}
-	return errors.Annotate(json.Unmarshal(data, into), file)
+	return errors.Annotate(json.Unmarshal(data, out), file)
 }
 
-func runsOf(ctx context.Context, urls string) ([]service.Run, error) {
+// fetchServiceRuns returns all runs that the service stand-ins at the comma-separated
+// base URLs recorded.
+func fetchServiceRuns(ctx context.Context, urls string) ([]service.Run, error) {
 	var runs []service.Run
 	for _, url := range strings.Split(urls, ",") {
 		if url == "" {
 			continue
 		}
 		var t service.Truth
-		if err := site.Send(ctx, http.MethodGet, url+"/truth", nil, &t); err != nil {
+		if err := site.SendJSON(ctx, http.MethodGet, url+"/truth", nil, &t); err != nil {
 			return nil, errors.Trace(err)
 		}
 		runs = append(runs, t.List...)
--- a/load/commands/setup.go
+++ b/load/commands/setup.go
@@ -16,7 +16,7 @@
 	"dandelionsill.org/platform"
 )
 
-// waitCommand waits for URLs: scripts need no other HTTP client.
+// waitCommand waits for URLs, so that scripts need no other HTTP client.
 func waitCommand() *ffcli.Command {
 	fs := flag.NewFlagSet("wait", flag.ExitOnError)
 	timeout := fs.Duration("timeout", 20*time.Second, "longest wait")
@@ -30,8 +30,8 @@
 	}
 }
 
-// registerCommand puts VMs into the VM list's stand-in, as the platform does
-// with the real one when it starts a VM.
+// registerCommand puts VMs into the stand-in of the VM list, as the platform does
+// in the real list when it starts a VM.
 func registerCommand(w io.Writer) *ffcli.Command {
 	fs := flag.NewFlagSet("register", flag.ExitOnError)
 	vms := fs.String("vms", "", "base URL of the VM list")
@@ -41,11 +41,11 @@
 		ShortHelp: "Put the VMs of settings files into the VM list.", FlagSet: fs,
 		Exec: func(ctx context.Context, files []string) error {
 			for _, file := range files {
-				vm, err := vmOf(file, platform.VMState(*state))
+				vm, err := vmFromSettings(file, platform.VMState(*state))
 				if err != nil {
 					return errors.Trace(err)
 				}
-				if err := site.Send(ctx, http.MethodPut, *vms+"/vms/"+vm.Name, vm, nil); err != nil {
+				if err := site.SendJSON(ctx, http.MethodPut, *vms+"/vms/"+vm.Name, vm, nil); err != nil {
 					return errors.Annotate(err, file)
 				}
 				fmt.Fprintf(w, "%s %s at %s is %s\n", vm.Role, vm.Name, vm.Addr, vm.State)
@@ -55,8 +55,8 @@
 	}
 }
 
-// vmOf reads a VM's row from its process's settings.
-func vmOf(file string, state platform.VMState) (platform.VM, error) {
+// vmFromSettings returns the VM list's row for the process with this settings file.
+func vmFromSettings(file string, state platform.VMState) (platform.VM, error) {
 	f, err := ini.Load(file)
 	if err != nil {
 		return platform.VM{}, errors.Trace(err)
--- a/load/report/table.go
+++ b/load/report/table.go
@@ -9,7 +9,7 @@
 	"text/tabwriter"
 )
 
-// Scenarios and Policies in the order in which tables show them.
+// Scenarios and Policies are in the order in which tables show them.
 var (
 	Scenarios = strings.Fields("steady stragglers weights shared apps crash freeze log-outage leave overload")
 	Policies  = strings.Fields("baseline dandelionsill hints no-hedge no-move no-affinity no-longest-first no-late-binding no-resume no-waves")
@@ -20,22 +20,22 @@
 	slices.SortStableFunc(rows, func(a, b Row) int {
 		return cmp.Or(
 			cmp.Compare(a.Deployment, b.Deployment),
-			cmp.Compare(place(Scenarios, a.Scenario), place(Scenarios, b.Scenario)),
-			cmp.Compare(place(Policies, a.Policy), place(Policies, b.Policy)),
+			cmp.Compare(rank(Scenarios, a.Scenario), rank(Scenarios, b.Scenario)),
+			cmp.Compare(rank(Policies, a.Policy), rank(Policies, b.Policy)),
 			cmp.Compare(a.Seed, b.Seed),
 		)
 	})
 }
 
-// place is an item's index; unknown ones come last.
-func place(list []string, item string) int {
+// rank returns the index of item in list; unknown items rank last.
+func rank(list []string, item string) int {
 	if i := slices.Index(list, item); i >= 0 {
 		return i
 	}
 	return len(list)
 }
 
-// Table writes the rows as a table, one line each.
+// Table writes the rows as a table, with one line for each.
 func Table(w io.Writer, rows []Row) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "deployment\tscenario\tpolicy\tseed\tstep p50\tp99 ms\tideal\tratio\tidle\tstale\tmax\twasted\tapp p50\tp99 ms\tok\tbroken\tconfig s\t")
@@ -43,13 +43,14 @@
 		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%.0f\t%.0f\t%.0f\t%.2f\t%.3f\t%.2f\t%.0f\t%.3f\t%.1f\t%.1f\t%.3f\t%s\t%.2f\t\n",
 			r.Deployment, r.Scenario, r.Policy, r.Seed, r.StepP50MS, r.StepP99MS, r.IdealStepMS, r.IdealRatio,
 			r.TrainerIdleShare, r.StalenessMeanVersions, r.StalenessMaxVersions, r.WastedTokenShare,
-			r.AppP50MS, r.AppP99MS, r.AppOKShare, broken(r), r.ConfigSeconds)
+			r.AppP50MS, r.AppP99MS, r.AppOKShare, formatFaults(r), r.ConfigSeconds)
 	}
 	return t.Flush()
 }
 
-// broken names the broken promises of a row.
-func broken(r Row) string {
+// formatFaults lists the violated guarantees of a row with their counts, "0" if
+// there are none.
+func formatFaults(r Row) string {
 	var list []string
 	for _, c := range []struct {
 		name string
--- a/load/site/control.go
+++ b/load/site/control.go
@@ -26,22 +26,23 @@
 )
 
 const (
-	pollEvery    = 20 * time.Millisecond
-	askTimeout   = 2 * time.Second
-	errorExcerpt = 300 // bytes of an error answer that are told
+	pollInterval    = 20 * time.Millisecond
+	pollTimeout     = 2 * time.Second
+	maxErrorExcerpt = 300 // bytes of an error answer that are included in an error
 )
 
 var httpClient = &http.Client{Timeout: 10 * time.Second}
 
-// Key makes the test key that signs a site's manifests. It is no secret.
-func Key() (public, private string) {
+// SigningKey returns the key pair that signs the manifests of test sites. It is
+// not secret.
+func SigningKey() (public, private string) {
 	const id = "load"
 	seed := sha256.Sum256([]byte("dandelionsill load and test key"))
 	key := ed25519.NewKeyFromSeed(seed[:])
 	return manifest.FormatPublicKey(id, key.Public().(ed25519.PublicKey)), manifest.FormatPrivateKey(id, key)
 }
 
-// Register puts every agent and entry into the VM list.
+// Register puts all agents and entries into the VM list.
 func (s *Site) Register(ctx context.Context) error {
 	for _, p := range s.Processes {
 		if p.Role != RoleAgent && p.Role != RoleEntry {
@@ -54,21 +55,22 @@
 	return nil
 }
 
-// SetVM puts one VM into the list in a state.
+// SetVM puts the VM of p into the VM list with the given state.
 func (s *Site) SetVM(ctx context.Context, p Process, state platform.VMState) error {
 	vm := platform.VM{
 		Name: p.Name, Role: p.Role, Addr: p.GRPC, Region: s.Deployment.Region, FailureDomain: p.Domain, State: state,
 	}
-	return Send(ctx, http.MethodPut, s.Get("vms").URL+"/vms/"+p.Name, vm, nil)
+	return SendJSON(ctx, http.MethodPut, s.ByName("vms").URL+"/vms/"+p.Name, vm, nil)
 }
 
-// Faults posts a stand-in's fault switches.
-func Faults(ctx context.Context, p Process, faults any) error {
-	return errors.Annotate(Send(ctx, http.MethodPost, p.URL+"/admin/faults", faults, nil), p.Name)
+// SetFaults posts fault settings to a stand-in.
+func SetFaults(ctx context.Context, p Process, faults any) error {
+	return errors.Annotate(SendJSON(ctx, http.MethodPost, p.URL+"/admin/faults", faults, nil), p.Name)
 }
 
-// Send sends in as JSON, if not nil, and decodes the answer into out, if not nil.
-func Send(ctx context.Context, method, url string, in, out any) error {
+// SendJSON sends in as JSON, if not nil, and decodes the answer into out, if not
+// nil. A status other than 2xx is an error.
+func SendJSON(ctx context.Context, method, url string, in, out any) error {
 	var body io.Reader
 	if in != nil {
 		data, err := json.Marshal(in)
@@ -91,7 +93,7 @@
 		return errors.Trace(err)
 	}
 	if resp.StatusCode/100 != 2 {
-		return errors.Errorf("%s %s: %s: %s", method, url, resp.Status, data[:min(len(data), errorExcerpt)])
+		return errors.Errorf("%s %s: %s: %s", method, url, resp.Status, data[:min(len(data), maxErrorExcerpt)])
 	}
 	if out == nil {
 		return nil
@@ -99,18 +101,19 @@
 	return errors.Annotate(json.Unmarshal(data, out), url)
 }
 
-// WaitUp waits until each process of the roles answers 200 at path.
-func (s *Site) WaitUp(ctx context.Context, path string, roles ...string) error {
+// WaitAnswering waits until each process of the roles answers path with a 2xx
+// status.
+func (s *Site) WaitAnswering(ctx context.Context, path string, roles ...string) error {
 	var waiting []Process
 	for _, role := range roles {
-		waiting = append(waiting, s.Role(role)...)
+		waiting = append(waiting, s.ByRole(role)...)
 	}
-	return waitAll(ctx, waiting, "answer "+path, func(ctx context.Context, p Process) error {
-		return Send(ctx, http.MethodGet, p.URL+path, nil, nil)
+	return pollAll(ctx, waiting, "answer "+path, func(ctx context.Context, p Process) error {
+		return SendJSON(ctx, http.MethodGet, p.URL+path, nil, nil)
 	})
 }
 
-// Status is the part of an entry's or agent's GET /v1/status that load reads.
+// Status holds the fields of an entry's or agent's GET /v1/status that load reads.
 type Status struct {
 	Name     string `json:"name"`
 	Revision uint64 `json:"revision"`
@@ -119,50 +122,53 @@
 	Leaving  bool   `json:"leaving"`
 }
 
-// WaitRevision waits until the processes say that revision number is in force
-// there. A process that is gone is waited for too.
+// WaitRevision waits until each process reports that revision number, or a later
+// one, is in force. It waits for stopped processes too.
 func WaitRevision(ctx context.Context, list []Process, number uint64) error {
-	return waitAll(ctx, list, fmt.Sprintf("hold revision %d", number), func(ctx context.Context, p Process) error {
-		var st Status
-		if err := Send(ctx, http.MethodGet, p.URL+"/v1/status", nil, &st); err != nil {
+	return pollAll(ctx, list, fmt.Sprintf("hold revision %d", number), func(ctx context.Context, p Process) error {
+		var status Status
+		if err := SendJSON(ctx, http.MethodGet, p.URL+"/v1/status", nil, &status); err != nil {
 			return err
 		}
-		if st.Revision < number {
-			return errors.Errorf("holds revision %d", st.Revision)
+		if status.Revision < number {
+			return errors.Errorf("holds revision %d", status.Revision)
 		}
 		return nil
 	})
 }
 
-// waitAll polls every process until check passes or ctx ends, all at once.
-func waitAll(ctx context.Context, list []Process, what string, check func(context.Context, Process) error) error {
+// pollAll polls all processes concurrently, each until check succeeds or ctx ends.
+// Its error names the processes that failed and what they were expected to do.
+func pollAll(ctx context.Context, list []Process, expected string, check func(context.Context, Process) error) error {
 	var (
-		mu   sync.Mutex
-		late []string
-		all  sync.WaitGroup
+		mu     sync.Mutex
+		failed []string
+		wg     sync.WaitGroup
 	)
 	for _, p := range list {
-		all.Go(func() {
-			if err := waitOne(ctx, p, check); err != nil {
+		wg.Go(func() {
+			if err := pollUntil(ctx, p, check); err != nil {
 				mu.Lock()
-				late = append(late, fmt.Sprintf("%s: %v", p.Name, err))
+				failed = append(failed, fmt.Sprintf("%s: %v", p.Name, err))
 				mu.Unlock()
 			}
 		})
 	}
-	all.Wait()
-	if late != nil {
-		return errors.Errorf("these do not %s: %s", what, strings.Join(late, "; "))
+	wg.Wait()
+	if failed != nil {
+		return errors.Errorf("processes do not %s: %s", expected, strings.Join(failed, "; "))
 	}
 	return nil
 }
 
-func waitOne(ctx context.Context, p Process, check func(context.Context, Process) error) error {
-	tick := time.NewTicker(pollEvery)
+// pollUntil polls p until check succeeds or ctx ends, and then returns the last
+// error.
+func pollUntil(ctx context.Context, p Process, check func(context.Context, Process) error) error {
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	for {
-		ask, cancel := context.WithTimeout(ctx, askTimeout)
-		err := check(ask, p)
+		pollCtx, cancel := context.WithTimeout(ctx, pollTimeout)
+		err := check(pollCtx, p)
 		cancel()
 		if err == nil {
 			return nil
@@ -175,29 +181,31 @@
 	}
 }
 
-// Nodes returns the agents and entries.
-func (s *Site) Nodes() []Process { return append(s.Role(RoleAgent), s.Role(RoleEntry)...) }
+// AgentsAndEntries returns all agents, followed by all entries.
+func (s *Site) AgentsAndEntries() []Process {
+	return append(s.ByRole(RoleAgent), s.ByRole(RoleEntry)...)
+}
 
-// Commit signs a manifest as revision number after number-1 with the site's
-// test key and appends it to the log.
+// Commit signs a manifest with the test key, as revision number that follows
+// number-1, and appends it to the log.
 func (s *Site) Commit(ctx context.Context, number uint64, data []byte) error {
-	_, private := Key()
+	_, private := SigningKey()
 	id, key, err := manifest.ParsePrivateKey(private)
 	if err != nil {
 		return errors.Trace(err)
 	}
-	log := httplog.New(s.Get("log").URL, "load")
+	log := httplog.New(s.ByName("log").URL, "load")
 	defer log.Close()
 	rev := manifest.Sign(key, id, number, number-1, data)
 	_, err = log.Append(ctx, platform.StreamControl, control.EncodeCommit("load-"+uuid.NewString(), rev))
 	return errors.Annotatef(err, "commit revision %d", number)
 }
 
-// Up brings a site whose processes were started into service: the VM list,
-// the first revision, and a wait until every entry and agent is ready.
-func (s *Site) Up(ctx context.Context) error {
+// BringUp puts a site with started processes into service: it fills the VM list,
+// commits the first revision and waits until all agents and entries serve.
+func (s *Site) BringUp(ctx context.Context) error {
 	platformRoles := []string{RoleLog, RoleWeights, RoleVMs, RoleEngine, RoleService, RoleScorer}
-	if err := s.WaitUp(ctx, "/livez", platformRoles...); err != nil {
+	if err := s.WaitAnswering(ctx, "/livez", platformRoles...); err != nil {
 		return errors.Trace(err)
 	}
 	if err := s.Register(ctx); err != nil {
@@ -206,38 +214,39 @@
 	if err := s.Commit(ctx, 1, s.Manifest("first revision")); err != nil {
 		return errors.Trace(err)
 	}
-	if err := WaitRevision(ctx, s.Nodes(), 1); err != nil {
+	if err := WaitRevision(ctx, s.AgentsAndEntries(), 1); err != nil {
 		return errors.Trace(err)
 	}
-	if err := s.WaitUp(ctx, "/readyz", RoleAgent, RoleEntry); err != nil {
+	if err := s.WaitAnswering(ctx, "/readyz", RoleAgent, RoleEntry); err != nil {
 		return errors.Trace(err)
 	}
 	return errors.Trace(s.waitServing(ctx))
 }
 
-// waitServing waits until each entry has served a read and a completion: all
-// start at once, and the VM list lags.
+// waitServing waits until each entry has served a read and a completion. Entries
+// can be ready earlier, as all processes start at once and the VM list lags.
 func (s *Site) waitServing(ctx context.Context) error {
-	return waitAll(ctx, s.Role(RoleEntry), "serve", func(ctx context.Context, p Process) error {
+	return pollAll(ctx, s.ByRole(RoleEntry), "serve", func(ctx context.Context, p Process) error {
 		b := client.NewBalancer([]string{p.URL})
 		c := client.New(b, Token(Caller), 1)
 		read := c.Call(ctx, client.Call{RequestID: uuid.NewString(), Service: s.Deployment.Service, Method: http.MethodGet, Path: "/up"})
 		if !read.OK() {
 			return errors.Errorf("read: %s", read.Kind())
 		}
-		ask := client.Completion{RequestID: uuid.NewString(), Model: s.Deployment.Model, Prompt: "up", MaxTokens: 1}
-		made, _ := c.Complete(ctx, ask, nil)
-		if !made.OK() {
-			return errors.Errorf("completion: %s", made.Kind())
+		request := client.Completion{RequestID: uuid.NewString(), Model: s.Deployment.Model, Prompt: "up", MaxTokens: 1}
+		completion, _ := c.Complete(ctx, request, nil)
+		if !completion.OK() {
+			return errors.Errorf("completion: %s", completion.Kind())
 		}
 		return nil
 	})
 }
 
-// PIDFile is where whoever starts a process writes its pid.
+// PIDFile returns the path of the file to which the starter of a process writes
+// its PID.
 func (s *Site) PIDFile(name string) string { return filepath.Join(s.Dir, "pids", name) }
 
-// PID reads a process's pid.
+// PID reads the PID of a process from its PID file.
 func (s *Site) PID(name string) (int, error) {
 	data, err := os.ReadFile(s.PIDFile(name))
 	if err != nil {
@@ -250,13 +259,13 @@
 	return pid, nil
 }
 
-// WaitURLs waits until each URL answers 200.
+// WaitURLs waits until each URL answers with a 2xx status.
 func WaitURLs(ctx context.Context, urls []string) error {
 	list := make([]Process, len(urls))
 	for i, url := range urls {
 		list[i] = Process{Name: url, URL: url}
 	}
-	return waitAll(ctx, list, "answer", func(ctx context.Context, p Process) error {
-		return Send(ctx, http.MethodGet, p.URL, nil, nil)
+	return pollAll(ctx, list, "answer", func(ctx context.Context, p Process) error {
+		return SendJSON(ctx, http.MethodGet, p.URL, nil, nil)
 	})
 }
--- a/load/site/model.go
+++ b/load/site/model.go
@@ -7,8 +7,8 @@
 	"dandelionsill.org/load/judge"
 )
 
-// EngineModel is the speed model of the engine stand-ins, in model time. Zero
-// fields take defaults.
+// EngineModel holds the parameters of the engine stand-ins, with durations in
+// model time. Zero fields take defaults.
 type EngineModel struct {
 	Slots         int           `json:"slots"`
 	StepBase      time.Duration `json:"step_base"`
@@ -52,21 +52,22 @@
 	return m
 }
 
-// Lengths is the part of the model that the judge needs.
-func (m EngineModel) Lengths() judge.Lengths {
-	return judge.Lengths{Mean: m.MeanTokens, Sigma: m.Sigma}
+// LengthModel returns the parameters from which answer lengths follow.
+func (m EngineModel) LengthModel() judge.LengthModel {
+	return judge.LengthModel{Mean: m.MeanTokens, Sigma: m.Sigma}
 }
 
-// Token is the model time of one token of a stream among n.
-func (m EngineModel) Token(n int) time.Duration {
+// TokenTime returns the model time for one token of a stream while n streams run
+// on the engine.
+func (m EngineModel) TokenTime(n int) time.Duration {
 	return m.StepBase + time.Duration(n)*m.StepPerStream
 }
 
-// Ideal is the shortest model time in which so many engines could make
-// samples of these lengths: all tokens at the engines' total rate, or the
-// longest sample as the only stream of an engine, whichever is longer. An
-// engine that is n times slower counts as 1/n.
-func (m EngineModel) Ideal(lengths []int, engines float64) time.Duration {
+// IdealTime returns a lower bound on the model time in which the engines can
+// generate samples of these lengths: the time for all tokens at the engines' total
+// rate, or the time for the longest sample as the only stream of an engine,
+// whichever is longer. An engine that is n times slower counts as 1/n.
+func (m EngineModel) IdealTime(lengths []int, engines float64) time.Duration {
 	total, longest := 0, 0
 	for _, n := range lengths {
 		total += n
@@ -75,8 +76,8 @@
 	if engines == 0 {
 		return 0
 	}
-	perToken := float64(m.Token(m.Slots)) / (float64(m.Slots) * engines)
-	return max(time.Duration(float64(total)*perToken), time.Duration(longest)*m.Token(1))
+	perToken := float64(m.TokenTime(m.Slots)) / (float64(m.Slots) * engines)
+	return max(time.Duration(float64(total)*perToken), time.Duration(longest)*m.TokenTime(1))
 }
 
 func (m EngineModel) args() []string {
@@ -93,9 +94,9 @@
 	}
 }
 
-// ServiceModel is the speed of the plain services' stand-ins, in wall time.
+// ServiceModel holds the parameters of the plain services' stand-ins, in wall time.
 type ServiceModel struct {
-	Mean time.Duration `json:"mean"` // mean time of one run (exponential)
+	Mean time.Duration `json:"mean"` // mean duration of one run (exponential distribution)
 }
 
 func (m ServiceModel) withDefaults() ServiceModel {
