--- a/Makefile
+++ b/Makefile
@@ -1,16 +1,16 @@
-# The commands of the project. Each is a script that runs on its own as well.
+# The project's commands. Most targets call a script that can also be run directly.
 
 .PHONY: all build demo test race soak lint bench clean
 
 all: build
 
-# Every binary, into bin/. cgo links them to the C library (needs a C compiler).
+# Builds every binary into bin/. cgo links them to the C library (needs a C compiler).
 build:
 	CGO_ENABLED=1 go build -o bin/ ./cmd/...
 
-# The system on loopback with stand-ins for the platform; one agent is killed
-# and one entry stopped on the way. Ends with "demo: ok" or "demo: FAILED". Then
-# the prepared machines' path, which ends with "demo-hosted: ok".
+# Runs the system on loopback with stand-ins for the platform, kills one agent and
+# stops one entry during the run. Ends with "demo: ok" or "demo: FAILED". Then runs
+# the demo of the prepared machines (gateways), which ends with "demo-hosted: ok".
 demo: build
 	bash examples/demo.sh
 	bash examples/demo-hosted.sh
@@ -18,12 +18,13 @@
 test:
 	bash hack/test
 
-# Every package under the race detector; see hack/test for why this is no verdict.
+# Runs the unit tests of every package under the race detector. CI does not use the
+# result; hack/test gives the reason.
 race:
 	go test -race -timeout 300s $$(go list work | grep -vE '^dandelionsill.org/(e2e|soak)')
 
-# make soak [SEEDS=50] [SEED=0]: the real processes under randomized faults; SEED=0
-# takes seeds from the clock. Logs of each run stay in run/soak.
+# make soak [SEEDS=50] [SEED=0]: runs the real processes under randomized faults; SEED=0
+# takes seeds from the clock. The logs of each run are kept in run/soak.
 soak:
 	mkdir -p run/soak
 	go test ./soak/ -v -timeout 4h -soak.seeds $(or $(SEEDS),10) -soak.seed $(or $(SEED),0) -soak.keep $(CURDIR)/run/soak
@@ -31,7 +32,7 @@
 lint:
 	bash hack/lint
 
-# make bench [SCENARIO=…] [DEPLOYMENT=…] [POLICY=…] (comma separated; all when unset)
+# make bench [SCENARIO=…] [DEPLOYMENT=…] [POLICY=…] (comma separated; unset: all)
 bench: build
 	SCENARIO='$(SCENARIO)' DEPLOYMENT='$(DEPLOYMENT)' POLICY='$(POLICY)' bash bench/run
 
--- a/hack/outernames/main.go
+++ b/hack/outernames/main.go
@@ -1,13 +1,13 @@
 // Command outernames lists the names and texts of the workspace that leave a process
 // or are matched outside the code: fields of messages and of stored records, enum
 // values, headers, paths, settings, flags, environment variables, metrics, spans,
-// names of log fields, texts of answers, and messages of logs and errors that a tool or
-// a test matches. A change of wording has to keep them letter for letter. It reads the
-// output of "go list -export -deps -json work"; hack/outernames/run calls it.
+// names of log fields, texts of answers, and log and error messages that a tool or a
+// test matches. A change of wording must leave all of them unchanged. The command reads
+// the output of "go list -export -deps -json work"; hack/outernames/run calls it.
 //
-// Each line holds a category, a name quoted as in Go, how often it stands in code that
-// is no test, and the packages where. -check compares the list with the code, prints
-// what was taken out, put in or stands more or less often, and exits 1 if there is any.
+// Each line holds a category, a name quoted as in Go, the number of its uses in code other
+// than tests, and the packages that use it. -check compares a list with the code, prints
+// every name whose number of uses differs, and exits 1 if there is any.
 package main
 
 import (
@@ -38,7 +38,7 @@
 // entry is a name in a category.
 type entry struct{ category, name string }
 
-// list counts entries and holds the packages of each.
+// list holds the number of uses of each entry and the packages that use it.
 type list struct {
 	count    map[entry]int
 	packages map[entry]map[string]bool
@@ -93,7 +93,7 @@
 	return compare(before, l.count)
 }
 
-// pkg is what "go list" tells of a package.
+// pkg is a package as "go list -json" describes it.
 type pkg struct {
 	ImportPath string
 	Dir        string
@@ -101,7 +101,7 @@
 	GoFiles    []string
 }
 
-// readPackages reads the output of "go list".
+// readPackages decodes the output of "go list -json".
 func readPackages(r io.Reader) ([]pkg, error) {
 	var all []pkg
 	for d := json.NewDecoder(r); ; {
@@ -115,6 +115,8 @@
 	}
 }
 
+// collect lists the names of the packages that standard input describes, and those of the
+// protocol. matched reports whether a log or error message is matched outside the code.
 func collect(matched func(string) bool) (*list, error) {
 	all, err := readPackages(os.Stdin)
 	if err != nil {
@@ -141,8 +143,8 @@
 	return c.list, addProto(c.list, "wire/dandelion.proto")
 }
 
-// matchedTexts says of a message whether tools or tests hold it: one of several words
-// anywhere, another one in quotes.
+// matchedTexts returns a function that reports whether a tool or a test contains a message:
+// a message of several words anywhere in its text, a message of one word only in quotes.
 func matchedTexts() (func(string) bool, error) {
 	var b strings.Builder
 	err := filepath.WalkDir(".", func(path string, d fs.DirEntry, err error) error {
@@ -173,19 +175,21 @@
 	}, err
 }
 
-// matching are folders outside the code whose files may match messages.
+// matching lists the folders and files outside the code that may match messages.
 var matching = []string{"examples", "hack", "bench", "deploy", "Makefile"}
 
 type collector struct {
 	list     *list
 	fset     *token.FileSet
 	importer types.Importer
-	matched  func(string) bool // whether a message is matched outside the code
-	seen     map[string]bool   // types whose fields are listed
+	matched  func(string) bool // reports whether a message is matched outside the code
+	seen     map[string]bool   // types whose fields have been listed
 	info     *types.Info
-	name     string // of the package, without the module
+	name     string // the current package's path without the module prefix
 }
 
+// load parses and type-checks a package and lists its names. Generated protobuf code is
+// left out: addProto lists its names.
 func (c *collector) load(p pkg) error {
 	c.info = &types.Info{Types: map[ast.Expr]types.TypeAndValue{}, Uses: map[*ast.Ident]types.Object{}, Defs: map[*ast.Ident]types.Object{}, Selections: map[*ast.SelectorExpr]*types.Selection{}}
 	c.name = strings.TrimPrefix(p.ImportPath, module)
@@ -210,7 +214,7 @@
 	return nil
 }
 
-// walk visits the nodes of a file with their parents.
+// walk visits the nodes of a file and lists its struct tags, encoded fields and literals.
 func (c *collector) walk(f *ast.File) {
 	var stack []ast.Node
 	ast.Inspect(f, func(n ast.Node) bool {
@@ -239,7 +243,7 @@
 
 var tagPart = regexp.MustCompile(`([A-Za-z_]+):"((?:[^"\\]|\\.)*)"`)
 
-// tag lists the parts of a struct tag; help texts are shown by "--help".
+// tag lists every key and value of a struct tag, help texts included: "--help" prints them.
 func (c *collector) tag(f *ast.Field) {
 	text, err := strconv.Unquote(f.Tag.Value)
 	if err != nil {
@@ -254,7 +258,8 @@
 	}
 }
 
-// literal lists a text by what it is given to.
+// literal lists a string literal in the category of the function that it is passed to. A
+// log or error message that is not matched outside the code is left out.
 func (c *collector) literal(lit *ast.BasicLit, stack []ast.Node) {
 	text, err := strconv.Unquote(lit.Value)
 	if err != nil || text == "" {
@@ -290,19 +295,20 @@
 	c.list.add(category, text, c.name)
 }
 
-// isLog says whether callee writes a line of log.
+// isLog reports whether callee writes a log line.
 func isLog(callee string) bool {
 	name := callee[strings.LastIndex(callee, ".")+1:]
 	return strings.HasPrefix(callee, "(*go.uber.org/zap.Logger).") && slices.Contains([]string{"Debug", "Info", "Warn", "Error", "Log", "Check"}, name)
 }
 
-// isError says whether callee makes an error or ends the process.
+// isError reports whether callee creates an error or panics.
 func isError(callee string) bool {
 	return strings.HasPrefix(callee, "github.com/juju/errors.") || callee == "errors.New" || callee == "fmt.Errorf" || callee == "panic"
 }
 
-// callOf returns the full name of the function that gets the literal and which argument
-// it is, through concatenations and parentheses.
+// callOf returns the full name of the function that the literal is passed to, also as part
+// of a concatenation or in parentheses, and the index of the argument. The name is empty if
+// there is none.
 func (c *collector) callOf(lit ast.Node, stack []ast.Node) (string, int) {
 	child := lit
 	for i := len(stack) - 1; i >= 0; i-- {
@@ -322,6 +328,7 @@
 	return "", 0
 }
 
+// callee returns the full name of the called function, or "" if it is not known.
 func (c *collector) callee(call *ast.CallExpr) string {
 	var id *ast.Ident
 	switch f := ast.Unparen(call.Fun).(type) {
@@ -341,7 +348,8 @@
 	return ""
 }
 
-// encoders are the functions whose arguments' fields go out, and the argument.
+// encoders maps each function that encodes or decodes a value to the index of the argument
+// that holds the value.
 var encoders = map[string]int{
 	"encoding/json.Marshal": 0, "encoding/json.MarshalIndent": 0, "encoding/json.Unmarshal": 1,
 	"(*encoding/json.Encoder).Encode": 0, "(*encoding/json.Decoder).Decode": 0,
@@ -349,9 +357,10 @@
 	"go.uber.org/zap.Any": 1, "go.uber.org/zap.Reflect": 1,
 }
 
-// encoded lists the untagged fields of what a call encodes or decodes: they go out under
-// their own names. A function that hands its own parameter on is followed by its name:
-// every struct given to a parameter of an interface type is listed too.
+// encoded lists the untagged fields of a value that a call encodes or decodes, because they
+// are encoded under their Go names. The workspace's own functions may pass a parameter on to
+// an encoder, so the fields of every value that is passed to one of them as an empty
+// interface are listed too.
 func (c *collector) encoded(call *ast.CallExpr) {
 	name := c.callee(call)
 	if arg, ok := encoders[name]; ok && arg < len(call.Args) {
@@ -376,6 +385,8 @@
 	}
 }
 
+// fields lists the fields of the struct types that t refers to. Named types outside the
+// workspace, generated ones and those listed already are left out.
 func (c *collector) fields(t types.Type) {
 	switch t := t.(type) {
 	case *types.Alias:
@@ -400,6 +411,8 @@
 	}
 }
 
+// structure lists the untagged exported fields of a struct type, and those of its fields'
+// types. Other types are passed to fields.
 func (c *collector) structure(t types.Type, pkg string) {
 	s, ok := t.(*types.Struct)
 	if !ok {
@@ -432,7 +445,7 @@
 	return nil
 }
 
-// read reads a list that was written before.
+// read reads a list that this command wrote and returns the number of uses by entry.
 func read(path string) (map[entry]int, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -443,7 +456,7 @@
 	for lines := bufio.NewScanner(f); lines.Scan(); {
 		parts := strings.Split(lines.Text(), "\t")
 		if len(parts) != 4 {
-			return nil, fmt.Errorf("%s: not a line of a list: %q", path, lines.Text())
+			return nil, fmt.Errorf("%s: line does not have 4 fields separated by tabs: %q", path, lines.Text())
 		}
 		name, err := strconv.Unquote(parts[1])
 		if err != nil {
@@ -456,7 +469,8 @@
 	return before, nil
 }
 
-// compare prints how the code differs from the list.
+// compare prints the entries whose number of uses differs between the list and the code
+// and returns an error if there are any.
 func compare(before, now map[entry]int) error {
 	differ := 0
 	both := maps.Clone(before)
--- a/hack/procs.sh
+++ b/hack/procs.sh
@@ -1,20 +1,21 @@
-# Functions for scripts that start processes of a site: each is started in the
-# background with its log and its pid in $dir, and only these are ended.
+# Functions for scripts that start the processes of a site. Each process runs in the
+# background with its log and its pid in $dir; stop_all ends only these processes.
 # Usage: dir=FOLDER; . hack/procs.sh; trap stop_all EXIT
 
 mkdir -p "$dir/logs" "$dir/pids"
 started=()
 
-# start NAME BINARY ARG… runs a process and writes down its pid. With OLD_BIN set to a
-# folder of binaries of another build, a process named in OLD runs from there at its first
-# start and from bin/ afterwards; the other processes run from there from their second start.
+# start NAME BINARY ARG… starts a process and writes its pid to $dir/pids/NAME. If OLD_BIN
+# names a folder with the binaries of another build, a process listed in OLD runs from there
+# at its first start and from bin/ afterwards; a process that is not listed runs from bin/
+# at its first start and from OLD_BIN afterwards.
 start() {
-  local name=$1 old=
+  local name=$1 use_old=
   shift
   if [ -n "${OLD_BIN:-}" ]; then
-    case " ${OLD:-} " in *" $name "*) old=1 ;; esac
-    [ -e "$dir/pids/$name" ] && { [ -n "$old" ] && old= || old=1; }
-    [ -z "$old" ] || set -- "$OLD_BIN/${1#bin/}" "${@:2}"
+    case " ${OLD:-} " in *" $name "*) use_old=1 ;; esac
+    [ -e "$dir/pids/$name" ] && { [ -n "$use_old" ] && use_old= || use_old=1; }
+    [ -z "$use_old" ] || set -- "$OLD_BIN/${1#bin/}" "${@:2}"
     echo "$name $1" >>"$dir/builds.txt"
   fi
   "$@" >"$dir/logs/$name.log" 2>&1 </dev/null &
@@ -22,7 +23,7 @@
   echo "$!" >"$dir/pids/$name"
 }
 
-# start_plan FILE starts each line "NAME<TAB>BINARY<TAB>ARG…" of a plan.
+# start_plan FILE starts the process of each line "NAME<TAB>BINARY<TAB>ARG…" of a plan.
 start_plan() {
   local -a fields
   while IFS=$'\t' read -r -a fields; do
@@ -30,10 +31,11 @@
   done <"$1"
 }
 
+# pid_of NAME prints the pid of the process's latest start.
 pid_of() { cat "$dir/pids/$1"; }
 
-# stop_all ends what was started here, by pid. SIGKILL reaches stopped
-# processes too.
+# stop_all ends all processes that start has started, by pid. It uses SIGKILL because
+# that also ends suspended (SIGSTOP) processes.
 stop_all() {
   local pid
   {
--- a/hack/testcount/main.go
+++ b/hack/testcount/main.go
@@ -1,10 +1,11 @@
-// Command testcount reads the JSON stream of "go test -json" on standard input,
-// prints the output of what failed and a closing line that counts the tests.
-// It exits 1 unless every failure is a test listed by name in the file of
-// known failures (KNOWN-RED.txt: "package.Test, cause, issue", one a line).
+// Command testcount reads the JSON stream of "go test -json" on standard input, prints
+// the output of the failed tests and packages, and then a line with the number of tests
+// that passed, failed and were skipped. It exits 1 if no test passed or if anything failed
+// but tests that the file of known failures lists (KNOWN-RED.txt: one line
+// "package.Test, cause, issue" for each).
 //
-// A package that fails without a failed test of its own (a build error, a
-// panic, a time limit) is never passed over: its other tests did not run.
+// A package that fails for another reason than a failed test (a build error, a panic, a
+// timeout) always counts as a failure, because its remaining tests did not run.
 package main
 
 import (
@@ -28,19 +29,20 @@
 	FailedBuild string
 }
 
-// maxKnown is how many known failures may stand at once.
+// maxKnown is the largest number of known failures that the file may list.
 const maxKnown = 3
 
 type counts struct{ passed, failed, skipped int }
 
+// tally collects the results of all packages.
 type tally struct {
-	known   map[string]string // package.Test -> its line
-	output  map[string][]string
-	failed  map[string]bool // package.Test, top level only
-	broken  map[string]string
-	ended   map[string]bool // packages whose verdict came
-	started map[string]bool
-	running map[string]map[string]bool // package -> tests without a verdict
+	known   map[string]string          // package.Test -> its line in the file of known failures
+	output  map[string][]string        // package or package.Test -> lines of output
+	failed  map[string]bool            // package.Test, top-level tests only
+	broken  map[string]string          // package -> why it failed other than by a failed test
+	ended   map[string]bool            // packages with a result
+	started map[string]bool            // packages that were started
+	running map[string]map[string]bool // package -> tests without a result yet
 	counts  counts
 }
 
@@ -76,7 +78,8 @@
 	}
 }
 
-// readKnown reads the file of known failures; a missing one holds none.
+// readKnown reads the file of known failures and returns its lines by package.Test. A
+// missing file counts as empty; a malformed line or more than maxKnown entries are errors.
 func readKnown(name string) (map[string]string, error) {
 	known := map[string]string{}
 	data, err := os.ReadFile(name)
@@ -98,15 +101,16 @@
 		known[strings.TrimSpace(test)] = line
 	}
 	if len(known) > maxKnown {
-		return nil, fmt.Errorf("%s: %d known failures, at most %d may stand", name, len(known), maxKnown)
+		return nil, fmt.Errorf("%s: %d known failures, at most %d are allowed", name, len(known), maxKnown)
 	}
 	return known, nil
 }
 
+// line processes one line of input. A line that is not JSON is printed unchanged.
 func (t *tally) line(raw []byte, verbose bool) {
 	var e event
 	if json.Unmarshal(raw, &e) != nil {
-		fmt.Println(string(raw)) // the go command's own words
+		fmt.Println(string(raw)) // a message of the go command itself
 		return
 	}
 	if e.Test != "" {
@@ -134,8 +138,8 @@
 	}
 }
 
-// test takes a test's verdict. Only top-level tests count: a subtest's
-// failure fails its parent.
+// test processes an event of a test. Only top-level tests are counted, because a failed
+// subtest fails its parent.
 func (t *tally) test(e event) {
 	id := e.Package + "." + e.Test
 	top := !strings.Contains(e.Test, "/")
@@ -170,7 +174,8 @@
 	}
 }
 
-// packageFailed marks a package broken unless failed tests explain it whole.
+// packageFailed records a package as broken unless its failure is explained by failed
+// tests alone: then no test is left without a result and the output shows no panic.
 func (t *tally) packageFailed(e event) {
 	if e.FailedBuild != "" {
 		t.broken[e.Package] = "does not build"
@@ -191,7 +196,7 @@
 	}
 }
 
-// report prints what failed and the count, and tells whether the run passes.
+// report prints the failures and the numbers of tests, and reports whether the run passes.
 func (t *tally) report() bool {
 	passes := true
 	for _, id := range sorted(t.failed) {
@@ -231,13 +236,14 @@
 	return passes && t.counts.passed > 0
 }
 
-// unfinishedLines is how many lines are printed of each test that had not ended
-// when its package did: a crash prints its cause first, then every goroutine.
+// unfinishedLines is the maximum number of output lines that are printed for each test
+// that had not ended when its package did. The first lines are enough: a crash prints its
+// cause before the stacks of all goroutines.
 const unfinishedLines = 80
 
-// printUnfinished prints the output of the tests that were running when their
-// package ended. The go command files a crash under one of them, so that without
-// it a crashed package left no trace of why.
+// printUnfinished prints the output of the tests that were running when their package
+// ended. The go command attributes the output of a crash to one of these tests, so this is
+// the only place where the cause of the crash is shown.
 func (t *tally) printUnfinished(pkg string) {
 	for _, test := range sorted(t.running[pkg]) {
 		lines := t.output[pkg+"."+test]
@@ -245,6 +251,7 @@
 	}
 }
 
+// sorted returns the keys of m in ascending order.
 func sorted[V any](m map[string]V) []string {
 	keys := make([]string, 0, len(m))
 	for k := range m {
