--- a/agent/weights/copies_test.go
+++ b/agent/weights/copies_test.go
@@ -271,18 +271,18 @@
 // frozenParent accepts a fetch and then sends nothing, like a stopped process.
 type frozenParent struct{ pb.AgentClient }
 
-type silentPieces struct {
+type stalledPieces struct {
 	grpc.ServerStreamingClient[pb.WeightsPiece]
 	ctx context.Context
 }
 
-func (s silentPieces) Recv() (*pb.WeightsPiece, error) {
+func (s stalledPieces) Recv() (*pb.WeightsPiece, error) {
 	<-s.ctx.Done()
 	return nil, s.ctx.Err()
 }
 
 func (frozenParent) FetchWeights(ctx context.Context, _ *pb.FetchWeightsRequest, _ ...grpc.CallOption) (grpc.ServerStreamingClient[pb.WeightsPiece], error) {
-	return silentPieces{ctx: ctx}, nil
+	return stalledPieces{ctx: ctx}, nil
 }
 
 // liveParent and liveStore answer at once unless the context has ended.
--- a/agent/weights/keeper.go
+++ b/agent/weights/keeper.go
@@ -220,7 +220,7 @@
 		changed := k.cfg.View.Changed()
 		next := k.step(ctx)
 		if k.claim.isSuperseded() {
-			k.distrust(false, "a newer agent holds this server")
+			k.discardVerified(false, "a newer agent holds this server")
 			return
 		}
 		timer := time.NewTimer(next)
@@ -255,8 +255,8 @@
 // that the process is alive. In the other order a request could be served in
 // between with a version that was verified before the pause.
 func (k *Keeper) checkPause() {
-	if k.pauses.exceeded() {
-		k.distrust(false, "the process stood still longer than its lease")
+	if k.pauses.leaseExceeded() {
+		k.discardVerified(false, "the process stood still longer than its lease")
 	}
 	k.pauses.markAlive()
 }
@@ -265,7 +265,7 @@
 // means that nothing may be served.
 func (k *Keeper) Serving() (version uint64, boot string) {
 	p := k.verified.Load()
-	if k.pauses.exceeded() || k.claim.isSuperseded() {
+	if k.pauses.leaseExceeded() || k.claim.isSuperseded() {
 		return 0, p.boot
 	}
 	return p.serving, p.boot
@@ -301,11 +301,11 @@
 func (k *Keeper) CheckChunk(start, version uint64, boot string) Verdict {
 	p := k.verified.Load()
 	verdict := p.checkChunk(start, version, boot)
-	if k.pauses.exceeded() {
+	if k.pauses.leaseExceeded() {
 		verdict = Contradicts
 	}
 	if verdict == Contradicts && p.loading == 0 {
-		k.distrust(p.boot != boot, "a chunk did not fit the verified state")
+		k.discardVerified(p.boot != boot, "a chunk did not fit the verified state")
 	}
 	return verdict
 }
@@ -371,10 +371,10 @@
 	}
 }
 
-// distrust discards the verified state until the engine is read back. all
-// reports whether the text itself can't be trusted either, and not only its
+// discardVerified discards the verified state until the engine is read back.
+// all reports whether the text itself can't be trusted either, and not only its
 // labels.
-func (k *Keeper) distrust(all bool, reason string) {
+func (k *Keeper) discardVerified(all bool, reason string) {
 	old := k.verified.Load()
 	if old.serving == 0 && old.loading == 0 {
 		return
--- a/agent/weights/swap.go
+++ b/agent/weights/swap.go
@@ -96,7 +96,7 @@
 	k.state.unanswered++
 	if k.state.unanswered >= maxUnanswered {
 		k.state.reportedVersion = 0
-		k.distrust(true, "the engine does not answer: "+err.Error())
+		k.discardVerified(true, "the engine does not answer: "+err.Error())
 	}
 }
 
@@ -105,7 +105,7 @@
 	s := &k.state
 	s.unanswered = 0
 	if st.Boot != s.boot {
-		k.distrust(true, "the engine restarted")
+		k.discardVerified(true, "the engine restarted")
 		*s = runState{boot: st.Boot, retryDelay: minRetryDelay, storeVersion: s.storeVersion, swapTime: s.swapTime, pending: s.pending}
 	}
 	served := uint64(0)
@@ -117,7 +117,7 @@
 		s.reportedVersion = served
 		return
 	}
-	k.distrust(false, fmt.Sprintf("the engine is %s on version %d, verified was %d", st.State, st.Version, p.serving))
+	k.discardVerified(false, fmt.Sprintf("the engine is %s on version %d, verified was %d", st.State, st.Version, p.serving))
 	k.adoptReported(ctx, st, served)
 }
 
@@ -326,7 +326,7 @@
 	if st.State != stateServing || st.Version != w.info.Version || st.Model != k.cfg.Model || st.Boot != boot || !tokenMatches {
 		return errors.Errorf("order (%v) not verified: engine is %s on version %d by order %d", orderErr, st.State, st.Version, st.Order)
 	}
-	if k.pauses.exceeded() || k.verified.Load().loading != w.info.Version {
+	if k.pauses.leaseExceeded() || k.verified.Load().loading != w.info.Version {
 		return errors.New("trust ended while the order ran")
 	}
 	k.state.failed, k.state.everVerified, k.state.reportedVersion = false, true, st.Version
@@ -360,7 +360,7 @@
 // the engine restarts and thus has a known state.
 func (k *Keeper) recordOrderFailure(err error) {
 	k.state.failed = true
-	k.distrust(true, "weight order failed: "+err.Error())
+	k.discardVerified(true, "weight order failed: "+err.Error())
 }
 
 func (k *Keeper) backOff(err error) {
--- a/agent/weights/verified.go
+++ b/agent/weights/verified.go
@@ -66,9 +66,9 @@
 	d.lastAlive.Store(&t)
 }
 
-// exceeded reports whether more than the lease has passed since markAlive was
-// last called.
-func (d *pauseDetector) exceeded() bool { return elapsed(*d.lastAlive.Load(), d.now()) > d.lease }
+// leaseExceeded reports whether more than the lease has passed since the last
+// call of markAlive.
+func (d *pauseDetector) leaseExceeded() bool { return elapsed(*d.lastAlive.Load(), d.now()) > d.lease }
 
 // elapsed returns the time between two instants by the monotonic or the wall
 // clock, whichever shows more.
--- a/load/experiment/scenario.go
+++ b/load/experiment/scenario.go
@@ -158,7 +158,7 @@
 // planned: each is marked as leaving in the VM list and receives SIGTERM shortly
 // after.
 func leave(ctx context.Context, r *run) error {
-	const notice = 200 * time.Millisecond
+	const signalDelay = 200 * time.Millisecond
 	for _, f := range []struct {
 		at   float64
 		name string
@@ -168,7 +168,7 @@
 		if err := r.site.SetVM(ctx, p, platform.VMLeaving); err != nil {
 			return errors.Trace(err)
 		}
-		sleep.For(ctx, notice)
+		sleep.For(ctx, signalDelay)
 		if err := r.terminate(p.Name); err != nil {
 			return errors.Trace(err)
 		}
