--- a/agent/admission/admission.go
+++ b/agent/admission/admission.go
@@ -59,8 +59,8 @@
 }
 
 // Acquire waits for a slot. The release function may be called more than once.
-// Every error proves that the request did not start, except Cancelled: the caller
-// went away and does not get it.
+// Every error proves that the request did not start, except Cancelled, which means
+// that the caller has disconnected and receives no answer.
 func (q *Queue) Acquire(ctx context.Context, t admit.Ticket) (release func(), _ *kinds.Error) {
 	w := &waiter{decision: make(chan *admit.Refusal, 1)}
 	q.mu.Lock()
--- a/agent/admission/admission_test.go
+++ b/agent/admission/admission_test.go
@@ -63,8 +63,8 @@
 	require.Equal(t, int64(200), started.Load()+refused.Load())
 }
 
-// The caller goes away while its request waits: the request must leave the queue at
-// once. A slot that it gets at the same moment must be released, or the backend
+// The caller disconnects while its request waits: the request must leave the queue
+// immediately. A slot that it gets at the same moment must be released, or the backend
 // server would run out of slots over time.
 func TestCancelledWaiterLeavesAtOnce(t *testing.T) {
 	q := New(Config{Slots: 1, MaxQueue: 10})
--- a/agent/calls/calls.go
+++ b/agent/calls/calls.go
@@ -284,7 +284,7 @@
 }
 
 // launch sends the request in a goroutine and lets it run to its end at the backend
-// server, within the service's timeout, even if the caller or the entry goes away.
+// server, within the service's timeout, even if the caller or the entry disconnects.
 // After launch only the goroutine may use c.held, the proof of "not run".
 func (c *call) launch(ctx context.Context, run *once.Run, release func()) <-chan result {
 	done := make(chan result, 1)
--- a/agent/calls/incarnations.go
+++ b/agent/calls/incarnations.go
@@ -70,7 +70,7 @@
 
 // withEndedIncarnation adds the name of the backend server's incarnation to the error
 // of a request that was sent and got no complete answer, if that incarnation has
-// ended. With it the entry can keep the request from ending further servers.
+// ended. With it the entry can keep the request from crashing further servers.
 func (b *backend) withEndedIncarnation(ctx context.Context, err *kinds.Error) *kinds.Error {
 	if err.NotRun() || ctx.Err() != nil {
 		return err
--- a/agent/calls/reply.go
+++ b/agent/calls/reply.go
@@ -85,7 +85,7 @@
 }
 
 // serveIdempotent sends an idempotent request and streams the answer to the entry as
-// it arrives. If the caller goes away, the request to the backend server is
+// it arrives. If the caller disconnects, the request to the backend server is
 // cancelled.
 func (c *call) serveIdempotent(ctx context.Context) *kinds.Error {
 	release, refusal := c.acquireSlot(ctx)
--- a/agent/generate/generate_test.go
+++ b/agent/generate/generate_test.go
@@ -265,8 +265,8 @@
 	requireKind(t, kinds.Superseded, b.call(sampleRequest("f", claim2)).refusal())
 }
 
-// An entry requests the same sample twice: only a hedge may run beside the first
-// request.
+// An entry requests the same sample twice: only a hedge may run at the same time
+// as the first request.
 func TestDuplicateSample(t *testing.T) {
 	b := newTestBench(t)
 	b.call(sampleRequest("a", nil))
--- a/agent/once/once_test.go
+++ b/agent/once/once_test.go
@@ -327,9 +327,9 @@
 
 // Guards against a renewal that runs twice because the caller got "not run" for its
 // key and used a new one. How it came about: the first attempt has the key and waits
-// for the entry's go. The second, through another entry, waits for the first until
-// its own deadline and got deadline_too_short with "not run". Then the first gets its
-// go and runs. The agent knows that another attempt of the same key may still run, so
+// for the entry's CallGo. The second, through another entry, waits for the first until
+// its own deadline and got deadline_too_short with "not run". Then the first gets
+// CallGo and runs. The agent knows that another attempt of the same key may still run, so
 // the answer must be outcome_unknown.
 func TestRepeatOfAKeyThatMayStillRunIsUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -341,7 +341,7 @@
 		_, err, known := table.Lookup(ctx, r)
 		require.True(t, known)
 		require.NotNil(t, err)
-		first.Start() // the go has arrived: the request runs
+		first.Start() // CallGo has arrived: the request runs
 		first.Finish(answer)
 		require.False(t, err.NotRun(), "%v", err)
 		require.Equal(t, string(kinds.OutcomeUnknown), err.Kind())
--- a/agent/server/build.go
+++ b/agent/server/build.go
@@ -33,8 +33,8 @@
 
 const component = "agent"
 
-// Build creates the agent's process from its settings. Everything that runs
-// beside the servers ends with ctx; the process's Close waits for it.
+// Build creates the agent's process from its settings and starts its background
+// loops. They end with ctx; the process's Close waits for them.
 func Build(ctx context.Context, set Settings) (*run.Process, error) {
 	keys, err := manifest.ParseKeys(set.Keys.ManifestPublic)
 	if err != nil {
--- a/agent/server/server.go
+++ b/agent/server/server.go
@@ -1,6 +1,6 @@
-// Package server is the agent process: it serves pb.Agent and pb.Peer beside
-// one backend server, reports its state to the entries that watch it, and
-// leaves without interrupting running work.
+// Package server is the agent process, which is responsible for one backend
+// server. It serves pb.Agent and pb.Peer, reports its state to the entries that
+// watch it, and leaves without interrupting running work.
 package server
 
 import (
--- a/agent/server/server_test.go
+++ b/agent/server/server_test.go
@@ -79,8 +79,8 @@
 	return &confsync.View{Number: number, Manifest: m}
 }
 
-// testAgent is an agent beside a backend server, with a connection to it as an
-// entry has.
+// testAgent is an agent with its backend server, and a connection to the agent
+// like an entry's.
 type testAgent struct {
 	server *Server
 	viewer *fakeViewer
@@ -152,8 +152,8 @@
 	r.awaitState(t, "ready", func(s *pb.AgentState) bool { return s.Ready && s.Slots == 2 })
 }
 
-// sendOrder sends an order, tells the agent to run it once it is ready, and
-// returns the body, whether it was complete, and a refusal if there was one.
+// sendOrder sends an order, answers CallReady with CallGo, and returns the body,
+// whether it was complete, and a refusal if there was one.
 func sendOrder(client pb.AgentClient, open *pb.CallOpen) (body string, complete bool, refusal *pb.Refusal, _ error) {
 	stream, err := client.Call(context.Background())
 	if err != nil {
--- a/agent/server/settings.go
+++ b/agent/server/settings.go
@@ -31,7 +31,7 @@
 	Explain Explain
 }
 
-// Backend describes the backend server beside which the agent runs.
+// Backend describes the backend server that the agent is responsible for.
 type Backend struct {
 	Kind           string        `ini:"backend.kind" default:"service" help:"engine or service"`
 	Addr           string        `ini:"backend.addr" kind:"ip:port" help:"IP:port of the backend server"`
--- a/agent/server/watch_test.go
+++ b/agent/server/watch_test.go
@@ -72,8 +72,8 @@
 // An entry with 146 busy engines spent 2.3 MB/s and 18% of a core on their
 // states, 130 times its budget. The watcher's interval limits how often load is
 // sent, and 32 intervals how often warm prefixes are. Changes that callers
-// would notice are sent at once all the same: a request sent to a server that
-// has gone is lost, one sent to a swapping engine waits.
+// would notice are still sent immediately: a request sent to a server that has
+// gone is lost, one sent to a swapping engine waits.
 func TestWatchIntervals(t *testing.T) {
 	start := time.Now()
 	const interval = 400 * time.Millisecond
--- a/agent/weights/claim.go
+++ b/agent/weights/claim.go
@@ -138,7 +138,7 @@
 }
 
 // handleTruncation skips records that the log no longer keeps. An agent that
-// holds a claim gives it up: a newer claim may have been among them, as after a
+// holds a claim steps down: a newer claim may have been among them, as after a
 // pause longer than the log's retention. Claiming again would take the server
 // from the agent that holds it now.
 func (c *claim) handleTruncation(first uint64) error {
--- a/agent/weights/copies.go
+++ b/agent/weights/copies.go
@@ -53,9 +53,9 @@
 // agents below it in the relay tree take them from here. This is bounded: the
 // copy that is kept and the one that is being fetched together have
 // Config.MaxCopyBytes. A copy is dropped once this agent's engine serves it and
-// the agents that should fetch it from here have it, or after copyRetention; in
-// a fleet without a relay tree that is at once. An engine that restarts later
-// has its weights fetched again.
+// the agents that should fetch it from here have it, or after copyRetention.
+// Without a relay tree no agent should, so it is dropped as soon as the engine
+// serves it. An engine that restarts later has its weights fetched again.
 type copies struct {
 	cfg        Config
 	log        *zap.Logger // writes each message at most once per logInterval
@@ -95,9 +95,9 @@
 
 // bestToLoad returns the copy to load when target is wanted: the copy of target
 // or, while that is being fetched, a copy of an older version that is newer
-// than the served one. If versions are published faster than they can be
-// fetched, the newest one is never here. It returns nil if there is nothing to
-// load.
+// than the served one. Otherwise an engine would never load new weights if
+// versions are published faster than they can be fetched. It returns nil if
+// there is nothing to load.
 func (c *copies) bestToLoad(target, serving uint64) *versionCopy {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/agent/weights/keeper.go
+++ b/agent/weights/keeper.go
@@ -31,8 +31,8 @@
 // successor's first order. That costs one swap; labels stay correct because
 // they come from the chunks.
 //
-// When a swap starts: whatever the swap waits for must be worth more than what
-// the trainers lose by waiting. An engine that serves nothing, or whose version
+// When a swap starts: it waits only for what is worth more than the trainers
+// lose by waiting. An engine that serves nothing, or whose version
 // is below a trainer's floor, swaps at once; only an engine that also serves
 // applications keeps its wave, otherwise all engines of a model could be out of
 // service together. Any other engine swaps in its wave's first slot, without
--- a/agent/weights/swap.go
+++ b/agent/weights/swap.go
@@ -312,7 +312,7 @@
 }
 
 // verify reads the engine back after an order. An order whose answer was lost
-// may have been executed all the same; one that failed partway leaves an engine
+// may still have been executed; one that failed partway leaves an engine
 // that may serve anything, whatever it reports.
 func (k *Keeper) verify(ctx context.Context, w *versionCopy, boot string, token uint64, orderErr error) error {
 	if errors.Is(orderErr, platform.ErrLoadFailed) || errors.Is(orderErr, platform.ErrFenced) {
