--- a/entry/calls/attempt.go
+++ b/entry/calls/attempt.go
@@ -122,15 +122,15 @@
 	if err := a.checkBeforeGo(); err != nil {
 		return nil, err
 	}
-	// The proof is given up before the send, not after it: a process that fails in
-	// between must answer "outcome unknown".
+	// The proof of "not run" is discarded before the send, not after it: a failure in
+	// between must be answered with "outcome unknown".
 	a.request.Held.MarkSent()
 	_ = a.stream.Send(&pb.CallSend{Part: &pb.CallSend_Go{Go: &pb.CallGo{}}})
 	return a.readAnswer(h.cfg.MaxBuffer, nil)
 }
 
 // checkBeforeGo returns an error if, between CallReady and CallGo, the connection was
-// lost, the agent refused, the deadline passed or the caller went away.
+// lost, the agent refused, the deadline passed or the caller disconnected.
 func (a *attempt) checkBeforeGo() error {
 	if a.ctx.Err() != nil {
 		return a.noReplyError(a.ctx.Err())
@@ -154,7 +154,7 @@
 func (a *attempt) nextReply() (*pb.CallReply, error) {
 	lost := a.server.lost
 	if a.request.Held.Sent() && !a.request.Repeatable {
-		// The request was sent and must not be repeated: only its own answer can tell
+		// The request was sent and must not be repeated: only its own answer shows
 		// the outcome, so a lost server does not end the wait.
 		lost = nil
 	}
--- a/entry/calls/calls_test.go
+++ b/entry/calls/calls_test.go
@@ -293,7 +293,7 @@
 }
 
 // Either the deadline passes while the write waits for a slot, or the queues are longer
-// than the deadline. In both cases the request did not run, and the caller is told so. A
+// than the deadline. In both cases the request did not run, and the answer says so. A
 // read that was sent may have run.
 func TestExpiredDeadlines(t *testing.T) {
 	s := startEntry(t, Config{}, func(f *fakeAgent, _ *pb.CallOpen, st stream) error {
--- a/entry/calls/http10_test.go
+++ b/entry/calls/http10_test.go
@@ -19,7 +19,7 @@
 // Guards against a single caller exhausting the entry's memory, which ends every request
 // in flight. The caller uses HTTP/1.0 and asks for a long answer without a length. The
 // entry can't forward it in parts that might look complete, and would buffer all of it
-// without a bound. 64 MB stand for any size here; MaxBuffer is 64 KB.
+// without a bound. The 64 MB are an example of any size; MaxBuffer is 64 KB.
 func TestBufferedAnswerIsBoundedForHTTP10(t *testing.T) {
 	const piece, pieces = 1 << 20, 64
 	var sent atomic.Int64
--- a/entry/calls/result.go
+++ b/entry/calls/result.go
@@ -33,7 +33,7 @@
 	case res.attempt.noReply:
 		res.attempt.close(res.attempt.outcome())
 	default:
-		res.attempt.close(fleet.Abandoned) // the caller went away
+		res.attempt.close(fleet.Abandoned) // the caller disconnected
 	}
 }
 
--- a/entry/fleet/retire_test.go
+++ b/entry/fleet/retire_test.go
@@ -53,7 +53,7 @@
 // server which did not fail. Request X is in flight at vm-1 and request T picks
 // vm-1 from the snapshot. The subset or the VM list changes and vm-1 is retired.
 // T's Begin counts on a new counter, as the retired one was removed. T receives
-// ready and sends go, and X ends. If maintain looked at the counter only, it would
+// CallReady and sends CallGo, and X ends. If maintain looked at the counter only, it would
 // see no work and close the connection during T. T waits in Lost for the lock that
 // reconcile holds, so every request picked during a reconcile was affected.
 func TestCallOnRetiredAgentIsNotInterrupted(t *testing.T) {
--- a/entry/server/build.go
+++ b/entry/server/build.go
@@ -170,7 +170,7 @@
 }
 
 // limitSharers returns a function for the number of entries that share callers'
-// limits, or nil if each entry enforces the whole limits.
+// limits, or nil if each entry enforces the full limits.
 func (e *entry) limitSharers() func() int {
 	if !e.settings.Entry.ShareLimits {
 		return nil
--- a/entry/steps/schedule.go
+++ b/entry/steps/schedule.go
@@ -16,11 +16,11 @@
 const (
 	tickInterval     = 25 * time.Millisecond
 	idleTickInterval = time.Second // without active steps, only idle trainers have to be detected
-	// slotsPerQueuedRun bounds the runs that may wait in an agent's queue: one, and one
-	// more for each so many slots of the server. Runs may wait there if others fill the
-	// slots, because the agent's fair queue gives a trainer its share only while the
-	// trainer has something queued. They may also wait while much of the step is
-	// queued; otherwise each slot would stay empty for a round trip after each sample.
+	// slotsPerQueuedRun bounds the runs that may wait in an agent's queue: one, plus one
+	// for every slotsPerQueuedRun slots of the server. Runs may wait there if others
+	// fill the slots, because the agent's fair queue gives a trainer its share only
+	// while the trainer has something queued. They may also wait while much of the step
+	// is queued; otherwise each slot would stay empty for a round trip after each sample.
 	slotsPerQueuedRun    = 16
 	deepQueueRatio       = 1.0 // queued samples per running one above which much of a step counts as queued
 	minFailureCooldown   = 100 * time.Millisecond
