--- a/load/commands/judge.go
+++ b/load/commands/judge.go
@@ -88,7 +88,7 @@
 		return err
 	}
 	if newest < f.version {
-		return errors.Errorf("version %d made nothing of the last step; the newest that did is %d", f.version, newest)
+		return errors.Errorf("version %d generated no token of the last step; the newest that did is %d", f.version, newest)
 	}
 	return nil
 }
@@ -187,7 +187,7 @@
 	}
 	fmt.Fprintln(w, string(data))
 	if n := c.Total(); n > 0 {
-		return errors.Errorf("%d promises broken", n)
+		return errors.Errorf("%d violations of guarantees", n)
 	}
 	return nil
 }
--- a/load/experiment/run.go
+++ b/load/experiment/run.go
@@ -173,8 +173,8 @@
 	return time.Duration(float64(train) * r.site.TimeScale)
 }
 
-// relativeSpeed returns the current speed of the engine beside agent as a share of
-// the speed without faults. The caller holds r.mu.
+// relativeSpeed returns the current speed of the agent's engine as a share of its
+// speed without faults. The caller holds r.mu.
 func (r *run) relativeSpeed(agent site.Process) float64 {
 	switch slow := r.slowFactors[agent.BackendServer]; {
 	case r.stopped[agent.Name]:
--- a/load/rollout/rollout.go
+++ b/load/rollout/rollout.go
@@ -54,7 +54,7 @@
 	WeightBytes  int
 	// NewestVersion is the model's newest version, shared by its trainers.
 	NewestVersion *atomic.Uint64
-	// KnownLengths, if set, stands for what the trainer knows from its previous
+	// KnownLengths, if set, holds what the trainer knows from its previous
 	// training epoch: it sends the mean length of earlier samples of a prompt as
 	// the expected length.
 	KnownLengths *judge.LengthModel
