--- a/soak/callers_test.go
+++ b/soak/callers_test.go
@@ -15,7 +15,7 @@
 	"dandelionsill.org/platform/hosted/hostedtest"
 )
 
-// result is one listed result as a trainer reads it.
+// result is one result of a job as a trainer reads it.
 type result struct {
 	ID       string   `json:"id"`
 	State    string   `json:"state"`
@@ -24,18 +24,18 @@
 	Score    string   `json:"score"`
 }
 
-// outcome is what a caller heard of a request that may run once.
+// outcome is the answer that a caller got to a request that may run at most once.
 type outcome struct {
-	status      int // 0: no answer
+	status      int // HTTP status; 0: no answer
 	notExecuted bool
 }
 
-// record is what the callers saw, and the breaches they found.
+// record collects what the callers observed and the violations that were found.
 type record struct {
 	mu         sync.Mutex
 	results    map[string][]result // by job
 	accepted   map[string]bool
-	refused    map[string]bool // jobs that every try was told "not run" of
+	refused    map[string]bool // jobs whose every attempt was answered "not run"
 	writes     map[string]outcome
 	violations []string
 	served     int
@@ -51,7 +51,8 @@
 	r.violations = append(r.violations, fmt.Sprintf(format, args...))
 }
 
-// checkResults checks results from a position on against those checkResults before.
+// checkResults compares results, the first of which is at position after, with
+// those that were read before, and stores the new ones.
 func (r *record) checkResults(job, gateway string, after int, results []result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -69,7 +70,7 @@
 	r.results[job] = known
 }
 
-// client is a caller of random gateways, each time on a new connection.
+// client is a caller that uses a random gateway and a new connection for each request.
 type client struct {
 	sys  *system
 	rec  *record
@@ -83,16 +84,17 @@
 	}}
 }
 
-// ask sends a request of the organisation to a gateway; status 0: no answer.
+// ask sends a request with the organisation's current key to a gateway. The
+// status is 0 if there was no complete answer.
 func (c *client) ask(ctx context.Context, gateway *process, method, path, id string, body []byte) (int, http.Header, []byte) {
 	status, header, data := c.askAs(ctx, gateway, method, path, id, body, http.Header{hostedtest.HeaderKey: {c.sys.currentKey()}})
 	if status == http.StatusUnauthorized {
-		c.rec.reportViolation("request %s was refused at %s for a key that all configurations hold", id, gateway.name)
+		c.rec.reportViolation("request %s was refused at %s for a key that every configuration contains", id, gateway.name)
 	}
 	return status, header, data
 }
 
-// askAs sends a request with headers of the caller's own.
+// askAs is ask with the given headers instead of the organisation's key.
 func (c *client) askAs(ctx context.Context, gateway *process, method, path, id string, body []byte, header http.Header) (int, http.Header, []byte) {
 	r, err := http.NewRequestWithContext(ctx, method, "http://"+gateway.listen+path, bytes.NewReader(body))
 	if err != nil {
@@ -117,7 +119,8 @@
 	return c.sys.gatewayProcs[c.rng.IntN(len(c.sys.gatewayProcs))]
 }
 
-// sendRequests sends plain requests until ctx ends: some may run once only.
+// sendRequests sends synchronous requests until ctx ends. About half of them go to
+// a path whose requests may run at most once.
 func (c *client) sendRequests(ctx context.Context, name string) {
 	for n := 0; ctx.Err() == nil; n++ {
 		id := fmt.Sprintf("%s-%d", name, n)
@@ -146,8 +149,8 @@
 	}
 }
 
-// runTrainer asks for one step after the other until ctx ends; it finishes the
-// step that it is at.
+// runTrainer submits one step after the other and reads its results until ctx
+// ends.
 func (c *client) runTrainer(ctx context.Context, number int) {
 	for step := 0; ctx.Err() == nil; step++ {
 		job := jobName(number, step)
@@ -168,17 +171,18 @@
 	}
 }
 
-// stepTimeout is how long a trainer waits for a step.
+// stepTimeout is how long a trainer waits for the results of a step.
 const (
 	stepTimeout = 8 * time.Second
 	stepItems   = 8
 )
 
-// submit hands a job in until it is accepted, or ten tries were told "not run".
+// submit submits a job up to ten times and reports whether it was accepted. A job
+// whose every attempt was refused as "not run" is recorded as refused.
 func (c *client) submit(job string, floor uint64) bool {
 	body, err := json.Marshal(hostedtest.Job(job, modelName, stepItems, floor))
 	if err != nil {
-		panic(err) // the test's own value
+		panic(err) // the test built the value
 	}
 	refused := true
 	for range 10 {
@@ -201,7 +205,8 @@
 	return false
 }
 
-// readAll reads a job's results at changing gateways until all are there.
+// readAll reads a job's results at random gateways until all are there or maxWait
+// has passed. Some reads start at the first result again.
 func (c *client) readAll(ctx context.Context, job string, maxWait time.Duration) bool {
 	deadline := time.Now().Add(maxWait)
 	after := 0
@@ -249,13 +254,14 @@
 	}
 }
 
-// checkResult holds a listed result against what the engines made.
+// checkResult compares a result with what the engines generated and its versions
+// with the floor.
 func (sys *system) checkResult(rec *record, job string, floor uint64, r result) {
 	if r.State != "completed" {
 		return
 	}
 	if r.Text != hostedtest.Text(r.ID, sys.engines[0].Events) {
-		rec.reportViolation("sample %s: text %.80q is not whole", r.ID, r.Text)
+		rec.reportViolation("sample %s: text %.80q is not complete", r.ID, r.Text)
 	}
 	if r.Score != "seal-score-"+r.ID {
 		rec.reportViolation("sample %s: score %q", r.ID, r.Score)
@@ -265,12 +271,12 @@
 	}
 	for _, v := range r.Versions {
 		if v < floor {
-			rec.reportViolation("sample %s: version %d under the floor %d", r.ID, v, floor)
+			rec.reportViolation("sample %s: version %d is below the floor %d", r.ID, v, floor)
 		}
 	}
 	for n := 1; n <= sys.engines[0].Events; n++ {
 		if !sys.isGenerated(r, n) {
-			rec.reportViolation("sample %s: no engine made event %d with versions %v", r.ID, n, r.Versions)
+			rec.reportViolation("sample %s: no engine generated event %d with versions %v", r.ID, n, r.Versions)
 			return
 		}
 	}
--- a/soak/crashing_test.go
+++ b/soak/crashing_test.go
@@ -12,26 +12,28 @@
 	"dandelionsill.org/platform/hosted/hostedtest"
 )
 
-// crashingServers are servers that crash under some requests and are replaced. No link stands
-// before them: a proxy takes connections for a server that has ended.
+// crashingServers runs servers that crash on some requests and replaces them. They
+// are reached without a link, since a proxy would accept connections for a server
+// that has crashed.
 type crashingServers struct {
 	sys *system
 
 	mu          sync.Mutex
 	servers     []*hostedtest.Server
-	everStarted []*hostedtest.Server // all that were ever started
-	crashes     map[string]int       // servers, by the request under which they ended
+	everStarted []*hostedtest.Server // includes those that have crashed
+	crashes     map[string]int       // number of servers, by the request that crashed them
 	started     int
 }
 
 const (
 	crashingServerCount = 3
-	// crashPath begins the paths of the requests that crash servers.
+	// crashPath is the path prefix of the requests that crash servers.
 	crashPath = "/mortal/deadly"
-	// maxLateCrashes is how many servers may still end under a request once every process
-	// can have heard of the first three.
+	// maxLateCrashes is how many more servers a request may crash after the first three
+	// crashes have been reported to every process.
 	maxLateCrashes = 3
-	// propagationTime is how long the processes have for that after the last fault.
+	// propagationTime is how long the processes have for these reports after the last
+	// fault.
 	propagationTime = 3 * time.Second
 )
 
@@ -53,20 +55,20 @@
 	return s
 }
 
-// allEverStarted returns all servers that were ever started.
+// allEverStarted returns all servers that were started, also those that have crashed.
 func (m *crashingServers) allEverStarted() []*hostedtest.Server {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return slices.Clone(m.everStarted)
 }
 
-// run replaces the servers that have ended until ctx ends.
+// run replaces crashed servers until ctx ends.
 func (m *crashingServers) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		m.replace()
 		select {
 		case <-ctx.Done():
-		case <-time.After(50 * time.Millisecond): // a server is back some time after its end
+		case <-time.After(50 * time.Millisecond): // a crashed server is replaced with a delay
 		}
 	}
 }
@@ -84,7 +86,8 @@
 	}
 }
 
-// crashCause is the request under which a server ended; others may have come beside it.
+// crashCause returns the URI of the request that crashed a server. Other requests
+// may have been running at the same time.
 func crashCause(s *hostedtest.Server) string {
 	for _, a := range s.Arrivals() {
 		if strings.HasPrefix(a.URI, crashPath) {
@@ -94,7 +97,7 @@
 	return ""
 }
 
-// heartbeat writes the servers' entries anew, as they do.
+// heartbeat writes the servers' entries again, as real servers do regularly.
 func (m *crashingServers) heartbeat() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -109,8 +112,8 @@
 	return m.crashes[uri]
 }
 
-// sendCrashing sends one request that crashes servers again and again until ctx ends, and
-// harmless ones between.
+// sendCrashing repeats a request that crashes servers until ctx ends, mixed with
+// harmless ones.
 func (c *client) sendCrashing(ctx context.Context, uri string) {
 	for n := 0; ctx.Err() == nil; n++ {
 		path := uri
@@ -129,10 +132,11 @@
 	}
 }
 
-// verifyQuarantine sends the requests to each gateway once all have had time to hear of the ends
-// under them: hardly any may reach a server, and others are served.
+// verifyQuarantine sends the crashing requests to each gateway after the gateways
+// have had time to learn of the earlier crashes. At most maxLateCrashes of each may
+// crash another server, and harmless requests must be served.
 func (m *crashingServers) verifyQuarantine(rec *record, seed uint64, uris []string) {
-	time.Sleep(propagationTime) // the promise is made for processes that were well for so long
+	time.Sleep(propagationTime) // the guarantee holds only after this long without faults
 	m.replace()
 	c := newClient(m.sys, rec, seed, 4000)
 	for _, uri := range uris {
@@ -142,7 +146,7 @@
 			m.replace()
 		}
 		if late := m.crashCount(uri) - before; before >= crashingServerCount && late > maxLateCrashes {
-			rec.reportViolation("request %s: %d servers ended under it, and %d more when all had heard of it", uri, before, late)
+			rec.reportViolation("request %s: it crashed %d servers, and %d more after all gateways could know of it", uri, before, late)
 		}
 	}
 	for n, g := range m.sys.gatewayProcs {
--- a/soak/doc.go
+++ b/soak/doc.go
@@ -1,7 +1,7 @@
-// Package soak holds a randomized soak: the real gateways and agents as
-// processes on this machine, a platform of stand-ins behind loopback proxies,
-// and faults from outside them by a seed: signals, connections that are
-// delayed, reset or silenced, a store and engines that misbehave. It checks the
-// promises to callers and trainers while it runs, from what they and the
-// backend servers see. See docs/DEVELOPERS.md for how to run it.
+// Package soak holds a randomized soak test. It runs the real gateways and agents
+// as processes on this machine and stand-ins of the platform behind loopback
+// proxies. A seed determines the faults: signals, connections that are delayed,
+// reset or lose their bytes, and a faulty store, engines and servers. While it
+// runs it checks the guarantees to callers and trainers against what they and the
+// backend servers observe. See docs/DEVELOPERS.md for how to run it.
 package soak
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -11,7 +11,7 @@
 	"dandelionsill.org/platform/hosted/hostedtest"
 )
 
-// injector brings faults about by a seed; several overlap.
+// injector injects random faults, determined by a seed. Several may overlap.
 type injector struct {
 	sys    *system
 	rng    *rand.Rand
@@ -19,8 +19,8 @@
 	active sync.WaitGroup
 }
 
-// run begins a fault every 0.1 to 0.7 s until ctx ends, and waits until all
-// have been mended.
+// run injects a fault every 0.1 to 0.7 s until ctx ends, and waits until all of
+// them have been repaired.
 func (in *injector) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		in.inject(ctx)
@@ -87,18 +87,20 @@
 	}
 }
 
-// resumeSlack is how long after a freeze the platform holds a call against nobody: it may
-// have been decided on before.
+// resumeSlack is how long after a process was resumed the platform's stand-in counts
+// no call of it as a violation: it may have decided on the call before it was
+// suspended.
 const resumeSlack = 300 * time.Millisecond
 
 func (in *injector) repairAfter(d time.Duration, repair func()) {
 	in.active.Go(func() {
-		time.Sleep(d) // the fault itself
+		time.Sleep(d) // duration of the fault
 		repair()
 	})
 }
 
-// restart ends a process and starts it again, as the platform does.
+// restart stops a process with a signal, kills it if it does not end in time, and
+// starts it again after the time down, as the platform does.
 func (in *injector) restart(p *process, sig syscall.Signal, down time.Duration) {
 	p.mu.Lock()
 	busy := p.endExpected
@@ -111,12 +113,12 @@
 	in.active.Go(func() {
 		select {
 		case <-p.exited():
-		case <-time.After(6 * time.Second): // the platform's grace is over
+		case <-time.After(6 * time.Second): // the platform's grace period has ended
 			p.signal(syscall.SIGCONT, true)
 			p.signal(syscall.SIGKILL, true)
 			<-p.exited()
 		}
-		time.Sleep(down) // the fault itself
+		time.Sleep(down) // duration of the fault
 		p.start(in.sys.t)
 	})
 }
@@ -136,11 +138,11 @@
 	l.setFaults(m)
 	in.repairAfter(lasts, func() {
 		l.setFaults(linkFaults{})
-		l.reset() // what was swallowed never comes: its connections are dead
+		l.reset() // connections that lost bytes can't be used again
 	})
 }
 
-// clearFaults ends every fault.
+// clearFaults removes every fault.
 func (sys *system) clearFaults() {
 	sys.store.Fail(hostedtest.StoreFaults{})
 	for _, l := range sys.links {
--- a/soak/link_test.go
+++ b/soak/link_test.go
@@ -9,15 +9,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// linkFaults is how a link treats the bytes on it.
+// linkFaults are the faults of a link; the zero value has none.
 type linkFaults struct {
 	delay        time.Duration
-	dropUp       bool // bytes towards the target vanish
-	dropDown     bool // bytes from the target vanish
-	resetOnBytes bool // connections are reset as soon as they carry bytes
+	dropUp       bool // discards bytes to the target
+	dropDown     bool // discards bytes from the target
+	resetOnBytes bool // resets a connection that carries bytes
 }
 
-// link is a proxy on loopback in front of a target.
+// link is a TCP proxy on loopback in front of a target. It injects faults.
 type link struct {
 	name   string
 	addr   string
@@ -81,7 +81,7 @@
 			return
 		}
 		if m.delay > 0 {
-			time.Sleep(m.delay) // the fault itself
+			time.Sleep(m.delay) // the injected delay
 		}
 		if upward && m.dropUp || !upward && m.dropDown {
 			continue
@@ -104,7 +104,7 @@
 	k.faults = m
 }
 
-// reset ends all connections at once, with a reset.
+// reset closes all connections with a TCP reset.
 func (k *link) reset() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/soak/organisations_test.go
+++ b/soak/organisations_test.go
@@ -12,19 +12,22 @@
 )
 
 const (
-	// organisation is whose callers all clients but the intruder are.
+	// organisation is the organisation of all clients except sendWithInvalidKey.
 	organisation = "shop"
-	// keysPerConfig is how many keys a configuration holds; each one drops the oldest.
+	// keysPerConfig is the number of keys in a configuration. Each new configuration
+	// adds a key and drops the oldest one.
 	keysPerConfig = 4
-	// invalidKey is a key that no configuration ever holds.
+	// invalidKey is a key that no configuration contains.
 	invalidKey = "key-stolen"
-	// usageWindow is short, so that several windows fall into a run.
+	// usageWindow is short, so that a run has several windows.
 	usageWindow = time.Second
-	// minHolderGap is the least time between the calls of two holders that take turns.
+	// minHolderGap is the minimum time between calls of a duty's previous holder and
+	// of its next one; it is also the gateways' lease time.
 	minHolderGap = 1500 * time.Millisecond
 )
 
-// configWithKeys is a configuration with the keys of its number and of those before.
+// configWithKeys returns a configuration that contains the key of its version and
+// those of the versions before.
 func configWithKeys(version int) map[string]any {
 	var keys []string
 	for i := range keysPerConfig {
@@ -35,26 +38,27 @@
 
 func keyForVersion(version int) string { return fmt.Sprintf("key-%d", version) }
 
-// applyNextConfig puts the next configuration in force. Clients use a key that the
-// configurations before and behind hold as well.
+// applyNextConfig stores the next configuration and returns its version. Clients use
+// a key that the previous and the next configuration contain as well.
 func (sys *system) applyNextConfig() int {
 	version := int(sys.config.Add(1))
 	sys.store.Put(hostedtest.TopicOperator, "config", configWithKeys(version))
 	return version
 }
 
-// currentKey is what clients send now.
+// currentKey returns the key that clients send now.
 func (sys *system) currentKey() string { return keyForVersion(int(sys.config.Load()) - 1) }
 
-// dutySettings lets a gateway report usage through a link of its own.
+// dutySettings returns settings with which a gateway reports usage through its own
+// link.
 func (sys *system) dutySettings(name string) string {
 	l := newLink(sys.t, name+"-duties", sys.duties.Addr())
 	sys.links = append(sys.links, l)
 	return fmt.Sprintf("[duties]\nplatform = %s\nusage_window = %v\nusage_late = 4s\nlease = %v\n", l.addr, usageWindow, minHolderGap)
 }
 
-// sendWithInvalidKey sends requests with a key that nobody was given, and with another
-// organisation's name, until ctx ends.
+// sendWithInvalidKey sends requests with invalidKey and a forged organisation header
+// until ctx ends. None may be served.
 func (c *client) sendWithInvalidKey(ctx context.Context) {
 	for n := 0; ctx.Err() == nil; n++ {
 		id := fmt.Sprintf("intruder-%d", n)
@@ -62,7 +66,7 @@
 			hostedtest.HeaderKey: {invalidKey}, hostedtest.HeaderOrganisation: {organisation},
 		})
 		if status == http.StatusOK {
-			c.rec.reportViolation("request %s ran with a key that no configuration held", id)
+			c.rec.reportViolation("request %s ran with a key that no configuration contains", id)
 		}
 		select {
 		case <-ctx.Done():
@@ -71,8 +75,8 @@
 	}
 }
 
-// waitForKeys waits until each gateway refuses a key that was taken away, and serves one
-// that was added.
+// waitForKeys replaces all keys and waits until each gateway refuses a removed key and
+// accepts an added one.
 func (sys *system) waitForKeys(rec *record, seed uint64) {
 	c := newClient(sys, rec, seed, 5000)
 	removedKey := sys.currentKey()
@@ -91,8 +95,8 @@
 	}
 }
 
-// verifyUsage waits until usage is reported again, and holds the reports against what
-// the servers began.
+// verifyUsage waits for two more usage reports and compares all reports with what the
+// servers executed.
 func (sys *system) verifyUsage(rec *record) {
 	reports := len(sys.duties.Reports())
 	require.Eventually(sys.t, func() bool { return len(sys.duties.Reports()) >= reports+2 }, 30*time.Second, 20*time.Millisecond, "usage is not reported")
@@ -115,20 +119,21 @@
 	for _, u := range sys.duties.Reports() {
 		counted += u.Counts[organisation]
 	}
-	// Two attempts of one id, a caller that is left without an answer and a process that
-	// dies between a run and its count are the differences that may be.
+	// The counts may differ where one id had two attempts, a caller got no answer, or a
+	// process was killed between a run and its count.
 	if counted > ran+ran/10+20 {
-		rec.reportViolation("usage: %d requests reported, %d began", counted, ran)
+		rec.reportViolation("usage: %d requests reported, %d executed", counted, ran)
 	}
 }
 
-// verifyArrival holds what a server was told of a caller against who sent the request.
+// verifyArrival checks that a server received no key of a caller and no organisation
+// other than that of the request's sender.
 func (sys *system) verifyArrival(rec *record, a hostedtest.Arrival) {
 	if len(a.Header.Values(hostedtest.HeaderKey)) > 0 {
 		rec.reportViolation("request %s: a server got the caller's key", a.ID)
 	}
 	name := a.Header.Get(hostedtest.HeaderOrganisation)
 	if a.URI == "/write/x" && name != organisation || name != "" && name != organisation {
-		rec.reportViolation("request %s: a server was told organisation %q", a.ID, name)
+		rec.reportViolation("request %s: a server received the organisation %q", a.ID, name)
 	}
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -24,7 +24,7 @@
 	logDir    = flag.String("soak.keep", "", "folder for the logs of runs that fail")
 )
 
-// failedOnce are seeds that failed once, each with its cause; they run always.
+// failedOnce lists seeds that failed once, each with its cause. They always run.
 var failedOnce = []struct {
 	seed  uint64
 	cause string
@@ -33,7 +33,7 @@
 	{20320, "a gateway's port was taken by another test's outgoing connection between the choice of it and the gateway's start"},
 }
 
-// binDir is the folder of the binaries under test.
+// binDir contains the binaries under test.
 var binDir string
 
 func TestMain(m *testing.M) {
@@ -58,10 +58,11 @@
 	return m.Run()
 }
 
-// Gateways and agents are killed, frozen, stopped and hung up, their
-// connections delayed, reset and silenced, the store and the servers misbehave,
-// all by a seed and overlapping. Meanwhile trainers and callers hold every
-// answer against the promises; after the faults all accepted work gets done.
+// Random, overlapping faults hit the system: gateways and agents are killed,
+// suspended, stopped and sent SIGHUP, their connections are delayed, reset or lose
+// bytes, and the store and the servers are faulty. Meanwhile trainers and callers
+// check every answer against the guarantees. After the faults, all accepted work
+// must be completed.
 func TestSoak(t *testing.T) {
 	for _, f := range failedOnce {
 		t.Run(fmt.Sprintf("failed-once-%d", f.seed), func(t *testing.T) { runSeed(t, f.seed) })
@@ -121,7 +122,7 @@
 	t.Logf("seed %d: %d faults, %d jobs, %d requests served, %d writes, servers ended under requests: %v", seed, len(faults), len(rec.accepted), rec.served, len(rec.writes), sys.crashing.crashes)
 }
 
-// waitServing waits until every gateway serves requests.
+// waitServing waits until every gateway has served a request.
 func (sys *system) waitServing(rec *record, seed uint64) {
 	c := newClient(sys, rec, seed, 1000)
 	for i, g := range sys.gatewayProcs {
@@ -132,8 +133,8 @@
 	}
 }
 
-// waitForResults waits until every accepted job that was not ended has its results,
-// and reads each of them at every gateway.
+// waitForResults waits until every gateway returns at least those results of each
+// accepted job that were read before, and requires that a new job is completed.
 func (sys *system) waitForResults(rec *record, seed uint64) {
 	c := newClient(sys, rec, seed, 2000)
 	for job := range rec.accepted {
@@ -148,17 +149,18 @@
 				time.Sleep(10 * time.Millisecond)
 			}
 			if !ok {
-				rec.reportViolation("job %s: results that were read don't come again at %s", job, g.name)
+				rec.reportViolation("job %s: results that were read before are missing at %s", job, g.name)
 			}
 		}
 	}
 	last := newClient(sys, rec, seed, 3000)
 	if !last.submit("last", 1) || !last.readAll(context.Background(), "last", 20*time.Second) {
-		rec.reportViolation("no step is served after the faults")
+		rec.reportViolation("no step is completed after the faults")
 	}
 }
 
-// verifyRecord holds what callers heard against what the servers saw.
+// verifyRecord compares the answers that callers got with what the servers received
+// and ran.
 func (sys *system) verifyRecord(rec *record) {
 	for job, results := range rec.results {
 		floor := uint64(1)
@@ -169,7 +171,7 @@
 		seen := map[string]bool{}
 		for _, r := range results {
 			if seen[r.ID] {
-				rec.reportViolation("sample %s stands twice in job %s", r.ID, job)
+				rec.reportViolation("sample %s is listed twice in job %s", r.ID, job)
 			}
 			seen[r.ID] = true
 			sys.checkResult(rec, job, floor, r)
@@ -195,7 +197,7 @@
 		for _, a := range e.Arrivals() {
 			job, _, _ := strings.Cut(a.ID, "-i")
 			if rec.refused[job] {
-				rec.reportViolation("sample %s runs though its job was refused each time", a.ID)
+				rec.reportViolation("sample %s ran although every attempt of its job was refused", a.ID)
 			}
 		}
 		fence := uint64(0)
@@ -208,7 +210,7 @@
 	}
 }
 
-// stopAll stops all processes in the planned way; each has to end in its grace.
+// stopAll stops all processes with SIGTERM. Each must end within its grace period.
 func (sys *system) stopAll() {
 	for _, p := range sys.processes() {
 		p.signal(syscall.SIGTERM, true)
--- a/soak/system_test.go
+++ b/soak/system_test.go
@@ -20,7 +20,7 @@
 	"dandelionsill.org/platform/hosted/hostedtest"
 )
 
-// Sizes of the world: a few dozen connections and seven processes.
+// Size of the system: seven processes and a few dozen connections.
 const (
 	gatewayCount = 3
 	engineCount  = 4
@@ -28,23 +28,23 @@
 	modelName    = "m"
 )
 
-// process is one of the system's processes, with its link to the store.
+// process is a gateway or an agent with its link to the store.
 type process struct {
 	name   string
 	args   []string
 	log    *os.File
 	store  *link
-	listen string // callers' address of a gateway
+	listen string // a gateway's address for callers
 
 	mu          sync.Mutex
 	cmd         *exec.Cmd
 	done        chan struct{}
-	endExpected bool // we ended it
-	// hungUpUnready: it was hung up before it had a handler.
+	endExpected bool // the test ended it
+	// hungUpUnready is set when SIGHUP was sent before the process had a handler for it.
 	hungUpUnready bool
 }
 
-// system is the whole system and its platform.
+// system is the system under test with its platform of stand-ins.
 type system struct {
 	t            *testing.T
 	dir          string
@@ -56,7 +56,7 @@
 	gatewayProcs []*process
 	agentProcs   []*process
 	duties       *hostedtest.Duties
-	config       atomic.Int64 // version in force
+	config       atomic.Int64 // version of the newest configuration
 }
 
 func newSystem(t *testing.T, dir string) *system {
@@ -101,7 +101,7 @@
 	sys.store.Put(hostedtest.TopicServers, s.ID, s.Entry("ready"))
 }
 
-// heartbeat writes the servers' entries anew, as they do.
+// heartbeat writes the servers' entries again, as real servers do regularly.
 func (sys *system) heartbeat() {
 	for _, s := range append(append([]*hostedtest.Server(nil), sys.engines...), sys.services...) {
 		sys.store.Put(hostedtest.TopicServers, s.ID, s.Entry("ready"))
@@ -109,10 +109,10 @@
 	sys.crashing.heartbeat()
 }
 
-// Ports that a process is told to listen on lie below those that the system gives
-// to outgoing connections (from 32768 on): one of these took a port between the
-// test's look and the process's start, and a gateway ended with "address already
-// in use". Each test process begins at a place of its own.
+// Ports for the processes to listen on. They are below the ephemeral ports (from
+// 32768 on): an outgoing connection took such a port between the test's check and
+// the process's start, and a gateway ended with "address already in use". Each test
+// process starts at a different port.
 const (
 	firstPort = 12000
 	portsEnd  = 32000
@@ -163,7 +163,7 @@
 	p.startLocked(t)
 }
 
-// startLocked is start with p.mu held.
+// startLocked starts the process. The caller holds p.mu.
 func (p *process) startLocked(t *testing.T) {
 	p.cmd = exec.Command(p.args[0], p.args[1:]...)
 	p.cmd.Stdout, p.cmd.Stderr = p.log, p.log
@@ -180,9 +180,9 @@
 		switch {
 		case p.endExpected:
 		case p.hungUpUnready && killedBySignal(err, syscall.SIGHUP):
-			p.startLocked(t) // as the platform starts again what ends
+			p.startLocked(t) // the platform restarts processes that end
 		default:
-			t.Errorf("%s ended by itself: %v", p.name, err)
+			t.Errorf("%s ended unexpectedly: %v", p.name, err)
 		}
 	}()
 }
@@ -196,17 +196,17 @@
 	return ok && status.Signaled() && status.Signal() == sig
 }
 
-// hangUp sends SIGHUP. Until a process has a handler for it the kernel's default
-// applies and ends it, whatever the program does: it may not even be loaded (16 of
-// 200 hang-ups sent right after the start met that). Only then may it end by one.
+// hangUp sends SIGHUP. Until the process has installed a handler, the default action
+// terminates it, possibly before the program is loaded (16 of 200 signals sent right
+// after the start did so). Only in this case may SIGHUP end the process.
 func (p *process) hangUp() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.hungUpUnready = p.hungUpUnready || !hasHandler(p.cmd.Process.Pid, syscall.SIGHUP)
-	_ = p.cmd.Process.Signal(syscall.SIGHUP) // it may have ended meanwhile
+	_ = p.cmd.Process.Signal(syscall.SIGHUP) // the process may have ended already
 }
 
-// hasHandler tells whether a process has a handler for a signal now.
+// hasHandler reports whether a process currently has a handler for a signal.
 func hasHandler(pid int, sig syscall.Signal) bool {
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -221,12 +221,12 @@
 	return err == nil && caught&(1<<(uint(sig)-1)) != 0
 }
 
-// signal sends a signal; one that ends the process is expected to.
+// signal sends a signal. ends says that the process may end because of it.
 func (p *process) signal(sig syscall.Signal, ends bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.endExpected = p.endExpected || ends
-	_ = p.cmd.Process.Signal(sig) // it may have ended meanwhile
+	_ = p.cmd.Process.Signal(sig) // the process may have ended already
 }
 
 func (p *process) exited() <-chan struct{} {
@@ -235,7 +235,7 @@
 	return p.done
 }
 
-// killAll stops the processes that this world started, by their ids.
+// killAll kills the processes that the test started and waits for their end.
 func (sys *system) killAll() {
 	for _, p := range sys.processes() {
 		p.signal(syscall.SIGCONT, true)
