--- a/capacity/ask_test.go
+++ b/capacity/ask_test.go
@@ -11,13 +11,13 @@
 	"dandelionsill.org/wire/pb"
 )
 
-// answering says its state once.
-type answering struct {
+// singleStateAgent says its state once.
+type singleStateAgent struct {
 	pb.UnimplementedAgentServer
 	state *pb.AgentState
 }
 
-func (a answering) Watch(_ *pb.WatchRequest, stream pb.Agent_WatchServer) error {
+func (a singleStateAgent) Watch(_ *pb.WatchRequest, stream pb.Agent_WatchServer) error {
 	if err := stream.Send(a.state); err != nil {
 		return err
 	}
@@ -33,7 +33,7 @@
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(b, err)
 	srv := run.NewGRPC(lis.Addr().String()).Server
-	pb.RegisterAgentServer(srv, answering{state: agentState("agent-0001", 64)})
+	pb.RegisterAgentServer(srv, singleStateAgent{state: agentState("agent-0001", 64)})
 	go func() { _ = srv.Serve(traffic.Listen(lis)) }()
 	defer srv.Stop()
 	benchCPU(b, traffic, func() {
--- a/capacity/decide_test.go
+++ b/capacity/decide_test.go
@@ -14,18 +14,18 @@
 	"dandelionsill.org/decide/waves"
 )
 
-// serversUpTo are the sizes at which slopes over servers are taken.
-var serversUpTo = []int{100, 500, Servers}
+// serverCounts are the sizes at which slopes over servers are taken.
+var serverCounts = []int{100, 500, Servers}
 
-// entriesOf keeps the letter's share of entries per server.
-func entriesOf(servers int) int { return max(1, servers*Entries/Servers) }
+// entriesFor keeps the letter's share of entries per server.
+func entriesFor(servers int) int { return max(1, servers*Entries/Servers) }
 
 // BenchmarkSubset chooses one entry's subset and tells its size.
 func BenchmarkSubset(b *testing.B) {
-	for _, servers := range serversUpTo {
+	for _, servers := range serverCounts {
 		for _, pools := range []int{1, 4, 12} {
 			b.Run(fmt.Sprintf("servers=%d/pools=%d", servers, pools), func(b *testing.B) {
-				entries, agents := EntryMembers(entriesOf(servers)), AgentMembers(servers, pools)
+				entries, agents := EntryMembers(entriesFor(servers)), AgentMembers(servers, pools)
 				n := 0
 				for i := 0; b.Loop(); i++ {
 					n += len(subset.Choose(entries[i%len(entries)], entries, agents, subset.Default))
@@ -40,10 +40,10 @@
 // BenchmarkSubsetOwner tells the subset of an entry that owns a step of one of
 // the pool's trainers; the letter's 24 trainers share the pools.
 func BenchmarkSubsetOwner(b *testing.B) {
-	for _, servers := range serversUpTo {
+	for _, servers := range serverCounts {
 		for _, pools := range []int{1, 4, 12} {
 			b.Run(fmt.Sprintf("servers=%d/pools=%d", servers, pools), func(b *testing.B) {
-				entries, agents := EntryMembers(entriesOf(servers)), AgentMembers(servers, pools)
+				entries, agents := EntryMembers(entriesFor(servers)), AgentMembers(servers, pools)
 				pool, n := agents[0].Pool, 0
 				for i := 0; b.Loop(); i++ {
 					self, cfg := entries[i%len(entries)], subset.Default
@@ -70,7 +70,7 @@
 // learns from those that it watches and chooses again each second
 // (fleet.upkeepInterval), until it knows all that it will ever watch.
 func BenchmarkLearnPools(b *testing.B) {
-	for _, servers := range serversUpTo {
+	for _, servers := range serverCounts {
 		b.Run(fmt.Sprintf("servers=%d/pools=4", servers), func(b *testing.B) {
 			rounds, connects, known := 0, 0, 0
 			for b.Loop() {
@@ -84,24 +84,24 @@
 }
 
 func learnPools(servers, pools int) (rounds, connects, known int) {
-	entries, truth := EntryMembers(entriesOf(servers)), AgentMembers(servers, pools)
-	agents := slices.Clone(truth)
-	at := map[string]int{}
+	entries, actual := EntryMembers(entriesFor(servers)), AgentMembers(servers, pools)
+	agents := slices.Clone(actual)
+	indexByName := map[string]int{}
 	for i := range agents {
 		agents[i].Pool = ""
-		at[agents[i].Name] = i
+		indexByName[agents[i].Name] = i
 	}
 	watched := map[string]bool{}
-	for learnt := true; learnt; rounds++ {
-		learnt = false
+	for learned := true; learned; rounds++ {
+		learned = false
 		next := map[string]bool{}
 		for _, name := range subset.Choose(entries[0], entries, agents, subset.Default) {
 			next[name] = true
 			if !watched[name] {
 				connects++
 			}
-			if a := &agents[at[name]]; a.Pool == "" {
-				a.Pool, learnt = truth[at[name]].Pool, true
+			if a := &agents[indexByName[name]]; a.Pool == "" {
+				a.Pool, learned = actual[indexByName[name]].Pool, true
 				known++
 			}
 		}
@@ -113,11 +113,11 @@
 // BenchmarkPick picks a server for one request.
 func BenchmarkPick(b *testing.B) {
 	policies := map[string]*route.Policy{"calls": route.ForCalls(), "keyed": route.ForKeyed(), "models": route.ForModels(50)}
-	for _, servers := range serversUpTo {
+	for _, servers := range serverCounts {
 		for _, name := range []string{"calls", "keyed", "models"} {
 			b.Run(fmt.Sprintf("servers=%d/policy=%s", servers, name), func(b *testing.B) {
 				rng := rand.New(rand.NewPCG(1, 2))
-				candidates := candidates(servers, rng)
+				candidates := newCandidates(servers, rng)
 				var scratch route.Scratch
 				for i := 0; b.Loop(); i++ {
 					r := &route.Request{Prefix: uint64(i%64 + 1), Key: uint64(i + 1), Floor: 5}
@@ -128,11 +128,11 @@
 	}
 }
 
-func candidates(n int, rng *rand.Rand) []route.Candidate {
+func newCandidates(n int, rng *rand.Rand) []route.Candidate {
 	all := make([]route.Candidate, n)
 	for i := range all {
 		all[i] = route.Candidate{
-			Name: agentName(i), Hash: route.Hash(agentName(i)), FailureDomain: domainOf(i),
+			Name: agentName(i), Hash: route.Hash(agentName(i)), FailureDomain: failureDomain(i),
 			Distance: route.Distance(i % 3), Ready: true, Version: 7, Slots: 32,
 			ReportedLoad: rng.IntN(32), StreamRate: 40 + 20*rng.Float64(), WarmPrefixes: make([]uint64, 64),
 		}
@@ -145,7 +145,7 @@
 // swaps of 1 s.
 func BenchmarkWaves(b *testing.B) {
 	rates := waves.Rates{Bytes: 200e6, StoreBytesPerSecond: 1e9, LinkBytesPerSecond: 750e6}
-	for _, servers := range serversUpTo {
+	for _, servers := range serverCounts {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
 			fleet := WaveServers(servers)
 			var plan *waves.Plan
--- a/capacity/generate_test.go
+++ b/capacity/generate_test.go
@@ -30,22 +30,22 @@
 // chunksPerStream is long enough that a stream's begin and end weigh little.
 const chunksPerStream = 512
 
-// readyEngine serves one version; its streams make chunks as fast as they are
+// unpacedEngine serves one version; its streams make chunks as fast as they are
 // read.
-type readyEngine struct {
+type unpacedEngine struct {
 	platform.Engine // panics on what an agent does not ask for here
 	tokens          int
 	mu              sync.Mutex
 	state           platform.EngineState
 }
 
-func (e *readyEngine) State(context.Context) (platform.EngineState, error) {
+func (e *unpacedEngine) State(context.Context) (platform.EngineState, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.state, nil
 }
 
-func (e *readyEngine) LoadWeights(_ context.Context, info platform.WeightInfo, data io.Reader, token uint64) error {
+func (e *unpacedEngine) LoadWeights(_ context.Context, info platform.WeightInfo, data io.Reader, token uint64) error {
 	if _, err := io.Copy(io.Discard, data); err != nil {
 		return err
 	}
@@ -55,23 +55,25 @@
 	return nil
 }
 
-func (e *readyEngine) Events(context.Context, uint64) ([]platform.CacheEvent, error) { return nil, nil }
+func (e *unpacedEngine) Events(context.Context, uint64) ([]platform.CacheEvent, error) {
+	return nil, nil
+}
 
-func (e *readyEngine) Generate(context.Context, platform.GenerateJob) (platform.Stream, error) {
-	return &readyStream{tokens: e.tokens, text: strings.Repeat("word", e.tokens)}, nil
+func (e *unpacedEngine) Generate(context.Context, platform.GenerateJob) (platform.Stream, error) {
+	return &unpacedStream{tokens: e.tokens, text: strings.Repeat("word", e.tokens)}, nil
 }
 
-type readyStream struct {
-	tokens, at int
-	text       string
+type unpacedStream struct {
+	tokens, position int
+	text             string
 }
 
-func (s *readyStream) Close() error { return nil }
+func (s *unpacedStream) Close() error { return nil }
 
-func (s *readyStream) Next() (platform.Chunk, error) {
-	s.at++
+func (s *unpacedStream) Next() (platform.Chunk, error) {
+	s.position++
 	c := platform.Chunk{Text: s.text, Tokens: s.tokens, Version: sampleVersion, Boot: "boot"}
-	if s.at == chunksPerStream {
+	if s.position == chunksPerStream {
 		c.Finish = "stop"
 	}
 	return c, nil
@@ -97,23 +99,23 @@
 	return platform.Page{Records: l.records[min(from, end):], Next: end, End: end}, nil
 }
 
-// byteStore holds versions of one byte.
-type byteStore struct{ platform.WeightStore }
+// oneByteStore holds versions of one byte.
+type oneByteStore struct{ platform.WeightStore }
 
-func (byteStore) Fetch(_ context.Context, model string, version uint64) (io.ReadCloser, platform.WeightInfo, error) {
+func (oneByteStore) Fetch(_ context.Context, model string, version uint64) (io.ReadCloser, platform.WeightInfo, error) {
 	data := []byte{byte(version)}
 	sum := sha256.Sum256(data)
 	info := platform.WeightInfo{Model: model, Version: version, Bytes: 1, Digest: hex.EncodeToString(sum[:])}
 	return io.NopCloser(bytes.NewReader(data)), info, nil
 }
 
-// generator serves only Generate.
-type generator struct {
+// generateServer serves only Generate.
+type generateServer struct {
 	pb.UnimplementedAgentServer
 	h *generate.Handler
 }
 
-func (g generator) Generate(req *pb.GenerateRequest, out grpc.ServerStreamingServer[pb.GenerateReply]) error {
+func (g generateServer) Generate(req *pb.GenerateRequest, out grpc.ServerStreamingServer[pb.GenerateReply]) error {
 	return g.h.Generate(req, out)
 }
 
@@ -134,12 +136,12 @@
 	cpu0, err := CPUTime()
 	require.NoError(b, err)
 	bytes0 := traffic.Total()
-	each := max(1, b.N/chunksPerStream/streams)
+	streamsPerReader := max(1, b.N/chunksPerStream/streams)
 	var readers sync.WaitGroup
 	b.ResetTimer()
 	for i := range streams {
 		readers.Go(func() {
-			for j := range each {
+			for j := range streamsPerReader {
 				benchStream(b, client, fmt.Sprintf("sample-%d-%d", i, j))
 			}
 		})
@@ -148,7 +150,7 @@
 	b.StopTimer()
 	cpu1, err := CPUTime()
 	require.NoError(b, err)
-	chunks := float64(each * streams * chunksPerStream)
+	chunks := float64(streamsPerReader * streams * chunksPerStream)
 	b.ReportMetric(float64((cpu1-cpu0).Microseconds())/chunks, "cpu-us/chunk")
 	b.ReportMetric(float64((cpu1-cpu0).Microseconds())/chunks/float64(tokens), "cpu-us/token")
 	b.ReportMetric(float64(traffic.Total()-bytes0)/chunks, "wire-B/chunk")
@@ -185,8 +187,8 @@
 		},
 		Versions: map[string]uint64{"model-0": sampleVersion},
 	}}
-	engine := &readyEngine{tokens: tokens, state: platform.EngineState{Boot: "boot", Model: "model-0", Version: sampleVersion, State: "serving"}}
-	keeper := weights.New(weights.Config{Server: "agent-0001", Model: "model-0", Engine: engine, Store: byteStore{}, Log: &memoryLog{}, View: view})
+	engine := &unpacedEngine{tokens: tokens, state: platform.EngineState{Boot: "boot", Model: "model-0", Version: sampleVersion, State: "serving"}}
+	keeper := weights.New(weights.Config{Server: "agent-0001", Model: "model-0", Engine: engine, Store: oneByteStore{}, Log: &memoryLog{}, View: view})
 	h := generate.New(generate.Config{
 		Name: "agent-0001", Engine: engine, View: view, Weights: keeper,
 		Queue: admission.New(admission.Config{Slots: streams, MaxQueue: streams}), Held: held.New(held.Config{}),
@@ -203,7 +205,7 @@
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(b, err)
 	srv := run.NewGRPC(lis.Addr().String()).Server
-	pb.RegisterAgentServer(srv, generator{h: h})
+	pb.RegisterAgentServer(srv, generateServer{h: h})
 	go func() { _ = srv.Serve(traffic.Listen(lis)) }()
 	b.Cleanup(srv.Stop)
 	conn, err := run.NewClient(lis.Addr().String())
--- a/capacity/keeper_test.go
+++ b/capacity/keeper_test.go
@@ -77,25 +77,25 @@
 	}
 }
 
-// settle is the time until connections and pools have settled.
-const settle = 5 * time.Second
+// settleTime is the time until connections and pools have settled.
+const settleTime = 5 * time.Second
 
 // cluster is n Keepers with their listeners.
 type cluster struct {
-	keepers    []*confsync.Keeper
-	peers, log *Traffic
-	append     func(data []byte) error
+	keepers                 []*confsync.Keeper
+	peerTraffic, logTraffic *Traffic
+	appendRecord            func(data []byte) error
 }
 
 func startCluster(b *testing.B, n int) *cluster {
-	url, traffic := serve(b, logsvc.New(logsvc.Config{}))
-	c := &cluster{peers: &Traffic{}, log: traffic}
+	url, traffic := startServer(b, logsvc.New(logsvc.Config{}))
+	c := &cluster{peerTraffic: &Traffic{}, logTraffic: traffic}
 	writer := httplog.New(url, "pipeline")
-	c.append = func(data []byte) error {
+	c.appendRecord = func(data []byte) error {
 		_, err := writer.Append(context.Background(), platform.StreamControl, data)
 		return err
 	}
-	require.NoError(b, c.append(commitRecord(1)))
+	require.NoError(b, c.appendRecord(commitRecord(1)))
 	listeners, addrs := make([]net.Listener, n), make([]string, n)
 	for i := range n {
 		lis, err := net.Listen("tcp", "127.0.0.1:0")
@@ -114,7 +114,7 @@
 		c.keepers = append(c.keepers, k)
 		srv := run.NewGRPC(addrs[i]).Server
 		pb.RegisterPeerServer(srv, k)
-		wg.Go(func() { _ = srv.Serve(c.peers.Listen(listeners[i])) })
+		wg.Go(func() { _ = srv.Serve(c.peerTraffic.Listen(listeners[i])) })
 		wg.Go(func() { k.Run(ctx); log.Close() })
 		servers = append(servers, srv)
 	}
@@ -128,9 +128,9 @@
 	return c
 }
 
-// inForce waits until all processes have a revision and returns the time.
-func (c *cluster) inForce(b *testing.B, number uint64) time.Duration {
-	began := time.Now()
+// waitInForce waits until all processes have a revision and returns the time.
+func (c *cluster) waitInForce(b *testing.B, number uint64) time.Duration {
+	started := time.Now()
 	for _, k := range c.keepers {
 		for {
 			changed := k.Changed()
@@ -144,37 +144,37 @@
 			}
 		}
 	}
-	return time.Since(began)
+	return time.Since(started)
 }
 
 func benchKeeper(b *testing.B, n, changes int) {
 	before := LiveBytes()
 	c := startCluster(b, n)
-	c.inForce(b, 1)
-	<-time.After(settle)
-	peers0, log0 := c.peers.Total(), c.log.Total()
+	c.waitInForce(b, 1)
+	<-time.After(settleTime)
+	peers0, log0 := c.peerTraffic.Total(), c.logTraffic.Total()
 	cpu0, err := CPUTime()
 	require.NoError(b, err)
-	began, number := time.Now(), uint64(1)
+	started, number := time.Now(), uint64(1)
 	var slowest time.Duration
 	b.ResetTimer()
 	for range b.N {
 		second := time.After(time.Second)
 		for range changes {
 			number++
-			require.NoError(b, c.append(commitRecord(number)))
-			slowest = max(slowest, c.inForce(b, number))
+			require.NoError(b, c.appendRecord(commitRecord(number)))
+			slowest = max(slowest, c.waitInForce(b, number))
 		}
 		<-second
 	}
 	b.StopTimer()
-	seconds := time.Since(began).Seconds()
+	seconds := time.Since(started).Seconds()
 	cpu1, err := CPUTime()
 	require.NoError(b, err)
-	per := seconds * float64(n)
-	b.ReportMetric(100*(cpu1-cpu0).Seconds()/per, "%core")
-	b.ReportMetric(2*float64(c.peers.Total()-peers0)/per, "peers-B/s")
-	b.ReportMetric(float64(c.log.Total()-log0)/per, "log-B/s")
+	processSeconds := seconds * float64(n)
+	b.ReportMetric(100*(cpu1-cpu0).Seconds()/processSeconds, "%core")
+	b.ReportMetric(2*float64(c.peerTraffic.Total()-peers0)/processSeconds, "peers-B/s")
+	b.ReportMetric(float64(c.logTraffic.Total()-log0)/processSeconds, "log-B/s")
 	b.ReportMetric(float64(LiveBytes()-before)/float64(n)/1e3, "KB/process")
 	b.ReportMetric(slowest.Seconds(), "in-force-s")
 	b.ReportMetric(0, "ns/op")
--- a/capacity/log_test.go
+++ b/capacity/log_test.go
@@ -23,8 +23,8 @@
 	"dandelionsill.org/standin/vms"
 )
 
-// serve runs a stand-in and counts what its connections carry.
-func serve(b *testing.B, h http.Handler) (url string, traffic *Traffic) {
+// startServer runs a stand-in and counts what its connections carry.
+func startServer(b *testing.B, h http.Handler) (url string, traffic *Traffic) {
 	traffic = &Traffic{}
 	srv := httptest.NewUnstartedServer(h)
 	srv.Listener = traffic.Listen(srv.Listener)
@@ -33,13 +33,13 @@
 	return srv.URL, traffic
 }
 
-// counted counts the requests that reach the log.
-type counted struct {
+// requestCounter counts the requests that reach the log.
+type requestCounter struct {
 	http.Handler
 	reads, appends atomic.Int64
 }
 
-func (c *counted) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (c *requestCounter) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodPost {
 		c.appends.Add(1)
 	} else {
@@ -51,7 +51,7 @@
 // BenchmarkLogPoll reads an empty page: what a long poll costs that ends with
 // nothing new. The processor time is that of both sides.
 func BenchmarkLogPoll(b *testing.B) {
-	url, traffic := serve(b, logsvc.New(logsvc.Config{}))
+	url, traffic := startServer(b, logsvc.New(logsvc.Config{}))
 	log := httplog.New(url, "agent-0001")
 	defer log.Close()
 	benchCPU(b, traffic, func() {
@@ -65,7 +65,7 @@
 func BenchmarkLogRecord(b *testing.B) {
 	for _, size := range []int{150, 1 << 10, 64 << 10} {
 		b.Run(fmt.Sprintf("bytes=%d", size), func(b *testing.B) {
-			url, traffic := serve(b, logsvc.New(logsvc.Config{}))
+			url, traffic := startServer(b, logsvc.New(logsvc.Config{}))
 			log := httplog.New(url, "agent-0001")
 			defer log.Close()
 			_, err := log.Append(b.Context(), platform.StreamControl, make([]byte, size))
@@ -83,7 +83,7 @@
 	for _, n := range []int{100, 500, Processes} {
 		b.Run(fmt.Sprintf("vms=%d", n), func(b *testing.B) {
 			standin := vms.New(vms.Config{})
-			url, traffic := serve(b, standin)
+			url, traffic := startServer(b, standin)
 			for _, vm := range VMs(n*Entries/Processes, n-n*Entries/Processes) {
 				standin.Put(vm)
 			}
@@ -141,9 +141,9 @@
 
 func claimRecords(claims, perBatch int) []platform.Record {
 	var records []platform.Record
-	now, life := time.Now(), uuid.NewString()
+	now, incarnation := time.Now(), uuid.NewString()
 	for n := 0; n < claims; n += perBatch {
-		batch := fold.Batch{Owner: fold.Owner{Name: agentName(n / perBatch % 100), Incarnation: life}, Seq: uint64(n)}
+		batch := fold.Batch{Owner: fold.Owner{Name: agentName(n / perBatch % 100), Incarnation: incarnation}, Seq: uint64(n)}
 		for range min(perBatch, claims-n) {
 			batch.Claims = append(batch.Claims, newClaim())
 		}
@@ -162,25 +162,25 @@
 // share of the log stand-in's.
 func BenchmarkOnce(b *testing.B) {
 	for _, agents := range []int{4, 20, 100} {
-		b.Run(fmt.Sprintf("agents=%d", agents), func(b *testing.B) { benchOnce(b, agents, RequestsPS*keyedShare) })
+		b.Run(fmt.Sprintf("agents=%d", agents), func(b *testing.B) { benchOnce(b, agents, RequestsPerSecond*keyedRequestShare) })
 	}
 }
 
-func benchOnce(b *testing.B, agents int, claimsPS float64) {
-	standin := &counted{Handler: logsvc.New(logsvc.Config{Rate: 300, Burst: 60})}
-	url, traffic := serve(b, standin)
+func benchOnce(b *testing.B, agents int, claimsPerSecond float64) {
+	standin := &requestCounter{Handler: logsvc.New(logsvc.Config{Rate: 300, Burst: 60})}
+	url, traffic := startServer(b, standin)
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	defer cancel()
 	// The manifest's defaults: 300 appends/s, half of them for claims.
-	terms := once.Limits{Window: 15 * time.Minute, Skew: 500 * time.Millisecond, MinInterval: 5 * time.Millisecond, AppendsPerS: 150}
+	limits := once.Limits{Window: 15 * time.Minute, Skew: 500 * time.Millisecond, MinInterval: 5 * time.Millisecond, AppendsPerS: 150}
 	var tables []*once.Table
 	for i := range agents {
 		log := httplog.New(url, agentName(i))
 		t := once.New(once.Config{
 			Owner: fold.Owner{Name: agentName(i), Incarnation: uuid.NewString()}, Service: "orders", Log: log,
-			Limits: func() once.Limits { return terms },
+			Limits: func() once.Limits { return limits },
 		})
 		tables = append(tables, t)
 		wg.Go(func() { t.Run(ctx); log.Close() })
@@ -189,7 +189,7 @@
 	var waited time.Duration
 	claimed, refused := 0, 0
 	claim := func(t *once.Table) {
-		began := time.Now()
+		started := time.Now()
 		c := newClaim()
 		run, _, err := t.Claim(ctx, once.Request{Key: c.Key, Hash: c.Hash})
 		mu.Lock()
@@ -199,14 +199,14 @@
 			return
 		}
 		claimed++
-		waited += time.Since(began)
+		waited += time.Since(started)
 		run.Start()
 		run.FinishUnknown()
 	}
 	feed := func(seconds int) {
-		tick := time.NewTicker(time.Duration(float64(time.Second) / claimsPS))
+		tick := time.NewTicker(time.Duration(float64(time.Second) / claimsPerSecond))
 		defer tick.Stop()
-		for i := range int(claimsPS * float64(seconds)) {
+		for i := range int(claimsPerSecond * float64(seconds)) {
 			<-tick.C
 			wg.Go(func() { claim(tables[i%agents]) })
 		}
@@ -218,11 +218,11 @@
 	reads0, appends0 := standin.reads.Load(), standin.appends.Load()
 	cpu0, err := CPUTime()
 	require.NoError(b, err)
-	bytes0, began := traffic.Total(), time.Now()
+	bytes0, started := traffic.Total(), time.Now()
 	b.ResetTimer()
 	feed(b.N)
 	b.StopTimer()
-	seconds := time.Since(began).Seconds()
+	seconds := time.Since(started).Seconds()
 	cpu1, err := CPUTime()
 	require.NoError(b, err)
 	reads1, appends1 := standin.reads.Load(), standin.appends.Load()
--- a/capacity/process_test.go
+++ b/capacity/process_test.go
@@ -30,7 +30,7 @@
 const (
 	// clockTicks is the unit of /proc/PID/stat (USER_HZ).
 	clockTicks   = 100
-	processReady = 30 * time.Second
+	readyTimeout = 30 * time.Second
 )
 
 // BenchmarkProcess runs the real binary of a role in the middle of a fleet of
@@ -48,28 +48,28 @@
 	b.Run("agent/kind=engine/watchers=82/asking", func(b *testing.B) { benchAgentProcess(b, "engine", 82, Servers) })
 }
 
-// played is the fleet around one process.
-type played struct {
+// simulatedFleet is the fleet around one process.
+type simulatedFleet struct {
 	flags []string // settings that every binary takes
 	list  *vms.VMs
 	log   *Traffic
 	vms   *Traffic
 }
 
-func playFleet(b *testing.B) *played {
-	p := &played{list: vms.New(vms.Config{})}
+func startFleet(b *testing.B) *simulatedFleet {
+	p := &simulatedFleet{list: vms.New(vms.Config{})}
 	var logURL, vmsURL string
-	logURL, p.log = serve(b, logsvc.New(logsvc.Config{}))
-	vmsURL, p.vms = serve(b, p.list)
+	logURL, p.log = startServer(b, logsvc.New(logsvc.Config{}))
+	vmsURL, p.vms = startServer(b, p.list)
 	store, err := weights.New(weights.Config{})
 	require.NoError(b, err)
-	storeURL, _ := serve(b, store)
+	storeURL, _ := startServer(b, store)
 	writer := httplog.New(logURL, "pipeline")
 	defer writer.Close()
 	_, err = writer.Append(b.Context(), platform.StreamControl, commitRecord(1))
 	require.NoError(b, err)
 	p.flags = []string{
-		"--process.region=region-0", "--process.failure_domain=" + domainOf(0), "--process.log_level=error",
+		"--process.region=region-0", "--process.failure_domain=" + failureDomain(0), "--process.log_level=error",
 		"--platform.log=" + logURL, "--platform.vms=" + vmsURL, "--platform.weights=" + storeURL,
 		"--keys.manifest_public=" + manifest.FormatPublicKey("pipeline", testKeys["pipeline"]),
 	}
@@ -79,7 +79,7 @@
 // peer is any other process: it answers exchanges and says what it serves.
 type peer struct {
 	pb.UnimplementedPeerServer
-	answering
+	singleStateAgent
 }
 
 func (peer) Exchange(context.Context, *pb.ExchangeRequest) (*pb.ExchangeReply, error) {
@@ -91,7 +91,7 @@
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(b, err)
 	srv := run.NewGRPC(lis.Addr().String()).Server
-	p := peer{answering: answering{state: agentState("agent-1499", 64)}}
+	p := peer{singleStateAgent: singleStateAgent{state: agentState("agent-1499", 64)}}
 	pb.RegisterPeerServer(srv, p)
 	pb.RegisterAgentServer(srv, p)
 	go func() { _ = srv.Serve(lis) }()
@@ -107,7 +107,7 @@
 }
 
 func benchEntryProcess(b *testing.B, watched int, load time.Duration) {
-	p := playFleet(b)
+	p := startFleet(b)
 	agents := startAgents(b, watched, load, 10*time.Second)
 	other := startPeer(b)
 	for i, vm := range VMs(Entries, Servers) {
@@ -121,18 +121,18 @@
 	}
 	flags := append(p.flags, "--process.name=entry-0000", "--subset.full_below="+strconv.Itoa(watched))
 	proc := startBinary(b, "dandelion-entry", flags)
-	sent0, _ := agents.spent(b)
+	sent0, _ := agents.usage(b)
 	proc.measure(b)
-	sent1, _ := agents.spent(b)
+	sent1, _ := agents.usage(b)
 	b.ReportMetric(float64(sent1-sent0)/proc.window.Seconds()/1e3, "watch-KB/s")
 }
 
-func benchAgentProcess(b *testing.B, kind string, watchers, listed int) {
-	p := playFleet(b)
+func benchAgentProcess(b *testing.B, kind string, watchers, listedAgents int) {
+	p := startFleet(b)
 	other := startPeer(b)
 	for i, vm := range VMs(Entries, Servers) {
 		vm.Addr = other
-		if i >= Entries+listed {
+		if i >= Entries+listedAgents {
 			vm.Role = "other" // in the list, and asked by nobody
 		}
 		p.list.Put(vm)
@@ -188,20 +188,20 @@
 		}
 		defer resp.Body.Close()
 		return resp.StatusCode == http.StatusOK
-	}, processReady, 50*time.Millisecond)
+	}, readyTimeout, 50*time.Millisecond)
 	return p
 }
 
 // measure lets the process settle and then reports what it uses.
 func (p *binary) measure(b *testing.B) {
-	<-time.After(settle)
-	cpu0, began := p.cpu(b), time.Now()
+	<-time.After(settleTime)
+	cpu0, started := p.cpu(b), time.Now()
 	b.ResetTimer()
 	for range b.N {
 		<-time.After(time.Second)
 	}
 	b.StopTimer()
-	p.window = time.Since(began)
+	p.window = time.Since(started)
 	b.ReportMetric(100*(p.cpu(b)-cpu0).Seconds()/p.window.Seconds(), "%core")
 	b.ReportMetric(p.status(b, "VmRSS")/1e3, "rss-MB")
 	b.ReportMetric(p.status(b, "RssAnon")/1e3, "anon-MB")
--- a/capacity/size.go
+++ b/capacity/size.go
@@ -11,38 +11,38 @@
 
 // The full size, by the users' letter.
 const (
-	Entries        = 360
-	Servers        = 1500
-	Processes      = Entries + Servers
-	Accelerators   = 2900
-	Regions        = 7
-	Domains        = 24
-	Trainers       = 24
-	StepSamples    = 2048
-	StepSeconds    = 240
-	RequestsPS     = 3800.0
-	TokensPS       = 1.6e6
-	ChangesPerDay  = 4300.0
-	ReplacedPerDay = 214.0 // 200 restarted or replaced and 14 failed
-	SecondsPerDay  = 86400.0
+	Entries           = 360
+	Servers           = 1500
+	Processes         = Entries + Servers
+	Accelerators      = 2900
+	Regions           = 7
+	Domains           = 24
+	Trainers          = 24
+	StepSamples       = 2048
+	StepSeconds       = 240
+	RequestsPerSecond = 3800.0
+	TokensPerSecond   = 1.6e6
+	ChangesPerDay     = 4300.0
+	ReplacedPerDay    = 214.0 // 200 restarted or replaced and 14 failed
+	SecondsPerDay     = 86400.0
 )
 
 // The budgets for control of one daemon.
 const (
-	BudgetCPU   = 0.03     // of a core
-	BudgetBytes = 64e6     // of memory
-	BudgetPS    = 17 * 1e3 // bytes a second, both directions together
-	keyedShare  = 0.05     // of the requests carry an idempotency key (docs/DESIGN.md)
+	BudgetCPU            = 0.03     // of a core
+	BudgetMemory         = 64e6     // of memory
+	BudgetBytesPerSecond = 17 * 1e3 // bytes a second, both directions together
+	keyedRequestShare    = 0.05     // of the requests carry an idempotency key (docs/DESIGN.md)
 )
 
-// domainOf spreads members over failure domains evenly.
-func domainOf(i int) string { return fmt.Sprintf("domain-%02d", i%Domains) }
+// failureDomain spreads members over failure domains evenly.
+func failureDomain(i int) string { return fmt.Sprintf("domain-%02d", i%Domains) }
 
 // EntryMembers returns n entries as the choice of subsets sees them.
 func EntryMembers(n int) []subset.Member {
 	all := make([]subset.Member, n)
 	for i := range all {
-		all[i] = subset.Member{Name: fmt.Sprintf("entry-%04d", i), FailureDomain: domainOf(i)}
+		all[i] = subset.Member{Name: fmt.Sprintf("entry-%04d", i), FailureDomain: failureDomain(i)}
 	}
 	return all
 }
@@ -51,7 +51,7 @@
 func AgentMembers(n, pools int) []subset.Member {
 	all := make([]subset.Member, n)
 	for i := range all {
-		all[i] = subset.Member{Name: agentName(i), FailureDomain: domainOf(i), Pool: fmt.Sprintf("model/m%d", i/Domains%pools)}
+		all[i] = subset.Member{Name: agentName(i), FailureDomain: failureDomain(i), Pool: fmt.Sprintf("model/m%d", i/Domains%pools)}
 	}
 	return all
 }
@@ -62,7 +62,7 @@
 func WaveServers(n int) []waves.Server {
 	all := make([]waves.Server, n)
 	for i := range all {
-		all[i] = waves.Server{Name: agentName(i), FailureDomain: domainOf(i)}
+		all[i] = waves.Server{Name: agentName(i), FailureDomain: failureDomain(i)}
 	}
 	return all
 }
@@ -73,7 +73,7 @@
 	add := func(role, name string, i int) {
 		all = append(all, platform.VM{
 			Name: name, Role: role, Addr: fmt.Sprintf("10.%d.%d.%d:7100", i%Regions, i/250, i%250+1),
-			Region: fmt.Sprintf("region-%d", i%Regions), FailureDomain: domainOf(i), State: platform.VMLive,
+			Region: fmt.Sprintf("region-%d", i%Regions), FailureDomain: failureDomain(i), State: platform.VMLive,
 		})
 	}
 	for i := range entries {
--- a/capacity/spread_test.go
+++ b/capacity/spread_test.go
@@ -33,26 +33,26 @@
 	spreadLimit   = time.Minute // servers without the version by then count as late
 )
 
-// announced is a Viewer whose versions rise.
-type announced struct {
+// testViewer is a Viewer whose versions rise.
+type testViewer struct {
 	mu      sync.Mutex
 	view    *confsync.View
 	changed chan struct{}
 }
 
-func (a *announced) View() *confsync.View {
+func (a *testViewer) View() *confsync.View {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.view
 }
 
-func (a *announced) Changed() <-chan struct{} {
+func (a *testViewer) Changed() <-chan struct{} {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.changed
 }
 
-func (a *announced) Announce(model string, version uint64) {
+func (a *testViewer) Announce(model string, version uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	next := *a.view
@@ -62,26 +62,26 @@
 	a.changed = make(chan struct{})
 }
 
-// relay serves only FetchWeights.
-type relay struct {
+// weightsServer serves only FetchWeights.
+type weightsServer struct {
 	pb.UnimplementedAgentServer
 	keeper *weights.Keeper
 }
 
-func (r relay) FetchWeights(req *pb.FetchWeightsRequest, out grpc.ServerStreamingServer[pb.WeightsPiece]) error {
+func (r weightsServer) FetchWeights(req *pb.FetchWeightsRequest, out grpc.ServerStreamingServer[pb.WeightsPiece]) error {
 	return r.keeper.FetchWeights(req, out)
 }
 
 // fetchCounter counts the fetches that reach the store.
 type fetchCounter struct {
 	http.Handler
-	fetches, asks atomic.Int64
+	fetches, latestQueries atomic.Int64
 }
 
 func (f *fetchCounter) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodGet {
 		if strings.HasSuffix(r.URL.Path, "/latest") {
-			f.asks.Add(1)
+			f.latestQueries.Add(1)
 		} else {
 			f.fetches.Add(1)
 		}
@@ -108,13 +108,13 @@
 	store, err := standin.New(standin.Config{BytesPerS: perSecond})
 	require.NoError(b, err)
 	counter := &fetchCounter{Handler: store}
-	url, traffic := serve(b, counter)
+	url, traffic := startServer(b, counter)
 	data := make([]byte, spreadBytes)
 	sum := sha256.Sum256(data)
 	info := platform.WeightInfo{Model: "model-0", Version: 2, Bytes: spreadBytes, Digest: hex.EncodeToString(sum[:])}
 	require.NoError(b, httpstore.New(url, "trainer").Put(b.Context(), info, bytes.NewReader(data)))
 
-	view := &announced{changed: make(chan struct{}), view: &confsync.View{
+	view := &testViewer{changed: make(chan struct{}), view: &confsync.View{
 		Manifest: &manifest.Manifest{Fleet: manifest.Fleet{StoreBytesPS: perSecond}, Models: map[string]manifest.Model{"model-0": {}}},
 		Versions: map[string]uint64{"model-0": 1},
 	}}
@@ -122,49 +122,49 @@
 	var loops sync.WaitGroup
 	defer loops.Wait()
 	defer cancel()
-	keepers := startSpreaders(b, ctx, &loops, url, view)
+	keepers := startKeepers(b, ctx, &loops, url, view)
 	for _, k := range keepers {
 		_, _, err := k.WaitFresh(ctx, 1)
 		require.NoError(b, err)
 	}
 	before := traffic.Out.Load()
-	began := time.Now()
+	started := time.Now()
 	view.Announce("model-0", 2)
-	limit, stop := context.WithTimeout(ctx, spreadLimit)
+	limitedCtx, stop := context.WithTimeout(ctx, spreadLimit)
 	defer stop()
 	late := 0
 	for _, k := range keepers {
-		if _, _, err := k.WaitFresh(limit, 2); err != nil {
+		if _, _, err := k.WaitFresh(limitedCtx, 2); err != nil {
 			late++
 		}
 	}
-	b.ReportMetric(time.Since(began).Seconds(), "all-swapped-s")
+	b.ReportMetric(time.Since(started).Seconds(), "all-swapped-s")
 	b.ReportMetric(float64(late), "late")
 	b.ReportMetric(float64(counter.fetches.Load()), "store-fetches")
-	b.ReportMetric(float64(counter.asks.Load()), "store-asks")
+	b.ReportMetric(float64(counter.latestQueries.Load()), "store-asks")
 	b.ReportMetric(float64(traffic.Out.Load()-before)/spreadBytes, "store-copies")
 	b.ReportMetric(0, "ns/op")
 }
 
-func startSpreaders(b *testing.B, ctx context.Context, loops *sync.WaitGroup, url string, view confsync.Viewer) []*weights.Keeper {
-	fellows := make([]weights.Peer, spreadServers)
+func startKeepers(b *testing.B, ctx context.Context, loops *sync.WaitGroup, url string, view confsync.Viewer) []*weights.Keeper {
+	peers := make([]weights.Peer, spreadServers)
 	listeners := make([]net.Listener, spreadServers)
-	for i := range fellows {
+	for i := range peers {
 		lis, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(b, err)
 		listeners[i] = lis
-		fellows[i] = weights.Peer{Name: agentName(i), Addr: lis.Addr().String(), FailureDomain: "domain-00"}
+		peers[i] = weights.Peer{Name: agentName(i), Addr: lis.Addr().String(), FailureDomain: "domain-00"}
 	}
 	var keepers []*weights.Keeper
-	for i, f := range fellows {
-		engine := &readyEngine{state: platform.EngineState{Boot: "boot", Model: "model-0", Version: 1, State: "serving"}}
+	for i, f := range peers {
+		engine := &unpacedEngine{state: platform.EngineState{Boot: "boot", Model: "model-0", Version: 1, State: "serving"}}
 		k := weights.New(weights.Config{
 			Server: f.Name, Model: "model-0", FailureDomain: f.FailureDomain, Engine: engine,
 			Store: httpstore.New(url, f.Name), Log: &memoryLog{}, View: view, SlotLength: 100 * time.Millisecond,
-			Peers: func() []weights.Peer { return append(append([]weights.Peer{}, fellows[:i]...), fellows[i+1:]...) },
+			Peers: func() []weights.Peer { return append(append([]weights.Peer{}, peers[:i]...), peers[i+1:]...) },
 		})
 		srv := run.NewGRPC(f.Addr).Server
-		pb.RegisterAgentServer(srv, relay{keeper: k})
+		pb.RegisterAgentServer(srv, weightsServer{keeper: k})
 		loops.Go(func() { _ = srv.Serve(listeners[i]) })
 		loops.Go(func() { k.Run(ctx); srv.Stop() })
 		keepers = append(keepers, k)
--- a/capacity/steps_test.go
+++ b/capacity/steps_test.go
@@ -37,8 +37,8 @@
 
 // stepFleet is a picture of engines that run in this process.
 type stepFleet struct {
-	snap   *fleet.Snapshot
-	flying map[string]*atomic.Int64
+	snapshot *fleet.Snapshot
+	inFlight map[string]*atomic.Int64
 
 	mu      sync.Mutex
 	changed chan struct{}
@@ -46,25 +46,25 @@
 
 func newStepFleet(servers, slots int, engine pb.AgentClient) *stepFleet {
 	f := &stepFleet{
-		snap:   &fleet.Snapshot{ByPool: map[string][]*fleet.Server{}, ByName: map[string]*fleet.Server{}},
-		flying: map[string]*atomic.Int64{}, changed: make(chan struct{}),
+		snapshot: &fleet.Snapshot{ByPool: map[string][]*fleet.Server{}, ByName: map[string]*fleet.Server{}},
+		inFlight: map[string]*atomic.Int64{}, changed: make(chan struct{}),
 	}
 	for i := range servers {
 		state := agentState(agentName(i), 0)
 		state.Version, state.Slots, state.Running, state.Queued = sampleVersion, int32(slots), 0, 0
-		sv := &fleet.Server{Name: state.Name, FailureDomain: domainOf(i), Kind: "engine", Serves: "model-0", State: state, Client: engine}
-		f.snap.ByPool["model/model-0"] = append(f.snap.ByPool["model/model-0"], sv)
-		f.snap.ByName[sv.Name], f.flying[sv.Name] = sv, &atomic.Int64{}
+		sv := &fleet.Server{Name: state.Name, FailureDomain: failureDomain(i), Kind: "engine", Serves: "model-0", State: state, Client: engine}
+		f.snapshot.ByPool["model/model-0"] = append(f.snapshot.ByPool["model/model-0"], sv)
+		f.snapshot.ByName[sv.Name], f.inFlight[sv.Name] = sv, &atomic.Int64{}
 	}
 	return f
 }
 
-func (f *stepFleet) Snapshot() *fleet.Snapshot   { return f.snap }
-func (f *stepFleet) InFlightNow(name string) int { return int(f.flying[name].Load()) }
+func (f *stepFleet) Snapshot() *fleet.Snapshot   { return f.snapshot }
+func (f *stepFleet) InFlightNow(name string) int { return int(f.inFlight[name].Load()) }
 
 func (f *stepFleet) Begin(name string) func(fleet.Outcome) {
-	f.flying[name].Add(1)
-	return func(fleet.Outcome) { f.flying[name].Add(-1); f.change() }
+	f.inFlight[name].Add(1)
+	return func(fleet.Outcome) { f.inFlight[name].Add(-1); f.notifyChanged() }
 }
 
 func (f *stepFleet) Changed() <-chan struct{} {
@@ -73,26 +73,26 @@
 	return f.changed
 }
 
-func (f *stepFleet) change() {
+func (f *stepFleet) notifyChanged() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
 
-// paced is an engine whose streams make a chunk at each tick and never end;
+// pacedEngine is an engine whose streams make a chunk at each tick and never end;
 // with no tick they end at once with one chunk of the whole text.
-type paced struct {
+type pacedEngine struct {
 	pb.AgentClient // panics on what a step does not ask for
 	tick           time.Duration
 	tokens         int
 }
 
-func (p *paced) Generate(ctx context.Context, _ *pb.GenerateRequest, _ ...grpc.CallOption) (grpc.ServerStreamingClient[pb.GenerateReply], error) {
+func (p *pacedEngine) Generate(ctx context.Context, _ *pb.GenerateRequest, _ ...grpc.CallOption) (grpc.ServerStreamingClient[pb.GenerateReply], error) {
 	return &pacedStream{engine: p, ctx: ctx}, nil
 }
 
-func (p *paced) ExportKV(context.Context, *pb.ExportKVRequest, ...grpc.CallOption) (*pb.ExportKVReply, error) {
+func (p *pacedEngine) ExportKV(context.Context, *pb.ExportKVRequest, ...grpc.CallOption) (*pb.ExportKVReply, error) {
 	return nil, errNoCache
 }
 
@@ -101,16 +101,16 @@
 
 type pacedStream struct {
 	grpc.ClientStream
-	engine *paced
-	ctx    context.Context
-	at     int
+	engine   *pacedEngine
+	ctx      context.Context
+	position int
 }
 
 func (s *pacedStream) Recv() (*pb.GenerateReply, error) {
-	s.at++
+	s.position++
 	p := s.engine
 	switch {
-	case s.at == 1:
+	case s.position == 1:
 		return &pb.GenerateReply{Part: &pb.GenerateReply_Started{Started: &pb.GenerateStarted{Version: sampleVersion}}}, nil
 	case p.tick > 0:
 		select {
@@ -119,9 +119,9 @@
 			return nil, s.ctx.Err()
 		}
 		return chunk("word word word word word word wo", 8), nil
-	case s.at == 2:
+	case s.position == 2:
 		return chunk(strings.Repeat("word", p.tokens), p.tokens), nil
-	case s.at == 3:
+	case s.position == 3:
 		done := &pb.GenerateDone{
 			FinishReason: "stop", Tokens: uint32(p.tokens), Text: strings.Repeat("word", p.tokens),
 			Spans: []*pb.Span{{Version: sampleVersion, To: uint32(p.tokens)}},
@@ -178,7 +178,7 @@
 // passes is what is left when the time between chunks grows.
 func BenchmarkStepPass(b *testing.B) {
 	const half = 500 * time.Millisecond
-	for _, c := range []passes{
+	for _, c := range []stepPassCase{
 		{1, 46, 0, half}, {1, 46, 50, half / 2}, {1, 46, 50, half}, {1, 46, 50, 2 * half},
 		{2, 46, 50, half}, {4, 46, 50, half}, {1, 128, 50, half},
 	} {
@@ -188,14 +188,14 @@
 	}
 }
 
-// passes is one setting of BenchmarkStepPass.
-type passes struct {
+// stepPassCase is one setting of BenchmarkStepPass.
+type stepPassCase struct {
 	steps, servers, changes int
 	chunk                   time.Duration
 }
 
-func benchStepPass(b *testing.B, c passes) {
-	f := newStepFleet(c.servers, 32, &paced{tick: c.chunk})
+func benchStepPass(b *testing.B, c stepPassCase) {
+	f := newStepFleet(c.servers, 32, &pacedEngine{tick: c.chunk})
 	s := newSteps(f, c.steps)
 	defer s.Close()
 	postStep(b, s, trainerToken)
@@ -205,13 +205,13 @@
 	<-time.After(2 * time.Second)
 	cpu0, err := CPUTime()
 	require.NoError(b, err)
-	began := time.Now()
+	started := time.Now()
 	b.ResetTimer()
 	for range b.N {
 		second := time.After(time.Second)
 		for range c.changes {
 			<-time.After(time.Second / time.Duration(c.changes+1))
-			f.change()
+			f.notifyChanged()
 		}
 		<-second
 	}
@@ -219,7 +219,7 @@
 	cpu1, err := CPUTime()
 	require.NoError(b, err)
 	streams := float64(min(c.servers*32, c.steps*StepSamples))
-	b.ReportMetric(100*(cpu1-cpu0).Seconds()/time.Since(began).Seconds(), "%core")
+	b.ReportMetric(100*(cpu1-cpu0).Seconds()/time.Since(started).Seconds(), "%core")
 	b.ReportMetric(streams, "streams")
 	b.ReportMetric(streams/c.chunk.Seconds(), "chunks/s")
 	b.ReportMetric(0, "ns/op")
@@ -242,20 +242,20 @@
 	if tokens == 0 {
 		servers = 0 // all samples stay queued
 	}
-	f := newStepFleet(servers, 32, &paced{tokens: tokens})
+	f := newStepFleet(servers, 32, &pacedEngine{tokens: tokens})
 	s := newSteps(f, 1)
 	defer s.Close()
 	before := LiveBytes()
 	postStep(b, s, trainerToken)
 	if tokens > 0 {
-		awaitFinished(b, s)
+		waitFinished(b, s)
 	}
 	b.ReportMetric(float64(int64(LiveBytes())-int64(before))/StepSamples, "B/sample")
 	b.ReportMetric(float64(tokens*tokenBytes), "text-B")
 }
 
-// awaitFinished waits until the first page can be had and no stream runs.
-func awaitFinished(b *testing.B, s *steps.Steps) {
+// waitFinished waits until the first page can be had and no stream runs.
+func waitFinished(b *testing.B, s *steps.Steps) {
 	url := "/v1/steps/1/groups?attempt=1&cursor=0&wait_ms=20000"
 	require.Eventually(b, func() bool {
 		r := httptest.NewRequest(http.MethodGet, url, nil)
@@ -278,19 +278,19 @@
 }
 
 func benchTrainer(b *testing.B, tokens int) {
-	url, traffic := serve(b, readyStep(b, tokens))
+	url, traffic := startServer(b, finishedStepHandler(b, tokens))
 	client, err := trainer.New(trainer.Config{Entries: []string{url}, Token: trainerToken})
 	require.NoError(b, err)
-	var asked []trainer.GroupSpec
+	var groups []trainer.GroupSpec
 	for _, g := range groupSpecs() {
-		asked = append(asked, trainer.GroupSpec{ID: g.ID, Prompt: g.Prompt, Samples: g.Samples, MaxTokens: g.MaxTokens})
+		groups = append(groups, trainer.GroupSpec{ID: g.ID, Prompt: g.Prompt, Samples: g.Samples, MaxTokens: g.MaxTokens})
 	}
 	cpu0, err := CPUTime()
 	require.NoError(b, err)
 	samples := 0
 	b.ResetTimer()
 	for range b.N {
-		for g, err := range client.RunStep(b.Context(), trainer.Step{ID: 1, NewestVersion: sampleVersion, Groups: asked}) {
+		for g, err := range client.RunStep(b.Context(), trainer.Step{ID: 1, NewestVersion: sampleVersion, Groups: groups}) {
 			require.NoError(b, err)
 			samples += len(g.Samples)
 		}
@@ -303,8 +303,8 @@
 	b.ReportMetric(float64(traffic.Total())/float64(samples), "wire-B/sample")
 }
 
-// readyStep answers like an entry with a finished step, from encoded pages.
-func readyStep(b *testing.B, tokens int) http.Handler {
+// finishedStepHandler answers like an entry with a finished step, from encoded pages.
+func finishedStepHandler(b *testing.B, tokens int) http.Handler {
 	perPage := max(1, min(64, (4<<20)/(tokens*tokenBytes*groupSamples))) // steps.answerGroups, answerBytes
 	epoch := steps.Epoch{Attempt: 1, Claim: 1}
 	pages := map[string][]byte{}
@@ -312,7 +312,7 @@
 	for at := 0; at < len(specs); at += perPage {
 		page := steps.GroupsAnswer{Epoch: epoch, Cursor: min(at+perPage, len(specs))}
 		for _, spec := range specs[at:page.Cursor] {
-			page.Groups = append(page.Groups, readyGroup(spec, tokens))
+			page.Groups = append(page.Groups, finishedGroup(spec, tokens))
 		}
 		page.Done = page.Cursor == len(specs)
 		data, err := json.Marshal(page)
@@ -334,7 +334,7 @@
 	})
 }
 
-func readyGroup(spec steps.GroupSpec, tokens int) steps.Group {
+func finishedGroup(spec steps.GroupSpec, tokens int) steps.Group {
 	g := steps.Group{ID: spec.ID}
 	for i := range spec.Samples {
 		g.Samples = append(g.Samples, steps.Sample{
--- a/capacity/sums.go
+++ b/capacity/sums.go
@@ -7,17 +7,17 @@
 
 // Cost is what something costs a process.
 type Cost struct {
-	CPU     float64 // share of a core
-	Memory  float64 // bytes
-	BytesPS float64 // of connections, both directions together
+	CPU            float64 // share of a core
+	Memory         float64 // bytes
+	BytesPerSecond float64 // of connections, both directions together
 }
 
-func (c Cost) plus(o Cost) Cost {
-	return Cost{c.CPU + o.CPU, c.Memory + o.Memory, c.BytesPS + o.BytesPS}
+func (c Cost) add(o Cost) Cost {
+	return Cost{c.CPU + o.CPU, c.Memory + o.Memory, c.BytesPerSecond + o.BytesPerSecond}
 }
 
-func (c Cost) times(n float64) Cost {
-	return Cost{c.CPU * n, c.Memory * n, c.BytesPS * n}
+func (c Cost) scale(n float64) Cost {
+	return Cost{c.CPU * n, c.Memory * n, c.BytesPerSecond * n}
 }
 
 // Slopes are measured; each names its benchmark.
@@ -46,8 +46,8 @@
 	ServiceAgent Role = "agent of a service"
 )
 
-// Site is what the sums are taken for.
-type Site struct {
+// Scenario is what the sums are taken for.
+type Scenario struct {
 	Watched  int // agents that an entry watches; it sets the pace of their reports
 	Watchers int // entries that watch an agent
 	Steps    int // steps that the entry owns
@@ -60,40 +60,40 @@
 }
 
 const (
-	vmListEvery   = Processes * 150.0 / (5 << 10) // s, confsync.listBytesPS
-	stepsPoll     = 20.0                          // s, entry/steps.readWait
-	agentsRead    = 30.0                          // s, agent/weights.claimReadEvery
-	changesPS     = ChangesPerDay / SecondsPerDay
-	stepClaimsPS  = Trainers / float64(StepSeconds)
-	agentClaimsPS = ReplacedPerDay / SecondsPerDay
+	vmListInterval       = Processes * 150.0 / (5 << 10) // s, confsync.listBytesPS
+	stepsPollInterval    = 20.0                          // s, entry/steps.readWait
+	agentsReadInterval   = 30.0                          // s, agent/weights.claimReadEvery
+	changesPerSecond     = ChangesPerDay / SecondsPerDay
+	stepClaimsPerSecond  = Trainers / float64(StepSeconds)
+	agentClaimsPerSecond = ReplacedPerDay / SecondsPerDay
 )
 
-// Control returns the rows of a role.
-func Control(role Role, s Slopes, at Site) []Row {
+// ControlCosts returns the rows of a role.
+func ControlCosts(role Role, s Slopes, scenario Scenario) []Row {
 	rows := []Row{
 		{"process", "one small binary, no disk", s.Base[role]},
 		{"control stream and peers, idle", "long poll; anti-entropy each 2 s", s.Idle},
-		{"4,300 changes a day", "log first, then rumours 3 × 3", s.Change.times(changesPS)},
-		{"VM list", "polled by byte budget", s.VMList.times(1 / vmListEvery)},
+		{"4,300 changes a day", "log first, then rumours 3 × 3", s.Change.scale(changesPerSecond)},
+		{"VM list", "polled by byte budget", s.VMList.scale(1 / vmListInterval)},
 	}
 	switch role {
 	case Entry:
 		rows = append(rows,
-			Row{fmt.Sprintf("Watch of %d agents", at.Watched), "subset; partial states at the entry's pace", s.Watch[at.Watched]},
-			Row{"stream `steps`", "long poll", Cost{BytesPS: s.PollBytes/stepsPoll + s.RecordBytes*stepClaimsPS}})
-		if at.Steps > 0 {
-			rows = append(rows, Row{fmt.Sprintf("owned steps: %d", at.Steps), "passes over the plan", s.StepPass.times(float64(at.Steps))})
+			Row{fmt.Sprintf("Watch of %d agents", scenario.Watched), "subset; partial states at the entry's pace", s.Watch[scenario.Watched]},
+			Row{"stream `steps`", "long poll", Cost{BytesPerSecond: s.PollBytes/stepsPollInterval + s.RecordBytes*stepClaimsPerSecond}})
+		if scenario.Steps > 0 {
+			rows = append(rows, Row{fmt.Sprintf("owned steps: %d", scenario.Steps), "passes over the plan", s.StepPass.scale(float64(scenario.Steps))})
 		}
 	default:
-		watched := s.WatchedBase.plus(s.Watched.times(float64(at.Watchers)))
-		watched.BytesPS = s.Watch[at.Watched].BytesPS / float64(at.Watched) * float64(at.Watchers)
-		rows = append(rows, Row{fmt.Sprintf("Watch by %d entries", at.Watchers), "one state for all, what changed to each", watched})
+		watched := s.WatchedBase.add(s.Watched.scale(float64(scenario.Watchers)))
+		watched.BytesPerSecond = s.Watch[scenario.Watched].BytesPerSecond / float64(scenario.Watched) * float64(scenario.Watchers)
+		rows = append(rows, Row{fmt.Sprintf("Watch by %d entries", scenario.Watchers), "one state for all, what changed to each", watched})
 	}
 	switch role {
 	case EngineAgent:
 		rows = append(rows,
-			Row{"stream `agents`", "read each 30 s", Cost{BytesPS: s.PollBytes/agentsRead + s.RecordBytes*agentClaimsPS}},
-			Row{"who serves the model", "each new row of the VM list is asked once", s.Ask.times(agentClaimsPS)})
+			Row{"stream `agents`", "read each 30 s", Cost{BytesPerSecond: s.PollBytes/agentsReadInterval + s.RecordBytes*agentClaimsPerSecond}},
+			Row{"who serves the model", "each new row of the VM list is asked once", s.Ask.scale(agentClaimsPerSecond)})
 	case ServiceAgent:
 		rows = append(rows, Row{"keys, 190 claims/s in the service", "group commit, paced tail, fold by window", s.Claims})
 	}
@@ -104,7 +104,7 @@
 func Total(rows []Row) Cost {
 	var sum Cost
 	for _, r := range rows {
-		sum = sum.plus(r.Cost)
+		sum = sum.add(r.Cost)
 	}
 	return sum
 }
@@ -115,17 +115,17 @@
 	var b strings.Builder
 	b.WriteString("| part | mechanism | % of a core | MB | KB/s |\n|---|---|---|---|---|\n")
 	for _, r := range rows {
-		fmt.Fprintf(&b, "| %s | %s | %s |\n", r.Part, r.Mechanism, r.cells())
+		fmt.Fprintf(&b, "| %s | %s | %s |\n", r.Part, r.Mechanism, r.tableCells())
 	}
-	fmt.Fprintf(&b, "| **sum** | budget 3 / 64 / 17 | %s |\n", Total(rows).cells())
+	fmt.Fprintf(&b, "| **sum** | budget 3 / 64 / 17 | %s |\n", Total(rows).tableCells())
 	return b.String()
 }
 
-func (c Cost) cells() string {
-	return cell(c.CPU*100, BudgetCPU*100) + " | " + cell(c.Memory/1e6, BudgetBytes/1e6) + " | " + cell(c.BytesPS/1e3, BudgetPS/1e3)
+func (c Cost) tableCells() string {
+	return tableCell(c.CPU*100, BudgetCPU*100) + " | " + tableCell(c.Memory/1e6, BudgetMemory/1e6) + " | " + tableCell(c.BytesPerSecond/1e3, BudgetBytesPerSecond/1e3)
 }
 
-func cell(value, budget float64) string {
+func tableCell(value, budget float64) string {
 	switch {
 	case value == 0:
 		return "–"
@@ -139,53 +139,55 @@
 	return fmt.Sprintf("%.2g", value)
 }
 
-// Reader is one kind of reader of the log.
-type Reader struct {
-	Stream  string
-	Readers int
-	ReadsPS float64 // of all together
-	BytesPS float64
+// ReaderGroup is one kind of reader of the log.
+type ReaderGroup struct {
+	Stream         string
+	Readers        int
+	ReadsPerSecond float64 // of all together
+	BytesPerSecond float64
 }
 
 // LogReaders returns the load that readers put on the platform's log. reads is
 // that of one agent of a service of n agents with keyed writes, measured.
-func LogReaders(s Slopes, serviceAgents int, claimReadsPS float64) []Reader {
-	const poll = 15.0 // s, confsync.pollWait
-	control := Reader{Stream: "`control`", Readers: Processes, ReadsPS: Processes * (1/poll + changesPS)}
-	control.BytesPS = Processes * (s.PollBytes/poll + s.Change.BytesPS*changesPS)
-	steps := Reader{Stream: "`steps`", Readers: Entries, ReadsPS: Entries * (1/stepsPoll + stepClaimsPS)}
-	steps.BytesPS = Entries * (s.PollBytes/stepsPoll + s.RecordBytes*stepClaimsPS)
-	agents := Reader{Stream: "`agents`", Readers: Servers, ReadsPS: Servers / agentsRead}
-	agents.BytesPS = Servers * (s.PollBytes/agentsRead + s.RecordBytes*agentClaimsPS)
-	once := Reader{Stream: "`once/…`, 190 claims/s", Readers: serviceAgents, ReadsPS: claimReadsPS}
-	once.BytesPS = float64(serviceAgents) * s.Claims.BytesPS
-	return []Reader{control, steps, agents, once}
+func LogReaders(s Slopes, serviceAgents int, claimReadsPerSecond float64) []ReaderGroup {
+	const controlPollInterval = 15.0 // s, confsync.pollWait
+	control := ReaderGroup{Stream: "`control`", Readers: Processes, ReadsPerSecond: Processes * (1/controlPollInterval + changesPerSecond)}
+	control.BytesPerSecond = Processes * (s.PollBytes/controlPollInterval + s.Change.BytesPerSecond*changesPerSecond)
+	steps := ReaderGroup{Stream: "`steps`", Readers: Entries, ReadsPerSecond: Entries * (1/stepsPollInterval + stepClaimsPerSecond)}
+	steps.BytesPerSecond = Entries * (s.PollBytes/stepsPollInterval + s.RecordBytes*stepClaimsPerSecond)
+	agents := ReaderGroup{Stream: "`agents`", Readers: Servers, ReadsPerSecond: Servers / agentsReadInterval}
+	agents.BytesPerSecond = Servers * (s.PollBytes/agentsReadInterval + s.RecordBytes*agentClaimsPerSecond)
+	once := ReaderGroup{Stream: "`once/…`, 190 claims/s", Readers: serviceAgents, ReadsPerSecond: claimReadsPerSecond}
+	once.BytesPerSecond = float64(serviceAgents) * s.Claims.BytesPerSecond
+	return []ReaderGroup{control, steps, agents, once}
 }
 
 // LogTable writes readers as a table of the page.
-func LogTable(readers []Reader) string {
+func LogTable(readers []ReaderGroup) string {
 	var b strings.Builder
 	b.WriteString("| stream | readers | reads/s | MB/s |\n|---|---|---|---|\n")
 	for _, r := range readers {
-		fmt.Fprintf(&b, "| %s | %d | %.0f | %.2f |\n", r.Stream, r.Readers, r.ReadsPS, r.BytesPS/1e6)
+		fmt.Fprintf(&b, "| %s | %d | %.0f | %.2f |\n", r.Stream, r.Readers, r.ReadsPerSecond, r.BytesPerSecond/1e6)
 	}
 	return b.String()
 }
 
-// StepSecondsAt is how long a step takes at least when its owner may use only
+// MinStepSeconds is how long a step takes at least when its owner may use only
 // so many engines, even if it has them for itself.
-func StepSecondsAt(engines int) float64 {
-	step := TokensPS / Trainers * StepSeconds
-	return step / (float64(engines) * TokensPS / Servers)
+func MinStepSeconds(engines int) float64 {
+	step := TokensPerSecond / Trainers * StepSeconds
+	return step / (float64(engines) * TokensPerSecond / Servers)
 }
 
 // MaxVersionBytes is the largest weight version that is on all servers within
 // the limit (s): seeds share the store's rate, a tree of three hops with four
 // children follows, and three waves of swaps of a second.
-func MaxVersionBytes(limit, storePS, linkPS float64) float64 {
+func MaxVersionBytes(limit, storeBytesPerSecond, linkBytesPerSecond float64) float64 {
 	const swaps, hops, fanOut = 2*1.25 + 1, 3, 4
-	return (limit - swaps) / (Domains/storePS + hops*fanOut/linkPS)
+	return (limit - swaps) / (Domains/storeBytesPerSecond + hops*fanOut/linkBytesPerSecond)
 }
 
 // MaxKeyWindow is the longest key window (s) whose claims fit into memory.
-func MaxKeyWindow(bytes, perClaim, claimsPS float64) float64 { return bytes / perClaim / claimsPS }
+func MaxKeyWindow(memory, perClaim, claimsPerSecond float64) float64 {
+	return memory / perClaim / claimsPerSecond
+}
--- a/capacity/watch_test.go
+++ b/capacity/watch_test.go
@@ -34,7 +34,7 @@
 
 func TestMain(m *testing.M) {
 	if spec := os.Getenv(agentsEnv); spec != "" {
-		if err := playAgents(spec, os.Stdin, os.Stdout); err != nil {
+		if err := serveAgents(spec, os.Stdin, os.Stdout); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
@@ -70,11 +70,11 @@
 	}
 }
 
-// playAgents serves agents until its input ends. spec is "COUNT LOAD WARM": the
+// serveAgents serves agents until its input ends. spec is "COUNT LOAD WARM": the
 // times between two changes of the load and of the warm prefixes. It tells the
 // agents' addresses, and after each line of input the bytes that their
 // connections have carried and its processor time in ns.
-func playAgents(spec string, in io.Reader, out io.Writer) error {
+func serveAgents(spec string, in io.Reader, out io.Writer) error {
 	fields := strings.Fields(spec)
 	count, err := strconv.Atoi(fields[0])
 	if err != nil {
@@ -90,7 +90,7 @@
 	}
 	var traffic Traffic
 	for i := range count {
-		addr, err := playAgent(i, load, warm, &traffic)
+		addr, err := serveAgent(i, load, warm, &traffic)
 		if err != nil {
 			return err
 		}
@@ -107,19 +107,19 @@
 	return lines.Err()
 }
 
-// playAgent serves the real agent's states over a made-up engine.
-func playAgent(i int, load, warm time.Duration, traffic *Traffic) (net.Addr, error) {
+// serveAgent serves the real agent's states over a made-up engine.
+func serveAgent(i int, load, warm time.Duration, traffic *Traffic) (net.Addr, error) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
 	var set server.Settings
 	set.Process.Name, set.Process.Listen = agentName(i), "10.12.34.56:7100"
-	set.Process.FailureDomain, set.Process.Region = domainOf(i), "region-3"
+	set.Process.FailureDomain, set.Process.Region = failureDomain(i), "region-3"
 	set.Backend = server.Backend{
 		Kind: server.KindEngine, Serves: "model-3", Addr: lis.Addr().String(), HealthInterval: time.Minute,
 	}
-	engine := &madeUpEngine{warm: warm, began: time.Now()}
+	engine := &engineStandIn{warm: warm, started: time.Now()}
 	agent := server.New(server.Config{
 		Settings: set, Viewer: confsync.Static{V: &confsync.View{Number: 1 << 20, Manifest: &manifest.Manifest{}}},
 		VMs: fixedVMs(nil), Queue: admission.New(admission.Config{Slots: 32}), Generator: engine,
@@ -136,22 +136,22 @@
 	return lis.Addr(), nil
 }
 
-// madeUpEngine is an engine whose load is another one at each look.
-type madeUpEngine struct {
+// engineStandIn is an engine whose load is another one at each look.
+type engineStandIn struct {
 	server.Generator // panics on what a watch does not ask for
 	warm             time.Duration
-	began            time.Time
-	looks            int
+	started          time.Time
+	reads            int
 }
 
-func (e *madeUpEngine) FillState(s *pb.AgentState) {
-	e.looks++
+func (e *engineStandIn) FillState(s *pb.AgentState) {
+	e.reads++
 	load := agentState(s.Name, 64)
-	s.Version, s.Slots, s.Running, s.Queued = load.Version, load.Slots, int32(e.looks%32), int32(e.looks%7)
-	s.TokensPerS, s.StreamTokensPerS = load.TokensPerS+float64(e.looks), load.StreamTokensPerS+float64(e.looks)
-	s.QueueWaitMs = int64(e.looks % 1000)
+	s.Version, s.Slots, s.Running, s.Queued = load.Version, load.Slots, int32(e.reads%32), int32(e.reads%7)
+	s.TokensPerS, s.StreamTokensPerS = load.TokensPerS+float64(e.reads), load.StreamTokensPerS+float64(e.reads)
+	s.QueueWaitMs = int64(e.reads % 1000)
 	s.WarmPrefixes = load.WarmPrefixes
-	s.WarmPrefixes[0] = uint64(1 + time.Since(e.began)/e.warm)
+	s.WarmPrefixes[0] = uint64(1 + time.Since(e.started)/e.warm)
 }
 
 // agentsProcess is a process that plays agents.
@@ -179,8 +179,8 @@
 	return p
 }
 
-// spent returns the bytes carried and the processor time used so far.
-func (p *agentsProcess) spent(b *testing.B) (bytes int64, cpu time.Duration) {
+// usage returns the bytes carried and the processor time used so far.
+func (p *agentsProcess) usage(b *testing.B) (bytes int64, cpu time.Duration) {
 	_, err := fmt.Fprintln(p.in)
 	require.NoError(b, err)
 	require.True(b, p.out.Scan())
@@ -221,28 +221,28 @@
 	before := LiveBytes()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	picture := fleet.New(fleet.Config{
-		Name: "entry-0001", FailureDomain: domainOf(0), Region: "region-0", VMs: fixedVMs(vms),
+	entryFleet := fleet.New(fleet.Config{
+		Name: "entry-0001", FailureDomain: failureDomain(0), Region: "region-0", VMs: fixedVMs(vms),
 		Viewer: confsync.Static{V: &confsync.View{Manifest: &manifest.Manifest{}}},
 		Subset: subset.Config{FullBelow: agents}, Eject: eject.Default,
 	})
 	done := make(chan struct{})
-	go func() { defer close(done); picture.Run(ctx) }()
+	go func() { defer close(done); entryFleet.Run(ctx) }()
 	defer func() { cancel(); <-done }()
-	require.Eventually(b, func() bool { return len(picture.Snapshot().ByName) == agents }, time.Minute, 10*time.Millisecond)
-	bytes0, remote0 := process.spent(b)
+	require.Eventually(b, func() bool { return len(entryFleet.Snapshot().ByName) == agents }, time.Minute, 10*time.Millisecond)
+	bytes0, remote0 := process.usage(b)
 	cpu0, err := CPUTime()
 	require.NoError(b, err)
-	began := time.Now()
+	started := time.Now()
 	b.ResetTimer()
 	for range b.N {
 		<-time.After(time.Second)
 	}
 	b.StopTimer()
-	seconds := time.Since(began).Seconds()
+	seconds := time.Since(started).Seconds()
 	cpu1, err := CPUTime()
 	require.NoError(b, err)
-	bytes1, remote1 := process.spent(b)
+	bytes1, remote1 := process.usage(b)
 	b.ReportMetric(100*(cpu1-cpu0).Seconds()/seconds, "entry-%core")
 	b.ReportMetric(100*(remote1-remote0).Seconds()/seconds/float64(agents), "agent-%core/watcher")
 	b.ReportMetric(float64(bytes1-bytes0)/seconds/1e3, "KB/s")
