--- a/capacity/ask_test.go
+++ b/capacity/ask_test.go
@@ -11,7 +11,7 @@
 	"dandelionsill.org/wire/pb"
 )
 
-// singleStateAgent says its state once.
+// singleStateAgent is an agent whose Watch streams send one state and then nothing.
 type singleStateAgent struct {
 	pb.UnimplementedAgentServer
 	state *pb.AgentState
@@ -25,9 +25,9 @@
 	return nil
 }
 
-// BenchmarkAsk connects to an agent, reads one state and closes: what the
-// roster does with each agent of the list, and an entry when an agent comes
-// back. The processor time is that of both sides.
+// BenchmarkAsk connects to an agent, reads one state and closes the connection.
+// The roster does this for each agent of the VM list, and an entry does it when an
+// agent is available again. The processor time is that of both sides.
 func BenchmarkAsk(b *testing.B) {
 	traffic := &Traffic{}
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
--- a/capacity/decide_test.go
+++ b/capacity/decide_test.go
@@ -14,13 +14,14 @@
 	"dandelionsill.org/decide/waves"
 )
 
-// serverCounts are the sizes at which slopes over servers are taken.
+// serverCounts are the numbers of servers at which the benchmarks measure.
 var serverCounts = []int{100, 500, Servers}
 
-// entriesFor keeps the letter's share of entries per server.
+// entriesFor returns the number of entries for a number of servers, in the
+// proportion of the full size.
 func entriesFor(servers int) int { return max(1, servers*Entries/Servers) }
 
-// BenchmarkSubset chooses one entry's subset and tells its size.
+// BenchmarkSubset chooses one entry's subset and reports its size.
 func BenchmarkSubset(b *testing.B) {
 	for _, servers := range serverCounts {
 		for _, pools := range []int{1, 4, 12} {
@@ -37,8 +38,9 @@
 	}
 }
 
-// BenchmarkSubsetOwner tells the subset of an entry that owns a step of one of
-// the pool's trainers; the letter's 24 trainers share the pools.
+// BenchmarkSubsetOwner chooses the subset of an entry that owns a step of one of a
+// pool's trainers and reports how many of the pool's agents it has. The 24 trainers
+// of the full size are spread over the pools.
 func BenchmarkSubsetOwner(b *testing.B) {
 	for _, servers := range serverCounts {
 		for _, pools := range []int{1, 4, 12} {
@@ -66,9 +68,9 @@
 	return n
 }
 
-// BenchmarkLearnPools starts an entry that knows of no agent what it serves. It
-// learns from those that it watches and chooses again each second
-// (fleet.upkeepInterval), until it knows all that it will ever watch.
+// BenchmarkLearnPools starts an entry that does not know yet which pool each agent
+// serves. It learns the pools of the agents that it watches and chooses its subset
+// again each second (fleet.maintenanceInterval), until a round brings nothing new.
 func BenchmarkLearnPools(b *testing.B) {
 	for _, servers := range serverCounts {
 		b.Run(fmt.Sprintf("servers=%d/pools=4", servers), func(b *testing.B) {
@@ -140,9 +142,9 @@
 	return all
 }
 
-// BenchmarkWaves lays out the spread of one version; the makespan is pure
-// arithmetic of the plan for 200 MB, a store of 1 GB/s, links of 750 MB/s and
-// swaps of 1 s.
+// BenchmarkWaves plans the rollout of one version. The fetch time and makespan are
+// computed from the plan for 200 MB, a store of 1 GB/s, links of 750 MB/s and swaps
+// of 1 s.
 func BenchmarkWaves(b *testing.B) {
 	rates := waves.Rates{Bytes: 200e6, StoreBytesPerSecond: 1e9, LinkBytesPerSecond: 750e6}
 	for _, servers := range serverCounts {
@@ -158,15 +160,15 @@
 	}
 }
 
-// BenchmarkStraggle asks a whole step's plan what to do next, with every slot
-// taken and each stream making progress, as on a scheduler's pass.
+// BenchmarkStraggle runs one scheduler pass over the plan of a complete step, with
+// every slot taken and progress on each stream.
 func BenchmarkStraggle(b *testing.B) {
 	for _, servers := range []int{10, 35, 60, 100, 500, Servers} {
 		b.Run(fmt.Sprintf("samples=%d/servers=%d", StepSamples, servers), func(b *testing.B) {
 			plan, view, runs := runningStep(servers)
 			chunks, now := 1, time.Second
 			for b.Loop() {
-				now += 60 * time.Millisecond // each pass measures
+				now += 60 * time.Millisecond // long enough for each pass to measure
 				chunks++
 				for _, run := range runs {
 					plan.Observe(run, chunks*8, chunks, 1, now)
@@ -178,7 +180,8 @@
 	}
 }
 
-// runningStep is a plan whose samples fill the servers' slots.
+// runningStep returns a plan whose samples fill the servers' slots, the servers and
+// the runs.
 func runningStep(servers int) (*straggle.Plan, []straggle.Server, []straggle.RunID) {
 	const group = 16
 	groups := make([]straggle.Group, StepSamples/group)
--- a/capacity/generate_test.go
+++ b/capacity/generate_test.go
@@ -27,13 +27,14 @@
 	"dandelionsill.org/wire/pb"
 )
 
-// chunksPerStream is long enough that a stream's begin and end weigh little.
+// chunksPerStream is high enough that the costs of opening and closing a stream are
+// negligible.
 const chunksPerStream = 512
 
-// unpacedEngine serves one version; its streams make chunks as fast as they are
-// read.
+// unpacedEngine is an engine that serves one version. Its streams generate chunks as
+// fast as they are read.
 type unpacedEngine struct {
-	platform.Engine // panics on what an agent does not ask for here
+	platform.Engine // nil: methods that the agent does not call here panic
 	tokens          int
 	mu              sync.Mutex
 	state           platform.EngineState
@@ -79,7 +80,7 @@
 	return c, nil
 }
 
-// memoryLog is one stream in memory.
+// memoryLog is a log that keeps one stream in memory.
 type memoryLog struct {
 	mu      sync.Mutex
 	records []platform.Record
@@ -99,7 +100,7 @@
 	return platform.Page{Records: l.records[min(from, end):], Next: end, End: end}, nil
 }
 
-// oneByteStore holds versions of one byte.
+// oneByteStore is a weight store whose versions have one byte.
 type oneByteStore struct{ platform.WeightStore }
 
 func (oneByteStore) Fetch(_ context.Context, model string, version uint64) (io.ReadCloser, platform.WeightInfo, error) {
@@ -109,7 +110,7 @@
 	return io.NopCloser(bytes.NewReader(data)), info, nil
 }
 
-// generateServer serves only Generate.
+// generateServer is an agent's server that implements only Generate.
 type generateServer struct {
 	pb.UnimplementedAgentServer
 	h *generate.Handler
@@ -119,9 +120,9 @@
 	return g.h.Generate(req, out)
 }
 
-// BenchmarkGenerate carries samples' chunks from an engine through the agent
-// to a reader over gRPC. One iteration is one chunk; the processor time is
-// that of both sides. This is the data path, outside of the control budget.
+// BenchmarkGenerate streams samples' chunks from an engine through the agent to a
+// reader over gRPC. One iteration is one chunk; the processor time is that of both
+// sides. This is the data path, which does not count towards the control budget.
 func BenchmarkGenerate(b *testing.B) {
 	for _, tokens := range []int{1, 8, 32} {
 		for _, streams := range []int{1, 32} {
--- a/capacity/keeper_test.go
+++ b/capacity/keeper_test.go
@@ -28,11 +28,11 @@
 	testKeys = manifest.Keys{"pipeline": signer.Public().(ed25519.PublicKey)}
 )
 
-// fleetManifest is the manifest of a full-size fleet: 12 models, 24 services,
-// 24 trainers, 200 callers.
+// fleetManifest returns the manifest of a full-size fleet: 12 models, 24 services,
+// 24 trainers and 200 callers.
 func fleetManifest() []byte { return ManifestText(12, 24, Trainers, 200) }
 
-// revisionText is that manifest, with another content in each revision.
+// revisionText returns fleetManifest with content that differs in each revision.
 func revisionText(number uint64) []byte {
 	return append(fleetManifest(), fmt.Sprintf("\n# revision %d\n", number)...)
 }
@@ -42,8 +42,8 @@
 	return control.EncodeCommit(fmt.Sprintf("commit/%d", number), manifest.Sign(signer, "pipeline", number, number-1, text))
 }
 
-// BenchmarkFoldControl folds commits of a full-size manifest: signature,
-// parse and checks.
+// BenchmarkFoldControl applies commits of a full-size manifest. This includes the
+// signature check, parsing and validation.
 func BenchmarkFoldControl(b *testing.B) {
 	records := make([]platform.Record, b.N)
 	for i := range records {
@@ -64,11 +64,11 @@
 	b.ReportMetric(float64(int64(after)-int64(before))/1e3, "state-KB")
 }
 
-// BenchmarkKeeper runs the whole control plane of n processes against one log:
-// tail, anti-entropy, rumours. One iteration is one second, with the given
-// number of changes in it. Processor time is that of a process with its share
-// of the log stand-in's; bytes are those of a process, in and out, with its
-// peers (as asker and as asked) and with the log.
+// BenchmarkKeeper runs the complete control plane of n processes against one log:
+// reading the log's tail, anti-entropy and rumours. One iteration is one second with
+// the given number of changes. The processor time is per process and includes its
+// share of the log stand-in's. The bytes are those that one process exchanges, in
+// both directions, with the log and with its peers, as client and as server.
 func BenchmarkKeeper(b *testing.B) {
 	for _, n := range []int{10, 100, Entries} {
 		for _, changes := range []int{0, 1} {
@@ -77,10 +77,10 @@
 	}
 }
 
-// settleTime is the time until connections and pools have settled.
+// settleTime is how long connections and pools take to reach a steady state.
 const settleTime = 5 * time.Second
 
-// cluster is n Keepers with their listeners.
+// cluster runs n Keepers and counts the traffic between them and with the log.
 type cluster struct {
 	keepers                 []*confsync.Keeper
 	peerTraffic, logTraffic *Traffic
@@ -128,7 +128,8 @@
 	return c
 }
 
-// waitInForce waits until all processes have a revision and returns the time.
+// waitInForce waits until all processes have a revision and returns how long that
+// took.
 func (c *cluster) waitInForce(b *testing.B, number uint64) time.Duration {
 	started := time.Now()
 	for _, k := range c.keepers {
--- a/capacity/log_test.go
+++ b/capacity/log_test.go
@@ -23,7 +23,7 @@
 	"dandelionsill.org/standin/vms"
 )
 
-// startServer runs a stand-in and counts what its connections carry.
+// startServer serves a handler on loopback and counts the bytes of its connections.
 func startServer(b *testing.B, h http.Handler) (url string, traffic *Traffic) {
 	traffic = &Traffic{}
 	srv := httptest.NewUnstartedServer(h)
@@ -48,8 +48,8 @@
 	c.Handler.ServeHTTP(w, r)
 }
 
-// BenchmarkLogPoll reads an empty page: what a long poll costs that ends with
-// nothing new. The processor time is that of both sides.
+// BenchmarkLogPoll reads an empty page: the cost of a long poll that returns nothing
+// new. The processor time is that of both sides.
 func BenchmarkLogPoll(b *testing.B) {
 	url, traffic := startServer(b, logsvc.New(logsvc.Config{}))
 	log := httplog.New(url, "agent-0001")
@@ -60,8 +60,8 @@
 	})
 }
 
-// BenchmarkLogRecord reads one record of a size that matters: a step's claim,
-// a batch of one idempotency claim, a manifest.
+// BenchmarkLogRecord reads one record. The sizes are about those of a step's claim, a
+// batch with one idempotency claim, and a manifest.
 func BenchmarkLogRecord(b *testing.B) {
 	for _, size := range []int{150, 1 << 10, 64 << 10} {
 		b.Run(fmt.Sprintf("bytes=%d", size), func(b *testing.B) {
@@ -78,7 +78,7 @@
 	}
 }
 
-// BenchmarkVMList reads the platform's list of VMs.
+// BenchmarkVMList reads the platform's VM list.
 func BenchmarkVMList(b *testing.B) {
 	for _, n := range []int{100, 500, Processes} {
 		b.Run(fmt.Sprintf("vms=%d", n), func(b *testing.B) {
@@ -97,7 +97,7 @@
 	}
 }
 
-// benchCPU runs f b.N times and tells bytes and processor time of one.
+// benchCPU runs f b.N times and reports the bytes and the processor time per call.
 func benchCPU(b *testing.B, traffic *Traffic, f func()) {
 	f()
 	cpu0, err := CPUTime()
@@ -114,8 +114,8 @@
 	b.ReportMetric(float64((cpu1-cpu0).Microseconds())/float64(b.N), "cpu-us/op")
 }
 
-// BenchmarkFoldOnce folds claims of idempotency keys and tells the memory that
-// each one takes while its key is within the window.
+// BenchmarkFoldOnce applies claims of idempotency keys and reports the memory per
+// claim while its key is within the window.
 func BenchmarkFoldOnce(b *testing.B) {
 	for _, perBatch := range []int{1, 8} {
 		b.Run(fmt.Sprintf("batch=%d", perBatch), func(b *testing.B) {
@@ -157,9 +157,9 @@
 	return fold.Claim{Key: fold.Key{Caller: fmt.Sprintf("caller-%d", id[15]%200), ID: id}, Hash: fold.Hash(uuid.New())}
 }
 
-// BenchmarkOnce lets agents of one service claim 190 keys a second together.
-// One iteration is one second. Processor time is that of an agent with its
-// share of the log stand-in's.
+// BenchmarkOnce runs agents of one service that together claim 190 keys a second. One
+// iteration is one second. The processor time is per agent and includes its share
+// of the log stand-in's.
 func BenchmarkOnce(b *testing.B) {
 	for _, agents := range []int{4, 20, 100} {
 		b.Run(fmt.Sprintf("agents=%d", agents), func(b *testing.B) { benchOnce(b, agents, RequestsPerSecond*keyedRequestShare) })
--- a/capacity/meter.go
+++ b/capacity/meter.go
@@ -19,23 +19,24 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano()), nil
 }
 
-// LiveBytes returns the memory in use after a collection: heap and stacks.
+// LiveBytes returns the heap and stack memory that is in use after a garbage
+// collection.
 func LiveBytes() uint64 {
 	runtime.GC()
-	runtime.GC() // the first one only queues finalizers and empties pools by half
+	runtime.GC() // the first one only queues finalizers and moves the pools to their victim caches
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return m.HeapAlloc + m.StackInuse
 }
 
-// Traffic counts the bytes of connections. In and Out are as the listener's
-// owner sees them: In was sent by the clients.
+// Traffic counts the bytes of a listener's connections. In counts what clients sent,
+// Out what they received.
 type Traffic struct{ In, Out atomic.Int64 }
 
 // Total returns the bytes of both directions.
 func (t *Traffic) Total() int64 { return t.In.Load() + t.Out.Load() }
 
-// Listen counts what the connections of a listener carry.
+// Listen wraps a listener so that the bytes of its connections are counted.
 func (t *Traffic) Listen(l net.Listener) net.Listener { return listener{l, t} }
 
 type listener struct {
--- a/capacity/page_test.go
+++ b/capacity/page_test.go
@@ -13,8 +13,7 @@
 
 var update = flag.Bool("update", false, "write the tables of docs/CAPACITY.md anew")
 
-// pageTables are the tables of the page that are worked out here, by the name
-// that their markers carry.
+// pageTables returns the page's computed tables by the names in their markers.
 func pageTables() map[string]string {
 	s := Measured
 	return map[string]string{
@@ -28,8 +27,8 @@
 	}
 }
 
-// The page's tables are those that the measured slopes give: a slope that is
-// measured anew can't leave old sums behind.
+// The page's tables must be those computed from the measured slopes, so that a new
+// measurement leaves no outdated sums on the page.
 func TestPage(t *testing.T) {
 	data, err := os.ReadFile(pagePath)
 	require.NoError(t, err)
@@ -51,7 +50,7 @@
 	}
 }
 
-// Sums worked out by hand.
+// The sums must equal ones that were computed by hand.
 func TestSums(t *testing.T) {
 	s := Slopes{
 		Base:     map[Role]Cost{Entry: {CPU: 0.001, Memory: 20e6, BytesPerSecond: 1}},
--- a/capacity/process_test.go
+++ b/capacity/process_test.go
@@ -33,11 +33,11 @@
 	readyTimeout = 30 * time.Second
 )
 
-// BenchmarkProcess runs the real binary of a role in the middle of a fleet of
-// full size that is played to it: the log with a full-size manifest, the VM
-// list with 1,860 rows, agents that it watches or entries that watch it. One
-// iteration is one second. An engine's agent that is "asking" asks all others
-// what they serve meanwhile, as after each start.
+// BenchmarkProcess runs the real binary of a role in a simulated fleet of full size:
+// the log with a full-size manifest, the VM list with 1,860 rows, and the agents that
+// it watches or the entries that watch it. One iteration is one second. In the case
+// "asking" an engine's agent asks all other agents what they serve during the
+// measurement, as it does after each start.
 func BenchmarkProcess(b *testing.B) {
 	const hour = time.Hour
 	b.Run("entry/watched=46/idle", func(b *testing.B) { benchEntryProcess(b, 46, hour) })
@@ -48,9 +48,9 @@
 	b.Run("agent/kind=engine/watchers=82/asking", func(b *testing.B) { benchAgentProcess(b, "engine", 82, Servers) })
 }
 
-// simulatedFleet is the fleet around one process.
+// simulatedFleet is the simulated environment of one process.
 type simulatedFleet struct {
-	flags []string // settings that every binary takes
+	flags []string // settings for every binary
 	list  *vms.VMs
 	log   *Traffic
 	vms   *Traffic
@@ -76,7 +76,8 @@
 	return p
 }
 
-// peer is any other process: it answers exchanges and says what it serves.
+// peer stands in for every other process: it answers exchanges and reports an agent's
+// state.
 type peer struct {
 	pb.UnimplementedPeerServer
 	singleStateAgent
@@ -86,7 +87,7 @@
 	return &pb.ExchangeReply{Name: "agent-1499", Revision: 1, Hash: manifest.Hash(revisionText(1))}, nil
 }
 
-// startPeer serves all other processes' address.
+// startPeer starts a peer and returns the address that all other processes share.
 func startPeer(b *testing.B) string {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(b, err)
@@ -115,7 +116,7 @@
 		if at := i - Entries; at >= 0 && at < watched {
 			vm.Addr = agents.addrs[at]
 		} else if at >= watched {
-			vm.Role = "other" // in the list, and in no subset
+			vm.Role = "other" // listed, but in no subset
 		}
 		p.list.Put(vm)
 	}
@@ -133,7 +134,7 @@
 	for i, vm := range VMs(Entries, Servers) {
 		vm.Addr = other
 		if i >= Entries+listedAgents {
-			vm.Role = "other" // in the list, and asked by nobody
+			vm.Role = "other" // listed, but not asked by the agent
 		}
 		p.list.Put(vm)
 	}
@@ -164,7 +165,7 @@
 	proc.measure(b)
 }
 
-// binary is a process of the system.
+// binary is a running process of the system.
 type binary struct {
 	cmd        *exec.Cmd
 	grpc, http string
@@ -192,7 +193,8 @@
 	return p
 }
 
-// measure lets the process settle and then reports what it uses.
+// measure waits for settleTime and then reports the process's processor time and
+// memory.
 func (p *binary) measure(b *testing.B) {
 	<-time.After(settleTime)
 	cpu0, started := p.cpu(b), time.Now()
--- a/capacity/size.go
+++ b/capacity/size.go
@@ -9,7 +9,7 @@
 	"dandelionsill.org/platform"
 )
 
-// The full size, by the users' letter.
+// The full size, as required by the users.
 const (
 	Entries           = 360
 	Servers           = 1500
@@ -27,18 +27,18 @@
 	SecondsPerDay     = 86400.0
 )
 
-// The budgets for control of one daemon.
+// The budgets of one process for its control costs.
 const (
 	BudgetCPU            = 0.03     // of a core
 	BudgetMemory         = 64e6     // of memory
-	BudgetBytesPerSecond = 17 * 1e3 // bytes a second, both directions together
+	BudgetBytesPerSecond = 17 * 1e3 // both directions together
 	keyedRequestShare    = 0.05     // of the requests carry an idempotency key (docs/DESIGN.md)
 )
 
-// failureDomain spreads members over failure domains evenly.
+// failureDomain returns the failure domain of member i; members are spread evenly.
 func failureDomain(i int) string { return fmt.Sprintf("domain-%02d", i%Domains) }
 
-// EntryMembers returns n entries as the choice of subsets sees them.
+// EntryMembers returns n entries as input of the subset choice.
 func EntryMembers(n int) []subset.Member {
 	all := make([]subset.Member, n)
 	for i := range all {
@@ -47,7 +47,7 @@
 	return all
 }
 
-// AgentMembers returns n agents that serve the given number of pools.
+// AgentMembers returns n agents that are spread over the given number of pools.
 func AgentMembers(n, pools int) []subset.Member {
 	all := make([]subset.Member, n)
 	for i := range all {
@@ -58,7 +58,7 @@
 
 func agentName(i int) string { return fmt.Sprintf("agent-%04d", i) }
 
-// WaveServers returns n servers of one model.
+// WaveServers returns n servers of one model as input of the rollout plan.
 func WaveServers(n int) []waves.Server {
 	all := make([]waves.Server, n)
 	for i := range all {
@@ -67,7 +67,7 @@
 	return all
 }
 
-// VMs returns the platform's list with this many VMs of each role.
+// VMs returns a VM list with the given numbers of entries and agents.
 func VMs(entries, agents int) []platform.VM {
 	var all []platform.VM
 	add := func(role, name string, i int) {
@@ -85,8 +85,8 @@
 	return all
 }
 
-// ManifestText returns a manifest of a fleet: trainers, callers and services
-// grow with it.
+// ManifestText returns the text of a manifest with the given numbers of models,
+// services, trainers and callers.
 func ManifestText(models, services, trainers, callers int) []byte {
 	var b strings.Builder
 	b.WriteString("[fleet]\nname = fleet\nweigh = idle\n")
--- a/capacity/slopes.go
+++ b/capacity/slopes.go
@@ -1,10 +1,10 @@
 package capacity
 
-// Measured are the slopes that the page's sums use, from the runs that it
-// names. Processor times are those of a busy machine.
+// Measured are the slopes for the sums in docs/CAPACITY.md, which names the runs that
+// gave them. The processor times were taken on a busy machine.
 var Measured = Slopes{
 	Base: map[Role]Cost{
-		// Process: resident memory without the watches.
+		// From BenchmarkProcess: resident memory without the watches.
 		Entry:        {Memory: 26.8e6},
 		EngineAgent:  {CPU: 0.0016, Memory: 25.4e6},
 		ServiceAgent: {CPU: 0.0003, Memory: 23.9e6},
--- a/capacity/spread_test.go
+++ b/capacity/spread_test.go
@@ -28,12 +28,12 @@
 )
 
 const (
-	spreadServers = 62 // of one failure domain at full size
+	spreadServers = 62 // in one failure domain at full size
 	spreadBytes   = 4 << 20
-	spreadLimit   = time.Minute // servers without the version by then count as late
+	spreadLimit   = time.Minute // servers that lack the version after it count as late
 )
 
-// testViewer is a Viewer whose versions rise.
+// testViewer is a Viewer for which Announce sets the newest weight version.
 type testViewer struct {
 	mu      sync.Mutex
 	view    *confsync.View
@@ -62,7 +62,7 @@
 	a.changed = make(chan struct{})
 }
 
-// weightsServer serves only FetchWeights.
+// weightsServer is an agent's server that implements only FetchWeights.
 type weightsServer struct {
 	pb.UnimplementedAgentServer
 	keeper *weights.Keeper
@@ -72,7 +72,8 @@
 	return r.keeper.FetchWeights(req, out)
 }
 
-// fetchCounter counts the fetches that reach the store.
+// fetchCounter counts the requests that reach the store: fetches of weights and
+// queries for the latest version.
 type fetchCounter struct {
 	http.Handler
 	fetches, latestQueries atomic.Int64
@@ -89,10 +90,10 @@
 	f.Handler.ServeHTTP(w, r)
 }
 
-// BenchmarkSpread gives one failure domain of the full fleet a new version of
-// 4 MB from a store whose rate lets the domain's seed take the given time (as
-// 24 seeds of larger versions do at a store of their size). One iteration is
-// one spread.
+// BenchmarkSpread distributes a new version of 4 MB to one failure domain of the full
+// fleet. The store's rate is such that the domain's seed takes the given time to
+// fetch it, as 24 seeds do that share a store at full size. One iteration is one
+// distribution.
 func BenchmarkSpread(b *testing.B) {
 	for _, seed := range []time.Duration{time.Second, 5 * time.Second} {
 		b.Run(fmt.Sprintf("servers=%d/seed=%v", spreadServers, seed), func(b *testing.B) {
--- a/capacity/steps_test.go
+++ b/capacity/steps_test.go
@@ -35,7 +35,7 @@
 	sampleVersion = 7
 )
 
-// stepFleet is a picture of engines that run in this process.
+// stepFleet is a fleet whose engines run in this process.
 type stepFleet struct {
 	snapshot *fleet.Snapshot
 	inFlight map[string]*atomic.Int64
@@ -80,10 +80,10 @@
 	f.changed = make(chan struct{})
 }
 
-// pacedEngine is an engine whose streams make a chunk at each tick and never end;
-// with no tick they end at once with one chunk of the whole text.
+// pacedEngine is an engine whose streams generate a chunk at each tick and never end.
+// Without a tick a stream ends at once after one chunk with the complete text.
 type pacedEngine struct {
-	pb.AgentClient // panics on what a step does not ask for
+	pb.AgentClient // nil: methods that a step does not call panic
 	tick           time.Duration
 	tokens         int
 }
@@ -96,7 +96,8 @@
 	return nil, errNoCache
 }
 
-// errNoCache: the engine has nothing to export; a moved stream begins anew.
+// errNoCache says that the engine has no cache to export. A migrated stream starts
+// from the beginning.
 var errNoCache = errors.New("no KV cache")
 
 type pacedStream struct {
@@ -172,10 +173,10 @@
 	require.Equal(b, http.StatusOK, w.Code, w.Body)
 }
 
-// BenchmarkStepPass runs whole steps of 2,048 samples whose streams fill the
-// slots, at an entry whose picture changes 50 times a second
-// (fleet.publishInterval). One iteration is one second. The processor time of
-// passes is what is left when the time between chunks grows.
+// BenchmarkStepPass runs complete steps of 2,048 samples whose streams fill the
+// slots. The entry's fleet snapshot changes 50 times a second (fleet.publishInterval).
+// One iteration is one second. As the time between chunks grows, the processor time
+// approaches that of the scheduler passes alone.
 func BenchmarkStepPass(b *testing.B) {
 	const half = 500 * time.Millisecond
 	for _, c := range []stepPassCase{
@@ -188,7 +189,7 @@
 	}
 }
 
-// stepPassCase is one setting of BenchmarkStepPass.
+// stepPassCase is one case of BenchmarkStepPass.
 type stepPassCase struct {
 	steps, servers, changes int
 	chunk                   time.Duration
@@ -225,8 +226,8 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkStepMemory tells what an entry keeps of a sample that is queued,
-// and of one that is finished and not yet acknowledged.
+// BenchmarkStepMemory reports the memory that an entry keeps for a sample that is
+// queued (0 tokens) or that is finished and not yet acknowledged.
 func BenchmarkStepMemory(b *testing.B) {
 	for _, tokens := range []int{0, 256, 1024} {
 		b.Run(fmt.Sprintf("tokens=%d", tokens), func(b *testing.B) {
@@ -254,7 +255,8 @@
 	b.ReportMetric(float64(tokens*tokenBytes), "text-B")
 }
 
-// waitFinished waits until the first page can be had and no stream runs.
+// waitFinished waits until the first page of groups is available and gives the
+// remaining streams time to end.
 func waitFinished(b *testing.B, s *steps.Steps) {
 	url := "/v1/steps/1/groups?attempt=1&cursor=0&wait_ms=20000"
 	require.Eventually(b, func() bool {
@@ -268,9 +270,9 @@
 	<-time.After(2 * time.Second)
 }
 
-// BenchmarkTrainer pulls whole steps with the trainer's client from an entry
-// that has them ready. Processor time is the client's with that of the
-// server's socket; bytes are those of the answers.
+// BenchmarkTrainer reads complete steps with the trainer's client from a server that
+// has all pages encoded already. The processor time is the client's and that of the
+// server's connections; the bytes are those of the answers.
 func BenchmarkTrainer(b *testing.B) {
 	for _, tokens := range []int{256, 1024, 7812} {
 		b.Run(fmt.Sprintf("tokens=%d", tokens), func(b *testing.B) { benchTrainer(b, tokens) })
@@ -303,9 +305,10 @@
 	b.ReportMetric(float64(traffic.Total())/float64(samples), "wire-B/sample")
 }
 
-// finishedStepHandler answers like an entry with a finished step, from encoded pages.
+// finishedStepHandler returns a handler that answers like an entry with a finished
+// step, from pages that are already encoded.
 func finishedStepHandler(b *testing.B, tokens int) http.Handler {
-	perPage := max(1, min(64, (4<<20)/(tokens*tokenBytes*groupSamples))) // steps.answerGroups, answerBytes
+	perPage := max(1, min(64, (4<<20)/(tokens*tokenBytes*groupSamples))) // steps.maxAnswerGroups, targetAnswerBytes
 	epoch := steps.Epoch{Attempt: 1, Claim: 1}
 	pages := map[string][]byte{}
 	specs := groupSpecs()
--- a/capacity/sums.go
+++ b/capacity/sums.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Cost is what something costs a process.
+// Cost is a cost for one process.
 type Cost struct {
 	CPU            float64 // share of a core
 	Memory         float64 // bytes
@@ -20,35 +20,36 @@
 	return Cost{c.CPU * n, c.Memory * n, c.BytesPerSecond * n}
 }
 
-// Slopes are measured; each names its benchmark.
+// Slopes are the measured costs per unit. The comment of each field names its
+// benchmark, without the prefix Benchmark.
 type Slopes struct {
-	Base        map[Role]Cost // Process, without what is counted below
-	Idle        Cost          // Keeper: tail and anti-entropy while nothing changes
+	Base        map[Role]Cost // Process: without what the other fields count
+	Idle        Cost          // Keeper: log reads and anti-entropy without changes
 	Change      Cost          // Keeper: one change a second
 	PollBytes   float64       // LogPoll: an empty read of the log
 	RecordBytes float64       // LogRecord: a read of one small record
 	VMList      Cost          // VMList: one answer a second
-	Watch       map[int]Cost  // Watch: an entry by agents watched, under load
-	WatchedBase Cost          // Watch: an agent's making of states under load
-	Watched     Cost          // Watch: one watcher, an agent's share without bytes
+	Watch       map[int]Cost  // Watch: an entry under load, by number of watched agents
+	WatchedBase Cost          // Watch: an agent's building of states under load
+	Watched     Cost          // Watch: an agent's cost for each watcher, without bytes
 	StepPass    Cost          // StepPass: one owned step
 	Claims      Cost          // Once: a service with 190 claims/s
-	Ask         Cost          // Ask: one a second
+	Ask         Cost          // Ask: one call a second
 }
 
-// Role is a kind of process.
+// Role is a kind of process. Its value is a description.
 type Role string
 
-// Roles.
+// The roles.
 const (
 	Entry        Role = "entry"
 	EngineAgent  Role = "agent of an engine"
 	ServiceAgent Role = "agent of a service"
 )
 
-// Scenario is what the sums are taken for.
+// Scenario describes the process whose costs are summed up.
 type Scenario struct {
-	Watched  int // agents that an entry watches; it sets the pace of their reports
+	Watched  int // agents that an entry watches; their report interval depends on it
 	Watchers int // entries that watch an agent
 	Steps    int // steps that the entry owns
 }
@@ -60,15 +61,15 @@
 }
 
 const (
-	vmListInterval       = Processes * 150.0 / (5 << 10) // s, confsync.listBytesPS
-	stepsPollInterval    = 20.0                          // s, entry/steps.readWait
-	agentsReadInterval   = 30.0                          // s, agent/weights.claimReadEvery
+	vmListInterval       = Processes * 150.0 / (5 << 10) // s, confsync.listBytesPerSecond
+	stepsPollInterval    = 20.0                          // s, entry/steps.maxReadWait
+	agentsReadInterval   = 30.0                          // s, agent/weights.claimReadInterval
 	changesPerSecond     = ChangesPerDay / SecondsPerDay
 	stepClaimsPerSecond  = Trainers / float64(StepSeconds)
 	agentClaimsPerSecond = ReplacedPerDay / SecondsPerDay
 )
 
-// ControlCosts returns the rows of a role.
+// ControlCosts returns the rows of a role's control costs.
 func ControlCosts(role Role, s Slopes, scenario Scenario) []Row {
 	rows := []Row{
 		{"process", "one small binary, no disk", s.Base[role]},
@@ -100,7 +101,7 @@
 	return rows
 }
 
-// Total adds rows up.
+// Total returns the sum of the rows' costs.
 func Total(rows []Row) Cost {
 	var sum Cost
 	for _, r := range rows {
@@ -109,8 +110,8 @@
 	return sum
 }
 
-// Table writes rows and their total as a table of the page; what breaks the
-// budget is bold.
+// Table formats rows and their total as a Markdown table. Values above the budget are
+// bold.
 func Table(rows []Row) string {
 	var b strings.Builder
 	b.WriteString("| part | mechanism | % of a core | MB | KB/s |\n|---|---|---|---|---|\n")
@@ -139,16 +140,17 @@
 	return fmt.Sprintf("%.2g", value)
 }
 
-// ReaderGroup is one kind of reader of the log.
+// ReaderGroup is the load of all readers of one stream of the log.
 type ReaderGroup struct {
 	Stream         string
 	Readers        int
-	ReadsPerSecond float64 // of all together
+	ReadsPerSecond float64 // of all readers together
 	BytesPerSecond float64
 }
 
-// LogReaders returns the load that readers put on the platform's log. reads is
-// that of one agent of a service of n agents with keyed writes, measured.
+// LogReaders returns the load that readers put on the platform's log at full size.
+// claimReadsPerSecond is the measured rate of all agents, serviceAgents in number, of
+// one service with keyed writes.
 func LogReaders(s Slopes, serviceAgents int, claimReadsPerSecond float64) []ReaderGroup {
 	const controlPollInterval = 15.0 // s, confsync.pollWait
 	control := ReaderGroup{Stream: "`control`", Readers: Processes, ReadsPerSecond: Processes * (1/controlPollInterval + changesPerSecond)}
@@ -162,7 +164,7 @@
 	return []ReaderGroup{control, steps, agents, once}
 }
 
-// LogTable writes readers as a table of the page.
+// LogTable formats readers as a Markdown table.
 func LogTable(readers []ReaderGroup) string {
 	var b strings.Builder
 	b.WriteString("| stream | readers | reads/s | MB/s |\n|---|---|---|---|\n")
@@ -172,22 +174,23 @@
 	return b.String()
 }
 
-// MinStepSeconds is how long a step takes at least when its owner may use only
-// so many engines, even if it has them for itself.
+// MinStepSeconds returns the shortest time that a step can take when its owner uses
+// only the given number of engines, even if no other step uses them.
 func MinStepSeconds(engines int) float64 {
 	step := TokensPerSecond / Trainers * StepSeconds
 	return step / (float64(engines) * TokensPerSecond / Servers)
 }
 
-// MaxVersionBytes is the largest weight version that is on all servers within
-// the limit (s): seeds share the store's rate, a tree of three hops with four
-// children follows, and three waves of swaps of a second.
+// MaxVersionBytes returns the size of the largest weight version that all servers can
+// have within limit seconds: the seeds share the store's rate, a tree of three hops
+// with four children each follows, and then three waves of swaps of one second.
 func MaxVersionBytes(limit, storeBytesPerSecond, linkBytesPerSecond float64) float64 {
 	const swaps, hops, fanOut = 2*1.25 + 1, 3, 4
 	return (limit - swaps) / (Domains/storeBytesPerSecond + hops*fanOut/linkBytesPerSecond)
 }
 
-// MaxKeyWindow is the longest key window (s) whose claims fit into memory.
+// MaxKeyWindow returns the longest key window, in seconds, whose claims fit into the
+// memory.
 func MaxKeyWindow(memory, perClaim, claimsPerSecond float64) float64 {
 	return memory / perClaim / claimsPerSecond
 }
--- a/capacity/watch_test.go
+++ b/capacity/watch_test.go
@@ -28,8 +28,8 @@
 	"dandelionsill.org/wire/pb"
 )
 
-// agentsEnv makes the test binary play the agents of BenchmarkWatch, so that
-// the entry's processor time and memory stand alone in their process.
+// agentsEnv makes the test binary serve the agents of BenchmarkWatch in a process of
+// their own, so that the entry's processor time and memory are measured without them.
 const agentsEnv = "DANDELION_CAPACITY_AGENTS"
 
 func TestMain(m *testing.M) {
@@ -43,7 +43,8 @@
 	os.Exit(m.Run())
 }
 
-// agentState is what an engine's agent says of itself.
+// agentState returns the state that an engine's agent reports, with the given number
+// of warm prefixes.
 func agentState(name string, warm int) *pb.AgentState {
 	s := &pb.AgentState{
 		Name: name, Addr: "10.12.34.56:7100", FailureDomain: "domain-07", Region: "region-3",
@@ -57,7 +58,7 @@
 	return s
 }
 
-// BenchmarkAgentState encodes one state and tells its size.
+// BenchmarkAgentState encodes one state and reports its size.
 func BenchmarkAgentState(b *testing.B) {
 	for _, warm := range []int{0, 64} {
 		b.Run(fmt.Sprintf("warm=%d", warm), func(b *testing.B) {
@@ -71,9 +72,9 @@
 }
 
 // serveAgents serves agents until its input ends. spec is "COUNT LOAD WARM": the
-// times between two changes of the load and of the warm prefixes. It tells the
-// agents' addresses, and after each line of input the bytes that their
-// connections have carried and its processor time in ns.
+// number of agents and the times between two changes of the load and of the warm
+// prefixes. It writes the agents' addresses and then, after each line of input, the
+// bytes that their connections have carried and its processor time in ns.
 func serveAgents(spec string, in io.Reader, out io.Writer) error {
 	fields := strings.Fields(spec)
 	count, err := strconv.Atoi(fields[0])
@@ -107,7 +108,8 @@
 	return lines.Err()
 }
 
-// serveAgent serves the real agent's states over a made-up engine.
+// serveAgent runs the real agent's server with an engine stand-in and returns its
+// address.
 func serveAgent(i int, load, warm time.Duration, traffic *Traffic) (net.Addr, error) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -136,9 +138,9 @@
 	return lis.Addr(), nil
 }
 
-// engineStandIn is an engine whose load is another one at each look.
+// engineStandIn is an engine whose load differs each time it is read.
 type engineStandIn struct {
-	server.Generator // panics on what a watch does not ask for
+	server.Generator // nil: methods that a watch does not call panic
 	warm             time.Duration
 	started          time.Time
 	reads            int
@@ -154,7 +156,7 @@
 	s.WarmPrefixes[0] = uint64(1 + time.Since(e.started)/e.warm)
 }
 
-// agentsProcess is a process that plays agents.
+// agentsProcess is a process that runs serveAgents.
 type agentsProcess struct {
 	in    io.WriteCloser
 	out   *bufio.Scanner
@@ -192,15 +194,15 @@
 	return bytes, time.Duration(n)
 }
 
-// fixedVMs is a VM list that doesn't change.
+// fixedVMs is a VM list that never changes.
 type fixedVMs []platform.VM
 
 func (v fixedVMs) VMs() []platform.VM       { return v }
 func (v fixedVMs) Changed() <-chan struct{} { return nil }
 
-// BenchmarkWatch lets an entry's fleet watch agents in another process. One
-// iteration is one second. load and warm are the times between two changes of
-// an agent's load and of its warm prefixes.
+// BenchmarkWatch runs an entry's fleet that watches agents in another process. One
+// iteration is one second. load and warm are the times between two changes of an
+// agent's load and of its warm prefixes.
 func BenchmarkWatch(b *testing.B) {
 	const hour = time.Hour
 	for _, agents := range []int{10, 46, 146, 342, 500} {
