--- a/e2e/chaos_config_test.go
+++ b/e2e/chaos_config_test.go
@@ -15,86 +15,86 @@
 	"dandelionsill.org/standin/logsvc"
 )
 
-const watchEvery = 10 * time.Millisecond
+const watchInterval = 10 * time.Millisecond
 
-// revisions watches what every process says is in force, without a pause.
-type revisions struct {
-	mu    sync.Mutex
-	held  map[string]site.Status // the newest word of a process's life
-	falls []string               // what must never be seen
-	asks  int
-	stop  func()
+// revisionWatcher watches what every process says is in force, without a pause.
+type revisionWatcher struct {
+	mu         sync.Mutex
+	statuses   map[string]site.Status // the newest word of a process's life
+	violations []string               // what must never be seen
+	answers    int
+	stop       func()
 }
 
 // watchRevisions starts a watcher of every agent and entry.
-func (c *cluster) watchRevisions() *revisions {
-	w := &revisions{held: map[string]site.Status{}}
-	halt := make(chan struct{})
+func (c *cluster) watchRevisions() *revisionWatcher {
+	w := &revisionWatcher{statuses: map[string]site.Status{}}
+	stopping := make(chan struct{})
 	var running sync.WaitGroup
 	for _, p := range c.site.Nodes() {
 		running.Go(func() {
-			tick := time.NewTicker(watchEvery)
+			tick := time.NewTicker(watchInterval)
 			defer tick.Stop()
 			for {
 				select {
-				case <-halt:
+				case <-stopping:
 					return
 				case <-tick.C:
-					w.ask(c, p)
+					w.poll(c, p)
 				}
 			}
 		})
 	}
 	w.stop = sync.OnceFunc(func() {
-		close(halt)
+		close(stopping)
 		running.Wait()
 	})
 	c.t.Cleanup(w.stop)
 	return w
 }
 
-func (w *revisions) ask(c *cluster, p site.Process) {
-	life := w.life(p.Name)
+func (w *revisionWatcher) poll(c *cluster, p site.Process) {
+	knownBefore := w.isKnown(p.Name)
 	var st site.Status
 	if site.Send(c.ctx, http.MethodGet, p.URL+"/v1/status", nil, &st) != nil {
 		return // it is down
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	before, known := w.held[p.Name]
-	if known != life {
+	before, known := w.statuses[p.Name]
+	if known != knownBefore {
 		return // forgotten while this answer was under way: it may be an older life's
 	}
-	w.asks++
-	fell := st.Revision < before.Revision
+	w.answers++
+	decreased := st.Revision < before.Revision
 	changed := st.Revision == before.Revision && st.Hash != before.Hash
-	if known && (fell || changed) {
-		w.falls = append(w.falls, fmt.Sprintf("%s: %+v after %+v", p.Name, st, before))
+	if known && (decreased || changed) {
+		w.violations = append(w.violations, fmt.Sprintf("%s: %+v after %+v", p.Name, st, before))
 	}
-	w.held[p.Name] = st
+	w.statuses[p.Name] = st
 }
 
-func (w *revisions) life(name string) bool {
+func (w *revisionWatcher) isKnown(name string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	_, known := w.held[name]
+	_, known := w.statuses[name]
 	return known
 }
 
-// forget begins a new life of a process, which holds nothing at first.
-func (w *revisions) forget(name string) {
+// reset begins a new life of a process, which holds nothing at first.
+func (w *revisionWatcher) reset(name string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	delete(w.held, name)
+	delete(w.statuses, name)
 }
 
-// never requires that no revision was seen to fall or to change its content.
-func (w *revisions) never(t *testing.T) {
+// requireMonotonic requires that no revision was seen to fall or to change its content.
+func (w *revisionWatcher) requireMonotonic(t *testing.T) {
 	t.Helper()
 	w.stop()
-	require.Empty(t, w.falls)
-	require.Positive(t, w.asks)
-	t.Logf("%d answers of /v1/status, none fell", w.asks)
+	require.Empty(t, w.violations)
+	require.Positive(t, w.answers)
+	t.Logf("%d answers of /v1/status, none fell", w.answers)
 }
 
 // Operators commit over the same revision, round after round, while the log
@@ -103,29 +103,29 @@
 // two that are cut off hear of the winner from peers. Then the log goes down
 // and an agent's VM is replaced: the new process has only its peers to tell
 // it. No process may ever show a lower revision than before.
-func TestOperatorsRaceWithoutTheWholeLog(t *testing.T) {
+func TestOperatorsRaceWithLogFaults(t *testing.T) {
 	const seed, rounds, operators = 61, 4, 3
-	c := up(t, options{seed: seed})
+	c := startCluster(t, options{seed: seed})
 	watch := c.watchRevisions()
-	c.faults("log", logsvc.Faults{LoseAnswers: loseShare, Cut: []string{"entry-2", "service-1"}})
+	c.setFaults("log", logsvc.Faults{LoseAnswers: lostAnswerShare, Cut: []string{"entry-2", "service-1"}})
 	first := configState{1, manifest.Hash(c.site.Manifest("first revision"))}
-	var ops collect[porcupine.Operation]
+	var ops collector[porcupine.Operation]
 	for round := range rounds {
 		parent := uint64(round + 1)
-		require.Equal(t, 1, c.race(&ops, round, operators, parent), "winners of round %d", round)
+		require.Equal(t, 1, c.raceCommits(&ops, round, operators, parent), "winners of round %d", round)
 		ops.add(c.readConfig(operators, parent+1))
 	}
 	const last = rounds + 1
 
-	c.faults("log", logsvc.Faults{Down: true})
+	c.setFaults("log", logsvc.Faults{Down: true})
 	c.kill("engine-2")
-	watch.forget("engine-2")
+	watch.reset("engine-2")
 	c.start(c.site.Get("engine-2"))
 	ops.add(c.readConfig(operators, last)) // engine-2 among them
 
-	c.faults("log", logsvc.Faults{})
-	require.Equal(t, 1, c.race(&ops, rounds, operators, last))
+	c.setFaults("log", logsvc.Faults{})
+	require.Equal(t, 1, c.raceCommits(&ops, rounds, operators, last))
 	ops.add(c.readConfig(operators, last+1))
-	watch.never(t)
+	watch.requireMonotonic(t)
 	require.True(t, porcupine.CheckOperations(configModel(first), ops.all()))
 }
--- a/e2e/chaos_steps_test.go
+++ b/e2e/chaos_steps_test.go
@@ -16,16 +16,16 @@
 	"dandelionsill.org/standin/logsvc"
 )
 
-// samples long enough for a fault to meet them while they run.
-func samples() site.EngineModel {
+// mediumSamples long enough for a fault to meet them while they run.
+func mediumSamples() site.EngineModel {
 	return site.EngineModel{MeanTokens: 150, Sigma: 0.5, LoadTime: 2 * time.Second}
 }
 
-// published waits until the trainer has announced n more versions.
-func (r *rolloutOf) published(n uint64) {
+// waitPublished waits until the trainer has announced n more versions.
+func (r *trainerRun) waitPublished(n uint64) {
 	r.c.t.Helper()
 	want := r.newest.Load() + n
-	r.c.until(fmt.Sprintf("version %d is announced", want), func() error {
+	r.c.waitFor(fmt.Sprintf("version %d is announced", want), func() error {
 		if have := r.newest.Load(); have < want {
 			return fmt.Errorf("version %d is", have)
 		}
@@ -33,8 +33,8 @@
 	})
 }
 
-// took are the steps' durations.
-func (r *rolloutOf) took() []string {
+// stepTimes are the steps' durations.
+func (r *trainerRun) stepTimes() []string {
 	var list []string
 	for i := range r.steps {
 		list = append(list, fmt.Sprintf("%.1fs", r.steps[i].Took.Seconds()))
@@ -42,8 +42,8 @@
 	return list
 }
 
-// versionsOf counts the samples by the version of their first token.
-func (r *rolloutOf) versionsOf() map[uint64]int {
+// samplesByVersion counts the samples by the version of their first token.
+func (r *trainerRun) samplesByVersion() map[uint64]int {
 	count := map[uint64]int{}
 	for i := range r.steps {
 		for _, m := range r.steps[i].Samples {
@@ -53,8 +53,8 @@
 	return count
 }
 
-// mixedRuns counts an engine's streams whose tokens came of several versions.
-func (c *cluster) mixedRuns(server string) int {
+// countMixedRuns counts an engine's streams whose tokens came of several versions.
+func (c *cluster) countMixedRuns(server string) int {
 	var truth engine.Truth
 	require.NoError(c.t, site.Send(c.ctx, http.MethodGet, c.site.Get(server).URL+"/truth", nil, &truth))
 	n := 0
@@ -79,19 +79,19 @@
 // the rest made again. Each sample comes once.
 func TestStepThroughEntryAndEngineCrash(t *testing.T) {
 	const seed, steps = 71, 3
-	c := up(t, options{seed: seed, engine: samples()})
-	r := c.train(steps, 0, seed)
-	r.got(8)
+	c := startCluster(t, options{seed: seed, engine: mediumSamples()})
+	r := c.startTrainer(steps, 0, seed)
+	r.waitGroups(8)
 	c.signal("entry-1", syscall.SIGKILL)
 	c.kill("engine-1-server")
-	r.got(8)
+	r.waitGroups(8)
 	c.start(c.site.Get("engine-1-server"))
 	c.start(c.site.Get("entry-1"))
-	r.got(8)
+	r.waitGroups(8)
 	c.signal("entry-2", syscall.SIGKILL) // the other owner as well
 	c.kill("engine-2-server")
 	c.start(c.site.Get("engine-2-server"))
-	r.whole(steps)
+	r.waitComplete(steps)
 }
 
 // An agent alone is frozen while its engine goes on making tokens. New weights
@@ -100,17 +100,17 @@
 // chunks that wait in its sockets, under no label. It can't reach the store, so
 // that its engine stays on the first weights and is of no more use: only the
 // trainer's floor keeps further samples away from it.
-func TestAgentFrozenWhileWeightsMoveOn(t *testing.T) {
+func TestAgentSuspendedWhileWeightsChange(t *testing.T) {
 	const seed, steps = 72, 5
-	c := up(t, options{seed: seed, engine: samples()})
+	c := startCluster(t, options{seed: seed, engine: mediumSamples()})
 	c.restart("engine-1", "--platform.weights", "http://127.0.0.1:1")
-	r := c.train(steps, 1, seed)
-	r.got(8)
-	c.stop("engine-1")
-	r.published(c.site.Deployment.Bound + 1)
-	c.cont("engine-1")
-	r.whole(steps)
-	t.Logf("steps took %v, samples by version %v", r.took(), r.versionsOf())
+	r := c.startTrainer(steps, 1, seed)
+	r.waitGroups(8)
+	c.suspend("engine-1")
+	r.waitPublished(c.site.Deployment.Bound + 1)
+	c.resume("engine-1")
+	r.waitComplete(steps)
+	t.Logf("steps took %v, samples by version %v", r.stepTimes(), r.samplesByVersion())
 }
 
 // Engines obey any order, also one with an old fencing token. An agent is
@@ -121,46 +121,46 @@
 // token older than the bound.
 func TestAgentKilledMidSwapAtIgnoringEngine(t *testing.T) {
 	const seed, steps, agent, server = 73, 4, "engine-1", "engine-1-server"
-	model := samples()
+	model := mediumSamples()
 	model.MeanTokens = 350 // so that streams run when the order comes
 	model.Fencing = "ignores"
-	c := up(t, options{seed: seed, engine: model, deployment: eager()})
-	c.faults(server, engine.Faults{OrderDelayMS: 2000})
-	r := c.train(steps, 1, seed)
-	c.until("the agent has given an order", func() error {
-		if c.ready(agent) == nil {
+	c := startCluster(t, options{seed: seed, engine: model, deployment: eagerSwaps()})
+	c.setFaults(server, engine.Faults{OrderDelayMS: 2000})
+	r := c.startTrainer(steps, 1, seed)
+	c.waitFor("the agent has given an order", func() error {
+		if c.checkReady(agent) == nil {
 			return errors.New("it serves")
 		}
 		return nil
 	})
 	c.kill(agent)
-	c.faults(server, engine.Faults{})
+	c.setFaults(server, engine.Faults{})
 	require.Zero(t, c.engineTotals(server).Loads, "the order has not come yet")
 	c.start(c.site.Get(agent))
-	c.until("the next life is ready", func() error { return c.ready(agent) })
-	early := c.engineTotals(server).Loads
-	c.until("the order has come", func() error {
+	c.waitFor("the next life is ready", func() error { return c.checkReady(agent) })
+	loadsAtReady := c.engineTotals(server).Loads
+	c.waitFor("the order has come", func() error {
 		if c.engineTotals(server).Loads == 0 {
 			return errors.New("it has not")
 		}
 		return nil
 	})
-	r.whole(steps)
-	t.Logf("steps took %v, samples by version %v", r.took(), r.versionsOf())
+	r.waitComplete(steps)
+	t.Logf("steps took %v, samples by version %v", r.stepTimes(), r.samplesByVersion())
 	t.Logf("%d loads when the next life was ready; %d streams of %s span versions, of %s %d; %+v",
-		early, c.mixedRuns(server), server, "engine-2-server", c.mixedRuns("engine-2-server"), c.engineTotals(server))
+		loadsAtReady, c.countMixedRuns(server), server, "engine-2-server", c.countMixedRuns("engine-2-server"), c.engineTotals(server))
 }
 
-// eager is a small site whose engines swap weights soon after they are
+// eagerSwaps is a small site whose engines swap weights soon after they are
 // announced.
-func eager() site.Deployment {
+func eagerSwaps() site.Deployment {
 	d := site.Small
 	d.Weigh = manifest.WeighStaleness
 	return d
 }
 
-// ready asks a process whether it takes work.
-func (c *cluster) ready(name string) error {
+// checkReady asks a process whether it takes work.
+func (c *cluster) checkReady(name string) error {
 	return site.Send(c.ctx, http.MethodGet, c.site.Get(name).URL+"/readyz", nil, nil)
 }
 
@@ -171,12 +171,12 @@
 // log.
 func TestStepsAndWeightsWithoutTheLog(t *testing.T) {
 	const seed, steps = 74, 2
-	c := up(t, options{seed: seed, engine: samples()})
-	c.faults("log", logsvc.Faults{Down: true})
-	r := c.train(steps, 1, seed)
-	r.got(8)
+	c := startCluster(t, options{seed: seed, engine: mediumSamples()})
+	c.setFaults("log", logsvc.Faults{Down: true})
+	r := c.startTrainer(steps, 1, seed)
+	r.waitGroups(8)
 	c.kill("entry-1")
-	done := r.whole(steps)
+	done := r.waitComplete(steps)
 	require.Equal(t, uint64(steps), done[steps-1].Newest)
-	t.Logf("steps took %v, samples by version %v", r.took(), r.versionsOf())
+	t.Logf("steps took %v, samples by version %v", r.stepTimes(), r.samplesByVersion())
 }
--- a/e2e/chaos_writes_test.go
+++ b/e2e/chaos_writes_test.go
@@ -20,15 +20,15 @@
 )
 
 const (
-	writers    = 12
-	loseShare  = 0.3                    // of the log's answers
-	writePause = 100 * time.Millisecond // before a caller repeats its key
-	fewTries   = 15
-	manyTries  = 50 // longer than the longest fault
+	writers             = 12
+	lostAnswerShare     = 0.3                    // of the log's answers
+	retryPause          = 100 * time.Millisecond // before a caller repeats its key
+	maxAttempts         = 15
+	maxAttemptsInOutage = 50 // longer than the longest fault
 )
 
-// order makes the keyed write of a new order.
-func (t *traffic) order(rng *rand.Rand) client.Call {
+// newOrder makes the keyed write of a new newOrder.
+func (t *traffic) newOrder(rng *rand.Rand) client.Call {
 	return client.Call{
 		Service: t.c.site.Deployment.Service, Method: http.MethodPost, Timeout: callTimeout,
 		Path: fmt.Sprintf("/orders/%d", rng.IntN(1_000_000)), Body: fmt.Appendf(nil, "order %d", rng.Uint64()),
@@ -36,19 +36,19 @@
 	}
 }
 
-// insist sends a keyed write and repeats its key until it has a whole answer,
+// sendUntilAnswered sends a keyed write and repeats its key until it has a whole answer,
 // so many tries at most.
-func (t *traffic) insist(cl *client.Client, who, tries int, call client.Call) {
-	for range tries {
-		if r := t.send(cl, who, call); r.OK() {
+func (t *traffic) sendUntilAnswered(cl *client.Client, caller, attempts int, call client.Call) {
+	for range attempts {
+		if r := t.send(cl, caller, call); r.OK() {
 			return
 		}
-		time.Sleep(writePause) // a caller's pause
+		time.Sleep(retryPause) // a caller's pause
 	}
 }
 
-// only returns a client of the application that talks to one entry alone.
-func (c *cluster) only(entry string) *client.Client {
+// clientOf returns a client of the application that talks to one entry alone.
+func (c *cluster) clientOf(entry string) *client.Client {
 	return client.New(client.NewBalancer([]string{c.site.Get(entry).URL}), site.Token(site.Caller), maxConns)
 }
 
@@ -61,27 +61,27 @@
 // on its way must not be sent again by anybody.
 func TestLostClaimAnswersAndAgentKilled(t *testing.T) {
 	const seed, kills = 51, 2
-	c := up(t, options{seed: seed, service: slow})
-	c.faults("log", logsvc.Faults{LoseAnswers: loseShare})
+	c := startCluster(t, options{seed: seed, service: slowService})
+	c.setFaults("log", logsvc.Faults{LoseAnswers: lostAnswerShare})
 	cl := c.client(site.Caller)
-	w := c.startCallers(2*writers, seed, func(t *traffic, who int, rng *rand.Rand) {
-		call := t.order(rng)
-		if who%2 == 0 {
+	w := c.startCallers(2*writers, seed, func(t *traffic, caller int, rng *rand.Rand) {
+		call := t.newOrder(rng)
+		if caller%2 == 0 {
 			call.Key = ""
-			t.send(cl, who, call)
+			t.send(cl, caller, call)
 			return
 		}
-		t.insist(cl, who, fewTries, call)
+		t.sendUntilAnswered(cl, caller, maxAttempts, call)
 	})
-	w.answered(200)
+	w.waitAnswered(200)
 	for range kills {
 		c.kill("service-1")
 		c.start(c.site.Get("service-1"))
-		w.answered(200)
+		w.waitAnswered(200)
 	}
-	c.faults("log", logsvc.Faults{})
-	w.answered(100)
-	w.judgedKeys()
+	c.setFaults("log", logsvc.Faults{})
+	w.waitAnswered(100)
+	w.verifyKeys()
 }
 
 // The holder of keys stands still in the middle of its writes, and then the
@@ -92,24 +92,24 @@
 // the one run that all answers show.
 func TestLogOutageAndHolderPaused(t *testing.T) {
 	const seed = 52
-	c := up(t, options{seed: seed, service: slow})
+	c := startCluster(t, options{seed: seed, service: slowService})
 	cl := c.client(site.Caller)
-	w := c.startCallers(writers, seed, func(t *traffic, who int, rng *rand.Rand) {
-		t.insist(cl, who, manyTries, t.order(rng))
+	w := c.startCallers(writers, seed, func(t *traffic, caller int, rng *rand.Rand) {
+		t.sendUntilAnswered(cl, caller, maxAttemptsInOutage, t.newOrder(rng))
 	})
-	down, well := logsvc.Faults{Down: true}, logsvc.Faults{}
-	w.answered(100)
-	c.stop("service-1")
-	c.faults("log", down)
-	w.turnover()
-	c.faults("log", well)
-	w.turnover()
-	c.faults("log", down)
-	c.cont("service-1")
-	w.turnover()
-	c.faults("log", well)
-	w.answered(150)
-	w.judgedKeys()
+	logDown, noFaults := logsvc.Faults{Down: true}, logsvc.Faults{}
+	w.waitAnswered(100)
+	c.suspend("service-1")
+	c.setFaults("log", logDown)
+	w.waitTurnover()
+	c.setFaults("log", noFaults)
+	w.waitTurnover()
+	c.setFaults("log", logDown)
+	c.resume("service-1")
+	w.waitTurnover()
+	c.setFaults("log", noFaults)
+	w.waitAnswered(150)
+	w.verifyKeys()
 }
 
 // Every caller sends its order to one entry and, whatever came of it, sends
@@ -118,19 +118,19 @@
 // The repeat must find the run, or be the run, and never be a second one.
 func TestEntryKilledAndEveryKeyRepeated(t *testing.T) {
 	const seed = 53
-	c := up(t, options{seed: seed, service: slow})
-	first, second := c.only("entry-1"), c.only("entry-2")
-	w := c.startCallers(writers, seed, func(t *traffic, who int, rng *rand.Rand) {
-		call := t.order(rng)
-		t.send(first, who, call)
-		t.insist(second, who, fewTries, call)
+	c := startCluster(t, options{seed: seed, service: slowService})
+	first, second := c.clientOf("entry-1"), c.clientOf("entry-2")
+	w := c.startCallers(writers, seed, func(t *traffic, caller int, rng *rand.Rand) {
+		call := t.newOrder(rng)
+		t.send(first, caller, call)
+		t.sendUntilAnswered(second, caller, maxAttempts, call)
 	})
-	w.answered(150)
+	w.waitAnswered(150)
 	c.kill("entry-1")
-	w.answered(100)
+	w.waitAnswered(100)
 	c.start(c.site.Get("entry-1"))
-	w.answered(150)
-	w.judgedKeys()
+	w.waitAnswered(150)
+	w.verifyKeys()
 }
 
 // Two callers send the same key to two entries at the same moment. One entry's
@@ -141,42 +141,42 @@
 // that run's answer or hears that the outcome is unknown.
 func TestSameKeyAtTwoEntries(t *testing.T) {
 	const seed = 54
-	c := up(t, options{seed: seed, service: slow})
-	c.hide("entry-2", "service-1")
-	c.faults("log", logsvc.Faults{LoseAnswers: loseShare, SlowMS: 20})
-	entries := []*client.Client{c.only("entry-1"), c.only("entry-2")}
-	w := c.startCallers(writers, seed, func(t *traffic, who int, rng *rand.Rand) {
-		call := t.order(rng)
+	c := startCluster(t, options{seed: seed, service: slowService})
+	c.hideVM("entry-2", "service-1")
+	c.setFaults("log", logsvc.Faults{LoseAnswers: lostAnswerShare, SlowMS: 20})
+	entries := []*client.Client{c.clientOf("entry-1"), c.clientOf("entry-2")}
+	w := c.startCallers(writers, seed, func(t *traffic, caller int, rng *rand.Rand) {
+		call := t.newOrder(rng)
 		var both sync.WaitGroup
 		for _, cl := range entries {
-			both.Go(func() { t.insist(cl, who, fewTries, call) })
+			both.Go(func() { t.sendUntilAnswered(cl, caller, maxAttempts, call) })
 		}
 		both.Wait()
 	})
-	w.answered(150)
-	w.judgedKeys()
+	w.waitAnswered(150)
+	w.verifyKeys()
 }
 
-// hide starts a process anew with a list of VMs of its own, in which another
+// hideVM starts a process anew with a list of VMs of its own, in which another
 // one is missing, as in a list that lags.
-func (c *cluster) hide(from, missing string) {
+func (c *cluster) hideVM(from, missing string) {
 	c.t.Helper()
-	own := c.site.Get("vms")
-	real := own.URL
-	addr := strings.Replace(strings.TrimPrefix(real, "http://"), ".0.1:", ".0.2:", 1)
-	own.Name, own.URL, own.Args = "vms-of-"+from, "http://"+addr, []string{"vms", "--listen", addr}
-	c.start(own)
-	c.until("the second list is up", func() error {
-		return site.Send(c.ctx, http.MethodGet, own.URL+"/livez", nil, nil)
+	ownList := c.site.Get("vms")
+	realURL := ownList.URL
+	addr := strings.Replace(strings.TrimPrefix(realURL, "http://"), ".0.1:", ".0.2:", 1)
+	ownList.Name, ownList.URL, ownList.Args = "vms-of-"+from, "http://"+addr, []string{"vms", "--listen", addr}
+	c.start(ownList)
+	c.waitFor("the second list is up", func() error {
+		return site.Send(c.ctx, http.MethodGet, ownList.URL+"/livez", nil, nil)
 	})
 	var list []platform.VM
-	require.NoError(c.t, site.Send(c.ctx, http.MethodGet, real+"/truth", nil, &list))
+	require.NoError(c.t, site.Send(c.ctx, http.MethodGet, realURL+"/truth", nil, &list))
 	for _, vm := range list {
 		if vm.Name != missing {
-			require.NoError(c.t, site.Send(c.ctx, http.MethodPut, own.URL+"/vms/"+vm.Name, vm, nil))
+			require.NoError(c.t, site.Send(c.ctx, http.MethodPut, ownList.URL+"/vms/"+vm.Name, vm, nil))
 		}
 	}
-	c.restart(from, "--platform.vms", own.URL)
+	c.restart(from, "--platform.vms", ownList.URL)
 }
 
 // restart kills a process and starts it with further settings.
@@ -186,5 +186,5 @@
 	p.Args = append(slices.Clone(p.Args), settings...)
 	c.kill(name)
 	c.start(p)
-	c.until(name+" is ready again", func() error { return c.ready(name) })
+	c.waitFor(name+" is ready again", func() error { return c.checkReady(name) })
 }
--- a/e2e/cluster_test.go
+++ b/e2e/cluster_test.go
@@ -21,26 +21,26 @@
 )
 
 const (
-	// patience bounds every wait for a condition; nothing is judged by it.
-	patience = 30 * time.Second
+	// maxWait bounds every wait for a condition; nothing is judged by it.
+	maxWait  = 30 * time.Second
 	maxConns = 256
 )
 
-// proc is a process that a test started.
-type proc struct {
+// process is a process that a test started.
+type process struct {
 	site.Process
-	cmd  *exec.Cmd
-	log  string
-	done chan struct{} // closed at its end
-	code int           // exit code, once done; -1: killed
+	cmd      *exec.Cmd
+	log      string
+	done     chan struct{} // closed at its end
+	exitCode int           // exit code, once done; -1: killed
 }
 
 // cluster is a site of running processes.
 type cluster struct {
-	t     *testing.T
-	ctx   context.Context
-	site  *site.Site
-	procs map[string]*proc
+	t         *testing.T
+	ctx       context.Context
+	site      *site.Site
+	processes map[string]*process
 }
 
 // options of a test's site.
@@ -51,8 +51,8 @@
 	seed       uint64
 }
 
-// quick is an engine model with short samples, for tests.
-func quick() site.EngineModel {
+// shortSamples is an engine model with short samples, for tests.
+func shortSamples() site.EngineModel {
 	return site.EngineModel{MeanTokens: 60, Sigma: 0.5, LoadTime: 2 * time.Second}
 }
 
@@ -64,7 +64,7 @@
 		o.deployment = site.Small
 	}
 	if o.engine.MeanTokens == 0 {
-		o.engine = quick()
+		o.engine = shortSamples()
 	}
 	if o.seed == 0 {
 		o.seed = 1
@@ -74,32 +74,32 @@
 	t.Cleanup(cancel)
 	public, _ := site.Key()
 	s, err := site.New(site.Options{
-		Deployment: o.deployment, Net: leaseNet(t), Dir: t.TempDir(), Bin: bin, Seed: o.seed, TimeScale: 0.1,
+		Deployment: o.deployment, Net: reserveNet(t), Dir: t.TempDir(), Bin: binDir, Seed: o.seed, TimeScale: 0.1,
 		PublicKey: public, Engine: o.engine, Service: o.service, WeightSize: 100_000,
 	})
 	require.NoError(t, err)
 	require.NoError(t, s.CheckFree())
-	c := &cluster{t: t, ctx: ctx, site: s, procs: map[string]*proc{}}
-	t.Cleanup(c.end)
+	c := &cluster{t: t, ctx: ctx, site: s, processes: map[string]*process{}}
+	t.Cleanup(c.killAll)
 	for _, p := range s.Processes {
 		c.start(p)
 	}
 	return c
 }
 
-// up starts a site and brings it into service.
-func up(t *testing.T, o options) *cluster {
+// startCluster starts a site and brings it into service.
+func startCluster(t *testing.T, o options) *cluster {
 	t.Helper()
 	c := newCluster(t, o)
-	ctx, cancel := context.WithTimeout(c.ctx, patience)
+	ctx, cancel := context.WithTimeout(c.ctx, maxWait)
 	defer cancel()
 	require.NoError(t, c.site.Up(ctx))
 	return c
 }
 
-// leaseNet finds a second octet for the site's addresses and holds it for the
+// reserveNet finds a second octet for the site's addresses and holds it for the
 // test, so that tests (and test runs) at the same time don't meet.
-func leaseNet(t *testing.T) int {
+func reserveNet(t *testing.T) int {
 	const first, last, port = 60, 240, 7999
 	offset := os.Getpid() % (last - first)
 	for i := range last - first {
@@ -115,7 +115,7 @@
 }
 
 // start starts a process of the site, again after its end if need be.
-func (c *cluster) start(p site.Process) *proc {
+func (c *cluster) start(p site.Process) *process {
 	c.t.Helper()
 	file := filepath.Join(c.site.Dir, p.Name+".log")
 	out, err := os.OpenFile(file, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
@@ -124,22 +124,22 @@
 	cmd := exec.Command(p.Binary, p.Args...)
 	cmd.Stdout, cmd.Stderr = out, out
 	require.NoError(c.t, cmd.Start())
-	started := &proc{Process: p, cmd: cmd, log: file, done: make(chan struct{})}
-	c.procs[p.Name] = started
+	started := &process{Process: p, cmd: cmd, log: file, done: make(chan struct{})}
+	c.processes[p.Name] = started
 	go func() {
 		_ = cmd.Wait() // the exit code tells
-		started.code = cmd.ProcessState.ExitCode()
+		started.exitCode = cmd.ProcessState.ExitCode()
 		close(started.done)
 	}()
 	return started
 }
 
-// end kills what runs and, when the test failed, keeps the logs.
-func (c *cluster) end() {
-	for _, p := range c.procs {
+// killAll kills what runs and, when the test failed, keeps the logs.
+func (c *cluster) killAll() {
+	for _, p := range c.processes {
 		_ = p.cmd.Process.Kill()
 	}
-	for _, p := range c.procs {
+	for _, p := range c.processes {
 		<-p.done
 	}
 	if !c.t.Failed() {
@@ -158,7 +158,7 @@
 
 func (c *cluster) signal(name string, sig syscall.Signal) {
 	c.t.Helper()
-	p := c.procs[name]
+	p := c.processes[name]
 	require.NotNil(c.t, p, "no process %s", name)
 	require.NoError(c.t, p.cmd.Process.Signal(sig), name)
 }
@@ -167,44 +167,44 @@
 func (c *cluster) kill(name string) {
 	c.t.Helper()
 	c.signal(name, syscall.SIGKILL)
-	<-c.procs[name].done
+	<-c.processes[name].done
 }
 
-func (c *cluster) stop(name string) { c.t.Helper(); c.signal(name, syscall.SIGSTOP) }
-func (c *cluster) cont(name string) { c.t.Helper(); c.signal(name, syscall.SIGCONT) }
-func (c *cluster) term(name string) { c.t.Helper(); c.signal(name, syscall.SIGTERM) }
+func (c *cluster) suspend(name string)   { c.t.Helper(); c.signal(name, syscall.SIGSTOP) }
+func (c *cluster) resume(name string)    { c.t.Helper(); c.signal(name, syscall.SIGCONT) }
+func (c *cluster) terminate(name string) { c.t.Helper(); c.signal(name, syscall.SIGTERM) }
 
-// exit waits for a process's end and returns its exit code.
-func (c *cluster) exit(name string) int {
+// waitExit waits for a process's end and returns its waitExit code.
+func (c *cluster) waitExit(name string) int {
 	c.t.Helper()
 	select {
-	case <-c.procs[name].done:
-	case <-time.After(patience):
+	case <-c.processes[name].done:
+	case <-time.After(maxWait):
 		c.signal(name, syscall.SIGQUIT) // its goroutines go to its log
-		<-c.procs[name].done
-		c.t.Fatalf("%s still ran after %s", name, patience)
+		<-c.processes[name].done
+		c.t.Fatalf("%s still ran after %s", name, maxWait)
 	}
-	return c.procs[name].code
+	return c.processes[name].exitCode
 }
 
-// until waits for a condition; check returns why it does not hold yet.
-func (c *cluster) until(what string, check func() error) {
+// waitFor waits for a condition; check returns why it does not hold yet.
+func (c *cluster) waitFor(what string, check func() error) {
 	c.t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(maxWait)
 	for {
 		err := check()
 		if err == nil {
 			return
 		}
 		if time.Now().After(deadline) {
-			c.t.Fatalf("not after %s: %s: %v", patience, what, err)
+			c.t.Fatalf("not after %s: %s: %v", maxWait, what, err)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// faults sets a stand-in's fault switches.
-func (c *cluster) faults(name string, set any) {
+// setFaults sets a stand-in's fault switches.
+func (c *cluster) setFaults(name string, set any) {
 	c.t.Helper()
 	require.NoError(c.t, site.Faults(c.ctx, c.site.Get(name), set))
 }
@@ -217,8 +217,8 @@
 	return client.New(b, site.Token(name), maxConns)
 }
 
-// truth returns the runs of all service stand-ins.
-func (c *cluster) truth() []service.Run {
+// serviceRuns returns the runs of all service stand-ins.
+func (c *cluster) serviceRuns() []service.Run {
 	c.t.Helper()
 	var runs []service.Run
 	for _, p := range c.site.Role(site.RoleService) {
@@ -229,12 +229,12 @@
 	return runs
 }
 
-// settled waits until no run is under way at the services and returns them all.
-func (c *cluster) settled() []service.Run {
+// waitIdle waits until no run is under way at the services and returns them all.
+func (c *cluster) waitIdle() []service.Run {
 	c.t.Helper()
 	var runs []service.Run
-	c.until("no run is under way", func() error {
-		runs = c.truth()
+	c.waitFor("no run is under way", func() error {
+		runs = c.serviceRuns()
 		if i := slices.IndexFunc(runs, func(r service.Run) bool { return r.EndedMS == 0 }); i >= 0 {
 			return fmt.Errorf("%s %s runs", runs[i].Method, runs[i].Path)
 		}
@@ -243,10 +243,10 @@
 	return runs
 }
 
-// ctl runs dandelionctl and returns its output and exit code.
-func (c *cluster) ctl(args ...string) (string, int) {
+// runCtl runs dandelionctl and returns its output and exit code.
+func (c *cluster) runCtl(args ...string) (string, int) {
 	c.t.Helper()
-	cmd := exec.CommandContext(c.ctx, filepath.Join(bin, "dandelionctl"), args...)
+	cmd := exec.CommandContext(c.ctx, filepath.Join(binDir, "dandelionctl"), args...)
 	out, err := cmd.CombinedOutput()
 	if cmd.ProcessState == nil {
 		c.t.Fatalf("dandelionctl %v: %v", args, err)
@@ -254,25 +254,25 @@
 	return string(out), cmd.ProcessState.ExitCode()
 }
 
-// collect gathers values from several goroutines.
-type collect[T any] struct {
+// collector gathers values from several goroutines.
+type collector[T any] struct {
 	mu   sync.Mutex
 	list []T
 }
 
-func (c *collect[T]) add(v T) {
+func (c *collector[T]) add(v T) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.list = append(c.list, v)
 }
 
-func (c *collect[T]) all() []T {
+func (c *collector[T]) all() []T {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.list)
 }
 
-func (c *collect[T]) len() int {
+func (c *collector[T]) len() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.list)
--- a/e2e/drain_test.go
+++ b/e2e/drain_test.go
@@ -15,24 +15,24 @@
 	"dandelionsill.org/platform"
 )
 
-// streams are completions in flight.
-type streams struct {
-	c     *cluster
-	ended collect[judge.Completion]
-	begun atomic.Int32 // that showed their first text
-	asked int
+// streamSet are completions in flight.
+type streamSet struct {
+	c           *cluster
+	completions collector[judge.Completion]
+	started     atomic.Int32 // that showed their first text
+	count       int
 }
 
-// open starts n streams and waits until each has shown some text.
-func (c *cluster) open(n int, seed uint64) *streams {
+// openStreams starts n streams and waits until each has shown some text.
+func (c *cluster) openStreams(n int, seed uint64) *streamSet {
 	c.t.Helper()
-	s := &streams{c: c, asked: n}
+	s := &streamSet{c: c, count: n}
 	cl := c.client(site.Caller)
 	for i := range n {
-		go s.one(cl, fmt.Sprintf("stream %d", i), seed+uint64(i))
+		go s.run(cl, fmt.Sprintf("stream %d", i), seed+uint64(i))
 	}
-	c.until("every stream shows text", func() error {
-		if have := int(s.begun.Load()); have < n {
+	c.waitFor("every stream shows text", func() error {
+		if have := int(s.started.Load()); have < n {
 			return fmt.Errorf("%d of %d do", have, n)
 		}
 		return nil
@@ -40,8 +40,8 @@
 	return s
 }
 
-func (s *streams) one(cl *client.Client, prompt string, seed uint64) {
-	ctx, cancel := context.WithTimeout(s.c.ctx, patience)
+func (s *streamSet) run(cl *client.Client, prompt string, seed uint64) {
+	ctx, cancel := context.WithTimeout(s.c.ctx, maxWait)
 	defer cancel()
 	in := client.Completion{
 		RequestID: uuid.NewString(), Model: s.c.site.Deployment.Model, Prompt: prompt, MaxTokens: 600, Seed: seed, Stream: true,
@@ -50,44 +50,44 @@
 	r, text := cl.Complete(ctx, in, func(string) {
 		if !shown {
 			shown = true
-			s.begun.Add(1)
+			s.started.Add(1)
 		}
 	})
-	s.ended.add(judge.Completion{
+	s.completions.add(judge.Completion{
 		Prompt: prompt, Seed: seed, MaxTokens: in.MaxTokens, Result: r, Text: text.Text, Spans: text.Spans,
 	})
 }
 
-// whole waits for the streams' ends and requires that none was cut off.
-func (s *streams) whole() {
+// waitComplete waits for the streams' ends and requires that none was cut off.
+func (s *streamSet) waitComplete() {
 	s.c.t.Helper()
-	s.c.until("every stream ends", func() error {
-		if have := s.ended.len(); have < s.asked {
-			return fmt.Errorf("%d of %d have", have, s.asked)
+	s.c.waitFor("every stream ends", func() error {
+		if have := s.completions.len(); have < s.count {
+			return fmt.Errorf("%d of %d have", have, s.count)
 		}
 		return nil
 	})
-	list := s.ended.all()
+	list := s.completions.all()
 	for i := range list {
 		require.True(s.c.t, list[i].Result.OK(), "%+v", list[i].Result)
 	}
 	require.Zero(s.c.t, judge.Completions(list, s.c.site.Engine.Lengths()))
 }
 
-// long is an engine model whose streams last for a second or two.
-func long() site.EngineModel { return site.EngineModel{MeanTokens: 1500, Sigma: 0.1} }
+// longSamples is an engine model whose streams last for a second or two.
+func longSamples() site.EngineModel { return site.EngineModel{MeanTokens: 1500, Sigma: 0.1} }
 
 // An entry is told to stop while callers read streams from it. The balancer
 // sees it unready and sends new callers elsewhere; the streams go on to their
 // ends, and then the process exits with 0.
 func TestEntryStopsWithOpenStreams(t *testing.T) {
 	const seed = 21
-	c := up(t, options{seed: seed, engine: long()})
-	s := c.open(12, seed)
-	c.term("entry-1")
-	s.whole()
-	require.Zero(t, c.exit("entry-1"))
-	c.open(4, seed+100).whole()
+	c := startCluster(t, options{seed: seed, engine: longSamples()})
+	s := c.openStreams(12, seed)
+	c.terminate("entry-1")
+	s.waitComplete()
+	require.Zero(t, c.waitExit("entry-1"))
+	c.openStreams(4, seed+100).waitComplete()
 }
 
 // An agent is told to stop while it serves streams and writes. It refuses new
@@ -95,20 +95,20 @@
 // nothing; what it holds it finishes, and then it exits with 0.
 func TestAgentsStopWithWorkInFlight(t *testing.T) {
 	const seed = 22
-	c := up(t, options{seed: seed, engine: long()})
-	w := c.startTraffic(callers, seed, shares{reads: 0.3, keyed: 0.4})
-	w.answered(100)
-	s := c.open(12, seed)
+	c := startCluster(t, options{seed: seed, engine: longSamples()})
+	w := c.startTraffic(callerCount, seed, callShares{reads: 0.3, keyed: 0.4})
+	w.waitAnswered(100)
+	s := c.openStreams(12, seed)
 	for _, name := range []string{"engine-1", "service-1"} {
 		require.NoError(t, c.site.SetVM(c.ctx, c.site.Get(name), platform.VMLeaving))
-		c.term(name)
+		c.terminate(name)
 	}
-	w.answered(200)
-	s.whole()
-	require.Zero(t, c.exit("engine-1"))
-	require.Zero(t, c.exit("service-1"))
-	calls, _ := w.judged()
-	require.Zero(t, judge.Cut(results(calls)))
+	w.waitAnswered(200)
+	s.waitComplete()
+	require.Zero(t, c.waitExit("engine-1"))
+	require.Zero(t, c.waitExit("service-1"))
+	calls, _ := w.verify()
+	require.Zero(t, judge.Cut(callResults(calls)))
 	for i := range calls {
 		require.True(t, calls[i].Result.OK(), "%+v", calls[i].Result)
 	}
--- a/e2e/explain_test.go
+++ b/e2e/explain_test.go
@@ -24,9 +24,9 @@
 
 const operatorToken = "operator"
 
-// nameOperator commits a manifest that names the operators' token and waits
+// commitOperatorToken commits a manifest that names the operators' token and waits
 // until it is in force.
-func (c *cluster) nameOperator() {
+func (c *cluster) commitOperatorToken() {
 	c.t.Helper()
 	dir := c.t.TempDir()
 	_, private := site.Key()
@@ -35,7 +35,7 @@
 		fmt.Sprintf("[fleet]\noperator_sha256 = %x\n", sha256.Sum256([]byte(operatorToken))), 1)
 	require.NoError(c.t, os.WriteFile(key, []byte(private), 0o600))
 	require.NoError(c.t, os.WriteFile(file, []byte(text), 0o644))
-	out, code := c.ctl("commit", "--log", c.site.Get("log").URL, "--key", key, file)
+	out, code := c.runCtl("commit", "--log", c.site.Get("log").URL, "--key", key, file)
 	require.Zero(c.t, code, out)
 	require.NoError(c.t, site.WaitRevision(c.ctx, c.site.Nodes(), 2))
 }
@@ -48,17 +48,17 @@
 		entries = append(entries, strings.TrimPrefix(u, "http://"))
 	}
 	args := []string{"explain", "--token", operatorToken, "--entries", strings.Join(entries, ",")}
-	out, code := c.ctl(append(args, "--output", "json", id)...)
+	out, code := c.runCtl(append(args, "--output", "json", id)...)
 	require.Zero(c.t, code, out)
 	var got struct{ Decisions []decision }
 	require.NoError(c.t, json.Unmarshal([]byte(out), &got), out)
-	table, code = c.ctl(append(args, id)...)
+	table, code = c.runCtl(append(args, id)...)
 	require.Zero(c.t, code, table)
 	return got.Decisions, table
 }
 
-// seek returns the index of the first row from one on whose What begins so.
-func seek(rows []decision, from int, what string) int {
+// findRow returns the index of the first row from one on whose What begins so.
+func findRow(rows []decision, from int, what string) int {
 	for i := from; i < len(rows); i++ {
 		if strings.HasPrefix(rows[i].What, what) {
 			return i
@@ -73,10 +73,10 @@
 // where it went first, that it was refused there and why, and who served it.
 func TestExplainRefusedByLeavingAgent(t *testing.T) {
 	const requests = 64
-	c := up(t, options{seed: 81, service: site.ServiceModel{Mean: 250 * time.Millisecond}})
-	c.nameOperator()
+	c := startCluster(t, options{seed: 81, service: site.ServiceModel{Mean: 250 * time.Millisecond}})
+	c.commitOperatorToken()
 	cl := c.client(site.Caller)
-	var results collect[client.Result]
+	var results collector[client.Result]
 	var all sync.WaitGroup
 	for range requests {
 		all.Go(func() {
@@ -85,7 +85,7 @@
 			}))
 		})
 	}
-	c.until("requests wait at service-1", func() error {
+	c.waitFor("requests wait at service-1", func() error {
 		var st struct {
 			Agents []struct {
 				Name   string
@@ -102,22 +102,22 @@
 		}
 		return fmt.Errorf("%+v", st)
 	})
-	c.term("service-1")
+	c.terminate("service-1")
 	all.Wait()
-	require.Zero(t, c.exit("service-1"))
+	require.Zero(t, c.waitExit("service-1"))
 	for _, r := range results.all() {
 		require.True(t, r.OK(), "%s %s %s", r.Kind(), r.Fault, r.Body)
 		rows, table := c.explain(r.RequestID)
-		refused := seek(rows, 0, "refused by service-1, not run")
+		refused := findRow(rows, 0, "refused by service-1, not run")
 		if refused < 0 {
 			continue
 		}
 		t.Logf("\n%s", table)
-		require.GreaterOrEqual(t, seek(rows[:refused], 0, "sent to service-1"), 0)
+		require.GreaterOrEqual(t, findRow(rows[:refused], 0, "sent to service-1"), 0)
 		require.Contains(t, rows[refused].Why, "leaving")
-		served := seek(rows, refused, "sent to service-2")
+		served := findRow(rows, refused, "sent to service-2")
 		require.GreaterOrEqual(t, served, 0)
-		require.GreaterOrEqual(t, seek(rows, served, "answered by service-2"), 0)
+		require.GreaterOrEqual(t, findRow(rows, served, "answered by service-2"), 0)
 		return
 	}
 	t.Fatal("no request was refused by the leaving agent")
@@ -128,25 +128,25 @@
 // one of them, and about the whole step, and reads where it was lost and where
 // it was made.
 func TestExplainRegeneratedSample(t *testing.T) {
-	c := up(t, options{seed: 82, engine: site.EngineModel{MeanTokens: 150}})
-	c.nameOperator()
-	r := c.train(1, 0, 82)
-	r.got(2)
+	c := startCluster(t, options{seed: 82, engine: site.EngineModel{MeanTokens: 150}})
+	c.commitOperatorToken()
+	r := c.startTrainer(1, 0, 82)
+	r.waitGroups(2)
 	c.kill("engine-1-server")
 	c.kill("engine-1")
-	r.whole(1)
+	r.waitComplete(1)
 	step, _ := c.explain(site.TrainerName(1) + "/1")
-	lost := seek(step, 0, "lost at engine-1")
+	lost := findRow(step, 0, "lost at engine-1")
 	require.GreaterOrEqual(t, lost, 0, "%+v", step)
 	rows, table := c.explain(step[lost].ID)
 	t.Logf("\n%s", table)
-	lost = seek(rows, 0, "lost at engine-1")
-	require.GreaterOrEqual(t, seek(rows[:lost], 0, "start at engine-1"), 0)
-	end := seek(rows, lost, "finished at engine-")
+	lost = findRow(rows, 0, "lost at engine-1")
+	require.GreaterOrEqual(t, findRow(rows[:lost], 0, "start at engine-1"), 0)
+	end := findRow(rows, lost, "finished at engine-")
 	require.Greater(t, end, lost)
 	require.Contains(t, rows[end].Why, "by weights 1")
 	require.NotEqual(t, "finished at engine-1", rows[end].What)
-	again := seek(rows, lost, strings.Replace(rows[end].What, "finished", "start", 1))
+	again := findRow(rows, lost, strings.Replace(rows[end].What, "finished", "start", 1))
 	require.GreaterOrEqual(t, again, 0)
 	require.NotEmpty(t, rows[again].Why)
 }
--- a/e2e/figures_test.go
+++ b/e2e/figures_test.go
@@ -16,8 +16,8 @@
 	"dandelionsill.org/standin/logsvc"
 )
 
-// spread tells a sorted list's percentiles.
-func spread(list []time.Duration) string {
+// percentiles tells a sorted list's percentiles.
+func percentiles(list []time.Duration) string {
 	slices.Sort(list)
 	at := func(share float64) time.Duration {
 		return list[min(len(list)-1, int(share*float64(len(list))))].Round(time.Millisecond / 10)
@@ -25,9 +25,9 @@
 	return fmt.Sprintf("p50 %v, p99 %v, max %v of %d", at(0.5), at(0.99), list[len(list)-1].Round(time.Millisecond/10), len(list))
 }
 
-// inForce commits revision number and returns how long after the log took it
+// timeCommit commits revision number and returns how long after the log took it
 // the last process says that it is in force there.
-func (c *cluster) inForce(number uint64) time.Duration {
+func (c *cluster) timeCommit(number uint64) time.Duration {
 	c.t.Helper()
 	require.NoError(c.t, c.site.Commit(c.ctx, number, c.site.Manifest(fmt.Sprint("revision ", number))))
 	taken := time.Now()
@@ -36,7 +36,7 @@
 	var all sync.WaitGroup
 	for _, p := range c.site.Nodes() {
 		all.Go(func() {
-			at, err := holds(c.ctx, p, number)
+			at, err := waitRevision(c.ctx, p, number)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
@@ -51,10 +51,10 @@
 	return last.Sub(taken)
 }
 
-// holds asks a process without a pause until it holds a revision.
-func holds(ctx context.Context, p site.Process, number uint64) (time.Time, error) {
+// waitRevision asks a process without a pause until it waitRevision a revision.
+func waitRevision(ctx context.Context, p site.Process, number uint64) (time.Time, error) {
 	const pause = 2 * time.Millisecond
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(maxWait)
 	for {
 		var st site.Status
 		err := site.Send(ctx, http.MethodGet, p.URL+"/v1/status", nil, &st)
@@ -73,27 +73,27 @@
 // cut off from the log; and how long a keyed write takes at its caller, beside
 // one without a key. Every commit must come into force and every write be
 // answered whole.
-func TestFigures(t *testing.T) {
-	const seed, healthy, cut, writes = 91, 30, 6, 60
-	c := up(t, options{seed: seed})
+func TestCommitAndWriteTimes(t *testing.T) {
+	const seed, healthyCommits, partitionedCommits, writes = 91, 30, 6, 60
+	c := startCluster(t, options{seed: seed})
 	number := uint64(1)
 	commits := func(n int) []time.Duration {
 		var took []time.Duration
 		for range n {
 			number++
-			took = append(took, c.inForce(number))
+			took = append(took, c.timeCommit(number))
 		}
 		return took
 	}
-	t.Logf("a commit in force everywhere, all well: %s", spread(commits(healthy)))
-	off := []string{"entry-2", "engine-1", "service-1"}
-	c.faults("log", logsvc.Faults{Cut: off})
-	t.Logf("with %v cut off from the log: %s", off, spread(commits(cut)))
-	c.faults("log", logsvc.Faults{})
+	t.Logf("a commit in force everywhere, all well: %s", percentiles(commits(healthyCommits)))
+	partitioned := []string{"entry-2", "engine-1", "service-1"}
+	c.setFaults("log", logsvc.Faults{Cut: partitioned})
+	t.Logf("with %v cut off from the log: %s", partitioned, percentiles(commits(partitionedCommits)))
+	c.setFaults("log", logsvc.Faults{})
 
 	for _, keyed := range []bool{true, false} {
-		t.Logf("a write, key %t: one caller %s", keyed, spread(c.writeTimes(1, writes, seed, keyed)))
-		t.Logf("a write, key %t: %d callers %s", keyed, writers, spread(c.writeTimes(writers, 4*writes, seed, keyed)))
+		t.Logf("a write, key %t: one caller %s", keyed, percentiles(c.writeTimes(1, writes, seed, keyed)))
+		t.Logf("a write, key %t: %d callers %s", keyed, writers, percentiles(c.writeTimes(writers, 4*writes, seed, keyed)))
 	}
 }
 
@@ -101,15 +101,15 @@
 func (c *cluster) writeTimes(callers, n int, seed uint64, keyed bool) []time.Duration {
 	c.t.Helper()
 	cl := c.client(site.Caller)
-	w := c.startCallers(callers, seed, func(t *traffic, who int, rng *rand.Rand) {
-		call := t.order(rng)
+	w := c.startCallers(callers, seed, func(t *traffic, caller int, rng *rand.Rand) {
+		call := t.newOrder(rng)
 		if !keyed {
 			call.Key = ""
 		}
-		t.send(cl, who, call)
+		t.send(cl, caller, call)
 	})
-	w.answered(n)
-	calls, _ := w.judged()
+	w.waitAnswered(n)
+	calls, _ := w.verify()
 	var took []time.Duration
 	for i := range calls {
 		require.True(c.t, calls[i].Result.OK(), "%+v", calls[i].Result)
--- a/e2e/input_test.go
+++ b/e2e/input_test.go
@@ -12,7 +12,7 @@
 // An operator's mistake stops a process at its start, before it listens or
 // speaks to anybody: one line says what is wrong, where it stands and what was
 // likely meant, and the exit code is 2, as for dandelionctl.
-func TestMistakesStopTheStart(t *testing.T) {
+func TestInvalidInputStopsStart(t *testing.T) {
 	settings := func(name string) []string {
 		return []string{"--config", filepath.Join("..", "examples", "settings", name)}
 	}
@@ -32,7 +32,7 @@
 		"ctl variable": {"dandelionctl", []string{"version"}, "DANDELIONCTL_LGO=x", `did you mean "DANDELIONCTL_LOG"?`},
 	} {
 		t.Run(name, func(t *testing.T) {
-			cmd := exec.Command(filepath.Join(bin, c.binary), c.args...)
+			cmd := exec.Command(filepath.Join(binDir, c.binary), c.args...)
 			cmd.Env = append(os.Environ(), c.env)
 			out, err := cmd.CombinedOutput()
 			require.Error(t, err)
--- a/e2e/keys_history_test.go
+++ b/e2e/keys_history_test.go
@@ -15,9 +15,9 @@
 // keyOp is one step in the history of an idempotency key: a run at a service,
 // by the service's own account, or a whole answer at a caller.
 type keyOp struct {
-	key    string
-	answer bool   // false: a run
-	run    string // "server/number"
+	key      string
+	isAnswer bool   // false: a run
+	run      string // "server/number"
 }
 
 // keyModel is the object that an idempotency key is: no run at first, then
@@ -39,7 +39,7 @@
 		Init: func() any { return "" },
 		Step: func(state, input, _ any) (bool, any) {
 			ran, op := state.(string), input.(keyOp)
-			if op.answer {
+			if op.isAnswer {
 				return op.run == ran, ran
 			}
 			return ran == "", op.run
@@ -48,42 +48,42 @@
 	}
 }
 
-// judgedKeys judges the callers like judged, and each key's history by a
+// verifyKeys judges the callers like judged, and each key's history by a
 // stricter object: the runs stand in it at their times by the services'
 // account, so an answer before its run or a second run has no place. No key
 // whose every try was answered "not run" has a run. It returns the tries by
 // key.
-func (t *traffic) judgedKeys() map[string][]timedCall {
+func (t *traffic) verifyKeys() map[string][]timedCall {
 	t.c.t.Helper()
-	calls, runs := t.judged()
-	tries := map[string][]timedCall{}
+	calls, runs := t.verify()
+	attempts := map[string][]timedCall{}
 	for _, call := range calls {
 		if call.Result.Key != "" {
-			tries[call.Result.Key] = append(tries[call.Result.Key], call)
+			attempts[call.Result.Key] = append(attempts[call.Result.Key], call)
 		}
 	}
-	require.NotEmpty(t.c.t, tries)
-	checkKeys(t.c.t, tries, runs)
-	return tries
+	require.NotEmpty(t.c.t, attempts)
+	checkKeys(t.c.t, attempts, runs)
+	return attempts
 }
 
-func checkKeys(t *testing.T, tries map[string][]timedCall, runs []service.Run) {
+func checkKeys(t *testing.T, attempts map[string][]timedCall, runs []service.Run) {
 	t.Helper()
-	ran := map[string]int{}
+	runCounts := map[string]int{}
 	var history []porcupine.Operation
 	for i := range runs {
 		run := &runs[i]
 		if run.Key == "" {
 			continue
 		}
-		ran[run.Key]++
+		runCounts[run.Key]++
 		history = append(history, porcupine.Operation{ // the account is in whole milliseconds
 			Input: keyOp{key: run.Key, run: fmt.Sprintf("%s/%d", run.Server, run.Run)},
 			Call:  run.StartedMS * int64(time.Millisecond), Return: (run.EndedMS + 1) * int64(time.Millisecond),
 		})
 	}
-	none := 0
-	for key, list := range tries {
+	neverRan := 0
+	for key, list := range attempts {
 		var body []byte
 		refused := 0
 		for _, call := range list {
@@ -99,26 +99,26 @@
 			}
 			require.Equal(t, string(body), string(r.Body), "two whole answers of key %s", key)
 			history = append(history, porcupine.Operation{
-				ClientId: 1 + call.client, Call: call.from, Return: call.to,
-				Input: keyOp{key: key, answer: true, run: answeringRun(t, r.Body)},
+				ClientId: 1 + call.client, Call: call.startedAt, Return: call.endedAt,
+				Input: keyOp{key: key, isAnswer: true, run: answeringRun(t, r.Body)},
 			})
 		}
 		if refused == len(list) {
-			none++
-			require.Zero(t, ran[key], "key %s: every try was told that it did not run", key)
+			neverRan++
+			require.Zero(t, runCounts[key], "key %s: every try was told that it did not run", key)
 		}
 	}
 	require.Equal(t, porcupine.Ok, porcupine.CheckOperationsTimeout(keyModel(), history, historyTimeout))
-	t.Logf("%d keys, %d ran, %d never ran by every answer", len(tries), len(ran), none)
+	t.Logf("%d keys, %d ran, %d never ran by every answer", len(attempts), len(runCounts), neverRan)
 }
 
 // The checker itself must find each kind of broken promise.
-func TestKeyHistoryIsChecked(t *testing.T) {
+func TestKeyModelFindsViolations(t *testing.T) {
 	run := func(id string, from, to int64) porcupine.Operation {
 		return porcupine.Operation{Input: keyOp{key: "k", run: id}, Call: from, Return: to}
 	}
 	answer := func(id string, from, to int64) porcupine.Operation {
-		return porcupine.Operation{ClientId: 1, Input: keyOp{key: "k", answer: true, run: id}, Call: from, Return: to}
+		return porcupine.Operation{ClientId: 1, Input: keyOp{key: "k", isAnswer: true, run: id}, Call: from, Return: to}
 	}
 	for name, c := range map[string]struct {
 		history []porcupine.Operation
--- a/e2e/main_test.go
+++ b/e2e/main_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// bin is the folder of the binaries that all tests share.
-var bin string
+// binDir is the folder of the binaries that all tests share.
+var binDir string
 
 func TestMain(m *testing.M) { os.Exit(runTests(m)) }
 
@@ -20,7 +20,7 @@
 		return 1
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
-	bin = dir
+	binDir = dir
 	if err := build(dir); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 1
--- a/e2e/once_history_test.go
+++ b/e2e/once_history_test.go
@@ -60,9 +60,9 @@
 // a try may take effect at any time after its call.
 func checkOnce(t *testing.T, calls []timedCall, runs []service.Run) {
 	t.Helper()
-	ranAs := map[string]string{}
+	runByRequest := map[string]string{}
 	for _, run := range runs {
-		ranAs[run.RequestID] = fmt.Sprintf("%s/%d", run.Server, run.Run)
+		runByRequest[run.RequestID] = fmt.Sprintf("%s/%d", run.Server, run.Run)
 	}
 	var history []porcupine.Operation
 	for i := range calls {
@@ -72,13 +72,13 @@
 			continue
 		}
 		op := porcupine.Operation{
-			ClientId: call.client, Call: call.from, Return: call.to,
+			ClientId: call.client, Call: call.startedAt, Return: call.endedAt,
 			Input: onceInput{r.Key, r.RequestID},
 		}
 		if r.OK() {
 			op.Output = onceOutput{answeringRun(t, r.Body)}
 		} else {
-			op.Output = onceOutput{ranAs[r.RequestID]}
+			op.Output = onceOutput{runByRequest[r.RequestID]}
 			op.Return = math.MaxInt64
 		}
 		history = append(history, op)
--- a/e2e/paths_test.go
+++ b/e2e/paths_test.go
@@ -26,13 +26,13 @@
 // show in the samples' labels, and an operator's commit comes into force.
 func TestPaths(t *testing.T) {
 	const seed, steps = 41, 5
-	c := up(t, options{seed: seed})
+	c := startCluster(t, options{seed: seed})
 
-	w := c.startTraffic(callers, seed, shares{reads: 0.5, keyed: 0.3})
-	w.answered(100)
-	c.open(4, seed).whole()
+	w := c.startTraffic(callerCount, seed, callShares{reads: 0.5, keyed: 0.3})
+	w.waitAnswered(100)
+	c.openStreams(4, seed).waitComplete()
 
-	done := c.train(steps, 1, seed).whole(steps)
+	done := c.startTrainer(steps, 1, seed).waitComplete(steps)
 	last := done[steps-1]
 	require.Equal(t, uint64(steps), last.Newest)
 	for _, m := range last.Samples {
@@ -44,11 +44,11 @@
 	var nodes []site.Process
 	nodes = append(nodes, c.site.Nodes()...)
 	require.NoError(t, site.WaitRevision(c.ctx, nodes, 2))
-	out, code = c.ctl("status", "--log", c.site.Get("log").URL, "--public", public(), "--vms", c.site.Get("vms").URL)
+	out, code = c.runCtl("status", "--log", c.site.Get("log").URL, "--public", publicKey(), "--vms", c.site.Get("vms").URL)
 	require.Zero(t, code, out)
 
-	calls, _ := w.judged()
-	require.Zero(t, judge.Cut(results(calls)))
+	calls, _ := w.verify()
+	require.Zero(t, judge.Cut(callResults(calls)))
 	for i := range calls {
 		require.True(t, calls[i].Result.OK(), "%+v", calls[i].Result)
 	}
@@ -58,11 +58,11 @@
 // says that it is ready, the balancer sends to it, so it must serve at once.
 func TestNewEntryServesOnceReady(t *testing.T) {
 	const seed = 42
-	c := up(t, options{seed: seed})
+	c := startCluster(t, options{seed: seed})
 	c.kill("entry-1")
 	p := c.site.Get("entry-1")
 	c.start(p)
-	c.until("the new entry is ready", func() error {
+	c.waitFor("the new entry is ready", func() error {
 		return site.Send(c.ctx, http.MethodGet, p.URL+"/readyz", nil, nil)
 	})
 	cl := client.New(client.NewBalancer([]string{p.URL}), site.Token(site.Caller), 1)
@@ -72,7 +72,7 @@
 	require.True(t, r.OK(), "%s %s", r.Kind(), r.Body)
 }
 
-func public() string { key, _ := site.Key(); return key }
+func publicKey() string { key, _ := site.Key(); return key }
 
 // commit commits the site's manifest with a note through dandelionctl, over
 // revision parent if that is given.
@@ -87,7 +87,7 @@
 	if parent != "" {
 		args = append(args, "--parent", parent)
 	}
-	return c.ctl(append(args, file)...)
+	return c.runCtl(append(args, file)...)
 }
 
 // configInput and configOutput are an operation on the configuration: a
@@ -135,33 +135,33 @@
 // register, and every process ends with the last winner.
 func TestOperatorsRace(t *testing.T) {
 	const seed, rounds, operators = 43, 3, 3
-	c := up(t, options{seed: seed})
+	c := startCluster(t, options{seed: seed})
 	first := configState{1, manifest.Hash(c.site.Manifest("first revision"))}
-	var ops collect[porcupine.Operation]
+	var ops collector[porcupine.Operation]
 	for round := range rounds {
 		parent := uint64(round + 1)
-		require.Equal(t, 1, c.race(&ops, round, operators, parent), "winners of round %d", round)
+		require.Equal(t, 1, c.raceCommits(&ops, round, operators, parent), "winners of round %d", round)
 		ops.add(c.readConfig(operators, parent+1))
 	}
 	require.True(t, porcupine.CheckOperations(configModel(first), ops.all()))
 }
 
-// race lets operators commit over parent at the same time, adds what they were
+// raceCommits lets operators commit over parent at the same time, adds what they were
 // told to the history and returns how many won.
-func (c *cluster) race(ops *collect[porcupine.Operation], round, operators int, parent uint64) int {
+func (c *cluster) raceCommits(ops *collector[porcupine.Operation], round, operators int, parent uint64) int {
 	outputs := make([]configOutput, operators)
 	var all sync.WaitGroup
-	for who := range operators {
+	for operator := range operators {
 		all.Go(func() {
-			note := fmt.Sprintf("round %d by operator %d", round, who)
+			note := fmt.Sprintf("round %d by operator %d", round, operator)
 			from := time.Now().UnixNano()
 			out, code := c.commit(note, fmt.Sprint(parent))
-			outputs[who] = configOutput{won: code == 0}
-			if code != 0 && !lost(out, code) {
-				c.t.Errorf("operator %d: exit code %d: %s", who, code, out)
+			outputs[operator] = configOutput{won: code == 0}
+			if code != 0 && !isRejected(out, code) {
+				c.t.Errorf("operator %d: exit code %d: %s", operator, code, out)
 			}
 			ops.add(porcupine.Operation{
-				ClientId: who, Call: from, Return: time.Now().UnixNano(), Output: outputs[who],
+				ClientId: operator, Call: from, Return: time.Now().UnixNano(), Output: outputs[operator],
 				Input: configInput{parent: parent, hash: manifest.Hash(c.site.Manifest(note))},
 			})
 		})
@@ -176,8 +176,8 @@
 	return winners
 }
 
-// lost tells whether dandelionctl says that another revision won.
-func lost(out string, code int) bool {
+// isRejected tells whether dandelionctl says that another revision won.
+func isRejected(out string, code int) bool {
 	const exitLost = 3
 	return code == exitLost && strings.Contains(out, "not accepted")
 }
--- a/e2e/settings_test.go
+++ b/e2e/settings_test.go
@@ -21,8 +21,8 @@
 		if strings.HasPrefix(filepath.Base(file), "entry") {
 			binary = "dandelion-entry"
 		}
-		cmd := exec.Command(filepath.Join(bin, binary), "--check", "--config", file)
-		cmd.Env = append(os.Environ(), "DANDELION_KEYS_MANIFEST_PUBLIC="+public()) // as examples/demo.sh does
+		cmd := exec.Command(filepath.Join(binDir, binary), "--check", "--config", file)
+		cmd.Env = append(os.Environ(), "DANDELION_KEYS_MANIFEST_PUBLIC="+publicKey()) // as examples/demo.sh does
 		out, err := cmd.CombinedOutput()
 		require.NoError(t, err, "%s: %s", file, out)
 	}
--- a/e2e/steps_test.go
+++ b/e2e/steps_test.go
@@ -15,8 +15,8 @@
 	"dandelionsill.org/trainer"
 )
 
-// rolloutOf runs a trainer's steps in the background.
-type rolloutOf struct {
+// trainerRun runs a trainer's steps in the background.
+type trainerRun struct {
 	c      *cluster
 	newest atomic.Uint64
 	groups atomic.Int32 // that came
@@ -25,16 +25,16 @@
 	err    error
 }
 
-// train starts a trainer: steps of 16 groups with 4 samples.
-func (c *cluster) train(steps, publishEvery int, seed uint64) *rolloutOf {
+// startTrainer starts a trainer: steps of 16 groups with 4 samples.
+func (c *cluster) startTrainer(steps, publishEvery int, seed uint64) *trainerRun {
 	name := site.TrainerName(1)
-	r := &rolloutOf{c: c, done: make(chan struct{})}
+	r := &trainerRun{c: c, done: make(chan struct{})}
 	r.newest.Store(1)
 	cfg := rollout.Config{
 		Name: name, Token: site.Token(name), Model: c.site.Deployment.Model,
 		Entries: c.site.URLs(site.RoleEntry), Store: c.site.Get("weights").URL,
 		Groups: 16, Samples: 4, MaxTokens: 400, PromptChars: 600, Bound: c.site.Deployment.Bound, Seed: seed,
-		Steps: steps, StepTimeout: patience, Train: 50 * time.Millisecond,
+		Steps: steps, StepTimeout: maxWait, Train: 50 * time.Millisecond,
 		PublishEvery: publishEvery, WeightBytes: c.site.WeightSize, Newest: &r.newest,
 		OnGroup: func(uint64, trainer.Group) { r.groups.Add(1) },
 	}
@@ -45,11 +45,11 @@
 	return r
 }
 
-// got waits until n more groups have come.
-func (r *rolloutOf) got(n int32) {
+// waitGroups waits until n more groups have come.
+func (r *trainerRun) waitGroups(n int32) {
 	r.c.t.Helper()
 	want := r.groups.Load() + n
-	r.c.until("groups come", func() error {
+	r.c.waitFor("groups come", func() error {
 		select {
 		case <-r.done:
 			return nil
@@ -62,13 +62,13 @@
 	})
 }
 
-// whole waits for the last step's end and requires that every sample came
-// once, whole, truly labelled and fresh enough.
-func (r *rolloutOf) whole(steps int) []judge.Step {
+// waitComplete waits for the last step's end and requires that every sample came
+// once, waitComplete, truly labelled and fresh enough.
+func (r *trainerRun) waitComplete(steps int) []judge.Step {
 	r.c.t.Helper()
 	select {
 	case <-r.done:
-	case <-time.After(2 * patience):
+	case <-time.After(2 * maxWait):
 		r.c.t.Fatal("the trainer still waits")
 	}
 	require.NoError(r.c.t, r.err)
@@ -85,14 +85,14 @@
 // the rest, each sample once.
 func TestStepsThroughCrashes(t *testing.T) {
 	const seed, steps = 31, 4
-	c := up(t, options{seed: seed, engine: site.EngineModel{MeanTokens: 150}})
-	r := c.train(steps, 0, seed)
-	r.got(8)
+	c := startCluster(t, options{seed: seed, engine: site.EngineModel{MeanTokens: 150}})
+	r := c.startTrainer(steps, 0, seed)
+	r.waitGroups(8)
 	c.kill("engine-1")
-	r.got(16)
+	r.waitGroups(16)
 	c.start(c.site.Get("engine-1"))
 	c.kill("entry-1")
-	r.whole(steps)
+	r.waitComplete(steps)
 }
 
 // The VM of an engine stands still, agent and engine, in the middle of a step
@@ -100,16 +100,16 @@
 // late: no sample may come twice or with tokens of weights that are too old.
 func TestStepsThroughPause(t *testing.T) {
 	const seed, steps = 32, 4
-	c := up(t, options{seed: seed, engine: site.EngineModel{MeanTokens: 150}})
-	r := c.train(steps, 1, seed)
+	c := startCluster(t, options{seed: seed, engine: site.EngineModel{MeanTokens: 150}})
+	r := c.startTrainer(steps, 1, seed)
 	vm := c.site.Get("engine-1")
-	r.got(8)
-	c.stop(vm.Name)
-	c.stop(vm.Beside)
-	r.got(24)
-	c.cont(vm.Beside)
-	c.cont(vm.Name)
-	r.whole(steps)
+	r.waitGroups(8)
+	c.suspend(vm.Name)
+	c.suspend(vm.Beside)
+	r.waitGroups(24)
+	c.resume(vm.Beside)
+	c.resume(vm.Name)
+	r.waitComplete(steps)
 }
 
 // The log is down while a step runs and callers call. What needs no agreement
@@ -117,16 +117,16 @@
 // a key. A write with a key runs at most once all the same, or is refused.
 func TestLogOutage(t *testing.T) {
 	const seed, steps = 33, 3
-	c := up(t, options{seed: seed})
-	w := c.startTraffic(callers, seed, shares{reads: 0.4, keyed: 0.3})
-	w.answered(100)
-	c.faults("log", logsvc.Faults{Down: true})
-	r := c.train(steps, 0, seed)
-	r.whole(steps)
-	w.answered(200)
-	c.faults("log", logsvc.Faults{})
-	w.answered(200)
-	calls, _ := w.judged()
+	c := startCluster(t, options{seed: seed})
+	w := c.startTraffic(callerCount, seed, callShares{reads: 0.4, keyed: 0.3})
+	w.waitAnswered(100)
+	c.setFaults("log", logsvc.Faults{Down: true})
+	r := c.startTrainer(steps, 0, seed)
+	r.waitComplete(steps)
+	w.waitAnswered(200)
+	c.setFaults("log", logsvc.Faults{})
+	w.waitAnswered(200)
+	calls, _ := w.verify()
 	for i := range calls {
 		if calls[i].Result.Key == "" {
 			require.True(t, calls[i].Result.OK(), "needs no log: %+v", calls[i].Result)
--- a/e2e/trace_test.go
+++ b/e2e/trace_test.go
@@ -59,7 +59,7 @@
 	file := filepath.Join(t.TempDir(), "spans")
 	t.Setenv("DANDELION_TRACE_EXPORTER", "file")
 	t.Setenv("DANDELION_TRACE_FILE", file)
-	c := up(t, options{seed: 71})
+	c := startCluster(t, options{seed: 71})
 	d := c.site.Deployment
 	cases := []struct {
 		trace, method, path, body string
@@ -85,8 +85,8 @@
 		require.Equal(t, http.StatusOK, resp.StatusCode, "%s", body)
 
 		var chain []span
-		c.until("the trace is whole", func() error {
-			chain = follow(spans(file, want.trace), callerSpan)
+		c.waitFor("the trace is whole", func() error {
+			chain = spanChain(spans(file, want.trace), callerSpan)
 			if len(chain) != len(want.names) {
 				return fmt.Errorf("%d of %d spans nest: %+v", len(chain), len(want.names), chain)
 			}
@@ -106,8 +106,8 @@
 	}
 }
 
-// follow returns the chain of spans below a parent.
-func follow(all []span, parent string) (chain []span) {
+// spanChain returns the chain of spans below a parent.
+func spanChain(all []span, parent string) (chain []span) {
 	for {
 		found := false
 		for _, s := range all {
--- a/e2e/traffic_test.go
+++ b/e2e/traffic_test.go
@@ -25,50 +25,50 @@
 type traffic struct {
 	c       *cluster
 	callers int
-	calls   collect[timedCall]
+	calls   collector[timedCall]
 	stop    func()
 }
 
 // timedCall is a call with its times on the test's own clock, for histories.
 type timedCall struct {
 	judge.Call
-	client   int
-	from, to int64 // ns
+	client             int
+	startedAt, endedAt int64 // ns
 }
 
-// shares of the kinds of calls; the rest are writes without a key.
-type shares struct{ reads, keyed float64 }
+// callShares of the kinds of calls; the rest are writes without a key.
+type callShares struct{ reads, keyed float64 }
 
 // startTraffic starts n callers. Each sends its next request a moment after
 // the last one's end.
-func (c *cluster) startTraffic(n int, seed uint64, s shares) *traffic {
+func (c *cluster) startTraffic(n int, seed uint64, s callShares) *traffic {
 	cl := c.client(site.Caller)
-	return c.startCallers(n, seed, func(t *traffic, who int, rng *rand.Rand) { t.one(cl, who, rng, s) })
+	return c.startCallers(n, seed, func(t *traffic, caller int, rng *rand.Rand) { t.sendOne(cl, caller, rng, s) })
 }
 
 // startCallers starts n callers that each do one over and over until stop is
 // called.
-func (c *cluster) startCallers(n int, seed uint64, one func(t *traffic, who int, rng *rand.Rand)) *traffic {
+func (c *cluster) startCallers(n int, seed uint64, send func(t *traffic, caller int, rng *rand.Rand)) *traffic {
 	t := &traffic{c: c, callers: n}
-	halt := make(chan struct{})
+	stopping := make(chan struct{})
 	var running sync.WaitGroup
 	for i := range n {
 		rng := rand.New(rand.NewPCG(seed, uint64(i)))
 		running.Go(func() {
 			for {
 				select {
-				case <-halt:
+				case <-stopping:
 					return
 				default:
 				}
-				one(t, i, rng)
+				send(t, i, rng)
 			}
 		})
 	}
 	var once sync.Once
 	t.stop = func() {
 		once.Do(func() {
-			close(halt)
+			close(stopping)
 			running.Wait()
 		})
 	}
@@ -76,8 +76,8 @@
 	return t
 }
 
-// one sends one request, and repeats a keyed one whose outcome stayed open.
-func (t *traffic) one(cl *client.Client, who int, rng *rand.Rand, s shares) {
+// sendOne sends sendOne request, and repeats a keyed sendOne whose outcome stayed open.
+func (t *traffic) sendOne(cl *client.Client, caller int, rng *rand.Rand, s callShares) {
 	const tries = 3
 	call := client.Call{Service: t.c.site.Deployment.Service, Method: http.MethodGet, Timeout: callTimeout}
 	call.Path = fmt.Sprintf("/orders/%d", rng.IntN(1_000_000))
@@ -90,7 +90,7 @@
 		call.Key = uuid.Must(uuid.NewV7()).String()
 	}
 	for range tries {
-		r := t.send(cl, who, call)
+		r := t.send(cl, caller, call)
 		if call.Key == "" || r.OK() {
 			return
 		}
@@ -98,7 +98,7 @@
 	}
 }
 
-func (t *traffic) send(cl *client.Client, who int, call client.Call) client.Result {
+func (t *traffic) send(cl *client.Client, caller int, call client.Call) client.Result {
 	ctx, cancel := context.WithTimeout(t.c.ctx, 2*callTimeout)
 	defer cancel()
 	call.RequestID = uuid.NewString()
@@ -109,13 +109,13 @@
 			Method: call.Method, Path: call.Path, BodySHA256: manifest.Hash(call.Body),
 			Write: call.Method == http.MethodPost, Result: r,
 		},
-		client: who, from: from, to: time.Now().UnixNano(),
+		client: caller, startedAt: from, endedAt: time.Now().UnixNano(),
 	})
 	return r
 }
 
-// answered waits until n more calls have been answered whole.
-func (t *traffic) answered(n int) {
+// waitAnswered waits until n more calls have been waitAnswered whole.
+func (t *traffic) waitAnswered(n int) {
 	t.c.t.Helper()
 	count := func() int {
 		ok := 0
@@ -127,23 +127,23 @@
 		return ok
 	}
 	want := count() + n
-	t.c.until(fmt.Sprintf("%d calls answered", want), func() error {
+	t.c.waitFor(fmt.Sprintf("%d calls answered", want), func() error {
 		if have := count(); have < want {
-			return fmt.Errorf("%d are, kinds %v", have, kindsOf(t.calls.all()))
+			return fmt.Errorf("%d are, kinds %v", have, countKinds(t.calls.all()))
 		}
 		return nil
 	})
 }
 
-// turnover waits until every caller has ended a call that began after now, so
+// waitTurnover waits until every caller has ended a call that began after now, so
 // that whatever was in flight has been told to its caller.
-func (t *traffic) turnover() {
+func (t *traffic) waitTurnover() {
 	t.c.t.Helper()
 	now := time.Now().UnixNano()
-	t.c.until("every caller has gone on", func() error {
+	t.c.waitFor("every caller has gone on", func() error {
 		ended := map[int]bool{}
 		for _, call := range t.calls.all() {
-			if call.from > now {
+			if call.startedAt > now {
 				ended[call.client] = true
 			}
 		}
@@ -154,7 +154,7 @@
 	})
 }
 
-func kindsOf(calls []timedCall) map[string]int {
+func countKinds(calls []timedCall) map[string]int {
 	kinds := map[string]int{}
 	for i := range calls {
 		kinds[calls[i].Result.Kind()]++
@@ -162,12 +162,12 @@
 	return kinds
 }
 
-// judged stops the callers and requires that no promise was broken: by the
+// verify stops the callers and requires that no promise was broken: by the
 // services' own account and by a history check for each key.
-func (t *traffic) judged() ([]timedCall, []service.Run) {
+func (t *traffic) verify() ([]timedCall, []service.Run) {
 	t.c.t.Helper()
 	t.stop()
-	runs := t.c.settled()
+	runs := t.c.waitIdle()
 	timed := t.calls.all()
 	calls := make([]judge.Call, len(timed))
 	for i := range timed {
@@ -175,12 +175,12 @@
 	}
 	require.Zero(t.c.t, judge.Calls(calls, runs))
 	checkOnce(t.c.t, timed, runs)
-	t.c.t.Logf("%d calls %v, %d runs", len(calls), kindsOf(timed), len(runs))
+	t.c.t.Logf("%d calls %v, %d runs", len(calls), countKinds(timed), len(runs))
 	return timed, runs
 }
 
-// results are what callers saw.
-func results(calls []timedCall) []client.Result {
+// callResults are what callers saw.
+func callResults(calls []timedCall) []client.Result {
 	list := make([]client.Result, len(calls))
 	for i := range calls {
 		list[i] = calls[i].Result
--- a/e2e/writes_test.go
+++ b/e2e/writes_test.go
@@ -9,11 +9,11 @@
 	"dandelionsill.org/load/site"
 )
 
-const callers = 8
+const callerCount = 8
 
-// slow is a service whose runs last long enough for several to be in flight
+// slowService is a service whose runs last long enough for several to be in flight
 // whenever a process dies.
-var slow = site.ServiceModel{Mean: 30 * time.Millisecond}
+var slowService = site.ServiceModel{Mean: 30 * time.Millisecond}
 
 // Callers write orders, with and without keys, while the agent beside one of
 // the two servers is killed. The writes that were on it end with "outcome
@@ -22,14 +22,14 @@
 // it, so a key that it may have run must not run elsewhere.
 func TestAgentKilledUnderWrites(t *testing.T) {
 	const seed = 11
-	c := up(t, options{seed: seed, service: slow})
-	w := c.startTraffic(2*callers, seed, shares{reads: 0.2, keyed: 0.5})
-	w.answered(200)
+	c := startCluster(t, options{seed: seed, service: slowService})
+	w := c.startTraffic(2*callerCount, seed, callShares{reads: 0.2, keyed: 0.5})
+	w.waitAnswered(200)
 	c.kill("service-1")
-	w.answered(300)
+	w.waitAnswered(300)
 	c.start(c.site.Get("service-1")) // a new incarnation of the same VM
-	w.answered(300)
-	calls, runs := w.judged()
+	w.waitAnswered(300)
+	calls, runs := w.verify()
 	require.NotEmpty(t, runs)
 	for i := range calls {
 		if !calls[i].Write { // a read may be repeated, so its caller sees nothing
@@ -44,14 +44,14 @@
 // a key that ran elsewhere meanwhile.
 func TestAgentPausedUnderWrites(t *testing.T) {
 	const seed = 12
-	c := up(t, options{seed: seed, service: slow})
-	w := c.startTraffic(2*callers, seed, shares{reads: 0.2, keyed: 0.5})
-	w.answered(200)
-	c.stop("service-1")
-	w.turnover()
-	c.cont("service-1")
-	w.answered(300)
-	w.judged()
+	c := startCluster(t, options{seed: seed, service: slowService})
+	w := c.startTraffic(2*callerCount, seed, callShares{reads: 0.2, keyed: 0.5})
+	w.waitAnswered(200)
+	c.suspend("service-1")
+	w.waitTurnover()
+	c.resume("service-1")
+	w.waitAnswered(300)
+	w.verify()
 }
 
 // An entry is killed while it carries writes. Its callers see the connection
@@ -59,10 +59,10 @@
 // entry. The agents, which live on, must run no key twice.
 func TestEntryKilledUnderWrites(t *testing.T) {
 	const seed = 13
-	c := up(t, options{seed: seed, service: slow})
-	w := c.startTraffic(2*callers, seed, shares{reads: 0.2, keyed: 0.6})
-	w.answered(200)
+	c := startCluster(t, options{seed: seed, service: slowService})
+	w := c.startTraffic(2*callerCount, seed, callShares{reads: 0.2, keyed: 0.6})
+	w.waitAnswered(200)
 	c.kill("entry-1")
-	w.answered(400)
-	w.judged()
+	w.waitAnswered(400)
+	w.verify()
 }
