--- a/e2e/chaos_config_test.go
+++ b/e2e/chaos_config_test.go
@@ -17,16 +17,17 @@
 
 const watchInterval = 10 * time.Millisecond
 
-// revisionWatcher watches what every process says is in force, without a pause.
+// revisionWatcher polls the revision that each process reports as in force, every
+// watchInterval.
 type revisionWatcher struct {
 	mu         sync.Mutex
-	statuses   map[string]site.Status // the newest word of a process's life
-	violations []string               // what must never be seen
+	statuses   map[string]site.Status // newest status of each process's current incarnation
+	violations []string               // decreased or changed revisions
 	answers    int
 	stop       func()
 }
 
-// watchRevisions starts a watcher of every agent and entry.
+// watchRevisions starts a watcher of all agents and entries.
 func (c *cluster) watchRevisions() *revisionWatcher {
 	w := &revisionWatcher{statuses: map[string]site.Status{}}
 	stopping := make(chan struct{})
@@ -57,13 +58,13 @@
 	knownBefore := w.isKnown(p.Name)
 	var st site.Status
 	if site.Send(c.ctx, http.MethodGet, p.URL+"/v1/status", nil, &st) != nil {
-		return // it is down
+		return // the process is down
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	before, known := w.statuses[p.Name]
 	if known != knownBefore {
-		return // forgotten while this answer was under way: it may be an older life's
+		return // reset during this request: the answer may be from the previous incarnation
 	}
 	w.answers++
 	decreased := st.Revision < before.Revision
@@ -81,28 +82,29 @@
 	return known
 }
 
-// reset begins a new life of a process, which holds nothing at first.
+// reset forgets a process's status: its next incarnation starts without a revision.
 func (w *revisionWatcher) reset(name string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	delete(w.statuses, name)
 }
 
-// requireMonotonic requires that no revision was seen to fall or to change its content.
+// requireMonotonic stops the watcher and requires that no process's revision decreased
+// or changed its content.
 func (w *revisionWatcher) requireMonotonic(t *testing.T) {
 	t.Helper()
 	w.stop()
 	require.Empty(t, w.violations)
 	require.Positive(t, w.answers)
-	t.Logf("%d answers of /v1/status, none fell", w.answers)
+	t.Logf("%d answers of /v1/status, no revision decreased", w.answers)
 }
 
-// Operators commit over the same revision, round after round, while the log
-// loses a third of the answers and one entry and one agent are cut off from
-// it. An operator whose answer is lost must still learn whether it won; the
-// two that are cut off hear of the winner from peers. Then the log goes down
-// and an agent's VM is replaced: the new process has only its peers to tell
-// it. No process may ever show a lower revision than before.
+// In each round several operators commit over the same revision, while the log loses
+// a third of its answers and one entry and one agent are partitioned from it. An
+// operator whose answer is lost must still learn whether its commit won, and the two
+// partitioned processes must receive the winner from peers. Then the log goes down and
+// an agent's VM is replaced: the new process can get the revision only from its peers.
+// No process may ever report a lower revision than before.
 func TestOperatorsRaceWithLogFaults(t *testing.T) {
 	const seed, rounds, operators = 61, 4, 3
 	c := startCluster(t, options{seed: seed})
@@ -121,7 +123,7 @@
 	c.kill("engine-2")
 	watch.reset("engine-2")
 	c.start(c.site.Get("engine-2"))
-	ops.add(c.readConfig(operators, last)) // engine-2 among them
+	ops.add(c.readConfig(operators, last)) // includes engine-2
 
 	c.setFaults("log", logsvc.Faults{})
 	require.Equal(t, 1, c.raceCommits(&ops, rounds, operators, last))
--- a/e2e/chaos_steps_test.go
+++ b/e2e/chaos_steps_test.go
@@ -16,7 +16,8 @@
 	"dandelionsill.org/standin/logsvc"
 )
 
-// mediumSamples long enough for a fault to meet them while they run.
+// mediumSamples returns an engine model whose samples are long enough to be running
+// when a fault occurs.
 func mediumSamples() site.EngineModel {
 	return site.EngineModel{MeanTokens: 150, Sigma: 0.5, LoadTime: 2 * time.Second}
 }
@@ -27,13 +28,13 @@
 	want := r.newest.Load() + n
 	r.c.waitFor(fmt.Sprintf("version %d is announced", want), func() error {
 		if have := r.newest.Load(); have < want {
-			return fmt.Errorf("version %d is", have)
+			return fmt.Errorf("the newest is version %d", have)
 		}
 		return nil
 	})
 }
 
-// stepTimes are the steps' durations.
+// stepTimes returns the steps' durations.
 func (r *trainerRun) stepTimes() []string {
 	var list []string
 	for i := range r.steps {
@@ -53,7 +54,7 @@
 	return count
 }
 
-// countMixedRuns counts an engine's streams whose tokens came of several versions.
+// countMixedRuns counts an engine's streams whose tokens are of several versions.
 func (c *cluster) countMixedRuns(server string) int {
 	var truth engine.Truth
 	require.NoError(c.t, site.Send(c.ctx, http.MethodGet, c.site.Get(server).URL+"/truth", nil, &truth))
@@ -66,17 +67,17 @@
 	return n
 }
 
-// engineTotals are an engine's own sums; zero while it does not answer.
+// engineTotals returns the totals that an engine reports; zero if it does not answer.
 func (c *cluster) engineTotals(server string) engine.Totals {
 	var truth engine.Truth
 	_ = site.Send(c.ctx, http.MethodGet, c.site.Get(server).URL+"/truth?totals=1", nil, &truth)
 	return truth.Totals
 }
 
-// The entry that owns a step and one of the two engines die at the same
-// moment. The trainer takes the step to the other entry with the groups that
-// it holds; that entry finds what the living engine's agent has kept and has
-// the rest made again. Each sample comes once.
+// The entry that owns a step and one of the two engines crash at the same time. The
+// trainer continues the step at the other entry with the groups that it has. That
+// entry must find the samples that the remaining engine's agent has kept and have the
+// others generated again. The trainer must get each sample exactly once.
 func TestStepThroughEntryAndEngineCrash(t *testing.T) {
 	const seed, steps = 71, 3
 	c := startCluster(t, options{seed: seed, engine: mediumSamples()})
@@ -88,17 +89,17 @@
 	c.start(c.site.Get("engine-1-server"))
 	c.start(c.site.Get("entry-1"))
 	r.waitGroups(8)
-	c.signal("entry-2", syscall.SIGKILL) // the other owner as well
+	c.signal("entry-2", syscall.SIGKILL) // the step's new owner
 	c.kill("engine-2-server")
 	c.start(c.site.Get("engine-2-server"))
 	r.waitComplete(steps)
 }
 
-// An agent alone is frozen while its engine goes on making tokens. New weights
-// are published and served elsewhere until everything that the frozen agent
-// held is below the trainer's bound. Thawed, it must pass on none of the
-// chunks that wait in its sockets, under no label. It can't reach the store, so
-// that its engine stays on the first weights and is of no more use: only the
+// An agent is suspended while its engine continues to generate tokens. New weights
+// are published and served elsewhere until everything that the suspended agent holds
+// is older than the trainer's staleness bound. After it is resumed it must forward
+// none of the chunks that wait in its sockets, whatever their label. It can't reach
+// the weight store, so that its engine stays on the first version and only the
 // trainer's floor keeps further samples away from it.
 func TestAgentSuspendedWhileWeightsChange(t *testing.T) {
 	const seed, steps = 72, 5
@@ -113,62 +114,61 @@
 	t.Logf("steps took %v, samples by version %v", r.stepTimes(), r.samplesByVersion())
 }
 
-// Engines obey any order, also one with an old fencing token. An agent is
-// killed while its order is on its way, and its next life starts: it reads the
-// engine back, finds it serving the old weights and has samples made. Then the
-// order arrives, and the engine swaps under the new life's feet. Labels are
-// held against the version in each token's own text; none may be wrong, and no
-// token older than the bound.
+// Guards against wrong version labels from an engine that ignores fencing tokens. How
+// it comes about: an agent is killed while its order to load weights is delayed. Its
+// next incarnation reads the engine's state, finds the old weights and generates
+// samples. Then the old order arrives and the engine swaps weights unnoticed. The
+// labels are compared with the version in each token's text: none may be wrong, and no
+// token may be older than the staleness bound.
 func TestAgentKilledMidSwapAtIgnoringEngine(t *testing.T) {
 	const seed, steps, agent, server = 73, 4, "engine-1", "engine-1-server"
 	model := mediumSamples()
-	model.MeanTokens = 350 // so that streams run when the order comes
+	model.MeanTokens = 350 // so that streams are running when the order arrives
 	model.Fencing = "ignores"
 	c := startCluster(t, options{seed: seed, engine: model, deployment: eagerSwaps()})
 	c.setFaults(server, engine.Faults{OrderDelayMS: 2000})
 	r := c.startTrainer(steps, 1, seed)
 	c.waitFor("the agent has given an order", func() error {
 		if c.checkReady(agent) == nil {
-			return errors.New("it serves")
+			return errors.New("the agent is still ready")
 		}
 		return nil
 	})
 	c.kill(agent)
 	c.setFaults(server, engine.Faults{})
-	require.Zero(t, c.engineTotals(server).Loads, "the order has not come yet")
+	require.Zero(t, c.engineTotals(server).Loads, "the order has arrived too early")
 	c.start(c.site.Get(agent))
-	c.waitFor("the next life is ready", func() error { return c.checkReady(agent) })
+	c.waitFor("the next incarnation is ready", func() error { return c.checkReady(agent) })
 	loadsAtReady := c.engineTotals(server).Loads
-	c.waitFor("the order has come", func() error {
+	c.waitFor("the order has arrived", func() error {
 		if c.engineTotals(server).Loads == 0 {
-			return errors.New("it has not")
+			return errors.New("the engine has loaded no weights")
 		}
 		return nil
 	})
 	r.waitComplete(steps)
 	t.Logf("steps took %v, samples by version %v", r.stepTimes(), r.samplesByVersion())
-	t.Logf("%d loads when the next life was ready; %d streams of %s span versions, of %s %d; %+v",
+	t.Logf("%d loads when the next incarnation was ready; %d streams of %s span versions, of %s %d; %+v",
 		loadsAtReady, c.countMixedRuns(server), server, "engine-2-server", c.countMixedRuns("engine-2-server"), c.engineTotals(server))
 }
 
-// eagerSwaps is a small site whose engines swap weights soon after they are
-// announced.
+// eagerSwaps returns a small deployment whose engines swap weights soon after these
+// are announced.
 func eagerSwaps() site.Deployment {
 	d := site.Small
 	d.Weigh = manifest.WeighStaleness
 	return d
 }
 
-// checkReady asks a process whether it takes work.
+// checkReady returns an error unless a process reports that it is ready.
 func (c *cluster) checkReady(name string) error {
 	return site.Send(c.ctx, http.MethodGet, c.site.Get(name).URL+"/readyz", nil, nil)
 }
 
-// The log is down from before the first step to after the last one. Steps run
-// under epochs without a claim, new weights are announced all the same, and
-// the entry that owns a step is killed in the middle: the trainer's own
-// attempt decides that the other entry is the owner. Nothing waits for the
-// log.
+// The log is down from before the first step until after the last one. Steps must run
+// under epochs without a claim, and new weights must be announced. The entry that owns
+// a step is killed while the step runs; the trainer's attempt number then makes the
+// other entry the owner. Nothing may wait for the log.
 func TestStepsAndWeightsWithoutTheLog(t *testing.T) {
 	const seed, steps = 74, 2
 	c := startCluster(t, options{seed: seed, engine: mediumSamples()})
--- a/e2e/chaos_writes_test.go
+++ b/e2e/chaos_writes_test.go
@@ -21,13 +21,13 @@
 
 const (
 	writers             = 12
-	lostAnswerShare     = 0.3                    // of the log's answers
+	lostAnswerShare     = 0.3                    // share of the log's answers that are lost
 	retryPause          = 100 * time.Millisecond // before a caller repeats its key
 	maxAttempts         = 15
 	maxAttemptsInOutage = 50 // longer than the longest fault
 )
 
-// newOrder makes the keyed write of a new newOrder.
+// newOrder returns a keyed write that creates a random order.
 func (t *traffic) newOrder(rng *rand.Rand) client.Call {
 	return client.Call{
 		Service: t.c.site.Deployment.Service, Method: http.MethodPost, Timeout: callTimeout,
@@ -36,29 +36,29 @@
 	}
 }
 
-// sendUntilAnswered sends a keyed write and repeats its key until it has a whole answer,
-// so many tries at most.
+// sendUntilAnswered sends a keyed write and repeats it with its key until it gets a
+// complete answer, at most attempts times in all.
 func (t *traffic) sendUntilAnswered(cl *client.Client, caller, attempts int, call client.Call) {
 	for range attempts {
 		if r := t.send(cl, caller, call); r.OK() {
 			return
 		}
-		time.Sleep(retryPause) // a caller's pause
+		time.Sleep(retryPause) // pause between attempts
 	}
 }
 
-// clientOf returns a client of the application that talks to one entry alone.
+// clientOf returns a client of the application that uses a single entry.
 func (c *cluster) clientOf(entry string) *client.Client {
 	return client.New(client.NewBalancer([]string{c.site.Get(entry).URL}), site.Token(site.Caller), maxConns)
 }
 
-// Callers write orders, half of them with keys, while the log takes claims and
-// loses a third of the answers, and the agent beside one of two servers is
-// killed and comes back at once as a new life. A claim whose answer was lost is
-// the old life's: the new one must not take it for its own, nor any other
-// agent for a free key. The callers repeat their keys and get the one run's
-// answer, or learn that the outcome is unknown; a write without a key that was
-// on its way must not be sent again by anybody.
+// Callers write orders, half of them with keys. Meanwhile the log stores claims but
+// loses a third of its answers, and the agent of one of the two servers is killed and
+// restarted at once. A claim whose answer was lost belongs to the old incarnation: the
+// new one must not treat it as its own, and no other agent may treat the key as free.
+// Callers that repeat their keys must get the answer of the single run or learn that
+// the outcome is unknown. No process may resend a write without a key that was in
+// flight.
 func TestLostClaimAnswersAndAgentKilled(t *testing.T) {
 	const seed, kills = 51, 2
 	c := startCluster(t, options{seed: seed, service: slowService})
@@ -84,12 +84,11 @@
 	w.verifyKeys()
 }
 
-// The holder of keys stands still in the middle of its writes, and then the
-// log goes down: callers who repeat these keys elsewhere are refused, as
-// nobody can claim. The log comes back before the holder: now the other agent
-// could claim these keys, and must not. Then the log goes down once more, and
-// the holder wakes up and goes on with what it had. Whatever it ran must be
-// the one run that all answers show.
+// The agent that holds keys is suspended during its writes, and then the log goes down:
+// callers that repeat these keys elsewhere are refused, as no agent can claim. The log
+// is available again before the holder is resumed: now the other agent could claim
+// these keys but must not. Then the log goes down once more and the holder is resumed
+// and continues its work. Whatever it ran must be the single run that all answers show.
 func TestLogOutageAndHolderPaused(t *testing.T) {
 	const seed = 52
 	c := startCluster(t, options{seed: seed, service: slowService})
@@ -112,10 +111,10 @@
 	w.verifyKeys()
 }
 
-// Every caller sends its order to one entry and, whatever came of it, sends
-// the same key to the other one. The first entry is killed under them and a
-// new one starts: their connections break with outcomes that they can't know.
-// The repeat must find the run, or be the run, and never be a second one.
+// Every caller sends its order to one entry and then, whatever the outcome, sends the
+// same key to the other one. The first entry is killed during these calls and started
+// again, so that connections break with an unknown outcome. The repeated call must get
+// the answer of the first run or cause the only run, never a second one.
 func TestEntryKilledAndEveryKeyRepeated(t *testing.T) {
 	const seed = 53
 	c := startCluster(t, options{seed: seed, service: slowService})
@@ -133,12 +132,12 @@
 	w.verifyKeys()
 }
 
-// Two callers send the same key to two entries at the same moment. One entry's
-// list of VMs lacks the server that the other one picks for half of the keys,
-// so that two agents claim the same key, while the log is slow and loses
-// answers: each appends before it reads the other's claim. One claim is the
-// first in the log; only its holder may run, and the other agent's caller gets
-// that run's answer or hears that the outcome is unknown.
+// Two callers send the same key to two entries at the same time. One entry's VM list
+// lacks the server that the other entry picks for half of the keys, so that two agents
+// claim the same key. The log is slow and loses answers: each agent appends its claim
+// before it reads the other's. Only the agent whose claim is first in the log may run
+// the request. The other agent's caller must get that run's answer or learn that the
+// outcome is unknown.
 func TestSameKeyAtTwoEntries(t *testing.T) {
 	const seed = 54
 	c := startCluster(t, options{seed: seed, service: slowService})
@@ -157,8 +156,8 @@
 	w.verifyKeys()
 }
 
-// hideVM starts a process anew with a list of VMs of its own, in which another
-// one is missing, as in a list that lags.
+// hideVM restarts a process with its own VM list, which lacks another VM, like a list
+// that is out of date.
 func (c *cluster) hideVM(from, missing string) {
 	c.t.Helper()
 	ownList := c.site.Get("vms")
@@ -179,7 +178,8 @@
 	c.restart(from, "--platform.vms", ownList.URL)
 }
 
-// restart kills a process and starts it with further settings.
+// restart kills a process, starts it with additional settings and waits until it is
+// ready.
 func (c *cluster) restart(name string, settings ...string) {
 	c.t.Helper()
 	p := c.site.Get(name)
--- a/e2e/cluster_test.go
+++ b/e2e/cluster_test.go
@@ -21,7 +21,7 @@
 )
 
 const (
-	// maxWait bounds every wait for a condition; nothing is judged by it.
+	// maxWait limits every wait for a condition. No check depends on its length.
 	maxWait  = 30 * time.Second
 	maxConns = 256
 )
@@ -31,8 +31,8 @@
 	site.Process
 	cmd      *exec.Cmd
 	log      string
-	done     chan struct{} // closed at its end
-	exitCode int           // exit code, once done; -1: killed
+	done     chan struct{} // closed when the process has ended
+	exitCode int           // valid after done is closed; -1: killed
 }
 
 // cluster is a site of running processes.
@@ -43,7 +43,7 @@
 	processes map[string]*process
 }
 
-// options of a test's site.
+// options are the options of a test's site. Zero values have defaults.
 type options struct {
 	deployment site.Deployment
 	engine     site.EngineModel
@@ -51,13 +51,13 @@
 	seed       uint64
 }
 
-// shortSamples is an engine model with short samples, for tests.
+// shortSamples returns the default engine model, which has short samples.
 func shortSamples() site.EngineModel {
 	return site.EngineModel{MeanTokens: 60, Sigma: 0.5, LoadTime: 2 * time.Second}
 }
 
-// newCluster lays a site out and starts its processes. It is not yet in
-// service; up brings it there.
+// newCluster creates a site and starts its processes. It does not wait until they
+// serve; startCluster does.
 func newCluster(t *testing.T, o options) *cluster {
 	t.Helper()
 	if o.deployment.Name == "" {
@@ -87,7 +87,7 @@
 	return c
 }
 
-// startCluster starts a site and brings it into service.
+// startCluster starts a site and waits until it serves.
 func startCluster(t *testing.T, o options) *cluster {
 	t.Helper()
 	c := newCluster(t, o)
@@ -97,8 +97,8 @@
 	return c
 }
 
-// reserveNet finds a second octet for the site's addresses and holds it for the
-// test, so that tests (and test runs) at the same time don't meet.
+// reserveNet returns a second octet for the site's addresses and reserves it until the
+// test ends, so that concurrent tests and test runs use different addresses.
 func reserveNet(t *testing.T) int {
 	const first, last, port = 60, 240, 7999
 	offset := os.Getpid() % (last - first)
@@ -114,7 +114,7 @@
 	return 0
 }
 
-// start starts a process of the site, again after its end if need be.
+// start starts a process of the site, also one that has ended.
 func (c *cluster) start(p site.Process) *process {
 	c.t.Helper()
 	file := filepath.Join(c.site.Dir, p.Name+".log")
@@ -127,14 +127,14 @@
 	started := &process{Process: p, cmd: cmd, log: file, done: make(chan struct{})}
 	c.processes[p.Name] = started
 	go func() {
-		_ = cmd.Wait() // the exit code tells
+		_ = cmd.Wait() // the exit code is evaluated instead
 		started.exitCode = cmd.ProcessState.ExitCode()
 		close(started.done)
 	}()
 	return started
 }
 
-// killAll kills what runs and, when the test failed, keeps the logs.
+// killAll kills all processes and, if the test failed, keeps their logs and settings.
 func (c *cluster) killAll() {
 	for _, p := range c.processes {
 		_ = p.cmd.Process.Kill()
@@ -163,7 +163,7 @@
 	require.NoError(c.t, p.cmd.Process.Signal(sig), name)
 }
 
-// kill ends a process as a crash does and waits for its end.
+// kill ends a process with SIGKILL, as a crash would, and waits for its end.
 func (c *cluster) kill(name string) {
 	c.t.Helper()
 	c.signal(name, syscall.SIGKILL)
@@ -174,20 +174,21 @@
 func (c *cluster) resume(name string)    { c.t.Helper(); c.signal(name, syscall.SIGCONT) }
 func (c *cluster) terminate(name string) { c.t.Helper(); c.signal(name, syscall.SIGTERM) }
 
-// waitExit waits for a process's end and returns its waitExit code.
+// waitExit waits for a process's end and returns its exit code.
 func (c *cluster) waitExit(name string) int {
 	c.t.Helper()
 	select {
 	case <-c.processes[name].done:
 	case <-time.After(maxWait):
-		c.signal(name, syscall.SIGQUIT) // its goroutines go to its log
+		c.signal(name, syscall.SIGQUIT) // it writes its goroutines to its log
 		<-c.processes[name].done
-		c.t.Fatalf("%s still ran after %s", name, maxWait)
+		c.t.Fatalf("%s is still running after %s", name, maxWait)
 	}
 	return c.processes[name].exitCode
 }
 
-// waitFor waits for a condition; check returns why it does not hold yet.
+// waitFor waits until check returns nil; its error says why the condition does not
+// hold yet.
 func (c *cluster) waitFor(what string, check func() error) {
 	c.t.Helper()
 	deadline := time.Now().Add(maxWait)
@@ -197,20 +198,20 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			c.t.Fatalf("not after %s: %s: %v", maxWait, what, err)
+			c.t.Fatalf("condition not met after %s: %s: %v", maxWait, what, err)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// setFaults sets a stand-in's fault switches.
+// setFaults sets a stand-in's faults.
 func (c *cluster) setFaults(name string, set any) {
 	c.t.Helper()
 	require.NoError(c.t, site.Faults(c.ctx, c.site.Get(name), set))
 }
 
-// client returns a client of the caller, or trainer, of that name, through a
-// balancer over all entries.
+// client returns a client with the token of the named caller or trainer. It balances
+// its requests over all entries.
 func (c *cluster) client(name string) *client.Client {
 	b := client.NewBalancer(c.site.URLs(site.RoleEntry))
 	go b.Run(c.ctx)
@@ -229,14 +230,14 @@
 	return runs
 }
 
-// waitIdle waits until no run is under way at the services and returns them all.
+// waitIdle waits until no run is in progress at the services and returns all runs.
 func (c *cluster) waitIdle() []service.Run {
 	c.t.Helper()
 	var runs []service.Run
-	c.waitFor("no run is under way", func() error {
+	c.waitFor("no run is in progress", func() error {
 		runs = c.serviceRuns()
 		if i := slices.IndexFunc(runs, func(r service.Run) bool { return r.EndedMS == 0 }); i >= 0 {
-			return fmt.Errorf("%s %s runs", runs[i].Method, runs[i].Path)
+			return fmt.Errorf("%s %s is running", runs[i].Method, runs[i].Path)
 		}
 		return nil
 	})
@@ -254,7 +255,7 @@
 	return string(out), cmd.ProcessState.ExitCode()
 }
 
-// collector gathers values from several goroutines.
+// collector collects values from several goroutines.
 type collector[T any] struct {
 	mu   sync.Mutex
 	list []T
--- a/e2e/doc.go
+++ b/e2e/doc.go
@@ -1,4 +1,4 @@
-// Package e2e holds the tests with real processes: entries, agents and the
-// stand-ins for the platform on loopback addresses. The package itself is
+// Package e2e contains the end-to-end tests. They run real processes on loopback
+// addresses: entries, agents and stand-ins for the platform. The package itself is
 // empty; everything is in its test files.
 package e2e
--- a/e2e/drain_test.go
+++ b/e2e/drain_test.go
@@ -15,15 +15,15 @@
 	"dandelionsill.org/platform"
 )
 
-// streamSet are completions in flight.
+// streamSet is a set of streamed completions.
 type streamSet struct {
 	c           *cluster
 	completions collector[judge.Completion]
-	started     atomic.Int32 // that showed their first text
+	started     atomic.Int32 // streams that have received text
 	count       int
 }
 
-// openStreams starts n streams and waits until each has shown some text.
+// openStreams starts n streams and waits until each has received some text.
 func (c *cluster) openStreams(n int, seed uint64) *streamSet {
 	c.t.Helper()
 	s := &streamSet{c: c, count: n}
@@ -31,9 +31,9 @@
 	for i := range n {
 		go s.run(cl, fmt.Sprintf("stream %d", i), seed+uint64(i))
 	}
-	c.waitFor("every stream shows text", func() error {
+	c.waitFor("every stream has received text", func() error {
 		if have := int(s.started.Load()); have < n {
-			return fmt.Errorf("%d of %d do", have, n)
+			return fmt.Errorf("%d of %d have", have, n)
 		}
 		return nil
 	})
@@ -58,7 +58,8 @@
 	})
 }
 
-// waitComplete waits for the streams' ends and requires that none was cut off.
+// waitComplete waits until all streams have ended and requires that each is complete
+// and correct.
 func (s *streamSet) waitComplete() {
 	s.c.t.Helper()
 	s.c.waitFor("every stream ends", func() error {
@@ -74,12 +75,12 @@
 	require.Zero(s.c.t, judge.Completions(list, s.c.site.Engine.Lengths()))
 }
 
-// longSamples is an engine model whose streams last for a second or two.
+// longSamples returns an engine model whose streams take one to two seconds.
 func longSamples() site.EngineModel { return site.EngineModel{MeanTokens: 1500, Sigma: 0.1} }
 
-// An entry is told to stop while callers read streams from it. The balancer
-// sees it unready and sends new callers elsewhere; the streams go on to their
-// ends, and then the process exits with 0.
+// An entry gets SIGTERM while callers read streams from it. The balancer must see it as
+// not ready and send new calls elsewhere, the streams must be completed, and then the
+// process must exit with 0.
 func TestEntryStopsWithOpenStreams(t *testing.T) {
 	const seed = 21
 	c := startCluster(t, options{seed: seed, engine: longSamples()})
@@ -90,9 +91,9 @@
 	c.openStreams(4, seed+100).waitComplete()
 }
 
-// An agent is told to stop while it serves streams and writes. It refuses new
-// work as "not run", so that the entries go elsewhere and callers notice
-// nothing; what it holds it finishes, and then it exits with 0.
+// Agents get SIGTERM while they serve streams and writes. They must refuse new work as
+// "not run", so that the entries use other agents and callers notice nothing, finish
+// the work that they have, and then exit with 0.
 func TestAgentsStopWithWorkInFlight(t *testing.T) {
 	const seed = 22
 	c := startCluster(t, options{seed: seed, engine: longSamples()})
--- a/e2e/explain_test.go
+++ b/e2e/explain_test.go
@@ -19,13 +19,13 @@
 	"dandelionsill.org/load/site"
 )
 
-// decision is a row of dandelionctl explain.
+// decision is a row of the output of dandelionctl explain.
 type decision struct{ Process, Part, ID, What, Why string }
 
 const operatorToken = "operator"
 
-// commitOperatorToken commits a manifest that names the operators' token and waits
-// until it is in force.
+// commitOperatorToken commits a manifest with the operators' token and waits until it
+// is in force.
 func (c *cluster) commitOperatorToken() {
 	c.t.Helper()
 	dir := c.t.TempDir()
@@ -40,7 +40,8 @@
 	require.NoError(c.t, site.WaitRevision(c.ctx, c.site.Nodes(), 2))
 }
 
-// explain asks dandelionctl about an id at all entries.
+// explain runs dandelionctl explain for an id at all entries. It returns the decisions
+// and the printed table.
 func (c *cluster) explain(id string) (rows []decision, table string) {
 	c.t.Helper()
 	var entries []string
@@ -57,7 +58,8 @@
 	return got.Decisions, table
 }
 
-// findRow returns the index of the first row from one on whose What begins so.
+// findRow returns the index of the first row, starting at from, whose What has the
+// prefix what, or -1.
 func findRow(rows []decision, from int, what string) int {
 	for i := from; i < len(rows); i++ {
 		if strings.HasPrefix(rows[i].What, what) {
@@ -67,10 +69,10 @@
 	return -1
 }
 
-// A backend server's VM is told to leave while requests wait in its queue. Its
-// agent refuses them as not run, the entry sends them to the other server, and
-// the callers see whole answers. The operator asks about one of them and reads
-// where it went first, that it was refused there and why, and who served it.
+// An agent is stopped while requests wait in its queue. It refuses them as not run, the
+// entry sends them to the other server, and the callers get complete answers. For one
+// of these requests dandelionctl explain must show where it was sent first, that it was
+// refused there and why, and which server answered it.
 func TestExplainRefusedByLeavingAgent(t *testing.T) {
 	const requests = 64
 	c := startCluster(t, options{seed: 81, service: site.ServiceModel{Mean: 250 * time.Millisecond}})
@@ -123,10 +125,10 @@
 	t.Fatal("no request was refused by the leaving agent")
 }
 
-// An engine crashes with its VM in the middle of a step. Its samples are made
-// anew elsewhere and the trainer gets each one once. The operator asks about
-// one of them, and about the whole step, and reads where it was lost and where
-// it was made.
+// An engine and its agent crash during a step. Their samples are generated again
+// elsewhere and the trainer gets each one exactly once. For the step and for one of
+// these samples dandelionctl explain must show where the sample was lost, and for the
+// sample where it was generated.
 func TestExplainRegeneratedSample(t *testing.T) {
 	c := startCluster(t, options{seed: 82, engine: site.EngineModel{MeanTokens: 150}})
 	c.commitOperatorToken()
--- a/e2e/figures_test.go
+++ b/e2e/figures_test.go
@@ -16,7 +16,7 @@
 	"dandelionsill.org/standin/logsvc"
 )
 
-// percentiles tells a sorted list's percentiles.
+// percentiles sorts a list and returns its percentiles as text.
 func percentiles(list []time.Duration) string {
 	slices.Sort(list)
 	at := func(share float64) time.Duration {
@@ -25,8 +25,8 @@
 	return fmt.Sprintf("p50 %v, p99 %v, max %v of %d", at(0.5), at(0.99), list[len(list)-1].Round(time.Millisecond/10), len(list))
 }
 
-// timeCommit commits revision number and returns how long after the log took it
-// the last process says that it is in force there.
+// timeCommit commits a revision and returns the time from the log's answer until the
+// last process reports that the revision is in force.
 func (c *cluster) timeCommit(number uint64) time.Duration {
 	c.t.Helper()
 	require.NoError(c.t, c.site.Commit(c.ctx, number, c.site.Manifest(fmt.Sprint("revision ", number))))
@@ -51,7 +51,7 @@
 	return last.Sub(taken)
 }
 
-// waitRevision asks a process without a pause until it waitRevision a revision.
+// waitRevision polls a process until it reports a revision and returns the time then.
 func waitRevision(ctx context.Context, p site.Process, number uint64) (time.Time, error) {
 	const pause = 2 * time.Millisecond
 	deadline := time.Now().Add(maxWait)
@@ -68,11 +68,10 @@
 	}
 }
 
-// Figures, of which none is judged: how long after the log took a commit it is
-// in force on every process, while all is well and while three processes are
-// cut off from the log; and how long a keyed write takes at its caller, beside
-// one without a key. Every commit must come into force and every write be
-// answered whole.
+// Measures times without checking them: how long a stored commit takes to be in force
+// on every process, without faults and while three processes are partitioned from the
+// log; and how long a write with a key and one without take for the caller. Every
+// commit must come into force and every write must get a complete answer.
 func TestCommitAndWriteTimes(t *testing.T) {
 	const seed, healthyCommits, partitionedCommits, writes = 91, 30, 6, 60
 	c := startCluster(t, options{seed: seed})
@@ -97,7 +96,7 @@
 	}
 }
 
-// writeTimes has callers send n writes and returns how long each took.
+// writeTimes lets callers send at least n writes and returns the time of each.
 func (c *cluster) writeTimes(callers, n int, seed uint64, keyed bool) []time.Duration {
 	c.t.Helper()
 	cl := c.client(site.Caller)
--- a/e2e/input_test.go
+++ b/e2e/input_test.go
@@ -9,9 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An operator's mistake stops a process at its start, before it listens or
-// speaks to anybody: one line says what is wrong, where it stands and what was
-// likely meant, and the exit code is 2, as for dandelionctl.
+// Invalid input must stop a process at its start, before it listens or connects to
+// anything. A line says what is wrong, where it was set and which name was probably
+// meant. The exit code is 2, as for dandelionctl.
 func TestInvalidInputStopsStart(t *testing.T) {
 	settings := func(name string) []string {
 		return []string{"--config", filepath.Join("..", "examples", "settings", name)}
--- a/e2e/keys_history_test.go
+++ b/e2e/keys_history_test.go
@@ -12,16 +12,16 @@
 	"dandelionsill.org/standin/service"
 )
 
-// keyOp is one step in the history of an idempotency key: a run at a service,
-// by the service's own account, or a whole answer at a caller.
+// keyOp is an operation in the history of an idempotency key: a run that a service
+// stand-in recorded, or a complete answer that a caller got.
 type keyOp struct {
 	key      string
 	isAnswer bool   // false: a run
 	run      string // "server/number"
 }
 
-// keyModel is the object that an idempotency key is: no run at first, then
-// one, which every whole answer shows.
+// keyModel models an idempotency key: it has no run at first and then exactly one,
+// which every complete answer shows.
 func keyModel() porcupine.Model {
 	return porcupine.Model{
 		Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
@@ -48,11 +48,11 @@
 	}
 }
 
-// verifyKeys judges the callers like judged, and each key's history by a
-// stricter object: the runs stand in it at their times by the services'
-// account, so an answer before its run or a second run has no place. No key
-// whose every try was answered "not run" has a run. It returns the tries by
-// key.
+// verifyKeys does the checks of verify and checks each key's history against a stricter
+// model, keyModel. Its histories contain the runs with the times that the services
+// recorded, so that it rejects an answer before its run and a second run. A key whose
+// every attempt was answered "not run" must have no run. verifyKeys returns the attempts
+// by key.
 func (t *traffic) verifyKeys() map[string][]timedCall {
 	t.c.t.Helper()
 	calls, runs := t.verify()
@@ -77,7 +77,7 @@
 			continue
 		}
 		runCounts[run.Key]++
-		history = append(history, porcupine.Operation{ // the account is in whole milliseconds
+		history = append(history, porcupine.Operation{ // recorded times are in whole milliseconds
 			Input: keyOp{key: run.Key, run: fmt.Sprintf("%s/%d", run.Server, run.Run)},
 			Call:  run.StartedMS * int64(time.Millisecond), Return: (run.EndedMS + 1) * int64(time.Millisecond),
 		})
@@ -97,7 +97,7 @@
 			if body == nil {
 				body = r.Body
 			}
-			require.Equal(t, string(body), string(r.Body), "two whole answers of key %s", key)
+			require.Equal(t, string(body), string(r.Body), "two complete answers of key %s", key)
 			history = append(history, porcupine.Operation{
 				ClientId: 1 + call.client, Call: call.startedAt, Return: call.endedAt,
 				Input: keyOp{key: key, isAnswer: true, run: answeringRun(t, r.Body)},
@@ -105,14 +105,14 @@
 		}
 		if refused == len(list) {
 			neverRan++
-			require.Zero(t, runCounts[key], "key %s: every try was told that it did not run", key)
+			require.Zero(t, runCounts[key], "key %s has run although every attempt was answered \"not run\"", key)
 		}
 	}
 	require.Equal(t, porcupine.Ok, porcupine.CheckOperationsTimeout(keyModel(), history, historyTimeout))
 	t.Logf("%d keys, %d ran, %d never ran by every answer", len(attempts), len(runCounts), neverRan)
 }
 
-// The checker itself must find each kind of broken promise.
+// keyModel must reject each kind of violation.
 func TestKeyModelFindsViolations(t *testing.T) {
 	run := func(id string, from, to int64) porcupine.Operation {
 		return porcupine.Operation{Input: keyOp{key: "k", run: id}, Call: from, Return: to}
@@ -124,12 +124,12 @@
 		history []porcupine.Operation
 		want    bool
 	}{
-		"one run, two answers":     {[]porcupine.Operation{run("a", 1, 4), answer("a", 0, 5), answer("a", 6, 7)}, true},
-		"two runs":                 {[]porcupine.Operation{run("a", 1, 4), run("b", 2, math.MaxInt64)}, false},
-		"answer of another run":    {[]porcupine.Operation{run("a", 1, 4), answer("b", 0, 5)}, false},
-		"answer before its run":    {[]porcupine.Operation{answer("a", 0, 2), run("a", 3, 4)}, false},
-		"answer without any run":   {[]porcupine.Operation{answer("a", 0, 2)}, false},
-		"a run that nobody awaits": {[]porcupine.Operation{run("a", 1, 4)}, true},
+		"one run, two answers":    {[]porcupine.Operation{run("a", 1, 4), answer("a", 0, 5), answer("a", 6, 7)}, true},
+		"two runs":                {[]porcupine.Operation{run("a", 1, 4), run("b", 2, math.MaxInt64)}, false},
+		"answer of another run":   {[]porcupine.Operation{run("a", 1, 4), answer("b", 0, 5)}, false},
+		"answer before its run":   {[]porcupine.Operation{answer("a", 0, 2), run("a", 3, 4)}, false},
+		"answer without any run":  {[]porcupine.Operation{answer("a", 0, 2)}, false},
+		"a run without an answer": {[]porcupine.Operation{run("a", 1, 4)}, true},
 	} {
 		require.Equal(t, c.want, porcupine.CheckOperations(keyModel(), c.history), name)
 	}
--- a/e2e/leave_test.go
+++ b/e2e/leave_test.go
@@ -16,35 +16,36 @@
 	"dandelionsill.org/standin/service"
 )
 
-// leavingAgent is the agent that leaves, and leavingServer its backend server.
+// leavingAgent is the agent that is taken out of service, and leavingServer is its
+// backend server.
 const (
 	leavingAgent  = "service-2"
 	leavingServer = "service-2-server"
 )
 
-// removal is one way in which a server was taken out of service.
+// removal records how and when a server was taken out of service.
 type removal struct {
 	method     string
-	orderedAt  time.Time // the operator's or the platform's word
-	reportedAt time.Time // seen at the agent itself, after it
-	finishedAt time.Time // every caller has gone on since
+	orderedAt  time.Time // before the operator or the platform ordered it
+	reportedAt time.Time // after the agent reported that it is leaving
+	finishedAt time.Time // after every caller had completed a later call
 }
 
-// isLeaving asks whether the agent says that it leaves. One that is gone has left.
+// isLeaving reports whether an agent is leaving or does not answer any more.
 func (c *cluster) isLeaving(name string) bool {
 	var st site.Status
 	return site.Send(c.ctx, http.MethodGet, c.site.Get(name).URL+"/v1/status", nil, &st) != nil || st.Leaving
 }
 
-// removeServer gives the word by which the server is to leave and waits until its
-// agent says so and callers have gone on.
+// removeServer calls order to take the server out of service. It waits until its agent
+// reports that it is leaving and every caller has completed a later call.
 func (w *traffic) removeServer(method string, order func()) removal {
 	w.c.t.Helper()
 	l := removal{method: method, orderedAt: time.Now()}
 	order()
-	w.c.waitFor("the agent says that it leaves", func() error {
+	w.c.waitFor("the agent reports that it is leaving", func() error {
 		if !w.c.isLeaving(leavingAgent) {
-			return errors.New("it does not")
+			return errors.New("it does not report it")
 		}
 		return nil
 	})
@@ -54,17 +55,18 @@
 	return l
 }
 
-// restoreServer takes the word back and waits until the server runs calls again.
+// restoreServer calls order to put the server back into service and waits until it
+// runs calls again.
 func (w *traffic) restoreServer(order func()) {
 	w.c.t.Helper()
 	order()
 	before := w.c.countRuns(leavingServer)
-	w.c.waitFor("the server works again", func() error {
+	w.c.waitFor("the server runs calls again", func() error {
 		if w.c.isLeaving(leavingAgent) {
-			return errors.New("its agent leaves")
+			return errors.New("its agent is leaving")
 		}
 		if w.c.countRuns(leavingServer) <= before {
-			return errors.New("no call went there")
+			return errors.New("it has run no new call")
 		}
 		return nil
 	})
@@ -76,16 +78,17 @@
 	return t.Runs
 }
 
-// manifestWithLeaving is the site's manifest with the leaver on its leaving list.
+// manifestWithLeaving returns the site's manifest with leavingAgent in its leaving
+// list.
 func (c *cluster) manifestWithLeaving(note string) []byte {
 	return append(c.site.Manifest(note), "\n[leaving]\nservers = "+leavingAgent+"\n"...)
 }
 
-// A server is taken out of service by each of the three ways while callers
-// read and write: by the manifest, by the VM list and by SIGTERM. Entries
-// learn of it at different times, so that the agent itself must refuse what
-// still comes. A call that a caller began after the agent had said "leaving"
-// must not have run there; every call is answered whole all the same.
+// A server is taken out of service in each of three ways while callers read and write:
+// by the manifest, by the VM list and by SIGTERM. Entries learn of it at different
+// times, so that the agent itself must refuse the requests that still arrive. A call
+// that started after the agent had reported that it is leaving must not run there, and
+// every call must get a complete answer.
 func TestLeavingServerGetsNoNewWork(t *testing.T) {
 	const seed = 81
 	c := startCluster(t, options{seed: seed})
@@ -116,12 +119,12 @@
 	}
 }
 
-// requireNoNewRuns requires that no call which began after the agent had said
-// "leaving", and ended before the server was taken back, ran at it. It logs
-// how long after the word the last run began there.
+// requireNoNewRuns requires that the server ran no call that started after its agent had
+// reported that it is leaving and ended before finishedAt. It logs how long after the
+// order the server's last run started.
 func (c *cluster) requireNoNewRuns(l removal, calls []timedCall, runs []service.Run) {
 	c.t.Helper()
-	var after []string // requests
+	var after []string // request ids
 	for i := range calls {
 		if calls[i].startedAt > l.reportedAt.UnixNano() && calls[i].endedAt < l.finishedAt.UnixNano() {
 			after = append(after, calls[i].Result.RequestID)
@@ -139,13 +142,13 @@
 			last = max(last, run.StartedMS)
 		}
 	}
-	c.t.Logf("leave by %s: agent says so after %v, last run there began %d ms after the word, %d calls since",
+	c.t.Logf("leave by %s: reported by the agent after %v, last run started %d ms after the order, %d calls since",
 		l.method, l.reportedAt.Sub(l.orderedAt).Round(time.Millisecond), last-l.orderedAt.UnixMilli(), len(after))
 }
 
-// The log is down when an entry is told to stop while callers read streams
-// from it. A planned stop needs no agreement: every stream comes to its end,
-// and the process exits with 0.
+// An entry gets SIGTERM while the log is down and callers read streams from it. A
+// planned stop does not need the log: every stream must be completed, and the process
+// must exit with 0.
 func TestEntryStopsWithoutTheLog(t *testing.T) {
 	const seed, open = 82, 8
 	c := startCluster(t, options{seed: seed, engine: longSamples()})
--- a/e2e/main_test.go
+++ b/e2e/main_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// binDir is the folder of the binaries that all tests share.
+// binDir contains the binaries that all tests use.
 var binDir string
 
 func TestMain(m *testing.M) { os.Exit(runTests(m)) }
@@ -28,7 +28,7 @@
 	return m.Run()
 }
 
-// build builds every binary; under the race detector the binaries have it too.
+// build builds all binaries into a folder, with the race detector if the test has it.
 func build(dir string) error {
 	args := []string{"build", "-o", dir + string(filepath.Separator)}
 	if raceEnabled {
--- a/e2e/once_history_test.go
+++ b/e2e/once_history_test.go
@@ -15,15 +15,15 @@
 
 const historyTimeout = 20 * time.Second
 
-// onceInput is one try of a keyed write.
+// onceInput is one attempt of a keyed write.
 type onceInput struct{ key, request string }
 
-// onceOutput is what came of a try: the run that answered it or that it
-// caused; empty where it neither ran nor was answered.
+// onceOutput is the outcome of an attempt: the run that answered it or that it caused,
+// or empty if it neither ran nor was answered.
 type onceOutput struct{ run string } // "server/number"
 
-// onceModel is the object that an idempotency key is: nothing until one try
-// runs, and from then on that run. No try may see or cause another one.
+// onceModel models an idempotency key: it is empty until one attempt runs, and then
+// holds that run. No attempt may get the answer of another run or cause one.
 func onceModel() porcupine.Model {
 	return porcupine.Model{
 		Partition: partitionByKey,
@@ -55,9 +55,9 @@
 	return parts
 }
 
-// checkOnce checks the callers' history of each key against the model. Where a
-// caller did not learn what came of its try, the services' account tells; such
-// a try may take effect at any time after its call.
+// checkOnce checks the callers' history of each key against onceModel. Where a caller
+// did not learn the outcome of an attempt, the services' record gives it; such an
+// attempt may take effect at any time after its start.
 func checkOnce(t *testing.T, calls []timedCall, runs []service.Run) {
 	t.Helper()
 	runByRequest := map[string]string{}
--- a/e2e/paths_test.go
+++ b/e2e/paths_test.go
@@ -21,9 +21,9 @@
 	"dandelionsill.org/manifest"
 )
 
-// The four paths of a site in service, with nothing failing: an application
-// calls a service and reads a stream, a trainer gets whole steps, new weights
-// show in the samples' labels, and an operator's commit comes into force.
+// The main uses of a site must work without faults: an application calls a service and
+// reads streams, a trainer gets complete steps, new weights appear in the samples'
+// labels, and an operator's commit comes into force.
 func TestPaths(t *testing.T) {
 	const seed, steps = 41, 5
 	c := startCluster(t, options{seed: seed})
@@ -54,8 +54,9 @@
 	}
 }
 
-// A VM is replaced: a new entry starts in a running site. From the moment it
-// says that it is ready, the balancer sends to it, so it must serve at once.
+// An entry starts in a running site, as after its VM was replaced. The balancer sends
+// requests to it as soon as it reports that it is ready, so that it must serve from
+// then on.
 func TestNewEntryServesOnceReady(t *testing.T) {
 	const seed = 42
 	c := startCluster(t, options{seed: seed})
@@ -74,8 +75,8 @@
 
 func publicKey() string { key, _ := site.Key(); return key }
 
-// commit commits the site's manifest with a note through dandelionctl, over
-// revision parent if that is given.
+// commit runs dandelionctl to commit the site's manifest with a note, over revision
+// parent unless that is empty.
 func (c *cluster) commit(note, parent string) (string, int) {
 	dir := c.t.TempDir()
 	_, private := site.Key()
@@ -90,8 +91,8 @@
 	return c.runCtl(append(args, file)...)
 }
 
-// configInput and configOutput are an operation on the configuration: a
-// commit over a parent (compare-and-set), or a read of what a process holds.
+// configInput and configOutput describe an operation on the configuration: a commit
+// over a parent (compare-and-set), or a read of the revision that processes have.
 type (
 	configInput struct {
 		read   bool
@@ -110,8 +111,8 @@
 	hash   string
 }
 
-// configModel is the configuration as one object: a commit wins only over the
-// revision that it names.
+// configModel models the configuration as a compare-and-set register: a commit wins
+// only if its parent is the current revision.
 func configModel(first configState) porcupine.Model {
 	return porcupine.Model{
 		Init: func() any { return first },
@@ -123,16 +124,16 @@
 			case out.won:
 				return now.number == in.parent, configState{in.parent + 1, in.hash}
 			}
-			return now.number != in.parent, now // it lost to another one
+			return now.number != in.parent, now // another commit won
 		},
 		DescribeOperation: func(input, output any) string { return fmt.Sprintf("%+v -> %+v", input, output) },
 	}
 }
 
-// Several operators commit different manifests over the same revision at the
-// same time, round after round. Exactly one wins each round and every other
-// is told that it lost; the log's history is that of one compare-and-set
-// register, and every process ends with the last winner.
+// In each round several operators commit different manifests over the same revision at
+// the same time. Exactly one must win and the others must learn that they lost. The
+// history must be that of a compare-and-set register, and every process must have the
+// winner of each round.
 func TestOperatorsRace(t *testing.T) {
 	const seed, rounds, operators = 43, 3, 3
 	c := startCluster(t, options{seed: seed})
@@ -146,8 +147,8 @@
 	require.True(t, porcupine.CheckOperations(configModel(first), ops.all()))
 }
 
-// raceCommits lets operators commit over parent at the same time, adds what they were
-// told to the history and returns how many won.
+// raceCommits lets operators commit over parent at the same time, adds the outcomes to
+// the history and returns how many won.
 func (c *cluster) raceCommits(ops *collector[porcupine.Operation], round, operators int, parent uint64) int {
 	outputs := make([]configOutput, operators)
 	var all sync.WaitGroup
@@ -176,14 +177,14 @@
 	return winners
 }
 
-// isRejected tells whether dandelionctl says that another revision won.
+// isRejected reports whether dandelionctl failed because another revision won.
 func isRejected(out string, code int) bool {
 	const exitLost = 3
 	return code == exitLost && strings.Contains(out, "not accepted")
 }
 
-// readConfig waits until every process holds the revision, requires that all
-// hold the same one, and returns that as a read.
+// readConfig waits until every process has at least the revision, requires that all
+// have the same one, and returns it as a read.
 func (c *cluster) readConfig(client int, number uint64) porcupine.Operation {
 	c.t.Helper()
 	from := time.Now().UnixNano()
@@ -199,7 +200,7 @@
 	}
 	data, err := json.Marshal(held)
 	require.NoError(c.t, err)
-	c.t.Logf("all hold %s", data)
+	c.t.Logf("all processes have %s", data)
 	return porcupine.Operation{
 		ClientId: client, Call: from, Return: time.Now().UnixNano(),
 		Input: configInput{read: true}, Output: configOutput{number: held.Revision, hash: held.Hash},
--- a/e2e/proofs_test.go
+++ b/e2e/proofs_test.go
@@ -15,7 +15,7 @@
 	testFunc = regexp.MustCompile(`(?m)^func ((?:Test|Fuzz)\w+)\(`)
 )
 
-// testsOf returns the tests of a package in the workspace.
+// testsOf returns the names of the tests and fuzz tests of a package in the workspace.
 func testsOf(t *testing.T, pkg string) map[string]bool {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join("..", pkg, "*_test.go"))
@@ -31,9 +31,9 @@
 	return found
 }
 
-// The page of proofs names tests, each behind the package that it is in. A
-// test that was renamed or taken away would leave a promise without its proof,
-// and no reader would notice.
+// docs/PROOFS.md names tests, each after its package. Every one must exist: without
+// this check a guarantee could lose its test unnoticed when the test is renamed or
+// removed.
 func TestProofsNameRealTests(t *testing.T) {
 	page, err := os.ReadFile("../docs/PROOFS.md")
 	require.NoError(t, err)
@@ -48,11 +48,11 @@
 			if !strings.HasPrefix(name, "Test") && !strings.HasPrefix(name, "Fuzz") {
 				continue
 			}
-			require.NotEmpty(t, pkg, "no package stands before %s: %s", name, line)
+			require.NotEmpty(t, pkg, "no package is named before %s: %s", name, line)
 			require.True(t, testsOf(t, pkg)[name], "%s has no %s: %s", pkg, name, line)
 			checked++
 		}
 	}
-	const rows = 60 // far fewer than the page has: the page could be read at all
+	const rows = 60 // far fewer than the page has; guards against a page that can't be parsed
 	require.Greater(t, checked, rows)
 }
--- a/e2e/settings_test.go
+++ b/e2e/settings_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The demo's settings are samples that people copy: each must pass the check
-// that its own binary does.
+// People copy the demo's settings, so that each file must pass the check of its own
+// binary.
 func TestDemoSettingsAreValid(t *testing.T) {
 	files, err := filepath.Glob("../examples/demo/*.ini")
 	require.NoError(t, err)
--- a/e2e/steps_test.go
+++ b/e2e/steps_test.go
@@ -15,17 +15,17 @@
 	"dandelionsill.org/trainer"
 )
 
-// trainerRun runs a trainer's steps in the background.
+// trainerRun is a trainer that runs its steps in the background.
 type trainerRun struct {
 	c      *cluster
 	newest atomic.Uint64
-	groups atomic.Int32 // that came
+	groups atomic.Int32 // received so far
 	done   chan struct{}
 	steps  []judge.Step
 	err    error
 }
 
-// startTrainer starts a trainer: steps of 16 groups with 4 samples.
+// startTrainer starts a trainer whose steps have 16 groups of 4 samples.
 func (c *cluster) startTrainer(steps, publishEvery int, seed uint64) *trainerRun {
 	name := site.TrainerName(1)
 	r := &trainerRun{c: c, done: make(chan struct{})}
@@ -45,11 +45,11 @@
 	return r
 }
 
-// waitGroups waits until n more groups have come.
+// waitGroups waits until the trainer has received n more groups or has ended.
 func (r *trainerRun) waitGroups(n int32) {
 	r.c.t.Helper()
 	want := r.groups.Load() + n
-	r.c.waitFor("groups come", func() error {
+	r.c.waitFor("the trainer receives groups", func() error {
 		select {
 		case <-r.done:
 			return nil
@@ -62,14 +62,14 @@
 	})
 }
 
-// waitComplete waits for the last step's end and requires that every sample came
-// once, waitComplete, truly labelled and fresh enough.
+// waitComplete waits for the end of the last step and requires that every sample was
+// received once, complete, correctly labelled and fresh enough.
 func (r *trainerRun) waitComplete(steps int) []judge.Step {
 	r.c.t.Helper()
 	select {
 	case <-r.done:
 	case <-time.After(2 * maxWait):
-		r.c.t.Fatal("the trainer still waits")
+		r.c.t.Fatal("the trainer has not finished")
 	}
 	require.NoError(r.c.t, r.err)
 	require.Len(r.c.t, r.steps, steps)
@@ -80,9 +80,9 @@
 	return r.steps
 }
 
-// An engine's agent is killed and later an entry, both in the middle of a
-// step. The trainer goes to the other entry with what it holds; it must get
-// the rest, each sample once.
+// An engine's agent and later an entry are killed, both during a step. The trainer
+// continues at the other entry with the groups that it has and must get the others,
+// each sample exactly once.
 func TestStepsThroughCrashes(t *testing.T) {
 	const seed, steps = 31, 4
 	c := startCluster(t, options{seed: seed, engine: site.EngineModel{MeanTokens: 150}})
@@ -95,9 +95,9 @@
 	r.waitComplete(steps)
 }
 
-// The VM of an engine stands still, agent and engine, in the middle of a step
-// and wakes up when the step has gone on without it. What it still sends is
-// late: no sample may come twice or with tokens of weights that are too old.
+// An engine and its agent are suspended during a step, as when their VM is, and resumed
+// after the step has continued without them. What they still send is late: no sample
+// may be received twice or with tokens of weights that are too old.
 func TestStepsThroughPause(t *testing.T) {
 	const seed, steps = 32, 4
 	c := startCluster(t, options{seed: seed, engine: site.EngineModel{MeanTokens: 150}})
@@ -112,9 +112,9 @@
 	r.waitComplete(steps)
 }
 
-// The log is down while a step runs and callers call. What needs no agreement
-// goes on: the step under an epoch without a claim, reads, and writes without
-// a key. A write with a key runs at most once all the same, or is refused.
+// The log is down while steps and calls run. What does not need the log must work:
+// steps, under an epoch without a claim, reads, and writes without a key. A write with
+// a key must still run at most once, or be refused.
 func TestLogOutage(t *testing.T) {
 	const seed, steps = 33, 3
 	c := startCluster(t, options{seed: seed})
--- a/e2e/trace_test.go
+++ b/e2e/trace_test.go
@@ -16,7 +16,7 @@
 	"dandelionsill.org/load/site"
 )
 
-// span is a line of the file exporter.
+// span is a span as the file exporter writes it.
 type span struct {
 	Name        string
 	SpanContext struct{ TraceID, SpanID string }
@@ -35,7 +35,7 @@
 	return all
 }
 
-// spans reads the spans of one trace, in no order.
+// spans reads the spans of one trace from a file, in no particular order.
 func spans(file, trace string) (all []span) {
 	data, _ := os.ReadFile(file)
 	decoder := json.NewDecoder(bytes.NewReader(data))
@@ -50,10 +50,10 @@
 	}
 }
 
-// An operator follows one request from the caller's own span to the backend
-// server. Entry and agent write one span for each hop and side, each the child
-// of the one before it, under the caller's trace id; the entry's span says
-// where the request was sent and why.
+// A trace must cover a request from the caller's own span to the backend server. Entry
+// and agent write one span for each hop and side, each a child of the previous one,
+// with the caller's trace id. The entry's attempt span says where the request was sent
+// and why.
 func TestTraceOverAllHops(t *testing.T) {
 	const callerSpan = "b7ad6b7169203331"
 	file := filepath.Join(t.TempDir(), "spans")
@@ -85,10 +85,10 @@
 		require.Equal(t, http.StatusOK, resp.StatusCode, "%s", body)
 
 		var chain []span
-		c.waitFor("the trace is whole", func() error {
+		c.waitFor("the trace is complete", func() error {
 			chain = spanChain(spans(file, want.trace), callerSpan)
 			if len(chain) != len(want.names) {
-				return fmt.Errorf("%d of %d spans nest: %+v", len(chain), len(want.names), chain)
+				return fmt.Errorf("%d of %d spans are in the chain: %+v", len(chain), len(want.names), chain)
 			}
 			return nil
 		})
@@ -106,7 +106,7 @@
 	}
 }
 
-// spanChain returns the chain of spans below a parent.
+// spanChain returns the chain of spans that starts below a parent.
 func spanChain(all []span, parent string) (chain []span) {
 	for {
 		found := false
--- a/e2e/traffic_test.go
+++ b/e2e/traffic_test.go
@@ -20,8 +20,7 @@
 
 const callTimeout = 3 * time.Second
 
-// traffic is a set of callers that send until stop is called. Each keyed
-// write whose outcome stays open is repeated with its key, as a caller may.
+// traffic is a set of callers that send requests until stop is called.
 type traffic struct {
 	c       *cluster
 	callers int
@@ -29,24 +28,24 @@
 	stop    func()
 }
 
-// timedCall is a call with its times on the test's own clock, for histories.
+// timedCall is a call with its times by the test's clock, for histories.
 type timedCall struct {
 	judge.Call
 	client             int
 	startedAt, endedAt int64 // ns
 }
 
-// callShares of the kinds of calls; the rest are writes without a key.
+// callShares are the shares of reads and keyed writes among the calls. The rest are
+// writes without a key.
 type callShares struct{ reads, keyed float64 }
 
-// startTraffic starts n callers. Each sends its next request a moment after
-// the last one's end.
+// startTraffic starts n callers that send random requests, each one after another.
 func (c *cluster) startTraffic(n int, seed uint64, s callShares) *traffic {
 	cl := c.client(site.Caller)
 	return c.startCallers(n, seed, func(t *traffic, caller int, rng *rand.Rand) { t.sendOne(cl, caller, rng, s) })
 }
 
-// startCallers starts n callers that each do one over and over until stop is
+// startCallers starts n callers, each of which calls send repeatedly until stop is
 // called.
 func (c *cluster) startCallers(n int, seed uint64, send func(t *traffic, caller int, rng *rand.Rand)) *traffic {
 	t := &traffic{c: c, callers: n}
@@ -76,7 +75,8 @@
 	return t
 }
 
-// sendOne sends sendOne request, and repeats a keyed sendOne whose outcome stayed open.
+// sendOne sends one request. A keyed write without a complete answer is repeated with
+// its key.
 func (t *traffic) sendOne(cl *client.Client, caller int, rng *rand.Rand, s callShares) {
 	const tries = 3
 	call := client.Call{Service: t.c.site.Deployment.Service, Method: http.MethodGet, Timeout: callTimeout}
@@ -94,7 +94,7 @@
 		if call.Key == "" || r.OK() {
 			return
 		}
-		time.Sleep(50 * time.Millisecond) // a caller's pause before it repeats
+		time.Sleep(50 * time.Millisecond) // pause before the next attempt
 	}
 }
 
@@ -114,7 +114,7 @@
 	return r
 }
 
-// waitAnswered waits until n more calls have been waitAnswered whole.
+// waitAnswered waits until n more calls have got a complete answer.
 func (t *traffic) waitAnswered(n int) {
 	t.c.t.Helper()
 	count := func() int {
@@ -129,18 +129,18 @@
 	want := count() + n
 	t.c.waitFor(fmt.Sprintf("%d calls answered", want), func() error {
 		if have := count(); have < want {
-			return fmt.Errorf("%d are, kinds %v", have, countKinds(t.calls.all()))
+			return fmt.Errorf("%d are answered, kinds %v", have, countKinds(t.calls.all()))
 		}
 		return nil
 	})
 }
 
-// waitTurnover waits until every caller has ended a call that began after now, so
-// that whatever was in flight has been told to its caller.
+// waitTurnover waits until every caller has ended a call that started after now. By then
+// the callers know the outcomes of all calls that were in flight.
 func (t *traffic) waitTurnover() {
 	t.c.t.Helper()
 	now := time.Now().UnixNano()
-	t.c.waitFor("every caller has gone on", func() error {
+	t.c.waitFor("every caller has ended a later call", func() error {
 		ended := map[int]bool{}
 		for _, call := range t.calls.all() {
 			if call.startedAt > now {
@@ -162,8 +162,8 @@
 	return kinds
 }
 
-// verify stops the callers and requires that no promise was broken: by the
-// services' own account and by a history check for each key.
+// verify stops the callers and requires that no guarantee was violated: it compares the
+// calls with the runs that the services recorded and checks each key's history.
 func (t *traffic) verify() ([]timedCall, []service.Run) {
 	t.c.t.Helper()
 	t.stop()
@@ -179,7 +179,7 @@
 	return timed, runs
 }
 
-// callResults are what callers saw.
+// callResults returns the calls' results.
 func callResults(calls []timedCall) []client.Result {
 	list := make([]client.Result, len(calls))
 	for i := range calls {
--- a/e2e/writes_test.go
+++ b/e2e/writes_test.go
@@ -11,15 +11,15 @@
 
 const callerCount = 8
 
-// slowService is a service whose runs last long enough for several to be in flight
-// whenever a process dies.
+// slowService is a service whose runs take long enough for several to be in flight when
+// a process is killed.
 var slowService = site.ServiceModel{Mean: 30 * time.Millisecond}
 
-// Callers write orders, with and without keys, while the agent beside one of
-// the two servers is killed. The writes that were on it end with "outcome
-// unknown"; callers with a key repeat it and get the first run's answer, or
-// are refused. Nothing may run twice: the agent's memory of its keys died with
-// it, so a key that it may have run must not run elsewhere.
+// Callers write orders, with and without keys, while the agent of one of the two servers
+// is killed. The writes that it had end with "outcome unknown"; callers with a key
+// repeat it and get the first run's answer or are refused. Nothing may run twice: the
+// agent's in-memory state of its keys is lost, so a key that it may have run must not
+// run elsewhere.
 func TestAgentKilledUnderWrites(t *testing.T) {
 	const seed = 11
 	c := startCluster(t, options{seed: seed, service: slowService})
@@ -32,16 +32,15 @@
 	calls, runs := w.verify()
 	require.NotEmpty(t, runs)
 	for i := range calls {
-		if !calls[i].Write { // a read may be repeated, so its caller sees nothing
+		if !calls[i].Write { // entries repeat reads, so that callers see no failure
 			require.True(t, calls[i].Result.OK(), "read: %+v", calls[i].Result)
 		}
 	}
 }
 
-// An agent stands still in the middle of writes (a stopped VM) until every
-// caller of a request that it held has been told "outcome unknown" or "not
-// run", and then goes on. It must not run what was given up as "not run", nor
-// a key that ran elsewhere meanwhile.
+// An agent is suspended during writes, as when its VM is, until every caller of a request
+// that it held has got "outcome unknown" or "not run", and is then resumed. It must not
+// run a request that was answered "not run", nor a key that ran elsewhere meanwhile.
 func TestAgentPausedUnderWrites(t *testing.T) {
 	const seed = 12
 	c := startCluster(t, options{seed: seed, service: slowService})
@@ -54,9 +53,9 @@
 	w.verify()
 }
 
-// An entry is killed while it carries writes. Its callers see the connection
-// break and don't know the outcome; those with a key repeat it at the other
-// entry. The agents, which live on, must run no key twice.
+// An entry is killed while it forwards writes. Its callers' connections break and they
+// don't know the outcome; those with a key repeat it at the other entry. The agents,
+// which continue to run, must run no key twice.
 func TestEntryKilledUnderWrites(t *testing.T) {
 	const seed = 13
 	c := startCluster(t, options{seed: seed, service: slowService})
