--- a/e2e/traffic_test.go
+++ b/e2e/traffic_test.go
@@ -78,7 +78,7 @@
 // sendOne sends one request. A keyed write without a complete answer is repeated with
 // its key.
 func (t *traffic) sendOne(cl *client.Client, caller int, rng *rand.Rand, s callShares) {
-	const tries = 3
+	const attempts = 3
 	call := client.Call{Service: t.c.site.Deployment.Service, Method: http.MethodGet, Timeout: callTimeout}
 	call.Path = fmt.Sprintf("/orders/%d", rng.IntN(1_000_000))
 	kind := rng.Float64()
@@ -89,7 +89,7 @@
 	if kind >= s.reads && kind < s.reads+s.keyed {
 		call.Key = uuid.Must(uuid.NewV7()).String()
 	}
-	for range tries {
+	for range attempts {
 		r := t.send(cl, caller, call)
 		if call.Key == "" || r.OK() {
 			return
--- a/soak/callers_test.go
+++ b/soak/callers_test.go
@@ -275,14 +275,14 @@
 		}
 	}
 	for n := 1; n <= sys.engines[0].Events; n++ {
-		if !sys.isGenerated(r, n) {
+		if !sys.wasGenerated(r, n) {
 			rec.reportViolation("sample %s: no engine generated event %d with versions %v", r.ID, n, r.Versions)
 			return
 		}
 	}
 }
 
-func (sys *system) isGenerated(r result, n int) bool {
+func (sys *system) wasGenerated(r result, n int) bool {
 	for _, e := range sys.engines {
 		for _, v := range r.Versions {
 			if e.Made(r.ID, n, v) {
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -46,16 +46,16 @@
 	l := in.sys.links[in.rng.IntN(len(in.sys.links))]
 	e := in.sys.engines[in.rng.IntN(len(in.sys.engines))]
 	s := in.sys.services[in.rng.IntN(len(in.sys.services))]
-	lasts := in.randomDuration(200*time.Millisecond, 2*time.Second)
+	duration := in.randomDuration(200*time.Millisecond, 2*time.Second)
 	switch in.rng.IntN(12) {
 	case 0, 1:
-		in.restart(p, syscall.SIGKILL, lasts/2)
+		in.restart(p, syscall.SIGKILL, duration/2)
 	case 2:
-		in.restart(p, syscall.SIGTERM, lasts/4)
+		in.restart(p, syscall.SIGTERM, duration/4)
 	case 3:
-		in.log("freeze %s for %v", p.name, lasts)
+		in.log("freeze %s for %v", p.name, duration)
 		p.signal(syscall.SIGSTOP, false)
-		in.repairAfter(lasts, func() {
+		in.repairAfter(duration, func() {
 			in.sys.duties.Excuse(p.name, resumeSlack)
 			p.signal(syscall.SIGCONT, false)
 		})
@@ -63,24 +63,24 @@
 		in.log("hang up %s", p.name)
 		p.hangUp()
 	case 5:
-		in.injectStoreFault(lasts)
+		in.injectStoreFault(duration)
 	case 6, 7:
-		in.injectLinkFault(l, lasts)
+		in.injectLinkFault(l, duration)
 	case 8:
 		in.log("reset %s", l.name)
 		l.reset()
 	case 9:
 		faults := []hostedtest.ServerFaults{{Refuse: true}, {Mute: 3}, {BreakAfter: 4}, {Silent: true}}
 		f := faults[in.rng.IntN(len(faults))]
-		in.log("engine %s %+v for %v", e.ID, f, lasts)
+		in.log("engine %s %+v for %v", e.ID, f, duration)
 		e.Fail(f)
-		in.repairAfter(lasts, func() { e.Fail(hostedtest.ServerFaults{}) })
+		in.repairAfter(duration, func() { e.Fail(hostedtest.ServerFaults{}) })
 	case 10:
 		faults := []hostedtest.ServerFaults{{Refuse: true}, {Silent: true}, {NoSeal: true}}
 		f := faults[in.rng.IntN(len(faults))]
-		in.log("server %s %+v for %v", s.ID, f, lasts)
+		in.log("server %s %+v for %v", s.ID, f, duration)
 		s.Fail(f)
-		in.repairAfter(lasts, func() { s.Fail(hostedtest.ServerFaults{}) })
+		in.repairAfter(duration, func() { s.Fail(hostedtest.ServerFaults{}) })
 	default:
 		in.log("configuration %d", in.sys.applyNextConfig())
 		in.sys.heartbeat()
@@ -123,20 +123,20 @@
 	})
 }
 
-func (in *injector) injectStoreFault(lasts time.Duration) {
+func (in *injector) injectStoreFault(duration time.Duration) {
 	faults := []hostedtest.StoreFaults{{Down: true}, {LoseAppends: true}, {LateAppends: 700 * time.Millisecond}, {Slow: 150 * time.Millisecond}}
 	f := faults[in.rng.IntN(len(faults))]
-	in.log("store %+v for %v", f, lasts)
+	in.log("store %+v for %v", f, duration)
 	in.sys.store.Fail(f)
-	in.repairAfter(lasts, func() { in.sys.store.Fail(hostedtest.StoreFaults{}) })
+	in.repairAfter(duration, func() { in.sys.store.Fail(hostedtest.StoreFaults{}) })
 }
 
-func (in *injector) injectLinkFault(l *link, lasts time.Duration) {
+func (in *injector) injectLinkFault(l *link, duration time.Duration) {
 	choices := []linkFaults{{delay: 60 * time.Millisecond}, {dropUp: true}, {dropDown: true}, {dropUp: true, dropDown: true}, {resetOnBytes: true}}
 	m := choices[in.rng.IntN(len(choices))]
-	in.log("link %s %+v for %v", l.name, m, lasts)
+	in.log("link %s %+v for %v", l.name, m, duration)
 	l.setFaults(m)
-	in.repairAfter(lasts, func() {
+	in.repairAfter(duration, func() {
 		l.setFaults(linkFaults{})
 		l.reset() // connections that lost bytes can't be used again
 	})
