--- a/adapters/httpengine/engine.go
+++ b/adapters/httpengine/engine.go
@@ -89,8 +89,8 @@
 	}
 	if resp.StatusCode != http.StatusOK {
 		defer cancel()
-		defer rest.Finish(resp)
-		return nil, errors.Trace(fmt.Errorf("%w: %w", platform.ErrEngineRefused, rest.Status(resp)))
+		defer rest.DrainAndClose(resp)
+		return nil, errors.Trace(fmt.Errorf("%w: %w", platform.ErrEngineRefused, rest.NewStatusError(resp)))
 	}
 	return newStream(resp.Body, cancel), nil
 }
@@ -152,9 +152,9 @@
 	if err != nil {
 		return orderError(sent, err)
 	}
-	defer rest.Finish(resp)
+	defer rest.DrainAndClose(resp)
 	if resp.StatusCode != http.StatusOK {
-		return orderError(true, rest.Status(resp))
+		return orderError(true, rest.NewStatusError(resp))
 	}
 	return nil
 }
@@ -175,7 +175,7 @@
 }
 
 func orderError(sent bool, err error) error {
-	code := rest.Code(err)
+	code := rest.StatusCode(err)
 	switch {
 	case code == http.StatusConflict:
 		return errors.Trace(platform.ErrFenced)
@@ -195,13 +195,13 @@
 	if err != nil {
 		return nil, errors.Annotate(err, "engine: export kv")
 	}
-	defer rest.Finish(resp)
+	defer rest.DrainAndClose(resp)
 	switch resp.StatusCode {
 	case http.StatusOK:
 	case http.StatusNotFound:
 		return nil, errors.Annotate(platform.ErrNotFound, "engine: export kv")
 	default:
-		return nil, errors.Annotate(rest.Status(resp), "engine: export kv")
+		return nil, errors.Annotate(rest.NewStatusError(resp), "engine: export kv")
 	}
 	data, err := io.ReadAll(io.LimitReader(resp.Body, maxKV))
 	return data, errors.Annotate(err, "engine: export kv")
--- a/adapters/httplog/log.go
+++ b/adapters/httplog/log.go
@@ -58,9 +58,9 @@
 		}
 		return 0, errors.Trace(fmt.Errorf("%w: %w", kind, err))
 	}
-	defer rest.Finish(resp)
+	defer rest.DrainAndClose(resp)
 	if resp.StatusCode != http.StatusOK {
-		return 0, errors.Trace(fmt.Errorf("%w: %w", appendError(resp.StatusCode), rest.Status(resp)))
+		return 0, errors.Trace(fmt.Errorf("%w: %w", appendError(resp.StatusCode), rest.NewStatusError(resp)))
 	}
 	var answer struct {
 		Offset *uint64 `json:"offset"`
@@ -138,13 +138,13 @@
 	if err != nil {
 		return platform.Page{}, errors.Annotate(err, "log: read")
 	}
-	defer rest.Finish(resp)
+	defer rest.DrainAndClose(resp)
 	switch resp.StatusCode {
 	case http.StatusOK, http.StatusGone:
 	case http.StatusServiceUnavailable:
 		return platform.Page{}, errors.Annotate(platform.ErrLogUnavailable, "read")
 	default:
-		return platform.Page{}, errors.Annotate(rest.Status(resp), "log: read")
+		return platform.Page{}, errors.Annotate(rest.NewStatusError(resp), "log: read")
 	}
 	var p page
 	if err := rest.Decode(resp, &p, maxPage); err != nil {
--- a/adapters/httpstore/store.go
+++ b/adapters/httpstore/store.go
@@ -49,7 +49,7 @@
 }
 
 func failure(err error, what string) error {
-	if rest.Code(err) == http.StatusNotFound {
+	if rest.StatusCode(err) == http.StatusNotFound {
 		return errors.Annotatef(platform.ErrNotFound, "weights: %s", what)
 	}
 	return errors.Annotatef(err, "weights: %s", what)
@@ -70,8 +70,8 @@
 		Digest:  resp.Header.Get(protocol.WeightsDigest),
 	}
 	if resp.StatusCode != http.StatusOK {
-		defer rest.Finish(resp)
-		return nil, platform.WeightInfo{}, failure(rest.Status(resp), "fetch")
+		defer rest.DrainAndClose(resp)
+		return nil, platform.WeightInfo{}, failure(rest.NewStatusError(resp), "fetch")
 	}
 	if info.Bytes < 0 || info.Digest == "" {
 		_ = resp.Body.Close()
@@ -112,9 +112,9 @@
 	if err != nil {
 		return errors.Annotate(err, "weights: put")
 	}
-	defer rest.Finish(resp)
+	defer rest.DrainAndClose(resp)
 	if resp.StatusCode != http.StatusOK {
-		return failure(rest.Status(resp), "put")
+		return failure(rest.NewStatusError(resp), "put")
 	}
 	return nil
 }
--- a/adapters/internal/rest/rest.go
+++ b/adapters/internal/rest/rest.go
@@ -117,9 +117,9 @@
 	if err != nil {
 		return sent, errors.Trace(err)
 	}
-	defer Finish(resp)
+	defer DrainAndClose(resp)
 	if resp.StatusCode != http.StatusOK {
-		return sent, Status(resp)
+		return sent, NewStatusError(resp)
 	}
 	return sent, errors.Trace(Decode(resp, out, limit))
 }
@@ -135,9 +135,9 @@
 	return json.NewDecoder(io.LimitReader(resp.Body, limit)).Decode(out)
 }
 
-// Finish reads what is left of a small body, so that the connection can be
+// DrainAndClose reads what is left of a small body, so that the connection can be
 // used again, and closes it.
-func Finish(resp *http.Response) {
+func DrainAndClose(resp *http.Response) {
 	_, _ = io.CopyN(io.Discard, resp.Body, drainLimit)
 	_ = resp.Body.Close()
 }
@@ -152,14 +152,14 @@
 	return http.StatusText(e.Code) + ": " + e.Text
 }
 
-// Status makes a StatusError of an answer.
-func Status(resp *http.Response) error {
+// NewStatusError makes a StatusError of an answer.
+func NewStatusError(resp *http.Response) error {
 	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorText))
 	return &StatusError{Code: resp.StatusCode, Text: strings.TrimSpace(string(text))}
 }
 
-// Code returns the status of a StatusError in err's chain, or 0.
-func Code(err error) int {
+// StatusCode returns the status of a StatusError in err's chain, or 0.
+func StatusCode(err error) int {
 	var s *StatusError
 	if errors.As(err, &s) {
 		return s.Code
--- a/adapters/internal/rest/rest_test.go
+++ b/adapters/internal/rest/rest_test.go
@@ -35,7 +35,7 @@
 			Size:   4,
 		})
 		if err == nil {
-			rest.Finish(resp)
+			rest.DrainAndClose(resp)
 		}
 		return sent, err
 	}
--- a/agent/calls/calls_test.go
+++ b/agent/calls/calls_test.go
@@ -134,7 +134,7 @@
 				}
 				open := newKeyedOrder()
 				open.Method, open.Body = method, []byte(body)
-				backend.Faults.Apply(service.Faults{DropAfter: 1, Times: 1})
+				backend.Faults.Apply(service.Faults{DropAfter: 1, MaxFaultyRequests: 1})
 				r.call(t, open).requireRefusal(t, string(kinds.OutcomeUnknown), false)
 				r.call(t, open).requireRefusal(t, string(kinds.OutcomeUnknown), false)
 				require.Equal(t, 1, backend.Truth(0, false).ByKey[open.IdempotencyKey])
@@ -147,7 +147,7 @@
 // mark, or the entry would send half an answer to the caller as a complete one.
 func TestIncompleteAnswerHasNoEndMark(t *testing.T) {
 	truncated := service.New(service.Config{})
-	truncated.Faults.Apply(service.Faults{CutBody: 1})
+	truncated.Faults.Apply(service.Faults{DropInBody: 1})
 	noLength := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		conn, _, err := w.(http.Hijacker).Hijack()
 		if err == nil {
--- a/agent/generate/state.go
+++ b/agent/generate/state.go
@@ -164,7 +164,7 @@
 		}
 		w.seq = e.Seq
 		w.remove(e.Prefix)
-		if !e.Gone {
+		if !e.Evicted {
 			w.prefixes = append(w.prefixes, e.Prefix)
 		}
 		if len(w.prefixes) > maxWarmPrefixes {
--- a/capacity/spread_test.go
+++ b/capacity/spread_test.go
@@ -106,7 +106,7 @@
 
 func benchSpread(b *testing.B, seed time.Duration) {
 	perSecond := spreadBytes / seed.Seconds()
-	store, err := standin.New(standin.Config{BytesPerS: perSecond})
+	store, err := standin.New(standin.Config{BytesPerSecond: perSecond})
 	require.NoError(b, err)
 	counter := &fetchCounter{Handler: store}
 	url, traffic := startServer(b, counter)
--- a/capacity/steps_test.go
+++ b/capacity/steps_test.go
@@ -145,7 +145,7 @@
 	}
 	for i := range trainers {
 		name := fmt.Sprintf("trainer-%d", i)
-		t := manifest.Trainer{Name: name, Model: "model-0", Mixed: true, StalenessBound: 2, TokenSHA256: hex.EncodeToString(sum[:])}
+		t := manifest.Trainer{Name: name, Model: "model-0", AllowMixed: true, StalenessBound: 2, TokenSHA256: hex.EncodeToString(sum[:])}
 		if i > 0 {
 			sum = sha256.Sum256([]byte(fmt.Sprint(trainerToken, i)))
 			t.TokenSHA256 = hex.EncodeToString(sum[:])
--- a/cmd/dandelion-standin/main.go
+++ b/cmd/dandelion-standin/main.go
@@ -49,23 +49,23 @@
 		scorerConfig  scorer.Config
 	)
 	return []*ffcli.Command{
-		serve("engine", "A model engine.", engineConfig.Flags, func() (http.Handler, error) {
+		serve("engine", "A model engine.", engineConfig.AddFlags, func() (http.Handler, error) {
 			engineConfig.Exit = os.Exit
 			return engine.New(engineConfig), nil
 		}),
-		serve("service", "A plain service that counts its runs.", serviceConfig.Flags, func() (http.Handler, error) {
+		serve("service", "A plain service that counts its runs.", serviceConfig.AddFlags, func() (http.Handler, error) {
 			return service.New(serviceConfig), nil
 		}),
-		serve("log", "The append-only log service.", logConfig.Flags, func() (http.Handler, error) {
+		serve("log", "The append-only log service.", logConfig.AddFlags, func() (http.Handler, error) {
 			return logsvc.New(logConfig), nil
 		}),
-		serve("weights", "The rate-limited weight store.", weightsConfig.Flags, func() (http.Handler, error) {
+		serve("weights", "The rate-limited weight store.", weightsConfig.AddFlags, func() (http.Handler, error) {
 			return weights.New(weightsConfig)
 		}),
-		serve("vms", "The lagging list of VMs.", vmsConfig.Flags, func() (http.Handler, error) {
+		serve("vms", "The lagging list of VMs.", vmsConfig.AddFlags, func() (http.Handler, error) {
 			return vms.New(vmsConfig), nil
 		}),
-		serve("scorer", "A service that scores samples.", scorerConfig.Flags, func() (http.Handler, error) {
+		serve("scorer", "A service that scores samples.", scorerConfig.AddFlags, func() (http.Handler, error) {
 			return scorer.New(scorerConfig), nil
 		}),
 		trainer.Command(),
--- a/ctl/commit.go
+++ b/ctl/commit.go
@@ -179,7 +179,7 @@
 		current = head.Number
 	}
 	if f.parent > 0 && f.parent != current {
-		return 0, fail(ExitLost, "not accepted: revision %d is in force, not %d", current, f.parent)
+		return 0, fail(ExitRaceLost, "not accepted: revision %d is in force, not %d", current, f.parent)
 	}
 	return current, nil
 }
@@ -248,12 +248,12 @@
 				return true, nil
 			}
 			report.Outcome, report.Winner = outcomeLost, reportOf(e.Revision)
-			return true, fail(ExitLost, "not accepted: revision %d (%s, key %s, offset %d) won the race",
+			return true, fail(ExitRaceLost, "not accepted: revision %d (%s, key %s, offset %d) won the race",
 				e.Revision.Number, short(e.Revision.Hash), e.Revision.Signed.KeyId, e.Revision.Offset)
 		case control.Rejected:
 			if e.ID == report.ID {
 				report.Outcome, report.Winner = outcomeLost, reportOf(head)
-				return true, fail(ExitLost, "not accepted: %s", e.Reason)
+				return true, fail(ExitRaceLost, "not accepted: %s", e.Reason)
 			}
 		}
 	}
--- a/ctl/ctl.go
+++ b/ctl/ctl.go
@@ -26,7 +26,7 @@
 	ExitOK            = 0
 	ExitFailed        = 1 // the command failed; a commit was not accepted
 	ExitUsage         = 2 // a mistake on the command line
-	ExitLost          = 3 // another revision won the race
+	ExitRaceLost          = 3 // another revision won the race
 	ExitUnknown       = 4 // the commit's outcome is unknown
 	ExitNotEverywhere = 5 // accepted, but not in force on every process in time
 )
--- a/ctl/ctl_test.go
+++ b/ctl/ctl_test.go
@@ -145,7 +145,7 @@
 	require.Equal(t, outcomeInForce, report.Outcome)
 	require.Len(t, b.log.records, 2, "the pipeline runs twice: nothing is added")
 	code, _, stderr := b.commit("--parent", "1", b.manifest("c"))
-	require.Equal(t, ExitLost, code)
+	require.Equal(t, ExitRaceLost, code)
 	require.Contains(t, stderr, "revision 2 is in force, not 1")
 }
 
@@ -159,7 +159,7 @@
 		return nil
 	}
 	code, report, stderr := b.commit(b.manifest("mine"))
-	require.Equal(t, ExitLost, code)
+	require.Equal(t, ExitRaceLost, code)
 	require.Equal(t, manifest.Hash([]byte(text("other"))), report.Winner.Hash)
 	require.Contains(t, stderr, "not accepted: revision 1")
 	require.Contains(t, stderr, "won the race")
--- a/ctl/explain.go
+++ b/ctl/explain.go
@@ -54,31 +54,31 @@
 type explanation struct {
 	ID        string     `json:"id"`
 	Decisions []decision `json:"decisions"`
-	Silent    []string   `json:"silent"` // processes that gave no answer; their records are missing
+	NoAnswer    []string   `json:"silent"` // processes that gave no answer; their records are missing
 }
 
 // explain asks every entry: only the one that had the request knows of it, and
 // several may have asked the same agent.
 func (t *tool) explain(ctx context.Context, form string, addrs []string, token, id string) error {
-	all := explanation{ID: id, Decisions: []decision{}, Silent: []string{}}
+	all := explanation{ID: id, Decisions: []decision{}, NoAnswer: []string{}}
 	var lastErr error
 	for _, addr := range addrs {
 		var answer explanation
 		if err := getJSON(ctx, addr, "/v1/explain/"+url.PathEscape(id), token, &answer); err != nil {
 			lastErr = err
-			all.Silent = append(all.Silent, addr)
+			all.NoAnswer = append(all.NoAnswer, addr)
 			continue
 		}
 		all.Decisions = append(all.Decisions, answer.Decisions...)
-		all.Silent = append(all.Silent, answer.Silent...)
+		all.NoAnswer = append(all.NoAnswer, answer.NoAnswer...)
 	}
 	if len(all.Decisions) == 0 && lastErr != nil {
 		return fail(ExitFailed, "no records of %q, and not every process answered: %w", id, lastErr)
 	}
 	slices.SortStableFunc(all.Decisions, compareDecisions)
 	all.Decisions = slices.Compact(all.Decisions)
-	slices.Sort(all.Silent)
-	all.Silent = slices.Compact(all.Silent)
+	slices.Sort(all.NoAnswer)
+	all.NoAnswer = slices.Compact(all.NoAnswer)
 	if form == outputJSON {
 		return t.printJSON(all)
 	}
@@ -102,8 +102,8 @@
 	if err := t.printTable([]string{"TIME", "PROCESS", "PART", "ID", "DECISION", "WHY"}, rows); err != nil {
 		return err
 	}
-	if len(all.Silent) > 0 {
-		return t.printTable(nil, [][]string{{"no answer from", strings.Join(all.Silent, ", ")}})
+	if len(all.NoAnswer) > 0 {
+		return t.printTable(nil, [][]string{{"no answer from", strings.Join(all.NoAnswer, ", ")}})
 	}
 	return nil
 }
--- a/ctl/logs.go
+++ b/ctl/logs.go
@@ -61,8 +61,8 @@
 					return errors.Trace(err)
 				}
 			}
-			if losses.Crowded > 0 {
-				fmt.Fprintf(t.err, "%d samples or rows found no room and are left out\n", losses.Crowded)
+			if losses.Dropped > 0 {
+				fmt.Fprintf(t.err, "%d samples or rows found no room and are left out\n", losses.Dropped)
 			}
 			if *asJSON {
 				return t.printJSON(struct {
@@ -79,7 +79,7 @@
 	const clock = "15:04:05.000"
 	cells := make([][]string, len(rows))
 	for i, r := range rows {
-		cells[i] = []string{r.What, string(r.Fate), string(r.Cause), strconv.Itoa(r.Count), r.First.UTC().Format(clock), r.Last.UTC().Format(clock), r.Example}
+		cells[i] = []string{r.RequestKind, string(r.Outcome), string(r.Cause), strconv.Itoa(r.Count), r.First.UTC().Format(clock), r.Last.UTC().Format(clock), r.Example}
 	}
 	return t.printTable([]string{"WHAT", "FATE", "CAUSE", "COUNT", "FIRST", "LAST", "FIRST ID"}, cells)
 }
--- a/ctl/logscan/logscan_test.go
+++ b/ctl/logscan/logscan_test.go
@@ -64,7 +64,7 @@
 	require.NoError(t, err)
 	require.Equal(t, []string{"vm-1 Starting.", "vm-2 Started.", "vm-2 Started."}, got, "in the order of time")
 	require.Equal(t, 3, stats.Bad)
-	require.Equal(t, 1, stats.Remarks)
+	require.Equal(t, 1, stats.OtherLines)
 	require.Equal(t, file, stats.Problems[0].File)
 	require.Equal(t, []int{2, 3, 4}, []int{stats.Problems[0].Line, stats.Problems[1].Line, stats.Problems[2].Line})
 	_, _, err = Files([]string{filepath.Join(dir, "nowhere")})
@@ -110,7 +110,7 @@
 	scan(t, day(), losses.Add)
 	got := map[string]int{}
 	for _, r := range losses.Rows() {
-		got[fmt.Sprintf("%s %s: %s (%s)", r.What, r.Fate, r.Cause, r.Example)] = r.Count
+		got[fmt.Sprintf("%s %s: %s (%s)", r.RequestKind, r.Outcome, r.Cause, r.Example)] = r.Count
 	}
 	require.Equal(t, map[string]int{
 		"samples of m late: waited for a place (s2)":                       1,
@@ -125,7 +125,7 @@
 	require.Equal(t, 3, seconds[0].Waiting)
 	require.Equal(t, 1, seconds[0].Running)
 	require.Zero(t, seconds[5].Running)
-	require.Equal(t, 1, seconds[8].Away)
+	require.Equal(t, 1, seconds[8].WithoutLog)
 	require.Equal(t, 2, seconds[8].Lost+seconds[8].Refused)
 	require.Zero(t, seconds[12].Running)
 	file := filepath.Join(t.TempDir(), "timeline.svg")
@@ -138,14 +138,14 @@
 
 func TestCausesOfRequests(t *testing.T) {
 	for kind, want := range map[string]Cause{
-		"cancelled": CauseClientGone, "log_unavailable": CauseStarting, "not_ready": CauseStarting, "no_server": CauseNoServer, "quarantined": CausePoison,
-		"overloaded": CauseRefused, "deadline_exceeded": CauseSilent, "outcome_unknown": CauseUnknown, "too_large": CauseRoute,
+		"cancelled": CauseCallerGone, "log_unavailable": CauseStarting, "not_ready": CauseStarting, "no_server": CauseNoServer, "quarantined": CausePoisonRequest,
+		"overloaded": CauseRefused, "deadline_exceeded": CauseServerUnresponsive, "outcome_unknown": CauseUnknown, "too_large": CauseConfiguration,
 	} {
 		losses := NewLosses()
 		scan(t, record(0, "front: Request failed.", `"id":"q","path":"/a/b","kind":"`+kind+`"`), losses.Add)
 		require.Equal(t, want, losses.Rows()[0].Cause, kind)
 	}
-	for end, want := range map[string]Cause{"broken": CauseBroken, "never": CauseFailed, "too_old": CauseWeights, "refused": ""} {
+	for end, want := range map[string]Cause{"broken": CauseConnectionBroken, "never": CauseServerFailed, "too_old": CauseStaleWeights, "refused": ""} {
 		require.Equal(t, want, causeOfEnd(end), end)
 	}
 }
@@ -180,7 +180,7 @@
 	whole := NewTracer("j")
 	scan(t, day(), whole.Add)
 	require.Len(t, whole.Decisions(), 4, "a job's own lines")
-	require.ErrorIs(t, NewTracer("nobody").Write(&out), ErrNothing)
+	require.ErrorIs(t, NewTracer("nobody").Write(&out), ErrNotFound)
 }
 
 // However many ids the logs name, what is remembered is bounded.
@@ -197,7 +197,7 @@
 		losses.Add(&l)
 	}
 	require.Len(t, losses.Rows(), rowsMost)
-	require.Equal(t, 10, losses.Crowded)
+	require.Equal(t, 10, losses.Dropped)
 }
 
 // Whatever the bytes, reading them neither fails nor panics, and each line is
@@ -208,7 +208,7 @@
 		losses, tracer := NewLosses(), NewTracer("s1")
 		stats, err := Read([]string{Stdin}, strings.NewReader(text), nil, func(l *Line) { losses.Add(l); tracer.Add(l) })
 		require.NoError(t, err)
-		require.LessOrEqual(t, stats.Lines+stats.Remarks+stats.Bad, strings.Count(text, "\n")+1)
+		require.LessOrEqual(t, stats.Lines+stats.OtherLines+stats.Bad, strings.Count(text, "\n")+1)
 	})
 }
 
--- a/ctl/logscan/losses.go
+++ b/ctl/logscan/losses.go
@@ -14,40 +14,40 @@
 // The causes, in the order in which one is taken for another's: a sample that was
 // held up by an outage also waits.
 const (
-	CauseClientGone Cause = "client gone"
-	CauseStoreAway  Cause = "store away"
-	CauseOwnerGone  Cause = "owner gone"
-	CauseSilent     Cause = "server silent"
-	CauseBroken     Cause = "server broke off or restarted"
-	CauseFailed     Cause = "server failed"
-	CauseWeights    Cause = "weights too old"
-	CauseSlow       Cause = "server slow"
-	CauseScore      Cause = "no score in time"
-	CausePlace      Cause = "waited for a place"
-	CauseLong       Cause = "long text"
+	CauseCallerGone Cause = "client gone"
+	CauseLogUnavailable  Cause = "store away"
+	CauseOwnerChanged  Cause = "owner gone"
+	CauseServerUnresponsive     Cause = "server silent"
+	CauseConnectionBroken     Cause = "server broke off or restarted"
+	CauseServerFailed     Cause = "server failed"
+	CauseStaleWeights    Cause = "weights too old"
+	CauseServerSlow       Cause = "server slow"
+	CauseScoreTimeout      Cause = "no score in time"
+	CauseSlotWait      Cause = "waited for a place"
+	CauseLongText       Cause = "long text"
 	CauseRefused    Cause = "refused by servers"
 	CauseNoServer   Cause = "no server"
-	CausePoison     Cause = "crashes servers"
+	CausePoisonRequest     Cause = "crashes servers"
 	CauseStarting   Cause = "process starting"
-	CauseRoute      Cause = "refused by the configuration"
+	CauseConfiguration      Cause = "refused by the configuration"
 	CauseUnknown    Cause = "not told"
 )
 
-// Fate is what became of a request or sample.
-type Fate string
+// Outcome is what became of a request or sample.
+type Outcome string
 
 // Fates other than served in time.
 const (
-	FateFailed  Fate = "failed"
-	FateLate    Fate = "late"
-	FateRefused Fate = "refused"
+	OutcomeFailed  Outcome = "failed"
+	OutcomeLate    Outcome = "late"
+	OutcomeRefused Outcome = "refused"
 )
 
 // Loss is a row of the table.
 type Loss struct {
-	// What is the kind of request: "samples of MODEL", or the first part of a path.
-	What  string    `json:"what"`
-	Fate  Fate      `json:"fate"`
+	// RequestKind is the kind of request: "samples of MODEL", or the first part of a path.
+	RequestKind  string    `json:"what"`
+	Outcome  Outcome      `json:"fate"`
 	Cause Cause     `json:"cause"`
 	Count int       `json:"count"`
 	First time.Time `json:"first"`
@@ -58,7 +58,7 @@
 
 type lossKey struct {
 	what  string
-	fate  Fate
+	fate  Outcome
 	cause Cause
 }
 
@@ -83,8 +83,8 @@
 	tries   map[string]*list.Element // of *tried, by request
 	recent  *list.List               // the newest first
 	away    map[string]bool          // processes that can't follow the log
-	// Crowded counts what was not remembered for want of room.
-	Crowded int
+	// Dropped counts what was not remembered for want of room.
+	Dropped int
 }
 
 // NewLosses returns an empty table.
@@ -129,9 +129,9 @@
 	case "Sample starts.":
 		s.starts(l)
 	case "Sample leaves a silent engine.":
-		s.leaves(l, CauseSilent)
+		s.leaves(l, CauseServerUnresponsive)
 	case "Sample leaves a slow engine.":
-		s.leaves(l, CauseSlow)
+		s.leaves(l, CauseServerSlow)
 	case "Stream ended early.":
 		s.leaves(l, causeOfEnd(l.Why))
 	case "Sample given up.":
@@ -185,7 +185,7 @@
 			s.Timeline.running(l.At, -1)
 		}
 		if late {
-			s.lose(l.At, "samples of "+j.model, FateFailed, s.causeOf(j, x, CausePlace), id)
+			s.lose(l.At, "samples of "+j.model, OutcomeFailed, s.causeOf(j, x, CauseSlotWait), id)
 		}
 	}
 	s.samples -= len(j.samples)
@@ -215,7 +215,7 @@
 		return j, x
 	}
 	if s.samples >= samplesMost {
-		s.Crowded++
+		s.Dropped++
 		return nil, nil
 	}
 	x = &sample{}
@@ -249,11 +249,11 @@
 func causeOfEnd(why string) Cause {
 	switch why {
 	case "broken", "unreached", "misdirected":
-		return CauseBroken
+		return CauseConnectionBroken
 	case "failed", "never":
-		return CauseFailed
+		return CauseServerFailed
 	case "too_old", "mixed":
-		return CauseWeights
+		return CauseStaleWeights
 	}
 	return ""
 }
@@ -264,11 +264,11 @@
 		return
 	}
 	x.gaveUp = true
-	cause := CauseFailed
+	cause := CauseServerFailed
 	if l.Why == "score" {
-		cause = CauseScore
+		cause = CauseScoreTimeout
 	}
-	s.lose(l.At, "samples of "+j.model, FateFailed, cause, l.ID)
+	s.lose(l.At, "samples of "+j.model, OutcomeFailed, cause, l.ID)
 }
 
 func (s *Losses) done(l *Line) {
@@ -280,7 +280,7 @@
 		s.Timeline.running(l.At, -1)
 	}
 	if !x.gaveUp && j.due > 0 && l.At.Sub(j.accepted) > j.due {
-		s.lose(l.At, "samples of "+j.model, FateLate, s.causeOf(j, x, longest(l)), l.ID)
+		s.lose(l.At, "samples of "+j.model, OutcomeLate, s.causeOf(j, x, longest(l)), l.ID)
 	}
 	delete(j.samples, l.ID)
 	s.samples--
@@ -290,31 +290,31 @@
 func longest(l *Line) Cause {
 	switch most := max(l.Waited, l.Streamed, l.Scored); most {
 	case l.Waited:
-		return CausePlace
+		return CauseSlotWait
 	case l.Streamed:
-		return CauseLong
+		return CauseLongText
 	default:
-		return CauseScore
+		return CauseScoreTimeout
 	}
 }
 
 func (s *Losses) causeOf(j *job, x *sample, otherwise Cause) Cause {
 	switch {
 	case j.outage:
-		return CauseStoreAway
+		return CauseLogUnavailable
 	case j.taken:
-		return CauseOwnerGone
+		return CauseOwnerChanged
 	}
 	return cmp.Or(x.cause, otherwise)
 }
 
 func (s *Losses) tryFailed(l *Line) {
-	cause := CauseFailed
+	cause := CauseServerFailed
 	switch {
 	case l.NotRun:
 		cause = CauseRefused
 	case l.Error != "":
-		cause = CauseBroken
+		cause = CauseConnectionBroken
 	}
 	if e := s.tries[l.ID]; e != nil {
 		e.Value.(*tried).cause = cause
@@ -331,12 +331,12 @@
 
 func (s *Losses) requestFailed(l *Line) {
 	cause := s.causeOfKind(l)
-	fate := FateFailed
+	fate := OutcomeFailed
 	if l.NotRun {
-		fate = FateRefused
+		fate = OutcomeRefused
 	}
 	what := kindOfPath(l.Path)
-	if cause == CauseRoute {
+	if cause == CauseConfiguration {
 		what = noRoute // callers choose such paths: a row for each would hide the others
 	}
 	s.lose(l.At, what, fate, cause, l.ID)
@@ -349,10 +349,10 @@
 func (s *Losses) causeOfKind(l *Line) Cause {
 	switch l.Kind {
 	case "cancelled":
-		return CauseClientGone
+		return CauseCallerGone
 	case "log_unavailable":
 		if s.away[l.Process] {
-			return CauseStoreAway
+			return CauseLogUnavailable
 		}
 		return CauseStarting
 	case "not_ready":
@@ -360,17 +360,17 @@
 	case "no_server":
 		return CauseNoServer
 	case "quarantined":
-		return CausePoison
+		return CausePoisonRequest
 	case "overloaded":
 		return CauseRefused
 	case "not_found", "bad_request", "too_large":
-		return CauseRoute
+		return CauseConfiguration
 	}
 	if e := s.tries[l.ID]; e != nil {
 		return e.Value.(*tried).cause
 	}
 	if l.Kind == "deadline_exceeded" {
-		return CauseSilent
+		return CauseServerUnresponsive
 	}
 	return CauseUnknown
 }
@@ -387,16 +387,16 @@
 	return "/" + parts[0]
 }
 
-func (s *Losses) lose(at time.Time, what string, fate Fate, cause Cause, id string) {
+func (s *Losses) lose(at time.Time, what string, fate Outcome, cause Cause, id string) {
 	s.Timeline.lose(at, fate)
 	key := lossKey{what, fate, cause}
 	row := s.rows[key]
 	if row == nil {
 		if len(s.rows) >= rowsMost {
-			s.Crowded++
+			s.Dropped++
 			return
 		}
-		row = &Loss{What: what, Fate: fate, Cause: cause, First: at, Example: id}
+		row = &Loss{RequestKind: what, Outcome: fate, Cause: cause, First: at, Example: id}
 		s.rows[key] = row
 	}
 	row.Count++
@@ -410,7 +410,7 @@
 		rows = append(rows, *row)
 	}
 	slices.SortFunc(rows, func(a, b Loss) int {
-		return cmp.Or(cmp.Compare(b.Count, a.Count), cmp.Compare(a.What, b.What), cmp.Compare(a.Fate, b.Fate), cmp.Compare(a.Cause, b.Cause))
+		return cmp.Or(cmp.Compare(b.Count, a.Count), cmp.Compare(a.RequestKind, b.RequestKind), cmp.Compare(a.Outcome, b.Outcome), cmp.Compare(a.Cause, b.Cause))
 	})
 	return rows
 }
--- a/ctl/logscan/source.go
+++ b/ctl/logscan/source.go
@@ -27,7 +27,7 @@
 // Stats tells what was read.
 type Stats struct {
 	Lines   int `json:"lines"`   // records of processes
-	Remarks int `json:"remarks"` // lines that are none
+	OtherLines int `json:"remarks"` // lines that are none
 	Bad     int `json:"bad"`     // lines that could not be read
 	// Problems are the first of the bad lines.
 	Problems []Problem `json:"problems,omitempty"`
@@ -159,7 +159,7 @@
 			r.line = line
 			return true
 		case errors.Is(parseErr, errNoRecord):
-			stats.Remarks++
+			stats.OtherLines++
 		default:
 			stats.bad(r.file, r.number, parseErr)
 		}
--- a/ctl/logscan/timeline.go
+++ b/ctl/logscan/timeline.go
@@ -17,8 +17,8 @@
 	Running int       `json:"running"` // samples that ran at its end
 	Refused int       `json:"refused"`
 	Lost    int       `json:"lost"`   // failed or late
-	Owners  int       `json:"owners"` // batch jobs that got another owner
-	Away    int       `json:"away"`   // the most processes that could not follow the log
+	OwnerChanges  int       `json:"owners"` // batch jobs that got another owner
+	WithoutLog    int       `json:"away"`   // the most processes that could not follow the log
 }
 
 // secondsMost bounds the timeline: two days.
@@ -40,7 +40,7 @@
 	}
 	last := &t.Seconds[len(t.Seconds)-1]
 	for last.At.Before(at) && len(t.Seconds) < secondsMost {
-		t.Seconds = append(t.Seconds, Second{At: last.At.Add(time.Second), Running: t.run, Away: t.lost})
+		t.Seconds = append(t.Seconds, Second{At: last.At.Add(time.Second), Running: t.run, WithoutLog: t.lost})
 		last = &t.Seconds[len(t.Seconds)-1]
 	}
 	return last
@@ -56,16 +56,16 @@
 	t.at(at).Running = t.run
 }
 
-func (t *Timeline) owner(at time.Time) { t.at(at).Owners++ }
+func (t *Timeline) owner(at time.Time) { t.at(at).OwnerChanges++ }
 
 func (t *Timeline) away(at time.Time, n int) {
 	t.lost = n
 	s := t.at(at)
-	s.Away = max(s.Away, n)
+	s.WithoutLog = max(s.WithoutLog, n)
 }
 
-func (t *Timeline) lose(at time.Time, fate Fate) {
-	if fate == FateRefused {
+func (t *Timeline) lose(at time.Time, fate Outcome) {
+	if fate == OutcomeRefused {
 		t.at(at).Refused++
 		return
 	}
@@ -87,8 +87,8 @@
 	{"running", color.RGBA{R: 0x2f, G: 0x6f, B: 0xab, A: 0xff}, func(s Second) int { return s.Running }},
 	{"refused", color.RGBA{R: 0xe0, G: 0x8b, B: 0x2d, A: 0xff}, func(s Second) int { return s.Refused }},
 	{"lost", color.RGBA{R: 0xb0, G: 0x4a, B: 0x4a, A: 0xff}, func(s Second) int { return s.Lost }},
-	{"new owners", color.RGBA{R: 0x7d, G: 0x5b, B: 0xa6, A: 0xff}, func(s Second) int { return s.Owners }},
-	{"processes without the log", color.RGBA{R: 0x00, G: 0x00, B: 0x00, A: 0xff}, func(s Second) int { return s.Away }},
+	{"new owners", color.RGBA{R: 0x7d, G: 0x5b, B: 0xa6, A: 0xff}, func(s Second) int { return s.OwnerChanges }},
+	{"processes without the log", color.RGBA{R: 0x00, G: 0x00, B: 0x00, A: 0xff}, func(s Second) int { return s.WithoutLog }},
 }
 
 // Plot writes the timeline as an image; the file's ending says which kind.
--- a/ctl/logscan/trace.go
+++ b/ctl/logscan/trace.go
@@ -140,14 +140,14 @@
 	return fields
 }
 
-// ErrNothing: no line speaks of the id.
-var ErrNothing = errors.New("no line speaks of it")
+// ErrNotFound: no line speaks of the id.
+var ErrNotFound = errors.New("no line speaks of it")
 
 // Write prints a trace, a line a decision.
 func (t *Tracer) Write(w io.Writer) error {
 	decisions := t.Decisions()
 	if len(decisions) == 0 {
-		return errors.Annotatef(ErrNothing, "%q", t.id)
+		return errors.Annotatef(ErrNotFound, "%q", t.id)
 	}
 	for _, d := range decisions {
 		if _, err := fmt.Fprintf(w, "%s  %-20s %-8s %-28s %s\n", d.At.UTC().Format("15:04:05.000"), d.Process, d.Part, d.Message, strings.Join(d.Fields, " ")); err != nil {
--- a/e2e/chaos_config_test.go
+++ b/e2e/chaos_config_test.go
@@ -32,7 +32,7 @@
 	w := &revisionWatcher{statuses: map[string]site.Status{}}
 	stopping := make(chan struct{})
 	var running sync.WaitGroup
-	for _, p := range c.site.Nodes() {
+	for _, p := range c.site.AgentsAndEntries() {
 		running.Go(func() {
 			tick := time.NewTicker(watchInterval)
 			defer tick.Stop()
@@ -57,7 +57,7 @@
 func (w *revisionWatcher) poll(c *cluster, p site.Process) {
 	knownBefore := w.isKnown(p.Name)
 	var st site.Status
-	if site.Send(c.ctx, http.MethodGet, p.URL+"/v1/status", nil, &st) != nil {
+	if site.SendJSON(c.ctx, http.MethodGet, p.URL+"/v1/status", nil, &st) != nil {
 		return // the process is down
 	}
 	w.mu.Lock()
@@ -109,7 +109,7 @@
 	const seed, rounds, operators = 61, 4, 3
 	c := startCluster(t, options{seed: seed})
 	watch := c.watchRevisions()
-	c.setFaults("log", logsvc.Faults{LoseAnswers: lostAnswerShare, Cut: []string{"entry-2", "service-1"}})
+	c.setFaults("log", logsvc.Faults{LoseAnswers: lostAnswerShare, DropClients: []string{"entry-2", "service-1"}})
 	first := configState{1, manifest.Hash(c.site.Manifest("first revision"))}
 	var ops collector[porcupine.Operation]
 	for round := range rounds {
@@ -122,7 +122,7 @@
 	c.setFaults("log", logsvc.Faults{Down: true})
 	c.kill("engine-2")
 	watch.reset("engine-2")
-	c.start(c.site.Get("engine-2"))
+	c.start(c.site.ByName("engine-2"))
 	ops.add(c.readConfig(operators, last)) // includes engine-2
 
 	c.setFaults("log", logsvc.Faults{})
--- a/e2e/chaos_steps_test.go
+++ b/e2e/chaos_steps_test.go
@@ -38,7 +38,7 @@
 func (r *trainerRun) stepTimes() []string {
 	var list []string
 	for i := range r.steps {
-		list = append(list, fmt.Sprintf("%.1fs", r.steps[i].Took.Seconds()))
+		list = append(list, fmt.Sprintf("%.1fs", r.steps[i].Duration.Seconds()))
 	}
 	return list
 }
@@ -57,7 +57,7 @@
 // countMixedRuns counts an engine's streams whose tokens are of several versions.
 func (c *cluster) countMixedRuns(server string) int {
 	var truth engine.Truth
-	require.NoError(c.t, site.Send(c.ctx, http.MethodGet, c.site.Get(server).URL+"/truth", nil, &truth))
+	require.NoError(c.t, site.SendJSON(c.ctx, http.MethodGet, c.site.ByName(server).URL+"/truth", nil, &truth))
 	n := 0
 	for i := range truth.Runs {
 		if len(truth.Runs[i].ByVersion) > 1 {
@@ -70,7 +70,7 @@
 // engineTotals returns the totals that an engine reports; zero if it does not answer.
 func (c *cluster) engineTotals(server string) engine.Totals {
 	var truth engine.Truth
-	_ = site.Send(c.ctx, http.MethodGet, c.site.Get(server).URL+"/truth?totals=1", nil, &truth)
+	_ = site.SendJSON(c.ctx, http.MethodGet, c.site.ByName(server).URL+"/truth?totals=1", nil, &truth)
 	return truth.Totals
 }
 
@@ -86,12 +86,12 @@
 	c.signal("entry-1", syscall.SIGKILL)
 	c.kill("engine-1-server")
 	r.waitGroups(8)
-	c.start(c.site.Get("engine-1-server"))
-	c.start(c.site.Get("entry-1"))
+	c.start(c.site.ByName("engine-1-server"))
+	c.start(c.site.ByName("entry-1"))
 	r.waitGroups(8)
 	c.signal("entry-2", syscall.SIGKILL) // the step's new owner
 	c.kill("engine-2-server")
-	c.start(c.site.Get("engine-2-server"))
+	c.start(c.site.ByName("engine-2-server"))
 	r.waitComplete(steps)
 }
 
@@ -137,7 +137,7 @@
 	c.kill(agent)
 	c.setFaults(server, engine.Faults{})
 	require.Zero(t, c.engineTotals(server).Loads, "the order has arrived too early")
-	c.start(c.site.Get(agent))
+	c.start(c.site.ByName(agent))
 	c.waitFor("the next incarnation is ready", func() error { return c.checkReady(agent) })
 	loadsAtReady := c.engineTotals(server).Loads
 	c.waitFor("the order has arrived", func() error {
@@ -162,7 +162,7 @@
 
 // checkReady returns an error unless a process reports that it is ready.
 func (c *cluster) checkReady(name string) error {
-	return site.Send(c.ctx, http.MethodGet, c.site.Get(name).URL+"/readyz", nil, nil)
+	return site.SendJSON(c.ctx, http.MethodGet, c.site.ByName(name).URL+"/readyz", nil, nil)
 }
 
 // The log is down from before the first step until after the last one. Steps must run
--- a/e2e/chaos_writes_test.go
+++ b/e2e/chaos_writes_test.go
@@ -49,7 +49,7 @@
 
 // clientOf returns a client of the application that uses a single entry.
 func (c *cluster) clientOf(entry string) *client.Client {
-	return client.New(client.NewBalancer([]string{c.site.Get(entry).URL}), site.Token(site.Caller), maxConns)
+	return client.New(client.NewBalancer([]string{c.site.ByName(entry).URL}), site.Token(site.Caller), maxConns)
 }
 
 // Callers write orders, half of them with keys. Meanwhile the log stores claims but
@@ -76,7 +76,7 @@
 	w.waitAnswered(200)
 	for range kills {
 		c.kill("service-1")
-		c.start(c.site.Get("service-1"))
+		c.start(c.site.ByName("service-1"))
 		w.waitAnswered(200)
 	}
 	c.setFaults("log", logsvc.Faults{})
@@ -127,7 +127,7 @@
 	w.waitAnswered(150)
 	c.kill("entry-1")
 	w.waitAnswered(100)
-	c.start(c.site.Get("entry-1"))
+	c.start(c.site.ByName("entry-1"))
 	w.waitAnswered(150)
 	w.verifyKeys()
 }
@@ -160,19 +160,19 @@
 // that is out of date.
 func (c *cluster) hideVM(from, missing string) {
 	c.t.Helper()
-	ownList := c.site.Get("vms")
+	ownList := c.site.ByName("vms")
 	realURL := ownList.URL
 	addr := strings.Replace(strings.TrimPrefix(realURL, "http://"), ".0.1:", ".0.2:", 1)
 	ownList.Name, ownList.URL, ownList.Args = "vms-of-"+from, "http://"+addr, []string{"vms", "--listen", addr}
 	c.start(ownList)
 	c.waitFor("the second list is up", func() error {
-		return site.Send(c.ctx, http.MethodGet, ownList.URL+"/livez", nil, nil)
+		return site.SendJSON(c.ctx, http.MethodGet, ownList.URL+"/livez", nil, nil)
 	})
 	var list []platform.VM
-	require.NoError(c.t, site.Send(c.ctx, http.MethodGet, realURL+"/truth", nil, &list))
+	require.NoError(c.t, site.SendJSON(c.ctx, http.MethodGet, realURL+"/truth", nil, &list))
 	for _, vm := range list {
 		if vm.Name != missing {
-			require.NoError(c.t, site.Send(c.ctx, http.MethodPut, ownList.URL+"/vms/"+vm.Name, vm, nil))
+			require.NoError(c.t, site.SendJSON(c.ctx, http.MethodPut, ownList.URL+"/vms/"+vm.Name, vm, nil))
 		}
 	}
 	c.restart(from, "--platform.vms", ownList.URL)
@@ -182,7 +182,7 @@
 // ready.
 func (c *cluster) restart(name string, settings ...string) {
 	c.t.Helper()
-	p := c.site.Get(name)
+	p := c.site.ByName(name)
 	p.Args = append(slices.Clone(p.Args), settings...)
 	c.kill(name)
 	c.start(p)
--- a/e2e/cluster_test.go
+++ b/e2e/cluster_test.go
@@ -72,13 +72,13 @@
 	t.Logf("seed %d", o.seed)
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Minute)
 	t.Cleanup(cancel)
-	public, _ := site.Key()
+	public, _ := site.SigningKey()
 	s, err := site.New(site.Options{
-		Deployment: o.deployment, Net: reserveNet(t), Dir: t.TempDir(), Bin: binDir, Seed: o.seed, TimeScale: 0.1,
+		Deployment: o.deployment, NetOctet: reserveNet(t), Dir: t.TempDir(), BinDir: binDir, Seed: o.seed, TimeScale: 0.1,
 		PublicKey: public, Engine: o.engine, Service: o.service, WeightSize: 100_000,
 	})
 	require.NoError(t, err)
-	require.NoError(t, s.CheckFree())
+	require.NoError(t, s.CheckAddressesFree())
 	c := &cluster{t: t, ctx: ctx, site: s, processes: map[string]*process{}}
 	t.Cleanup(c.killAll)
 	for _, p := range s.Processes {
@@ -93,7 +93,7 @@
 	c := newCluster(t, o)
 	ctx, cancel := context.WithTimeout(c.ctx, maxWait)
 	defer cancel()
-	require.NoError(t, c.site.Up(ctx))
+	require.NoError(t, c.site.BringUp(ctx))
 	return c
 }
 
@@ -207,7 +207,7 @@
 // setFaults sets a stand-in's faults.
 func (c *cluster) setFaults(name string, set any) {
 	c.t.Helper()
-	require.NoError(c.t, site.Faults(c.ctx, c.site.Get(name), set))
+	require.NoError(c.t, site.SetFaults(c.ctx, c.site.ByName(name), set))
 }
 
 // client returns a client with the token of the named caller or trainer. It balances
@@ -222,9 +222,9 @@
 func (c *cluster) serviceRuns() []service.Run {
 	c.t.Helper()
 	var runs []service.Run
-	for _, p := range c.site.Role(site.RoleService) {
+	for _, p := range c.site.ByRole(site.RoleService) {
 		var t service.Truth
-		require.NoError(c.t, site.Send(c.ctx, "GET", p.URL+"/truth", nil, &t))
+		require.NoError(c.t, site.SendJSON(c.ctx, "GET", p.URL+"/truth", nil, &t))
 		runs = append(runs, t.List...)
 	}
 	return runs
--- a/e2e/drain_test.go
+++ b/e2e/drain_test.go
@@ -72,7 +72,7 @@
 	for i := range list {
 		require.True(s.c.t, list[i].Result.OK(), "%+v", list[i].Result)
 	}
-	require.Zero(s.c.t, judge.Completions(list, s.c.site.Engine.Lengths()))
+	require.Zero(s.c.t, judge.CheckCompletions(list, s.c.site.Engine.LengthModel()))
 }
 
 // longSamples returns an engine model whose streams take one to two seconds.
@@ -101,7 +101,7 @@
 	w.waitAnswered(100)
 	s := c.openStreams(12, seed)
 	for _, name := range []string{"engine-1", "service-1"} {
-		require.NoError(t, c.site.SetVM(c.ctx, c.site.Get(name), platform.VMLeaving))
+		require.NoError(t, c.site.SetVM(c.ctx, c.site.ByName(name), platform.VMLeaving))
 		c.terminate(name)
 	}
 	w.waitAnswered(200)
@@ -109,7 +109,7 @@
 	require.Zero(t, c.waitExit("engine-1"))
 	require.Zero(t, c.waitExit("service-1"))
 	calls, _ := w.verify()
-	require.Zero(t, judge.Cut(callResults(calls)))
+	require.Zero(t, judge.CountInterrupted(callResults(calls)))
 	for i := range calls {
 		require.True(t, calls[i].Result.OK(), "%+v", calls[i].Result)
 	}
--- a/e2e/explain_test.go
+++ b/e2e/explain_test.go
@@ -29,15 +29,15 @@
 func (c *cluster) commitOperatorToken() {
 	c.t.Helper()
 	dir := c.t.TempDir()
-	_, private := site.Key()
+	_, private := site.SigningKey()
 	key, file := filepath.Join(dir, "key"), filepath.Join(dir, "manifest.ini")
 	text := strings.Replace(string(c.site.Manifest("with an operator")), "[fleet]\n",
 		fmt.Sprintf("[fleet]\noperator_sha256 = %x\n", sha256.Sum256([]byte(operatorToken))), 1)
 	require.NoError(c.t, os.WriteFile(key, []byte(private), 0o600))
 	require.NoError(c.t, os.WriteFile(file, []byte(text), 0o644))
-	out, code := c.runCtl("commit", "--log", c.site.Get("log").URL, "--key", key, file)
+	out, code := c.runCtl("commit", "--log", c.site.ByName("log").URL, "--key", key, file)
 	require.Zero(c.t, code, out)
-	require.NoError(c.t, site.WaitRevision(c.ctx, c.site.Nodes(), 2))
+	require.NoError(c.t, site.WaitRevision(c.ctx, c.site.AgentsAndEntries(), 2))
 }
 
 // explain runs dandelionctl explain for an id at all entries. It returns the decisions
@@ -94,7 +94,7 @@
 				Queued int
 			}
 		}
-		if err := site.Send(c.ctx, http.MethodGet, c.site.URLs(site.RoleEntry)[0]+"/v1/status", nil, &st); err != nil {
+		if err := site.SendJSON(c.ctx, http.MethodGet, c.site.URLs(site.RoleEntry)[0]+"/v1/status", nil, &st); err != nil {
 			return err
 		}
 		for _, a := range st.Agents {
--- a/e2e/figures_test.go
+++ b/e2e/figures_test.go
@@ -34,7 +34,7 @@
 	var mu sync.Mutex
 	var last time.Time
 	var all sync.WaitGroup
-	for _, p := range c.site.Nodes() {
+	for _, p := range c.site.AgentsAndEntries() {
 		all.Go(func() {
 			at, err := waitRevision(c.ctx, p, number)
 			mu.Lock()
@@ -57,7 +57,7 @@
 	deadline := time.Now().Add(maxWait)
 	for {
 		var st site.Status
-		err := site.Send(ctx, http.MethodGet, p.URL+"/v1/status", nil, &st)
+		err := site.SendJSON(ctx, http.MethodGet, p.URL+"/v1/status", nil, &st)
 		switch {
 		case err == nil && st.Revision >= number:
 			return time.Now(), nil
@@ -86,7 +86,7 @@
 	}
 	t.Logf("a commit in force everywhere, all well: %s", percentiles(commits(healthyCommits)))
 	partitioned := []string{"entry-2", "engine-1", "service-1"}
-	c.setFaults("log", logsvc.Faults{Cut: partitioned})
+	c.setFaults("log", logsvc.Faults{DropClients: partitioned})
 	t.Logf("with %v cut off from the log: %s", partitioned, percentiles(commits(partitionedCommits)))
 	c.setFaults("log", logsvc.Faults{})
 
--- a/e2e/keys_history_test.go
+++ b/e2e/keys_history_test.go
@@ -73,12 +73,12 @@
 	var history []porcupine.Operation
 	for i := range runs {
 		run := &runs[i]
-		if run.Key == "" {
+		if run.IdempotencyKey == "" {
 			continue
 		}
-		runCounts[run.Key]++
+		runCounts[run.IdempotencyKey]++
 		history = append(history, porcupine.Operation{ // recorded times are in whole milliseconds
-			Input: keyOp{key: run.Key, run: fmt.Sprintf("%s/%d", run.Server, run.Run)},
+			Input: keyOp{key: run.IdempotencyKey, run: fmt.Sprintf("%s/%d", run.Server, run.Run)},
 			Call:  run.StartedMS * int64(time.Millisecond), Return: (run.EndedMS + 1) * int64(time.Millisecond),
 		})
 	}
--- a/e2e/leave_test.go
+++ b/e2e/leave_test.go
@@ -34,7 +34,7 @@
 // isLeaving reports whether an agent is leaving or does not answer any more.
 func (c *cluster) isLeaving(name string) bool {
 	var st site.Status
-	return site.Send(c.ctx, http.MethodGet, c.site.Get(name).URL+"/v1/status", nil, &st) != nil || st.Leaving
+	return site.SendJSON(c.ctx, http.MethodGet, c.site.ByName(name).URL+"/v1/status", nil, &st) != nil || st.Leaving
 }
 
 // removeServer calls order to take the server out of service. It waits until its agent
@@ -74,7 +74,7 @@
 
 func (c *cluster) countRuns(server string) int {
 	var t service.Truth
-	require.NoError(c.t, site.Send(c.ctx, http.MethodGet, c.site.Get(server).URL+"/truth?totals=1", nil, &t))
+	require.NoError(c.t, site.SendJSON(c.ctx, http.MethodGet, c.site.ByName(server).URL+"/truth?totals=1", nil, &t))
 	return t.Runs
 }
 
@@ -94,7 +94,7 @@
 	c := startCluster(t, options{seed: seed})
 	w := c.startTraffic(callerCount, seed, callShares{reads: 0.4, keyed: 0.3})
 	w.waitAnswered(100)
-	vm := c.site.Get(leavingAgent)
+	vm := c.site.ByName(leavingAgent)
 	var removals []removal
 
 	removals = append(removals, w.removeServer("manifest", func() {
--- a/e2e/paths_test.go
+++ b/e2e/paths_test.go
@@ -42,13 +42,13 @@
 	out, code := c.commit("second", "")
 	require.Zero(t, code, out)
 	var nodes []site.Process
-	nodes = append(nodes, c.site.Nodes()...)
+	nodes = append(nodes, c.site.AgentsAndEntries()...)
 	require.NoError(t, site.WaitRevision(c.ctx, nodes, 2))
-	out, code = c.runCtl("status", "--log", c.site.Get("log").URL, "--public", publicKey(), "--vms", c.site.Get("vms").URL)
+	out, code = c.runCtl("status", "--log", c.site.ByName("log").URL, "--public", publicKey(), "--vms", c.site.ByName("vms").URL)
 	require.Zero(t, code, out)
 
 	calls, _ := w.verify()
-	require.Zero(t, judge.Cut(callResults(calls)))
+	require.Zero(t, judge.CountInterrupted(callResults(calls)))
 	for i := range calls {
 		require.True(t, calls[i].Result.OK(), "%+v", calls[i].Result)
 	}
@@ -61,10 +61,10 @@
 	const seed = 42
 	c := startCluster(t, options{seed: seed})
 	c.kill("entry-1")
-	p := c.site.Get("entry-1")
+	p := c.site.ByName("entry-1")
 	c.start(p)
 	c.waitFor("the new entry is ready", func() error {
-		return site.Send(c.ctx, http.MethodGet, p.URL+"/readyz", nil, nil)
+		return site.SendJSON(c.ctx, http.MethodGet, p.URL+"/readyz", nil, nil)
 	})
 	cl := client.New(client.NewBalancer([]string{p.URL}), site.Token(site.Caller), 1)
 	r := cl.Call(c.ctx, client.Call{
@@ -73,18 +73,18 @@
 	require.True(t, r.OK(), "%s %s", r.Kind(), r.Body)
 }
 
-func publicKey() string { key, _ := site.Key(); return key }
+func publicKey() string { key, _ := site.SigningKey(); return key }
 
 // commit runs dandelionctl to commit the site's manifest with a note, over revision
 // parent unless that is empty.
 func (c *cluster) commit(note, parent string) (string, int) {
 	dir := c.t.TempDir()
-	_, private := site.Key()
+	_, private := site.SigningKey()
 	key := filepath.Join(dir, "key")
 	file := filepath.Join(dir, "manifest.ini")
 	require.NoError(c.t, os.WriteFile(key, []byte(private), 0o600))
 	require.NoError(c.t, os.WriteFile(file, c.site.Manifest(note), 0o644))
-	args := []string{"commit", "--output", "json", "--log", c.site.Get("log").URL, "--key", key, "--timeout", "20s"}
+	args := []string{"commit", "--output", "json", "--log", c.site.ByName("log").URL, "--key", key, "--timeout", "20s"}
 	if parent != "" {
 		args = append(args, "--parent", parent)
 	}
@@ -188,11 +188,11 @@
 func (c *cluster) readConfig(client int, number uint64) porcupine.Operation {
 	c.t.Helper()
 	from := time.Now().UnixNano()
-	require.NoError(c.t, site.WaitRevision(c.ctx, c.site.Nodes(), number))
+	require.NoError(c.t, site.WaitRevision(c.ctx, c.site.AgentsAndEntries(), number))
 	var held site.Status
-	for _, p := range c.site.Nodes() {
+	for _, p := range c.site.AgentsAndEntries() {
 		var st site.Status
-		require.NoError(c.t, site.Send(c.ctx, http.MethodGet, p.URL+"/v1/status", nil, &st))
+		require.NoError(c.t, site.SendJSON(c.ctx, http.MethodGet, p.URL+"/v1/status", nil, &st))
 		if held.Hash == "" {
 			held = st
 		}
--- a/e2e/steps_test.go
+++ b/e2e/steps_test.go
@@ -32,10 +32,10 @@
 	r.newest.Store(1)
 	cfg := rollout.Config{
 		Name: name, Token: site.Token(name), Model: c.site.Deployment.Model,
-		Entries: c.site.URLs(site.RoleEntry), Store: c.site.Get("weights").URL,
+		Entries: c.site.URLs(site.RoleEntry), Store: c.site.ByName("weights").URL,
 		Groups: 16, Samples: 4, MaxTokens: 400, PromptChars: 600, Bound: c.site.Deployment.Bound, Seed: seed,
-		Steps: steps, StepTimeout: maxWait, Train: 50 * time.Millisecond,
-		PublishEvery: publishEvery, WeightBytes: c.site.WeightSize, Newest: &r.newest,
+		Steps: steps, StepTimeout: maxWait, TrainTime: 50 * time.Millisecond,
+		PublishEvery: publishEvery, WeightBytes: c.site.WeightSize, NewestVersion: &r.newest,
 		OnGroup: func(uint64, trainer.Group) { r.groups.Add(1) },
 	}
 	go func() {
@@ -74,9 +74,9 @@
 	require.NoError(r.c.t, r.err)
 	require.Len(r.c.t, r.steps, steps)
 	for i := range r.steps {
-		require.True(r.c.t, r.steps[i].Whole(), "step %d: %s", r.steps[i].Step, r.steps[i].Error)
+		require.True(r.c.t, r.steps[i].IsComplete(), "step %d: %s", r.steps[i].Step, r.steps[i].Error)
 	}
-	require.Zero(r.c.t, judge.Steps(r.steps, r.c.site.Engine.Lengths()))
+	require.Zero(r.c.t, judge.CheckSteps(r.steps, r.c.site.Engine.LengthModel()))
 	return r.steps
 }
 
@@ -90,7 +90,7 @@
 	r.waitGroups(8)
 	c.kill("engine-1")
 	r.waitGroups(16)
-	c.start(c.site.Get("engine-1"))
+	c.start(c.site.ByName("engine-1"))
 	c.kill("entry-1")
 	r.waitComplete(steps)
 }
@@ -102,12 +102,12 @@
 	const seed, steps = 32, 4
 	c := startCluster(t, options{seed: seed, engine: site.EngineModel{MeanTokens: 150}})
 	r := c.startTrainer(steps, 1, seed)
-	vm := c.site.Get("engine-1")
+	vm := c.site.ByName("engine-1")
 	r.waitGroups(8)
 	c.suspend(vm.Name)
-	c.suspend(vm.Beside)
+	c.suspend(vm.BackendServer)
 	r.waitGroups(24)
-	c.resume(vm.Beside)
+	c.resume(vm.BackendServer)
 	c.resume(vm.Name)
 	r.waitComplete(steps)
 }
--- a/e2e/traffic_test.go
+++ b/e2e/traffic_test.go
@@ -173,7 +173,7 @@
 	for i := range timed {
 		calls[i] = timed[i].Call
 	}
-	require.Zero(t.c.t, judge.Calls(calls, runs))
+	require.Zero(t.c.t, judge.CheckCalls(calls, runs))
 	checkOnce(t.c.t, timed, runs)
 	t.c.t.Logf("%d calls %v, %d runs", len(calls), countKinds(timed), len(runs))
 	return timed, runs
--- a/e2e/writes_test.go
+++ b/e2e/writes_test.go
@@ -27,7 +27,7 @@
 	w.waitAnswered(200)
 	c.kill("service-1")
 	w.waitAnswered(300)
-	c.start(c.site.Get("service-1")) // a new incarnation of the same VM
+	c.start(c.site.ByName("service-1")) // a new incarnation of the same VM
 	w.waitAnswered(300)
 	calls, runs := w.verify()
 	require.NotEmpty(t, runs)
--- a/entry/auth/auth.go
+++ b/entry/auth/auth.go
@@ -52,7 +52,7 @@
 	if refusal != nil {
 		return refusal
 	}
-	if v.Manifest.OperatorToken(token) {
+	if v.Manifest.IsOperatorToken(token) {
 		return nil
 	}
 	if v.Manifest.Fleet.OperatorSHA256 == "" {
--- a/entry/front/front.go
+++ b/entry/front/front.go
@@ -169,7 +169,7 @@
 	limits := limit.Limits{
 		Rate:          caller.Rate,
 		Burst:         caller.Burst,
-		MaxConcurrent: caller.Concurrent,
+		MaxConcurrent: caller.MaxConcurrent,
 		RetryPercent:  caller.RetryPercent,
 	}.Share(f.cfg.Entries())
 	now := f.cfg.Now()
--- a/entry/steps/held.go
+++ b/entry/steps/held.go
@@ -84,7 +84,7 @@
 	if !spansCover(done.GetSpans(), int(done.GetTokens())) {
 		return false
 	}
-	if oldestVersion(done) < st.floor || (!st.trainer.Mixed && len(done.GetSpans()) > 1) {
+	if oldestVersion(done) < st.floor || (!st.trainer.AllowMixed && len(done.GetSpans()) > 1) {
 		return false
 	}
 	won, cancels := st.plan.FinishedElsewhere(i, int(done.GetTokens()))
--- a/entry/steps/manifest_change_test.go
+++ b/entry/steps/manifest_change_test.go
@@ -30,7 +30,7 @@
 // POST, the trainer would get samples over two versions, which the manifest forbids.
 func TestMixedSwitchedOffMidStep(t *testing.T) {
 	inBubble(t, func(w *world) {
-		w.configureTrainer(func(tr *manifest.Trainer) { tr.Mixed = true })
+		w.configureTrainer(func(tr *manifest.Trainer) { tr.AllowMixed = true })
 		w.agents(2, 2, 20)
 		inForce, forbiddenRequests := false, 0
 		for _, a := range w.fleet.agents {
@@ -42,7 +42,7 @@
 			}
 		}
 		w.entry("a")
-		after(3*time.Second, func() { w.reconfigure(func(tr *manifest.Trainer) { tr.Mixed = false }) })
+		after(3*time.Second, func() { w.reconfigure(func(tr *manifest.Trainer) { tr.AllowMixed = false }) })
 		after(6*time.Second, func() {
 			for _, a := range w.fleet.agents {
 				a.mu.Lock()
--- a/entry/steps/run.go
+++ b/entry/steps/run.go
@@ -217,7 +217,7 @@
 	r := &run{
 		id: a.Run, action: a, sample: a.Sample, server: server,
 		attempt:        st.attempt,
-		allowMixed:     st.trainer.Mixed,
+		allowMixed:     st.trainer.AllowMixed,
 		request:        fmt.Sprintf("%s/%d/%d@%s", st.sampleName(sm), st.attempt, a.Run, s.cfg.Name),
 		parent:         st.runs[a.From],
 		agentMayResume: st.attempt > 1 && sm.partial == nil && a.Kind == straggle.Start,
--- a/entry/steps/schedule.go
+++ b/entry/steps/schedule.go
@@ -129,8 +129,8 @@
 	if !ok || current.Model != st.trainer.Model {
 		return
 	}
-	st.trainer.Mixed, st.trainer.StalenessBound = current.Mixed, current.StalenessBound
-	st.plan.UpdateSettings(current.Mixed, current.HedgePercent)
+	st.trainer.AllowMixed, st.trainer.StalenessBound = current.AllowMixed, current.StalenessBound
+	st.plan.UpdateSettings(current.AllowMixed, current.HedgePercent)
 }
 
 // activeSteps returns the steps that may get slots, in rotating order, and abandons
--- a/entry/steps/step.go
+++ b/entry/steps/step.go
@@ -144,7 +144,7 @@
 		NoLongestFirst: p.NoLongestFirst,
 		NoLateBinding:  p.NoLateBinding,
 	}
-	c.Mixed = t.Mixed
+	c.Mixed = t.AllowMixed
 	if v := s.cfg.View.View(); v != nil && v.Manifest != nil {
 		c.PreferNew = v.Manifest.Fleet.Weigh == manifest.WeighStaleness
 	}
--- a/entry/steps/world_test.go
+++ b/entry/steps/world_test.go
@@ -208,7 +208,7 @@
 	for _, e := range entries {
 		urls = append(urls, "http://"+e)
 	}
-	c, err := trainer.New(trainer.Config{Entries: urls, Token: secret, Wait: time.Second, Timeout: time.Second, HTTP: &http.Client{Transport: w}})
+	c, err := trainer.New(trainer.Config{Entries: urls, Token: secret, MaxWait: time.Second, Timeout: time.Second, HTTP: &http.Client{Transport: w}})
 	require.NoError(w.t, err)
 	return c
 }
--- a/gateway/duties/keeper.go
+++ b/gateway/duties/keeper.go
@@ -31,7 +31,7 @@
 type Config struct {
 	Duty   string // key of the duty's lease
 	Self   lease.Holder
-	Store  platform.Register
+	Store  platform.ConditionalKeyedStore
 	Timing lease.Timing
 	// RenewInterval is the pause between two renewals by the holder.
 	RenewInterval time.Duration
--- a/gateway/forward/forward_test.go
+++ b/gateway/forward/forward_test.go
@@ -91,7 +91,7 @@
 // say "not run".
 func TestUnsafeRequestRunsOnce(t *testing.T) {
 	for name, fault := range map[string]hostedtest.ServerFaults{
-		"fails": {Status: 500}, "no signature": {NoSeal: true}, "silent": {Silent: true},
+		"fails": {Status: 500}, "no signature": {NoSeal: true}, "silent": {Unresponsive: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			pf := gatewaytest.NewPlatform(t, 0, 3)
@@ -117,14 +117,14 @@
 func TestSilentServerIsHedged(t *testing.T) {
 	pf := gatewaytest.NewPlatform(t, 0, 2)
 	p := pf.NewProcess(t)
-	pf.Servers[0].Fail(hostedtest.ServerFaults{Silent: true})
+	pf.Servers[0].Fail(hostedtest.ServerFaults{Unresponsive: true})
 	for range 3 {
 		reply, err := p.Forward.Send(t.Context(), newCall(t, p, "r", "/score/x"))
 		require.Nil(t, err)
 		require.Equal(t, 200, reply.Status)
 	}
 	// The silent server is cancelled as soon as its answer is no longer needed.
-	require.Eventually(t, func() bool { return pf.Servers[0].Open() == 0 }, gatewaytest.MaxWait, time.Millisecond)
+	require.Eventually(t, func() bool { return pf.Servers[0].InFlight() == 0 }, gatewaytest.MaxWait, time.Millisecond)
 }
 
 // No more servers may run a request than the route allows.
@@ -176,17 +176,17 @@
 func TestCallerDisconnectCancelsServers(t *testing.T) {
 	pf := gatewaytest.NewPlatform(t, 0, 1)
 	p := pf.NewProcess(t)
-	pf.Servers[0].Fail(hostedtest.ServerFaults{Silent: true})
+	pf.Servers[0].Fail(hostedtest.ServerFaults{Unresponsive: true})
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
-		for pf.Servers[0].Open() == 0 {
+		for pf.Servers[0].InFlight() == 0 {
 			time.Sleep(time.Millisecond)
 		}
 		cancel()
 	}()
 	_, err := p.Forward.Send(ctx, newCall(t, p, "r", "/score/x"))
 	require.Equal(t, string(kinds.Cancelled), err.Kind())
-	require.Eventually(t, func() bool { return pf.Servers[0].Open() == 0 }, gatewaytest.MaxWait, time.Millisecond)
+	require.Eventually(t, func() bool { return pf.Servers[0].InFlight() == 0 }, gatewaytest.MaxWait, time.Millisecond)
 }
 
 func TestNoServerIsNotRun(t *testing.T) {
--- a/gateway/forward/stream.go
+++ b/gateway/forward/stream.go
@@ -39,7 +39,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	s := &streamState{
-		callState: f.newCallState(call), writer: w, lastEvent: hosted.Resumed(call.Header),
+		callState: f.newCallState(call), writer: w, lastEvent: hosted.LastEventID(call.Header),
 	}
 	defer func() { s.reportResult(nil) }()
 	defer s.usage.Done()
@@ -145,7 +145,7 @@
 	call := s.call
 	if s.status != 0 && s.lastEvent > 0 {
 		call.Header = call.Header.Clone()
-		hosted.SetResume(call.Header, s.lastEvent)
+		hosted.SetLastEventID(call.Header, s.lastEvent)
 	}
 	return call
 }
--- a/gateway/forward/stream_test.go
+++ b/gateway/forward/stream_test.go
@@ -56,7 +56,7 @@
 // is resumed at the other engine after the last event, so that the caller sees one
 // complete stream with each event once.
 func TestStreamResumesOnAnotherServer(t *testing.T) {
-	for name, faults := range map[string]hostedtest.ServerFaults{"breaks off": {BreakAfter: 2}, "falls silent": {Mute: 2}} {
+	for name, faults := range map[string]hostedtest.ServerFaults{"breaks off": {BreakAfter: 2}, "falls silent": {StallAfter: 2}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			pf := gatewaytest.NewPlatform(t, 2, 0)
@@ -102,7 +102,7 @@
 		engine.Events = 6
 	}
 	header := http.Header{}
-	hosted.SetResume(header, 2)
+	hosted.SetLastEventID(header, 2)
 	_, events, err := readStream(t, p, header)
 	require.ErrorIs(t, err, io.EOF)
 	requireEvents(t, events, 3, 6)
--- a/gateway/forward/usage_test.go
+++ b/gateway/forward/usage_test.go
@@ -47,7 +47,7 @@
 		{"refused by one server", []hostedtest.ServerFaults{{Refuse: true}, {}}, "/score/x", 1},
 		{"refused by all", []hostedtest.ServerFaults{{Refuse: true}}, "/score/x", 0},
 		{"failed at two servers", []hostedtest.ServerFaults{{Status: 500}, {Status: 500}}, "/score/x", 1},
-		{"silent at one server, answered by the next", []hostedtest.ServerFaults{{Silent: true}, {}}, "/score/x", 1},
+		{"silent at one server, answered by the next", []hostedtest.ServerFaults{{Unresponsive: true}, {}}, "/score/x", 1},
 		{"an answer without a signature", []hostedtest.ServerFaults{{NoSeal: true}}, "/write/x", 1},
 		{"a stream", []hostedtest.ServerFaults{{}}, "/chat/x", 1},
 	}
@@ -78,12 +78,12 @@
 func TestRequestOfDisconnectedCallerIsCounted(t *testing.T) {
 	pf := gatewaytest.NewPlatform(t, 0, 1)
 	p := pf.NewProcess(t)
-	pf.Servers[0].Fail(hostedtest.ServerFaults{Silent: true})
+	pf.Servers[0].Fail(hostedtest.ServerFaults{Unresponsive: true})
 	counter := usage.NewCounter(p.Store, "p", 5*time.Second, time.Now, func() int { return 1 }, zap.NewNop())
 	p.Forward.Usage = counter
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
-		for pf.Servers[0].Open() == 0 {
+		for pf.Servers[0].InFlight() == 0 {
 			time.Sleep(time.Millisecond)
 		}
 		cancel()
--- a/gateway/front/caller.go
+++ b/gateway/front/caller.go
@@ -22,7 +22,7 @@
 	if directory == nil {
 		return "", nil
 	}
-	key, single := hosted.Key(r.Header)
+	key, single := hosted.APIKey(r.Header)
 	hash := table.HashKey(key)
 	if single {
 		if o := directory.Find(hash); o != nil {
--- a/gateway/front/front.go
+++ b/gateway/front/front.go
@@ -228,7 +228,7 @@
 // an item, or its end.
 func (f *Front) serveJobCall(w http.ResponseWriter, r *http.Request, call hosted.Call) (int, *kinds.Error) {
 	switch call.Kind {
-	case hosted.CallEnd:
+	case hosted.CallTerminate:
 		left := callerTimeout(r)
 		ctx, cancel := context.WithTimeout(r.Context(), left-left/5)
 		defer cancel()
@@ -236,7 +236,7 @@
 			return 0, err
 		}
 		return writeJSON(w, []byte("{}")), nil
-	case hosted.CallBody:
+	case hosted.CallItemBody:
 		body, err := f.Jobs.Body(r.Context(), call.Job, call.Item)
 		if err != nil {
 			return 0, err
--- a/gateway/front/front_test.go
+++ b/gateway/front/front_test.go
@@ -131,7 +131,7 @@
 func TestDeadlineIsAnswered(t *testing.T) {
 	pf := gatewaytest.NewPlatform(t, 0, 1)
 	_, url := newFront(t, pf)
-	pf.Servers[0].Fail(hostedtest.ServerFaults{Silent: true})
+	pf.Servers[0].Fail(hostedtest.ServerFaults{Unresponsive: true})
 	resp, _ := send(t, "POST", url+"/score/x", map[string]string{hostedtest.HeaderAttempt: "r", hostedtest.HeaderDeadline: "200"}, nil)
 	require.Equal(t, 504, resp.StatusCode)
 	require.Empty(t, resp.Header.Get(hostedtest.HeaderNotExecuted))
@@ -185,7 +185,7 @@
 func TestDrainWaitsForRequests(t *testing.T) {
 	pf := gatewaytest.NewPlatform(t, 0, 1)
 	f, url := newFront(t, pf)
-	pf.Servers[0].Fail(hostedtest.ServerFaults{Silent: true})
+	pf.Servers[0].Fail(hostedtest.ServerFaults{Unresponsive: true})
 	answered := make(chan int)
 	go func() {
 		r, _ := http.NewRequest("POST", url+"/score/x", nil)
--- a/gateway/jobs/active_item.go
+++ b/gateway/jobs/active_item.go
@@ -27,7 +27,7 @@
 type activeItem struct {
 	job  *jobs.Job
 	item jobs.Item
-	size hosted.ItemSize
+	size hosted.ItemHints
 	// claim is the claim under which this process took the item. job.Claim changes as soon as
 	// another process has claimed the job: if it were used, this owner's last events would be
 	// stored under the claim of the next owner.
@@ -87,7 +87,7 @@
 func newActiveItem(j *jobs.Job, item jobs.Item, earlier jobs.Output) *activeItem {
 	now := time.Now()
 	return &activeItem{
-		job: j, claim: j.Claim, item: item, size: hosted.SizeOf(item.Header), events: earlier.Events, complete: earlier.Complete, failures: earlier.Failures,
+		job: j, claim: j.Claim, item: item, size: hosted.ItemHintsOf(item.Header), events: earlier.Events, complete: earlier.Complete, failures: earlier.Failures,
 		avoidUntil: map[string]time.Time{}, takenAt: now, waitingSince: now,
 	}
 }
@@ -139,7 +139,7 @@
 
 // sample describes the item for placement; remaining is the estimate of remainingEvents.
 func (a *activeItem) sample(remaining float64, now time.Time) place.Sample {
-	s := place.Sample{ID: a.item.ID, Model: a.model(), Floor: a.job.MinVersion, Remaining: remaining, Prompt: a.size.Shared, Rank: ageRank(a.job)}
+	s := place.Sample{ID: a.item.ID, Model: a.model(), Floor: a.job.MinVersion, Remaining: remaining, Prompt: a.size.SharedPrefix, Rank: ageRank(a.job)}
 	s.OnlyVersion = a.requiredVersion()
 	if a.phase == waiting {
 		s.Waited = now.Sub(a.waitingSince).Seconds()
--- a/gateway/jobs/history_test.go
+++ b/gateway/jobs/history_test.go
@@ -153,7 +153,7 @@
 
 // breakStore causes one fault after the other.
 func breakStore(ctx context.Context, s *hostedtest.Store) {
-	faults := []hostedtest.StoreFaults{{}, {LoseAppends: true}, {}, {Down: true}, {}, {LateAppends: 150 * time.Millisecond}}
+	faults := []hostedtest.StoreFaults{{}, {LoseAppends: true}, {}, {Down: true}, {}, {DelayAppends: 150 * time.Millisecond}}
 	for i := 0; ctx.Err() == nil; i++ {
 		s.Fail(faults[i%len(faults)])
 		select {
--- a/gateway/jobs/jobs_test.go
+++ b/gateway/jobs/jobs_test.go
@@ -133,7 +133,7 @@
 func TestSuccessorResumesFromLog(t *testing.T) {
 	t.Parallel()
 	pf := gatewaytest.NewPlatform(t, 1, 1)
-	pf.Engines[0].Pace, pf.Engines[0].Events = 30*time.Millisecond, 60
+	pf.Engines[0].EventInterval, pf.Engines[0].Events = 30*time.Millisecond, 60
 	a, b := newEntry(t, pf, "a"), newEntry(t, pf, "b")
 	a.submit(t, "j", 4, 1)
 	require.Eventually(t, func() bool { return reportedEvents(pf, "j") >= 12 }, gatewaytest.MaxWait, time.Millisecond)
@@ -168,7 +168,7 @@
 func TestDrainingOwnerHandsOverJobs(t *testing.T) {
 	t.Parallel()
 	pf := gatewaytest.NewPlatform(t, 1, 1)
-	pf.Engines[0].Pace, pf.Engines[0].Events = 10*time.Millisecond, 60
+	pf.Engines[0].EventInterval, pf.Engines[0].Events = 10*time.Millisecond, 60
 	a, b := newEntry(t, pf, "a"), newEntry(t, pf, "b")
 	a.submit(t, "j", 4, 1)
 	require.Eventually(t, func() bool { return reportedEvents(pf, "j") >= 6 }, gatewaytest.MaxWait, time.Millisecond)
@@ -184,7 +184,7 @@
 	t.Parallel()
 	pf := gatewaytest.NewPlatform(t, 3, 1)
 	pf.Engines[0].Fail(hostedtest.ServerFaults{BreakAfter: 2})
-	pf.Engines[1].Fail(hostedtest.ServerFaults{Mute: 2})
+	pf.Engines[1].Fail(hostedtest.ServerFaults{StallAfter: 2})
 	e := newEntry(t, pf, "a")
 	e.submit(t, "j", 12, 1)
 	requireComplete(t, e.results(t, "j", 12), 5)
@@ -248,7 +248,7 @@
 func TestWaitingReadReturnsLastResultsTogether(t *testing.T) {
 	t.Parallel()
 	pf := gatewaytest.NewPlatform(t, 1, 1)
-	pf.Engines[0].Fail(hostedtest.ServerFaults{Mute: 1})
+	pf.Engines[0].Fail(hostedtest.ServerFaults{StallAfter: 1})
 	e := newEntry(t, pf, "a")
 	e.submit(t, "j", 2, 1)
 	list := func(item string) {
@@ -303,7 +303,7 @@
 	config["routes"].([]map[string]any)[0][hostedtest.FieldSingleVersion] = true
 	pf.Store.Put(hostedtest.TopicOperator, "config", config)
 	for _, e := range pf.Engines {
-		e.Pace, e.Events = 5*time.Millisecond, 200
+		e.EventInterval, e.Events = 5*time.Millisecond, 200
 	}
 	return pf
 }
@@ -313,7 +313,7 @@
 	client := hosted.NewEngineClient(engine.Addr())
 	outcome, err := client.Order(t.Context(), hosted.LoadOrder{Server: engine.ID, Model: "m", Version: 2, Mode: hosted.LoadRetain, Holder: "test", Fence: 1})
 	require.NoError(t, err)
-	require.Equal(t, hosted.OrderTaken, outcome)
+	require.Equal(t, hosted.OrderAccepted, outcome)
 }
 
 // A route requires each sample to be made by one weight version. Its engine loads the next
@@ -365,12 +365,12 @@
 func TestEndedJobStops(t *testing.T) {
 	t.Parallel()
 	pf := gatewaytest.NewPlatform(t, 1, 1)
-	pf.Engines[0].Pace, pf.Engines[0].Events = 20*time.Millisecond, 10_000
+	pf.Engines[0].EventInterval, pf.Engines[0].Events = 20*time.Millisecond, 10_000
 	a, b := newEntry(t, pf, "a"), newEntry(t, pf, "b")
 	a.submit(t, "j", 4, 1)
-	require.Eventually(t, func() bool { return pf.Engines[0].Open() == 4 }, gatewaytest.MaxWait, time.Millisecond)
+	require.Eventually(t, func() bool { return pf.Engines[0].InFlight() == 4 }, gatewaytest.MaxWait, time.Millisecond)
 	require.Nil(t, b.service.End(t.Context(), "j"))
-	require.Eventually(t, func() bool { return pf.Engines[0].Open() == 0 }, gatewaytest.MaxWait, time.Millisecond)
+	require.Eventually(t, func() bool { return pf.Engines[0].InFlight() == 0 }, gatewaytest.MaxWait, time.Millisecond)
 	require.Nil(t, b.service.End(t.Context(), "j"), "ending the job a second time")
 	require.Eventually(t, func() bool {
 		_, err := a.service.Body(t.Context(), "j", "j-i0")
@@ -383,13 +383,13 @@
 func TestResubmittedGroupResumes(t *testing.T) {
 	t.Parallel()
 	pf := gatewaytest.NewPlatform(t, 1, 1)
-	pf.Engines[0].Pace, pf.Engines[0].Events = 10*time.Millisecond, 80
+	pf.Engines[0].EventInterval, pf.Engines[0].Events = 10*time.Millisecond, 80
 	e := newEntry(t, pf, "a")
 	head, items := decode(t, "j1", hostedtest.Job("x", "m", 2, 1))
 	require.Nil(t, e.service.Submit(t.Context(), head, items))
 	require.Eventually(t, func() bool { return reportedEvents(pf, "j1") >= 12 }, gatewaytest.MaxWait, time.Millisecond)
 	require.Nil(t, e.service.End(t.Context(), "j1"))
-	require.Eventually(t, func() bool { return pf.Engines[0].Open() == 0 }, gatewaytest.MaxWait, time.Millisecond)
+	require.Eventually(t, func() bool { return pf.Engines[0].InFlight() == 0 }, gatewaytest.MaxWait, time.Millisecond)
 	head.ID = "j2"
 	require.Nil(t, e.service.Submit(t.Context(), head, items))
 	requireComplete(t, e.results(t, "j2", 2), 80)
@@ -441,7 +441,7 @@
 	a := newEntry(t, pf, "a")
 	a.submit(t, "old", 2, 1)
 	a.results(t, "old", 2)
-	pf.Store.Forget(jobs.Stream)
+	pf.Store.Truncate(jobs.Stream)
 	b := newEntry(t, pf, "b")
 	b.submit(t, "new", 2, 1)
 	requireComplete(t, a.results(t, "new", 2), 5)
--- a/gateway/jobs/outage_test.go
+++ b/gateway/jobs/outage_test.go
@@ -22,7 +22,7 @@
 func TestDrainingOwnerContinuesInOutage(t *testing.T) {
 	t.Parallel()
 	pf := gatewaytest.NewPlatform(t, 1, 1)
-	pf.Engines[0].Pace, pf.Engines[0].Events = 10*time.Millisecond, 300
+	pf.Engines[0].EventInterval, pf.Engines[0].Events = 10*time.Millisecond, 300
 	a, b := newEntry(t, pf, "a"), newEntry(t, pf, "b")
 	a.submit(t, "j", 4, 1)
 	require.Eventually(t, func() bool { return reportedEvents(pf, "j") >= 6 }, gatewaytest.MaxWait, time.Millisecond)
@@ -31,7 +31,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 	defer cancel()
 	require.False(t, a.runner.WaitDrained(ctx))
-	require.Equal(t, 4, pf.Engines[0].Open())
+	require.Equal(t, 4, pf.Engines[0].InFlight())
 	pf.Store.Fail(hostedtest.StoreFaults{})
 	require.True(t, a.runner.WaitDrained(t.Context()))
 	requireComplete(t, b.results(t, "j", 4), 300)
@@ -44,10 +44,10 @@
 func TestSlowStoreCausesNoClaims(t *testing.T) {
 	t.Parallel()
 	pf := gatewaytest.NewPlatform(t, 1, 1)
-	pf.Engines[0].Pace, pf.Engines[0].Events = 50*time.Millisecond, 100
+	pf.Engines[0].EventInterval, pf.Engines[0].Events = 50*time.Millisecond, 100
 	a, b := newEntry(t, pf, "a"), newEntry(t, pf, "b")
 	a.submit(t, "j", 4, 1)
-	pf.Store.Fail(hostedtest.StoreFaults{SlowAppends: 700 * time.Millisecond})
+	pf.Store.Fail(hostedtest.StoreFaults{AppendTime: 700 * time.Millisecond})
 	requireComplete(t, b.results(t, "j", 4), 100)
 	requireNoClaims(t, pf)
 }
@@ -67,7 +67,7 @@
 	t.Parallel()
 	pf := gatewaytest.NewPlatform(t, 1, 1)
 	e := newEntry(t, pf, "a")
-	pf.Store.Fail(hostedtest.StoreFaults{LateAppends: 300 * time.Millisecond, Topic: jobs.Stream})
+	pf.Store.Fail(hostedtest.StoreFaults{DelayAppends: 300 * time.Millisecond, Topic: jobs.Stream})
 	head, items := decode(t, "j", hostedtest.Job("j", "m", 2, 1))
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
--- a/gateway/jobs/partition_outage_test.go
+++ b/gateway/jobs/partition_outage_test.go
@@ -24,7 +24,7 @@
 		t.Run(unavailable, func(t *testing.T) {
 			t.Parallel()
 			pf := gatewaytest.NewPlatform(t, 1, 1)
-			pf.Engines[0].Pace, pf.Engines[0].Events = 50*time.Millisecond, 100
+			pf.Engines[0].EventInterval, pf.Engines[0].Events = 50*time.Millisecond, 100
 			a, b := newEntry(t, pf, "a"), newEntry(t, pf, "b")
 			for i := range 3 {
 				a.submit(t, fmt.Sprint("j", i), 2, 1)
@@ -32,7 +32,7 @@
 			require.Eventually(t, func() bool {
 				return reportedEvents(pf, "j0") > 0 && reportedEvents(pf, "j1") > 0 && reportedEvents(pf, "j2") > 0
 			}, gatewaytest.MaxWait, time.Millisecond)
-			pf.Store.Fail(hostedtest.StoreFaults{Away: []string{unavailable}})
+			pf.Store.Fail(hostedtest.StoreFaults{UnavailableTopics: []string{unavailable}})
 			for i := range 3 {
 				requireComplete(t, b.results(t, fmt.Sprint("j", i), 2), 100)
 			}
@@ -54,7 +54,7 @@
 				unavailable = append(unavailable, part)
 			}
 		}
-		pf.Store.Fail(hostedtest.StoreFaults{Away: unavailable})
+		pf.Store.Fail(hostedtest.StoreFaults{UnavailableTopics: unavailable})
 		for k := range 3 {
 			id := fmt.Sprintf("j%d%d", i, k)
 			require.True(t, a.accepts(t, id))
--- a/gateway/jobs/plan_bench_test.go
+++ b/gateway/jobs/plan_bench_test.go
@@ -35,7 +35,7 @@
 		for i, id := range j.Order {
 			item := newActiveItem(j, jobs.Item{Request: jobs.Request{ID: id, Host: "app.example", Path: "/chat/" + id}, Group: a.Items[i].Group}, jobs.Output{})
 			item.lastEventAt, item.streamEvents = now.Add(time.Hour), 1 // not silent
-			item.size.Model, item.size.Expected = "m", 100+i
+			item.size.Model, item.size.ExpectedOutput = "m", 100+i
 			item.phase, item.server = running, servers[i%engines].ID
 			active[id] = item
 		}
@@ -43,7 +43,7 @@
 	}
 	for i := range 30 {
 		item := r.active["j0"]["j0-000"]
-		item.size.Expected, item.events = 50+i, make([]jobs.Event, 10+i)
+		item.size.ExpectedOutput, item.events = 50+i, make([]jobs.Event, 10+i)
 		r.observeLength(item)
 		item.events = nil
 	}
--- a/gateway/jobs/ranking.go
+++ b/gateway/jobs/ranking.go
@@ -18,14 +18,14 @@
 		lengths = &place.LengthEstimator{}
 		r.lengths[a.model()] = lengths
 	}
-	lengths.Observe(float64(a.size.Expected), float64(len(a.events)))
+	lengths.Observe(float64(a.size.ExpectedOutput), float64(len(a.events)))
 }
 
 // estimateEvents returns the estimated number of events of an item's text. It returns false if
 // too few texts of its model are known: the number is then the hint, in tokens, which can only
 // be compared with other hints.
 func (r *Runner) estimateEvents(a *activeItem) (float64, bool) {
-	hint := float64(a.size.Expected)
+	hint := float64(a.size.ExpectedOutput)
 	if lengths := r.lengths[a.model()]; lengths != nil {
 		if events, known := lengths.Estimate(hint); known {
 			return events, true
--- a/gateway/jobs/slowstore_test.go
+++ b/gateway/jobs/slowstore_test.go
@@ -59,13 +59,13 @@
 	t.Logf("%+v", o)
 	pf := gatewaytest.NewPlatform(t, 2, 1)
 	for _, e := range pf.Engines {
-		e.Pace, e.Events = 5*time.Millisecond, 40
+		e.EventInterval, e.Events = 5*time.Millisecond, 40
 	}
 	var entries []*entry
 	for i := range o.entries {
 		entries = append(entries, newEntry(t, pf, fmt.Sprintf("n%d", i)))
 	}
-	pf.Store.Fail(hostedtest.StoreFaults{ReadsPerS: o.readsPerS, SlowReads: o.slow})
+	pf.Store.Fail(hostedtest.StoreFaults{MaxReadsPerSecond: o.readsPerS, ReadTime: o.slow})
 	var accepted []string
 	for i := range o.jobs {
 		id := fmt.Sprintf("j%d", i)
@@ -78,7 +78,7 @@
 		entries[i] = startEntry(t, pf, fmt.Sprintf("n%d", i), "2")
 	}
 	if o.unavailable != nil {
-		pf.Store.Fail(hostedtest.StoreFaults{ReadsPerS: o.readsPerS, SlowReads: o.slow, Away: o.unavailable})
+		pf.Store.Fail(hostedtest.StoreFaults{MaxReadsPerSecond: o.readsPerS, ReadTime: o.slow, UnavailableTopics: o.unavailable})
 	}
 	for _, e := range entries {
 		for _, id := range accepted {
--- a/gateway/jobs/stream.go
+++ b/gateway/jobs/stream.go
@@ -101,7 +101,7 @@
 	hosted.SetAttemptID(header, item.ID)
 	hosted.SetExpectedServer(header, s.serverName)
 	if s.resumedAfter > 0 {
-		hosted.SetResume(header, s.resumedAfter)
+		hosted.SetLastEventID(header, s.resumedAfter)
 	}
 	return &backend.Request{Method: http.MethodPost, URI: item.Path, Host: item.Host, Header: header, Body: item.Body, ID: item.ID}
 }
@@ -306,7 +306,7 @@
 	now := time.Now()
 	r.zlog.Info("Sample done.", zap.String("id", a.item.ID), zap.String("job", a.job.ID), zap.Bool("given_up", result.GivenUp),
 		zap.Int("events", len(a.events)), zap.Uint64s("versions", result.Versions), zap.Uint64("floor", a.job.MinVersion),
-		zap.String("server", a.server), zap.Uint64("streams", a.streamNumber), zap.Int("hint", a.size.Expected),
+		zap.String("server", a.server), zap.Uint64("streams", a.streamNumber), zap.Int("hint", a.size.ExpectedOutput),
 		zap.Duration("waited", a.firstStreamAt.Sub(a.takenAt)), zap.Duration("streamed", a.textCompleteAt.Sub(a.firstStreamAt)), zap.Duration("scored", now.Sub(a.textCompleteAt)))
 	r.out.addResult(a.job, a.claim, result)
 }
--- a/gateway/orders/orders.go
+++ b/gateway/orders/orders.go
@@ -288,16 +288,16 @@
 	start := time.Now()
 	o := hosted.LoadOrder{
 		Server: self.Name, Model: target.Model, Version: target.Version, Mode: a.loadMode(snap, self.Service),
-		Holder: a.cfg.VM, Fence: a.fencingToken, After: report.Orders,
+		Holder: a.cfg.VM, Fence: a.fencingToken, ExpectedOrders: report.Orders,
 	}
 	a.publish(ctx, jobs.Engine{Server: self.ID, Model: target.Model, Version: target.Version, Loading: true})
 	outcome, err := a.cfg.Engine.Order(ctx, o)
 	a.log.Info("Ordered the engine to load weights.", zap.String("server", self.ID), zap.String("model", o.Model), zap.Uint64("version", o.Version),
 		zap.Uint64("from", report.Versions[o.Model]), zap.String("mode", string(o.Mode)), zap.Uint64("fence", o.Fence),
-		zap.Uint64("after", o.After), zap.Bool("urgent", target.Urgent), zap.Duration("load_time", a.loadTime.LoadTime()), zap.Int("running", report.Running),
+		zap.Uint64("after", o.ExpectedOrders), zap.Bool("urgent", target.Urgent), zap.Duration("load_time", a.loadTime.LoadTime()), zap.Int("running", report.Running),
 		zap.Uint8("outcome", uint8(outcome)), zap.Error(err))
 	switch outcome {
-	case hosted.OrderTaken, hosted.OrderHolds:
+	case hosted.OrderAccepted, hosted.OrderAlreadyLoaded:
 		ordersTaken.Add(1)
 	case hosted.OrderRefused:
 		ordersRefused.Add(1)
@@ -314,11 +314,11 @@
 		a.log.Info("The engine was restarted during an order.", zap.String("server", self.ID), zap.Time("born", after.StartedAt))
 		return busyInterval
 	}
-	if after.Versions[o.Model] >= o.Version && outcome == hosted.OrderTaken {
+	if after.Versions[o.Model] >= o.Version && outcome == hosted.OrderAccepted {
 		a.loadTime.ObserveOwn(time.Since(start))
 	}
 	a.publishServed(ctx, self.ID, after)
-	if outcome != hosted.OrderTaken && outcome != hosted.OrderHolds {
+	if outcome != hosted.OrderAccepted && outcome != hosted.OrderAlreadyLoaded {
 		return busyInterval
 	}
 	return time.Millisecond
--- a/gateway/usage/counter.go
+++ b/gateway/usage/counter.go
@@ -50,7 +50,7 @@
 // Counter counts the requests of this process and publishes the counts as its tally. It is safe
 // for concurrent use.
 type Counter struct {
-	store        platform.Keyed
+	store        platform.KeyedStore
 	process      string        // identifies this incarnation of the process
 	length       time.Duration // of a window
 	now          func() time.Time
@@ -73,7 +73,7 @@
 // NewCounter returns a counter for windows of a given length. process identifies this
 // incarnation of the process, now returns the time of day, and processCount returns the number
 // of processes that publish tallies.
-func NewCounter(store platform.Keyed, process string, length time.Duration, now func() time.Time, processCount func() int, log *zap.Logger) *Counter {
+func NewCounter(store platform.KeyedStore, process string, length time.Duration, now func() time.Time, processCount func() int, log *zap.Logger) *Counter {
 	return &Counter{
 		store: store, process: process, length: length, now: now, processCount: processCount, log: log,
 		windows: map[usage.Window]usage.Counts{}, running: map[usage.Window]int{}, published: usage.WindowAt(now(), length),
--- a/gateway/usage/reporter.go
+++ b/gateway/usage/reporter.go
@@ -53,8 +53,8 @@
 // accepted, so that every process sends the same report for it, however often it is sent.
 type Reporter struct {
 	Keeper       *duties.Keeper
-	Store        platform.Register
-	Platform     platform.UsageReports
+	Store        platform.ConditionalKeyedStore
+	Platform     platform.UsageReporter
 	VM           string
 	WindowLength time.Duration
 	WaitLimits   usage.WaitLimits // without AfterOutage
--- a/gateway/usage/usage_test.go
+++ b/gateway/usage/usage_test.go
@@ -42,7 +42,7 @@
 	s := &cluster{t: t, store: hostedtest.NewStore(), api: hostedtest.NewDuties(minTurnInterval)}
 	t.Cleanup(s.store.Close)
 	t.Cleanup(s.api.Close)
-	t.Cleanup(func() { require.Empty(t, s.api.Broken()) })
+	t.Cleanup(func() { require.Empty(t, s.api.Violations()) })
 	return s
 }
 
@@ -138,7 +138,7 @@
 	a := s.startProcess("a")
 	s.waitHolds(a)
 	b := s.startProcess("b")
-	s.api.Fail(hostedtest.DutyFaults{Lose: true})
+	s.api.Fail(hostedtest.DutyFaults{LoseAnswers: true})
 	a.runRequest("shop")
 	b.runRequest("shop")
 	calls := s.api.Calls()
@@ -179,10 +179,10 @@
 func TestFirstHolderReportsFromItsStart(t *testing.T) {
 	s := newCluster(t)
 	const reports = "keyed.usage-reports"
-	s.store.Fail(hostedtest.StoreFaults{Away: []string{reports}})
+	s.store.Fail(hostedtest.StoreFaults{UnavailableTopics: []string{reports}})
 	a := s.startProcess("a")
 	s.waitHolds(a)
-	s.store.Fail(hostedtest.StoreFaults{Away: []string{reports}, ReadOnly: true})
+	s.store.Fail(hostedtest.StoreFaults{UnavailableTopics: []string{reports}, ReadOnly: true})
 	a.runRequest("shop")
 	later := time.Now().Add(2 * window)
 	require.Eventually(t, func() bool { return time.Now().After(later) }, gatewaytest.MaxWait, time.Millisecond)
@@ -201,7 +201,7 @@
 	a := s.startProcess("a")
 	s.waitHolds(a)
 	term, _ := a.keeper.Term()
-	for _, fault := range []hostedtest.StoreFaults{{LoseAppends: true}, {Down: true}, {LateAppends: 300 * time.Millisecond}} {
+	for _, fault := range []hostedtest.StoreFaults{{LoseAppends: true}, {Down: true}, {DelayAppends: 300 * time.Millisecond}} {
 		s.store.Fail(fault)
 		a.runRequest("shop")
 		require.Eventually(t, func() bool { return !a.keeper.MayAct(term, 0) || fault.LoseAppends }, gatewaytest.MaxWait, time.Millisecond)
--- a/gateway/view/unreadable.go
+++ b/gateway/view/unreadable.go
@@ -55,8 +55,8 @@
 // logUnreadable counts a record that can't be decoded, and logs it the first time.
 func (v *View) logUnreadable(feed platform.Feed, c platform.Change) {
 	unreadable.Add(1)
-	if v.unreadable.shouldLog(unreadableRecord{feed, c.Gone, c.Offset}) {
-		v.log.Warn("A record can't be read and is left out.", zap.Stringer("feed", feed), zap.String("key", c.Gone),
+	if v.unreadable.shouldLog(unreadableRecord{feed, c.RemovedServer, c.Offset}) {
+		v.log.Warn("A record can't be read and is left out.", zap.Stringer("feed", feed), zap.String("key", c.RemovedServer),
 			zap.Uint64("offset", c.Offset), zap.Error(c.Err))
 	}
 }
--- a/gateway/view/view.go
+++ b/gateway/view/view.go
@@ -297,13 +297,13 @@
 		switch {
 		case c.Err != nil:
 			v.logUnreadable(platform.FeedServers, c)
-			v.servers.Remove(c.Gone, v.now())
+			v.servers.Remove(c.RemovedServer, v.now())
 		case c.Server != nil:
 			v.logServer(*c.Server)
 			v.servers.Put(*c.Server)
-		case c.Gone != "":
-			v.log.Info("A backend server's entry was removed.", zap.String("server", c.Gone), zap.Uint64("offset", c.Offset))
-			v.servers.Remove(c.Gone, v.now())
+		case c.RemovedServer != "":
+			v.log.Info("A backend server's entry was removed.", zap.String("server", c.RemovedServer), zap.Uint64("offset", c.Offset))
+			v.servers.Remove(c.RemovedServer, v.now())
 		}
 	}
 	v.publishServers()
--- a/gateway/view/view_test.go
+++ b/gateway/view/view_test.go
@@ -62,13 +62,13 @@
 	f.update(func(f *memoryFeeds) {
 		c.Offset = uint64(len(f.changes[feed]))
 		f.changes[feed] = append(f.changes[feed], c)
-		if c.Gone == "" {
+		if c.RemovedServer == "" {
 			f.newest[feed] = append(f.newest[feed], c)
 			return
 		}
 		kept := f.newest[feed][:0:0]
 		for _, old := range f.newest[feed] {
-			if old.Server.Name != c.Gone {
+			if old.Server.Name != c.RemovedServer {
 				kept = append(kept, old)
 			}
 		}
@@ -161,7 +161,7 @@
 		time.Sleep(100 * time.Millisecond)
 		require.Len(t, v.Current().Servers["s"], 2)
 		f.update(func(f *memoryFeeds) { f.stalled = true })
-		f.add(platform.FeedServers, platform.Change{Gone: "a"})
+		f.add(platform.FeedServers, platform.Change{RemovedServer: "a"})
 		time.Sleep(snapshotInterval + pollWait + 100*time.Millisecond)
 		require.Len(t, v.Current().Servers["s"], 1)
 	})
@@ -179,8 +179,8 @@
 		f.update(func(f *memoryFeeds) { f.down = true })
 		time.Sleep(5 * time.Second)
 		require.Len(t, v.Current().Servers["s"], 2)
-		f.add(platform.FeedServers, platform.Change{Gone: "lives"})
-		f.add(platform.FeedServers, platform.Change{Gone: "dead"})
+		f.add(platform.FeedServers, platform.Change{RemovedServer: "lives"})
+		f.add(platform.FeedServers, platform.Change{RemovedServer: "dead"})
 		f.update(func(f *memoryFeeds) { f.down = false })
 		time.Sleep(time.Second)
 		require.Len(t, v.Current().Servers["s"], 2, "one second after the outage")
@@ -220,7 +220,7 @@
 		var loops sync.WaitGroup
 		loops.Go(func() { v.Run(ctx) })
 		time.Sleep(100 * time.Millisecond)
-		bad := platform.Change{Gone: "a", Err: errors.New("no server")}
+		bad := platform.Change{RemovedServer: "a", Err: errors.New("no server")}
 		f.update(func(f *memoryFeeds) {
 			f.changes[platform.FeedServers] = append(f.changes[platform.FeedServers], bad)
 			f.newest[platform.FeedServers] = []platform.Change{bad, server("b")}
--- a/load/client/client.go
+++ b/load/client/client.go
@@ -154,9 +154,9 @@
 	return &e.Error
 }
 
-// WasCut tells whether the request was cut off after it had been sent. A
+// WasInterrupted tells whether the request was cut off after it had been sent. A
 // refusal, a deadline and a backend server's own error are no cut.
-func (r *Result) WasCut() bool {
+func (r *Result) WasInterrupted() bool {
 	if r.Fault != "" {
 		return !r.NeverSent
 	}
--- a/load/client/completion.go
+++ b/load/client/completion.go
@@ -36,7 +36,7 @@
 	Text   string
 	Spans  []truth.Span
 	Finish string // "" when the answer broke off
-	Events int    // SSE events with text
+	TextEvents int    // SSE events with text
 }
 
 // completionEvent is an answer, or one event of a streamed one.
@@ -58,7 +58,7 @@
 			t.Finish = *c.FinishReason
 		}
 		if c.Text != "" {
-			t.Events++
+			t.TextEvents++
 		}
 	}
 	if e.Dandelion != nil {
--- a/load/commands/commands.go
+++ b/load/commands/commands.go
@@ -46,17 +46,17 @@
 		o          site.Options
 		deployment string
 	)
-	o.PublicKey, _ = site.Key()
+	o.PublicKey, _ = site.SigningKey()
 	return command("site", "Lay a site out: settings files, site.json and plan.txt (which says what to start).",
 		func(fs *flag.FlagSet) {
 			fs.StringVar(&deployment, "deployment", "small", "spolek, lentelar or small")
-			fs.IntVar(&o.Net, "net", 7, "second octet of the loopback addresses")
+			fs.IntVar(&o.NetOctet, "net", 7, "second octet of the loopback addresses")
 			fs.StringVar(&o.Dir, "dir", "run/site", "folder for settings and logs")
-			fs.StringVar(&o.Bin, "bin", "bin", "folder of the binaries")
+			fs.StringVar(&o.BinDir, "bin", "bin", "folder of the binaries")
 			fs.StringVar(&o.Policy, "policy", "dandelionsill", "mechanisms that are on")
 			fs.Uint64Var(&o.Seed, "seed", 1, "seed of the stand-ins")
 			fs.Float64Var(&o.TimeScale, "time-scale", 1, "factor on the engines' durations")
-			fs.Float64Var(&o.StoreBPS, "store-bytes-per-s", 0, "rate of the weight store; 0: no limit")
+			fs.Float64Var(&o.StoreBytesPerSecond, "store-bytes-per-s", 0, "rate of the weight store; 0: no limit")
 			fs.IntVar(&o.WeightSize, "weight-bytes", 1<<20, "size of a weight version")
 			fs.Float64Var(&o.Engine.MeanTokens, "mean-tokens", 0, "mean length of a sample; 0: the default")
 			fs.IntVar(&o.Engine.ChunkTokens, "chunk-tokens", 0, "tokens that an engine sends at once; 0: the default")
@@ -71,7 +71,7 @@
 			if err != nil {
 				return errors.Trace(err)
 			}
-			if err := s.CheckFree(); err != nil {
+			if err := s.CheckAddressesFree(); err != nil {
 				return errors.Trace(err)
 			}
 			fmt.Fprintf(w, "%s: %d processes laid out in %s\n", s.Deployment.Name, len(s.Processes), s.Dir)
@@ -102,11 +102,11 @@
 			ctx, cancel := context.WithTimeout(ctx, timeout)
 			defer cancel()
 			started := time.Now()
-			if err := s.Up(ctx); err != nil {
+			if err := s.BringUp(ctx); err != nil {
 				return errors.Trace(err)
 			}
 			fmt.Fprintf(w, "%s: %d agents and entries ready after %.1fs\n",
-				s.Deployment.Name, len(s.Nodes()), time.Since(started).Seconds())
+				s.Deployment.Name, len(s.AgentsAndEntries()), time.Since(started).Seconds())
 			return nil
 		})
 }
@@ -120,13 +120,13 @@
 		func(fs *flag.FlagSet) {
 			siteFlags(fs, &dir)
 			fs.StringVar(&scenario, "scenario", "steady", "what happens during the run")
-			fs.DurationVar(&cfg.For, "for", 10*time.Second, "no step or call begins later")
+			fs.DurationVar(&cfg.Duration, "for", 10*time.Second, "no step or call begins later")
 			fs.Uint64Var(&cfg.Seed, "seed", 1, "seed of prompts, arrivals and kinds of calls")
 			fs.IntVar(&cfg.Workload.Groups, "groups", 0, "groups of a step; 0: the default")
 			fs.IntVar(&cfg.Workload.Samples, "samples", 0, "samples of a group; 0: the default")
 			fs.IntVar(&cfg.Workload.MaxTokens, "max-tokens", 0, "of a sample; 0: the default")
 			fs.IntVar(&cfg.Workload.PromptChars, "prompt-chars", 0, "length of a prompt; 0: the default")
-			fs.IntVar(&cfg.Workload.Ahead, "ahead", 0, "steps that may be whole but not trained when the next is asked for")
+			fs.IntVar(&cfg.Workload.MaxAhead, "ahead", 0, "steps that may be whole but not trained when the next is asked for")
 			fs.StringVar(&out, "out", "", "file for the row; empty: row.json in the site's folder")
 		},
 		func(ctx context.Context) error {
--- a/load/commands/judge.go
+++ b/load/commands/judge.go
@@ -29,7 +29,7 @@
 	calls, completions, steps string // records of this program
 	trainer                   string // records of the trainer stand-in
 	services                  string
-	lengths                   judge.Lengths
+	lengths                   judge.LengthModel
 	bound                     uint64
 	version                   uint64
 }
@@ -77,9 +77,9 @@
 		return errors.Trace(err)
 	}
 	var c judge.Counts
-	c.Add(judge.Calls(calls, runs))
-	c.Add(judge.Completions(completions, f.lengths))
-	c.Add(judge.Steps(steps, f.lengths))
+	c.Add(judge.CheckCalls(calls, runs))
+	c.Add(judge.CheckCompletions(completions, f.lengths))
+	c.Add(judge.CheckSteps(steps, f.lengths))
 	tellCalls(w, calls, completions, len(runs))
 	newest := tellSteps(w, steps)
 	if err := tell(w, c); err != nil {
@@ -119,8 +119,8 @@
 		}
 		if s := rec.Step; s != nil {
 			steps = append(steps, judge.Step{
-				Trainer: "trainer", Step: s.Step, Newest: newest, Bound: bound, Asked: s.Samples - s.Duplicated + s.Lost,
-				Took: time.Duration(s.MakespanMS * float64(time.Millisecond)), Samples: samples,
+				Trainer: "trainer", Step: s.Step, Newest: newest, Bound: bound, Requested: s.Samples - s.Duplicated + s.Lost,
+				Duration: time.Duration(s.MakespanMS * float64(time.Millisecond)), Samples: samples,
 			})
 			samples = nil
 		}
@@ -172,7 +172,7 @@
 			}
 		}
 		fmt.Fprintf(w, "%s step %d: %d of %d samples after %.0f ms, newest weights %d, tokens by version %v %s\n",
-			s.Trainer, s.Step, len(s.Samples), s.Asked, s.Took.Seconds()*1000, s.Newest, tokens, s.Error)
+			s.Trainer, s.Step, len(s.Samples), s.Requested, s.Duration.Seconds()*1000, s.Newest, tokens, s.Error)
 	}
 	return newest
 }
@@ -207,7 +207,7 @@
 			continue
 		}
 		var t service.Truth
-		if err := site.Send(ctx, http.MethodGet, url+"/truth", nil, &t); err != nil {
+		if err := site.SendJSON(ctx, http.MethodGet, url+"/truth", nil, &t); err != nil {
 			return nil, errors.Trace(err)
 		}
 		runs = append(runs, t.List...)
--- a/load/commands/setup.go
+++ b/load/commands/setup.go
@@ -45,7 +45,7 @@
 				if err != nil {
 					return errors.Trace(err)
 				}
-				if err := site.Send(ctx, http.MethodPut, *vms+"/vms/"+vm.Name, vm, nil); err != nil {
+				if err := site.SendJSON(ctx, http.MethodPut, *vms+"/vms/"+vm.Name, vm, nil); err != nil {
 					return errors.Annotate(err, file)
 				}
 				fmt.Fprintf(w, "%s %s at %s is %s\n", vm.Role, vm.Name, vm.Addr, vm.State)
--- a/load/commands/step.go
+++ b/load/commands/step.go
@@ -37,7 +37,7 @@
 			fs.Uint64Var(&cfg.Bound, "bound", 2, "staleness bound in the manifest, for judge")
 			fs.Uint64Var(&cfg.Seed, "seed", 1, "seed of prompts and samples")
 			fs.DurationVar(&cfg.StepTimeout, "timeout", time.Minute, "a step that takes longer is lost")
-			fs.DurationVar(&cfg.Train, "train", 0, "the trainer's own work after a step")
+			fs.DurationVar(&cfg.TrainTime, "train", 0, "the trainer's own work after a step")
 			fs.IntVar(&cfg.PublishEvery, "publish-every", 0, "new weights after so many steps; 0: never")
 			fs.IntVar(&cfg.WeightBytes, "weight-bytes", 1<<20, "size of new weights")
 			fs.Uint64Var(&newest, "newest", 1, "the trainer's newest version at the start")
@@ -45,11 +45,11 @@
 		},
 		func(ctx context.Context) error {
 			cfg.Entries = strings.Split(entries, ",")
-			cfg.Newest = &atomic.Uint64{}
-			cfg.Newest.Store(newest)
+			cfg.NewestVersion = &atomic.Uint64{}
+			cfg.NewestVersion.Store(newest)
 			cfg.OnStep = func(s judge.Step) {
 				fmt.Fprintf(w, "step %d: %d of %d samples after %.0f ms, newest version %d %s\n",
-					s.Step, len(s.Samples), s.Asked, s.Took.Seconds()*1000, s.Newest, s.Error)
+					s.Step, len(s.Samples), s.Requested, s.Duration.Seconds()*1000, s.Newest, s.Error)
 			}
 			steps, err := rollout.Run(ctx, cfg)
 			return firstError(err, save(out, steps))
--- a/load/commands/traffic.go
+++ b/load/commands/traffic.go
@@ -93,7 +93,7 @@
 		return show(w, one(ctx, c, rand.New(rand.NewPCG(t.seed, 0))))
 	}
 	sums := newOutcomes()
-	cfg := openloop.Config{Rate: t.rate, For: t.length, MaxInFlight: maxInFlight, Seed: t.seed}
+	cfg := openloop.Config{Rate: t.rate, Duration: t.length, MaxInFlight: maxInFlight, Seed: t.seed}
 	_, dropped := openloop.Run(ctx, cfg, func(ctx context.Context, i int) {
 		sums.add(one(ctx, c, rand.New(rand.NewPCG(t.seed, uint64(i)))))
 	})
@@ -185,7 +185,7 @@
 				ask.Seed = rng.Uint64() >> 1
 				r, text := c.Complete(ctx, ask, nil)
 				if t.rate <= 0 && r.OK() {
-					r.Body = fmt.Appendf(nil, "%d events, finish %s, label %v: %s", text.Events, text.Finish, text.Spans, text.Text)
+					r.Body = fmt.Appendf(nil, "%d events, finish %s, label %v: %s", text.TextEvents, text.Finish, text.Spans, text.Text)
 				}
 				mu.Lock()
 				defer mu.Unlock()
--- a/load/experiment/account.go
+++ b/load/experiment/account.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		return report.Row{}, errors.Trace(err)
 	}
-	lengths := r.site.Engine.Lengths()
+	lengths := r.site.Engine.LengthModel()
 	row := report.Row{
 		Deployment: r.site.Deployment.Name, Scenario: r.cfg.Scenario.Name, Policy: r.site.Policy, Seed: r.cfg.Seed,
 		AppP50MS: ms(a.latency.ValueAtQuantile(50)), AppP99MS: ms(a.latency.ValueAtQuantile(99)),
@@ -36,11 +36,11 @@
 		ConfigSeconds:    r.config.Seconds(),
 		WastedTokenShare: 1 - share(float64(r.tokensUsed(a)), float64(made)),
 	}
-	row.Counts.Add(judge.Steps(r.steps, lengths))
-	row.Counts.Add(judge.Completions(a.completions, lengths))
-	row.Counts.Add(judge.Calls(a.calls, runs))
+	row.Counts.Add(judge.CheckSteps(r.steps, lengths))
+	row.Counts.Add(judge.CheckCompletions(a.completions, lengths))
+	row.Counts.Add(judge.CheckCalls(a.calls, runs))
 	if !r.cfg.Scenario.Crashes {
-		row.CutInFlight = judge.Cut(a.results())
+		row.CutInFlight = judge.CountInterrupted(a.results())
 	}
 	r.stepFigures(&row)
 	return row, nil
@@ -63,10 +63,10 @@
 	var stale, staleMax, tokens float64
 	for i := range r.steps {
 		s := &r.steps[i]
-		took = append(took, s.Took.Seconds()*1000)
+		took = append(took, s.Duration.Seconds()*1000)
 		ideals = append(ideals, r.ideals[i].Seconds()*1000)
-		waited += s.Waited
-		worked += s.Trained
+		waited += s.IdleTime
+		worked += s.TrainTime
 		for _, m := range s.Samples {
 			spans, n, _ := truth.Check(m.Prompt, m.Seed, m.Text)
 			tokens += float64(n)
@@ -111,7 +111,7 @@
 	r.mu.Lock()
 	made := r.lostTo.Tokens
 	r.mu.Unlock()
-	for _, p := range r.site.Role(site.RoleEngine) {
+	for _, p := range r.site.ByRole(site.RoleEngine) {
 		if r.dead[p.Name] {
 			continue
 		}
@@ -126,16 +126,16 @@
 
 func engineTotals(ctx context.Context, p site.Process) (engine.Totals, error) {
 	var t engine.Truth
-	err := site.Send(ctx, http.MethodGet, p.URL+"/truth?totals=1", nil, &t)
+	err := site.SendJSON(ctx, http.MethodGet, p.URL+"/truth?totals=1", nil, &t)
 	return t.Totals, errors.Annotate(err, p.Name)
 }
 
 // serviceRuns reads every run of the plain services' stand-ins.
 func serviceRuns(ctx context.Context, s *site.Site) ([]service.Run, error) {
 	var runs []service.Run
-	for _, p := range s.Role(site.RoleService) {
+	for _, p := range s.ByRole(site.RoleService) {
 		var t service.Truth
-		if err := site.Send(ctx, http.MethodGet, p.URL+"/truth", nil, &t); err != nil {
+		if err := site.SendJSON(ctx, http.MethodGet, p.URL+"/truth", nil, &t); err != nil {
 			return nil, errors.Annotate(err, p.Name)
 		}
 		runs = append(runs, t.List...)
--- a/load/experiment/apps.go
+++ b/load/experiment/apps.go
@@ -70,7 +70,7 @@
 }
 
 func (a *apps) fire(ctx context.Context, rate float64, stream uint64, one func(context.Context, *rand.Rand)) {
-	cfg := openloop.Config{Rate: rate, For: a.r.cfg.For, MaxInFlight: maxInFlight, Seed: a.r.cfg.Seed + stream}
+	cfg := openloop.Config{Rate: rate, Duration: a.r.cfg.Duration, MaxInFlight: maxInFlight, Seed: a.r.cfg.Seed + stream}
 	_, dropped := openloop.Run(ctx, cfg, func(ctx context.Context, i int) {
 		one(ctx, rand.New(rand.NewPCG(a.r.cfg.Seed, stream<<32+uint64(i))))
 	})
@@ -110,7 +110,7 @@
 	}
 	started := time.Now()
 	r := a.try(ctx, c)
-	if c.Key != "" && r.WasCut() {
+	if c.Key != "" && r.WasInterrupted() {
 		sleep.For(ctx, retryPause)
 		r = a.try(ctx, c)
 	}
@@ -178,7 +178,7 @@
 			ok++
 		}
 	}
-	return float64(ok) / a.r.cfg.For.Seconds()
+	return float64(ok) / a.r.cfg.Duration.Seconds()
 }
 
 func outcome(r client.Result) string {
--- a/load/experiment/run.go
+++ b/load/experiment/run.go
@@ -34,12 +34,12 @@
 	Samples     int
 	MaxTokens   int
 	PromptChars int
-	// Ahead is how many steps may be whole but not trained when a trainer asks
+	// MaxAhead is how many steps may be whole but not trained when a trainer asks
 	// for the next one.
-	Ahead int
-	// Train is the model time of the training on a step; 0: that of the ideal
+	MaxAhead int
+	// TrainTime is the model time of the training on a step; 0: that of the ideal
 	// step, so that trainer and engines are in balance.
-	Train time.Duration
+	TrainTime time.Duration
 }
 
 func (w Workload) withDefaults() Workload {
@@ -63,7 +63,7 @@
 	Site     *site.Site
 	Scenario Scenario
 	Seed     uint64
-	For      time.Duration // no step and no call begins later
+	Duration      time.Duration // no step and no call begins later
 	Workload Workload
 }
 
@@ -88,8 +88,8 @@
 	cfg.Workload = cfg.Workload.withDefaults()
 	r := &run{cfg: cfg, site: cfg.Site, started: time.Now(), dead: map[string]bool{}, slow: map[string]float64{}}
 	r.newest.Store(1)
-	if factor := cfg.Scenario.Overload; factor > 0 {
-		r.cfg.Scenario.Calls = factor * r.site.Capacity()
+	if factor := cfg.Scenario.OverloadFactor; factor > 0 {
+		r.cfg.Scenario.Calls = factor * r.site.ServiceCapacity()
 	}
 	apps := newApps(r)
 	var all sync.WaitGroup
@@ -114,11 +114,11 @@
 	}
 	fmt.Fprintf(w, "answers %v, dropped %d\n", apps.kinds(), apps.dropped)
 	fmt.Fprintf(w, "plain service: %.0f calls/s asked, %.0f/s answered, %.0f/s can be run\n",
-		r.cfg.Scenario.Calls, apps.goodput(), r.site.Capacity())
+		r.cfg.Scenario.Calls, apps.goodput(), r.site.ServiceCapacity())
 	for i := range r.steps {
 		s := &r.steps[i]
 		fmt.Fprintf(w, "%s step %d: %d ms, ideal %d ms, trainer idle %d ms\n",
-			s.Trainer, s.Step, s.Took.Milliseconds(), r.ideals[i].Milliseconds(), s.Waited.Milliseconds())
+			s.Trainer, s.Step, s.Duration.Milliseconds(), r.ideals[i].Milliseconds(), s.IdleTime.Milliseconds())
 	}
 	return r.account(ctx, apps)
 }
@@ -126,7 +126,7 @@
 // until waits for a share of the run to pass; false when ctx ended or the run
 // is over.
 func (r *run) until(ctx context.Context, share float64) bool {
-	due := r.started.Add(time.Duration(share * float64(r.cfg.For)))
+	due := r.started.Add(time.Duration(share * float64(r.cfg.Duration)))
 	sleep.For(ctx, time.Until(due))
 	return ctx.Err() == nil && share < 1
 }
@@ -137,16 +137,16 @@
 	name := site.TrainerName(i + 1)
 	cfg := rollout.Config{
 		Name: name, Token: site.Token(name), Model: r.site.Deployment.Model,
-		Entries: r.site.URLs(site.RoleEntry), Store: r.site.Get("weights").URL,
+		Entries: r.site.URLs(site.RoleEntry), Store: r.site.ByName("weights").URL,
 		Groups: w.Groups / r.cfg.Scenario.Trainers, Samples: w.Samples, MaxTokens: w.MaxTokens,
 		PromptChars: w.PromptChars, Bound: r.site.Deployment.Bound, Seed: r.cfg.Seed + uint64(i)<<32,
-		For: r.cfg.For, StepTimeout: stepTimeout,
-		Train: r.trainTime(), Ahead: w.Ahead,
-		WeightBytes: r.site.WeightSize, Newest: &r.newest, OnStep: r.stepDone,
+		Duration: r.cfg.Duration, StepTimeout: stepTimeout,
+		TrainTime: r.trainTime(), MaxAhead: w.MaxAhead,
+		WeightBytes: r.site.WeightSize, NewestVersion: &r.newest, OnStep: r.stepDone,
 	}
 	if r.site.Policy == site.PolicyHints {
-		lengths := r.site.Engine.Lengths()
-		cfg.Epoch = &lengths
+		lengths := r.site.Engine.LengthModel()
+		cfg.KnownLengths = &lengths
 	}
 	if i == 0 {
 		cfg.PublishEvery = r.cfg.Scenario.PublishEvery
@@ -159,20 +159,20 @@
 // share the engines have a half of the step each and the same time for it.
 func (r *run) trainTime() time.Duration {
 	w := r.cfg.Workload
-	train := w.Train
+	train := w.TrainTime
 	if train == 0 {
 		lengths := make([]int, w.Groups*w.Samples)
 		for i := range lengths {
-			lengths[i] = r.site.Engine.Lengths().Tokens(fmt.Sprint(i), uint64(i), w.MaxTokens)
+			lengths[i] = r.site.Engine.LengthModel().Tokens(fmt.Sprint(i), uint64(i), w.MaxTokens)
 		}
-		train = r.site.Engine.Ideal(lengths, float64(r.site.Deployment.Engines))
+		train = r.site.Engine.IdealTime(lengths, float64(r.site.Deployment.Engines))
 	}
 	return time.Duration(float64(train) * r.site.TimeScale)
 }
 
 // speed is what an engine does at present, as a share of a whole one.
 func (r *run) speed(agent site.Process) float64 {
-	switch slow := r.slow[agent.Beside]; {
+	switch slow := r.slow[agent.BackendServer]; {
 	case r.dead[agent.Name]:
 		return 0
 	case slow > 1:
@@ -184,17 +184,17 @@
 func (r *run) stepDone(s judge.Step) {
 	lengths := make([]int, 0, len(s.Samples))
 	for _, m := range s.Samples {
-		lengths = append(lengths, r.site.Engine.Lengths().Tokens(m.Prompt, m.Seed, m.MaxTokens))
+		lengths = append(lengths, r.site.Engine.LengthModel().Tokens(m.Prompt, m.Seed, m.MaxTokens))
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	engines := 0.0
-	for _, p := range r.site.Role(site.RoleAgent) {
+	for _, p := range r.site.ByRole(site.RoleAgent) {
 		if p.Serves == r.site.Deployment.Model {
 			engines += r.speed(p)
 		}
 	}
-	ideal := float64(r.site.Engine.Ideal(lengths, engines)) * r.site.TimeScale
+	ideal := float64(r.site.Engine.IdealTime(lengths, engines)) * r.site.TimeScale
 	r.steps = append(r.steps, s)
 	r.ideals = append(r.ideals, time.Duration(ideal))
 }
@@ -214,7 +214,7 @@
 	accepted := time.Now()
 	var living []site.Process
 	r.mu.Lock()
-	for _, p := range r.site.Nodes() {
+	for _, p := range r.site.AgentsAndEntries() {
 		if !r.dead[p.Name] {
 			living = append(living, p)
 		}
@@ -231,7 +231,7 @@
 // read first: it dies with it.
 func (r *run) kill(ctx context.Context, names ...string) error {
 	for _, name := range names {
-		p := r.site.Get(name)
+		p := r.site.ByName(name)
 		if p.Role != site.RoleEngine {
 			continue
 		}
--- a/load/experiment/scenario.go
+++ b/load/experiment/scenario.go
@@ -31,10 +31,10 @@
 type Scenario struct {
 	Name         string
 	Trainers     int
-	Alone        bool    // no trainer: what the application's latency is compared with
+	NoTrainer        bool    // no trainer: what the application's latency is compared with
 	PublishEvery int     // steps between weight versions; 0: none
 	Calls        float64 // a second
-	Overload     float64 // calls in place of Calls, as a multiple of the plain service's capacity
+	OverloadFactor     float64 // calls in place of Calls, as a multiple of the plain service's capacity
 	Completions  float64 // a second
 	// Crashes: processes die or stand still without notice, so requests in
 	// flight there may be cut off.
@@ -48,12 +48,12 @@
 	{Name: "stragglers", script: stragglers},
 	{Name: "weights", PublishEvery: 2},
 	{Name: "shared", Trainers: 2, PublishEvery: 4, Calls: sharedFactor * usualCalls, Completions: sharedFactor * usualCompletions},
-	{Name: "apps", Alone: true, Calls: sharedFactor * usualCalls, Completions: sharedFactor * usualCompletions},
+	{Name: "apps", NoTrainer: true, Calls: sharedFactor * usualCalls, Completions: sharedFactor * usualCompletions},
 	{Name: "crash", Crashes: true, script: crash},
 	{Name: "freeze", Crashes: true, script: freeze},
 	{Name: "log-outage", PublishEvery: 3, script: logOutage},
 	{Name: "leave", script: leave},
-	{Name: "overload", Overload: overloadFactor, Completions: overloadCompl},
+	{Name: "overload", OverloadFactor: overloadFactor, Completions: overloadCompl},
 }
 
 // Find returns a scenario by name.
@@ -69,7 +69,7 @@
 }
 
 func (s Scenario) withDefaults() Scenario {
-	if s.Trainers == 0 && !s.Alone {
+	if s.Trainers == 0 && !s.NoTrainer {
 		s.Trainers = 1
 	}
 	if s.Calls == 0 {
@@ -86,8 +86,8 @@
 func stragglers(ctx context.Context, r *run) error {
 	const slow = 4
 	stall := time.Duration(stallTime * r.site.TimeScale)
-	engines := r.site.Role(site.RoleEngine)
-	if err := site.Faults(ctx, engines[0], engine.Faults{SlowFactor: slow}); err != nil {
+	engines := r.site.ByRole(site.RoleEngine)
+	if err := site.SetFaults(ctx, engines[0], engine.Faults{SlowFactor: slow}); err != nil {
 		return errors.Trace(err)
 	}
 	r.mu.Lock()
@@ -95,7 +95,7 @@
 	r.mu.Unlock()
 	for i := 1; r.until(ctx, float64(i)*0.15); i++ {
 		e := engines[1+(int(r.cfg.Seed)+i)%(len(engines)-1)]
-		if err := site.Faults(ctx, e, engine.Faults{FreezeMS: int(stall.Milliseconds())}); err != nil {
+		if err := site.SetFaults(ctx, e, engine.Faults{FreezeMS: int(stall.Milliseconds())}); err != nil {
 			return errors.Trace(err)
 		}
 	}
@@ -106,8 +106,8 @@
 // service, then an entry.
 func crash(ctx context.Context, r *run) error {
 	r.until(ctx, 0.25)
-	vm := r.site.Get("engine-2")
-	if err := r.kill(ctx, vm.Name, vm.Beside); err != nil {
+	vm := r.site.ByName("engine-2")
+	if err := r.kill(ctx, vm.Name, vm.BackendServer); err != nil {
 		return errors.Trace(err)
 	}
 	r.until(ctx, 0.45)
@@ -121,12 +121,12 @@
 // freeze: the VM of an engine, an entry, and the agent beside a plain service
 // stand still for a while, one after the other, and go on.
 func freeze(ctx context.Context, r *run) error {
-	vm := r.site.Get("engine-1")
+	vm := r.site.ByName("engine-1")
 	for _, f := range []struct {
 		at    float64
 		names []string
 	}{
-		{0.15, []string{vm.Name, vm.Beside}},
+		{0.15, []string{vm.Name, vm.BackendServer}},
 		{0.45, []string{"entry-2"}},
 		{0.70, []string{"service-2"}},
 	} {
@@ -144,13 +144,13 @@
 
 // logOutage: the log takes and tells nothing for half of the run.
 func logOutage(ctx context.Context, r *run) error {
-	log := r.site.Get("log")
+	log := r.site.ByName("log")
 	r.until(ctx, 0.2)
-	if err := site.Faults(ctx, log, logsvc.Faults{Down: true}); err != nil {
+	if err := site.SetFaults(ctx, log, logsvc.Faults{Down: true}); err != nil {
 		return errors.Trace(err)
 	}
 	r.until(ctx, configAt-0.1)
-	return site.Faults(ctx, log, logsvc.Faults{})
+	return site.SetFaults(ctx, log, logsvc.Faults{})
 }
 
 // leave: an engine, an entry and a plain service's server leave as planned:
@@ -162,7 +162,7 @@
 		name string
 	}{{0.2, "engine-3"}, {0.4, "entry-2"}, {0.55, "service-2"}} {
 		r.until(ctx, f.at)
-		p := r.site.Get(f.name)
+		p := r.site.ByName(f.name)
 		if err := r.site.SetVM(ctx, p, platform.VMLeaving); err != nil {
 			return errors.Trace(err)
 		}
--- a/load/judge/judge.go
+++ b/load/judge/judge.go
@@ -43,15 +43,15 @@
 		c.WritesDoubled + c.FalseNotRun + c.CutInFlight + c.AnswersWrong
 }
 
-// Lengths is the engine stand-in's model of natural lengths.
-type Lengths struct {
+// LengthModel is the engine stand-in's model of natural lengths.
+type LengthModel struct {
 	Mean  float64
 	Sigma float64
 }
 
 // Tokens is how long the whole answer to (prompt, seed) is.
-func (l Lengths) Tokens(prompt string, seed uint64, maxTokens int) int {
-	return truth.Tokens(prompt, seed, l.Mean, l.Sigma, maxTokens)
+func (l LengthModel) Tokens(prompt string, seed uint64, maxTokens int) int {
+	return truth.OutputTokens(prompt, seed, l.Mean, l.Sigma, maxTokens)
 }
 
 // Sample is one delivered sample beside what was asked for.
@@ -73,17 +73,17 @@
 	Step    uint64        `json:"step"`
 	Newest  uint64        `json:"newest"` // the trainer's newest version when it asked
 	Bound   uint64        `json:"bound"`  // the manifest's staleness bound
-	Asked   int           `json:"asked"`  // samples
+	Requested   int           `json:"asked"`  // samples
 	Started time.Time     `json:"started"`
-	Took    time.Duration `json:"took"`
-	Waited  time.Duration `json:"waited"`  // time that the trainer had nothing to train on
-	Trained time.Duration `json:"trained"` // time that the trainer trained on it
+	Duration    time.Duration `json:"took"`
+	IdleTime  time.Duration `json:"waited"`  // time that the trainer had nothing to train on
+	TrainTime time.Duration `json:"trained"` // time that the trainer trained on it
 	Samples []Sample      `json:"samples"`
 	Error   string        `json:"error"` // why the step was not whole
 }
 
-// Whole tells whether every sample came.
-func (s *Step) Whole() bool { return len(s.distinct()) == s.Asked }
+// IsComplete tells whether every sample came.
+func (s *Step) IsComplete() bool { return len(s.distinct()) == s.Requested }
 
 type sampleID struct {
 	group string
@@ -98,13 +98,13 @@
 	return seen
 }
 
-// Steps judges trainers' steps.
-func Steps(steps []Step, lengths Lengths) Counts {
+// CheckSteps judges trainers' steps.
+func CheckSteps(steps []Step, lengths LengthModel) Counts {
 	var c Counts
 	for i := range steps {
 		s := &steps[i]
 		seen := s.distinct()
-		c.SamplesLost += max(0, s.Asked-len(seen))
+		c.SamplesLost += max(0, s.Requested-len(seen))
 		c.SamplesDuplicated += len(s.Samples) - len(seen)
 		for _, m := range s.Samples {
 			c.Add(m.judge(s.Newest, s.Bound, lengths))
@@ -113,7 +113,7 @@
 	return c
 }
 
-func (m *Sample) judge(newest, bound uint64, lengths Lengths) Counts {
+func (m *Sample) judge(newest, bound uint64, lengths LengthModel) Counts {
 	var c Counts
 	spans, tokens, err := truth.Check(m.Prompt, m.Seed, m.Text)
 	if err != nil || tokens != lengths.Tokens(m.Prompt, m.Seed, m.MaxTokens) {
@@ -167,9 +167,9 @@
 	Spans     []truth.Span  `json:"spans"`
 }
 
-// Completions judges callers' completions. Only answers that claim to be
+// CheckCompletions judges callers' completions. Only answers that claim to be
 // whole are held to it; a cut one says so itself.
-func Completions(list []Completion, lengths Lengths) Counts {
+func CheckCompletions(list []Completion, lengths LengthModel) Counts {
 	var c Counts
 	for i := range list {
 		d := &list[i]
@@ -191,8 +191,8 @@
 	Result     client.Result `json:"result"`
 }
 
-// Calls judges callers' requests against the runs that the services counted.
-func Calls(calls []Call, runs []service.Run) Counts {
+// CheckCalls judges callers' requests against the runs that the services counted.
+func CheckCalls(calls []Call, runs []service.Run) Counts {
 	var c Counts
 	byID := map[string]int{}
 	byKey := map[string]int{}
@@ -200,8 +200,8 @@
 	for _, run := range runs {
 		byID[run.RequestID]++
 		answers[run.Answer] = true
-		if run.Key != "" {
-			byKey[run.Key]++
+		if run.IdempotencyKey != "" {
+			byKey[run.IdempotencyKey]++
 		}
 	}
 	keys := map[string]bool{}
@@ -234,16 +234,16 @@
 	if json.Unmarshal(c.Result.Body, &a) != nil || !answers[a] {
 		return false
 	}
-	own := a.RequestID == c.Result.RequestID || (c.Result.Key != "" && a.Key == c.Result.Key)
+	own := a.RequestID == c.Result.RequestID || (c.Result.Key != "" && a.IdempotencyKey == c.Result.Key)
 	return own && a.Method == c.Method && a.Path == c.Path && a.BodySHA256 == c.BodySHA256
 }
 
-// Cut counts requests that were cut off in flight: their answer broke off, or
+// CountInterrupted counts requests that were cut off in flight: their answer broke off, or
 // the system gave them up after they had been sent.
-func Cut(results []client.Result) int {
+func CountInterrupted(results []client.Result) int {
 	n := 0
 	for i := range results {
-		if results[i].WasCut() {
+		if results[i].WasInterrupted() {
 			n++
 		}
 	}
--- a/load/judge/judge_test.go
+++ b/load/judge/judge_test.go
@@ -12,7 +12,7 @@
 	"dandelionsill.org/standin/truth"
 )
 
-var lengths = Lengths{Mean: 20, Sigma: 0.5}
+var lengths = LengthModel{Mean: 20, Sigma: 0.5}
 
 // sampleOf makes the whole, true sample of a prompt; token i is made by
 // version(i).
@@ -32,9 +32,9 @@
 
 func TestWholeStepBreaksNothing(t *testing.T) {
 	mixed := sampleOf("a", 2, func(i int) uint64 { return 3 + uint64(min(i, 1)) })
-	step := Step{Newest: 4, Bound: 1, Asked: 2, Samples: []Sample{sampleOf("b", 1, always(4)), mixed}}
-	require.True(t, step.Whole())
-	require.Zero(t, Steps([]Step{step}, lengths))
+	step := Step{Newest: 4, Bound: 1, Requested: 2, Samples: []Sample{sampleOf("b", 1, always(4)), mixed}}
+	require.True(t, step.IsComplete())
+	require.Zero(t, CheckSteps([]Step{step}, lengths))
 }
 
 // A trainer gets a step with one fault of each kind. Each must be counted
@@ -48,10 +48,10 @@
 	short.Text = short.Text[:len(short.Text)-len("abcd@5 ")]
 	other := sampleOf("e", 5, always(5))
 	other.Seed = 6
-	step := Step{Newest: 5, Bound: 2, Asked: 6, Samples: []Sample{good, good, wrongLabel, old, short, other}}
-	require.False(t, step.Whole())
+	step := Step{Newest: 5, Bound: 2, Requested: 6, Samples: []Sample{good, good, wrongLabel, old, short, other}}
+	require.False(t, step.IsComplete())
 	want := Counts{SamplesLost: 1, SamplesDuplicated: 1, LabelsWrong: 1, OverBound: 1, AnswersWrong: 2}
-	require.Equal(t, want, Steps([]Step{step}, lengths))
+	require.Equal(t, want, CheckSteps([]Step{step}, lengths))
 }
 
 func callOf(id, key, method string, run *service.Run) Call {
@@ -64,7 +64,7 @@
 }
 
 func runOf(n int, id, key, method string) service.Run {
-	return service.Run{Answer: service.Answer{Run: n, Server: "s", Method: method, Path: "/x", BodySHA256: "h", RequestID: id, Key: key}}
+	return service.Run{Answer: service.Answer{Run: n, Server: "s", Method: method, Path: "/x", BodySHA256: "h", RequestID: id, IdempotencyKey: key}}
 }
 
 // A caller is told "not run", gets another's answer, or has a write doubled;
@@ -90,7 +90,7 @@
 		callOf("swapped", "", "GET", &runs[0]),
 		refused, truly,
 	}
-	require.Equal(t, Counts{WritesDoubled: 1 + 2, FalseNotRun: 1, AnswersWrong: 1}, Calls(calls, runs))
+	require.Equal(t, Counts{WritesDoubled: 1 + 2, FalseNotRun: 1, AnswersWrong: 1}, CheckCalls(calls, runs))
 }
 
 func TestCut(t *testing.T) {
@@ -101,5 +101,5 @@
 		{Status: 502, Error: &answer.ErrorDetail{Kind: "outcome_unknown"}},
 		{Status: 503, Error: &answer.ErrorDetail{Kind: "overloaded", NotRun: true}},
 	}
-	require.Equal(t, 2, Cut(results))
+	require.Equal(t, 2, CountInterrupted(results))
 }
--- a/load/openloop/openloop.go
+++ b/load/openloop/openloop.go
@@ -12,7 +12,7 @@
 // Config says how to fire.
 type Config struct {
 	Rate        float64       // requests a second (Poisson)
-	For         time.Duration // how long
+	Duration         time.Duration // how long
 	MaxInFlight int           // beyond it a request counts as dropped
 	Seed        uint64
 }
@@ -31,7 +31,7 @@
 	due := time.Duration(0)
 	for i := 0; cfg.Rate > 0; i++ {
 		due += time.Duration(rng.ExpFloat64() / cfg.Rate * float64(time.Second))
-		if due >= cfg.For {
+		if due >= cfg.Duration {
 			break
 		}
 		timer.Reset(time.Until(start.Add(due)))
--- a/load/rollout/rollout.go
+++ b/load/rollout/rollout.go
@@ -42,20 +42,20 @@
 	Seed        uint64
 
 	Steps       int           // at most; 0: until For is over
-	For         time.Duration // no step begins later; 0: no limit
+	Duration         time.Duration // no step begins later; 0: no limit
 	StepTimeout time.Duration // a step that takes longer is lost
-	Train       time.Duration // training time of a step, spread evenly over its groups
-	// Ahead is how many steps may be whole but not trained when the next one
+	TrainTime       time.Duration // training time of a step, spread evenly over its groups
+	// MaxAhead is how many steps may be whole but not trained when the next one
 	// is asked for.
-	Ahead int
+	MaxAhead int
 	// PublishEvery brings a new weight version after so many steps; 0: never.
 	PublishEvery int
 	WeightBytes  int
-	// Newest is the model's newest version, shared by its trainers.
-	Newest *atomic.Uint64
-	// Epoch, if set, is what the trainer remembers of the samples of its last
+	// NewestVersion is the model's newest version, shared by its trainers.
+	NewestVersion *atomic.Uint64
+	// KnownLengths, if set, is what the trainer remembers of the samples of its last
 	// epoch: it tells their mean length as its guess for the prompt.
-	Epoch *judge.Lengths
+	KnownLengths *judge.LengthModel
 	// OnStep is called after each step; may be nil.
 	OnStep func(judge.Step)
 	// OnGroup is called for each group as it comes; may be nil.
@@ -75,11 +75,11 @@
 // Run runs steps one after the other and returns what came of them. It returns
 // when the last one is trained.
 func Run(ctx context.Context, cfg Config) ([]judge.Step, error) {
-	client, err := trainer.New(trainer.Config{Entries: cfg.Entries, Token: cfg.Token, Wait: time.Second})
+	client, err := trainer.New(trainer.Config{Entries: cfg.Entries, Token: cfg.Token, MaxWait: time.Second})
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	perGroup := cfg.Train / time.Duration(max(1, cfg.Groups))
+	perGroup := cfg.TrainTime / time.Duration(max(1, cfg.Groups))
 	p := &player{Config: cfg, client: client, clock: standin.NewClock(time.Now(), perGroup)}
 	steps := p.run(ctx)
 	p.work.Wait()
@@ -89,18 +89,18 @@
 func (p *player) run(ctx context.Context) []judge.Step {
 	var steps []judge.Step
 	var trained []chan struct{}
-	end := time.Now().Add(p.For)
+	end := time.Now().Add(p.Duration)
 	for n := uint64(1); p.Steps == 0 || n <= uint64(p.Steps); n++ {
-		if k := len(trained) - 1 - p.Ahead; k >= 0 {
+		if k := len(trained) - 1 - p.MaxAhead; k >= 0 {
 			<-trained[k]
 		}
-		if ctx.Err() != nil || (p.For > 0 && time.Now().After(end)) {
+		if ctx.Err() != nil || (p.Duration > 0 && time.Now().After(end)) {
 			break
 		}
 		step := p.step(ctx, n)
 		done := make(chan struct{})
 		trained = append(trained, done)
-		until := p.clock.Done()
+		until := p.clock.BusyUntil()
 		p.work.Go(func() {
 			defer close(done)
 			p.finish(ctx, n, until)
@@ -134,26 +134,26 @@
 func (p *player) step(ctx context.Context, n uint64) judge.Step {
 	ctx, cancel := context.WithTimeout(ctx, p.StepTimeout)
 	defer cancel()
-	ask := trainer.Step{ID: n, NewestVersion: p.Newest.Load(), Groups: p.groups(n)}
+	ask := trainer.Step{ID: n, NewestVersion: p.NewestVersion.Load(), Groups: p.groups(n)}
 	specs := map[string]trainer.GroupSpec{}
 	step := judge.Step{Trainer: p.Name, Step: n, Newest: ask.NewestVersion, Bound: p.Bound, Started: time.Now()}
 	for _, g := range ask.Groups {
 		specs[g.ID] = g
-		step.Asked += g.Samples
+		step.Requested += g.Samples
 	}
 	for group, err := range p.client.RunStep(ctx, ask) {
 		if err != nil {
 			step.Error = err.Error()
 			break
 		}
-		step.Waited += p.clock.Arrived(time.Now())
-		step.Trained += p.Train / time.Duration(p.Groups)
-		step.Samples = append(step.Samples, samples(specs[group.ID], group, p.Newest.Load())...)
+		step.IdleTime += p.clock.AddGroup(time.Now())
+		step.TrainTime += p.TrainTime / time.Duration(p.Groups)
+		step.Samples = append(step.Samples, samples(specs[group.ID], group, p.NewestVersion.Load())...)
 		if p.OnGroup != nil {
 			p.OnGroup(n, group)
 		}
 	}
-	step.Took = time.Since(step.Started)
+	step.Duration = time.Since(step.Started)
 	return step
 }
 
@@ -192,12 +192,12 @@
 
 // guess is the mean length of as many samples of the prompt with other seeds.
 func (cfg *Config) guess(g trainer.GroupSpec) int {
-	if cfg.Epoch == nil {
+	if cfg.KnownLengths == nil {
 		return 0
 	}
 	sum := 0
 	for i := range g.Samples {
-		sum += cfg.Epoch.Tokens(g.Prompt, uint64(i), g.MaxTokens)
+		sum += cfg.KnownLengths.Tokens(g.Prompt, uint64(i), g.MaxTokens)
 	}
 	return sum / g.Samples
 }
@@ -215,20 +215,20 @@
 
 // publish brings new weights into the store and announces them.
 func (p *player) publish(ctx context.Context) error {
-	version := p.Newest.Load() + 1
-	if err := Put(ctx, p.Store, p.Model, version, p.WeightBytes); err != nil {
+	version := p.NewestVersion.Load() + 1
+	if err := PutWeights(ctx, p.Store, p.Model, version, p.WeightBytes); err != nil {
 		return errors.Annotatef(err, "weights %d", version)
 	}
 	if err := p.client.Publish(ctx, version); err != nil {
 		return errors.Annotatef(err, "version %d", version)
 	}
-	p.Newest.Store(version)
+	p.NewestVersion.Store(version)
 	return nil
 }
 
-// Put stores the deterministic weights of a version.
-func Put(ctx context.Context, store, model string, version uint64, size int) error {
-	data := weights.Bytes(model, version, size)
+// PutWeights stores the deterministic weights of a version.
+func PutWeights(ctx context.Context, store, model string, version uint64, size int) error {
+	data := weights.GenerateBytes(model, version, size)
 	url := fmt.Sprintf("%s/models/%s/versions/%d", store, model, version)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPut, url, bytes.NewReader(data))
 	if err != nil {
--- a/load/site/build.go
+++ b/load/site/build.go
@@ -20,13 +20,13 @@
 	err  error
 }
 
-func (b *builder) ip(net, host int) string { return fmt.Sprintf("127.%d.%d.%d", b.o.Net, net, host) }
+func (b *builder) ip(net, host int) string { return fmt.Sprintf("127.%d.%d.%d", b.o.NetOctet, net, host) }
 
 func (b *builder) add(p Process) { b.site.Processes = append(b.site.Processes, p) }
 
 func (b *builder) standin(name, role string, addr string, args ...string) Process {
 	return Process{
-		Name: name, Role: role, Binary: filepath.Join(b.o.Bin, "dandelion-standin"), URL: "http://" + addr,
+		Name: name, Role: role, Binary: filepath.Join(b.o.BinDir, "dandelion-standin"), URL: "http://" + addr,
 		Args: append([]string{role, "--listen", addr}, args...),
 	}
 }
@@ -40,7 +40,7 @@
 	}
 	b.add(b.standin("log", RoleLog, hostPort(ip, portLog), log...))
 	b.add(b.standin("weights", RoleWeights, hostPort(ip, portWeights),
-		"--bytes-per-s", fmt.Sprintf("%.0f", b.o.StoreBPS),
+		"--bytes-per-s", fmt.Sprintf("%.0f", b.o.StoreBytesPerSecond),
 		"--initial", fmt.Sprintf("%s:%d:%d", b.o.Deployment.Model, firstVersion, b.o.WeightSize)))
 	b.add(b.standin("vms", RoleVMs, hostPort(ip, portVMs), "--lag", "500ms"))
 }
@@ -81,7 +81,7 @@
 	server.Serves = serves
 	b.add(server)
 	agent := b.process(vm, RoleAgent, domain, ip, b.agentSettings(role, serves, server.URL))
-	agent.Beside = server.Name
+	agent.BackendServer = server.Name
 	agent.Serves = serves
 	b.add(agent)
 }
@@ -96,7 +96,7 @@
 // process adds an entry or agent with its settings file.
 func (b *builder) process(name, role, domain, ip string, more []setting) Process {
 	p := Process{
-		Name: name, Role: role, Domain: domain, Binary: filepath.Join(b.o.Bin, "dandelion-"+role),
+		Name: name, Role: role, Domain: domain, Binary: filepath.Join(b.o.BinDir, "dandelion-"+role),
 		GRPC: hostPort(ip, portGRPC), URL: "http://" + hostPort(ip, portHTTP),
 	}
 	list := []setting{
@@ -107,9 +107,9 @@
 		{"process.http", hostPort(ip, portHTTP)},
 		{"process.stop_delay", stopDelay(role)},
 		{"process.drain_timeout", "20s"},
-		{"platform.log", b.site.Get("log").URL},
-		{"platform.vms", b.site.Get("vms").URL},
-		{"platform.weights", b.site.Get("weights").URL},
+		{"platform.log", b.site.ByName("log").URL},
+		{"platform.vms", b.site.ByName("vms").URL},
+		{"platform.weights", b.site.ByName("weights").URL},
 		{"keys.manifest_public", b.o.PublicKey},
 	}
 	list = append(list, more...)
--- a/load/site/control.go
+++ b/load/site/control.go
@@ -33,8 +33,8 @@
 
 var httpClient = &http.Client{Timeout: 10 * time.Second}
 
-// Key makes the test key that signs a site's manifests. It is no secret.
-func Key() (public, private string) {
+// SigningKey makes the test key that signs a site's manifests. It is no secret.
+func SigningKey() (public, private string) {
 	const id = "load"
 	seed := sha256.Sum256([]byte("dandelionsill load and test key"))
 	key := ed25519.NewKeyFromSeed(seed[:])
@@ -59,16 +59,16 @@
 	vm := platform.VM{
 		Name: p.Name, Role: p.Role, Addr: p.GRPC, Region: s.Deployment.Region, FailureDomain: p.Domain, State: state,
 	}
-	return Send(ctx, http.MethodPut, s.Get("vms").URL+"/vms/"+p.Name, vm, nil)
+	return SendJSON(ctx, http.MethodPut, s.ByName("vms").URL+"/vms/"+p.Name, vm, nil)
 }
 
-// Faults posts a stand-in's fault switches.
-func Faults(ctx context.Context, p Process, faults any) error {
-	return errors.Annotate(Send(ctx, http.MethodPost, p.URL+"/admin/faults", faults, nil), p.Name)
+// SetFaults posts a stand-in's fault switches.
+func SetFaults(ctx context.Context, p Process, faults any) error {
+	return errors.Annotate(SendJSON(ctx, http.MethodPost, p.URL+"/admin/faults", faults, nil), p.Name)
 }
 
-// Send sends in as JSON, if not nil, and decodes the answer into out, if not nil.
-func Send(ctx context.Context, method, url string, in, out any) error {
+// SendJSON sends in as JSON, if not nil, and decodes the answer into out, if not nil.
+func SendJSON(ctx context.Context, method, url string, in, out any) error {
 	var body io.Reader
 	if in != nil {
 		data, err := json.Marshal(in)
@@ -99,14 +99,14 @@
 	return errors.Annotate(json.Unmarshal(data, out), url)
 }
 
-// WaitUp waits until each process of the roles answers 200 at path.
-func (s *Site) WaitUp(ctx context.Context, path string, roles ...string) error {
+// WaitAnswering waits until each process of the roles answers 200 at path.
+func (s *Site) WaitAnswering(ctx context.Context, path string, roles ...string) error {
 	var waiting []Process
 	for _, role := range roles {
-		waiting = append(waiting, s.Role(role)...)
+		waiting = append(waiting, s.ByRole(role)...)
 	}
 	return waitAll(ctx, waiting, "answer "+path, func(ctx context.Context, p Process) error {
-		return Send(ctx, http.MethodGet, p.URL+path, nil, nil)
+		return SendJSON(ctx, http.MethodGet, p.URL+path, nil, nil)
 	})
 }
 
@@ -124,7 +124,7 @@
 func WaitRevision(ctx context.Context, list []Process, number uint64) error {
 	return waitAll(ctx, list, fmt.Sprintf("hold revision %d", number), func(ctx context.Context, p Process) error {
 		var st Status
-		if err := Send(ctx, http.MethodGet, p.URL+"/v1/status", nil, &st); err != nil {
+		if err := SendJSON(ctx, http.MethodGet, p.URL+"/v1/status", nil, &st); err != nil {
 			return err
 		}
 		if st.Revision < number {
@@ -175,29 +175,29 @@
 	}
 }
 
-// Nodes returns the agents and entries.
-func (s *Site) Nodes() []Process { return append(s.Role(RoleAgent), s.Role(RoleEntry)...) }
+// AgentsAndEntries returns the agents and entries.
+func (s *Site) AgentsAndEntries() []Process { return append(s.ByRole(RoleAgent), s.ByRole(RoleEntry)...) }
 
 // Commit signs a manifest as revision number after number-1 with the site's
 // test key and appends it to the log.
 func (s *Site) Commit(ctx context.Context, number uint64, data []byte) error {
-	_, private := Key()
+	_, private := SigningKey()
 	id, key, err := manifest.ParsePrivateKey(private)
 	if err != nil {
 		return errors.Trace(err)
 	}
-	log := httplog.New(s.Get("log").URL, "load")
+	log := httplog.New(s.ByName("log").URL, "load")
 	defer log.Close()
 	rev := manifest.Sign(key, id, number, number-1, data)
 	_, err = log.Append(ctx, platform.StreamControl, control.EncodeCommit("load-"+uuid.NewString(), rev))
 	return errors.Annotatef(err, "commit revision %d", number)
 }
 
-// Up brings a site whose processes were started into service: the VM list,
+// BringUp brings a site whose processes were started into service: the VM list,
 // the first revision, and a wait until every entry and agent is ready.
-func (s *Site) Up(ctx context.Context) error {
+func (s *Site) BringUp(ctx context.Context) error {
 	platformRoles := []string{RoleLog, RoleWeights, RoleVMs, RoleEngine, RoleService, RoleScorer}
-	if err := s.WaitUp(ctx, "/livez", platformRoles...); err != nil {
+	if err := s.WaitAnswering(ctx, "/livez", platformRoles...); err != nil {
 		return errors.Trace(err)
 	}
 	if err := s.Register(ctx); err != nil {
@@ -206,10 +206,10 @@
 	if err := s.Commit(ctx, 1, s.Manifest("first revision")); err != nil {
 		return errors.Trace(err)
 	}
-	if err := WaitRevision(ctx, s.Nodes(), 1); err != nil {
+	if err := WaitRevision(ctx, s.AgentsAndEntries(), 1); err != nil {
 		return errors.Trace(err)
 	}
-	if err := s.WaitUp(ctx, "/readyz", RoleAgent, RoleEntry); err != nil {
+	if err := s.WaitAnswering(ctx, "/readyz", RoleAgent, RoleEntry); err != nil {
 		return errors.Trace(err)
 	}
 	return errors.Trace(s.waitServing(ctx))
@@ -218,7 +218,7 @@
 // waitServing waits until each entry has served a read and a completion: all
 // start at once, and the VM list lags.
 func (s *Site) waitServing(ctx context.Context) error {
-	return waitAll(ctx, s.Role(RoleEntry), "serve", func(ctx context.Context, p Process) error {
+	return waitAll(ctx, s.ByRole(RoleEntry), "serve", func(ctx context.Context, p Process) error {
 		b := client.NewBalancer([]string{p.URL})
 		c := client.New(b, Token(Caller), 1)
 		read := c.Call(ctx, client.Call{RequestID: uuid.NewString(), Service: s.Deployment.Service, Method: http.MethodGet, Path: "/up"})
@@ -257,6 +257,6 @@
 		list[i] = Process{Name: url, URL: url}
 	}
 	return waitAll(ctx, list, "answer", func(ctx context.Context, p Process) error {
-		return Send(ctx, http.MethodGet, p.URL, nil, nil)
+		return SendJSON(ctx, http.MethodGet, p.URL, nil, nil)
 	})
 }
--- a/load/site/deployment.go
+++ b/load/site/deployment.go
@@ -79,8 +79,8 @@
 // concurrency is how many requests a plain service's server runs at once.
 const concurrency = 8
 
-// Capacity is how many requests a second the plain service can run.
-func (s *Site) Capacity() float64 {
+// ServiceCapacity is how many requests a second the plain service can run.
+func (s *Site) ServiceCapacity() float64 {
 	return float64(s.Deployment.Services*concurrency) / s.Service.Mean.Seconds()
 }
 
--- a/load/site/model.go
+++ b/load/site/model.go
@@ -52,21 +52,21 @@
 	return m
 }
 
-// Lengths is the part of the model that the judge needs.
-func (m EngineModel) Lengths() judge.Lengths {
-	return judge.Lengths{Mean: m.MeanTokens, Sigma: m.Sigma}
+// LengthModel is the part of the model that the judge needs.
+func (m EngineModel) LengthModel() judge.LengthModel {
+	return judge.LengthModel{Mean: m.MeanTokens, Sigma: m.Sigma}
 }
 
-// Token is the model time of one token of a stream among n.
-func (m EngineModel) Token(n int) time.Duration {
+// TokenTime is the model time of one token of a stream among n.
+func (m EngineModel) TokenTime(n int) time.Duration {
 	return m.StepBase + time.Duration(n)*m.StepPerStream
 }
 
-// Ideal is the shortest model time in which so many engines could make
+// IdealTime is the shortest model time in which so many engines could make
 // samples of these lengths: all tokens at the engines' total rate, or the
 // longest sample as the only stream of an engine, whichever is longer. An
 // engine that is n times slower counts as 1/n.
-func (m EngineModel) Ideal(lengths []int, engines float64) time.Duration {
+func (m EngineModel) IdealTime(lengths []int, engines float64) time.Duration {
 	total, longest := 0, 0
 	for _, n := range lengths {
 		total += n
@@ -75,8 +75,8 @@
 	if engines == 0 {
 		return 0
 	}
-	perToken := float64(m.Token(m.Slots)) / (float64(m.Slots) * engines)
-	return max(time.Duration(float64(total)*perToken), time.Duration(longest)*m.Token(1))
+	perToken := float64(m.TokenTime(m.Slots)) / (float64(m.Slots) * engines)
+	return max(time.Duration(float64(total)*perToken), time.Duration(longest)*m.TokenTime(1))
 }
 
 func (m EngineModel) args() []string {
--- a/load/site/site.go
+++ b/load/site/site.go
@@ -44,22 +44,22 @@
 	Args   []string `json:"args"`
 	GRPC   string   `json:"grpc,omitempty"` // IP:port
 	URL    string   `json:"url"`            // base URL of its HTTP listener
-	Beside string   `json:"beside,omitempty"`
+	BackendServer string   `json:"beside,omitempty"`
 }
 
 // Options says what to lay out.
 type Options struct {
 	Deployment Deployment
-	Net        int    // second octet of the addresses, 1 to 250
+	NetOctet        int    // second octet of the addresses, 1 to 250
 	Dir        string // where settings go
-	Bin        string // folder of the binaries
+	BinDir        string // folder of the binaries
 	Seed       uint64
 	TimeScale  float64 // of engines; 0: 1
 	PublicKey  string  // "id:base64", that signs manifests
 	Policy     string
 	Engine     EngineModel
 	Service    ServiceModel
-	StoreBPS   float64 // byte rate of the weight store
+	StoreBytesPerSecond   float64 // byte rate of the weight store
 	WeightSize int     // bytes of a weight version
 	LogRate    float64 // appends a second; 0: the stand-in's default
 }
@@ -78,8 +78,8 @@
 	Processes []Process `json:"processes"`
 }
 
-// Role returns the processes of a role.
-func (s *Site) Role(role string) []Process {
+// ByRole returns the processes of a role.
+func (s *Site) ByRole(role string) []Process {
 	var list []Process
 	for _, p := range s.Processes {
 		if p.Role == role {
@@ -92,14 +92,14 @@
 // URLs returns the base URLs of a role's processes.
 func (s *Site) URLs(role string) []string {
 	var list []string
-	for _, p := range s.Role(role) {
+	for _, p := range s.ByRole(role) {
 		list = append(list, p.URL)
 	}
 	return list
 }
 
-// Get returns a process by name; the zero Process when there is none.
-func (s *Site) Get(name string) Process {
+// ByName returns a process by name; the zero Process when there is none.
+func (s *Site) ByName(name string) Process {
 	for _, p := range s.Processes {
 		if p.Name == name {
 			return p
@@ -163,8 +163,8 @@
 	return &s, errors.Trace(json.Unmarshal(data, &s))
 }
 
-// CheckFree tells which of the site's addresses are taken, if any.
-func (s *Site) CheckFree() error {
+// CheckAddressesFree tells which of the site's addresses are taken, if any.
+func (s *Site) CheckAddressesFree() error {
 	var taken []string
 	for _, p := range s.Processes {
 		for _, addr := range []string{p.GRPC, strings.TrimPrefix(p.URL, "http://")} {
--- a/load/site/site_test.go
+++ b/load/site/site_test.go
@@ -26,12 +26,12 @@
 
 func TestLayout(t *testing.T) {
 	for _, d := range []Deployment{Spolek, Lentelar, Small} {
-		public, _ := Key()
-		s, err := New(Options{Deployment: d, Net: 250, Dir: t.TempDir(), Bin: "bin", PublicKey: public})
+		public, _ := SigningKey()
+		s, err := New(Options{Deployment: d, NetOctet: 250, Dir: t.TempDir(), BinDir: "bin", PublicKey: public})
 		require.NoError(t, err)
 		require.NoError(t, s.Save())
-		require.Len(t, s.Role(RoleAgent), d.Engines+d.Services+d.Scorers)
-		require.Len(t, s.Role(RoleEntry), d.Entries)
+		require.Len(t, s.ByRole(RoleAgent), d.Engines+d.Services+d.Scorers)
+		require.Len(t, s.ByRole(RoleEntry), d.Entries)
 		seen := map[string]bool{}
 		for _, p := range s.Processes {
 			for _, addr := range []string{p.GRPC, p.URL} {
@@ -51,6 +51,6 @@
 func TestIdeal(t *testing.T) {
 	m := EngineModel{Slots: 2, StepBase: 9 * time.Millisecond, StepPerStream: time.Millisecond}
 	// Two engines with two slots make a token in 11/4 ms; alone one takes 10 ms.
-	require.Equal(t, 11*time.Second, m.Ideal([]int{1000, 1000, 1000, 1000}, 2))
-	require.Equal(t, 30*time.Second, m.Ideal([]int{3000, 10}, 2))
+	require.Equal(t, 11*time.Second, m.IdealTime([]int{1000, 1000, 1000, 1000}, 2))
+	require.Equal(t, 30*time.Second, m.IdealTime([]int{3000, 10}, 2))
 }
--- a/manifest/decode.go
+++ b/manifest/decode.go
@@ -168,7 +168,7 @@
 	t := Trainer{
 		Name:         s.name,
 		TokenSHA256:  s.tokenHashes("token_sha256"),
-		Mixed:        s.boolean("mixed", false),
+		AllowMixed:        s.boolean("mixed", false),
 		ScorerPath:   s.path("scorer_path", "/score"),
 		HedgePercent: s.number("hedge_percent", 5, 0, 100),
 		Weight:       s.weight(),
@@ -191,7 +191,7 @@
 		TokenSHA256:  s.tokenHashes("token_sha256"),
 		Allow:        map[string]bool{},
 		Rate:         s.number("rate", 0, 0, 1e6),
-		Concurrent:   s.integer("concurrent", 0, 0, 1_000_000),
+		MaxConcurrent:   s.integer("concurrent", 0, 0, 1_000_000),
 		Weight:       s.weight(),
 		Priority:     s.integer("priority", 0, -maxPriority, maxPriority),
 		RetryPercent: s.number("retry_percent", 10, 0, 100),
--- a/manifest/lookup.go
+++ b/manifest/lookup.go
@@ -39,8 +39,8 @@
 	return trainer, ok
 }
 
-// OperatorToken tells whether a bearer token is an operator's.
-func (m *Manifest) OperatorToken(token string) bool {
+// IsOperatorToken tells whether a bearer token is an operator's.
+func (m *Manifest) IsOperatorToken(token string) bool {
 	index := tokenIndex{}
 	index.add(m.Fleet.OperatorSHA256, "operator")
 	return index.find(token) != ""
--- a/manifest/manifest.go
+++ b/manifest/manifest.go
@@ -96,7 +96,7 @@
 	TokenSHA256    string // hex; up to three with commas while a token is rotated
 	Model          string
 	StalenessBound uint64 // how many versions behind the trainer's newest a token may be
-	Mixed          bool   // one sample may span versions
+	AllowMixed          bool   // one sample may span versions
 	Scorer         string // name of a service; empty: none
 	ScorerPath     string
 	HedgePercent   float64 // budget for second copies, percent of a step's tokens
@@ -111,7 +111,7 @@
 	Allow        map[string]bool // models and services
 	Rate         float64         // requests a second; 0: no limit
 	Burst        int
-	Concurrent   int     // requests at once; 0: no limit
+	MaxConcurrent   int     // requests at once; 0: no limit
 	Weight       float64 // fair share
 	Priority     int
 	RetryPercent float64 // retries allowed, percent of requests
--- a/manifest/parse_test.go
+++ b/manifest/parse_test.go
@@ -84,13 +84,13 @@
 			c, ok := m.CallerByToken(token)
 			require.Equal(t, want[i], ok, list)
 			require.Equal(t, want[i], c.Name == "demo-app")
-			require.False(t, m.OperatorToken(token))
+			require.False(t, m.IsOperatorToken(token))
 		}
 	}
 	m, err := Parse("demo.ini", []byte(strings.Replace(text, "[fleet]\n", "[fleet]\noperator_sha256 = "+sum("a")+", "+sum("b")+"\n", 1)))
 	require.NoError(t, err)
-	require.True(t, m.OperatorToken("a") && m.OperatorToken("b"))
-	require.False(t, m.OperatorToken("") || m.OperatorToken("c") || m.OperatorToken(old))
+	require.True(t, m.IsOperatorToken("a") && m.IsOperatorToken("b"))
+	require.False(t, m.IsOperatorToken("") || m.IsOperatorToken("c") || m.IsOperatorToken(old))
 }
 
 // A caller writes to a path which only looks like a read's. Were the route of
--- a/quarantine/logstore.go
+++ b/quarantine/logstore.go
@@ -15,7 +15,7 @@
 type logStore struct{ log platform.Log }
 
 // NewLogStore returns a store of keyed records that is backed by a log without keys.
-func NewLogStore(log platform.Log) platform.Keyed { return &logStore{log} }
+func NewLogStore(log platform.Log) platform.KeyedStore { return &logStore{log} }
 
 // logRecord is the encoding of the records of one append.
 type logRecord struct {
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -153,7 +153,7 @@
 	one.crash("r", poison.QuarantineThreshold)
 	require.Eventually(t, func() bool { return len(f.store.Records(hostedtest.TopicCrashes)) >= poison.QuarantineThreshold }, testTimeout, time.Millisecond)
 	one.stop()
-	f.store.Fail(hostedtest.StoreFaults{Away: []string{hostedtest.TopicCrashes}})
+	f.store.Fail(hostedtest.StoreFaults{UnavailableTopics: []string{hostedtest.TopicCrashes}})
 	two := f.start(t, false)
 	require.Equal(t, poison.Clear, two.Verdict("r"))
 	f.store.Fail(hostedtest.StoreFaults{})
--- a/quarantine/share.go
+++ b/quarantine/share.go
@@ -66,7 +66,7 @@
 
 // sharing holds what a process needs to exchange changes with other processes.
 type sharing struct {
-	store          platform.Keyed
+	store          platform.KeyedStore
 	peers          Peers
 	readsPerSecond float64
 	sends          sync.WaitGroup
@@ -76,7 +76,7 @@
 // EnableSharing sets the store and the peers to exchange changes with. It must be called
 // before Run. readsPerSecond is how many reads the store accepts per second from all
 // processes together; 0: unknown.
-func (q *Quarantine) EnableSharing(store platform.Keyed, peers Peers, readsPerSecond float64) {
+func (q *Quarantine) EnableSharing(store platform.KeyedStore, peers Peers, readsPerSecond float64) {
 	q.sharing.store, q.sharing.peers, q.sharing.readsPerSecond = store, peers, readsPerSecond
 	q.sharing.callSlots = make(chan struct{}, maxConcurrentCalls)
 }
--- a/soak/callers_test.go
+++ b/soak/callers_test.go
@@ -285,7 +285,7 @@
 func (sys *system) wasGenerated(r result, n int) bool {
 	for _, e := range sys.engines {
 		for _, v := range r.Versions {
-			if e.Made(r.ID, n, v) {
+			if e.HasGenerated(r.ID, n, v) {
 				return true
 			}
 		}
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -70,13 +70,13 @@
 		in.log("reset %s", l.name)
 		l.reset()
 	case 9:
-		faults := []hostedtest.ServerFaults{{Refuse: true}, {Mute: 3}, {BreakAfter: 4}, {Silent: true}}
+		faults := []hostedtest.ServerFaults{{Refuse: true}, {StallAfter: 3}, {BreakAfter: 4}, {Unresponsive: true}}
 		f := faults[in.rng.IntN(len(faults))]
 		in.log("engine %s %+v for %v", e.ID, f, duration)
 		e.Fail(f)
 		in.repairAfter(duration, func() { e.Fail(hostedtest.ServerFaults{}) })
 	case 10:
-		faults := []hostedtest.ServerFaults{{Refuse: true}, {Silent: true}, {NoSeal: true}}
+		faults := []hostedtest.ServerFaults{{Refuse: true}, {Unresponsive: true}, {NoSeal: true}}
 		f := faults[in.rng.IntN(len(faults))]
 		in.log("server %s %+v for %v", s.ID, f, duration)
 		s.Fail(f)
@@ -124,7 +124,7 @@
 }
 
 func (in *injector) injectStoreFault(duration time.Duration) {
-	faults := []hostedtest.StoreFaults{{Down: true}, {LoseAppends: true}, {LateAppends: 700 * time.Millisecond}, {Slow: 150 * time.Millisecond}}
+	faults := []hostedtest.StoreFaults{{Down: true}, {LoseAppends: true}, {DelayAppends: 700 * time.Millisecond}, {CallTime: 150 * time.Millisecond}}
 	f := faults[in.rng.IntN(len(faults))]
 	in.log("store %+v for %v", f, duration)
 	in.sys.store.Fail(f)
--- a/soak/organisations_test.go
+++ b/soak/organisations_test.go
@@ -100,7 +100,7 @@
 func (sys *system) verifyUsage(rec *record) {
 	reports := len(sys.duties.Reports())
 	require.Eventually(sys.t, func() bool { return len(sys.duties.Reports()) >= reports+2 }, 30*time.Second, 20*time.Millisecond, "usage is not reported")
-	for _, fault := range sys.duties.Broken() {
+	for _, fault := range sys.duties.Violations() {
 		rec.reportViolation("duty: %s", fault)
 	}
 	executed := map[string]bool{}
--- a/soak/system_test.go
+++ b/soak/system_test.go
@@ -66,7 +66,7 @@
 	sys.applyNextConfig()
 	for i := range engineCount {
 		e := hostedtest.NewEngine(fmt.Sprintf("e%d", i), "engines", modelName)
-		e.Pace, e.Events = 8*time.Millisecond, 60
+		e.EventInterval, e.Events = 8*time.Millisecond, 60
 		sys.engines = append(sys.engines, e)
 		sys.addServer(e)
 	}
@@ -80,7 +80,7 @@
 		sys.gatewayProcs = append(sys.gatewayProcs, sys.newGateway(fmt.Sprintf("g%d", i)))
 	}
 	for i := range engineCount {
-		sys.agentProcs = append(sys.agentProcs, sys.newAgent(fmt.Sprintf("a%d", i), sys.engines[i].Via))
+		sys.agentProcs = append(sys.agentProcs, sys.newAgent(fmt.Sprintf("a%d", i), sys.engines[i].AdvertisedAddr))
 	}
 	for _, p := range sys.processes() {
 		p.start(t)
@@ -95,7 +95,7 @@
 
 func (sys *system) addServer(s *hostedtest.Server) {
 	l := newLink(sys.t, s.ID, s.Addr())
-	s.Via = l.addr
+	s.AdvertisedAddr = l.addr
 	sys.links = append(sys.links, l)
 	sys.t.Cleanup(func() { s.CloseClientConnections(); s.Close() })
 	sys.store.Put(hostedtest.TopicServers, s.ID, s.Entry("ready"))
--- a/standin/engine/batch.go
+++ b/standin/engine/batch.go
@@ -76,7 +76,7 @@
 	return &stream{
 		job:         j,
 		writer:      truth.NewWriter(j.Prompt, j.Seed),
-		target:      truth.Tokens(j.Prompt, j.Seed, e.cfg.MeanTokens, e.cfg.Sigma, j.MaxTokens),
+		target:      truth.OutputTokens(j.Prompt, j.Seed, e.cfg.MeanTokens, e.cfg.Sigma, j.MaxTokens),
 		next:        j.ResumeTokens,
 		prefillLeft: notStarted,
 		notify:      make(chan struct{}, 1),
@@ -161,13 +161,13 @@
 		if s.ready {
 			continue
 		}
-		if used == e.cfg.PrefillChunk {
+		if used == e.cfg.MaxPrefillPerStep {
 			break
 		}
 		if s.prefillLeft == notStarted {
 			s.prefillLeft = e.prefillTokens(s)
 		}
-		n := min(s.prefillLeft, e.cfg.PrefillChunk-used)
+		n := min(s.prefillLeft, e.cfg.MaxPrefillPerStep-used)
 		s.prefillLeft -= n
 		s.run.Prefill += n
 		used += n
@@ -252,7 +252,7 @@
 		e.end(s, finishOf(s))
 		return
 	}
-	if s.cur.tokens >= e.cfg.ChunkTokens || now.Sub(s.cur.since) >= e.cfg.ChunkInterval {
+	if s.cur.tokens >= e.cfg.MaxChunkTokens || now.Sub(s.cur.since) >= e.cfg.MaxChunkDelay {
 		s.flush()
 	}
 }
--- a/standin/engine/cache.go
+++ b/standin/engine/cache.go
@@ -52,7 +52,7 @@
 	if c.order.Len() > c.limit {
 		oldest := c.order.Remove(c.order.Back()).(uint64)
 		delete(c.at, oldest)
-		events = append(events, platform.CacheEvent{Prefix: oldest, Gone: true})
+		events = append(events, platform.CacheEvent{Prefix: oldest, Evicted: true})
 	}
 	return events
 }
@@ -63,7 +63,7 @@
 	for _, ev := range events {
 		c.seq++
 		ev.Seq = c.seq
-		if e.rng.Float64() >= e.cfg.EventLoss {
+		if e.rng.Float64() >= e.cfg.EventLossShare {
 			c.events = append(c.events, timedEvent{time.Now(), ev})
 		}
 	}
@@ -145,7 +145,7 @@
 		return
 	}
 	data = append(data, '\n')
-	data = append(data, make([]byte, e.cfg.KVBytes*h.Tokens)...)
+	data = append(data, make([]byte, e.cfg.KVBytesPerToken*h.Tokens)...)
 	w.Header().Set("Content-Type", "application/octet-stream")
 	w.Header().Set("Content-Length", strconv.Itoa(len(data)))
 	_, _ = w.Write(data)
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -27,17 +27,17 @@
 	StepBase      time.Duration
 	StepPerStream time.Duration
 	PrefillToken  time.Duration // per prompt token
-	PrefillChunk  int           // prompt tokens in one step at most
-	PrefixCache   int           // prefixes kept
+	MaxPrefillPerStep  int           // prompt tokens in one step at most
+	PrefixCacheSize   int           // prefixes kept
 	MeanTokens    float64       // mean natural length of an output
 	Sigma         float64       // of the length's logarithm
-	ChunkTokens   int           // tokens in a chunk at most
-	ChunkInterval time.Duration // a chunk waits no longer (wall time)
+	MaxChunkTokens   int           // tokens in a chunk at most
+	MaxChunkDelay time.Duration // a chunk waits no longer (wall time)
 	LoadTime      time.Duration // of a weight order
 	LoadLag       time.Duration // age of load reports
 	EventLag      time.Duration // age of cache events
-	EventLoss     float64       // share of cache events lost
-	KVBytes       int           // size of exported KV cache per token
+	EventLossShare     float64       // share of cache events lost
+	KVBytesPerToken       int           // size of exported KV cache per token
 	Fencing       bool          // refuse orders with an older fencing token
 	TimeScale     float64       // factor on model time; 0: 1
 	Seed          uint64
@@ -56,25 +56,25 @@
 		StepBase:      12 * time.Millisecond,
 		StepPerStream: 250 * time.Microsecond,
 		PrefillToken:  30 * time.Microsecond,
-		PrefillChunk:  2048,
-		PrefixCache:   64,
+		MaxPrefillPerStep:  2048,
+		PrefixCacheSize:   64,
 		MeanTokens:    300,
 		Sigma:         0.8,
-		ChunkTokens:   8,
-		ChunkInterval: 100 * time.Millisecond,
+		MaxChunkTokens:   8,
+		MaxChunkDelay: 100 * time.Millisecond,
 		LoadTime:      4 * time.Second,
 		LoadLag:       500 * time.Millisecond,
 		EventLag:      500 * time.Millisecond,
-		EventLoss:     0.05,
-		KVBytes:       64,
+		EventLossShare:     0.05,
+		KVBytesPerToken:       64,
 		Fencing:       true,
 		TimeScale:     1,
 		Seed:          1,
 	}
 }
 
-// Flags adds the configuration to fs, with DefaultConfig's values.
-func (c *Config) Flags(fs *flag.FlagSet) {
+// AddFlags adds the configuration to fs, with DefaultConfig's values.
+func (c *Config) AddFlags(fs *flag.FlagSet) {
 	*c = DefaultConfig()
 	fs.StringVar(&c.Name, "name", c.Name, "name, part of the boot id")
 	fs.StringVar(&c.Model, "model", c.Model, "model served")
@@ -83,17 +83,17 @@
 	fs.DurationVar(&c.StepBase, "step-base", c.StepBase, "time of a token step")
 	fs.DurationVar(&c.StepPerStream, "step-per-stream", c.StepPerStream, "added to a step per running stream")
 	fs.DurationVar(&c.PrefillToken, "prefill-token", c.PrefillToken, "prefill time of a prompt token")
-	fs.IntVar(&c.PrefillChunk, "prefill-chunk", c.PrefillChunk, "prompt tokens in one step at most")
-	fs.IntVar(&c.PrefixCache, "prefix-cache", c.PrefixCache, "prompt prefixes kept")
+	fs.IntVar(&c.MaxPrefillPerStep, "prefill-chunk", c.MaxPrefillPerStep, "prompt tokens in one step at most")
+	fs.IntVar(&c.PrefixCacheSize, "prefix-cache", c.PrefixCacheSize, "prompt prefixes kept")
 	fs.Float64Var(&c.MeanTokens, "mean-tokens", c.MeanTokens, "mean natural length of an output")
 	fs.Float64Var(&c.Sigma, "sigma", c.Sigma, "sigma of the length's logarithm")
-	fs.IntVar(&c.ChunkTokens, "chunk-tokens", c.ChunkTokens, "tokens in a chunk at most")
-	fs.DurationVar(&c.ChunkInterval, "chunk-interval", c.ChunkInterval, "a chunk waits no longer (not scaled)")
+	fs.IntVar(&c.MaxChunkTokens, "chunk-tokens", c.MaxChunkTokens, "tokens in a chunk at most")
+	fs.DurationVar(&c.MaxChunkDelay, "chunk-interval", c.MaxChunkDelay, "a chunk waits no longer (not scaled)")
 	fs.DurationVar(&c.LoadTime, "load-time", c.LoadTime, "time to load weights")
 	fs.DurationVar(&c.LoadLag, "load-lag", c.LoadLag, "age of load reports")
 	fs.DurationVar(&c.EventLag, "event-lag", c.EventLag, "age of cache events")
-	fs.Float64Var(&c.EventLoss, "event-loss", c.EventLoss, "share of cache events lost")
-	fs.IntVar(&c.KVBytes, "kv-bytes", c.KVBytes, "bytes of exported KV cache per token")
+	fs.Float64Var(&c.EventLossShare, "event-loss", c.EventLossShare, "share of cache events lost")
+	fs.IntVar(&c.KVBytesPerToken, "kv-bytes", c.KVBytesPerToken, "bytes of exported KV cache per token")
 	fs.Float64Var(&c.TimeScale, "time-scale", c.TimeScale, "factor on all durations")
 	fs.Uint64Var(&c.Seed, "seed", c.Seed, "seed of all randomness")
 	fs.Func("fencing", "obeys or ignores (default obeys)", func(v string) error {
@@ -152,8 +152,8 @@
 		cfg.TimeScale = 1
 	}
 	cfg.Slots = max(1, cfg.Slots)
-	cfg.ChunkTokens = max(1, cfg.ChunkTokens)
-	cfg.PrefillChunk = max(1, cfg.PrefillChunk)
+	cfg.MaxChunkTokens = max(1, cfg.MaxChunkTokens)
+	cfg.MaxPrefillPerStep = max(1, cfg.MaxPrefillPerStep)
 	e := &Engine{cfg: cfg, mux: http.NewServeMux(), wake: make(chan struct{}, 1)}
 	e.rng = rand.New(rand.NewPCG(cfg.Seed, 0))
 	e.ctx, e.cancel = context.WithCancel(context.Background())
@@ -201,7 +201,7 @@
 	if e.version == 0 {
 		e.state = stateEmpty
 	}
-	e.cache = newPrefixCache(e.cfg.PrefixCache)
+	e.cache = newPrefixCache(e.cfg.PrefixCacheSize)
 	e.kv = newKVStore()
 }
 
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -29,11 +29,11 @@
 	cfg.MeanTokens = 1e6
 	cfg.StepBase = time.Millisecond
 	cfg.StepPerStream = 0
-	cfg.ChunkTokens = 4
+	cfg.MaxChunkTokens = 4
 	cfg.LoadTime = 5 * time.Millisecond
 	cfg.LoadLag = 0
 	cfg.EventLag = 0
-	cfg.EventLoss = 0
+	cfg.EventLossShare = 0
 	if change != nil {
 		change(&cfg)
 	}
@@ -123,7 +123,7 @@
 		require.NoError(t, r.err)
 		spans, n, err := truth.Check(prompt, seed, r.text)
 		require.NoError(t, err)
-		require.Equal(t, truth.Tokens(prompt, seed, 20, 0.5, 18), n)
+		require.Equal(t, truth.OutputTokens(prompt, seed, 20, 0.5, 18), n)
 		require.Equal(t, spans, r.labels)
 		require.Equal(t, n < 18, r.finish == "stop")
 	}
@@ -178,7 +178,7 @@
 // A swap fails partway: the order answers with the failure, the state says so,
 // and the engine makes tokens with either version until a later order heals it.
 func TestPartialLoadServesEither(t *testing.T) {
-	e, c := start(t, func(cfg *engine.Config) { cfg.ChunkTokens = 1 })
+	e, c := start(t, func(cfg *engine.Config) { cfg.MaxChunkTokens = 1 })
 	e.Faults.Apply(engine.Faults{FailNextLoad: true})
 	require.ErrorIs(t, load(t, c, 2, 1), platform.ErrLoadFailed)
 	require.Equal(t, "failed", state(t, c).State)
@@ -264,7 +264,7 @@
 	})
 	require.ErrorIs(t, r.err, io.ErrUnexpectedEOF)
 	require.NotEqual(t, boot, state(t, c).Boot)
-	require.Equal(t, "crashed", e.Truth(0, false).Runs[0].How)
+	require.Equal(t, "crashed", e.Truth(0, false).Runs[0].Outcome)
 }
 
 // The reader gives up. The engine must stop making tokens for it and keep the
@@ -278,7 +278,7 @@
 	require.NoError(t, s.Close())
 	require.NoError(t, read(t, c, job("next"), nil).err)
 	run := e.Truth(0, false).Runs[0]
-	require.Equal(t, []string{"r", "cancelled"}, []string{run.ID, run.How})
+	require.Equal(t, []string{"r", "cancelled"}, []string{run.ID, run.Outcome})
 	require.EqualValues(t, run.Tokens, e.Truth(0, true).Totals.TokensCancelled)
 	require.Positive(t, run.Tokens)
 }
@@ -317,7 +317,7 @@
 // The second sample of a group finds the first one's prefix; a cache of one
 // prefix forgets it for another prompt, and says so.
 func TestPrefixCacheAndItsEvents(t *testing.T) {
-	e, c := start(t, func(cfg *engine.Config) { cfg.PrefixCache = 1 })
+	e, c := start(t, func(cfg *engine.Config) { cfg.PrefixCacheSize = 1 })
 	other := job("c")
 	other.Prompt = "another"
 	for _, j := range []platform.GenerateJob{job("a"), job("b"), other, job("d")} {
@@ -332,8 +332,8 @@
 	require.NoError(t, err)
 	mine, its := platform.PrefixHash(prompt), platform.PrefixHash(other.Prompt)
 	require.Equal(t, []platform.CacheEvent{
-		{Seq: 2, Prefix: its}, {Seq: 3, Prefix: mine, Gone: true},
-		{Seq: 4, Prefix: mine}, {Seq: 5, Prefix: its, Gone: true},
+		{Seq: 2, Prefix: its}, {Seq: 3, Prefix: mine, Evicted: true},
+		{Seq: 4, Prefix: mine}, {Seq: 5, Prefix: its, Evicted: true},
 	}, events)
 }
 
--- a/standin/engine/report.go
+++ b/standin/engine/report.go
@@ -73,7 +73,7 @@
 		Running:  len(e.running),
 		Waiting:  len(e.waiting),
 		KVUsed:   min(1, float64(kv)/kvCapacity),
-		TokensPS: e.reports.rate,
+		TokensPerSecond: e.reports.rate,
 	}
 }
 
@@ -107,7 +107,7 @@
 	StartedMS  int64           `json:"started_ms"`
 	AdmittedMS int64           `json:"admitted_ms"` // 0: never
 	EndedMS    int64           `json:"ended_ms"`    // 0: not yet
-	How        string          `json:"how"`         // "stop", "length", "cancelled", "crashed", "closed"; "": not yet
+	Outcome        string          `json:"how"`         // "stop", "length", "cancelled", "crashed", "closed"; "": not yet
 }
 
 func newRun(j job) *Run {
@@ -155,7 +155,7 @@
 
 func (t *truthLog) end(r *Run, how string) {
 	delete(t.live, r)
-	r.How = how
+	r.Outcome = how
 	r.EndedMS = time.Now().UnixMilli()
 	t.totals.RunsEnded++
 	if how != "stop" && how != "length" {
--- a/standin/hosted/hosted.go
+++ b/standin/hosted/hosted.go
@@ -91,7 +91,7 @@
 	for i := range o.Engines {
 		e := hostedtest.NewEngine(fmt.Sprintf("e%d", i), "engines", model)
 		defer e.Close()
-		e.Pace, e.Events = eventPace, events
+		e.EventInterval, e.Events = eventPace, events
 		d.store.Put(hostedtest.TopicServers, e.ID, e.Entry("ready"))
 		if err := d.settings(fmt.Sprintf("orders-%d", i), "[engine]\naddress = "+e.Addr()+"\n"); err != nil {
 			return err
--- a/standin/logsvc/log.go
+++ b/standin/logsvc/log.go
@@ -33,8 +33,8 @@
 	Seed      uint64
 }
 
-// Flags adds the configuration to fs.
-func (c *Config) Flags(fs *flag.FlagSet) {
+// AddFlags adds the configuration to fs.
+func (c *Config) AddFlags(fs *flag.FlagSet) {
 	fs.Float64Var(&c.Rate, "rate", 300, "appends a second over all streams; 0: no limit")
 	fs.IntVar(&c.Burst, "burst", 60, "appends at once")
 	fs.DurationVar(&c.Retention, "retention", 0, "drop records older than this; 0: keep")
@@ -47,7 +47,7 @@
 	SlowMS       int      `json:"slow_ms"`       // wait before each request
 	LoseAnswers  float64  `json:"lose_answers"`  // share of appends taken whose answer is lost
 	LoseRequests float64  `json:"lose_requests"` // share of appends not taken whose connection drops
-	Cut          []string `json:"cut"`           // clients (X-Client) whose connections drop
+	DropClients          []string `json:"cut"`           // clients (X-Client) whose connections drop
 }
 
 type record struct {
@@ -56,12 +56,12 @@
 	Data   []byte `json:"data"`
 }
 
-// Appended is one record in the truth.
-type Appended struct {
+// AppendedRecord is one record in the truth.
+type AppendedRecord struct {
 	Stream string `json:"stream"`
 	record
 	Client string `json:"client"`
-	Lost   bool   `json:"answer_lost"`
+	AnswerLost   bool   `json:"answer_lost"`
 }
 
 type stream struct {
@@ -83,7 +83,7 @@
 	rng      *rand.Rand
 	limit    *rate.Limiter
 	streams  map[string]*stream
-	appended []Appended
+	appended []AppendedRecord
 	refused  map[string]int
 	reads    int
 	change   chan struct{} // closed when the faults change
@@ -125,7 +125,7 @@
 // admitted applies the faults that come before anything is done.
 func (l *Log) admitted(w http.ResponseWriter, r *http.Request) bool {
 	f := l.Faults.Get()
-	if slices.Contains(f.Cut, r.Header.Get(protocol.Client)) {
+	if slices.Contains(f.DropClients, r.Header.Get(protocol.Client)) {
 		web.Drop()
 	}
 	web.Sleep(r.Context(), time.Duration(f.SlowMS)*time.Millisecond)
@@ -198,7 +198,7 @@
 	s.end++
 	close(s.more)
 	s.more = make(chan struct{})
-	l.appended = append(l.appended, Appended{Stream: name, record: rec, Client: client, Lost: lost})
+	l.appended = append(l.appended, AppendedRecord{Stream: name, record: rec, Client: client, AnswerLost: lost})
 	return rec.Offset
 }
 
@@ -289,7 +289,7 @@
 }
 
 // Truth returns every record ever appended, from index since on.
-func (l *Log) Truth(since int) []Appended {
+func (l *Log) Truth(since int) []AppendedRecord {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Clone(l.appended[min(max(since, 0), len(l.appended)):])
@@ -306,7 +306,7 @@
 		Appends  int            `json:"appends"`
 		Reads    int            `json:"reads"`
 		Refused  map[string]int `json:"refused"`
-		Appended []Appended     `json:"appended"`
+		Appended []AppendedRecord     `json:"appended"`
 	}{len(l.appended), l.reads, map[string]int{}, list}
 	for k, v := range l.refused {
 		out.Refused[k] = v
--- a/standin/logsvc/log_test.go
+++ b/standin/logsvc/log_test.go
@@ -48,7 +48,7 @@
 	p, err := c.Read(t.Context(), stream, 0, 10, 0)
 	require.NoError(t, err)
 	require.Equal(t, []string{"taken", "next"}, data(p))
-	require.True(t, l.Truth(0)[0].Lost)
+	require.True(t, l.Truth(0)[0].AnswerLost)
 }
 
 func data(p platform.Page) []string {
@@ -131,7 +131,7 @@
 		_, err := cut.Read(t.Context(), stream, 0, 10, patient)
 		held <- err
 	}()
-	l.Faults.Apply(logsvc.Faults{Cut: []string{"cut"}})
+	l.Faults.Apply(logsvc.Faults{DropClients: []string{"cut"}})
 	require.Error(t, <-held)
 	_, err := cut.Append(t.Context(), stream, []byte("x"))
 	require.ErrorIs(t, err, platform.ErrAppendUnknown)
--- a/standin/scorer/scorer.go
+++ b/standin/scorer/scorer.go
@@ -22,8 +22,8 @@
 	ScoreTime time.Duration // time that one score takes
 }
 
-// Flags adds the configuration to fs.
-func (c *Config) Flags(fs *flag.FlagSet) {
+// AddFlags adds the configuration to fs.
+func (c *Config) AddFlags(fs *flag.FlagSet) {
 	fs.DurationVar(&c.ScoreTime, "score-time", 2*time.Millisecond, "time that one score takes")
 }
 
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -27,8 +27,8 @@
 	Seed        uint64
 }
 
-// Flags adds the configuration to fs.
-func (c *Config) Flags(fs *flag.FlagSet) {
+// AddFlags adds the configuration to fs.
+func (c *Config) AddFlags(fs *flag.FlagSet) {
 	fs.StringVar(&c.Name, "name", "service", "name told in each answer")
 	fs.DurationVar(&c.ServiceTime, "service-time", 5*time.Millisecond, "mean time of one run (exponential)")
 	fs.Float64Var(&c.TimeScale, "time-scale", 1, "factor on all durations")
@@ -42,8 +42,8 @@
 	Hang       bool    `json:"hang"`        // runs, never answers
 	DropBefore float64 `json:"drop_before"` // share: connection dropped, not run
 	DropAfter  float64 `json:"drop_after"`  // share: run, connection dropped without an answer
-	CutBody    float64 `json:"cut_body"`    // share: run, connection dropped in the middle of the body
-	Times      int     `json:"times"`       // the faults end after this many faulty requests; 0: never
+	DropInBody    float64 `json:"cut_body"`    // share: run, connection dropped in the middle of the body
+	MaxFaultyRequests      int     `json:"times"`       // the faults end after this many faulty requests; 0: never
 }
 
 // Answer is what a run answers.
@@ -55,7 +55,7 @@
 	BodySHA256 string `json:"body_sha256"`
 	BodyBytes  int    `json:"body_bytes"`
 	RequestID  string `json:"request_id"`
-	Key        string `json:"idempotency_key"`
+	IdempotencyKey        string `json:"idempotency_key"`
 }
 
 // Run is one run in the truth.
@@ -63,7 +63,7 @@
 	Answer
 	StartedMS int64  `json:"started_ms"`
 	EndedMS   int64  `json:"ended_ms"` // 0: still running
-	How       string `json:"how"`      // "answered", "lost", "cut", "gone"; "": still running
+	Outcome       string `json:"how"`      // "answered", "lost", "cut", "gone"; "": still running
 }
 
 // Service is the stand-in; it is an http.Handler.
@@ -130,7 +130,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	d := time.Duration(s.rng.ExpFloat64() * float64(s.cfg.ServiceTime) * s.cfg.TimeScale)
-	if f.Times > 0 && s.faulty >= f.Times {
+	if f.MaxFaultyRequests > 0 && s.faulty >= f.MaxFaultyRequests {
 		return none, d
 	}
 	d += time.Duration(f.SlowMS) * time.Millisecond
@@ -152,7 +152,7 @@
 		return dropBefore
 	case x < f.DropBefore+f.DropAfter:
 		return dropAfter
-	case x < f.DropBefore+f.DropAfter+f.CutBody:
+	case x < f.DropBefore+f.DropAfter+f.DropInBody:
 		return cutBody
 	}
 	return none
@@ -241,15 +241,15 @@
 		BodySHA256: hex.EncodeToString(sum[:]),
 		BodyBytes:  len(body),
 		RequestID:  r.Header.Get("X-Request-Id"),
-		Key:        r.Header.Get("Idempotency-Key"),
+		IdempotencyKey:        r.Header.Get("Idempotency-Key"),
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a.Run = len(s.runs) + 1
 	run := &Run{Answer: a, StartedMS: time.Now().UnixMilli()}
 	s.runs = append(s.runs, run)
-	if a.Key != "" {
-		s.byKey[a.Key]++
+	if a.IdempotencyKey != "" {
+		s.byKey[a.IdempotencyKey]++
 	}
 	if a.RequestID != "" {
 		s.byID[a.RequestID]++
@@ -263,14 +263,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	run.EndedMS = time.Now().UnixMilli()
-	run.How = how
+	run.Outcome = how
 	s.concurrent--
 }
 
 // Truth is the answer of GET /truth.
 type Truth struct {
 	Runs        int            `json:"runs"`
-	Peak        int            `json:"peak"`          // most runs at once
+	PeakConcurrent        int            `json:"peak"`          // most runs at once
 	ByKey       map[string]int `json:"by_key"`        // Idempotency-Key -> runs
 	ByRequestID map[string]int `json:"by_request_id"` // X-Request-Id -> runs
 	List        []Run          `json:"list"`
@@ -281,7 +281,7 @@
 func (s *Service) Truth(since int, totals bool) Truth {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t := Truth{Runs: len(s.runs), Peak: s.peak, ByKey: map[string]int{}, ByRequestID: map[string]int{}, List: []Run{}}
+	t := Truth{Runs: len(s.runs), PeakConcurrent: s.peak, ByKey: map[string]int{}, ByRequestID: map[string]int{}, List: []Run{}}
 	if totals {
 		return t
 	}
--- a/standin/service/service_test.go
+++ b/standin/service/service_test.go
@@ -57,7 +57,7 @@
 	sum := sha256.Sum256([]byte("body"))
 	require.Equal(t, service.Answer{
 		Run: 1, Server: "registry-1", Method: http.MethodPost, Path: "/orders//7?q=1",
-		BodySHA256: hex.EncodeToString(sum[:]), BodyBytes: 4, RequestID: "r1", Key: key,
+		BodySHA256: hex.EncodeToString(sum[:]), BodyBytes: 4, RequestID: "r1", IdempotencyKey: key,
 	}, a)
 }
 
@@ -70,11 +70,11 @@
 		runs   int
 		how    string
 	}{
-		"dropped before":  {service.Faults{DropBefore: 1, Times: 1}, 0, ""},
-		"answer lost":     {service.Faults{DropAfter: 1, Times: 1}, 1, "lost"},
-		"answer cut":      {service.Faults{CutBody: 1, Times: 1}, 1, "cut"},
-		"answer hangs":    {service.Faults{Hang: true, Times: 1}, 1, "gone"},
-		"hangs unstarted": {service.Faults{HangBefore: true, Times: 1}, 0, ""},
+		"dropped before":  {service.Faults{DropBefore: 1, MaxFaultyRequests: 1}, 0, ""},
+		"answer lost":     {service.Faults{DropAfter: 1, MaxFaultyRequests: 1}, 1, "lost"},
+		"answer cut":      {service.Faults{DropInBody: 1, MaxFaultyRequests: 1}, 1, "cut"},
+		"answer hangs":    {service.Faults{Hang: true, MaxFaultyRequests: 1}, 1, "gone"},
+		"hangs unstarted": {service.Faults{HangBefore: true, MaxFaultyRequests: 1}, 0, ""},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -102,7 +102,7 @@
 			require.Equal(t, c.runs+1, truth.ByKey[key])
 			require.Equal(t, c.runs+1, truth.ByRequestID["r1"])
 			if c.runs > 0 && c.how != "gone" {
-				require.Equal(t, c.how, truth.List[0].How)
+				require.Equal(t, c.how, truth.List[0].Outcome)
 			}
 		})
 	}
--- a/standin/trainer/clock.go
+++ b/standin/trainer/clock.go
@@ -14,12 +14,12 @@
 	return &Clock{perGroup: perGroup, free: now}
 }
 
-// Arrived takes a group in and returns how long the trainer was idle before it.
-func (c *Clock) Arrived(now time.Time) (idle time.Duration) {
+// AddGroup takes a group in and returns how long the trainer was idle before it.
+func (c *Clock) AddGroup(now time.Time) (idle time.Duration) {
 	idle = max(0, now.Sub(c.free))
 	c.free = c.free.Add(idle + c.perGroup)
 	return idle
 }
 
-// Done returns when the training on all groups so far ends.
-func (c *Clock) Done() time.Time { return c.free }
+// BusyUntil returns when the training on all groups so far ends.
+func (c *Clock) BusyUntil() time.Time { return c.free }
--- a/standin/trainer/clock_test.go
+++ b/standin/trainer/clock_test.go
@@ -13,10 +13,10 @@
 	start := time.Unix(0, 0)
 	at := func(s int) time.Time { return start.Add(time.Duration(s) * time.Second) }
 	c := NewClock(start, 2*time.Second)
-	require.Equal(t, 3*time.Second, c.Arrived(at(3)), "nothing to train on before the first group")
-	require.Zero(t, c.Arrived(at(4)))
-	require.Equal(t, at(7), c.Done())
-	require.Zero(t, c.Arrived(at(5)))
-	require.Equal(t, time.Second, c.Arrived(at(10)))
-	require.Equal(t, at(12), c.Done())
+	require.Equal(t, 3*time.Second, c.AddGroup(at(3)), "nothing to train on before the first group")
+	require.Zero(t, c.AddGroup(at(4)))
+	require.Equal(t, at(7), c.BusyUntil())
+	require.Zero(t, c.AddGroup(at(5)))
+	require.Equal(t, time.Second, c.AddGroup(at(10)))
+	require.Equal(t, at(12), c.BusyUntil())
 }
--- a/standin/trainer/trainer.go
+++ b/standin/trainer/trainer.go
@@ -31,8 +31,8 @@
 	Entries []string // base URLs
 	Token   string
 	Model   string
-	// Weights is the weight store's base URL; needed to publish.
-	Weights     string
+	// WeightStore is the weight store's base URL; needed to publish.
+	WeightStore     string
 	WeightBytes int64 // size of a published version
 	FirstStep   uint64
 	Steps       int
@@ -43,9 +43,9 @@
 	// TrainTime is how long the trainer computes on a step, spread evenly over
 	// its groups.
 	TrainTime time.Duration
-	// Ahead is how many steps may be whole but not trained when the next one
+	// MaxUntrainedSteps is how many steps may be whole but not trained when the next one
 	// is asked for.
-	Ahead int
+	MaxUntrainedSteps int
 	// PublishEvery steps a new version; 0: never.
 	PublishEvery int
 	// Version is the newest version at the begin; 0: the store's latest.
@@ -145,12 +145,12 @@
 	}
 	var err error
 	t.client, err = client.New(client.Config{
-		Entries: o.Entries, Token: o.Token, HTTP: t.HTTP, Wait: o.Wait, Timeout: o.Timeout, Tries: o.Tries,
+		Entries: o.Entries, Token: o.Token, HTTP: t.HTTP, MaxWait: o.Wait, Timeout: o.Timeout, MaxAttempts: o.Tries,
 	})
 	if err != nil {
 		return t.report, errors.Trace(err)
 	}
-	if t.newest == 0 && t.Weights != "" {
+	if t.newest == 0 && t.WeightStore != "" {
 		if t.newest, err = t.latest(ctx); err != nil {
 			return t.report, errors.Annotate(err, "latest version")
 		}
@@ -168,14 +168,14 @@
 		if err := t.step(ctx, id); err != nil {
 			return errors.Annotatef(err, "step %d", id)
 		}
-		ends = append(ends, t.clock.Done())
-		if k := i - t.Ahead; k >= 0 {
+		ends = append(ends, t.clock.BusyUntil())
+		if k := i - t.MaxUntrainedSteps; k >= 0 {
 			if err := t.trained(ctx, k, ends[k]); err != nil {
 				return err
 			}
 		}
 	}
-	for k := max(0, t.Steps-t.Ahead); k < t.Steps; k++ {
+	for k := max(0, t.Steps-t.MaxUntrainedSteps); k < t.Steps; k++ {
 		if err := t.trained(ctx, k, ends[k]); err != nil {
 			return err
 		}
@@ -232,7 +232,7 @@
 		if err != nil {
 			return err
 		}
-		rec.IdleMS += ms(t.clock.Arrived(time.Now()))
+		rec.IdleMS += ms(t.clock.AddGroup(time.Now()))
 		for _, s := range g.Samples {
 			got[fmt.Sprintf("%s/%d", g.ID, s.Index)]++
 			stale += t.sample(&rec, specs[g.ID], s, time.Since(began))
@@ -305,7 +305,7 @@
 // publish puts a new version into the store, then tells the entries.
 func (t *trainer) publish(ctx context.Context) error {
 	version := t.newest + 1
-	if t.Weights != "" {
+	if t.WeightStore != "" {
 		if err := t.put(ctx, version); err != nil {
 			return err
 		}
@@ -321,13 +321,13 @@
 func (t *trainer) put(ctx context.Context, version uint64) error {
 	data := make([]byte, max(1, t.WeightBytes))
 	copy(data, fmt.Sprintf("%s %d", t.Model, version))
-	url := fmt.Sprintf("%s/models/%s/versions/%d", t.Weights, t.Model, version)
+	url := fmt.Sprintf("%s/models/%s/versions/%d", t.WeightStore, t.Model, version)
 	_, err := t.store(ctx, http.MethodPut, url, bytes.NewReader(data))
 	return err
 }
 
 func (t *trainer) latest(ctx context.Context) (uint64, error) {
-	data, err := t.store(ctx, http.MethodGet, fmt.Sprintf("%s/models/%s/latest", t.Weights, t.Model), nil)
+	data, err := t.store(ctx, http.MethodGet, fmt.Sprintf("%s/models/%s/latest", t.WeightStore, t.Model), nil)
 	if err != nil {
 		return 0, err
 	}
--- a/standin/trainer/trainer_test.go
+++ b/standin/trainer/trainer_test.go
@@ -54,7 +54,7 @@
 		s := &site{}
 		var out bytes.Buffer
 		report, err := trainer.Run(t.Context(), trainer.Options{
-			Entries: []string{"http://e"}, Token: "x", Model: "m", Weights: "http://w", FirstStep: 1,
+			Entries: []string{"http://e"}, Token: "x", Model: "m", WeightStore: "http://w", FirstStep: 1,
 			Steps: 3, Groups: 2, Samples: 3, MaxTokens: 10, TrainTime: 5 * time.Second, PublishEvery: 1,
 			Out: &out, HTTP: &http.Client{Transport: s},
 		})
--- a/standin/truth/truth.go
+++ b/standin/truth/truth.go
@@ -123,9 +123,9 @@
 	return max(1, int(math.Round(n)))
 }
 
-// Tokens is the whole length of an answer to (prompt, seed) under maxTokens;
+// OutputTokens is the whole length of an answer to (prompt, seed) under maxTokens;
 // 0 means no limit.
-func Tokens(prompt string, seed uint64, mean, sigma float64, maxTokens int) int {
+func OutputTokens(prompt string, seed uint64, mean, sigma float64, maxTokens int) int {
 	n := NaturalTokens(prompt, seed, mean, sigma)
 	if maxTokens > 0 {
 		n = min(n, maxTokens)
--- a/standin/truth/truth_test.go
+++ b/standin/truth/truth_test.go
@@ -64,7 +64,7 @@
 		if a > 4*mean {
 			long++
 		}
-		require.Equal(t, min(a, 50), truth.Tokens(p, 1, mean, sigma, 50))
+		require.Equal(t, min(a, 50), truth.OutputTokens(p, 1, mean, sigma, 50))
 	}
 	require.InEpsilon(t, mean, sum/prompts, 0.1)
 	require.Greater(t, long, 0.005*prompts)
--- a/standin/vms/vms.go
+++ b/standin/vms/vms.go
@@ -18,8 +18,8 @@
 	Lag time.Duration // age of what a reader gets
 }
 
-// Flags adds the configuration to fs.
-func (c *Config) Flags(fs *flag.FlagSet) {
+// AddFlags adds the configuration to fs.
+func (c *Config) AddFlags(fs *flag.FlagSet) {
 	fs.DurationVar(&c.Lag, "lag", 0, "age of the list that a reader gets")
 }
 
--- a/standin/weights/weights.go
+++ b/standin/weights/weights.go
@@ -30,13 +30,13 @@
 
 // Config configures the store.
 type Config struct {
-	BytesPerS float64 // total rate of all fetches; 0: no limit
+	BytesPerSecond float64 // total rate of all fetches; 0: no limit
 	Initial   string  // MODEL:VERSION:BYTES, comma separated
 }
 
-// Flags adds the configuration to fs.
-func (c *Config) Flags(fs *flag.FlagSet) {
-	fs.Float64Var(&c.BytesPerS, "bytes-per-s", 0, "total rate of all fetches; 0: no limit")
+// AddFlags adds the configuration to fs.
+func (c *Config) AddFlags(fs *flag.FlagSet) {
+	fs.Float64Var(&c.BytesPerSecond, "bytes-per-s", 0, "total rate of all fetches; 0: no limit")
 	fs.StringVar(&c.Initial, "initial", "", "weights held at the start: MODEL:VERSION:BYTES, comma separated")
 }
 
@@ -44,8 +44,8 @@
 type Faults struct {
 	Down     bool    `json:"down"`      // 503
 	SlowMS   int     `json:"slow_ms"`   // wait before each answer
-	CutBytes int64   `json:"cut_bytes"` // a fetch is cut after so many bytes; 0: never
-	Rate     float64 `json:"rate"`      // factor on the byte rate; 0: 1
+	DropAfterBytes int64   `json:"cut_bytes"` // a fetch is cut after so many bytes; 0: never
+	RateFactor     float64 `json:"rate"`      // factor on the byte rate; 0: 1
 }
 
 // Fetch is one fetch in the truth.
@@ -54,7 +54,7 @@
 	Version   uint64 `json:"version"`
 	Client    string `json:"client"`
 	Bytes     int64  `json:"bytes"`
-	Whole     bool   `json:"whole"`
+	Complete     bool   `json:"whole"`
 	StartedMS int64  `json:"started_ms"`
 	EndedMS   int64  `json:"ended_ms"`
 }
@@ -91,12 +91,12 @@
 		entries: map[key]entry{},
 		latest:  map[string]uint64{},
 	}
-	if cfg.BytesPerS > 0 {
-		s.limit = rate.NewLimiter(rate.Limit(cfg.BytesPerS), piece)
+	if cfg.BytesPerSecond > 0 {
+		s.limit = rate.NewLimiter(rate.Limit(cfg.BytesPerSecond), piece)
 	}
 	s.Faults.OnApply = func(f Faults) {
-		if cfg.BytesPerS > 0 {
-			s.limit.SetLimit(rate.Limit(cfg.BytesPerS * factor(f.Rate)))
+		if cfg.BytesPerSecond > 0 {
+			s.limit.SetLimit(rate.Limit(cfg.BytesPerSecond * factor(f.RateFactor)))
 		}
 	}
 	if err := s.load(cfg.Initial); err != nil {
@@ -137,13 +137,13 @@
 		if err != nil {
 			return fmt.Errorf("initial weights %q: %w", item, err)
 		}
-		s.Put(parts[0], version, Bytes(parts[0], version, size))
+		s.Put(parts[0], version, GenerateBytes(parts[0], version, size))
 	}
 	return nil
 }
 
-// Bytes makes deterministic weights of a version.
-func Bytes(model string, version uint64, size int) []byte {
+// GenerateBytes makes deterministic weights of a version.
+func GenerateBytes(model string, version uint64, size int) []byte {
 	var seed [32]byte
 	sum := sha256.Sum256([]byte(model))
 	copy(seed[:], sum[:])
@@ -236,15 +236,15 @@
 	w.Header().Set(protocol.WeightsVersion, strconv.FormatUint(version, 10))
 	w.Header().Set(protocol.WeightsDigest, e.info.Digest)
 	f.Bytes = s.send(r.Context(), w, e.data)
-	f.Whole = f.Bytes == int64(len(e.data))
-	if !f.Whole {
+	f.Complete = f.Bytes == int64(len(e.data))
+	if !f.Complete {
 		web.Drop()
 	}
 }
 
 // send writes data at the store's rate and returns how much went out.
 func (s *Weights) send(ctx context.Context, w io.Writer, data []byte) int64 {
-	cut := s.Faults.Get().CutBytes
+	cut := s.Faults.Get().DropAfterBytes
 	var sent int64
 	for len(data) > 0 {
 		n := min(len(data), piece)
--- a/standin/weights/weights_test.go
+++ b/standin/weights/weights_test.go
@@ -31,7 +31,7 @@
 
 func TestPutAndFetch(t *testing.T) {
 	s, c := start(t, weights.Config{Initial: model + ":1:100"})
-	data := weights.Bytes(model, 2, 100_000)
+	data := weights.GenerateBytes(model, 2, 100_000)
 	require.NoError(t, c.Put(t.Context(), platform.WeightInfo{Model: model, Version: 2, Bytes: int64(len(data))}, bytes.NewReader(data)))
 	latest, err := c.Latest(t.Context(), model)
 	require.NoError(t, err)
@@ -56,14 +56,14 @@
 // an error, and the truth does not count the fetch as whole.
 func TestCutFetchIsAnError(t *testing.T) {
 	s, c := start(t, weights.Config{Initial: model + ":1:100000"})
-	s.Faults.Apply(weights.Faults{CutBytes: 50_000})
+	s.Faults.Apply(weights.Faults{DropAfterBytes: 50_000})
 	r, _, err := c.Fetch(t.Context(), model, 1)
 	require.NoError(t, err)
 	defer r.Close()
 	_, err = io.ReadAll(r)
 	require.ErrorIs(t, err, io.ErrUnexpectedEOF)
 	require.Eventually(t, func() bool { return len(s.Fetches()) == 1 }, patient, tick)
-	require.False(t, s.Fetches()[0].Whole)
+	require.False(t, s.Fetches()[0].Complete)
 
 	s.Faults.Apply(weights.Faults{Down: true})
 	_, err = c.Latest(t.Context(), model)
--- a/trainer/run.go
+++ b/trainer/run.go
@@ -159,7 +159,7 @@
 		// An entry that is silent for the whole time is frozen or cut off:
 		// with a greater attempt it is as safe to leave it now as later.
 		silent := stderrors.Is(err, context.DeadlineExceeded)
-		if err == nil || kindOf(err) != "" || ctx.Err() != nil || silent || try >= r.c.cfg.Tries {
+		if err == nil || kindOf(err) != "" || ctx.Err() != nil || silent || try >= r.c.cfg.MaxAttempts {
 			return err
 		}
 		if r.pause.wait(ctx, err) != nil {
@@ -171,11 +171,11 @@
 func (r *runner) pullAll(ctx context.Context, yield func(Group, error) bool) error {
 	for cursor := 0; len(r.missing) > 0; {
 		url := fmt.Sprintf("%s/v1/steps/%d/groups?attempt=%d&cursor=%d&wait_ms=%d",
-			r.entry, r.step.ID, r.attempt, cursor, r.c.cfg.Wait.Milliseconds())
+			r.entry, r.step.ID, r.attempt, cursor, r.c.cfg.MaxWait.Milliseconds())
 		var answer groupsAnswer
 		err := r.repeat(ctx, func() error {
 			answer = groupsAnswer{}
-			return r.c.do(ctx, r.c.cfg.Wait+r.c.cfg.Timeout, http.MethodGet, url, nil, &answer)
+			return r.c.do(ctx, r.c.cfg.MaxWait+r.c.cfg.Timeout, http.MethodGet, url, nil, &answer)
 		})
 		if err != nil {
 			return err
--- a/trainer/trainer.go
+++ b/trainer/trainer.go
@@ -62,13 +62,13 @@
 	Entries []string
 	// Token is the trainer's bearer token.
 	Token string
-	// Wait is how long an entry may hold a pull that has nothing to tell.
-	Wait time.Duration
+	// MaxWait is how long an entry may hold a pull that has nothing to tell.
+	MaxWait time.Duration
 	// Timeout bounds a request, beyond Wait for a pull. An entry that exceeds
 	// it Tries times in a row is left for another.
 	Timeout time.Duration
-	// Tries at one entry before the client turns to the next.
-	Tries int
+	// MaxAttempts at one entry before the client turns to the next.
+	MaxAttempts int
 	// MinBackoff and MaxBackoff bound the pause between tries.
 	MinBackoff, MaxBackoff time.Duration
 	HTTP                   *http.Client
@@ -85,14 +85,14 @@
 	if len(cfg.Entries) == 0 {
 		return nil, errors.NotValidf("config without entries")
 	}
-	if cfg.Wait == 0 {
-		cfg.Wait = defaultWait
+	if cfg.MaxWait == 0 {
+		cfg.MaxWait = defaultWait
 	}
 	if cfg.Timeout == 0 {
 		cfg.Timeout = defaultTimeout
 	}
-	if cfg.Tries == 0 {
-		cfg.Tries = defaultTries
+	if cfg.MaxAttempts == 0 {
+		cfg.MaxAttempts = defaultTries
 	}
 	if cfg.MinBackoff == 0 {
 		cfg.MinBackoff = defaultMinBackoff
