--- a/capacity/ask_test.go
+++ b/capacity/ask_test.go
@@ -11,13 +11,13 @@
 	"dandelionsill.org/wire/pb"
 )
 
-// answering says its state once.
-type answering struct {
+// singleStateAgent is an agent whose Watch streams send one state and then nothing.
+type singleStateAgent struct {
 	pb.UnimplementedAgentServer
 	state *pb.AgentState
 }
 
-func (a answering) Watch(_ *pb.WatchRequest, stream pb.Agent_WatchServer) error {
+func (a singleStateAgent) Watch(_ *pb.WatchRequest, stream pb.Agent_WatchServer) error {
 	if err := stream.Send(a.state); err != nil {
 		return err
 	}
@@ -25,15 +25,15 @@
 	return nil
 }
 
-// BenchmarkAsk connects to an agent, reads one state and closes: what the
-// roster does with each agent of the list, and an entry when an agent comes
-// back. The processor time is that of both sides.
+// BenchmarkAsk connects to an agent, reads one state and closes the connection.
+// The roster does this for each agent of the VM list, and an entry does it when an
+// agent is available again. The processor time is that of both sides.
 func BenchmarkAsk(b *testing.B) {
 	traffic := &Traffic{}
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(b, err)
 	srv := run.NewGRPC(lis.Addr().String()).Server
-	pb.RegisterAgentServer(srv, answering{state: agentState("agent-0001", 64)})
+	pb.RegisterAgentServer(srv, singleStateAgent{state: agentState("agent-0001", 64)})
 	go func() { _ = srv.Serve(traffic.Listen(lis)) }()
 	defer srv.Stop()
 	benchCPU(b, traffic, func() {
--- a/capacity/size.go
+++ b/capacity/size.go
@@ -9,71 +9,71 @@
 	"dandelionsill.org/platform"
 )
 
-// The full size, by the users' letter.
+// The full size, as required by the users.
 const (
-	Entries        = 360
-	Servers        = 1500
-	Processes      = Entries + Servers
-	Accelerators   = 2900
-	Regions        = 7
-	Domains        = 24
-	Trainers       = 24
-	StepSamples    = 2048
-	StepSeconds    = 240
-	RequestsPS     = 3800.0
-	TokensPS       = 1.6e6
-	ChangesPerDay  = 4300.0
-	ReplacedPerDay = 214.0 // 200 restarted or replaced and 14 failed
-	SecondsPerDay  = 86400.0
+	Entries           = 360
+	Servers           = 1500
+	Processes         = Entries + Servers
+	Accelerators      = 2900
+	Regions           = 7
+	Domains           = 24
+	Trainers          = 24
+	StepSamples       = 2048
+	StepSeconds       = 240
+	RequestsPerSecond = 3800.0
+	TokensPerSecond   = 1.6e6
+	ChangesPerDay     = 4300.0
+	ReplacedPerDay    = 214.0 // 200 restarted or replaced and 14 failed
+	SecondsPerDay     = 86400.0
 )
 
-// The budgets for control of one daemon.
+// The budgets of one process for its control costs.
 const (
-	BudgetCPU   = 0.03     // of a core
-	BudgetBytes = 64e6     // of memory
-	BudgetPS    = 17 * 1e3 // bytes a second, both directions together
-	keyedShare  = 0.05     // of the requests carry an idempotency key (docs/DESIGN.md)
+	BudgetCPU            = 0.03     // of a core
+	BudgetMemory         = 64e6     // of memory
+	BudgetBytesPerSecond = 17 * 1e3 // both directions together
+	keyedRequestShare    = 0.05     // of the requests carry an idempotency key (docs/DESIGN.md)
 )
 
-// domainOf spreads members over failure domains evenly.
-func domainOf(i int) string { return fmt.Sprintf("domain-%02d", i%Domains) }
+// failureDomain returns the failure domain of member i; members are spread evenly.
+func failureDomain(i int) string { return fmt.Sprintf("domain-%02d", i%Domains) }
 
-// EntryMembers returns n entries as the choice of subsets sees them.
+// EntryMembers returns n entries as input of the subset choice.
 func EntryMembers(n int) []subset.Member {
 	all := make([]subset.Member, n)
 	for i := range all {
-		all[i] = subset.Member{Name: fmt.Sprintf("entry-%04d", i), FailureDomain: domainOf(i)}
+		all[i] = subset.Member{Name: fmt.Sprintf("entry-%04d", i), FailureDomain: failureDomain(i)}
 	}
 	return all
 }
 
-// AgentMembers returns n agents that serve the given number of pools.
+// AgentMembers returns n agents that are spread over the given number of pools.
 func AgentMembers(n, pools int) []subset.Member {
 	all := make([]subset.Member, n)
 	for i := range all {
-		all[i] = subset.Member{Name: agentName(i), FailureDomain: domainOf(i), Pool: fmt.Sprintf("model/m%d", i/Domains%pools)}
+		all[i] = subset.Member{Name: agentName(i), FailureDomain: failureDomain(i), Pool: fmt.Sprintf("model/m%d", i/Domains%pools)}
 	}
 	return all
 }
 
 func agentName(i int) string { return fmt.Sprintf("agent-%04d", i) }
 
-// WaveServers returns n servers of one model.
+// WaveServers returns n servers of one model as input of the rollout plan.
 func WaveServers(n int) []waves.Server {
 	all := make([]waves.Server, n)
 	for i := range all {
-		all[i] = waves.Server{Name: agentName(i), FailureDomain: domainOf(i)}
+		all[i] = waves.Server{Name: agentName(i), FailureDomain: failureDomain(i)}
 	}
 	return all
 }
 
-// VMs returns the platform's list with this many VMs of each role.
+// VMs returns a VM list with the given numbers of entries and agents.
 func VMs(entries, agents int) []platform.VM {
 	var all []platform.VM
 	add := func(role, name string, i int) {
 		all = append(all, platform.VM{
 			Name: name, Role: role, Addr: fmt.Sprintf("10.%d.%d.%d:7100", i%Regions, i/250, i%250+1),
-			Region: fmt.Sprintf("region-%d", i%Regions), FailureDomain: domainOf(i), State: platform.VMLive,
+			Region: fmt.Sprintf("region-%d", i%Regions), FailureDomain: failureDomain(i), State: platform.VMLive,
 		})
 	}
 	for i := range entries {
@@ -85,8 +85,8 @@
 	return all
 }
 
-// ManifestText returns a manifest of a fleet: trainers, callers and services
-// grow with it.
+// ManifestText returns the text of a manifest with the given numbers of models,
+// services, trainers and callers.
 func ManifestText(models, services, trainers, callers int) []byte {
 	var b strings.Builder
 	b.WriteString("[fleet]\nname = fleet\nweigh = idle\n")
--- a/capacity/watch_test.go
+++ b/capacity/watch_test.go
@@ -28,13 +28,13 @@
 	"dandelionsill.org/wire/pb"
 )
 
-// agentsEnv makes the test binary play the agents of BenchmarkWatch, so that
-// the entry's processor time and memory stand alone in their process.
+// agentsEnv makes the test binary serve the agents of BenchmarkWatch in a process of
+// their own, so that the entry's processor time and memory are measured without them.
 const agentsEnv = "DANDELION_CAPACITY_AGENTS"
 
 func TestMain(m *testing.M) {
 	if spec := os.Getenv(agentsEnv); spec != "" {
-		if err := playAgents(spec, os.Stdin, os.Stdout); err != nil {
+		if err := serveAgents(spec, os.Stdin, os.Stdout); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
@@ -43,7 +43,8 @@
 	os.Exit(m.Run())
 }
 
-// agentState is what an engine's agent says of itself.
+// agentState returns the state that an engine's agent reports, with the given number
+// of warm prefixes.
 func agentState(name string, warm int) *pb.AgentState {
 	s := &pb.AgentState{
 		Name: name, Addr: "10.12.34.56:7100", FailureDomain: "domain-07", Region: "region-3",
@@ -57,7 +58,7 @@
 	return s
 }
 
-// BenchmarkAgentState encodes one state and tells its size.
+// BenchmarkAgentState encodes one state and reports its size.
 func BenchmarkAgentState(b *testing.B) {
 	for _, warm := range []int{0, 64} {
 		b.Run(fmt.Sprintf("warm=%d", warm), func(b *testing.B) {
@@ -70,11 +71,11 @@
 	}
 }
 
-// playAgents serves agents until its input ends. spec is "COUNT LOAD WARM": the
-// times between two changes of the load and of the warm prefixes. It tells the
-// agents' addresses, and after each line of input the bytes that their
-// connections have carried and its processor time in ns.
-func playAgents(spec string, in io.Reader, out io.Writer) error {
+// serveAgents serves agents until its input ends. spec is "COUNT LOAD WARM": the
+// number of agents and the times between two changes of the load and of the warm
+// prefixes. It writes the agents' addresses and then, after each line of input, the
+// bytes that their connections have carried and its processor time in ns.
+func serveAgents(spec string, in io.Reader, out io.Writer) error {
 	fields := strings.Fields(spec)
 	count, err := strconv.Atoi(fields[0])
 	if err != nil {
@@ -90,7 +91,7 @@
 	}
 	var traffic Traffic
 	for i := range count {
-		addr, err := playAgent(i, load, warm, &traffic)
+		addr, err := serveAgent(i, load, warm, &traffic)
 		if err != nil {
 			return err
 		}
@@ -107,19 +108,20 @@
 	return lines.Err()
 }
 
-// playAgent serves the real agent's states over a made-up engine.
-func playAgent(i int, load, warm time.Duration, traffic *Traffic) (net.Addr, error) {
+// serveAgent runs the real agent's server with an engine stand-in and returns its
+// address.
+func serveAgent(i int, load, warm time.Duration, traffic *Traffic) (net.Addr, error) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
 	var set server.Settings
 	set.Process.Name, set.Process.Listen = agentName(i), "10.12.34.56:7100"
-	set.Process.FailureDomain, set.Process.Region = domainOf(i), "region-3"
+	set.Process.FailureDomain, set.Process.Region = failureDomain(i), "region-3"
 	set.Backend = server.Backend{
 		Kind: server.KindEngine, Serves: "model-3", Addr: lis.Addr().String(), HealthInterval: time.Minute,
 	}
-	engine := &madeUpEngine{warm: warm, began: time.Now()}
+	engine := &engineStandIn{warm: warm, started: time.Now()}
 	agent := server.New(server.Config{
 		Settings: set, Viewer: confsync.Static{V: &confsync.View{Number: 1 << 20, Manifest: &manifest.Manifest{}}},
 		VMs: fixedVMs(nil), Queue: admission.New(admission.Config{Slots: 32}), Generator: engine,
@@ -136,25 +138,25 @@
 	return lis.Addr(), nil
 }
 
-// madeUpEngine is an engine whose load is another one at each look.
-type madeUpEngine struct {
-	server.Generator // panics on what a watch does not ask for
+// engineStandIn is an engine whose load differs each time it is read.
+type engineStandIn struct {
+	server.Generator // nil: methods that a watch does not call panic
 	warm             time.Duration
-	began            time.Time
-	looks            int
+	started          time.Time
+	reads            int
 }
 
-func (e *madeUpEngine) FillState(s *pb.AgentState) {
-	e.looks++
+func (e *engineStandIn) FillState(s *pb.AgentState) {
+	e.reads++
 	load := agentState(s.Name, 64)
-	s.Version, s.Slots, s.Running, s.Queued = load.Version, load.Slots, int32(e.looks%32), int32(e.looks%7)
-	s.TokensPerS, s.StreamTokensPerS = load.TokensPerS+float64(e.looks), load.StreamTokensPerS+float64(e.looks)
-	s.QueueWaitMs = int64(e.looks % 1000)
+	s.Version, s.Slots, s.Running, s.Queued = load.Version, load.Slots, int32(e.reads%32), int32(e.reads%7)
+	s.TokensPerS, s.StreamTokensPerS = load.TokensPerS+float64(e.reads), load.StreamTokensPerS+float64(e.reads)
+	s.QueueWaitMs = int64(e.reads % 1000)
 	s.WarmPrefixes = load.WarmPrefixes
-	s.WarmPrefixes[0] = uint64(1 + time.Since(e.began)/e.warm)
+	s.WarmPrefixes[0] = uint64(1 + time.Since(e.started)/e.warm)
 }
 
-// agentsProcess is a process that plays agents.
+// agentsProcess is a process that runs serveAgents.
 type agentsProcess struct {
 	in    io.WriteCloser
 	out   *bufio.Scanner
@@ -179,8 +181,8 @@
 	return p
 }
 
-// spent returns the bytes carried and the processor time used so far.
-func (p *agentsProcess) spent(b *testing.B) (bytes int64, cpu time.Duration) {
+// usage returns the bytes carried and the processor time used so far.
+func (p *agentsProcess) usage(b *testing.B) (bytes int64, cpu time.Duration) {
 	_, err := fmt.Fprintln(p.in)
 	require.NoError(b, err)
 	require.True(b, p.out.Scan())
@@ -192,15 +194,15 @@
 	return bytes, time.Duration(n)
 }
 
-// fixedVMs is a VM list that doesn't change.
+// fixedVMs is a VM list that never changes.
 type fixedVMs []platform.VM
 
 func (v fixedVMs) VMs() []platform.VM       { return v }
 func (v fixedVMs) Changed() <-chan struct{} { return nil }
 
-// BenchmarkWatch lets an entry's fleet watch agents in another process. One
-// iteration is one second. load and warm are the times between two changes of
-// an agent's load and of its warm prefixes.
+// BenchmarkWatch runs an entry's fleet that watches agents in another process. One
+// iteration is one second. load and warm are the times between two changes of an
+// agent's load and of its warm prefixes.
 func BenchmarkWatch(b *testing.B) {
 	const hour = time.Hour
 	for _, agents := range []int{10, 46, 146, 342, 500} {
@@ -221,28 +223,28 @@
 	before := LiveBytes()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	picture := fleet.New(fleet.Config{
-		Name: "entry-0001", FailureDomain: domainOf(0), Region: "region-0", VMs: fixedVMs(vms),
+	entryFleet := fleet.New(fleet.Config{
+		Name: "entry-0001", FailureDomain: failureDomain(0), Region: "region-0", VMs: fixedVMs(vms),
 		Viewer: confsync.Static{V: &confsync.View{Manifest: &manifest.Manifest{}}},
 		Subset: subset.Config{FullBelow: agents}, Eject: eject.Default,
 	})
 	done := make(chan struct{})
-	go func() { defer close(done); picture.Run(ctx) }()
+	go func() { defer close(done); entryFleet.Run(ctx) }()
 	defer func() { cancel(); <-done }()
-	require.Eventually(b, func() bool { return len(picture.Snapshot().ByName) == agents }, time.Minute, 10*time.Millisecond)
-	bytes0, remote0 := process.spent(b)
+	require.Eventually(b, func() bool { return len(entryFleet.Snapshot().ByName) == agents }, time.Minute, 10*time.Millisecond)
+	bytes0, remote0 := process.usage(b)
 	cpu0, err := CPUTime()
 	require.NoError(b, err)
-	began := time.Now()
+	started := time.Now()
 	b.ResetTimer()
 	for range b.N {
 		<-time.After(time.Second)
 	}
 	b.StopTimer()
-	seconds := time.Since(began).Seconds()
+	seconds := time.Since(started).Seconds()
 	cpu1, err := CPUTime()
 	require.NoError(b, err)
-	bytes1, remote1 := process.spent(b)
+	bytes1, remote1 := process.usage(b)
 	b.ReportMetric(100*(cpu1-cpu0).Seconds()/seconds, "entry-%core")
 	b.ReportMetric(100*(remote1-remote0).Seconds()/seconds/float64(agents), "agent-%core/watcher")
 	b.ReportMetric(float64(bytes1-bytes0)/seconds/1e3, "KB/s")
--- a/e2e/cluster_test.go
+++ b/e2e/cluster_test.go
@@ -21,29 +21,29 @@
 )
 
 const (
-	// patience bounds every wait for a condition; nothing is judged by it.
-	patience = 30 * time.Second
+	// maxWait limits every wait for a condition. No check depends on its length.
+	maxWait  = 30 * time.Second
 	maxConns = 256
 )
 
-// proc is a process that a test started.
-type proc struct {
+// process is a process that a test started.
+type process struct {
 	site.Process
-	cmd  *exec.Cmd
-	log  string
-	done chan struct{} // closed at its end
-	code int           // exit code, once done; -1: killed
+	cmd      *exec.Cmd
+	log      string
+	done     chan struct{} // closed when the process has ended
+	exitCode int           // valid after done is closed; -1: killed
 }
 
 // cluster is a site of running processes.
 type cluster struct {
-	t     *testing.T
-	ctx   context.Context
-	site  *site.Site
-	procs map[string]*proc
+	t         *testing.T
+	ctx       context.Context
+	site      *site.Site
+	processes map[string]*process
 }
 
-// options of a test's site.
+// options are the options of a test's site. Zero values have defaults.
 type options struct {
 	deployment site.Deployment
 	engine     site.EngineModel
@@ -51,20 +51,20 @@
 	seed       uint64
 }
 
-// quick is an engine model with short samples, for tests.
-func quick() site.EngineModel {
+// shortSamples returns the default engine model, which has short samples.
+func shortSamples() site.EngineModel {
 	return site.EngineModel{MeanTokens: 60, Sigma: 0.5, LoadTime: 2 * time.Second}
 }
 
-// newCluster lays a site out and starts its processes. It is not yet in
-// service; up brings it there.
+// newCluster creates a site and starts its processes. It does not wait until they
+// serve; startCluster does.
 func newCluster(t *testing.T, o options) *cluster {
 	t.Helper()
 	if o.deployment.Name == "" {
 		o.deployment = site.Small
 	}
 	if o.engine.MeanTokens == 0 {
-		o.engine = quick()
+		o.engine = shortSamples()
 	}
 	if o.seed == 0 {
 		o.seed = 1
@@ -74,32 +74,32 @@
 	t.Cleanup(cancel)
 	public, _ := site.SigningKey()
 	s, err := site.New(site.Options{
-		Deployment: o.deployment, NetOctet: leaseNet(t), Dir: t.TempDir(), BinDir: bin, Seed: o.seed, TimeScale: 0.1,
+		Deployment: o.deployment, NetOctet: reserveNet(t), Dir: t.TempDir(), BinDir: binDir, Seed: o.seed, TimeScale: 0.1,
 		PublicKey: public, Engine: o.engine, Service: o.service, WeightSize: 100_000,
 	})
 	require.NoError(t, err)
 	require.NoError(t, s.CheckAddressesFree())
-	c := &cluster{t: t, ctx: ctx, site: s, procs: map[string]*proc{}}
-	t.Cleanup(c.end)
+	c := &cluster{t: t, ctx: ctx, site: s, processes: map[string]*process{}}
+	t.Cleanup(c.killAll)
 	for _, p := range s.Processes {
 		c.start(p)
 	}
 	return c
 }
 
-// up starts a site and brings it into service.
-func up(t *testing.T, o options) *cluster {
+// startCluster starts a site and waits until it serves.
+func startCluster(t *testing.T, o options) *cluster {
 	t.Helper()
 	c := newCluster(t, o)
-	ctx, cancel := context.WithTimeout(c.ctx, patience)
+	ctx, cancel := context.WithTimeout(c.ctx, maxWait)
 	defer cancel()
 	require.NoError(t, c.site.BringUp(ctx))
 	return c
 }
 
-// leaseNet finds a second octet for the site's addresses and holds it for the
-// test, so that tests (and test runs) at the same time don't meet.
-func leaseNet(t *testing.T) int {
+// reserveNet returns a second octet for the site's addresses and reserves it until the
+// test ends, so that concurrent tests and test runs use different addresses.
+func reserveNet(t *testing.T) int {
 	const first, last, port = 60, 240, 7999
 	offset := os.Getpid() % (last - first)
 	for i := range last - first {
@@ -114,8 +114,8 @@
 	return 0
 }
 
-// start starts a process of the site, again after its end if need be.
-func (c *cluster) start(p site.Process) *proc {
+// start starts a process of the site, also one that has ended.
+func (c *cluster) start(p site.Process) *process {
 	c.t.Helper()
 	file := filepath.Join(c.site.Dir, p.Name+".log")
 	out, err := os.OpenFile(file, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
@@ -124,22 +124,22 @@
 	cmd := exec.Command(p.Binary, p.Args...)
 	cmd.Stdout, cmd.Stderr = out, out
 	require.NoError(c.t, cmd.Start())
-	started := &proc{Process: p, cmd: cmd, log: file, done: make(chan struct{})}
-	c.procs[p.Name] = started
+	started := &process{Process: p, cmd: cmd, log: file, done: make(chan struct{})}
+	c.processes[p.Name] = started
 	go func() {
-		_ = cmd.Wait() // the exit code tells
-		started.code = cmd.ProcessState.ExitCode()
+		_ = cmd.Wait() // the exit code is evaluated instead
+		started.exitCode = cmd.ProcessState.ExitCode()
 		close(started.done)
 	}()
 	return started
 }
 
-// end kills what runs and, when the test failed, keeps the logs.
-func (c *cluster) end() {
-	for _, p := range c.procs {
+// killAll kills all processes and, if the test failed, keeps their logs and settings.
+func (c *cluster) killAll() {
+	for _, p := range c.processes {
 		_ = p.cmd.Process.Kill()
 	}
-	for _, p := range c.procs {
+	for _, p := range c.processes {
 		<-p.done
 	}
 	if !c.t.Failed() {
@@ -158,67 +158,68 @@
 
 func (c *cluster) signal(name string, sig syscall.Signal) {
 	c.t.Helper()
-	p := c.procs[name]
+	p := c.processes[name]
 	require.NotNil(c.t, p, "no process %s", name)
 	require.NoError(c.t, p.cmd.Process.Signal(sig), name)
 }
 
-// kill ends a process as a crash does and waits for its end.
+// kill ends a process with SIGKILL, as a crash would, and waits for its end.
 func (c *cluster) kill(name string) {
 	c.t.Helper()
 	c.signal(name, syscall.SIGKILL)
-	<-c.procs[name].done
+	<-c.processes[name].done
 }
 
-func (c *cluster) stop(name string) { c.t.Helper(); c.signal(name, syscall.SIGSTOP) }
-func (c *cluster) cont(name string) { c.t.Helper(); c.signal(name, syscall.SIGCONT) }
-func (c *cluster) term(name string) { c.t.Helper(); c.signal(name, syscall.SIGTERM) }
+func (c *cluster) suspend(name string)   { c.t.Helper(); c.signal(name, syscall.SIGSTOP) }
+func (c *cluster) resume(name string)    { c.t.Helper(); c.signal(name, syscall.SIGCONT) }
+func (c *cluster) terminate(name string) { c.t.Helper(); c.signal(name, syscall.SIGTERM) }
 
-// exit waits for a process's end and returns its exit code.
-func (c *cluster) exit(name string) int {
+// waitExit waits for a process's end and returns its exit code.
+func (c *cluster) waitExit(name string) int {
 	c.t.Helper()
 	select {
-	case <-c.procs[name].done:
-	case <-time.After(patience):
-		c.signal(name, syscall.SIGQUIT) // its goroutines go to its log
-		<-c.procs[name].done
-		c.t.Fatalf("%s still ran after %s", name, patience)
+	case <-c.processes[name].done:
+	case <-time.After(maxWait):
+		c.signal(name, syscall.SIGQUIT) // it writes its goroutines to its log
+		<-c.processes[name].done
+		c.t.Fatalf("%s is still running after %s", name, maxWait)
 	}
-	return c.procs[name].code
+	return c.processes[name].exitCode
 }
 
-// until waits for a condition; check returns why it does not hold yet.
-func (c *cluster) until(what string, check func() error) {
+// waitFor waits until check returns nil; its error says why the condition does not
+// hold yet.
+func (c *cluster) waitFor(what string, check func() error) {
 	c.t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(maxWait)
 	for {
 		err := check()
 		if err == nil {
 			return
 		}
 		if time.Now().After(deadline) {
-			c.t.Fatalf("not after %s: %s: %v", patience, what, err)
+			c.t.Fatalf("condition not met after %s: %s: %v", maxWait, what, err)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// faults sets a stand-in's fault switches.
-func (c *cluster) faults(name string, set any) {
+// setFaults sets a stand-in's faults.
+func (c *cluster) setFaults(name string, set any) {
 	c.t.Helper()
 	require.NoError(c.t, site.SetFaults(c.ctx, c.site.ByName(name), set))
 }
 
-// client returns a client of the caller, or trainer, of that name, through a
-// balancer over all entries.
+// client returns a client with the token of the named caller or trainer. It balances
+// its requests over all entries.
 func (c *cluster) client(name string) *client.Client {
 	b := client.NewBalancer(c.site.URLs(site.RoleEntry))
 	go b.Run(c.ctx)
 	return client.New(b, site.Token(name), maxConns)
 }
 
-// truth returns the runs of all service stand-ins.
-func (c *cluster) truth() []service.Run {
+// serviceRuns returns the runs of all service stand-ins.
+func (c *cluster) serviceRuns() []service.Run {
 	c.t.Helper()
 	var runs []service.Run
 	for _, p := range c.site.ByRole(site.RoleService) {
@@ -229,24 +230,24 @@
 	return runs
 }
 
-// settled waits until no run is under way at the services and returns them all.
-func (c *cluster) settled() []service.Run {
+// waitIdle waits until no run is in progress at the services and returns all runs.
+func (c *cluster) waitIdle() []service.Run {
 	c.t.Helper()
 	var runs []service.Run
-	c.until("no run is under way", func() error {
-		runs = c.truth()
+	c.waitFor("no run is in progress", func() error {
+		runs = c.serviceRuns()
 		if i := slices.IndexFunc(runs, func(r service.Run) bool { return r.EndedMS == 0 }); i >= 0 {
-			return fmt.Errorf("%s %s runs", runs[i].Method, runs[i].Path)
+			return fmt.Errorf("%s %s is running", runs[i].Method, runs[i].Path)
 		}
 		return nil
 	})
 	return runs
 }
 
-// ctl runs dandelionctl and returns its output and exit code.
-func (c *cluster) ctl(args ...string) (string, int) {
+// runCtl runs dandelionctl and returns its output and exit code.
+func (c *cluster) runCtl(args ...string) (string, int) {
 	c.t.Helper()
-	cmd := exec.CommandContext(c.ctx, filepath.Join(bin, "dandelionctl"), args...)
+	cmd := exec.CommandContext(c.ctx, filepath.Join(binDir, "dandelionctl"), args...)
 	out, err := cmd.CombinedOutput()
 	if cmd.ProcessState == nil {
 		c.t.Fatalf("dandelionctl %v: %v", args, err)
@@ -254,25 +255,25 @@
 	return string(out), cmd.ProcessState.ExitCode()
 }
 
-// collect gathers values from several goroutines.
-type collect[T any] struct {
+// collector collects values from several goroutines.
+type collector[T any] struct {
 	mu   sync.Mutex
 	list []T
 }
 
-func (c *collect[T]) add(v T) {
+func (c *collector[T]) add(v T) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.list = append(c.list, v)
 }
 
-func (c *collect[T]) all() []T {
+func (c *collector[T]) all() []T {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.list)
 }
 
-func (c *collect[T]) len() int {
+func (c *collector[T]) len() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.list)
--- a/e2e/leave_test.go
+++ b/e2e/leave_test.go
@@ -16,114 +16,117 @@
 	"dandelionsill.org/standin/service"
 )
 
-// leaver is the agent that leaves, and leaverServer its backend server.
+// leavingAgent is the agent that is taken out of service, and leavingServer is its
+// backend server.
 const (
-	leaver       = "service-2"
-	leaverServer = "service-2-server"
+	leavingAgent  = "service-2"
+	leavingServer = "service-2-server"
 )
 
-// leave is one way in which a server was taken out of service.
-type leave struct {
-	how     string
-	from    time.Time // the operator's or the platform's word
-	leaving time.Time // seen at the agent itself, after it
-	until   time.Time // every caller has gone on since
+// removal records how and when a server was taken out of service.
+type removal struct {
+	method     string
+	orderedAt  time.Time // before the operator or the platform ordered it
+	reportedAt time.Time // after the agent reported that it is leaving
+	finishedAt time.Time // after every caller had completed a later call
 }
 
-// leaving asks whether the agent says that it leaves. One that is gone has left.
-func (c *cluster) leaving(name string) bool {
+// isLeaving reports whether an agent is leaving or does not answer any more.
+func (c *cluster) isLeaving(name string) bool {
 	var st site.Status
 	return site.SendJSON(c.ctx, http.MethodGet, c.site.ByName(name).URL+"/v1/status", nil, &st) != nil || st.Leaving
 }
 
-// takeOut gives the word by which the server is to leave and waits until its
-// agent says so and callers have gone on.
-func (w *traffic) takeOut(how string, word func()) leave {
+// removeServer calls order to take the server out of service. It waits until its agent
+// reports that it is leaving and every caller has completed a later call.
+func (w *traffic) removeServer(method string, order func()) removal {
 	w.c.t.Helper()
-	l := leave{how: how, from: time.Now()}
-	word()
-	w.c.until("the agent says that it leaves", func() error {
-		if !w.c.leaving(leaver) {
-			return errors.New("it does not")
+	l := removal{method: method, orderedAt: time.Now()}
+	order()
+	w.c.waitFor("the agent reports that it is leaving", func() error {
+		if !w.c.isLeaving(leavingAgent) {
+			return errors.New("it does not report it")
 		}
 		return nil
 	})
-	l.leaving = time.Now()
-	w.turnover()
-	l.until = time.Now()
+	l.reportedAt = time.Now()
+	w.waitTurnover()
+	l.finishedAt = time.Now()
 	return l
 }
 
-// takeBack takes the word back and waits until the server runs calls again.
-func (w *traffic) takeBack(word func()) {
+// restoreServer calls order to put the server back into service and waits until it
+// runs calls again.
+func (w *traffic) restoreServer(order func()) {
 	w.c.t.Helper()
-	word()
-	before := w.c.runsOf(leaverServer)
-	w.c.until("the server works again", func() error {
-		if w.c.leaving(leaver) {
-			return errors.New("its agent leaves")
+	order()
+	before := w.c.countRuns(leavingServer)
+	w.c.waitFor("the server runs calls again", func() error {
+		if w.c.isLeaving(leavingAgent) {
+			return errors.New("its agent is leaving")
 		}
-		if w.c.runsOf(leaverServer) <= before {
-			return errors.New("no call went there")
+		if w.c.countRuns(leavingServer) <= before {
+			return errors.New("it has run no new call")
 		}
 		return nil
 	})
 }
 
-func (c *cluster) runsOf(server string) int {
+func (c *cluster) countRuns(server string) int {
 	var t service.Truth
 	require.NoError(c.t, site.SendJSON(c.ctx, http.MethodGet, c.site.ByName(server).URL+"/truth?totals=1", nil, &t))
 	return t.Runs
 }
 
-// withLeaving is the site's manifest with the leaver on its leaving list.
-func (c *cluster) withLeaving(note string) []byte {
-	return append(c.site.Manifest(note), "\n[leaving]\nservers = "+leaver+"\n"...)
+// manifestWithLeaving returns the site's manifest with leavingAgent in its leaving
+// list.
+func (c *cluster) manifestWithLeaving(note string) []byte {
+	return append(c.site.Manifest(note), "\n[leaving]\nservers = "+leavingAgent+"\n"...)
 }
 
-// A server is taken out of service by each of the three ways while callers
-// read and write: by the manifest, by the VM list and by SIGTERM. Entries
-// learn of it at different times, so that the agent itself must refuse what
-// still comes. A call that a caller began after the agent had said "leaving"
-// must not have run there; every call is answered whole all the same.
+// A server is taken out of service in each of three ways while callers read and write:
+// by the manifest, by the VM list and by SIGTERM. Entries learn of it at different
+// times, so that the agent itself must refuse the requests that still arrive. A call
+// that started after the agent had reported that it is leaving must not run there, and
+// every call must get a complete answer.
 func TestLeavingServerGetsNoNewWork(t *testing.T) {
 	const seed = 81
-	c := up(t, options{seed: seed})
-	w := c.startTraffic(callers, seed, shares{reads: 0.4, keyed: 0.3})
-	w.answered(100)
-	vm := c.site.ByName(leaver)
-	var leaves []leave
-
-	leaves = append(leaves, w.takeOut("manifest", func() {
-		require.NoError(t, c.site.Commit(c.ctx, 2, c.withLeaving("leaving")))
+	c := startCluster(t, options{seed: seed})
+	w := c.startTraffic(callerCount, seed, callShares{reads: 0.4, keyed: 0.3})
+	w.waitAnswered(100)
+	vm := c.site.ByName(leavingAgent)
+	var removals []removal
+
+	removals = append(removals, w.removeServer("manifest", func() {
+		require.NoError(t, c.site.Commit(c.ctx, 2, c.manifestWithLeaving("leaving")))
 	}))
-	w.takeBack(func() { require.NoError(t, c.site.Commit(c.ctx, 3, c.site.Manifest("back"))) })
+	w.restoreServer(func() { require.NoError(t, c.site.Commit(c.ctx, 3, c.site.Manifest("back"))) })
 
-	leaves = append(leaves, w.takeOut("VM list", func() {
+	removals = append(removals, w.removeServer("VM list", func() {
 		require.NoError(t, c.site.SetVM(c.ctx, vm, platform.VMLeaving))
 	}))
-	w.takeBack(func() { require.NoError(t, c.site.SetVM(c.ctx, vm, platform.VMLive)) })
+	w.restoreServer(func() { require.NoError(t, c.site.SetVM(c.ctx, vm, platform.VMLive)) })
 
-	leaves = append(leaves, w.takeOut("SIGTERM", func() { c.term(leaver) }))
-	require.Zero(t, c.exit(leaver))
+	removals = append(removals, w.removeServer("SIGTERM", func() { c.terminate(leavingAgent) }))
+	require.Zero(t, c.waitExit(leavingAgent))
 
-	calls, runs := w.judged()
+	calls, runs := w.verify()
 	for i := range calls {
 		require.True(t, calls[i].Result.OK(), "%+v", calls[i].Result)
 	}
-	for _, l := range leaves {
-		c.leftAlone(l, calls, runs)
+	for _, l := range removals {
+		c.requireNoNewRuns(l, calls, runs)
 	}
 }
 
-// leftAlone requires that no call which began after the agent had said
-// "leaving", and ended before the server was taken back, ran at it. It logs
-// how long after the word the last run began there.
-func (c *cluster) leftAlone(l leave, calls []timedCall, runs []service.Run) {
+// requireNoNewRuns requires that the server ran no call that started after its agent had
+// reported that it is leaving and ended before finishedAt. It logs how long after the
+// order the server's last run started.
+func (c *cluster) requireNoNewRuns(l removal, calls []timedCall, runs []service.Run) {
 	c.t.Helper()
-	var after []string // requests
+	var after []string // request ids
 	for i := range calls {
-		if calls[i].from > l.leaving.UnixNano() && calls[i].to < l.until.UnixNano() {
+		if calls[i].startedAt > l.reportedAt.UnixNano() && calls[i].endedAt < l.finishedAt.UnixNano() {
 			after = append(after, calls[i].Result.RequestID)
 		}
 	}
@@ -131,27 +134,27 @@
 	last := int64(0)
 	for i := range runs {
 		run := &runs[i]
-		if run.Server != leaver {
+		if run.Server != leavingAgent {
 			continue
 		}
-		require.False(c.t, slices.Contains(after, run.RequestID), "%s: %+v", l.how, run)
-		if run.StartedMS <= l.until.UnixMilli() {
+		require.False(c.t, slices.Contains(after, run.RequestID), "%s: %+v", l.method, run)
+		if run.StartedMS <= l.finishedAt.UnixMilli() {
 			last = max(last, run.StartedMS)
 		}
 	}
-	c.t.Logf("leave by %s: agent says so after %v, last run there began %d ms after the word, %d calls since",
-		l.how, l.leaving.Sub(l.from).Round(time.Millisecond), last-l.from.UnixMilli(), len(after))
+	c.t.Logf("leave by %s: reported by the agent after %v, last run started %d ms after the order, %d calls since",
+		l.method, l.reportedAt.Sub(l.orderedAt).Round(time.Millisecond), last-l.orderedAt.UnixMilli(), len(after))
 }
 
-// The log is down when an entry is told to stop while callers read streams
-// from it. A planned stop needs no agreement: every stream comes to its end,
-// and the process exits with 0.
+// An entry gets SIGTERM while the log is down and callers read streams from it. A
+// planned stop does not need the log: every stream must be completed, and the process
+// must exit with 0.
 func TestEntryStopsWithoutTheLog(t *testing.T) {
 	const seed, open = 82, 8
-	c := up(t, options{seed: seed, engine: long()})
-	c.faults("log", logsvc.Faults{Down: true})
-	s := c.open(open, seed)
-	c.term("entry-1")
-	s.whole()
-	require.Zero(t, c.exit("entry-1"), fmt.Sprintf("with %d streams", open))
+	c := startCluster(t, options{seed: seed, engine: longSamples()})
+	c.setFaults("log", logsvc.Faults{Down: true})
+	s := c.openStreams(open, seed)
+	c.terminate("entry-1")
+	s.waitComplete()
+	require.Zero(t, c.waitExit("entry-1"), fmt.Sprintf("with %d streams", open))
 }
--- a/e2e/main_test.go
+++ b/e2e/main_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// bin is the folder of the binaries that all tests share.
-var bin string
+// binDir contains the binaries that all tests use.
+var binDir string
 
 func TestMain(m *testing.M) { os.Exit(runTests(m)) }
 
@@ -20,7 +20,7 @@
 		return 1
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
-	bin = dir
+	binDir = dir
 	if err := build(dir); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 1
@@ -28,7 +28,7 @@
 	return m.Run()
 }
 
-// build builds every binary; under the race detector the binaries have it too.
+// build builds all binaries into a folder, with the race detector if the test has it.
 func build(dir string) error {
 	args := []string{"build", "-o", dir + string(filepath.Separator)}
 	if raceEnabled {
--- a/e2e/paths_test.go
+++ b/e2e/paths_test.go
@@ -21,18 +21,18 @@
 	"dandelionsill.org/manifest"
 )
 
-// The four paths of a site in service, with nothing failing: an application
-// calls a service and reads a stream, a trainer gets whole steps, new weights
-// show in the samples' labels, and an operator's commit comes into force.
+// The main uses of a site must work without faults: an application calls a service and
+// reads streams, a trainer gets complete steps, new weights appear in the samples'
+// labels, and an operator's commit comes into force.
 func TestPaths(t *testing.T) {
 	const seed, steps = 41, 5
-	c := up(t, options{seed: seed})
+	c := startCluster(t, options{seed: seed})
 
-	w := c.startTraffic(callers, seed, shares{reads: 0.5, keyed: 0.3})
-	w.answered(100)
-	c.open(4, seed).whole()
+	w := c.startTraffic(callerCount, seed, callShares{reads: 0.5, keyed: 0.3})
+	w.waitAnswered(100)
+	c.openStreams(4, seed).waitComplete()
 
-	done := c.train(steps, 1, seed).whole(steps)
+	done := c.startTrainer(steps, 1, seed).waitComplete(steps)
 	last := done[steps-1]
 	require.Equal(t, uint64(steps), last.Newest)
 	for _, m := range last.Samples {
@@ -44,25 +44,26 @@
 	var nodes []site.Process
 	nodes = append(nodes, c.site.AgentsAndEntries()...)
 	require.NoError(t, site.WaitRevision(c.ctx, nodes, 2))
-	out, code = c.ctl("status", "--log", c.site.ByName("log").URL, "--public", public(), "--vms", c.site.ByName("vms").URL)
+	out, code = c.runCtl("status", "--log", c.site.ByName("log").URL, "--public", publicKey(), "--vms", c.site.ByName("vms").URL)
 	require.Zero(t, code, out)
 
-	calls, _ := w.judged()
-	require.Zero(t, judge.CountInterrupted(results(calls)))
+	calls, _ := w.verify()
+	require.Zero(t, judge.CountInterrupted(callResults(calls)))
 	for i := range calls {
 		require.True(t, calls[i].Result.OK(), "%+v", calls[i].Result)
 	}
 }
 
-// A VM is replaced: a new entry starts in a running site. From the moment it
-// says that it is ready, the balancer sends to it, so it must serve at once.
+// An entry starts in a running site, as after its VM was replaced. The balancer sends
+// requests to it as soon as it reports that it is ready, so that it must serve from
+// then on.
 func TestNewEntryServesOnceReady(t *testing.T) {
 	const seed = 42
-	c := up(t, options{seed: seed})
+	c := startCluster(t, options{seed: seed})
 	c.kill("entry-1")
 	p := c.site.ByName("entry-1")
 	c.start(p)
-	c.until("the new entry is ready", func() error {
+	c.waitFor("the new entry is ready", func() error {
 		return site.SendJSON(c.ctx, http.MethodGet, p.URL+"/readyz", nil, nil)
 	})
 	cl := client.New(client.NewBalancer([]string{p.URL}), site.Token(site.Caller), 1)
@@ -72,10 +73,10 @@
 	require.True(t, r.OK(), "%s %s", r.Kind(), r.Body)
 }
 
-func public() string { key, _ := site.SigningKey(); return key }
+func publicKey() string { key, _ := site.SigningKey(); return key }
 
-// commit commits the site's manifest with a note through dandelionctl, over
-// revision parent if that is given.
+// commit runs dandelionctl to commit the site's manifest with a note, over revision
+// parent unless that is empty.
 func (c *cluster) commit(note, parent string) (string, int) {
 	dir := c.t.TempDir()
 	_, private := site.SigningKey()
@@ -87,11 +88,11 @@
 	if parent != "" {
 		args = append(args, "--parent", parent)
 	}
-	return c.ctl(append(args, file)...)
+	return c.runCtl(append(args, file)...)
 }
 
-// configInput and configOutput are an operation on the configuration: a
-// commit over a parent (compare-and-set), or a read of what a process holds.
+// configInput and configOutput describe an operation on the configuration: a commit
+// over a parent (compare-and-set), or a read of the revision that processes have.
 type (
 	configInput struct {
 		read   bool
@@ -110,8 +111,8 @@
 	hash   string
 }
 
-// configModel is the configuration as one object: a commit wins only over the
-// revision that it names.
+// configModel models the configuration as a compare-and-set register: a commit wins
+// only if its parent is the current revision.
 func configModel(first configState) porcupine.Model {
 	return porcupine.Model{
 		Init: func() any { return first },
@@ -123,45 +124,45 @@
 			case out.won:
 				return now.number == in.parent, configState{in.parent + 1, in.hash}
 			}
-			return now.number != in.parent, now // it lost to another one
+			return now.number != in.parent, now // another commit won
 		},
 		DescribeOperation: func(input, output any) string { return fmt.Sprintf("%+v -> %+v", input, output) },
 	}
 }
 
-// Several operators commit different manifests over the same revision at the
-// same time, round after round. Exactly one wins each round and every other
-// is told that it lost; the log's history is that of one compare-and-set
-// register, and every process ends with the last winner.
+// In each round several operators commit different manifests over the same revision at
+// the same time. Exactly one must win and the others must learn that they lost. The
+// history must be that of a compare-and-set register, and every process must have the
+// winner of each round.
 func TestOperatorsRace(t *testing.T) {
 	const seed, rounds, operators = 43, 3, 3
-	c := up(t, options{seed: seed})
+	c := startCluster(t, options{seed: seed})
 	first := configState{1, manifest.Hash(c.site.Manifest("first revision"))}
-	var ops collect[porcupine.Operation]
+	var ops collector[porcupine.Operation]
 	for round := range rounds {
 		parent := uint64(round + 1)
-		require.Equal(t, 1, c.race(&ops, round, operators, parent), "winners of round %d", round)
+		require.Equal(t, 1, c.raceCommits(&ops, round, operators, parent), "winners of round %d", round)
 		ops.add(c.readConfig(operators, parent+1))
 	}
 	require.True(t, porcupine.CheckOperations(configModel(first), ops.all()))
 }
 
-// race lets operators commit over parent at the same time, adds what they were
-// told to the history and returns how many won.
-func (c *cluster) race(ops *collect[porcupine.Operation], round, operators int, parent uint64) int {
+// raceCommits lets operators commit over parent at the same time, adds the outcomes to
+// the history and returns how many won.
+func (c *cluster) raceCommits(ops *collector[porcupine.Operation], round, operators int, parent uint64) int {
 	outputs := make([]configOutput, operators)
 	var all sync.WaitGroup
-	for who := range operators {
+	for operator := range operators {
 		all.Go(func() {
-			note := fmt.Sprintf("round %d by operator %d", round, who)
+			note := fmt.Sprintf("round %d by operator %d", round, operator)
 			from := time.Now().UnixNano()
 			out, code := c.commit(note, fmt.Sprint(parent))
-			outputs[who] = configOutput{won: code == 0}
-			if code != 0 && !lost(out, code) {
-				c.t.Errorf("operator %d: exit code %d: %s", who, code, out)
+			outputs[operator] = configOutput{won: code == 0}
+			if code != 0 && !isRejected(out, code) {
+				c.t.Errorf("operator %d: exit code %d: %s", operator, code, out)
 			}
 			ops.add(porcupine.Operation{
-				ClientId: who, Call: from, Return: time.Now().UnixNano(), Output: outputs[who],
+				ClientId: operator, Call: from, Return: time.Now().UnixNano(), Output: outputs[operator],
 				Input: configInput{parent: parent, hash: manifest.Hash(c.site.Manifest(note))},
 			})
 		})
@@ -176,14 +177,14 @@
 	return winners
 }
 
-// lost tells whether dandelionctl says that another revision won.
-func lost(out string, code int) bool {
+// isRejected reports whether dandelionctl failed because another revision won.
+func isRejected(out string, code int) bool {
 	const exitLost = 3
 	return code == exitLost && strings.Contains(out, "not accepted")
 }
 
-// readConfig waits until every process holds the revision, requires that all
-// hold the same one, and returns that as a read.
+// readConfig waits until every process has at least the revision, requires that all
+// have the same one, and returns it as a read.
 func (c *cluster) readConfig(client int, number uint64) porcupine.Operation {
 	c.t.Helper()
 	from := time.Now().UnixNano()
@@ -199,7 +200,7 @@
 	}
 	data, err := json.Marshal(held)
 	require.NoError(c.t, err)
-	c.t.Logf("all hold %s", data)
+	c.t.Logf("all processes have %s", data)
 	return porcupine.Operation{
 		ClientId: client, Call: from, Return: time.Now().UnixNano(),
 		Input: configInput{read: true}, Output: configOutput{number: held.Revision, hash: held.Hash},
--- a/e2e/settings_test.go
+++ b/e2e/settings_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The demo's settings are samples that people copy: each must pass the check
-// that its own binary does.
+// People copy the demo's settings, so that each file must pass the check of its own
+// binary.
 func TestDemoSettingsAreValid(t *testing.T) {
 	files, err := filepath.Glob("../examples/demo/*.ini")
 	require.NoError(t, err)
@@ -21,8 +21,8 @@
 		if strings.HasPrefix(filepath.Base(file), "entry") {
 			binary = "dandelion-entry"
 		}
-		cmd := exec.Command(filepath.Join(bin, binary), "--check", "--config", file)
-		cmd.Env = append(os.Environ(), "DANDELION_KEYS_MANIFEST_PUBLIC="+public()) // as examples/demo.sh does
+		cmd := exec.Command(filepath.Join(binDir, binary), "--check", "--config", file)
+		cmd.Env = append(os.Environ(), "DANDELION_KEYS_MANIFEST_PUBLIC="+publicKey()) // as examples/demo.sh does
 		out, err := cmd.CombinedOutput()
 		require.NoError(t, err, "%s: %s", file, out)
 	}
--- a/e2e/writes_test.go
+++ b/e2e/writes_test.go
@@ -9,60 +9,59 @@
 	"dandelionsill.org/load/site"
 )
 
-const callers = 8
+const callerCount = 8
 
-// slow is a service whose runs last long enough for several to be in flight
-// whenever a process dies.
-var slow = site.ServiceModel{Mean: 30 * time.Millisecond}
+// slowService is a service whose runs take long enough for several to be in flight when
+// a process is killed.
+var slowService = site.ServiceModel{Mean: 30 * time.Millisecond}
 
-// Callers write orders, with and without keys, while the agent beside one of
-// the two servers is killed. The writes that were on it end with "outcome
-// unknown"; callers with a key repeat it and get the first run's answer, or
-// are refused. Nothing may run twice: the agent's memory of its keys died with
-// it, so a key that it may have run must not run elsewhere.
+// Callers write orders, with and without keys, while the agent of one of the two servers
+// is killed. The writes that it had end with "outcome unknown"; callers with a key
+// repeat it and get the first run's answer or are refused. Nothing may run twice: the
+// agent's in-memory state of its keys is lost, so a key that it may have run must not
+// run elsewhere.
 func TestAgentKilledUnderWrites(t *testing.T) {
 	const seed = 11
-	c := up(t, options{seed: seed, service: slow})
-	w := c.startTraffic(2*callers, seed, shares{reads: 0.2, keyed: 0.5})
-	w.answered(200)
+	c := startCluster(t, options{seed: seed, service: slowService})
+	w := c.startTraffic(2*callerCount, seed, callShares{reads: 0.2, keyed: 0.5})
+	w.waitAnswered(200)
 	c.kill("service-1")
-	w.answered(300)
+	w.waitAnswered(300)
 	c.start(c.site.ByName("service-1")) // a new incarnation of the same VM
-	w.answered(300)
-	calls, runs := w.judged()
+	w.waitAnswered(300)
+	calls, runs := w.verify()
 	require.NotEmpty(t, runs)
 	for i := range calls {
-		if !calls[i].Write { // a read may be repeated, so its caller sees nothing
+		if !calls[i].Write { // entries repeat reads, so that callers see no failure
 			require.True(t, calls[i].Result.OK(), "read: %+v", calls[i].Result)
 		}
 	}
 }
 
-// An agent stands still in the middle of writes (a stopped VM) until every
-// caller of a request that it held has been told "outcome unknown" or "not
-// run", and then goes on. It must not run what was given up as "not run", nor
-// a key that ran elsewhere meanwhile.
+// An agent is suspended during writes, as when its VM is, until every caller of a request
+// that it held has got "outcome unknown" or "not run", and is then resumed. It must not
+// run a request that was answered "not run", nor a key that ran elsewhere meanwhile.
 func TestAgentPausedUnderWrites(t *testing.T) {
 	const seed = 12
-	c := up(t, options{seed: seed, service: slow})
-	w := c.startTraffic(2*callers, seed, shares{reads: 0.2, keyed: 0.5})
-	w.answered(200)
-	c.stop("service-1")
-	w.turnover()
-	c.cont("service-1")
-	w.answered(300)
-	w.judged()
+	c := startCluster(t, options{seed: seed, service: slowService})
+	w := c.startTraffic(2*callerCount, seed, callShares{reads: 0.2, keyed: 0.5})
+	w.waitAnswered(200)
+	c.suspend("service-1")
+	w.waitTurnover()
+	c.resume("service-1")
+	w.waitAnswered(300)
+	w.verify()
 }
 
-// An entry is killed while it carries writes. Its callers see the connection
-// break and don't know the outcome; those with a key repeat it at the other
-// entry. The agents, which live on, must run no key twice.
+// An entry is killed while it forwards writes. Its callers' connections break and they
+// don't know the outcome; those with a key repeat it at the other entry. The agents,
+// which continue to run, must run no key twice.
 func TestEntryKilledUnderWrites(t *testing.T) {
 	const seed = 13
-	c := up(t, options{seed: seed, service: slow})
-	w := c.startTraffic(2*callers, seed, shares{reads: 0.2, keyed: 0.6})
-	w.answered(200)
+	c := startCluster(t, options{seed: seed, service: slowService})
+	w := c.startTraffic(2*callerCount, seed, callShares{reads: 0.2, keyed: 0.6})
+	w.waitAnswered(200)
 	c.kill("entry-1")
-	w.answered(400)
-	w.judged()
+	w.waitAnswered(400)
+	w.verify()
 }
--- /dev/null
+++ b/soak/crashing_test.go
@@ -0,0 +1,162 @@
+package soak
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"slices"
+	"strings"
+	"sync"
+	"time"
+
+	"dandelionsill.org/platform/hosted/hostedtest"
+)
+
+// crashingServers runs servers that crash on some requests and replaces them. They
+// are reached without a link, since a proxy would accept connections for a server
+// that has crashed.
+type crashingServers struct {
+	sys *system
+
+	mu          sync.Mutex
+	servers     []*hostedtest.Server
+	everStarted []*hostedtest.Server // includes those that have crashed
+	crashes     map[string]int       // number of servers, by the request that crashed them
+	started     int
+}
+
+const (
+	crashingServerCount = 3
+	// crashPath is the path prefix of the requests that crash servers.
+	crashPath = "/mortal/deadly"
+	// maxLateCrashes is how many more servers a request may crash after the first three
+	// crashes have been reported to every process.
+	maxLateCrashes = 3
+	// propagationTime is how long the processes have for these reports after the last
+	// fault.
+	propagationTime = 3 * time.Second
+)
+
+func newCrashingServers(sys *system) *crashingServers {
+	m := &crashingServers{sys: sys, crashes: map[string]int{}}
+	for range crashingServerCount {
+		m.servers = append(m.servers, m.start())
+	}
+	return m
+}
+
+func (m *crashingServers) start() *hostedtest.Server {
+	m.started++
+	s := hostedtest.NewServer(fmt.Sprintf("d%d", m.started), "mortal")
+	s.Fail(hostedtest.ServerFaults{CrashOn: crashPath})
+	m.sys.t.Cleanup(func() { s.CloseClientConnections(); s.Close() })
+	m.sys.store.Put(hostedtest.TopicServers, s.ID, s.Entry("ready"))
+	m.everStarted = append(m.everStarted, s)
+	return s
+}
+
+// allEverStarted returns all servers that were started, also those that have crashed.
+func (m *crashingServers) allEverStarted() []*hostedtest.Server {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return slices.Clone(m.everStarted)
+}
+
+// run replaces crashed servers until ctx ends.
+func (m *crashingServers) run(ctx context.Context) {
+	for ctx.Err() == nil {
+		m.replace()
+		select {
+		case <-ctx.Done():
+		case <-time.After(50 * time.Millisecond): // a crashed server is replaced with a delay
+		}
+	}
+}
+
+func (m *crashingServers) replace() {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for i, s := range m.servers {
+		if !s.Crashed() {
+			continue
+		}
+		m.crashes[crashCause(s)]++
+		m.sys.store.Drop(hostedtest.TopicServers, s.ID)
+		m.servers[i] = m.start()
+	}
+}
+
+// crashCause returns the URI of the request that crashed a server. Other requests
+// may have been running at the same time.
+func crashCause(s *hostedtest.Server) string {
+	for _, a := range s.Arrivals() {
+		if strings.HasPrefix(a.URI, crashPath) {
+			return a.URI
+		}
+	}
+	return ""
+}
+
+// heartbeat writes the servers' entries again, as real servers do regularly.
+func (m *crashingServers) heartbeat() {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for _, s := range m.servers {
+		m.sys.store.Put(hostedtest.TopicServers, s.ID, s.Entry("ready"))
+	}
+}
+
+func (m *crashingServers) crashCount(uri string) int {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.crashes[uri]
+}
+
+// sendCrashing repeats a request that crashes servers until ctx ends, mixed with
+// harmless ones.
+func (c *client) sendCrashing(ctx context.Context, uri string) {
+	for n := 0; ctx.Err() == nil; n++ {
+		path := uri
+		if c.rng.IntN(2) == 0 {
+			path = "/mortal/harmless"
+		}
+		id := fmt.Sprintf("%s-%d", uri, n)
+		status, _, body := c.ask(ctx, c.randomGateway(), http.MethodPost, path, id, []byte("b"))
+		if status == http.StatusOK && (path == uri || string(body) != "answer to "+id) {
+			c.rec.reportViolation("request %s of %s got %q", id, path, body)
+		}
+		select {
+		case <-ctx.Done():
+		case <-time.After(time.Duration(20+c.rng.IntN(200)) * time.Millisecond):
+		}
+	}
+}
+
+// verifyQuarantine sends the crashing requests to each gateway after the gateways
+// have had time to learn of the earlier crashes. At most maxLateCrashes of each may
+// crash another server, and harmless requests must be served.
+func (m *crashingServers) verifyQuarantine(rec *record, seed uint64, uris []string) {
+	time.Sleep(propagationTime) // the guarantee holds only after this long without faults
+	m.replace()
+	c := newClient(m.sys, rec, seed, 4000)
+	for _, uri := range uris {
+		before := m.crashCount(uri)
+		for n := range 3 * len(m.sys.gatewayProcs) {
+			c.ask(context.Background(), m.sys.gatewayProcs[n%len(m.sys.gatewayProcs)], http.MethodPost, uri, fmt.Sprintf("late-%s-%d", uri, n), []byte("b"))
+			m.replace()
+		}
+		if late := m.crashCount(uri) - before; before >= crashingServerCount && late > maxLateCrashes {
+			rec.reportViolation("request %s: it crashed %d servers, and %d more after all gateways could know of it", uri, before, late)
+		}
+	}
+	for n, g := range m.sys.gatewayProcs {
+		served := false
+		for deadline := time.Now().Add(10 * time.Second); !served && time.Now().Before(deadline); {
+			status, _, _ := c.ask(context.Background(), g, http.MethodPost, "/mortal/harmless", fmt.Sprintf("last-%d", n), nil)
+			served = status == http.StatusOK
+		}
+		if !served {
+			rec.reportViolation("a harmless request is not served at %s", g.name)
+		}
+	}
+}
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -11,145 +11,147 @@
 	"dandelionsill.org/platform/hosted/hostedtest"
 )
 
-// injector brings faults about by a seed; several overlap.
+// injector injects random faults, determined by a seed. Several may overlap.
 type injector struct {
-	w   *world
-	rng *rand.Rand
-	log func(format string, args ...any)
-	all sync.WaitGroup
+	sys    *system
+	rng    *rand.Rand
+	log    func(format string, args ...any)
+	active sync.WaitGroup
 }
 
-// run begins a fault every 0.1 to 0.7 s until ctx ends, and waits until all
-// have been mended.
+// run injects a fault every 0.1 to 0.7 s until ctx ends, and waits until all of
+// them have been repaired.
 func (in *injector) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		in.one(ctx)
-		in.pause(ctx, 100*time.Millisecond, 700*time.Millisecond)
+		in.inject(ctx)
+		in.sleepRandom(ctx, 100*time.Millisecond, 700*time.Millisecond)
 	}
-	in.all.Wait()
+	in.active.Wait()
 }
 
-func (in *injector) between(low, high time.Duration) time.Duration {
+func (in *injector) randomDuration(low, high time.Duration) time.Duration {
 	return low + time.Duration(in.rng.Int64N(int64(high-low)))
 }
 
-func (in *injector) pause(ctx context.Context, low, high time.Duration) {
+func (in *injector) sleepRandom(ctx context.Context, low, high time.Duration) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(in.between(low, high)):
+	case <-time.After(in.randomDuration(low, high)):
 	}
 }
 
-func (in *injector) one(ctx context.Context) {
-	procs := in.w.all()
+func (in *injector) inject(ctx context.Context) {
+	procs := in.sys.processes()
 	p := procs[in.rng.IntN(len(procs))]
-	l := in.w.links[in.rng.IntN(len(in.w.links))]
-	e := in.w.engines[in.rng.IntN(len(in.w.engines))]
-	s := in.w.plain[in.rng.IntN(len(in.w.plain))]
-	lasts := in.between(200*time.Millisecond, 2*time.Second)
+	l := in.sys.links[in.rng.IntN(len(in.sys.links))]
+	e := in.sys.engines[in.rng.IntN(len(in.sys.engines))]
+	s := in.sys.services[in.rng.IntN(len(in.sys.services))]
+	duration := in.randomDuration(200*time.Millisecond, 2*time.Second)
 	switch in.rng.IntN(12) {
 	case 0, 1:
-		in.restart(p, syscall.SIGKILL, lasts/2)
+		in.restart(p, syscall.SIGKILL, duration/2)
 	case 2:
-		in.restart(p, syscall.SIGTERM, lasts/4)
+		in.restart(p, syscall.SIGTERM, duration/4)
 	case 3:
-		in.log("freeze %s for %v", p.name, lasts)
+		in.log("freeze %s for %v", p.name, duration)
 		p.signal(syscall.SIGSTOP, false)
-		in.after(lasts, func() {
-			in.w.duties.Excuse(p.name, thawSlack)
+		in.repairAfter(duration, func() {
+			in.sys.duties.Excuse(p.name, resumeSlack)
 			p.signal(syscall.SIGCONT, false)
 		})
 	case 4:
 		in.log("hang up %s", p.name)
 		p.hangUp()
 	case 5:
-		in.storeFault(lasts)
+		in.injectStoreFault(duration)
 	case 6, 7:
-		in.linkFault(l, lasts)
+		in.injectLinkFault(l, duration)
 	case 8:
 		in.log("reset %s", l.name)
 		l.reset()
 	case 9:
 		faults := []hostedtest.ServerFaults{{Refuse: true}, {StallAfter: 3}, {BreakAfter: 4}, {Unresponsive: true}}
 		f := faults[in.rng.IntN(len(faults))]
-		in.log("engine %s %+v for %v", e.ID, f, lasts)
+		in.log("engine %s %+v for %v", e.ID, f, duration)
 		e.Fail(f)
-		in.after(lasts, func() { e.Fail(hostedtest.ServerFaults{}) })
+		in.repairAfter(duration, func() { e.Fail(hostedtest.ServerFaults{}) })
 	case 10:
 		faults := []hostedtest.ServerFaults{{Refuse: true}, {Unresponsive: true}, {NoSeal: true}}
 		f := faults[in.rng.IntN(len(faults))]
-		in.log("server %s %+v for %v", s.ID, f, lasts)
+		in.log("server %s %+v for %v", s.ID, f, duration)
 		s.Fail(f)
-		in.after(lasts, func() { s.Fail(hostedtest.ServerFaults{}) })
+		in.repairAfter(duration, func() { s.Fail(hostedtest.ServerFaults{}) })
 	default:
-		in.log("configuration %d", in.w.configure())
-		in.w.heartbeat()
+		in.log("configuration %d", in.sys.applyNextConfig())
+		in.sys.heartbeat()
 	}
 }
 
-// thawSlack is how long after a freeze the platform holds a call against nobody: it may
-// have been decided on before.
-const thawSlack = 300 * time.Millisecond
+// resumeSlack is how long after a process was resumed the platform's stand-in counts
+// no call of it as a violation: it may have decided on the call before it was
+// suspended.
+const resumeSlack = 300 * time.Millisecond
 
-func (in *injector) after(d time.Duration, mend func()) {
-	in.all.Go(func() {
-		time.Sleep(d) // the fault itself
-		mend()
+func (in *injector) repairAfter(d time.Duration, repair func()) {
+	in.active.Go(func() {
+		time.Sleep(d) // duration of the fault
+		repair()
 	})
 }
 
-// restart ends a process and starts it again, as the platform does.
-func (in *injector) restart(p *proc, sig syscall.Signal, down time.Duration) {
+// restart stops a process with a signal, kills it if it does not end in time, and
+// starts it again after the time down, as the platform does.
+func (in *injector) restart(p *process, sig syscall.Signal, down time.Duration) {
 	p.mu.Lock()
-	busy := p.expected
+	busy := p.endExpected
 	p.mu.Unlock()
 	if busy {
 		return
 	}
 	in.log("%v %s, down for %v", sig, p.name, down)
 	p.signal(sig, true)
-	in.all.Go(func() {
+	in.active.Go(func() {
 		select {
-		case <-p.ended():
-		case <-time.After(6 * time.Second): // the platform's grace is over
+		case <-p.exited():
+		case <-time.After(6 * time.Second): // the platform's grace period has ended
 			p.signal(syscall.SIGCONT, true)
 			p.signal(syscall.SIGKILL, true)
-			<-p.ended()
+			<-p.exited()
 		}
-		time.Sleep(down) // the fault itself
-		p.start(in.w.t)
+		time.Sleep(down) // duration of the fault
+		p.start(in.sys.t)
 	})
 }
 
-func (in *injector) storeFault(lasts time.Duration) {
+func (in *injector) injectStoreFault(duration time.Duration) {
 	faults := []hostedtest.StoreFaults{{Down: true}, {LoseAppends: true}, {DelayAppends: 700 * time.Millisecond}, {CallTime: 150 * time.Millisecond}}
 	f := faults[in.rng.IntN(len(faults))]
-	in.log("store %+v for %v", f, lasts)
-	in.w.store.Fail(f)
-	in.after(lasts, func() { in.w.store.Fail(hostedtest.StoreFaults{}) })
+	in.log("store %+v for %v", f, duration)
+	in.sys.store.Fail(f)
+	in.repairAfter(duration, func() { in.sys.store.Fail(hostedtest.StoreFaults{}) })
 }
 
-func (in *injector) linkFault(l *link, lasts time.Duration) {
-	moods := []mood{{delay: 60 * time.Millisecond}, {dropUp: true}, {dropDown: true}, {dropUp: true, dropDown: true}, {resetOnBytes: true}}
-	m := moods[in.rng.IntN(len(moods))]
-	in.log("link %s %+v for %v", l.name, m, lasts)
-	l.set(m)
-	in.after(lasts, func() {
-		l.set(mood{})
-		l.reset() // what was swallowed never comes: its connections are dead
+func (in *injector) injectLinkFault(l *link, duration time.Duration) {
+	choices := []linkFaults{{delay: 60 * time.Millisecond}, {dropUp: true}, {dropDown: true}, {dropUp: true, dropDown: true}, {resetOnBytes: true}}
+	m := choices[in.rng.IntN(len(choices))]
+	in.log("link %s %+v for %v", l.name, m, duration)
+	l.setFaults(m)
+	in.repairAfter(duration, func() {
+		l.setFaults(linkFaults{})
+		l.reset() // connections that lost bytes can't be used again
 	})
 }
 
-// heal ends every fault.
-func (w *world) heal() {
-	w.store.Fail(hostedtest.StoreFaults{})
-	for _, l := range w.links {
-		l.set(mood{})
+// clearFaults removes every fault.
+func (sys *system) clearFaults() {
+	sys.store.Fail(hostedtest.StoreFaults{})
+	for _, l := range sys.links {
+		l.setFaults(linkFaults{})
 	}
-	for _, s := range append(append([]*hostedtest.Server(nil), w.engines...), w.plain...) {
+	for _, s := range append(append([]*hostedtest.Server(nil), sys.engines...), sys.services...) {
 		s.Fail(hostedtest.ServerFaults{})
 	}
-	w.heartbeat()
+	sys.heartbeat()
 }
 
 func jobName(trainer, step int) string { return fmt.Sprintf("t%d-s%d", trainer, step) }
--- a/soak/link_test.go
+++ b/soak/link_test.go
@@ -9,23 +9,23 @@
 	"github.com/stretchr/testify/require"
 )
 
-// mood is how a link treats the bytes on it.
-type mood struct {
+// linkFaults are the faults of a link; the zero value has none.
+type linkFaults struct {
 	delay        time.Duration
-	dropUp       bool // bytes towards the target vanish
-	dropDown     bool // bytes from the target vanish
-	resetOnBytes bool // connections are reset as soon as they carry bytes
+	dropUp       bool // discards bytes to the target
+	dropDown     bool // discards bytes from the target
+	resetOnBytes bool // resets a connection that carries bytes
 }
 
-// link is a proxy on loopback in front of a target.
+// link is a TCP proxy on loopback in front of a target. It injects faults.
 type link struct {
 	name   string
 	addr   string
 	target string
 
-	mu    sync.Mutex
-	mood  mood
-	conns map[net.Conn]bool
+	mu     sync.Mutex
+	faults linkFaults
+	conns  map[net.Conn]bool
 }
 
 func newLink(t *testing.T, name, target string) *link {
@@ -74,14 +74,14 @@
 		if err != nil {
 			return
 		}
-		m := k.now()
+		m := k.currentFaults()
 		if m.resetOnBytes {
 			abort(to)
 			abort(from)
 			return
 		}
 		if m.delay > 0 {
-			time.Sleep(m.delay) // the fault itself
+			time.Sleep(m.delay) // the injected delay
 		}
 		if upward && m.dropUp || !upward && m.dropDown {
 			continue
@@ -92,19 +92,19 @@
 	}
 }
 
-func (k *link) now() mood {
+func (k *link) currentFaults() linkFaults {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.mood
+	return k.faults
 }
 
-func (k *link) set(m mood) {
+func (k *link) setFaults(m linkFaults) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.mood = m
+	k.faults = m
 }
 
-// reset ends all connections at once, with a reset.
+// reset closes all connections with a TCP reset.
 func (k *link) reset() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
