--- a/gateway/duties/keeper.go
+++ b/gateway/duties/keeper.go
@@ -20,9 +20,9 @@
 )
 
 var (
-	dutiesTaken    = metrics.Counter("duties_taken_total")
+	dutiesAcquired = metrics.Counter("duties_taken_total")
 	dutiesLost     = metrics.Counter("duties_lost_total")
-	dutiesGivenUp  = metrics.Counter("duties_given_up_total")
+	dutiesReleased = metrics.Counter("duties_given_up_total")
 	writesFailed   = metrics.Counter("duties_writes_failed_total")
 	writesConflict = metrics.Counter("duties_writes_conflicting_total")
 )
@@ -168,7 +168,7 @@
 	now := k.cfg.Now()
 	switch {
 	case k.state.Holds() && k.releaseReason != "":
-		dutiesGivenUp.Add(1)
+		dutiesReleased.Add(1)
 		k.log.Info("Releasing a duty.", zap.String("why", k.releaseReason), zap.Uint64("done", k.progress))
 		return k.state.Release(k.progress, now), true
 	case k.state.Holds():
@@ -293,7 +293,7 @@
 	}
 	k.loggedHeld = holds
 	if holds {
-		dutiesTaken.Add(1)
+		dutiesAcquired.Add(1)
 		k.log.Info("This process has a duty.", zap.Uint64("token", r.Token), zap.String("before", r.PreviousVM), zap.Uint64("done", r.Progress))
 		return
 	}
--- a/gateway/front/front.go
+++ b/gateway/front/front.go
@@ -197,16 +197,16 @@
 	if r.Method != http.MethodPost {
 		return 0, kinds.Hold().Refuse(kinds.NotFound, "batch jobs are posted")
 	}
-	head, items, err := hosted.DecodeJob(r, body)
+	spec, items, err := hosted.DecodeJob(r, body)
 	if err != nil {
 		return 0, kinds.Hold().Refuse(kinds.BadRequest, "%v", err)
 	}
-	head.DueMS, head.Organisation = route.Due.Milliseconds(), organisation
+	spec.DueMS, spec.Organisation = route.Due.Milliseconds(), organisation
 	left := callerTimeout(r)
 	ctx, cancel := context.WithDeadline(r.Context(), start.Add(time.Duration(submitTimeShare*float64(left))))
 	defer cancel()
-	failed := f.Jobs.Submit(ctx, head, items)
-	f.Log.Info("Batch job submission handled.", zap.String("job", head.ID), zap.Int("step", head.Step), zap.Int("items", len(items)),
+	failed := f.Jobs.Submit(ctx, spec, items)
+	f.Log.Info("Batch job submission handled.", zap.String("job", spec.ID), zap.Int("step", spec.Step), zap.Int("items", len(items)),
 		zap.Duration("took", time.Since(start)), zap.Error(errorOrNil(failed)))
 	if failed != nil {
 		return 0, failed
--- a/gateway/jobs/api.go
+++ b/gateway/jobs/api.go
@@ -72,20 +72,20 @@
 
 // Submit accepts a job durably: nil means that the log has stored it. It retries until
 // ctx ends, and reports "not run" only if the job is not in the log.
-func (s *Service) Submit(ctx context.Context, head jobs.Spec, items []jobs.Item) *kinds.Error {
-	if s.hasJob(head.ID) {
-		return s.checkSameJob(&head)
+func (s *Service) Submit(ctx context.Context, spec jobs.Spec, items []jobs.Item) *kinds.Error {
+	if s.hasJob(spec.ID) {
+		return s.checkSameJob(&spec)
 	}
 	if s.index.HasMissedRecords() {
 		// The job may be stored already. If it were accepted a second time, this process
 		// would number its results differently from all others.
 		return outcomeUnknown("records of batch jobs were missed").WithRetryAfter(retryAfter)
 	}
-	failed := s.appendJob(ctx, head, items)
-	if failed == nil && s.hasJob(head.ID) {
-		return s.checkSameJob(&head)
+	failed := s.appendJob(ctx, spec, items)
+	if failed == nil && s.hasJob(spec.ID) {
+		return s.checkSameJob(&spec)
 	}
-	if failed == nil || !failed.NotRun() || s.isProvenAbsent(ctx, head.ID) {
+	if failed == nil || !failed.NotRun() || s.isProvenAbsent(ctx, spec.ID) {
 		return failed
 	}
 	return outcomeUnknown("another entry may have accepted the batch job")
@@ -93,11 +93,11 @@
 
 // checkSameJob checks a submission whose job id is stored already. It returns
 // kinds.KeyReused if the stored job belongs to another organisation.
-func (s *Service) checkSameJob(head *jobs.Spec) *kinds.Error {
-	if s.isVisibleTo(head.ID, head.Organisation) {
+func (s *Service) checkSameJob(spec *jobs.Spec) *kinds.Error {
+	if s.isVisibleTo(spec.ID, spec.Organisation) {
 		return nil
 	}
-	return kinds.Hold().Refuse(kinds.KeyReused, "the id of batch job %q is taken", head.ID)
+	return kinds.Hold().Refuse(kinds.KeyReused, "the id of batch job %q is taken", spec.ID)
 }
 
 // isVisibleTo reports whether the job is stored and belongs to the organisation or to none.
@@ -145,14 +145,14 @@
 	return s.index.Sync(ctx) && !s.hasJob(job)
 }
 
-func (s *Service) appendJob(ctx context.Context, head jobs.Spec, items []jobs.Item) *kinds.Error {
-	head.SubmittedMS = time.Now().UnixMilli()
-	done := func() bool { return s.hasJob(head.ID) }
-	itemsAt, failed := s.appendItems(ctx, head.ID, items, done)
+func (s *Service) appendJob(ctx context.Context, spec jobs.Spec, items []jobs.Item) *kinds.Error {
+	spec.SubmittedMS = time.Now().UnixMilli()
+	done := func() bool { return s.hasJob(spec.ID) }
+	itemsAt, failed := s.appendItems(ctx, spec.ID, items, done)
 	if failed != nil || done() {
 		return failed
 	}
-	records, err := s.encodeSubmission(head, items, itemsAt)
+	records, err := s.encodeSubmission(spec, items, itemsAt)
 	if err != nil {
 		return kinds.Hold().Refuse(kinds.BadRequest, "%v", err)
 	}
@@ -209,7 +209,7 @@
 }
 
 // encodeSubmission splits a job into records of a size that the log accepts.
-func (s *Service) encodeSubmission(head jobs.Spec, items []jobs.Item, itemsAt jobs.TextRef) ([][]byte, error) {
+func (s *Service) encodeSubmission(spec jobs.Spec, items []jobs.Item, itemsAt jobs.TextRef) ([][]byte, error) {
 	refs := make([]jobs.ItemRef, 0, len(items))
 	for _, item := range items {
 		refs = append(refs, jobs.ItemRef{ID: item.ID, Group: item.Group})
@@ -219,7 +219,7 @@
 	name := s.writer.VM + "/" + s.writer.Incarnation + "/" + strconv.FormatUint(s.submissions.Add(1), 10)
 	records := make([][]byte, 0, len(parts))
 	for i, part := range parts {
-		r := jobs.Record{Writer: s.writer, Acceptance: &jobs.Acceptance{Spec: head, Owner: owner, ItemsRef: itemsAt, Submission: name, Part: i, Parts: len(parts), Items: part}}
+		r := jobs.Record{Writer: s.writer, Acceptance: &jobs.Acceptance{Spec: spec, Owner: owner, ItemsRef: itemsAt, Submission: name, Part: i, Parts: len(parts), Items: part}}
 		data, err := r.Encode()
 		if err != nil {
 			return nil, errors.Trace(err)
--- a/gateway/jobs/history_test.go
+++ b/gateway/jobs/history_test.go
@@ -168,8 +168,8 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 150*time.Millisecond+time.Duration(rng.IntN(300))*time.Millisecond)
 	defer cancel()
 	if rng.IntN(3) == 0 {
-		head, items := decode(t, job, hostedtest.Job(job, "m", 2, 1))
-		h.record(client, job, submit, func() outcome { return answerOf(e.service.Submit(ctx, head, items)) })
+		spec, items := decode(t, job, hostedtest.Job(job, "m", 2, 1))
+		h.record(client, job, submit, func() outcome { return answerOf(e.service.Submit(ctx, spec, items)) })
 		return
 	}
 	h.record(client, job, lookup, func() outcome {
--- a/gateway/jobs/jobs_test.go
+++ b/gateway/jobs/jobs_test.go
@@ -64,14 +64,14 @@
 	r := httptest.NewRequest(http.MethodPost, "/jobs/"+id, nil)
 	r.Host = "app.example"
 	r.Header.Set(hostedtest.HeaderAttempt, id)
-	head, items, err := hosted.DecodeJob(r, data)
+	spec, items, err := hosted.DecodeJob(r, data)
 	require.NoError(t, err)
-	return head, items
+	return spec, items
 }
 
 func (e *entry) submit(t testing.TB, id string, items int, floor uint64) {
-	head, list := decode(t, id, hostedtest.Job(id, "m", items, floor))
-	err := e.service.Submit(t.Context(), head, list)
+	spec, list := decode(t, id, hostedtest.Job(id, "m", items, floor))
+	err := e.service.Submit(t.Context(), spec, list)
 	require.Nil(t, err)
 }
 
@@ -385,13 +385,13 @@
 	pf := gatewaytest.NewPlatform(t, 1, 1)
 	pf.Engines[0].EventInterval, pf.Engines[0].Events = 10*time.Millisecond, 80
 	e := newEntry(t, pf, "a")
-	head, items := decode(t, "j1", hostedtest.Job("x", "m", 2, 1))
-	require.Nil(t, e.service.Submit(t.Context(), head, items))
+	spec, items := decode(t, "j1", hostedtest.Job("x", "m", 2, 1))
+	require.Nil(t, e.service.Submit(t.Context(), spec, items))
 	require.Eventually(t, func() bool { return reportedEvents(pf, "j1") >= 12 }, gatewaytest.MaxWait, time.Millisecond)
 	require.Nil(t, e.service.End(t.Context(), "j1"))
 	require.Eventually(t, func() bool { return pf.Engines[0].InFlight() == 0 }, gatewaytest.MaxWait, time.Millisecond)
-	head.ID = "j2"
-	require.Nil(t, e.service.Submit(t.Context(), head, items))
+	spec.ID = "j2"
+	require.Nil(t, e.service.Submit(t.Context(), spec, items))
 	requireComplete(t, e.results(t, "j2", 2), 80)
 	require.Positive(t, resumed(pf.Engines))
 }
@@ -423,8 +423,8 @@
 	for _, item := range body["items"].([]map[string]any) {
 		item["body"] = []byte(strings.Repeat("b", 1000))
 	}
-	head, items := decode(t, "j", body)
-	require.Nil(t, e.service.Submit(t.Context(), head, items))
+	spec, items := decode(t, "j", body)
+	require.Nil(t, e.service.Submit(t.Context(), spec, items))
 	records := 0
 	for _, stream := range []string{"texts", "texts/1", "texts/2"} {
 		records += len(pf.Store.Records(stream))
--- a/gateway/jobs/outage_test.go
+++ b/gateway/jobs/outage_test.go
@@ -68,10 +68,10 @@
 	pf := gatewaytest.NewPlatform(t, 1, 1)
 	e := newEntry(t, pf, "a")
 	pf.Store.Fail(hostedtest.StoreFaults{DelayAppends: 300 * time.Millisecond, Topic: jobs.Stream})
-	head, items := decode(t, "j", hostedtest.Job("j", "m", 2, 1))
+	spec, items := decode(t, "j", hostedtest.Job("j", "m", 2, 1))
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
-	err := e.service.Submit(ctx, head, items)
+	err := e.service.Submit(ctx, spec, items)
 	require.NotNil(t, err)
 	require.False(t, err.NotRun())
 	pf.Store.Fail(hostedtest.StoreFaults{})
@@ -84,8 +84,8 @@
 	pf := gatewaytest.NewPlatform(t, 1, 1)
 	e := newEntry(t, pf, "a")
 	pf.Store.Fail(hostedtest.StoreFaults{LoseAppends: true, Topic: jobs.Stream})
-	head, items := decode(t, "j", hostedtest.Job("j", "m", 2, 1))
-	require.Nil(t, e.service.Submit(t.Context(), head, items))
+	spec, items := decode(t, "j", hostedtest.Job("j", "m", 2, 1))
+	require.Nil(t, e.service.Submit(t.Context(), spec, items))
 }
 
 // The store refuses appends: when the trainer's time is up, the answer says that nothing ran
@@ -95,10 +95,10 @@
 	pf := gatewaytest.NewPlatform(t, 1, 1)
 	e := newEntry(t, pf, "a")
 	pf.Store.Fail(hostedtest.StoreFaults{ReadOnly: true})
-	head, items := decode(t, "j", hostedtest.Job("j", "m", 2, 1))
+	spec, items := decode(t, "j", hostedtest.Job("j", "m", 2, 1))
 	ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 	defer cancel()
-	err := e.service.Submit(ctx, head, items)
+	err := e.service.Submit(ctx, spec, items)
 	require.True(t, err.NotRun())
 	require.Positive(t, err.Answer().RetryAfter)
 	pf.Store.Fail(hostedtest.StoreFaults{})
@@ -116,10 +116,10 @@
 	b.Stop()
 	a.submit(t, "j", 2, 1)
 	pf.Store.Fail(hostedtest.StoreFaults{Down: true})
-	head, items := decode(t, "j", hostedtest.Job("j", "m", 2, 1))
+	spec, items := decode(t, "j", hostedtest.Job("j", "m", 2, 1))
 	ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 	defer cancel()
-	err := b.service.Submit(ctx, head, items)
+	err := b.service.Submit(ctx, spec, items)
 	require.Equal(t, string(kinds.OutcomeUnknown), err.Kind())
 }
 
@@ -132,8 +132,8 @@
 	a, b := newEntry(t, pf, "a"), newEntry(t, pf, "b")
 	peer := httptest.NewServer(a.index.Texts)
 	t.Cleanup(peer.Close)
-	b.index.Texts.SetPeers(func(node string) string {
-		return map[string]string{"a": strings.TrimPrefix(peer.URL, "http://")}[node]
+	b.index.Texts.SetPeers(func(vm string) string {
+		return map[string]string{"a": strings.TrimPrefix(peer.URL, "http://")}[vm]
 	})
 	a.submit(t, "j", 4, 1)
 	fromA := a.results(t, "j", 4)
--- a/gateway/jobs/ownership.go
+++ b/gateway/jobs/ownership.go
@@ -92,8 +92,8 @@
 	}
 	// Reading items and what earlier owners made must not delay the plan.
 	r.loading[j.ID] = true
-	head, at, takenOver := j.Spec, j.ItemsRef, j.Claim != j.AcceptedOffset
-	r.tasks.Go(func() { r.loadAndStart(ctx, &head, at, takenOver) })
+	spec, at, takenOver := j.Spec, j.ItemsRef, j.Claim != j.AcceptedOffset
+	r.tasks.Go(func() { r.loadAndStart(ctx, &spec, at, takenOver) })
 }
 
 // releaseAfterGap releases all owned jobs after records were missed, because this process no
@@ -123,20 +123,20 @@
 }
 
 // loadAndStart reads the items and earlier texts of a job and starts to run it.
-func (r *Runner) loadAndStart(ctx context.Context, head *jobs.Spec, at jobs.TextRef, takenOver bool) {
-	texts, err := readTexts(ctx, r.index.log, head, at, takenOver)
+func (r *Runner) loadAndStart(ctx context.Context, spec *jobs.Spec, at jobs.TextRef, takenOver bool) {
+	texts, err := readTexts(ctx, r.index.log, spec, at, takenOver)
 	if err != nil {
-		r.zlog.Warn("Reading the texts of a batch job failed; retrying.", zap.String("job", head.ID), zap.Uint64("offset", at.Offset), zap.Error(err))
+		r.zlog.Warn("Reading the texts of a batch job failed; retrying.", zap.String("job", spec.ID), zap.Uint64("offset", at.Offset), zap.Error(err))
 	}
-	for err != nil && sleep.For(ctx, sleep.Jitter(tailRetryPause)) && r.index.isOwnedBy(head.ID, r.writer) {
-		texts, err = readTexts(ctx, r.index.log, head, at, takenOver)
+	for err != nil && sleep.For(ctx, sleep.Jitter(tailRetryPause)) && r.index.isOwnedBy(spec.ID, r.writer) {
+		texts, err = readTexts(ctx, r.index.log, spec, at, takenOver)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.loading, head.ID)
+	delete(r.loading, spec.ID)
 	r.index.mu.Lock()
 	defer r.index.mu.Unlock()
-	if j := r.index.state.Owned(head.ID, r.writer); err == nil && j != nil && j.IsOpen() && r.active[head.ID] == nil {
+	if j := r.index.state.Owned(spec.ID, r.writer); err == nil && j != nil && j.IsOpen() && r.active[spec.ID] == nil {
 		r.startItems(j, texts)
 	}
 	r.requestPlan()
--- a/gateway/jobs/placing.go
+++ b/gateway/jobs/placing.go
@@ -27,7 +27,7 @@
 			if silence < limit {
 				continue
 			}
-			streamsSilent.Add(1)
+			streamsTimedOut.Add(1)
 			r.streamTimeouts.ObserveTimeout(silence, beforeFirst)
 			r.paces.Observe(a.server, silence, now) // an event takes at least that long
 			if beforeFirst {
@@ -167,7 +167,7 @@
 		return
 	}
 	a := runningItems[chosen]
-	samplesMoved.Add(1)
+	samplesMigrated.Add(1)
 	r.zlog.Info("Sample leaves a slow engine.", zap.String("id", a.item.ID), zap.String("job", a.job.ID),
 		zap.String("server", a.server), zap.Float64("pace_s", r.paces.At(now)[a.server]), zap.Float64("left", runningSamples[chosen].Remaining), zap.Int("events", len(a.events)))
 	r.requeue(a, avoidSilent, now)
--- a/gateway/jobs/poison_test.go
+++ b/gateway/jobs/poison_test.go
@@ -38,8 +38,8 @@
 
 	// The trainer submits the same sample again, in a later job and at another owner.
 	other := newEntry(t, pf, "b")
-	head, items := decode(t, "k", hostedtest.Job("j", "m", 2, 1))
-	require.Nil(t, other.service.Submit(t.Context(), head, items))
+	spec, items := decode(t, "k", hostedtest.Job("j", "m", 2, 1))
+	require.Nil(t, other.service.Submit(t.Context(), spec, items))
 	requireComplete(t, other.results(t, "k", 1), pf.Engines[0].Events)
 	require.Equal(t, poison.QuarantineThreshold, countCrashed(pf.Engines))
 	for _, job := range []string{"j", "k"} {
--- a/gateway/jobs/runner.go
+++ b/gateway/jobs/runner.go
@@ -58,8 +58,8 @@
 var (
 	streamsStarted     = metrics.Counter("jobs_streams_started_total")
 	streamsBroken      = metrics.Counter("jobs_streams_broken_total")
-	streamsSilent      = metrics.Counter("jobs_streams_silent_total")
-	samplesMoved       = metrics.Counter("jobs_samples_moved_total")
+	streamsTimedOut    = metrics.Counter("jobs_streams_silent_total")
+	samplesMigrated    = metrics.Counter("jobs_samples_moved_total")
 	samplesRestarted   = metrics.Counter("jobs_samples_restarted_total")
 	claimsWritten      = metrics.Counter("jobs_claims_total")
 	resultsWritten     = metrics.Counter("jobs_results_total")
--- a/gateway/jobs/slowstore_test.go
+++ b/gateway/jobs/slowstore_test.go
@@ -98,10 +98,10 @@
 // accepts submits a job and reports whether it is accepted. A trainer would submit a refused job
 // again at another entry; the test does not.
 func (e *entry) accepts(t *testing.T, id string) bool {
-	head, items := decode(t, id, hostedtest.Job(id, "m", 2, 1))
+	spec, items := decode(t, id, hostedtest.Job(id, "m", 2, 1))
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 	defer cancel()
-	return e.service.Submit(ctx, head, items) == nil
+	return e.service.Submit(ctx, spec, items) == nil
 }
 
 // requireNeverNotFound reads an accepted job once.
--- a/gateway/orders/orders.go
+++ b/gateway/orders/orders.go
@@ -43,9 +43,9 @@
 )
 
 var (
-	ordersTaken   = metrics.Counter("orders_taken_total")
-	ordersRefused = metrics.Counter("orders_refused_total")
-	ordersUnknown = metrics.Counter("orders_unknown_total")
+	ordersAccepted = metrics.Counter("orders_taken_total")
+	ordersRefused  = metrics.Counter("orders_refused_total")
+	ordersUnknown  = metrics.Counter("orders_unknown_total")
 )
 
 // Engine is the interface of the engine that the agent orders.
@@ -298,7 +298,7 @@
 		zap.Uint8("outcome", uint8(outcome)), zap.Error(err))
 	switch outcome {
 	case hosted.OrderAccepted, hosted.OrderAlreadyLoaded:
-		ordersTaken.Add(1)
+		ordersAccepted.Add(1)
 	case hosted.OrderRefused:
 		ordersRefused.Add(1)
 	case hosted.OrderMisdirected:
--- a/gateway/server/gateway.go
+++ b/gateway/server/gateway.go
@@ -98,7 +98,7 @@
 	log.Info("Starting.", zap.String("name", writer.VM), zap.String("life", writer.Incarnation), zap.String("callers", cfg.Listen.Callers), zap.String("store", cfg.Store.Address))
 	return &run.Process{
 		Servers:      gatewayServers(cfg, handler, newPeerHandler(index.Texts, forwarder.Quarantine, store), ready),
-		Ready:        func(isReady bool) { ready.up.Store(isReady); releaseWork(isReady, handler, runner, usage) },
+		Ready:        func(isReady bool) { ready.serving.Store(isReady); releaseWork(isReady, handler, runner, usage) },
 		StopDelay:    time.Duration(serveShare * float64(cfg.Process.Grace)),
 		Drain:        func(ctx context.Context) error { return drain(ctx, handler, runner, usage, log) },
 		DrainTimeout: time.Duration(drainShare * float64(cfg.Process.Grace)),
@@ -205,12 +205,12 @@
 	view       *view.View
 	index      *gatewayjobs.Index
 	quarantine *quarantine.Quarantine
-	up         atomic.Bool // the servers listen and the process is not stopping
+	serving    atomic.Bool // the servers listen and the process is not stopping
 }
 
 // serve answers 200 if this process is ready and 503 otherwise.
 func (r *readiness) serve(w http.ResponseWriter, _ *http.Request) {
-	if !r.up.Load() || r.view.Current().Table == nil || !r.index.CaughtUp() || !r.quarantine.Initialized() {
+	if !r.serving.Load() || r.view.Current().Table == nil || !r.index.CaughtUp() || !r.quarantine.Initialized() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
--- a/gateway/view/view.go
+++ b/gateway/view/view.go
@@ -332,7 +332,7 @@
 		appliedTables.Add(1)
 		v.log.Info("A configuration is in force.", zap.Uint64("version", c.Table.Version), zap.Uint64("offset", c.Offset),
 			zap.Int("routes", len(c.Table.Routes)), zap.Bool("keys", c.Table.Organisations != nil))
-		v.logLeftOut(c.Table)
+		v.logIgnored(c.Table)
 	case c.Version != nil && c.Version.Version > next.Versions[c.Version.Model]:
 		versions := make(map[string]uint64, len(next.Versions)+1)
 		for model, version := range next.Versions {
@@ -345,15 +345,15 @@
 	}
 }
 
-// maxLeftOutLogs bounds the log lines about one configuration.
-const maxLeftOutLogs = 20
+// maxIgnoredLogs bounds the log lines about one configuration.
+const maxIgnoredLogs = 20
 
-// logLeftOut logs the parts of a configuration that can't be used.
-func (v *View) logLeftOut(t *table.Table) {
-	for _, why := range t.Ignored[:min(len(t.Ignored), maxLeftOutLogs)] {
+// logIgnored logs the parts of a configuration that can't be used.
+func (v *View) logIgnored(t *table.Table) {
+	for _, why := range t.Ignored[:min(len(t.Ignored), maxIgnoredLogs)] {
 		v.log.Warn("A part of the configuration can't be used and is ignored.", zap.Uint64("version", t.Version), zap.String("why", why))
 	}
-	if more := len(t.Ignored) - maxLeftOutLogs; more > 0 {
+	if more := len(t.Ignored) - maxIgnoredLogs; more > 0 {
 		v.log.Warn("More parts of the configuration can't be used and are ignored.", zap.Uint64("version", t.Version), zap.Int("more", more))
 	}
 }
