--- a/adapters/httpengine/stream.go
+++ b/adapters/httpengine/stream.go
@@ -79,8 +79,8 @@
 }
 
 // brokenStreamError is a read error in the middle of a stream. It matches
-// io.ErrUnexpectedEOF whatever broke the connection. It does so by Is rather than by
-// wrapping that error in addition to its cause: net/http's error for a truncated body is
+// io.ErrUnexpectedEOF for any cause. It implements Is for this rather than wrapping that
+// error in addition to the cause: net/http's error for a truncated body is
 // io.ErrUnexpectedEOF already, and the text would name it twice.
 type brokenStreamError struct{ error }
 
--- a/ctl/logscan/losses.go
+++ b/ctl/logscan/losses.go
@@ -295,7 +295,7 @@
 	s.sampleCount--
 }
 
-// longestPhase returns the cause that stands for the longest phase of a sample.
+// longestPhase returns the cause that corresponds to the longest phase of a sample.
 func longestPhase(l *Line) Cause {
 	switch longest := max(l.Waited, l.Streamed, l.Scored); longest {
 	case l.Waited:
--- a/ctl/read.go
+++ b/ctl/read.go
@@ -31,7 +31,7 @@
 }
 
 // readPage reads and applies one page of records. It waits up to wait for the first
-// record. If records were truncated, it skips to the first one that is left.
+// record. If records were truncated, it skips to the oldest one that is kept.
 func (r *reader) readPage(ctx context.Context, wait time.Duration) ([]control.Event, error) {
 	page, err := r.log.Read(ctx, platform.StreamControl, r.nextOffset, maxPageRecords, wait)
 	if errors.Is(err, platform.ErrTruncated) {
--- a/entry/steps/quarantine.go
+++ b/entry/steps/quarantine.go
@@ -59,6 +59,6 @@
 	if !ok || e.EndedServer() == "" {
 		return
 	}
-	s.cfg.Logger.Warn("A server ended under a sample.", zap.String("sample", name), zap.String("request", string(subject.Fingerprint())), zap.String("server", e.EndedServer()))
+	s.cfg.Logger.Warn("A server ended while it ran a request.", zap.String("sample", name), zap.String("request", string(subject.Fingerprint())), zap.String("server", e.EndedServer()))
 	subject.RecordCrash(e.EndedServer())
 }
--- a/gateway/backend/backend.go
+++ b/gateway/backend/backend.go
@@ -3,8 +3,8 @@
 // from one that may have run, and no bytes are passed on that belong to another
 // request.
 //
-// The client of net/http is not used here: it takes whatever comes next on a connection
-// for the answer, so that a late second answer to one request would be returned for the
+// The client of net/http is not used here: it treats the next bytes on a connection as
+// the answer, so that a late second answer to one request would be returned for the
 // next request.
 package backend
 
@@ -108,7 +108,7 @@
 }
 
 // Do sends a request to the server at addr and reads the head of the answer. If ctx
-// ends, the connection is closed, which tells the server to stop. The caller of Do must
+// ends, the connection is closed, which makes the server stop. The caller of Do must
 // call Close or Discard on the answer.
 func (p *Pool) Do(ctx context.Context, addr string, req *Request) (*Answer, error) {
 	c, err := p.acquire(ctx, addr)
--- a/gateway/forward/forward.go
+++ b/gateway/forward/forward.go
@@ -31,7 +31,7 @@
 // Limits of the attempts of one request.
 const (
 	// maxRefusals bounds how many servers may refuse a request without running it
-	// before the request is given up. Refusals don't count against the route's
+	// before the request fails. Refusals don't count against the route's
 	// attempts.
 	maxRefusals = 6
 	// hedgeShare is the share of the route's objective after which a repeatable request
@@ -126,7 +126,7 @@
 type choice struct {
 	server          members.Server
 	listed          int    // servers of the service
-	eligible        int    // servers that the filters left
+	eligible        int    // servers that passed the filters
 	load            int    // requests of this process in flight at the server
 	reason          string // why the policy picked the server
 	skippedEjection bool   // the policy had to skip the filter of ejected servers
@@ -367,8 +367,8 @@
 }
 
 // ServerCrashed reports whether the server's process ended, after a connection broke
-// while it carried a request. A leaving server ends regularly, whatever it runs, so
-// that its end is no crash.
+// while it carried a request. A leaving server is expected to end, so its end is not
+// counted as a crash.
 func (f *Forwarder) ServerCrashed(ctx context.Context, service string, server members.Server) bool {
 	listed, known := f.View.Current().Server(service, server.ID)
 	return known && !listed.Leaving && f.Pool.ServerEnded(ctx, server.Addr)
--- a/gateway/forward/poison_test.go
+++ b/gateway/forward/poison_test.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// A quarantined request is sent again. Its caller is told immediately that it did not
-// run and when to retry, and no server receives it. This holds for writes too.
+// A quarantined request is sent again. Its caller immediately gets the answer that it
+// did not run and when to retry, and no server receives it. This holds for writes too.
 func TestQuarantinedRequestIsRefusedAtOnce(t *testing.T) {
 	for _, path := range []string{"/score/deadly", "/write/deadly"} {
 		pf := gatewaytest.NewPlatform(t, 0, 3)
--- a/gateway/forward/stats.go
+++ b/gateway/forward/stats.go
@@ -9,9 +9,9 @@
 	"dandelionsill.org/decide/route"
 )
 
-// ejectionConfig configures the ejection of outliers among plain servers. They answer
-// within tens of milliseconds, so that a few seconds are enough to detect an outlier,
-// and to try it again.
+// ejectionConfig configures the ejection of outliers among the servers that
+// requests are forwarded to. They answer within tens of milliseconds, so that a few
+// seconds are enough to detect an outlier, and to try it again.
 var ejectionConfig = eject.Config{
 	Alpha: 0.3, MinSamples: 3, Factor: 4, FailureRate: 0.5, MaxShare: 0.67,
 	Base: 2 * time.Second, MaxDuration: 10 * time.Second, Probation: 10 * time.Second,
--- a/gateway/forward/stream.go
+++ b/gateway/forward/stream.go
@@ -18,7 +18,7 @@
 // copyBufferBytes is the size of the buffer that streams are copied with.
 const copyBufferBytes = 16 << 10
 
-// Timeouts of streams that can be resumed. Callers give a stream up after a gap of two
+// Timeouts of streams that can be resumed. Callers abandon a stream after a gap of two
 // seconds or four times its objective. Half of that leaves another server as much time.
 const (
 	// maxEventGap bounds the time between two events.
--- a/gateway/jobs/active_item.go
+++ b/gateway/jobs/active_item.go
@@ -33,7 +33,7 @@
 	// stored under the claim of the next owner.
 	claim uint64
 
-	// singleVersion is true if one weight version has to make the complete text.
+	// singleVersion is true if one weight version has to generate the complete text.
 	singleVersion bool
 	// service is the service that runs the item according to the table routedBy.
 	service  string
@@ -59,7 +59,7 @@
 	lastEventAt     time.Time
 	streamEvents    int // events of this stream
 	// textSince, eventsBefore and brokenStreams describe the progress of the current text:
-	// when this process started to make it, how many events it had then, and how many of its
+	// when this process started to generate it, how many events it had then, and how many of its
 	// streams have ended early since.
 	textSince     time.Time
 	eventsBefore  int
@@ -82,7 +82,7 @@
 	return a.subject
 }
 
-// newActiveItem takes an item with what was made of it before, which is appended again under
+// newActiveItem takes an item with the text generated before, which is appended again under
 // this owner's claim.
 func newActiveItem(j *jobs.Job, item jobs.Item, earlier jobs.Output) *activeItem {
 	now := time.Now()
@@ -100,7 +100,7 @@
 	return a.events[0].Version
 }
 
-// model returns the model that has to make the item's text.
+// model returns the model that has to generate the item's text.
 func (a *activeItem) model() string {
 	if a.size.Model != "" {
 		return a.size.Model
--- a/gateway/jobs/api.go
+++ b/gateway/jobs/api.go
@@ -328,7 +328,7 @@
 
 // checkExists returns nil if the job exists. It waits until this process is sure, for at
 // most maxSyncWait: kinds.NotFound means that the job does not exist, and
-// kinds.LogUnavailable that this process can't tell.
+// kinds.LogUnavailable that this process can't determine it.
 func (s *Service) checkExists(ctx context.Context, job string) *kinds.Error {
 	if s.hasJob(job) && s.index.CaughtUp() {
 		return nil
--- a/gateway/jobs/outage_test.go
+++ b/gateway/jobs/outage_test.go
@@ -16,7 +16,7 @@
 	"dandelionsill.org/platform/hosted/hostedtest"
 )
 
-// An entry is told to stop during an outage of the store. No other process can take over its
+// An entry is asked to stop during an outage of the store. No other process can take over its
 // jobs then, so stopping its samples would lose all text since the start of the outage. They
 // continue until the store is available again and has stored the release.
 func TestDrainingOwnerContinuesInOutage(t *testing.T) {
--- a/gateway/jobs/outbox.go
+++ b/gateway/jobs/outbox.go
@@ -20,7 +20,7 @@
 // Time limits and sizes of appends.
 const (
 	// flushInterval is how often the events of streams are appended. Events that are not
-	// appended yet are generated again if their owner dies.
+	// appended yet are generated again if their owner crashes.
 	flushInterval = 250 * time.Millisecond
 	// flushPause is the minimum time between two appends of urgent records, so that
 	// results of the same moment share an append.
@@ -56,8 +56,8 @@
 // outbox collects the records of this process and appends them. Texts go to the partitions of
 // their jobs, each through its own partitionAppender; the results in the jobs' stream follow
 // after their texts are stored. Records of jobs, which serve as heartbeats, do not wait for
-// any partition: an owner that waited for one unavailable partition fell silent and lost all
-// its jobs to other processes, which then waited as well.
+// any partition: an owner that waited for one unavailable partition sent no heartbeats and
+// lost all its jobs to other processes, which then waited as well.
 type outbox struct {
 	log  Log
 	zlog *zap.Logger
--- a/gateway/jobs/outbox_test.go
+++ b/gateway/jobs/outbox_test.go
@@ -78,7 +78,7 @@
 }
 
 // The log is unavailable for seconds while 250 samples run. The backlog is larger than one
-// append may be: sent in one piece it was refused for ever, and blocked every later result.
+// append may be: sent in one piece it was refused forever, and blocked every later result.
 func TestBacklogIsSplit(t *testing.T) {
 	l := &strictLog{}
 	o := newStrictOutbox(l)
@@ -153,7 +153,7 @@
 	return l.strictLog.AppendAll(ctx, stream, records)
 }
 
-// A job's partition is unavailable while its samples make events. Complete texts go to another
+// A job's partition is unavailable while its samples generate events. Complete texts go to another
 // partition at once. Partial texts wait and keep their order, and none of them is lost or
 // appended twice. The job is released only after them.
 func TestPartialTextsWaitForTheirPartition(t *testing.T) {
@@ -191,7 +191,7 @@
 }
 
 // A job's partition is unavailable. Its owner loses the job, owns it again, and resumes from
-// the one event that the log had, in another run. The events that it had made before belong to
+// the one event that the log had, in another run. The events that it had generated before belong to
 // its earlier claim: under the new one they would count as events of the new run.
 func TestEventsOfTwoClaimsAreSeparate(t *testing.T) {
 	l := &unavailableLog{unavailable: textStream(2)}
--- a/gateway/jobs/ownership.go
+++ b/gateway/jobs/ownership.go
@@ -90,7 +90,7 @@
 	if r.loading[j.ID] {
 		return
 	}
-	// Reading items and what earlier owners made must not delay the plan.
+	// Reading items and the texts of earlier owners must not delay the plan.
 	r.loading[j.ID] = true
 	spec, at, takenOver := j.Spec, j.ItemsRef, j.Claim != j.AcceptedOffset
 	r.tasks.Go(func() { r.loadAndStart(ctx, &spec, at, takenOver) })
@@ -142,7 +142,7 @@
 	r.requestPlan()
 }
 
-// startItems adds a job's unfinished items, with the texts made so far, to the active ones.
+// startItems adds a job's unfinished items, with the texts generated so far, to the active ones.
 func (r *Runner) startItems(j *jobs.Job, texts *jobs.Texts) {
 	active := make(map[string]*activeItem, len(j.Items))
 	r.active[j.ID] = active
@@ -179,8 +179,9 @@
 	complete bool
 }
 
-// reuseText continues what this process made of an item in an earlier job, if its versions are
-// not too old for this job: a trainer submits again the groups that it did not wait for.
+// reuseText continues the text that this process generated for an item in an earlier job, if its
+// versions are not too old for this job: a trainer submits again the groups that it did not wait
+// for.
 func (r *Runner) reuseText(j *jobs.Job, item string, earlier jobs.Output) jobs.Output {
 	text, known := r.reusable[item]
 	if !known || text.model != j.Model || jobs.HasStaleEvent(text.events, j.MinVersion) {
@@ -224,7 +225,7 @@
 
 // Drain releases all jobs, also those that this process is given later. It is the first step
 // of a shutdown. Samples keep running until the log has stored the release of their job: during
-// an outage of the store no other process could take over, and all text made since its start
+// an outage of the store no other process could take over, and all text generated since its start
 // would be lost with the streams.
 func (r *Runner) Drain() {
 	r.mu.Lock()
--- a/gateway/jobs/partition_appender.go
+++ b/gateway/jobs/partition_appender.go
@@ -27,7 +27,7 @@
 }
 
 // jobClaim is a job under one claim. A process that lost a job and owns it again resumes from
-// what is in the log. Text that it made under the earlier claim and has not appended yet comes
+// what is in the log. Text that it generated under the earlier claim and has not appended yet comes
 // from other runs: under the new claim, events of two runs would be mixed in one text.
 type jobClaim struct {
 	job   string
--- a/gateway/jobs/ranking.go
+++ b/gateway/jobs/ranking.go
@@ -34,7 +34,7 @@
 	return hint, false
 }
 
-// remainingEvents estimates how many events of an item are still to be made; 0 for a complete
+// remainingEvents estimates how many events of an item are still to be generated; 0 for a complete
 // text. An item that is being scored, or whose result is being appended, still belongs to an
 // incomplete group.
 func (r *Runner) remainingEvents(a *activeItem) float64 {
@@ -45,8 +45,8 @@
 	return place.Remaining(estimate, float64(len(a.events)))
 }
 
-// rankSamples ranks the samples of a service by what can be made in time. Until lengths,
-// slots and rates are known, older jobs go first.
+// rankSamples ranks the samples of a service by which of them can be completed in time. Until
+// lengths, slots and rates are known, older jobs go first.
 func (r *Runner) rankSamples(active []*activeItem, samples []place.Sample, engines []place.Engine, now time.Time) {
 	own := ownLoad(active)
 	capacity := place.CapacityOf(engines, own)
@@ -96,7 +96,7 @@
 }
 
 // groupOf returns the group to which an item counts, and whether the job's trainer requires
-// that group because it submitted it again. An item without a group counts by itself.
+// that group because it submitted it again. An item without a group counts as a group of its own.
 func groupOf(a *activeItem) (name string, required bool) {
 	if a.item.Group == "" || a.job.Groups == 0 {
 		return a.item.ID, false
--- a/gateway/jobs/reads.go
+++ b/gateway/jobs/reads.go
@@ -14,7 +14,7 @@
 
 // endReadKB is the size of a read that only looks for the log's end. With reads of the usual
 // size, each question about an unknown job cost a megabyte while hundreds of processes were
-// reading the past.
+// reading old records.
 const endReadKB = 1
 
 var (
@@ -55,7 +55,7 @@
 			return page, err
 		}
 		// The log may return no record that is larger than the requested size: without a
-		// larger request the same read would be repeated for ever.
+		// larger request the same read would be repeated forever.
 		if kb = fetch.LargerKB(kb); kb == 0 {
 			return page, errors.Errorf("record %d of stream %s is larger than the largest read", from, stream)
 		}
--- a/gateway/jobs/stream.go
+++ b/gateway/jobs/stream.go
@@ -67,7 +67,7 @@
 		}
 		switch {
 		case end == broken && r.forward.ServerCrashed(ctx, service, server):
-			r.zlog.Warn("A server ended while it ran a sample.", zap.String("id", a.item.ID), zap.String("job", a.job.ID),
+			r.zlog.Warn("A server ended while it ran a request.", zap.String("id", a.item.ID), zap.String("job", a.job.ID),
 				zap.String("request", string(s.subject.Fingerprint())), zap.String("server", server.ID))
 			s.subject.RecordCrash(server.ID)
 		case end == complete:
@@ -276,7 +276,7 @@
 	r.requestPlan()
 }
 
-// exclude keeps all samples away from an engine for a while.
+// exclude gives no sample to an engine for a while.
 func (r *Runner) exclude(server string, d time.Duration, now time.Time) {
 	if until := now.Add(d); until.After(r.excludedUntil[server]) {
 		r.excludedUntil[server] = until
--- a/gateway/jobs/texts.go
+++ b/gateway/jobs/texts.go
@@ -44,7 +44,7 @@
 }
 
 // foldTexts folds the texts of a job from the offset of its items on until enough returns true.
-// enough is told whether the stream's end was reached.
+// The argument of enough is true if the stream's end was reached.
 func foldTexts(ctx context.Context, log *reader, job string, from jobs.TextRef, enough func(texts *jobs.Texts, atEnd bool) bool) (*jobs.Texts, error) {
 	ctx, cancel := context.WithTimeout(ctx, maxTextsWait)
 	defer cancel()
--- a/gateway/server/duties.go
+++ b/gateway/server/duties.go
@@ -105,7 +105,7 @@
 	loop(func() { r.reporter.Run(ctx) })
 }
 
-// resign releases the duty for good.
+// resign releases the duty permanently.
 func (r *reporting) resign() {
 	if r != nil {
 		r.keeper.Resign()
--- a/gateway/server/settings.go
+++ b/gateway/server/settings.go
@@ -97,7 +97,7 @@
 	return nil
 }
 
-// Agent holds the settings of the agent beside an engine.
+// Agent holds the settings of the agent of an engine.
 type Agent struct {
 	Common
 	Engine Engine
--- a/gateway/view/copies.go
+++ b/gateway/view/copies.go
@@ -23,8 +23,8 @@
 	// copies at this interval times the number of processes.
 	copyInterval = 4 * time.Second
 	// copyWriters is the mean number of processes that copy a new configuration. With
-	// three, no process does in one case of twenty, which is left to the next periodic
-	// copy.
+	// three, no process copies it in one case of twenty; the next periodic copy then
+	// contains it.
 	copyWriters = 3
 	// maxCopyDelay bounds the random delay of a copy of a new configuration.
 	maxCopyDelay = 400 * time.Millisecond
--- a/gateway/view/view_test.go
+++ b/gateway/view/view_test.go
@@ -167,7 +167,7 @@
 	})
 }
 
-// The store is unavailable for five seconds and all entries lapse meanwhile. Servers
+// The store is unavailable for five seconds and all entries expire meanwhile. Servers
 // must remain in use during the outage and for two seconds after it, in which the
 // running servers write their entries again.
 func TestServersSurviveStoreOutage(t *testing.T) {
@@ -239,8 +239,7 @@
 }
 
 // The longer a complete list takes to read, the later the next one is read. The store
-// thus spends most of its time on other reads, however many processes read however long
-// lists.
+// thus spends most of its time on other reads, even if many processes read long lists.
 func TestSlowSnapshotsAreLessFrequent(t *testing.T) {
 	for range 100 {
 		require.Equal(t, snapshotInterval, nextSnapshotDelay(10*time.Millisecond))
