--- a/gateway/jobs/ownership.go
+++ b/gateway/jobs/ownership.go
@@ -90,10 +90,10 @@
 	if r.loading[j.ID] {
 		return
 	}
-	// Reading items and what earlier owners made must not delay the plan.
+	// Reading items and the texts of earlier owners must not delay the plan.
 	r.loading[j.ID] = true
-	head, at, takenOver := j.Spec, j.ItemsRef, j.Claim != j.AcceptedOffset
-	r.tasks.Go(func() { r.loadAndStart(ctx, &head, at, takenOver) })
+	spec, at, takenOver := j.Spec, j.ItemsRef, j.Claim != j.AcceptedOffset
+	r.tasks.Go(func() { r.loadAndStart(ctx, &spec, at, takenOver) })
 }
 
 // releaseAfterGap releases all owned jobs after records were missed, because this process no
@@ -123,26 +123,26 @@
 }
 
 // loadAndStart reads the items and earlier texts of a job and starts to run it.
-func (r *Runner) loadAndStart(ctx context.Context, head *jobs.Spec, at jobs.TextRef, takenOver bool) {
-	texts, err := readTexts(ctx, r.index.log, head, at, takenOver)
+func (r *Runner) loadAndStart(ctx context.Context, spec *jobs.Spec, at jobs.TextRef, takenOver bool) {
+	texts, err := readTexts(ctx, r.index.log, spec, at, takenOver)
 	if err != nil {
-		r.zlog.Warn("Reading the texts of a batch job failed; retrying.", zap.String("job", head.ID), zap.Uint64("offset", at.Offset), zap.Error(err))
+		r.zlog.Warn("Reading the texts of a batch job failed; retrying.", zap.String("job", spec.ID), zap.Uint64("offset", at.Offset), zap.Error(err))
 	}
-	for err != nil && sleep.For(ctx, sleep.Jitter(tailRetryPause)) && r.index.isOwnedBy(head.ID, r.writer) {
-		texts, err = readTexts(ctx, r.index.log, head, at, takenOver)
+	for err != nil && sleep.For(ctx, sleep.Jitter(tailRetryPause)) && r.index.isOwnedBy(spec.ID, r.writer) {
+		texts, err = readTexts(ctx, r.index.log, spec, at, takenOver)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.loading, head.ID)
+	delete(r.loading, spec.ID)
 	r.index.mu.Lock()
 	defer r.index.mu.Unlock()
-	if j := r.index.state.Owned(head.ID, r.writer); err == nil && j != nil && j.IsOpen() && r.active[head.ID] == nil {
+	if j := r.index.state.Owned(spec.ID, r.writer); err == nil && j != nil && j.IsOpen() && r.active[spec.ID] == nil {
 		r.startItems(j, texts)
 	}
 	r.requestPlan()
 }
 
-// startItems adds a job's unfinished items, with the texts made so far, to the active ones.
+// startItems adds a job's unfinished items, with the texts generated so far, to the active ones.
 func (r *Runner) startItems(j *jobs.Job, texts *jobs.Texts) {
 	active := make(map[string]*activeItem, len(j.Items))
 	r.active[j.ID] = active
@@ -179,8 +179,9 @@
 	complete bool
 }
 
-// reuseText continues what this process made of an item in an earlier job, if its versions are
-// not too old for this job: a trainer submits again the groups that it did not wait for.
+// reuseText continues the text that this process generated for an item in an earlier job, if its
+// versions are not too old for this job: a trainer submits again the groups that it did not wait
+// for.
 func (r *Runner) reuseText(j *jobs.Job, item string, earlier jobs.Output) jobs.Output {
 	text, known := r.reusable[item]
 	if !known || text.model != j.Model || jobs.HasStaleEvent(text.events, j.MinVersion) {
@@ -224,7 +225,7 @@
 
 // Drain releases all jobs, also those that this process is given later. It is the first step
 // of a shutdown. Samples keep running until the log has stored the release of their job: during
-// an outage of the store no other process could take over, and all text made since its start
+// an outage of the store no other process could take over, and all text generated since its start
 // would be lost with the streams.
 func (r *Runner) Drain() {
 	r.mu.Lock()
