--- a/base/settings/print.go
+++ b/base/settings/print.go
@@ -63,7 +63,7 @@
 
 func (anyValue) String() string     { return "" }
 func (anyValue) Set(string) error   { return nil }
-func (n anyValue) IsBoolFlag() bool { return n.boolean }
+func (v anyValue) IsBoolFlag() bool { return v.boolean }
 
 // describeSource returns where a field's value came from, for error texts and
 // --print-config.
--- a/confsync/fakes_test.go
+++ b/confsync/fakes_test.go
@@ -277,14 +277,14 @@
 
 var errUnreachable = errors.New("unreachable")
 
-func (w memoryExchanger) exchange(ctx context.Context, addr string, req *pb.ExchangeRequest) (*pb.ExchangeReply, error) {
-	sleep.For(ctx, w.site.latency)
-	peer := w.site.get(addr)
-	if peer == nil || w.site.partitioned(w.from, addr) {
+func (e memoryExchanger) exchange(ctx context.Context, addr string, req *pb.ExchangeRequest) (*pb.ExchangeReply, error) {
+	sleep.For(ctx, e.site.latency)
+	peer := e.site.get(addr)
+	if peer == nil || e.site.partitioned(e.from, addr) {
 		return nil, errUnreachable
 	}
-	reply, err := peer.Exchange(ctx, roundTrip(w.site.t, req))
-	return roundTrip(w.site.t, reply), err
+	reply, err := peer.Exchange(ctx, roundTrip(e.site.t, req))
+	return roundTrip(e.site.t, reply), err
 }
 
 func (memoryExchanger) Close() {}
--- a/decide/fetch/delays.go
+++ b/decide/fetch/delays.go
@@ -92,16 +92,16 @@
 }
 
 // Of returns the extra time of a call of a kind.
-func (p *ExtraTime) Of(kind string) time.Duration { return p.extra[kind] }
+func (e *ExtraTime) Of(kind string) time.Duration { return e.extra[kind] }
 
 // RecordAnswer records that a call of a kind was answered.
-func (p *ExtraTime) RecordAnswer(kind string) { delete(p.extra, kind) }
+func (e *ExtraTime) RecordAnswer(kind string) { delete(e.extra, kind) }
 
 // RecordTimeout records that a call of a kind timed out while the store answered
 // others.
-func (p *ExtraTime) RecordTimeout(kind string) {
-	if p.extra == nil {
-		p.extra = map[string]time.Duration{}
+func (e *ExtraTime) RecordTimeout(kind string) {
+	if e.extra == nil {
+		e.extra = map[string]time.Duration{}
 	}
-	p.extra[kind] = min(maxExtraTime, max(initialExtraTime, 2*p.extra[kind]))
+	e.extra[kind] = min(maxExtraTime, max(initialExtraTime, 2*e.extra[kind]))
 }
--- a/decide/place/assign.go
+++ b/decide/place/assign.go
@@ -10,7 +10,7 @@
 // urgent first. It increments the Load of the engines that it chooses. A lower Rank is
 // more urgent; within a rank, samples with more remaining work go first.
 func Assign(engines []Engine, samples []Sample) []Choice {
-	a := &assigner{engines: engines, median: medianPace(engines), enginesByPrompt: map[string][]int{}, usualPace: map[requirement]*candidates{}, slowPace: map[requirement]*candidates{}}
+	a := &assigner{engines: engines, median: medianPace(engines), enginesByPrompt: map[string][]int{}, normalPace: map[requirement]*candidates{}, slowPace: map[requirement]*candidates{}}
 	for i := range engines {
 		a.free += max(0, engines[i].Slots-engines[i].Load)
 	}
@@ -49,9 +49,9 @@
 	// enginesByPrompt holds the engines that this call has given a sample with that
 	// prompt.
 	enginesByPrompt map[string][]int
-	// usualPace holds the engines of normal speed with a free slot, by requirement;
+	// normalPace holds the engines of normal speed with a free slot, by requirement;
 	// slowPace holds those that a fault has slowed down.
-	usualPace, slowPace map[requirement]*candidates
+	normalPace, slowPace map[requirement]*candidates
 }
 
 // requirement is what a sample demands of an engine. Samples with equal requirements
@@ -79,7 +79,7 @@
 	}
 	lowestScore := a.score(engine)
 	for _, i := range a.enginesByPrompt[s.Prompt] {
-		if !hasRoomFor(&a.engines[i], s) || s.Avoid[a.engines[i].ID] || isSlow(&a.engines[i], a.median) {
+		if !hasFreeSlotFor(&a.engines[i], s) || s.Avoid[a.engines[i].ID] || isSlow(&a.engines[i], a.median) {
 			continue
 		}
 		if score := a.score(i) - warmPromptBonus; score < lowestScore {
@@ -111,7 +111,7 @@
 // candidates returns the engines that serve a sample: the slow ones if slow is true,
 // otherwise those of normal speed.
 func (a *assigner) candidates(s *Sample, slow bool) *candidates {
-	byRequirement := a.usualPace
+	byRequirement := a.normalPace
 	if slow {
 		byRequirement = a.slowPace
 	}
--- a/decide/place/goodput_test.go
+++ b/decide/place/goodput_test.go
@@ -131,9 +131,9 @@
 }
 
 func TestOrder(t *testing.T) {
-	room := Capacity{Rate: 100, Pace: 0.1} // 65 units per second are usable
-	sample := func(step int, group string, left float64) Sample {
-		return Sample{Step: step, Group: group, Remaining: left}
+	capacity := Capacity{Rate: 100, Pace: 0.1} // 65 units per second are usable
+	sample := func(step int, group string, remaining float64) Sample {
+		return Sample{Step: step, Group: group, Remaining: remaining}
 	}
 	must := sample(0, "must", 50)
 	must.Required = true
@@ -164,7 +164,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			Order(test.steps, test.samples, room)
+			Order(test.steps, test.samples, capacity)
 			require.Equal(t, test.want, ranked(test.samples))
 		})
 	}
@@ -185,10 +185,10 @@
 	behind.Versions, far.Versions = map[string]uint64{"m": 4}, map[string]uint64{"m": 3}
 	loading.Versions, loading.Loading = nil, map[string]uint64{"m": 6}
 	engines := []Engine{fresh, behind, far, loading}
-	room := Capacity{Pace: 0.5}
+	capacity := Capacity{Pace: 0.5}
 	own := map[string]int{"fresh": 3}
-	require.InDelta(t, 2*(3+6+8), room.RateFor(engines, own, "m", 5), 1e-9, "own and free slots, without the engine that is far behind")
-	require.Zero(t, room.RateFor(engines, own, "other", 5))
+	require.InDelta(t, 2*(3+6+8), capacity.RateFor(engines, own, "m", 5), 1e-9, "own and free slots, without the engine that is far behind")
+	require.Zero(t, capacity.RateFor(engines, own, "other", 5))
 }
 
 // ranked returns the groups in rank order.
@@ -348,8 +348,8 @@
 		}
 		require.LessOrEqual(t, pause, time.Second)
 		require.Equal(t, slots, p.Slots("b", slots, load, own))
-		room := p.Slots("a", slots, load, own) - load
-		require.LessOrEqual(t, own+room, max(1, own))
+		free := p.Slots("a", slots, load, own) - load
+		require.LessOrEqual(t, own+free, max(1, own))
 		p.RecordSuccess("a")
 		require.Equal(t, slots, p.Slots("a", slots, load, own))
 		require.Equal(t, minProbationPause, p.RecordFailure("a"))
--- a/decide/place/migrate.go
+++ b/decide/place/migrate.go
@@ -21,19 +21,19 @@
 // being used for two samples.
 func ChooseMigration(engines []Engine, running []Running) int {
 	paces := pacesOf(engines)
-	l := &migrator{
+	m := &migrator{
 		engines: engines, median: quantile(paces, 2), fastPace: quantile(paces, 4),
-		byID: make(map[string]*Engine, len(engines)), fastest: map[requirement]*Engine{}, usualByRequirement: map[requirement]bool{},
+		byID: make(map[string]*Engine, len(engines)), fastest: map[requirement]*Engine{}, normalByRequirement: map[requirement]bool{},
 	}
-	if l.median == 0 {
+	if m.median == 0 {
 		return -1
 	}
 	for i := range engines {
-		l.byID[engines[i].ID] = &engines[i]
+		m.byID[engines[i].ID] = &engines[i]
 	}
 	best, bestGain := -1, 0.0
 	for i := range running {
-		if gain := l.gain(&running[i]); gain > bestGain {
+		if gain := m.gain(&running[i]); gain > bestGain {
 			best, bestGain = i, gain
 		}
 	}
@@ -53,30 +53,30 @@
 	// fastest holds the fastest engine with a free slot for each requirement; nil if
 	// there is none.
 	fastest map[requirement]*Engine
-	// usualByRequirement caches for each requirement whether an engine of normal speed
+	// normalByRequirement caches for each requirement whether an engine of normal speed
 	// serves it.
-	usualByRequirement map[requirement]bool
+	normalByRequirement map[requirement]bool
 }
 
 // gain returns the seconds that a sample saves on the fastest engine with a free slot
 // for it, or 0 if it should stay. Samples on engines slowed by a fault get
 // faultyEngineBonus on top, so that they precede all others.
-func (l *migrator) gain(r *Running) float64 {
-	current := l.byID[r.Engine]
+func (m *migrator) gain(r *Running) float64 {
+	current := m.byID[r.Engine]
 	if current == nil || current.Pace <= 0 {
 		return 0
 	}
-	target := l.fastestElsewhere(r)
+	target := m.fastestElsewhere(r)
 	if target == nil {
-		if l.shouldWaitForSlot(r, current) {
-			return faultyEngineBonus + r.Remaining*(current.Pace-l.median)
+		if m.shouldWaitForSlot(r, current) {
+			return faultyEngineBonus + r.Remaining*(current.Pace-m.median)
 		}
 		return 0
 	}
-	pace := l.pace(target)
+	pace := m.pace(target)
 	gain := r.Remaining * (current.Pace - pace)
 	switch {
-	case current.Pace > slowFactor*l.median && pace <= slowFactor*l.median:
+	case current.Pace > slowFactor*m.median && pace <= slowFactor*m.median:
 		return faultyEngineBonus + gain
 	case r.Estimated && current.Pace > minPaceRatio*pace && gain > minMigrationGain:
 		return gain
@@ -90,58 +90,58 @@
 
 // pace returns the pace assumed for an engine: at least fastPace, or the median if it
 // is not known.
-func (l *migrator) pace(e *Engine) float64 {
+func (m *migrator) pace(e *Engine) float64 {
 	if e.Pace > 0 {
-		return max(e.Pace, l.fastPace)
+		return max(e.Pace, m.fastPace)
 	}
-	return l.median
+	return m.median
 }
 
 // fastestElsewhere returns the fastest engine with a free slot for a sample, without
 // its current engine and those that it avoids; nil if there is none.
-func (l *migrator) fastestElsewhere(r *Running) *Engine {
+func (m *migrator) fastestElsewhere(r *Running) *Engine {
 	key := requirement{r.Model, r.Floor, r.OnlyVersion}
-	fastest, known := l.fastest[key]
+	fastest, known := m.fastest[key]
 	if !known {
-		fastest = l.searchFastest(&r.Sample, "")
-		l.fastest[key] = fastest
+		fastest = m.searchFastest(&r.Sample, "")
+		m.fastest[key] = fastest
 	}
 	if fastest == nil || fastest.ID != r.Engine && !r.Avoid[fastest.ID] {
 		return fastest
 	}
-	return l.searchFastest(&r.Sample, r.Engine)
+	return m.searchFastest(&r.Sample, r.Engine)
 }
 
 // shouldWaitForSlot reports whether a sample should leave a slow engine and wait for a
 // slot elsewhere: it is not expected to finish there early enough to be started there,
 // but would finish in time on an engine of normal speed.
-func (l *migrator) shouldWaitForSlot(r *Running, current *Engine) bool {
+func (m *migrator) shouldWaitForSlot(r *Running, current *Engine) bool {
 	lateHere := r.Remaining*current.Pace > maxSlowShare*r.Due
-	inTimeElsewhere := r.Remaining*l.median+minMigrationGain < r.Due
-	return r.Estimated && isSlow(current, l.median) && lateHere && inTimeElsewhere && l.hasUsualEngine(r)
+	inTimeElsewhere := r.Remaining*m.median+minMigrationGain < r.Due
+	return r.Estimated && isSlow(current, m.median) && lateHere && inTimeElsewhere && m.hasNormalEngine(r)
 }
 
-// hasUsualEngine reports whether an engine of normal speed serves a sample.
-func (l *migrator) hasUsualEngine(r *Running) bool {
+// hasNormalEngine reports whether an engine of normal speed serves a sample.
+func (m *migrator) hasNormalEngine(r *Running) bool {
 	key := requirement{r.Model, r.Floor, r.OnlyVersion}
-	known, ok := l.usualByRequirement[key]
+	known, ok := m.normalByRequirement[key]
 	if !ok {
-		for i := range l.engines {
-			known = known || !isSlow(&l.engines[i], l.median) && serves(&l.engines[i], &r.Sample)
+		for i := range m.engines {
+			known = known || !isSlow(&m.engines[i], m.median) && serves(&m.engines[i], &r.Sample)
 		}
-		l.usualByRequirement[key] = known
+		m.normalByRequirement[key] = known
 	}
 	return known
 }
 
-func (l *migrator) searchFastest(s *Sample, exceptID string) *Engine {
+func (m *migrator) searchFastest(s *Sample, exceptID string) *Engine {
 	var fastest *Engine
-	for i := range l.engines {
-		e := &l.engines[i]
-		if e.ID == exceptID || exceptID != "" && s.Avoid[e.ID] || !hasRoomFor(e, s) {
+	for i := range m.engines {
+		e := &m.engines[i]
+		if e.ID == exceptID || exceptID != "" && s.Avoid[e.ID] || !hasFreeSlotFor(e, s) {
 			continue
 		}
-		if fastest == nil || l.pace(e) < l.pace(fastest) {
+		if fastest == nil || m.pace(e) < m.pace(fastest) {
 			fastest = e
 		}
 	}
--- a/decide/place/order.go
+++ b/decide/place/order.go
@@ -46,8 +46,8 @@
 }
 
 // engineRate returns an engine's contribution to Rate.
-func (r Capacity) engineRate(e *Engine, own map[string]int) float64 {
-	pace := cmp.Or(e.Pace, r.Pace)
+func (c Capacity) engineRate(e *Engine, own map[string]int) float64 {
+	pace := cmp.Or(e.Pace, c.Pace)
 	if pace == 0 {
 		return 0
 	}
@@ -58,13 +58,13 @@
 // permitted version is floor. An engine that is one version behind the floor or is
 // loading the model counts, because it will serve soon. An engine that is further
 // behind does not follow the model.
-func (r Capacity) RateFor(engines []Engine, own map[string]int, model string, floor uint64) float64 {
+func (c Capacity) RateFor(engines []Engine, own map[string]int, model string, floor uint64) float64 {
 	rate := 0.0
 	for i := range engines {
 		e := &engines[i]
 		version, serves := e.Versions[model]
 		if serves && version+1 >= floor || e.Loading[model] >= floor {
-			rate += r.engineRate(e, own)
+			rate += c.engineRate(e, own)
 		}
 	}
 	return rate
@@ -252,61 +252,61 @@
 // selectGroups marks the groups that can be completed in time as timely. Groups that
 // trainers wait for evict the selected groups with the most work; surplus groups are
 // added where capacity is left.
-func (c *groupSelector) selectGroups(groups []*group) {
+func (sel *groupSelector) selectGroups(groups []*group) {
 	for _, g := range groups {
-		if g.class != late || !c.canFinishInTime(g) {
+		if g.class != late || !sel.canFinishInTime(g) {
 			continue
 		}
-		c.add(g)
+		sel.add(g)
 		for {
-			position, model := c.firstOverloaded()
+			position, model := sel.firstOverloaded()
 			if position < 0 {
 				break
 			}
-			c.evict(position, model)
+			sel.evict(position, model)
 		}
 	}
 	for _, g := range groups {
-		if g.class != surplus || !c.canFinishInTime(g) {
+		if g.class != surplus || !sel.canFinishInTime(g) {
 			continue
 		}
-		c.work[g.step] += g.work
-		if position, _ := c.firstOverloaded(); position < 0 {
+		sel.work[g.step] += g.work
+		if position, _ := sel.firstOverloaded(); position < 0 {
 			g.class = timely
 			continue
 		}
-		c.work[g.step] -= g.work
+		sel.work[g.step] -= g.work
 	}
 }
 
 // canFinishInTime reports whether a group may be completed in time if it starts now.
-func (c *groupSelector) canFinishInTime(g *group) bool {
-	return certainShare*g.longest*c.capacity.Pace <= c.steps[g.step].Due
+func (sel *groupSelector) canFinishInTime(g *group) bool {
+	return certainShare*g.longest*sel.capacity.Pace <= sel.steps[g.step].Due
 }
 
-func (c *groupSelector) add(g *group) {
+func (sel *groupSelector) add(g *group) {
 	g.class = timely
-	c.work[g.step] += g.work
-	c.chosen = append(c.chosen, g)
+	sel.work[g.step] += g.work
+	sel.chosen = append(sel.chosen, g)
 }
 
 // firstOverloaded returns the position of the first step that cannot be in time with
 // the work selected for it and for the steps before it, and the model whose engines are
 // overloaded, or anyModel if all engines together are. It returns position -1 if there
 // is no such step.
-func (c *groupSelector) firstOverloaded() (position, model int) {
+func (sel *groupSelector) firstOverloaded() (position, model int) {
 	total := 0.0
-	clear(c.workByModel)
-	for position, i := range c.stepsByDue {
-		s := &c.steps[i]
-		total += c.work[i]
-		model := c.modelNumbers[i]
-		c.workByModel[model] += c.work[i]
+	clear(sel.workByModel)
+	for position, i := range sel.stepsByDue {
+		s := &sel.steps[i]
+		total += sel.work[i]
+		model := sel.modelNumbers[i]
+		sel.workByModel[model] += sel.work[i]
 		switch {
-		case c.work[i] == 0:
-		case total > usableShare*c.capacity.Rate*s.Due:
+		case sel.work[i] == 0:
+		case total > usableShare*sel.capacity.Rate*s.Due:
 			return position, anyModel
-		case s.Rate > 0 && c.workByModel[model] > usableShare*s.Rate*s.Due:
+		case s.Rate > 0 && sel.workByModel[model] > usableShare*s.Rate*s.Due:
 			return position, model
 		}
 	}
@@ -319,24 +319,24 @@
 // evict removes the group with the most work from the steps of a model up to a
 // position. Required groups are evicted last: their trainer cannot continue without them, and
 // evicted in each step they would never be completed.
-func (c *groupSelector) evict(position, model int) {
+func (sel *groupSelector) evict(position, model int) {
 	largest := -1
-	for k, g := range c.chosen {
-		if c.position[g.step] <= position && (model == anyModel || model == c.modelNumbers[g.step]) && (largest < 0 || c.evictsFirst(g, c.chosen[largest])) {
+	for k, g := range sel.chosen {
+		if sel.position[g.step] <= position && (model == anyModel || model == sel.modelNumbers[g.step]) && (largest < 0 || sel.evictsFirst(g, sel.chosen[largest])) {
 			largest = k
 		}
 	}
-	g := c.chosen[largest]
+	g := sel.chosen[largest]
 	g.class = late
-	c.work[g.step] -= g.work
-	c.chosen = slices.Delete(c.chosen, largest, largest+1)
-	if !slices.ContainsFunc(c.chosen, func(h *group) bool { return h.step == g.step }) {
-		c.work[g.step] = 0 // clear the rounding error
+	sel.work[g.step] -= g.work
+	sel.chosen = slices.Delete(sel.chosen, largest, largest+1)
+	if !slices.ContainsFunc(sel.chosen, func(h *group) bool { return h.step == g.step }) {
+		sel.work[g.step] = 0 // clear the rounding error
 	}
 }
 
 // evictsFirst reports whether a is evicted in preference to b.
-func (c *groupSelector) evictsFirst(a, b *group) bool {
+func (sel *groupSelector) evictsFirst(a, b *group) bool {
 	if a.required != b.required {
 		return b.required
 	}
--- a/decide/place/place.go
+++ b/decide/place/place.go
@@ -112,7 +112,7 @@
 // of all engines.
 func isSlow(e *Engine, median float64) bool { return e.Pace > slowFactor*median }
 
-func hasRoomFor(e *Engine, s *Sample) bool { return e.Load < e.Slots && serves(e, s) }
+func hasFreeSlotFor(e *Engine, s *Sample) bool { return e.Load < e.Slots && serves(e, s) }
 
 // serves reports whether an engine has weights that may make a sample.
 func serves(e *Engine, s *Sample) bool {
@@ -199,6 +199,6 @@
 	restarted := *s
 	restarted.OnlyVersion = 0
 	return slices.ContainsFunc(engines, func(e Engine) bool {
-		return e.Versions[s.Model] != s.OnlyVersion && !s.Avoid[e.ID] && hasRoomFor(&e, &restarted)
+		return e.Versions[s.Model] != s.OnlyVersion && !s.Avoid[e.ID] && hasFreeSlotFor(&e, &restarted)
 	})
 }
--- a/decide/place/place_test.go
+++ b/decide/place/place_test.go
@@ -13,8 +13,8 @@
 	return Engine{ID: id, Slots: slots, Load: load, Versions: map[string]uint64{"m": 5}}
 }
 
-func sample(id string, left float64) Sample {
-	return Sample{ID: id, Model: "m", Floor: 4, Remaining: left}
+func sample(id string, remaining float64) Sample {
+	return Sample{ID: id, Model: "m", Floor: 4, Remaining: remaining}
 }
 
 func TestAssign(t *testing.T) {
@@ -86,7 +86,9 @@
 func TestChooseMigration(t *testing.T) {
 	slow, usual, full := engine("slow", 8, 2), engine("usual", 8, 3), engine("full", 8, 8)
 	slow.Pace, usual.Pace, full.Pace = 0.12, 0.037, 0.038
-	at := func(id string, left float64) Running { return Running{Sample: sample(id, left), Engine: "slow"} }
+	at := func(id string, remaining float64) Running {
+		return Running{Sample: sample(id, remaining), Engine: "slow"}
+	}
 	require.Equal(t, 1, ChooseMigration([]Engine{slow, usual, full}, []Running{at("short", 1), at("long", 9)}), "the longest sample migrates")
 	require.Equal(t, -1, ChooseMigration([]Engine{slow, full, full}, []Running{at("long", 9)}), "no free slot elsewhere")
 	require.Equal(t, -1, ChooseMigration([]Engine{usual, full}, []Running{{Sample: sample("s", 1), Engine: "usual"}}), "not slow")
@@ -108,7 +110,7 @@
 	}
 	return slices.ContainsFunc(engines, func(e Engine) bool {
 		waits := isSlow(&e, median) && usual >= slow && s.Remaining*e.Pace > maxSlowShare*s.Due && s.Waited <= maxSlowWait
-		return !waits && !s.Avoid[e.ID] && hasRoomFor(&e, s)
+		return !waits && !s.Avoid[e.ID] && hasFreeSlotFor(&e, s)
 	})
 }
 
@@ -177,12 +179,12 @@
 	full.Load = full.Slots
 	unknown := func(e Engine) Engine { e.Pace = 0; return e }
 	tests := []struct {
-		name     string
-		engines  []Engine
-		only     uint64
-		left     float64
-		progress Progress
-		want     bool
+		name      string
+		engines   []Engine
+		only      uint64
+		remaining float64
+		progress  Progress
+		want      bool
 	}{
 		{"an event in each stream", []Engine{old, fresh}, 1, 30, Progress{Made: 3, MadeByOwner: 3, OwnerSeconds: 1.3, BrokenStreams: 3}, true},
 		{"the first stream breaks off after one event", []Engine{old, fresh}, 1, 30, Progress{Made: 1, MadeByOwner: 1, OwnerSeconds: 0.5, BrokenStreams: 1}, true},
@@ -197,7 +199,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			s := Sample{Model: "m", Floor: 1, OnlyVersion: test.only, Remaining: test.left}
+			s := Sample{Model: "m", Floor: 1, OnlyVersion: test.only, Remaining: test.remaining}
 			require.Equal(t, test.want, ShouldRestart(test.engines, &s, test.progress))
 		})
 	}
@@ -210,8 +212,8 @@
 	slower, usual, full := engine("slower", 8, 3), engine("usual", 8, 3), engine("full", 8, 8)
 	slower.Pace, usual.Pace, full.Pace = 0.1, 0.075, 0.05
 	engines := []Engine{slower, usual, full, usual}
-	at := func(id string, left float64, guessed bool) Running {
-		return Running{Sample: sample(id, left), Engine: "slower", Estimated: guessed}
+	at := func(id string, remaining float64, estimated bool) Running {
+		return Running{Sample: sample(id, remaining), Engine: "slower", Estimated: estimated}
 	}
 	require.Equal(t, 2, ChooseMigration(engines, []Running{at("short", 10, true), at("long", 40, true), at("longer", 50, true)}))
 	require.Equal(t, -1, ChooseMigration(engines, []Running{at("short", 10, true), at("hinted", 500, false)}))
--- a/decide/place/replay_test.go
+++ b/decide/place/replay_test.go
@@ -322,12 +322,12 @@
 		for _, e := range engines {
 			own[e.ID] = e.Load
 		}
-		room := CapacityOf(engines, own)
+		capacity := CapacityOf(engines, own)
 		open := r.open()
 		for i := range steps {
-			steps[i].Rate = room.RateFor(engines, own, steps[i].Model, floor(open[i].number))
+			steps[i].Rate = capacity.RateFor(engines, own, steps[i].Model, floor(open[i].number))
 		}
-		Order(steps, all, room)
+		Order(steps, all, capacity)
 	}
 	var samples []Sample
 	var queue []*replaySample
--- a/decide/place/stream_timeouts.go
+++ b/decide/place/stream_timeouts.go
@@ -59,11 +59,11 @@
 // the normal limit, samples there would be cut off after one event each, again and
 // again.
 func (s *StreamTimeouts) Limit(first bool, pace float64) time.Duration {
-	usual := limit(minNextLimit, s.nextGap.mean)
+	normalLimit := limit(minNextLimit, s.nextGap.mean)
 	if first {
-		usual = limit(minFirstLimit, s.firstGap.mean)
+		normalLimit = limit(minFirstLimit, s.firstGap.mean)
 	}
-	return max(usual, min(maxSlowLimit, limit(0, pace)))
+	return max(normalLimit, min(maxSlowLimit, limit(0, pace)))
 }
 
 func limit(minLimit time.Duration, gap float64) time.Duration {
@@ -76,10 +76,10 @@
 	known bool
 }
 
-func (e *decayingMean) add(value, weight float64) {
-	if !e.known {
-		e.mean, e.known = value, true
+func (m *decayingMean) add(value, weight float64) {
+	if !m.known {
+		m.mean, m.known = value, true
 		return
 	}
-	e.mean += weight * (value - e.mean)
+	m.mean += weight * (value - m.mean)
 }
--- a/decide/straggle/plan.go
+++ b/decide/straggle/plan.go
@@ -107,17 +107,17 @@
 
 // Started records that a run has started, and with how many tokens taken over
 // from an earlier run (base). Resumable tokens beyond base count as wasted.
-func (p *Plan) Started(id RunID, base int) {
+func (p *Plan) Started(id RunID, resumed int) {
 	r := p.runs[id]
 	if r == nil {
 		return
 	}
 	s := &p.samples[r.sample]
 	if r.parent == 0 {
-		p.stats.Wasted += max(0, s.resumableTokens-base)
+		p.stats.Wasted += max(0, s.resumableTokens-resumed)
 		s.resumableTokens = 0
 	}
-	r.resumedTokens, r.tokens, r.measuredTokens = base, base, base
+	r.resumedTokens, r.tokens, r.measuredTokens = resumed, resumed, resumed
 }
 
 // Observe records a run's progress: its tokens (including the resumed ones)
--- a/decide/straggle/sim_test.go
+++ b/decide/straggle/sim_test.go
@@ -142,14 +142,14 @@
 	s.prefill(a, r.reportedTokens)
 }
 
-func (s *sim) prefill(a straggle.Action, base int) {
+func (s *sim) prefill(a straggle.Action, tokens int) {
 	at := prefixOnServer{a.Server, a.Sample / s.samplesPerGroup}
 	if !s.warmPrefixes[at] {
 		s.warmPrefixes[at] = true
 		s.coldStarts++
-		base += simPromptTokens
+		tokens += simPromptTokens
 	}
-	s.prefillBacklog[a.Server] += float64(base) * simPrefillTimePerToken
+	s.prefillBacklog[a.Server] += float64(tokens) * simPrefillTimePerToken
 }
 
 func (s *sim) advance() {
--- a/decide/straggle/tail.go
+++ b/decide/straggle/tail.go
@@ -52,8 +52,8 @@
 		if len(p.samples[stream.sample].runs) > 1 || stream.chunks == 0 || stream.rate <= 0 || now-stream.startedAt < minRunTime {
 			continue
 		}
-		left := p.predictRemaining(p.groups[p.samples[stream.sample].group], stream.tokens)
-		found = append(found, straggler{stream, seconds(left / stream.rate)})
+		remaining := p.predictRemaining(p.groups[p.samples[stream.sample].group], stream.tokens)
+		found = append(found, straggler{stream, seconds(remaining / stream.rate)})
 	}
 	slices.SortFunc(found, func(a, b straggler) int {
 		return cmp.Or(cmp.Compare(b.remaining, a.remaining), cmp.Compare(a.stream.id, b.stream.id))
--- a/quarantine/logstore.go
+++ b/quarantine/logstore.go
@@ -26,21 +26,21 @@
 const maxReadRecords = 1000
 
 // PutAll implements platform.Keyed.
-func (o *logStore) PutAll(ctx context.Context, stream string, records []platform.KeyedRecord) error {
+func (s *logStore) PutAll(ctx context.Context, stream string, records []platform.KeyedRecord) error {
 	data, err := json.Marshal(logRecord{records})
 	if err != nil {
 		return errors.Trace(err)
 	}
-	_, err = o.log.Append(ctx, stream, data)
+	_, err = s.log.Append(ctx, stream, data)
 	return err
 }
 
 // Newest implements platform.Keyed.
-func (o *logStore) Newest(ctx context.Context, stream string) ([]platform.KeyedRecord, uint64, error) {
+func (s *logStore) Newest(ctx context.Context, stream string) ([]platform.KeyedRecord, uint64, error) {
 	newest := map[string]platform.KeyedRecord{}
 	from := uint64(0)
 	for {
-		page, err := o.log.Read(ctx, stream, from, maxReadRecords, 0)
+		page, err := s.log.Read(ctx, stream, from, maxReadRecords, 0)
 		if errors.Is(err, platform.ErrTruncated) && page.First > from {
 			from = page.First
 			continue
@@ -66,8 +66,8 @@
 }
 
 // ReadKeyed implements platform.Keyed.
-func (o *logStore) ReadKeyed(ctx context.Context, stream string, from uint64, wait time.Duration) ([]platform.KeyedRecord, uint64, error) {
-	page, err := o.log.Read(ctx, stream, from, maxReadRecords, wait)
+func (s *logStore) ReadKeyed(ctx context.Context, stream string, from uint64, wait time.Duration) ([]platform.KeyedRecord, uint64, error) {
+	page, err := s.log.Read(ctx, stream, from, maxReadRecords, wait)
 	if err != nil {
 		return nil, page.Next, errors.Trace(err)
 	}
