--- a/base/logs/logs.go
+++ b/base/logs/logs.go
@@ -94,10 +94,12 @@
 	prefix string
 }
 
+// With implements zapcore.Core.
 func (p prefixCore) With(fields []zapcore.Field) zapcore.Core {
 	return prefixCore{p.Core.With(fields), p.prefix}
 }
 
+// Check implements zapcore.Core.
 func (p prefixCore) Check(e zapcore.Entry, ce *zapcore.CheckedEntry) *zapcore.CheckedEntry {
 	if !p.Enabled(e.Level) {
 		return ce
--- a/base/settings/print.go
+++ b/base/settings/print.go
@@ -61,8 +61,13 @@
 // anyValue is a flag.Value that accepts any text and stores nothing.
 type anyValue struct{ boolean bool }
 
-func (anyValue) String() string     { return "" }
-func (anyValue) Set(string) error   { return nil }
+// String implements flag.Value.
+func (anyValue) String() string { return "" }
+
+// Set implements flag.Value.
+func (anyValue) Set(string) error { return nil }
+
+// IsBoolFlag reports whether the flag may be given without a value.
 func (v anyValue) IsBoolFlag() bool { return v.boolean }
 
 // describeSource returns where a field's value came from, for error texts and
--- a/base/trace/grpc.go
+++ b/base/trace/grpc.go
@@ -125,6 +125,7 @@
 	stopAfterFunc func() bool // stops the AfterFunc registered on the stream's context
 }
 
+// RecvMsg implements grpc.ClientStream. It ends the span when the stream ends.
 func (s *clientStream) RecvMsg(m any) error {
 	err := s.ClientStream.RecvMsg(m)
 	if err != nil || s.singleReply {
@@ -142,4 +143,5 @@
 	ctx context.Context
 }
 
+// Context implements grpc.ServerStream.
 func (s *serverStream) Context() context.Context { return s.ctx }
--- a/confsync/keeper_test.go
+++ b/confsync/keeper_test.go
@@ -20,9 +20,9 @@
 // processes, as promised to operators.
 const inForceLimit = 3 * time.Second
 
-// The operator commits revisions while one process can't reach the log. The
-// other processes read them from the log, and the one receives them from a peer.
-// Each is in force everywhere within 3 s.
+// The operator commits revisions while one process can't reach the log. The other
+// processes read them from the log; the partitioned one receives them from a
+// peer. Each revision is in force everywhere within 3 s.
 func TestPartitionedProcessLearnsFromPeers(t *testing.T) {
 	inBubble(t, func(t *testing.T, s *site) {
 		s.log.disconnected["p7"] = true
@@ -38,7 +38,7 @@
 
 // The operator commits, and only one process reads the commit before the log
 // becomes unavailable to all. Then a VM is replaced. The revision spreads from
-// the one process to all, including the new VM's process.
+// that process to all others, including the new VM's process.
 func TestOutageAfterOneProcessRead(t *testing.T) {
 	inBubble(t, func(t *testing.T, s *site) {
 		for i := 1; i < 40; i++ {
--- a/decide/admit/admit.go
+++ b/decide/admit/admit.go
@@ -56,6 +56,7 @@
 	Leaving
 )
 
+// String returns the name of the reason.
 func (r Reason) String() string {
 	switch r {
 	case Overloaded:
@@ -402,22 +403,31 @@
 // order is deterministic.
 type flowHeap []*flow
 
+// Len implements heap.Interface.
 func (h flowHeap) Len() int { return len(h) }
+
+// Less implements heap.Interface.
 func (h flowHeap) Less(i, j int) bool {
 	if h[i].virtualStart != h[j].virtualStart {
 		return h[i].virtualStart < h[j].virtualStart
 	}
 	return h[i].caller < h[j].caller
 }
+
+// Swap implements heap.Interface.
 func (h flowHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
 	h[i].index, h[j].index = i, j
 }
+
+// Push implements heap.Interface.
 func (h *flowHeap) Push(x any) {
 	f := x.(*flow)
 	f.index = len(*h)
 	*h = append(*h, f)
 }
+
+// Pop implements heap.Interface.
 func (h *flowHeap) Pop() any {
 	old := *h
 	f := old[len(old)-1]
--- a/decide/fresh/fresh.go
+++ b/decide/fresh/fresh.go
@@ -66,6 +66,7 @@
 	Resume
 )
 
+// String returns a short description of the verdict.
 func (v Verdict) String() string {
 	return [...]string{"go on", "cancel", "resume on new weights"}[v]
 }
--- a/decide/gather/gather.go
+++ b/decide/gather/gather.go
@@ -2,10 +2,10 @@
 // there is one. It is designed for synchronous training: a trainer reads results
 // repeatedly and cannot train before it has read the last group that it waits for.
 // After each answer the trainer processes what it has and reads again, no sooner than a
-// pause after it started its last read. An answer with only the first of several
-// results makes the trainer sit out that pause while the last ones are listed, and so
-// does a read that started just before they are. The package has no clock and does no
-// I/O.
+// pause after it started its last read. If an answer contains only the first of several
+// results, the trainer is still in that pause when the last ones are listed. The same
+// happens if a read started just before they are listed. The package has no clock and
+// does no I/O.
 package gather
 
 import "time"
--- a/decide/gather/gather_test.go
+++ b/decide/gather/gather_test.go
@@ -95,8 +95,8 @@
 }
 
 // The load is the end of a step that takes about as long as earlier steps, within a
-// fifth of a second. Guards against a trainer that sits out its pause because its read
-// was recent when the last sample was listed.
+// fifth of a second. Guards against a trainer that has to wait for the end of its pause
+// because its read was recent when the last sample was listed.
 func TestExpectedEndReducesLagFurther(t *testing.T) {
 	const steps = 200
 	var held, aligned time.Duration
--- a/decide/place/goodput_test.go
+++ b/decide/place/goodput_test.go
@@ -265,7 +265,7 @@
 // nearly all its groups, and one that starts on a slower engine finishes after the step
 // is due. Its trainer, which requests the step after next when this one is complete,
 // would fall further and further behind. Slots are not scarce: the faster engines have
-// room for all samples.
+// slots for all samples.
 func TestLongSamplesRunAtFastEngines(t *testing.T) {
 	play := func(alike bool) outcome {
 		return runSeeds(2, func(seed uint64) load {
--- a/decide/place/migrate.go
+++ b/decide/place/migrate.go
@@ -10,15 +10,16 @@
 }
 
 // ChooseMigration returns the index of a running sample that should continue on another
-// engine, or -1. It covers two cases. An engine made several times slower by a fault
-// times loses all its samples. In a fleet of engines with different speeds, a step
-// waits for a long sample that started on a slower engine because its hint was too low
-// or the engine's pace was not yet known.
+// engine, or -1. It covers two cases. All samples migrate from an engine that a fault
+// has made several times slower. In a fleet of engines with different speeds, long
+// samples migrate to faster engines, because a step would otherwise wait for a long
+// sample that started on a slower engine when its hint was too low or the engine's pace
+// was not yet known.
 //
 // If no other engine has a free slot, a sample leaves only an engine that a fault has
 // slowed down, and only if it would be late there and in time elsewhere. The sample
-// that gains the most is chosen. Migrating one at a time keeps the same free slot from
-// being used for two samples.
+// that saves the most time is chosen. Migrating one at a time keeps the same free slot
+// from being used for two samples.
 func ChooseMigration(engines []Engine, running []Running) int {
 	paces := pacesOf(engines)
 	m := &migrator{
@@ -44,7 +45,7 @@
 type migrator struct {
 	engines []Engine
 	median  float64
-	// fastPace is the first quartile of the engines' paces; no engine is believed to be
+	// fastPace is the first quartile of the engines' paces; no engine is assumed to be
 	// faster. A process that reads its streams late and then receives several events at
 	// once measures some paces far too low, and samples would follow these from engine
 	// to engine.
@@ -134,6 +135,8 @@
 	return known
 }
 
+// searchFastest returns the fastest engine with a free slot for a sample; nil if there is
+// none. If exceptID is not empty, it excludes that engine and those that the sample avoids.
 func (m *migrator) searchFastest(s *Sample, exceptID string) *Engine {
 	var fastest *Engine
 	for i := range m.engines {
--- a/decide/place/place.go
+++ b/decide/place/place.go
@@ -1,8 +1,8 @@
 // Package place decides which engine runs which sample. It is designed for synchronous
 // training: a whole step arrives at once, the trainer waits for the last sample of
 // almost every group, and one sample in twelve is several times longer than the others.
-// Samples are therefore bound late, the longest first, to the engine with the most
-// room, and leave engines that are much slower than their peers (Assign,
+// Samples are therefore bound late, the longest first, to the engine with the most free
+// slots, and migrate from engines that are much slower than their peers (Assign,
 // ChooseMigration). Where trainers request more than the engines can make, groups that
 // can be completed in time precede the others (Order). The package has no clock and
 // does no I/O.
@@ -194,7 +194,7 @@
 }
 
 // canRestartElsewhere reports whether an engine with a version other than the sample's
-// OnlyVersion has room for it.
+// OnlyVersion has a free slot for it.
 func canRestartElsewhere(engines []Engine, s *Sample) bool {
 	restarted := *s
 	restarted.OnlyVersion = 0
--- a/decide/place/place_test.go
+++ b/decide/place/place_test.go
@@ -42,7 +42,7 @@
 	}{
 		{"the longest first if slots are scarce", []Engine{engine("e1", 1, 0)}, []Sample{sample("s", 1), sample("l", 9)}, []Choice{{1, 0}}},
 		{"rank takes precedence over length", []Engine{engine("e1", 1, 0)}, []Sample{sample("l", 9), carried}, []Choice{{1, 0}}},
-		{"the engine with the most room", []Engine{engine("e1", 8, 5), engine("e2", 8, 2)}, []Sample{sample("s", 1)}, []Choice{{0, 1}}},
+		{"the engine with the most free slots", []Engine{engine("e1", 8, 5), engine("e2", 8, 2)}, []Sample{sample("s", 1)}, []Choice{{0, 1}}},
 		{"nothing if all engines are full", []Engine{engine("e1", 8, 8)}, []Sample{sample("s", 1)}, nil},
 		{"no engine with weights older than the floor", []Engine{stale}, []Sample{sample("s", 1)}, nil},
 		{"no engine that is loading the model", []Engine{loading}, []Sample{sample("s", 1)}, nil},
@@ -58,8 +58,8 @@
 	}
 }
 
-// Siblings share a prompt that an engine reads once. With equal room they go to the
-// same engine, but not so many that another engine stays idle.
+// Siblings share a prompt that an engine reads once. They go to the same engine if
+// others have as many free slots, but not so many that another stays idle.
 func TestSiblingsShareAnEngineWithinASlot(t *testing.T) {
 	siblings := make([]Sample, 4)
 	for i := range siblings {
@@ -193,7 +193,7 @@
 		{"it waits for a slot, no stream broke", []Engine{old, fresh}, 1, 30, Progress{Made: 3, MadeByOwner: 3, OwnerSeconds: 9}, false},
 		{"no engine has delivered two events, two breaks", []Engine{unknown(old), unknown(fresh)}, 1, 30, Progress{Made: 2, MadeByOwner: 2, OwnerSeconds: 0.5, BrokenStreams: 2}, true},
 		{"no engine has delivered two events, one break", []Engine{unknown(old), unknown(fresh)}, 1, 30, Progress{Made: 1, MadeByOwner: 1, OwnerSeconds: 0.1, BrokenStreams: 1}, false},
-		{"no other engine has room", []Engine{old, full}, 1, 30, Progress{Made: 3, MadeByOwner: 3, OwnerSeconds: 1.3, BrokenStreams: 3}, false},
+		{"no other engine has a free slot", []Engine{old, full}, 1, 30, Progress{Made: 3, MadeByOwner: 3, OwnerSeconds: 1.3, BrokenStreams: 3}, false},
 		{"no other engine exists", []Engine{old}, 1, 30, Progress{Made: 3, MadeByOwner: 3, OwnerSeconds: 1.3, BrokenStreams: 3}, false},
 		{"any version may continue it", []Engine{old, fresh}, 0, 30, Progress{Made: 3, MadeByOwner: 3, OwnerSeconds: 1.3, BrokenStreams: 3}, false},
 	}
--- a/decide/place/stream_timeouts.go
+++ b/decide/place/stream_timeouts.go
@@ -3,10 +3,10 @@
 import "time"
 
 // StreamTimeouts decides when a silent stream is abandoned, based on the gaps observed
-// in all streams. An engine that stops responding must be left quickly, but a fixed
-// limit fails where engines are slow: with 0.4 s per event, a limit of 0.35 s cut two
-// streams per sample, each of which read its prompt again. The zero value is ready to
-// use. It is not safe for concurrent use.
+// in all streams. Streams from an engine that stops responding must time out quickly,
+// but a fixed limit fails where engines are slow: with 0.4 s per event and a limit of
+// 0.35 s, two streams per sample timed out, and the prompt was read again for each. The
+// zero value is ready to use. It is not safe for concurrent use.
 type StreamTimeouts struct {
 	// firstGap is the mean time in seconds from the start of a stream to its first
 	// event, and nextGap that between consecutive events, over all engines.
@@ -24,8 +24,9 @@
 	// long prompts has gaps of about twice the mean.
 	gapFactor = 3
 	// maxSlowLimit is the longest limit granted because an engine was known to be slow
-	// when the stream started. It allows for events of 0.4 s, and an engine that stops
-	// responding is left before a caller would notice the difference.
+	// when the stream started. It allows for events of 0.4 s, and streams from an
+	// engine that stops responding time out before a caller would notice the
+	// difference.
 	maxSlowLimit = 1500 * time.Millisecond
 	// gapWeight is the weight of the newest gap; the mean covers the gaps of a few
 	// hundred samples.
@@ -53,11 +54,11 @@
 }
 
 // Limit returns how long a stream may be silent; first means before its first event.
-// The limit is based on all engines together, so that an engine much slower than the
-// others is left. pace is the engine's known seconds per event when the stream started,
-// or 0. An engine that was already known to be slow was chosen for lack of others; with
-// the normal limit, samples there would be cut off after one event each, again and
-// again.
+// The limit is based on all engines together, so that streams from an engine much
+// slower than the others time out. pace is the engine's known seconds per event when
+// the stream started, or 0. An engine that was already known to be slow was chosen for
+// lack of others; with the normal limit, every stream there would time out after one
+// event.
 func (s *StreamTimeouts) Limit(first bool, pace float64) time.Duration {
 	normalLimit := limit(minNextLimit, s.nextGap.mean)
 	if first {
--- a/decide/place/stream_timeouts_test.go
+++ b/decide/place/stream_timeouts_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// With typical engines, a stream that stops is left after the shortest limit, and a few
-// unresponsive engines do not change this.
+// With typical engines, a stream that stops times out after the shortest limit, and a
+// few unresponsive engines do not change this.
 func TestUnresponsiveEngineTimesOutQuickly(t *testing.T) {
 	var s StreamTimeouts
 	require.Equal(t, minFirstLimit, s.Limit(true, 0), "no gap observed yet")
@@ -25,7 +25,7 @@
 }
 
 // All engines take longer per event than the initial limits. If the limits stayed,
-// every stream would be cut off and no sample would ever complete. The limits must rise
+// every stream would time out and no sample would ever complete. The limits must rise
 // until streams continue, within two rounds of about seventy streams.
 func TestLimitsRiseWhenAllEnginesAreSlow(t *testing.T) {
 	const event, firstEvent = 900 * time.Millisecond, 1500 * time.Millisecond
--- a/decide/poison/poison.go
+++ b/decide/poison/poison.go
@@ -45,7 +45,7 @@
 // Key returns the crash's key in the store, which is unique to its request and server.
 func (c Crash) Key() string { return string(c.Request) + "/" + digest(c.Server) }
 
-// Verdict says whether a request may be sent to servers.
+// Verdict is the decision whether a request may be sent to servers.
 type Verdict uint8
 
 const (
@@ -60,6 +60,7 @@
 
 var verdictNames = [...]string{Clear: "clear", Suspect: "suspect", Quarantined: "quarantined"}
 
+// String returns the name of the verdict.
 func (v Verdict) String() string { return verdictNames[v] }
 
 // Status sums up the crashes of one request.
--- a/decide/route/filters.go
+++ b/decide/route/filters.go
@@ -13,31 +13,36 @@
 	StageCapacity = "capacity"
 )
 
-// Ready keeps servers whose latest report says that they accept work.
+// Ready keeps servers that accept work according to their latest report.
 type Ready struct{}
 
+// Keep implements Filter.
 func (Ready) Keep(_ *Request, c *Candidate) bool { return c.Ready }
 
 // NotLeaving drops servers that are leaving.
 type NotLeaving struct{}
 
+// Keep implements Filter.
 func (NotLeaving) Keep(_ *Request, c *Candidate) bool { return !c.Leaving }
 
 // Untried drops servers that this request was already sent to.
 type Untried struct{}
 
+// Keep implements Filter.
 func (Untried) Keep(r *Request, c *Candidate) bool { return !r.Tried[c.Name] }
 
 // FreshWeights drops servers whose weights are older than the request's floor.
 type FreshWeights struct{}
 
+// Keep implements Filter.
 func (FreshWeights) Keep(r *Request, c *Candidate) bool { return c.Version >= r.Floor }
 
 // WithinDeadline drops servers whose estimated queue wait reaches the request's
-// deadline. A request that can't meet its deadline is so refused before it is
-// queued anywhere.
+// deadline. A request that can't meet its deadline is therefore refused before
+// it is queued anywhere.
 type WithinDeadline struct{}
 
+// Keep implements Filter.
 func (WithinDeadline) Keep(r *Request, c *Candidate) bool {
 	return r.Remaining == 0 || c.QueueWait < r.Remaining
 }
@@ -46,17 +51,20 @@
 // ejected servers are left, a slow answer is better than none.
 type NotEjected struct{}
 
+// Keep implements Filter.
 func (NotEjected) Keep(_ *Request, c *Candidate) bool { return !c.Ejected }
 
 // OtherDomain drops servers in the failure domain of a server that failed this
 // request.
 type OtherDomain struct{}
 
+// Keep implements Filter.
 func (OtherDomain) Keep(r *Request, c *Candidate) bool { return !r.TriedDomains[c.FailureDomain] }
 
 // HasFreeSlot keeps servers with a free slot.
 type HasFreeSlot struct{}
 
+// Keep implements Filter.
 func (HasFreeSlot) Keep(_ *Request, c *Candidate) bool { return c.Load() < max(1, c.Slots) }
 
 // HardStages returns the filters that are never skipped, in order. If one leaves
--- a/decide/route/pickers.go
+++ b/decide/route/pickers.go
@@ -40,6 +40,7 @@
 // LowestScore picks the candidate with the lowest score; ties are broken at random.
 type LowestScore struct{}
 
+// Pick implements Picker.
 func (LowestScore) Pick(_ *Request, eligible []Scored, rng *rand.Rand) (int, string) {
 	best, equal := 0, 1
 	for i := 1; i < len(eligible); i++ {
@@ -65,6 +66,7 @@
 	BestShare float64
 }
 
+// Pick implements Picker.
 func (t TwoChoices) Pick(_ *Request, eligible []Scored, rng *rand.Rand) (int, string) {
 	bestCount := max(2, int(math.Ceil(t.BestShare*float64(len(eligible)))))
 	if bestCount < len(eligible) {
@@ -141,6 +143,7 @@
 	Fallback      Picker  // for requests without a prefix
 }
 
+// Pick implements Picker.
 func (p PrefixAffinity) Pick(r *Request, eligible []Scored, rng *rand.Rand) (int, string) {
 	if r.Prefix == 0 {
 		return p.Fallback.Pick(r, eligible, rng)
@@ -208,6 +211,7 @@
 	Fallback Picker // for requests without a key
 }
 
+// Pick implements Picker.
 func (k KeyAffinity) Pick(r *Request, eligible []Scored, rng *rand.Rand) (int, string) {
 	if r.Key == 0 {
 		return k.Fallback.Pick(r, eligible, rng)
--- a/decide/route/scorers.go
+++ b/decide/route/scorers.go
@@ -18,6 +18,7 @@
 // LoadScore rates a candidate by Candidate.Load per slot, this request included.
 type LoadScore struct{}
 
+// Score implements Scorer.
 func (LoadScore) Score(_ *Request, c *Candidate) float64 {
 	return float64(c.Load()+1) / c.slots()
 }
@@ -27,6 +28,7 @@
 // as typical.
 type SpeedScore struct{ TypicalRate float64 }
 
+// Score implements Scorer.
 func (s SpeedScore) Score(r *Request, c *Candidate) float64 {
 	score := LoadScore{}.Score(r, c)
 	if c.StreamRate <= 0 || s.TypicalRate <= 0 {
@@ -38,6 +40,7 @@
 // DistanceScore prefers the entry's own failure domain, then its region.
 type DistanceScore struct{}
 
+// Score implements Scorer.
 func (DistanceScore) Score(_ *Request, c *Candidate) float64 {
 	switch c.Distance {
 	case SameDomain:
@@ -52,6 +55,7 @@
 // ConnectScore prefers servers to which an idle connection exists.
 type ConnectScore struct{}
 
+// Score implements Scorer.
 func (ConnectScore) Score(_ *Request, c *Candidate) float64 {
 	if c.Connected {
 		return 0
--- a/decide/straggle/group.go
+++ b/decide/straggle/group.go
@@ -207,22 +207,31 @@
 // groupHeap orders groups by descending priority, then by index.
 type groupHeap []*group
 
+// Len implements heap.Interface.
 func (h groupHeap) Len() int { return len(h) }
+
+// Less implements heap.Interface.
 func (h groupHeap) Less(i, j int) bool {
 	if h[i].priority != h[j].priority {
 		return h[i].priority > h[j].priority
 	}
 	return h[i].index < h[j].index
 }
+
+// Swap implements heap.Interface.
 func (h groupHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
 	h[i].heapIndex, h[j].heapIndex = i, j
 }
+
+// Push implements heap.Interface.
 func (h *groupHeap) Push(x any) {
 	g := x.(*group)
 	g.heapIndex = len(*h)
 	*h = append(*h, g)
 }
+
+// Pop implements heap.Interface.
 func (h *groupHeap) Pop() any {
 	old := *h
 	g := old[len(old)-1]
--- a/decide/straggle/plan.go
+++ b/decide/straggle/plan.go
@@ -106,7 +106,7 @@
 func (p *Plan) ResumableTokens(sample int) int { return p.samples[sample].resumableTokens }
 
 // Started records that a run has started, and with how many tokens taken over
-// from an earlier run (base). Resumable tokens beyond base count as wasted.
+// from an earlier run (resumed). Resumable tokens beyond these count as wasted.
 func (p *Plan) Started(id RunID, resumed int) {
 	r := p.runs[id]
 	if r == nil {
--- a/decide/straggle/straggle.go
+++ b/decide/straggle/straggle.go
@@ -136,13 +136,14 @@
 	Start Kind = iota
 	// Hedge starts Run on Server as a second copy of From, which continues.
 	Hedge
-	// Move starts Run on Server where From has got to. From is cancelled once
-	// Run generates tokens.
+	// Move starts Run on Server, which resumes from the tokens of From. From is
+	// cancelled once Run generates tokens.
 	Move
 	// Cancel stops Run, which the plan has already abandoned.
 	Cancel
 )
 
+// String returns the name of the kind.
 func (k Kind) String() string {
 	return [...]string{"start", "hedge", "move", "cancel"}[k]
 }
--- a/decide/subset/subset.go
+++ b/decide/subset/subset.go
@@ -31,7 +31,7 @@
 	// failure domain and in each other one.
 	Local, Remote int
 	// CoverLocal and CoverRemote are how many entries in its own failure domain
-	// and in other ones are assigned to each agent, whatever the entries pick.
+	// and in other ones are assigned to each agent, regardless of what the entries pick.
 	CoverLocal, CoverRemote int
 	// MinPicks raises Local and Remote for some pools to at least this number. The
 	// ranking is the same, so that the larger subset contains the smaller one.
@@ -57,7 +57,7 @@
 }
 
 // Choose returns the sorted names of the agents that entry self watches. self is
-// added to entries if it is missing, as a list may lag behind.
+// added to entries if it is missing, because the list may be out of date.
 func Choose(self Member, entries, agents []Member, cfg Config) []string {
 	if len(agents) <= cfg.FullBelow {
 		return names(agents)
--- a/decide/waves/waves.go
+++ b/decide/waves/waves.go
@@ -154,7 +154,7 @@
 	Slot  time.Duration // from the start of one wave to the next (SlotLength)
 }
 
-// Schedule is the grid of time slots in which the waves swap. The slots of all
+// Schedule is the sequence of time slots in which the waves swap. The slots of all
 // waves repeat round after round: a server whose copy is late, or whose
 // streams take longer, uses a slot of a later round. If it swapped at any
 // other time, its swap could overlap with that of another wave. All agents
--- a/fold/agents/agents.go
+++ b/fold/agents/agents.go
@@ -51,7 +51,7 @@
 }
 
 // Apply applies one record. Records that were applied before, have another type or
-// can't be decoded change nothing, for every reader alike.
+// can't be decoded change nothing, for any reader.
 func (s *State) Apply(rec platform.Record) {
 	if rec.Offset < s.next {
 		return
--- a/fold/control/control_test.go
+++ b/fold/control/control_test.go
@@ -328,8 +328,8 @@
 	})
 }
 
-// Measures applying one accepted commit with a deployment's manifest. A process that
-// starts does this for each record that the log keeps.
+// BenchmarkApplyCommit measures applying one accepted commit with a deployment's
+// manifest. A process that starts does this for each record that the log keeps.
 func BenchmarkApplyCommit(b *testing.B) {
 	data, err := os.ReadFile("../../examples/manifests/spolek.ini")
 	require.NoError(b, err)
--- a/fold/jobs/bench_test.go
+++ b/fold/jobs/bench_test.go
@@ -20,9 +20,9 @@
 	}
 }
 
-// Measures the size per sample, and the time to decompress, of a record with the starts
-// and results of four samples. Each sample takes 71 bytes compressed and 210 uncompressed;
-// decompressing the record takes 11 µs.
+// BenchmarkSampleRecord measures the size per sample, and the time to decompress, of a
+// record with the starts and results of four samples. Each sample takes 71 bytes
+// compressed and 210 uncompressed; decompressing the record takes 11 µs.
 func BenchmarkSampleRecord(b *testing.B) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	r := Record{Writer: ann}
@@ -45,7 +45,8 @@
 	b.ReportMetric(float64(len(data))/each, "B/packed")
 }
 
-// Measures decoding and applying a record with results, and the size per result.
+// BenchmarkFoldResult measures decoding and applying a record with results, and the
+// size per result.
 func BenchmarkFoldResult(b *testing.B) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	r := Record{Writer: ann}
@@ -66,7 +67,7 @@
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/each, "ns/result")
 }
 
-// Measures decoding and applying a job of 100 items without their bodies.
+// BenchmarkFoldJob measures decoding and applying a job of 100 items without their bodies.
 func BenchmarkFoldJob(b *testing.B) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	a := &Acceptance{Spec: Spec{ID: "j"}, Parts: 1}
--- a/kinds/kinds.go
+++ b/kinds/kinds.go
@@ -144,6 +144,7 @@
 	return &Error{kind: string(kind), msg: fmt.Sprintf(format, args...)}
 }
 
+// Error returns the kind, the message and the cause.
 func (e *Error) Error() string {
 	if e.cause != nil {
 		return e.kind + ": " + e.msg + ": " + e.cause.Error()
--- a/quarantine/logstore.go
+++ b/quarantine/logstore.go
@@ -25,7 +25,7 @@
 // maxReadRecords is the maximum number of records of one read.
 const maxReadRecords = 1000
 
-// PutAll implements platform.Keyed.
+// PutAll implements platform.KeyedStore.
 func (s *logStore) PutAll(ctx context.Context, stream string, records []platform.KeyedRecord) error {
 	data, err := json.Marshal(logRecord{records})
 	if err != nil {
@@ -35,7 +35,7 @@
 	return err
 }
 
-// Newest implements platform.Keyed.
+// Newest implements platform.KeyedStore.
 func (s *logStore) Newest(ctx context.Context, stream string) ([]platform.KeyedRecord, uint64, error) {
 	newest := map[string]platform.KeyedRecord{}
 	from := uint64(0)
@@ -65,7 +65,7 @@
 	return records, from, nil
 }
 
-// ReadKeyed implements platform.Keyed.
+// ReadKeyed implements platform.KeyedStore.
 func (s *logStore) ReadKeyed(ctx context.Context, stream string, from uint64, wait time.Duration) ([]platform.KeyedRecord, uint64, error) {
 	page, err := s.log.Read(ctx, stream, from, maxReadRecords, wait)
 	if err != nil {
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -1,7 +1,7 @@
-// Package quarantine keeps poison requests, which crash each server that runs them, from
-// all servers, in all processes that send requests. A process reports the crashes that it
-// saw to its peers at once, and writes them to the store, from which processes read them
-// when they start. Package poison decides which requests are poison requests.
+// Package quarantine prevents all processes from sending poison requests, which crash each
+// server that runs them, to any server. A process sends the crashes that it detects to its
+// peers immediately and writes them to the store, from which processes read them when they
+// start. Package poison decides which requests are poison requests.
 package quarantine
 
 import (
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -146,7 +146,7 @@
 }
 
 // A process starts while the part of the store with the crashes is unavailable. It must serve
-// callers all the same, and read the crashes when that part is available again.
+// callers nevertheless, and read the crashes when that part is available again.
 func TestProcessStartsWithoutTheCrashStream(t *testing.T) {
 	f := newFleet(t)
 	one := f.start(t, true)
