--- a/decide/place/place.go
+++ b/decide/place/place.go
@@ -1,8 +1,8 @@
 // Package place decides which engine runs which sample. It is designed for synchronous
 // training: a whole step arrives at once, the trainer waits for the last sample of
 // almost every group, and one sample in twelve is several times longer than the others.
-// Samples are therefore bound late, the longest first, to the engine with the most
-// room, and leave engines that are much slower than their peers (Assign,
+// Samples are therefore bound late, the longest first, to the engine with the most free
+// slots, and migrate from engines that are much slower than their peers (Assign,
 // ChooseMigration). Where trainers request more than the engines can make, groups that
 // can be completed in time precede the others (Order). The package has no clock and
 // does no I/O.
@@ -112,7 +112,7 @@
 // of all engines.
 func isSlow(e *Engine, median float64) bool { return e.Pace > slowFactor*median }
 
-func hasRoomFor(e *Engine, s *Sample) bool { return e.Load < e.Slots && serves(e, s) }
+func hasFreeSlotFor(e *Engine, s *Sample) bool { return e.Load < e.Slots && serves(e, s) }
 
 // serves reports whether an engine has weights that may make a sample.
 func serves(e *Engine, s *Sample) bool {
@@ -194,11 +194,11 @@
 }
 
 // canRestartElsewhere reports whether an engine with a version other than the sample's
-// OnlyVersion has room for it.
+// OnlyVersion has a free slot for it.
 func canRestartElsewhere(engines []Engine, s *Sample) bool {
 	restarted := *s
 	restarted.OnlyVersion = 0
 	return slices.ContainsFunc(engines, func(e Engine) bool {
-		return e.Versions[s.Model] != s.OnlyVersion && !s.Avoid[e.ID] && hasRoomFor(&e, &restarted)
+		return e.Versions[s.Model] != s.OnlyVersion && !s.Avoid[e.ID] && hasFreeSlotFor(&e, &restarted)
 	})
 }
--- a/decide/place/place_test.go
+++ b/decide/place/place_test.go
@@ -13,8 +13,8 @@
 	return Engine{ID: id, Slots: slots, Load: load, Versions: map[string]uint64{"m": 5}}
 }
 
-func sample(id string, left float64) Sample {
-	return Sample{ID: id, Model: "m", Floor: 4, Remaining: left}
+func sample(id string, remaining float64) Sample {
+	return Sample{ID: id, Model: "m", Floor: 4, Remaining: remaining}
 }
 
 func TestAssign(t *testing.T) {
@@ -42,7 +42,7 @@
 	}{
 		{"the longest first if slots are scarce", []Engine{engine("e1", 1, 0)}, []Sample{sample("s", 1), sample("l", 9)}, []Choice{{1, 0}}},
 		{"rank takes precedence over length", []Engine{engine("e1", 1, 0)}, []Sample{sample("l", 9), carried}, []Choice{{1, 0}}},
-		{"the engine with the most room", []Engine{engine("e1", 8, 5), engine("e2", 8, 2)}, []Sample{sample("s", 1)}, []Choice{{0, 1}}},
+		{"the engine with the most free slots", []Engine{engine("e1", 8, 5), engine("e2", 8, 2)}, []Sample{sample("s", 1)}, []Choice{{0, 1}}},
 		{"nothing if all engines are full", []Engine{engine("e1", 8, 8)}, []Sample{sample("s", 1)}, nil},
 		{"no engine with weights older than the floor", []Engine{stale}, []Sample{sample("s", 1)}, nil},
 		{"no engine that is loading the model", []Engine{loading}, []Sample{sample("s", 1)}, nil},
@@ -58,8 +58,8 @@
 	}
 }
 
-// Siblings share a prompt that an engine reads once. With equal room they go to the
-// same engine, but not so many that another engine stays idle.
+// Siblings share a prompt that an engine reads once. They go to the same engine if
+// others have as many free slots, but not so many that another stays idle.
 func TestSiblingsShareAnEngineWithinASlot(t *testing.T) {
 	siblings := make([]Sample, 4)
 	for i := range siblings {
@@ -86,7 +86,9 @@
 func TestChooseMigration(t *testing.T) {
 	slow, usual, full := engine("slow", 8, 2), engine("usual", 8, 3), engine("full", 8, 8)
 	slow.Pace, usual.Pace, full.Pace = 0.12, 0.037, 0.038
-	at := func(id string, left float64) Running { return Running{Sample: sample(id, left), Engine: "slow"} }
+	at := func(id string, remaining float64) Running {
+		return Running{Sample: sample(id, remaining), Engine: "slow"}
+	}
 	require.Equal(t, 1, ChooseMigration([]Engine{slow, usual, full}, []Running{at("short", 1), at("long", 9)}), "the longest sample migrates")
 	require.Equal(t, -1, ChooseMigration([]Engine{slow, full, full}, []Running{at("long", 9)}), "no free slot elsewhere")
 	require.Equal(t, -1, ChooseMigration([]Engine{usual, full}, []Running{{Sample: sample("s", 1), Engine: "usual"}}), "not slow")
@@ -108,7 +110,7 @@
 	}
 	return slices.ContainsFunc(engines, func(e Engine) bool {
 		waits := isSlow(&e, median) && usual >= slow && s.Remaining*e.Pace > maxSlowShare*s.Due && s.Waited <= maxSlowWait
-		return !waits && !s.Avoid[e.ID] && hasRoomFor(&e, s)
+		return !waits && !s.Avoid[e.ID] && hasFreeSlotFor(&e, s)
 	})
 }
 
@@ -177,12 +179,12 @@
 	full.Load = full.Slots
 	unknown := func(e Engine) Engine { e.Pace = 0; return e }
 	tests := []struct {
-		name     string
-		engines  []Engine
-		only     uint64
-		left     float64
-		progress Progress
-		want     bool
+		name      string
+		engines   []Engine
+		only      uint64
+		remaining float64
+		progress  Progress
+		want      bool
 	}{
 		{"an event in each stream", []Engine{old, fresh}, 1, 30, Progress{Made: 3, MadeByOwner: 3, OwnerSeconds: 1.3, BrokenStreams: 3}, true},
 		{"the first stream breaks off after one event", []Engine{old, fresh}, 1, 30, Progress{Made: 1, MadeByOwner: 1, OwnerSeconds: 0.5, BrokenStreams: 1}, true},
@@ -191,13 +193,13 @@
 		{"it waits for a slot, no stream broke", []Engine{old, fresh}, 1, 30, Progress{Made: 3, MadeByOwner: 3, OwnerSeconds: 9}, false},
 		{"no engine has delivered two events, two breaks", []Engine{unknown(old), unknown(fresh)}, 1, 30, Progress{Made: 2, MadeByOwner: 2, OwnerSeconds: 0.5, BrokenStreams: 2}, true},
 		{"no engine has delivered two events, one break", []Engine{unknown(old), unknown(fresh)}, 1, 30, Progress{Made: 1, MadeByOwner: 1, OwnerSeconds: 0.1, BrokenStreams: 1}, false},
-		{"no other engine has room", []Engine{old, full}, 1, 30, Progress{Made: 3, MadeByOwner: 3, OwnerSeconds: 1.3, BrokenStreams: 3}, false},
+		{"no other engine has a free slot", []Engine{old, full}, 1, 30, Progress{Made: 3, MadeByOwner: 3, OwnerSeconds: 1.3, BrokenStreams: 3}, false},
 		{"no other engine exists", []Engine{old}, 1, 30, Progress{Made: 3, MadeByOwner: 3, OwnerSeconds: 1.3, BrokenStreams: 3}, false},
 		{"any version may continue it", []Engine{old, fresh}, 0, 30, Progress{Made: 3, MadeByOwner: 3, OwnerSeconds: 1.3, BrokenStreams: 3}, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			s := Sample{Model: "m", Floor: 1, OnlyVersion: test.only, Remaining: test.left}
+			s := Sample{Model: "m", Floor: 1, OnlyVersion: test.only, Remaining: test.remaining}
 			require.Equal(t, test.want, ShouldRestart(test.engines, &s, test.progress))
 		})
 	}
@@ -210,8 +212,8 @@
 	slower, usual, full := engine("slower", 8, 3), engine("usual", 8, 3), engine("full", 8, 8)
 	slower.Pace, usual.Pace, full.Pace = 0.1, 0.075, 0.05
 	engines := []Engine{slower, usual, full, usual}
-	at := func(id string, left float64, guessed bool) Running {
-		return Running{Sample: sample(id, left), Engine: "slower", Estimated: guessed}
+	at := func(id string, remaining float64, estimated bool) Running {
+		return Running{Sample: sample(id, remaining), Engine: "slower", Estimated: estimated}
 	}
 	require.Equal(t, 2, ChooseMigration(engines, []Running{at("short", 10, true), at("long", 40, true), at("longer", 50, true)}))
 	require.Equal(t, -1, ChooseMigration(engines, []Running{at("short", 10, true), at("hinted", 500, false)}))
