--- a/capacity/spread_test.go
+++ b/capacity/spread_test.go
@@ -40,26 +40,26 @@
 	changed chan struct{}
 }
 
-func (a *testViewer) View() *confsync.View {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.view
+func (v *testViewer) View() *confsync.View {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	return v.view
 }
 
-func (a *testViewer) Changed() <-chan struct{} {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.changed
+func (v *testViewer) Changed() <-chan struct{} {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	return v.changed
 }
 
-func (a *testViewer) Announce(model string, version uint64) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	next := *a.view
+func (v *testViewer) Announce(model string, version uint64) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	next := *v.view
 	next.Versions = map[string]uint64{model: version}
-	a.view = &next
-	close(a.changed)
-	a.changed = make(chan struct{})
+	v.view = &next
+	close(v.changed)
+	v.changed = make(chan struct{})
 }
 
 // weightsServer is an agent's server that implements only FetchWeights.
@@ -68,8 +68,8 @@
 	keeper *weights.Keeper
 }
 
-func (r weightsServer) FetchWeights(req *pb.FetchWeightsRequest, out grpc.ServerStreamingServer[pb.WeightsPiece]) error {
-	return r.keeper.FetchWeights(req, out)
+func (s weightsServer) FetchWeights(req *pb.FetchWeightsRequest, out grpc.ServerStreamingServer[pb.WeightsPiece]) error {
+	return s.keeper.FetchWeights(req, out)
 }
 
 // fetchCounter counts the requests that reach the store: fetches of weights and
@@ -157,14 +157,14 @@
 		peers[i] = weights.Peer{Name: agentName(i), Addr: lis.Addr().String(), FailureDomain: "domain-00"}
 	}
 	var keepers []*weights.Keeper
-	for i, f := range peers {
+	for i, p := range peers {
 		engine := &unpacedEngine{state: platform.EngineState{Boot: "boot", Model: "model-0", Version: 1, State: "serving"}}
 		k := weights.New(weights.Config{
-			Server: f.Name, Model: "model-0", FailureDomain: f.FailureDomain, Engine: engine,
-			Store: httpstore.New(url, f.Name), Log: &memoryLog{}, View: view, SlotLength: 100 * time.Millisecond,
+			Server: p.Name, Model: "model-0", FailureDomain: p.FailureDomain, Engine: engine,
+			Store: httpstore.New(url, p.Name), Log: &memoryLog{}, View: view, SlotLength: 100 * time.Millisecond,
 			Peers: func() []weights.Peer { return append(append([]weights.Peer{}, peers[:i]...), peers[i+1:]...) },
 		})
-		srv := run.NewGRPC(f.Addr).Server
+		srv := run.NewGRPC(p.Addr).Server
 		pb.RegisterAgentServer(srv, weightsServer{keeper: k})
 		loops.Go(func() { _ = srv.Serve(listeners[i]) })
 		loops.Go(func() { k.Run(ctx); srv.Stop() })
--- a/e2e/drain_test.go
+++ b/e2e/drain_test.go
@@ -46,10 +46,10 @@
 	in := client.Completion{
 		RequestID: uuid.NewString(), Model: s.c.site.Deployment.Model, Prompt: prompt, MaxTokens: 600, Seed: seed, Stream: true,
 	}
-	shown := false
+	hasText := false
 	r, text := cl.Complete(ctx, in, func(string) {
-		if !shown {
-			shown = true
+		if !hasText {
+			hasText = true
 			s.started.Add(1)
 		}
 	})
--- a/e2e/figures_test.go
+++ b/e2e/figures_test.go
@@ -30,7 +30,7 @@
 func (c *cluster) timeCommit(number uint64) time.Duration {
 	c.t.Helper()
 	require.NoError(c.t, c.site.Commit(c.ctx, number, c.site.Manifest(fmt.Sprint("revision ", number))))
-	taken := time.Now()
+	committedAt := time.Now()
 	var mu sync.Mutex
 	var last time.Time
 	var all sync.WaitGroup
@@ -48,7 +48,7 @@
 		})
 	}
 	all.Wait()
-	return last.Sub(taken)
+	return last.Sub(committedAt)
 }
 
 // waitRevision polls a process until it reports a revision and returns the time then.
@@ -77,12 +77,12 @@
 	c := startCluster(t, options{seed: seed})
 	number := uint64(1)
 	commits := func(n int) []time.Duration {
-		var took []time.Duration
+		var times []time.Duration
 		for range n {
 			number++
-			took = append(took, c.timeCommit(number))
+			times = append(times, c.timeCommit(number))
 		}
-		return took
+		return times
 	}
 	t.Logf("a commit in force everywhere, all well: %s", percentiles(commits(healthyCommits)))
 	partitioned := []string{"entry-2", "engine-1", "service-1"}
@@ -109,10 +109,10 @@
 	})
 	w.waitAnswered(n)
 	calls, _ := w.verify()
-	var took []time.Duration
+	var times []time.Duration
 	for i := range calls {
 		require.True(c.t, calls[i].Result.OK(), "%+v", calls[i].Result)
-		took = append(took, calls[i].Result.Took)
+		times = append(times, calls[i].Result.Took)
 	}
-	return took
+	return times
 }
--- a/e2e/leave_test.go
+++ b/e2e/leave_test.go
@@ -39,33 +39,33 @@
 
 // removeServer calls order to take the server out of service. It waits until its agent
 // reports that it is leaving and every caller has completed a later call.
-func (w *traffic) removeServer(method string, order func()) removal {
-	w.c.t.Helper()
-	l := removal{method: method, orderedAt: time.Now()}
+func (t *traffic) removeServer(method string, order func()) removal {
+	t.c.t.Helper()
+	r := removal{method: method, orderedAt: time.Now()}
 	order()
-	w.c.waitFor("the agent reports that it is leaving", func() error {
-		if !w.c.isLeaving(leavingAgent) {
+	t.c.waitFor("the agent reports that it is leaving", func() error {
+		if !t.c.isLeaving(leavingAgent) {
 			return errors.New("it does not report it")
 		}
 		return nil
 	})
-	l.reportedAt = time.Now()
-	w.waitTurnover()
-	l.finishedAt = time.Now()
-	return l
+	r.reportedAt = time.Now()
+	t.waitTurnover()
+	r.finishedAt = time.Now()
+	return r
 }
 
 // restoreServer calls order to put the server back into service and waits until it
 // runs calls again.
-func (w *traffic) restoreServer(order func()) {
-	w.c.t.Helper()
+func (t *traffic) restoreServer(order func()) {
+	t.c.t.Helper()
 	order()
-	before := w.c.countRuns(leavingServer)
-	w.c.waitFor("the server runs calls again", func() error {
-		if w.c.isLeaving(leavingAgent) {
+	before := t.c.countRuns(leavingServer)
+	t.c.waitFor("the server runs calls again", func() error {
+		if t.c.isLeaving(leavingAgent) {
 			return errors.New("its agent is leaving")
 		}
-		if w.c.countRuns(leavingServer) <= before {
+		if t.c.countRuns(leavingServer) <= before {
 			return errors.New("it has run no new call")
 		}
 		return nil
@@ -114,19 +114,19 @@
 	for i := range calls {
 		require.True(t, calls[i].Result.OK(), "%+v", calls[i].Result)
 	}
-	for _, l := range removals {
-		c.requireNoNewRuns(l, calls, runs)
+	for _, r := range removals {
+		c.requireNoNewRuns(r, calls, runs)
 	}
 }
 
 // requireNoNewRuns requires that the server ran no call that started after its agent had
 // reported that it is leaving and ended before finishedAt. It logs how long after the
 // order the server's last run started.
-func (c *cluster) requireNoNewRuns(l removal, calls []timedCall, runs []service.Run) {
+func (c *cluster) requireNoNewRuns(r removal, calls []timedCall, runs []service.Run) {
 	c.t.Helper()
 	var after []string // request ids
 	for i := range calls {
-		if calls[i].startedAt > l.reportedAt.UnixNano() && calls[i].endedAt < l.finishedAt.UnixNano() {
+		if calls[i].startedAt > r.reportedAt.UnixNano() && calls[i].endedAt < r.finishedAt.UnixNano() {
 			after = append(after, calls[i].Result.RequestID)
 		}
 	}
@@ -137,13 +137,13 @@
 		if run.Server != leavingAgent {
 			continue
 		}
-		require.False(c.t, slices.Contains(after, run.RequestID), "%s: %+v", l.method, run)
-		if run.StartedMS <= l.finishedAt.UnixMilli() {
+		require.False(c.t, slices.Contains(after, run.RequestID), "%s: %+v", r.method, run)
+		if run.StartedMS <= r.finishedAt.UnixMilli() {
 			last = max(last, run.StartedMS)
 		}
 	}
 	c.t.Logf("leave by %s: reported by the agent after %v, last run started %d ms after the order, %d calls since",
-		l.method, l.reportedAt.Sub(l.orderedAt).Round(time.Millisecond), last-l.orderedAt.UnixMilli(), len(after))
+		r.method, r.reportedAt.Sub(r.orderedAt).Round(time.Millisecond), last-r.orderedAt.UnixMilli(), len(after))
 }
 
 // An entry gets SIGTERM while the log is down and callers read streams from it. A
--- a/soak/callers_test.go
+++ b/soak/callers_test.go
@@ -58,10 +58,10 @@
 	defer r.mu.Unlock()
 	known := r.results[job]
 	for i, res := range results {
-		at := after + i
-		if at < len(known) {
-			if fmt.Sprint(known[at]) != fmt.Sprint(res) {
-				r.violations = append(r.violations, fmt.Sprintf("job %s position %d at %s: %v before, %v now", job, at, gateway, known[at], res))
+		position := after + i
+		if position < len(known) {
+			if fmt.Sprint(known[position]) != fmt.Sprint(res) {
+				r.violations = append(r.violations, fmt.Sprintf("job %s position %d at %s: %v before, %v now", job, position, gateway, known[position], res))
 			}
 			continue
 		}
@@ -124,8 +124,8 @@
 func (c *client) sendRequests(ctx context.Context, name string) {
 	for n := 0; ctx.Err() == nil; n++ {
 		id := fmt.Sprintf("%s-%d", name, n)
-		path, once := "/score/x", c.rng.IntN(2) == 0
-		if once {
+		path, atMostOnce := "/score/x", c.rng.IntN(2) == 0
+		if atMostOnce {
 			path = "/write/x"
 		}
 		status, header, body := c.ask(ctx, c.randomGateway(), http.MethodPost, path, id, []byte("b"))
@@ -137,7 +137,7 @@
 				c.rec.reportViolation("request %s got %q with seal %q", id, body, header.Get(hostedtest.HeaderSeal))
 			}
 		}
-		if once {
+		if atMostOnce {
 			c.rec.mu.Lock()
 			c.rec.writes[id] = outcome{status, status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests}
 			c.rec.mu.Unlock()
--- a/soak/crashing_test.go
+++ b/soak/crashing_test.go
@@ -38,34 +38,34 @@
 )
 
 func newCrashingServers(sys *system) *crashingServers {
-	m := &crashingServers{sys: sys, crashes: map[string]int{}}
+	cs := &crashingServers{sys: sys, crashes: map[string]int{}}
 	for range crashingServerCount {
-		m.servers = append(m.servers, m.start())
+		cs.servers = append(cs.servers, cs.start())
 	}
-	return m
+	return cs
 }
 
-func (m *crashingServers) start() *hostedtest.Server {
-	m.started++
-	s := hostedtest.NewServer(fmt.Sprintf("d%d", m.started), "mortal")
+func (cs *crashingServers) start() *hostedtest.Server {
+	cs.started++
+	s := hostedtest.NewServer(fmt.Sprintf("d%d", cs.started), "mortal")
 	s.Fail(hostedtest.ServerFaults{CrashOn: crashPath})
-	m.sys.t.Cleanup(func() { s.CloseClientConnections(); s.Close() })
-	m.sys.store.Put(hostedtest.TopicServers, s.ID, s.Entry("ready"))
-	m.everStarted = append(m.everStarted, s)
+	cs.sys.t.Cleanup(func() { s.CloseClientConnections(); s.Close() })
+	cs.sys.store.Put(hostedtest.TopicServers, s.ID, s.Entry("ready"))
+	cs.everStarted = append(cs.everStarted, s)
 	return s
 }
 
 // allEverStarted returns all servers that were started, also those that have crashed.
-func (m *crashingServers) allEverStarted() []*hostedtest.Server {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return slices.Clone(m.everStarted)
+func (cs *crashingServers) allEverStarted() []*hostedtest.Server {
+	cs.mu.Lock()
+	defer cs.mu.Unlock()
+	return slices.Clone(cs.everStarted)
 }
 
 // run replaces crashed servers until ctx ends.
-func (m *crashingServers) run(ctx context.Context) {
+func (cs *crashingServers) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		m.replace()
+		cs.replace()
 		select {
 		case <-ctx.Done():
 		case <-time.After(50 * time.Millisecond): // a crashed server is replaced with a delay
@@ -73,16 +73,16 @@
 	}
 }
 
-func (m *crashingServers) replace() {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	for i, s := range m.servers {
+func (cs *crashingServers) replace() {
+	cs.mu.Lock()
+	defer cs.mu.Unlock()
+	for i, s := range cs.servers {
 		if !s.Crashed() {
 			continue
 		}
-		m.crashes[crashCause(s)]++
-		m.sys.store.Drop(hostedtest.TopicServers, s.ID)
-		m.servers[i] = m.start()
+		cs.crashes[crashCause(s)]++
+		cs.sys.store.Drop(hostedtest.TopicServers, s.ID)
+		cs.servers[i] = cs.start()
 	}
 }
 
@@ -98,18 +98,18 @@
 }
 
 // heartbeat writes the servers' entries again, as real servers do regularly.
-func (m *crashingServers) heartbeat() {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	for _, s := range m.servers {
-		m.sys.store.Put(hostedtest.TopicServers, s.ID, s.Entry("ready"))
+func (cs *crashingServers) heartbeat() {
+	cs.mu.Lock()
+	defer cs.mu.Unlock()
+	for _, s := range cs.servers {
+		cs.sys.store.Put(hostedtest.TopicServers, s.ID, s.Entry("ready"))
 	}
 }
 
-func (m *crashingServers) crashCount(uri string) int {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.crashes[uri]
+func (cs *crashingServers) crashCount(uri string) int {
+	cs.mu.Lock()
+	defer cs.mu.Unlock()
+	return cs.crashes[uri]
 }
 
 // sendCrashing repeats a request that crashes servers until ctx ends, mixed with
@@ -135,21 +135,21 @@
 // verifyQuarantine sends the crashing requests to each gateway after the gateways
 // have had time to learn of the earlier crashes. At most maxLateCrashes of each may
 // crash another server, and harmless requests must be served.
-func (m *crashingServers) verifyQuarantine(rec *record, seed uint64, uris []string) {
+func (cs *crashingServers) verifyQuarantine(rec *record, seed uint64, uris []string) {
 	time.Sleep(propagationTime) // the guarantee holds only after this long without faults
-	m.replace()
-	c := newClient(m.sys, rec, seed, 4000)
+	cs.replace()
+	c := newClient(cs.sys, rec, seed, 4000)
 	for _, uri := range uris {
-		before := m.crashCount(uri)
-		for n := range 3 * len(m.sys.gatewayProcs) {
-			c.ask(context.Background(), m.sys.gatewayProcs[n%len(m.sys.gatewayProcs)], http.MethodPost, uri, fmt.Sprintf("late-%s-%d", uri, n), []byte("b"))
-			m.replace()
+		before := cs.crashCount(uri)
+		for n := range 3 * len(cs.sys.gatewayProcs) {
+			c.ask(context.Background(), cs.sys.gatewayProcs[n%len(cs.sys.gatewayProcs)], http.MethodPost, uri, fmt.Sprintf("late-%s-%d", uri, n), []byte("b"))
+			cs.replace()
 		}
-		if late := m.crashCount(uri) - before; before >= crashingServerCount && late > maxLateCrashes {
+		if late := cs.crashCount(uri) - before; before >= crashingServerCount && late > maxLateCrashes {
 			rec.reportViolation("request %s: it crashed %d servers, and %d more after all gateways could know of it", uri, before, late)
 		}
 	}
-	for n, g := range m.sys.gatewayProcs {
+	for n, g := range cs.sys.gatewayProcs {
 		served := false
 		for deadline := time.Now().Add(10 * time.Second); !served && time.Now().Before(deadline); {
 			status, _, _ := c.ask(context.Background(), g, http.MethodPost, "/mortal/harmless", fmt.Sprintf("last-%d", n), nil)
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -103,9 +103,9 @@
 // starts it again after the time down, as the platform does.
 func (in *injector) restart(p *process, sig syscall.Signal, down time.Duration) {
 	p.mu.Lock()
-	busy := p.endExpected
+	ending := p.endExpected
 	p.mu.Unlock()
-	if busy {
+	if ending {
 		return
 	}
 	in.log("%v %s, down for %v", sig, p.name, down)
@@ -133,9 +133,9 @@
 
 func (in *injector) injectLinkFault(l *link, duration time.Duration) {
 	choices := []linkFaults{{delay: 60 * time.Millisecond}, {dropUp: true}, {dropDown: true}, {dropUp: true, dropDown: true}, {resetOnBytes: true}}
-	m := choices[in.rng.IntN(len(choices))]
-	in.log("link %s %+v for %v", l.name, m, duration)
-	l.setFaults(m)
+	f := choices[in.rng.IntN(len(choices))]
+	in.log("link %s %+v for %v", l.name, f, duration)
+	l.setFaults(f)
 	in.repairAfter(duration, func() {
 		l.setFaults(linkFaults{})
 		l.reset() // connections that lost bytes can't be used again
--- a/soak/link_test.go
+++ b/soak/link_test.go
@@ -74,16 +74,16 @@
 		if err != nil {
 			return
 		}
-		m := k.currentFaults()
-		if m.resetOnBytes {
+		faults := k.currentFaults()
+		if faults.resetOnBytes {
 			abort(to)
 			abort(from)
 			return
 		}
-		if m.delay > 0 {
-			time.Sleep(m.delay) // the injected delay
+		if faults.delay > 0 {
+			time.Sleep(faults.delay) // the injected delay
 		}
-		if upward && m.dropUp || !upward && m.dropDown {
+		if upward && faults.dropUp || !upward && faults.dropDown {
 			continue
 		}
 		if _, err := to.Write(buf[:n]); err != nil {
@@ -98,10 +98,10 @@
 	return k.faults
 }
 
-func (k *link) setFaults(m linkFaults) {
+func (k *link) setFaults(faults linkFaults) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.faults = m
+	k.faults = faults
 }
 
 // reset closes all connections with a TCP reset.
--- a/soak/system_test.go
+++ b/soak/system_test.go
@@ -71,9 +71,9 @@
 		sys.addServer(e)
 	}
 	for i := range serviceCount {
-		p := hostedtest.NewServer(fmt.Sprintf("p%d", i), "plain")
-		sys.services = append(sys.services, p)
-		sys.addServer(p)
+		s := hostedtest.NewServer(fmt.Sprintf("p%d", i), "plain")
+		sys.services = append(sys.services, s)
+		sys.addServer(s)
 	}
 	sys.crashing = newCrashingServers(sys)
 	for i := range gatewayCount {
