--- a/capacity/decide_test.go
+++ b/capacity/decide_test.go
@@ -70,7 +70,7 @@
 
 // BenchmarkLearnPools starts an entry that does not know yet which pool each agent
 // serves. It learns the pools of the agents that it watches and chooses its subset
-// again each second (fleet.maintenanceInterval), until a round brings nothing new.
+// again each second (fleet.maintenanceInterval), until a round finds no new pool.
 func BenchmarkLearnPools(b *testing.B) {
 	for _, servers := range serverCounts {
 		b.Run(fmt.Sprintf("servers=%d/pools=4", servers), func(b *testing.B) {
--- a/capacity/process_test.go
+++ b/capacity/process_test.go
@@ -100,6 +100,7 @@
 	return lis.Addr().String()
 }
 
+// freeAddr returns a loopback address whose port was free a moment ago.
 func freeAddr(b *testing.B) string {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(b, err)
--- a/capacity/size.go
+++ b/capacity/size.go
@@ -9,7 +9,7 @@
 	"dandelionsill.org/platform"
 )
 
-// The full size, as required by the users.
+// The numbers of the full size, as required by the users.
 const (
 	Entries           = 360
 	Servers           = 1500
--- a/capacity/slopes.go
+++ b/capacity/slopes.go
@@ -1,6 +1,6 @@
 package capacity
 
-// Measured are the slopes for the sums in docs/CAPACITY.md, which names the runs that
+// Measured holds the slopes for the sums in docs/CAPACITY.md, which names the runs that
 // gave them. The processor times were taken on a busy machine.
 var Measured = Slopes{
 	Base: map[Role]Cost{
--- a/capacity/spread_test.go
+++ b/capacity/spread_test.go
@@ -30,7 +30,7 @@
 const (
 	spreadServers = 62 // in one failure domain at full size
 	spreadBytes   = 4 << 20
-	spreadLimit   = time.Minute // servers that lack the version after it count as late
+	spreadLimit   = time.Minute // servers without the version after this time count as late
 )
 
 // testViewer is a Viewer for which Announce sets the newest weight version.
--- a/capacity/sums.go
+++ b/capacity/sums.go
@@ -40,7 +40,7 @@
 // Role is a kind of process. Its value is a description.
 type Role string
 
-// The roles.
+// The roles of processes at full size.
 const (
 	Entry        Role = "entry"
 	EngineAgent  Role = "agent of an engine"
--- a/e2e/chaos_steps_test.go
+++ b/e2e/chaos_steps_test.go
@@ -28,7 +28,7 @@
 	want := r.newest.Load() + n
 	r.c.waitFor(fmt.Sprintf("version %d is announced", want), func() error {
 		if have := r.newest.Load(); have < want {
-			return fmt.Errorf("the newest is version %d", have)
+			return fmt.Errorf("the newest announced version is %d", have)
 		}
 		return nil
 	})
@@ -100,7 +100,7 @@
 // is older than the trainer's staleness bound. After it is resumed it must forward
 // none of the chunks that wait in its sockets, whatever their label. It can't reach
 // the weight store, so that its engine stays on the first version and only the
-// trainer's floor keeps further samples away from it.
+// trainer's floor prevents that further samples are sent to it.
 func TestAgentSuspendedWhileWeightsChange(t *testing.T) {
 	const seed, steps = 72, 5
 	c := startCluster(t, options{seed: seed, engine: mediumSamples()})
@@ -168,7 +168,7 @@
 // The log is down from before the first step until after the last one. Steps must run
 // under epochs without a claim, and new weights must be announced. The entry that owns
 // a step is killed while the step runs; the trainer's attempt number then makes the
-// other entry the owner. Nothing may wait for the log.
+// other entry the owner. No step and no announcement may wait for the log.
 func TestStepsAndWeightsWithoutTheLog(t *testing.T) {
 	const seed, steps = 74, 2
 	c := startCluster(t, options{seed: seed, engine: mediumSamples()})
--- a/e2e/chaos_writes_test.go
+++ b/e2e/chaos_writes_test.go
@@ -88,7 +88,7 @@
 // callers that repeat these keys elsewhere are refused, as no agent can claim. The log
 // is available again before the holder is resumed: now the other agent could claim
 // these keys but must not. Then the log goes down once more and the holder is resumed
-// and continues its work. Whatever it ran must be the single run that all answers show.
+// and continues its work. A run of it must be the single run that all answers show.
 func TestLogOutageAndHolderPaused(t *testing.T) {
 	const seed = 52
 	c := startCluster(t, options{seed: seed, service: slowService})
--- a/e2e/drain_test.go
+++ b/e2e/drain_test.go
@@ -33,7 +33,7 @@
 	}
 	c.waitFor("every stream has received text", func() error {
 		if have := int(s.started.Load()); have < n {
-			return fmt.Errorf("%d of %d have", have, n)
+			return fmt.Errorf("%d of %d streams have received text", have, n)
 		}
 		return nil
 	})
@@ -64,7 +64,7 @@
 	s.c.t.Helper()
 	s.c.waitFor("every stream ends", func() error {
 		if have := s.completions.len(); have < s.count {
-			return fmt.Errorf("%d of %d have", have, s.count)
+			return fmt.Errorf("%d of %d streams have ended", have, s.count)
 		}
 		return nil
 	})
--- a/e2e/figures_test.go
+++ b/e2e/figures_test.go
@@ -62,15 +62,15 @@
 		case err == nil && st.Revision >= number:
 			return time.Now(), nil
 		case time.Now().After(deadline):
-			return time.Time{}, fmt.Errorf("holds revision %d, not %d: %w", st.Revision, number, err)
+			return time.Time{}, fmt.Errorf("has revision %d, want %d: %w", st.Revision, number, err)
 		}
 		time.Sleep(pause)
 	}
 }
 
-// Measures times without checking them: how long a stored commit takes to be in force
+// Measures, without checking, how long a stored commit takes to be in force
 // on every process, without faults and while three processes are partitioned from the
-// log; and how long a write with a key and one without take for the caller. Every
+// log, and how long a write with a key and one without take for the caller. Every
 // commit must come into force and every write must get a complete answer.
 func TestCommitAndWriteTimes(t *testing.T) {
 	const seed, healthyCommits, partitionedCommits, writes = 91, 30, 6, 60
@@ -84,10 +84,10 @@
 		}
 		return times
 	}
-	t.Logf("a commit in force everywhere, all well: %s", percentiles(commits(healthyCommits)))
+	t.Logf("time until a commit is in force on all processes, without faults: %s", percentiles(commits(healthyCommits)))
 	partitioned := []string{"entry-2", "engine-1", "service-1"}
 	c.setFaults("log", logsvc.Faults{DropClients: partitioned})
-	t.Logf("with %v cut off from the log: %s", partitioned, percentiles(commits(partitionedCommits)))
+	t.Logf("the same with %v partitioned from the log: %s", partitioned, percentiles(commits(partitionedCommits)))
 	c.setFaults("log", logsvc.Faults{})
 
 	for _, keyed := range []bool{true, false} {
--- a/e2e/input_test.go
+++ b/e2e/input_test.go
@@ -10,8 +10,8 @@
 )
 
 // Invalid input must stop a process at its start, before it listens or connects to
-// anything. A line says what is wrong, where it was set and which name was probably
-// meant. The exit code is 2, as for dandelionctl.
+// anything. Its output must contain a line that says what is wrong, where it was set and which
+// name was probably meant. The exit code is 2, as for dandelionctl.
 func TestInvalidInputStopsStart(t *testing.T) {
 	settings := func(name string) []string {
 		return []string{"--config", filepath.Join("..", "examples", "settings", name)}
--- a/e2e/keys_history_test.go
+++ b/e2e/keys_history_test.go
@@ -109,7 +109,7 @@
 		}
 	}
 	require.Equal(t, porcupine.Ok, porcupine.CheckOperationsTimeout(keyModel(), history, historyTimeout))
-	t.Logf("%d keys, %d ran, %d never ran by every answer", len(attempts), len(runCounts), neverRan)
+	t.Logf("%d keys, %d ran, %d were refused at every attempt", len(attempts), len(runCounts), neverRan)
 }
 
 // keyModel must reject each kind of violation.
--- a/e2e/leave_test.go
+++ b/e2e/leave_test.go
@@ -45,7 +45,7 @@
 	order()
 	t.c.waitFor("the agent reports that it is leaving", func() error {
 		if !t.c.isLeaving(leavingAgent) {
-			return errors.New("it does not report it")
+			return errors.New("the agent does not report that it is leaving")
 		}
 		return nil
 	})
@@ -63,10 +63,10 @@
 	before := t.c.countRuns(leavingServer)
 	t.c.waitFor("the server runs calls again", func() error {
 		if t.c.isLeaving(leavingAgent) {
-			return errors.New("its agent is leaving")
+			return errors.New("the agent is still leaving")
 		}
 		if t.c.countRuns(leavingServer) <= before {
-			return errors.New("it has run no new call")
+			return errors.New("the server has run no new call")
 		}
 		return nil
 	})
@@ -142,7 +142,7 @@
 			last = max(last, run.StartedMS)
 		}
 	}
-	c.t.Logf("leave by %s: reported by the agent after %v, last run started %d ms after the order, %d calls since",
+	c.t.Logf("removal by %s: reported by the agent after %v, last run started %d ms after the order, %d later calls",
 		r.method, r.reportedAt.Sub(r.orderedAt).Round(time.Millisecond), last-r.orderedAt.UnixMilli(), len(after))
 }
 
--- a/e2e/once_history_test.go
+++ b/e2e/once_history_test.go
@@ -13,6 +13,7 @@
 	"dandelionsill.org/standin/service"
 )
 
+// historyTimeout limits the check of a history.
 const historyTimeout = 20 * time.Second
 
 // onceInput is one attempt of a keyed write.
--- a/e2e/paths_test.go
+++ b/e2e/paths_test.go
@@ -106,6 +106,7 @@
 	}
 )
 
+// configState is the current revision of configModel.
 type configState struct {
 	number uint64
 	hash   string
--- a/e2e/settings_test.go
+++ b/e2e/settings_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// People copy the demo's settings, so that each file must pass the check of its own
-// binary.
+// Users copy the demo's settings, so each file must pass the check of the binary that it
+// configures.
 func TestDemoSettingsAreValid(t *testing.T) {
 	files, err := filepath.Glob("../examples/demo/*.ini")
 	require.NoError(t, err)
--- a/e2e/traffic_test.go
+++ b/e2e/traffic_test.go
@@ -129,7 +129,7 @@
 	want := count() + n
 	t.c.waitFor(fmt.Sprintf("%d calls answered", want), func() error {
 		if have := count(); have < want {
-			return fmt.Errorf("%d are answered, kinds %v", have, countKinds(t.calls.all()))
+			return fmt.Errorf("%d calls are answered, by kind: %v", have, countKinds(t.calls.all()))
 		}
 		return nil
 	})
@@ -148,7 +148,7 @@
 			}
 		}
 		if len(ended) < t.callers {
-			return fmt.Errorf("%d of %d have", len(ended), t.callers)
+			return fmt.Errorf("%d of %d callers have", len(ended), t.callers)
 		}
 		return nil
 	})
--- a/e2e/writes_test.go
+++ b/e2e/writes_test.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// An agent is suspended during writes, as when its VM is, until every caller of a request
-// that it held has got "outcome unknown" or "not run", and is then resumed. It must not
+// An agent is suspended during writes, as when its VM is, until every caller whose request
+// it held has got "outcome unknown" or "not run", and is then resumed. It must not
 // run a request that was answered "not run", nor a key that ran elsewhere meanwhile.
 func TestAgentPausedUnderWrites(t *testing.T) {
 	const seed = 12
--- a/hack/renames/compare.go
+++ b/hack/renames/compare.go
@@ -82,12 +82,12 @@
 	return all
 }
 
-// use is a pair of identifiers at the same place of two declarations.
+// use is a pair of identifiers at the same position in two declarations.
 type use struct {
 	oldName, newName string
 	oldKey, newKey   string
 	own              bool // both denote objects of the workspace
-	outer            bool // neither does
+	outer            bool // neither denotes one
 }
 
 // contradiction returns the first pair of identifiers that does not agree with the
@@ -117,7 +117,9 @@
 	return true
 }
 
-// distance is larger the less two declarations of the same shape seem to be the same one.
+// distance returns how unlikely it is that two declarations of the same shape are the same
+// one: contradictions of the mapping count most, then identifiers that it does not pair
+// yet, and a different title or file.
 func (c *comparison) distance(before, after *declaration) int {
 	uses, _ := c.walkPair(before, after)
 	_, contradictions := c.contradiction(uses)
@@ -219,8 +221,9 @@
 	return ""
 }
 
-// parts lists the fields of a syntax node that matter: no positions and no comments, but
-// whether a call passes a slice on (Ellipsis) and whether a type is an alias (Assign).
+// parts lists the fields of a syntax node that are compared. Positions and comments are
+// left out. Of the positions Ellipsis and Assign only their presence is compared: a call
+// passes a slice as its variadic arguments, and a type is an alias.
 func parts(v reflect.Value) []reflect.Value {
 	var out []reflect.Value
 	for i := range v.NumField() {
--- a/hack/renames/main.go
+++ b/hack/renames/main.go
@@ -136,8 +136,8 @@
 	return c, nil
 }
 
-// packageImporter imports for one package. An external test sees its package together
-// with the internal tests.
+// packageImporter resolves the imports of one package. If tested is set, the importing
+// package is an external test of it and gets it together with its internal tests.
 type packageImporter struct {
 	checkout *checkout
 	tested   string
--- a/soak/callers_test.go
+++ b/soak/callers_test.go
@@ -51,8 +51,8 @@
 	r.violations = append(r.violations, fmt.Sprintf(format, args...))
 }
 
-// checkResults compares results, the first of which is at position after, with
-// those that were read before, and stores the new ones.
+// checkResults compares results with those that were read before and stores the new
+// ones. The first of the results is at position after in the job.
 func (r *record) checkResults(job, gateway string, after int, results []result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -171,10 +171,9 @@
 	}
 }
 
-// stepTimeout is how long a trainer waits for the results of a step.
 const (
-	stepTimeout = 8 * time.Second
-	stepItems   = 8
+	stepTimeout = 8 * time.Second // for a trainer's wait for the results of a step
+	stepItems   = 8               // items in the job of a step
 )
 
 // submit submits a job up to ten times and reports whether it was accepted. A job
@@ -205,8 +204,9 @@
 	return false
 }
 
-// readAll reads a job's results at random gateways until all are there or maxWait
-// has passed. Some reads start at the first result again.
+// readAll reads a job's results at random gateways until it has all of them or
+// maxWait has passed, and reports whether it has all. Some reads start at the first
+// result again.
 func (c *client) readAll(ctx context.Context, job string, maxWait time.Duration) bool {
 	deadline := time.Now().Add(maxWait)
 	after := 0
@@ -231,7 +231,7 @@
 func (c *client) results(gateway *process, job string, after int) ([]result, bool) {
 	status, _, body := c.ask(context.Background(), gateway, http.MethodGet, fmt.Sprintf("%s%s?after=%d", hostedtest.PathJob, job, after), "", nil)
 	if status == http.StatusNotFound {
-		c.rec.reportViolation("job %s was accepted and is not found at %s", job, gateway.name)
+		c.rec.reportViolation("job %s was accepted but is not found at %s", job, gateway.name)
 	}
 	if status != http.StatusOK {
 		return nil, false
--- a/soak/crashing_test.go
+++ b/soak/crashing_test.go
@@ -29,8 +29,8 @@
 	crashingServerCount = 3
 	// crashPath is the path prefix of the requests that crash servers.
 	crashPath = "/mortal/deadly"
-	// maxLateCrashes is how many more servers a request may crash after the first three
-	// crashes have been reported to every process.
+	// maxLateCrashes is the maximum number of servers that a request may crash after its
+	// first three crashes have been reported to every process.
 	maxLateCrashes = 3
 	// propagationTime is how long the processes have for these reports after the last
 	// fault.
@@ -133,7 +133,7 @@
 }
 
 // verifyQuarantine sends the crashing requests to each gateway after the gateways
-// have had time to learn of the earlier crashes. At most maxLateCrashes of each may
+// have had time to receive the reports of the earlier crashes. At most maxLateCrashes of each may
 // crash another server, and harmless requests must be served.
 func (cs *crashingServers) verifyQuarantine(rec *record, seed uint64, uris []string) {
 	time.Sleep(propagationTime) // the guarantee holds only after this long without faults
@@ -146,7 +146,7 @@
 			cs.replace()
 		}
 		if late := cs.crashCount(uri) - before; before >= crashingServerCount && late > maxLateCrashes {
-			rec.reportViolation("request %s: it crashed %d servers, and %d more after all gateways could know of it", uri, before, late)
+			rec.reportViolation("request %s crashed %d servers, and %d more after the crashes had been reported to all gateways", uri, before, late)
 		}
 	}
 	for n, g := range cs.sys.gatewayProcs {
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -53,14 +53,14 @@
 	case 2:
 		in.restart(p, syscall.SIGTERM, duration/4)
 	case 3:
-		in.log("freeze %s for %v", p.name, duration)
+		in.log("suspend %s for %v", p.name, duration)
 		p.signal(syscall.SIGSTOP, false)
 		in.repairAfter(duration, func() {
 			in.sys.duties.Excuse(p.name, resumeSlack)
 			p.signal(syscall.SIGCONT, false)
 		})
 	case 4:
-		in.log("hang up %s", p.name)
+		in.log("SIGHUP to %s", p.name)
 		p.hangUp()
 	case 5:
 		in.injectStoreFault(duration)
@@ -87,9 +87,9 @@
 	}
 }
 
-// resumeSlack is how long after a process was resumed the platform's stand-in counts
-// no call of it as a violation: it may have decided on the call before it was
-// suspended.
+// resumeSlack is how long after a process was resumed the platform's stand-in tolerates
+// calls that would be violations: the process may have decided on such a call before it
+// was suspended.
 const resumeSlack = 300 * time.Millisecond
 
 func (in *injector) repairAfter(d time.Duration, repair func()) {
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -29,8 +29,8 @@
 	seed  uint64
 	cause string
 }{
-	{201, "a hang-up reached an agent in the first milliseconds after its start, before Go had a handler, and ended it"},
-	{20320, "a gateway's port was taken by another test's outgoing connection between the choice of it and the gateway's start"},
+	{201, "SIGHUP reached an agent in the first milliseconds after its start, before the Go runtime had a handler, and ended it"},
+	{20320, "another test's outgoing connection took a gateway's port after the test had chosen it and before the gateway started"},
 }
 
 // binDir contains the binaries under test.
@@ -58,7 +58,7 @@
 	return m.Run()
 }
 
-// Random, overlapping faults hit the system: gateways and agents are killed,
+// Injects random, overlapping faults into the system: gateways and agents are killed,
 // suspended, stopped and sent SIGHUP, their connections are delayed, reset or lose
 // bytes, and the store and the servers are faulty. Meanwhile trainers and callers
 // check every answer against the guarantees. After the faults, all accepted work
@@ -119,7 +119,7 @@
 	if len(rec.violations) > 0 {
 		t.Errorf("seed %d:\n%s\nfaults:\n%s", seed, strings.Join(rec.violations, "\n"), strings.Join(faults, "\n"))
 	}
-	t.Logf("seed %d: %d faults, %d jobs, %d requests served, %d writes, servers ended under requests: %v", seed, len(faults), len(rec.accepted), rec.served, len(rec.writes), sys.crashing.crashes)
+	t.Logf("seed %d: %d faults, %d jobs, %d requests served, %d writes, servers crashed by requests: %v", seed, len(faults), len(rec.accepted), rec.served, len(rec.writes), sys.crashing.crashes)
 }
 
 // waitServing waits until every gateway has served a request.
@@ -190,7 +190,7 @@
 			rec.reportViolation("write %s ran %d times", id, runs[id])
 		}
 		if o.notExecuted && runs[id] > 0 {
-			rec.reportViolation("write %s was answered %d, not run, and has run", id, o.status)
+			rec.reportViolation("write %s was answered %d (not run) but has run", id, o.status)
 		}
 	}
 	for _, e := range sys.engines {
--- a/soak/system_test.go
+++ b/soak/system_test.go
@@ -44,7 +44,7 @@
 	hungUpUnready bool
 }
 
-// system is the system under test with its platform of stand-ins.
+// system is the system under test with stand-ins for the platform.
 type system struct {
 	t            *testing.T
 	dir          string
@@ -109,7 +109,7 @@
 	sys.crashing.heartbeat()
 }
 
-// Ports for the processes to listen on. They are below the ephemeral ports (from
+// Range of the ports that the processes listen on. They are below the ephemeral ports (from
 // 32768 on): an outgoing connection took such a port between the test's check and
 // the process's start, and a gateway ended with "address already in use". Each test
 // process starts at a different port.
@@ -221,7 +221,7 @@
 	return err == nil && caught&(1<<(uint(sig)-1)) != 0
 }
 
-// signal sends a signal. ends says that the process may end because of it.
+// signal sends a signal. ends is true if the process may end because of it.
 func (p *process) signal(sig syscall.Signal, ends bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
