--- a/e2e/drain_test.go
+++ b/e2e/drain_test.go
@@ -33,7 +33,7 @@
 	}
 	c.waitFor("every stream has received text", func() error {
 		if have := int(s.started.Load()); have < n {
-			return fmt.Errorf("%d of %d have", have, n)
+			return fmt.Errorf("%d of %d streams have received text", have, n)
 		}
 		return nil
 	})
@@ -46,10 +46,10 @@
 	in := client.Completion{
 		RequestID: uuid.NewString(), Model: s.c.site.Deployment.Model, Prompt: prompt, MaxTokens: 600, Seed: seed, Stream: true,
 	}
-	shown := false
+	hasText := false
 	r, text := cl.Complete(ctx, in, func(string) {
-		if !shown {
-			shown = true
+		if !hasText {
+			hasText = true
 			s.started.Add(1)
 		}
 	})
@@ -64,7 +64,7 @@
 	s.c.t.Helper()
 	s.c.waitFor("every stream ends", func() error {
 		if have := s.completions.len(); have < s.count {
-			return fmt.Errorf("%d of %d have", have, s.count)
+			return fmt.Errorf("%d of %d streams have ended", have, s.count)
 		}
 		return nil
 	})
--- a/e2e/figures_test.go
+++ b/e2e/figures_test.go
@@ -30,7 +30,7 @@
 func (c *cluster) timeCommit(number uint64) time.Duration {
 	c.t.Helper()
 	require.NoError(c.t, c.site.Commit(c.ctx, number, c.site.Manifest(fmt.Sprint("revision ", number))))
-	taken := time.Now()
+	committedAt := time.Now()
 	var mu sync.Mutex
 	var last time.Time
 	var all sync.WaitGroup
@@ -48,7 +48,7 @@
 		})
 	}
 	all.Wait()
-	return last.Sub(taken)
+	return last.Sub(committedAt)
 }
 
 // waitRevision polls a process until it reports a revision and returns the time then.
@@ -62,32 +62,32 @@
 		case err == nil && st.Revision >= number:
 			return time.Now(), nil
 		case time.Now().After(deadline):
-			return time.Time{}, fmt.Errorf("holds revision %d, not %d: %w", st.Revision, number, err)
+			return time.Time{}, fmt.Errorf("has revision %d, want %d: %w", st.Revision, number, err)
 		}
 		time.Sleep(pause)
 	}
 }
 
-// Measures times without checking them: how long a stored commit takes to be in force
+// Measures, without checking, how long a stored commit takes to be in force
 // on every process, without faults and while three processes are partitioned from the
-// log; and how long a write with a key and one without take for the caller. Every
+// log, and how long a write with a key and one without take for the caller. Every
 // commit must come into force and every write must get a complete answer.
 func TestCommitAndWriteTimes(t *testing.T) {
 	const seed, healthyCommits, partitionedCommits, writes = 91, 30, 6, 60
 	c := startCluster(t, options{seed: seed})
 	number := uint64(1)
 	commits := func(n int) []time.Duration {
-		var took []time.Duration
+		var times []time.Duration
 		for range n {
 			number++
-			took = append(took, c.timeCommit(number))
+			times = append(times, c.timeCommit(number))
 		}
-		return took
+		return times
 	}
-	t.Logf("a commit in force everywhere, all well: %s", percentiles(commits(healthyCommits)))
+	t.Logf("time until a commit is in force on all processes, without faults: %s", percentiles(commits(healthyCommits)))
 	partitioned := []string{"entry-2", "engine-1", "service-1"}
 	c.setFaults("log", logsvc.Faults{DropClients: partitioned})
-	t.Logf("with %v cut off from the log: %s", partitioned, percentiles(commits(partitionedCommits)))
+	t.Logf("the same with %v partitioned from the log: %s", partitioned, percentiles(commits(partitionedCommits)))
 	c.setFaults("log", logsvc.Faults{})
 
 	for _, keyed := range []bool{true, false} {
@@ -109,10 +109,10 @@
 	})
 	w.waitAnswered(n)
 	calls, _ := w.verify()
-	var took []time.Duration
+	var times []time.Duration
 	for i := range calls {
 		require.True(c.t, calls[i].Result.OK(), "%+v", calls[i].Result)
-		took = append(took, calls[i].Result.Took)
+		times = append(times, calls[i].Result.Took)
 	}
-	return took
+	return times
 }
