--- a/hack/outernames/main.go
+++ b/hack/outernames/main.go
@@ -191,7 +191,7 @@
 // load parses and type-checks a package and lists its names. Generated protobuf code is
 // left out: addProto lists its names.
 func (c *collector) load(p pkg) error {
-	c.info = &types.Info{Types: map[ast.Expr]types.TypeAndValue{}, Uses: map[*ast.Ident]types.Object{}, Defs: map[*ast.Ident]types.Object{}, Selections: map[*ast.SelectorExpr]*types.Selection{}}
+	c.info = &types.Info{Types: map[ast.Expr]types.TypeAndValue{}, Uses: map[*ast.Ident]types.Object{}}
 	c.name = strings.TrimPrefix(p.ImportPath, module)
 	if strings.HasPrefix(c.name, "wire/pb") {
 		return nil
